--- a/admitter/admitter_test.go
+++ b/admitter/admitter_test.go
@@ -80,7 +80,7 @@
 		request := testRequest("top", 2)
 		request.FirstTokenBy = begin.Add(840 * time.Millisecond)
 		_, err := a.Admit(t.Context(), request)
-		if !garnetworks.IsKind(err, garnetworks.KindDeadline) {
+		if !garnetworks.IsKind(err, garnetworks.KindDeadlineUnreachable) {
 			t.Fatalf("got %v, want a deadline that can't be met", err)
 		}
 		if waited := time.Since(begin); waited > 550*time.Millisecond {
--- a/admitter/gate.go
+++ b/admitter/gate.go
@@ -256,7 +256,7 @@
 }
 
 func (g *gate) late(wait time.Duration) error {
-	return g.retry(garnetworks.KindDeadline, max(wait, shortestOverload), "the first token can't come in time")
+	return g.retry(garnetworks.KindDeadlineUnreachable, max(wait, shortestOverload), "the first token can't come in time")
 }
 
 func (g *gate) full(wait time.Duration) error {
@@ -305,7 +305,7 @@
 		g.counts.OverLimit++
 	case garnetworks.KindOverloaded:
 		g.counts.Overloaded++
-	case garnetworks.KindDeadline:
+	case garnetworks.KindDeadlineUnreachable:
 		g.counts.Deadline++
 	case garnetworks.KindCancelled:
 		g.counts.Cancelled++
--- a/admitter/overload_test.go
+++ b/admitter/overload_test.go
@@ -292,7 +292,7 @@
 		}
 	}
 	c.started = r.now
-	r.routers[node].Started(r.now, &c.request, view.ID)
+	r.routers[node].AttemptStarted(r.now, &c.request, view.ID)
 	e := r.engines[c.group]
 	if e.running >= loadSlots {
 		e.waiting = append(e.waiting, c)
@@ -322,7 +322,7 @@
 				r.counts[c.workspace].late++
 			}
 		}
-		r.routers[node].Loaded(r.now, groupID(c.group), e.load(r.now))
+		r.routers[node].ReportLoad(r.now, groupID(c.group), e.load(r.now))
 	})
 	r.at(c.first.Add(time.Duration(c.output)*loadStep), func() {
 		e.running--
@@ -354,7 +354,7 @@
 			Phase: garnetworks.PhaseDone, FirstToken: c.first.Sub(c.started), Elapsed: r.now.Sub(c.started), Tokens: c.output,
 		}
 	}
-	r.routers[node].Finished(r.now, &c.request, groupID(c.group), result)
+	r.routers[node].AttemptFinished(r.now, &c.request, groupID(c.group), result)
 	if c.waiter != nil {
 		r.gates[node].done(r.now, c.waiter, 1000)
 		r.verdicts(node)
--- a/admitter/state_test.go
+++ b/admitter/state_test.go
@@ -165,7 +165,7 @@
 }
 
 func (m *gateMachine) checkRefusal(t *rapid.T, w *waiter) {
-	if !garnetworks.IsKind(w.err, garnetworks.KindOverLimit, garnetworks.KindOverloaded, garnetworks.KindDeadline, garnetworks.KindShuttingDown) {
+	if !garnetworks.IsKind(w.err, garnetworks.KindOverLimit, garnetworks.KindOverloaded, garnetworks.KindDeadlineUnreachable, garnetworks.KindShuttingDown) {
 		t.Fatalf("refused with %v", w.err)
 	}
 	if e := w.err.(*garnetworks.Error); e.Kind != garnetworks.KindShuttingDown && e.RetryAfter <= 0 {
--- a/call.go
+++ b/call.go
@@ -81,12 +81,12 @@
 	Path        string
 	ContentType string
 	Body        []byte
-	// Key is the caller's idempotency key; empty if there was none.
-	Key string
+	// IdempotencyKey is the caller's idempotency key; empty if there was none.
+	IdempotencyKey string
 }
 
-// ServiceAnswer is a plain service's whole answer.
-type ServiceAnswer struct {
+// ServiceResponse is a plain service's whole answer.
+type ServiceResponse struct {
 	// ID echoes ServiceCall.ID (rule G7).
 	ID          CallID
 	Status      int
@@ -110,15 +110,15 @@
 	PhaseHeaders CallPhase = "headers"
 	// PhaseBody: the answer broke off in its body.
 	PhaseBody CallPhase = "body"
-	// PhaseCrossed: the answer belonged to another call.
-	PhaseCrossed CallPhase = "crossed"
+	// PhaseMismatched: the answer belonged to another call.
+	PhaseMismatched CallPhase = "crossed"
 	// PhaseDone: the whole answer came.
 	PhaseDone CallPhase = "done"
 )
 
-// BrokeOff reports whether an attempt that ended in the phase was with its server and got
+// Interrupted reports whether an attempt that ended in the phase was with its server and got
 // no whole answer, so that the server may have ended under it.
-func (p CallPhase) BrokeOff() bool {
+func (p CallPhase) Interrupted() bool {
 	switch p {
 	case PhaseWrite, PhaseWait, PhaseHeaders, PhaseBody:
 		return true
@@ -130,9 +130,9 @@
 // ServiceCaller return it and nothing else.
 type AttemptError struct {
 	Phase CallPhase
-	// Silent says that the attempt ended because the connection made no
+	// Stalled says that the attempt ended because the connection made no
 	// progress.
-	Silent bool
+	Stalled bool
 	// RetryAfter is the server's own word on a refusal.
 	RetryAfter time.Duration
 	Cause      error
--- a/checker/bites_test.go
+++ b/checker/bites_test.go
@@ -127,7 +127,7 @@
 		"retries a lost write and says conflict": breakObjects("a lost write is neither failed nor done", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.put = func(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
 				revision, err := next.Put(ctx, key, value, after)
-				if garnetworks.IsKind(err, garnetworks.KindAnswerLost) {
+				if garnetworks.IsKind(err, garnetworks.KindResponseLost) {
 					return next.Put(ctx, key, value, after)
 				}
 				return revision, err
@@ -334,9 +334,9 @@
 }
 
 // brokenServices changes calls or answers of a service caller.
-type brokenServices func(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceAnswer, error)
+type brokenServices func(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error)
 
-func (b brokenServices) Call(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceAnswer, error) {
+func (b brokenServices) Call(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
 	return b(ctx, address, call)
 }
 
@@ -351,7 +351,7 @@
 func TestServiceCallerBites(t *testing.T) {
 	t.Parallel()
 	repeats := func(next garnetworks.ServiceCaller) brokenServices {
-		return func(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceAnswer, error) {
+		return func(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
 			answer, err := next.Call(ctx, address, call)
 			if err != nil {
 				return next.Call(ctx, address, call)
@@ -361,7 +361,7 @@
 	}
 	fails := func(phase garnetworks.CallPhase) func(next garnetworks.ServiceCaller) brokenServices {
 		return func(next garnetworks.ServiceCaller) brokenServices {
-			return func(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceAnswer, error) {
+			return func(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
 				answer, err := next.Call(ctx, address, call)
 				if err != nil {
 					return answer, &garnetworks.AttemptError{Phase: phase}
@@ -379,18 +379,18 @@
 		"calls refusals lost":          breakServices("a leaving server refuses", fails(garnetworks.PhaseWait)),
 		"calls missing listeners lost": breakServices("nobody listens", fails(garnetworks.PhaseWait)),
 		"passes crossed answers": breakServices("a crossed answer is dropped", func(next garnetworks.ServiceCaller) brokenServices {
-			return func(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceAnswer, error) {
+			return func(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
 				answer, err := next.Call(ctx, address, call)
 				if err != nil {
-					return garnetworks.ServiceAnswer{ID: call.ID, Status: 200, Body: []byte("another's")}, nil
+					return garnetworks.ServiceResponse{ID: call.ID, Status: 200, Body: []byte("another's")}, nil
 				}
 				return answer, nil
 			}
 		}),
 		"drops the key": breakServices("a call runs once and is answered", func(next garnetworks.ServiceCaller) brokenServices {
-			return func(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceAnswer, error) {
+			return func(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
 				changed := *call
-				changed.Key = ""
+				changed.IdempotencyKey = ""
 				return next.Call(ctx, address, &changed)
 			}
 		}),
--- a/checker/enginecaller.go
+++ b/checker/enginecaller.go
@@ -340,7 +340,7 @@
 		b.Faults.SetFaults(faker.FaultPlan{CrossAnswers: 1, BreakAfter: after})
 		call := b.Call(6)
 		a, err := readAll(ctx, b, call)
-		if err := wantPhase("crossed answer", err, garnetworks.PhaseCrossed); err != nil {
+		if err := wantPhase("crossed answer", err, garnetworks.PhaseMismatched); err != nil {
 			return errors.Wrapf(err, "crossed after %d", after)
 		}
 		if err := want("own tokens", a.text, b.Text(call, 0, after)); err != nil {
@@ -353,7 +353,7 @@
 // wantSilent returns an error unless err says that silence ended the attempt.
 func wantSilent(err error) error {
 	var attempt *garnetworks.AttemptError
-	if !errors.As(err, &attempt) || !attempt.Silent {
+	if !errors.As(err, &attempt) || !attempt.Stalled {
 		return errors.Errorf("got error %v, want a silent attempt", err)
 	}
 	return nil
--- a/checker/engineorders.go
+++ b/checker/engineorders.go
@@ -333,7 +333,7 @@
 	order := formOrder(b, "1", 1)
 	b.Faults.SetFaults(faker.FaultPlan{LoseAnswers: 1, Methods: []string{faker.MethodOrder}})
 	_, err := b.Orders.Order(ctx, b.Checking.Address, order)
-	if err := wantKind("order", err, garnetworks.KindAnswerLost); err != nil {
+	if err := wantKind("order", err, garnetworks.KindResponseLost); err != nil {
 		return err
 	}
 	return wantReady(ctx, b, b.Checking.Address, order)
--- a/checker/objectapi.go
+++ b/checker/objectapi.go
@@ -483,7 +483,7 @@
 func objectLostPut(ctx context.Context, b ObjectAPIBed) error {
 	b.Faults.SetFaults(faker.FaultPlan{LoseAnswers: 1, Methods: []string{faker.MethodPut}})
 	_, err := b.API.Put(ctx, testKey, []byte("one"), 0)
-	if err := wantKind("put", err, garnetworks.KindAnswerLost); err != nil {
+	if err := wantKind("put", err, garnetworks.KindResponseLost); err != nil {
 		return err
 	}
 	object, err := b.API.Get(ctx, testKey)
@@ -500,7 +500,7 @@
 	}
 	b.Faults.SetFaults(faker.FaultPlan{LoseAnswers: 1, Methods: []string{faker.MethodDelete}})
 	err = b.API.Delete(ctx, testKey, revision)
-	if err := wantKind("delete", err, garnetworks.KindAnswerLost); err != nil {
+	if err := wantKind("delete", err, garnetworks.KindResponseLost); err != nil {
 		return err
 	}
 	_, err = b.API.Get(ctx, testKey)
@@ -513,7 +513,7 @@
 		_, err := b.API.Put(ctx, testKey, []byte("one"), 0)
 		return err
 	})
-	if err := wantKind("put", err, garnetworks.KindAnswerLost); err != nil {
+	if err := wantKind("put", err, garnetworks.KindResponseLost); err != nil {
 		return err
 	}
 	b.Faults.SetFaults(faker.FaultPlan{})
@@ -540,7 +540,7 @@
 		func() error { return wantKind("list", listErr, garnetworks.KindObjectAPIDown) },
 		func() error { return wantKind("watch", watchErr, garnetworks.KindObjectAPIDown) },
 		func() error {
-			return wantKind("put", putErr, garnetworks.KindObjectAPIDown, garnetworks.KindAnswerLost)
+			return wantKind("put", putErr, garnetworks.KindObjectAPIDown, garnetworks.KindResponseLost)
 		},
 	)
 	if err != nil {
@@ -577,11 +577,11 @@
 	b.Faults.SetFaults(faker.FaultPlan{})
 	err := steps(
 		func() error {
-			return wantKind("put", putErr, garnetworks.KindObjectAPIDown, garnetworks.KindAnswerLost)
+			return wantKind("put", putErr, garnetworks.KindObjectAPIDown, garnetworks.KindResponseLost)
 		},
 		func() error { return wantKind("get", getErr, garnetworks.KindObjectAPIDown) },
 	)
-	if err != nil || garnetworks.IsKind(putErr, garnetworks.KindAnswerLost) {
+	if err != nil || garnetworks.IsKind(putErr, garnetworks.KindResponseLost) {
 		return err
 	}
 	_, err = b.API.Get(ctx, testKey)
--- a/checker/peer.go
+++ b/checker/peer.go
@@ -220,8 +220,8 @@
 			Token: 1 << 60, Address: "127.0.0.1:2", State: garnetworks.GroupServing, Members: []garnetworks.InstanceID{"engine-1"},
 			Confirmed: true, Load: load, Slow: true,
 		}},
-		Servers:  []garnetworks.ServerView{{Instance: "server-1", Service: "ledger", Zone: "zone-a", Address: "127.0.0.1:3", Leaving: true}},
-		Measures: garnetworks.Measures{GroupDowntime: time.Second, Stranded: time.Minute, GroupsDown: 1, InstancesStranded: 2, Drawn: 3, Limit: 4},
+		Servers: []garnetworks.ServerView{{Instance: "server-1", Service: "ledger", Zone: "zone-a", Address: "127.0.0.1:3", Leaving: true}},
+		Metrics: garnetworks.ZoneMetrics{GroupDowntime: time.Second, Stranded: time.Minute, GroupsDown: 1, InstancesStranded: 2, Drawn: 3, Limit: 4},
 	}
 	event := garnetworks.Event{
 		At: at, Node: "node-1", Sequence: 5, Kind: garnetworks.EventGroupFormed, Zone: "zone-a", Group: "group-1", Instance: "engine-1",
@@ -232,7 +232,7 @@
 		CommitID: "commit-1", Operator: "operator", Base: 5, Proposal: 6, State: garnetworks.CommitHeld, Generation: 7,
 		ProposedAt: load.At, AcceptedAt: load.At, InForceAt: load.At, Reason: "zone-b is cut off",
 		Zones: []garnetworks.ZoneProgress{{
-			Zone: "zone-a", LeftOut: true, Live: 2, Unstaged: []garnetworks.NodeID{"node-1"}, Unapplied: []garnetworks.NodeID{"node-2"},
+			Zone: "zone-a", Excluded: true, Live: 2, Unstaged: []garnetworks.NodeID{"node-1"}, Unapplied: []garnetworks.NodeID{"node-2"},
 			Nodes: []garnetworks.NodeReport{report},
 		}},
 	}
@@ -423,7 +423,7 @@
 		_, err := b.Caller.Heartbeat(ctx, address, &garnetworks.HeartbeatRequest{})
 		return err
 	})
-	return wantKind("heartbeat", err, garnetworks.KindUnreachable, garnetworks.KindAnswerLost)
+	return wantKind("heartbeat", err, garnetworks.KindUnreachable, garnetworks.KindResponseLost)
 }
 
 func peerDies(ctx context.Context, b PeerBed) error {
@@ -438,7 +438,7 @@
 		_, err := b.Caller.Heartbeat(ctx, address, &garnetworks.HeartbeatRequest{})
 		return err
 	})
-	return wantKind("heartbeat", err, garnetworks.KindAnswerLost)
+	return wantKind("heartbeat", err, garnetworks.KindResponseLost)
 }
 
 func peerReturns(ctx context.Context, b PeerBed) error {
@@ -450,7 +450,7 @@
 	}
 	end()
 	_, err := b.Caller.Status(ctx, address, &garnetworks.StatusRequest{})
-	if err := wantKind("status of an ended peer", err, garnetworks.KindUnreachable, garnetworks.KindAnswerLost); err != nil {
+	if err := wantKind("status of an ended peer", err, garnetworks.KindUnreachable, garnetworks.KindResponseLost); err != nil {
 		return err
 	}
 	address, end = b.Serve(second)
--- a/checker/platform.go
+++ b/checker/platform.go
@@ -199,7 +199,7 @@
 func powerLost(ctx context.Context, b PowerSwitchBed) error {
 	b.Faults.SetFaults(faker.FaultPlan{LoseAnswers: 1, Methods: []string{faker.MethodSetPower}})
 	err := b.Power.SetPower(ctx, powerOrder(b, "1", true, 1))
-	if err := wantKind("set power", err, garnetworks.KindAnswerLost); err != nil {
+	if err := wantKind("set power", err, garnetworks.KindResponseLost); err != nil {
 		return err
 	}
 	return wantPower(ctx, b, garnetworks.PowerOn)
@@ -212,7 +212,7 @@
 	b.Faults.SetFaults(faker.FaultPlan{})
 	return steps(
 		func() error {
-			return wantKind("set power", setErr, garnetworks.KindUnreachable, garnetworks.KindAnswerLost)
+			return wantKind("set power", setErr, garnetworks.KindUnreachable, garnetworks.KindResponseLost)
 		},
 		func() error { return wantKind("power", err, garnetworks.KindUnreachable) },
 		func() error { return want("nothing is proven", state.Draws(), true) },
--- a/checker/service.go
+++ b/checker/service.go
@@ -159,7 +159,7 @@
 
 func serviceAnswers(ctx context.Context, b ServiceCallerBed) error {
 	call := serviceCall("c1")
-	call.Key = "key-1"
+	call.IdempotencyKey = "key-1"
 	a, err := b.Caller.Call(ctx, b.Address, call)
 	if err != nil {
 		return errors.Wrap(err, "call")
@@ -169,7 +169,9 @@
 		func() error { return want("status", a.Status, http.StatusOK) },
 		func() error { return want("has a body", len(a.Body) > 0, true) },
 		func() error { return want("names its path", strings.Contains(string(a.Body), call.Path), true) },
-		func() error { return want("names its key", strings.Contains(string(a.Body), call.Key), true) },
+		func() error {
+			return want("names its key", strings.Contains(string(a.Body), call.IdempotencyKey), true)
+		},
 		func() error { return want("executions", b.Executions(call.ID), 1) },
 	)
 }
@@ -220,7 +222,7 @@
 	}
 	b.Faults.SetFaults(faker.FaultPlan{CrossAnswers: 1})
 	a, err := b.Caller.Call(ctx, b.Address, serviceCall("c2"))
-	if err := wantPhase("crossed call", err, garnetworks.PhaseCrossed); err != nil {
+	if err := wantPhase("crossed call", err, garnetworks.PhaseMismatched); err != nil {
 		return err
 	}
 	return want("body", len(a.Body), 0)
@@ -230,7 +232,7 @@
 	const calls = 40
 	for i := range calls {
 		call := serviceCall(garnetworks.CallID(fmt.Sprintf("c%d", i)))
-		call.Key = string(call.ID)
+		call.IdempotencyKey = string(call.ID)
 		if i%4 == 3 {
 			call.Body = nil
 		}
--- a/claimer/claimer.go
+++ b/claimer/claimer.go
@@ -148,15 +148,15 @@
 }
 
 // Complete implements garnetworks.Claimer. If ctx ends first, it returns an
-// error of kind KindAnswerLost, and the answer goes on being recorded.
-func (c *Claimer) Complete(ctx context.Context, claim garnetworks.Claim, answer *garnetworks.ServiceAnswer) error {
+// error of kind KindResponseLost, and the answer goes on being recorded.
+func (c *Claimer) Complete(ctx context.Context, claim garnetworks.Claim, answer *garnetworks.ServiceResponse) error {
 	op := claimOp(OpComplete, &claim.ClaimRequest)
 	op.Answer = c.keep(ctx, op.Key, claim.Call, answer)
 	return c.finish(ctx, op)
 }
 
 // Abandon implements garnetworks.Claimer. If ctx ends first, it returns an
-// error of kind KindAnswerLost, and the outcome goes on being recorded.
+// error of kind KindResponseLost, and the outcome goes on being recorded.
 func (c *Claimer) Abandon(ctx context.Context, claim garnetworks.Claim, outcome garnetworks.Outcome) error {
 	switch outcome {
 	case garnetworks.OutcomeNotRun:
@@ -174,7 +174,7 @@
 	select {
 	case <-t.done:
 	case <-ctx.Done():
-		return garnetworks.WrapError(garnetworks.KindAnswerLost, ctx.Err(), "the outcome of the claimed call is not recorded yet")
+		return garnetworks.WrapError(garnetworks.KindResponseLost, ctx.Err(), "the outcome of the claimed call is not recorded yet")
 	}
 	if t.result.Verdict == VerdictLost {
 		return garnetworks.Errorf(garnetworks.KindInternal, "the key of call %s belongs to call %s", op.Call, t.result.Record.Call)
@@ -189,7 +189,7 @@
 	for _, w := range c.workers {
 		for w.owed() > 0 {
 			if ctx.Err() != nil {
-				return garnetworks.WrapError(garnetworks.KindAnswerLost, ctx.Err(), "outcomes of claimed calls are not recorded")
+				return garnetworks.WrapError(garnetworks.KindResponseLost, ctx.Err(), "outcomes of claimed calls are not recorded")
 			}
 			sleep(ctx, poll)
 		}
@@ -279,7 +279,7 @@
 }
 
 // keep decides where the answer is kept, and stores a large one.
-func (c *Claimer) keep(ctx context.Context, key Digest, call garnetworks.CallID, answer *garnetworks.ServiceAnswer) Answer {
+func (c *Claimer) keep(ctx context.Context, key Digest, call garnetworks.CallID, answer *garnetworks.ServiceResponse) Answer {
 	kept := Answer{Form: AnswerInline, Status: answer.Status, ContentType: answer.ContentType, Body: answer.Body}
 	if len(answer.Body)+len(answer.ContentType) <= MaxInlineAnswer {
 		return kept
@@ -325,7 +325,7 @@
 		return garnetworks.ClaimResult{}, garnetworks.Errorf(garnetworks.KindOutcomeUnknown,
 			"the first call with the key completed with status %d; its answer was not kept", answer.Status)
 	}
-	return garnetworks.ClaimResult{Recorded: garnetworks.Some(garnetworks.ServiceAnswer{
+	return garnetworks.ClaimResult{Recorded: garnetworks.Some(garnetworks.ServiceResponse{
 		ID: r.Call, Status: answer.Status, ContentType: answer.ContentType, Body: answer.Body,
 	})}, nil
 }
--- a/claimer/claimer_test.go
+++ b/claimer/claimer_test.go
@@ -139,7 +139,7 @@
 		o.mu.Unlock()
 		_ = node.Abandon(patient, result.Claim, garnetworks.OutcomeUnknown)
 	default:
-		err = node.Complete(patient, result.Claim, &garnetworks.ServiceAnswer{ID: r.Call, Status: 200, Body: []byte(answer)})
+		err = node.Complete(patient, result.Claim, &garnetworks.ServiceResponse{ID: r.Call, Status: 200, Body: []byte(answer)})
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		o.recorded[st.Key] = o.recorded[st.Key] || err == nil
--- a/claimer/fake_test.go
+++ b/claimer/fake_test.go
@@ -63,7 +63,7 @@
 	s.mu.Unlock()
 	sleep(ctx, latency)
 	if ctx.Err() != nil {
-		return false, false, garnetworks.WrapError(garnetworks.KindAnswerLost, ctx.Err(), "timeout")
+		return false, false, garnetworks.WrapError(garnetworks.KindResponseLost, ctx.Err(), "timeout")
 	}
 	since := time.Since(s.start)
 	if since >= f.downFrom && since < f.downTo {
@@ -84,7 +84,7 @@
 	defer s.mu.Unlock()
 	s.gets++
 	if lost {
-		return garnetworks.Object{}, garnetworks.Errorf(garnetworks.KindAnswerLost, "lost")
+		return garnetworks.Object{}, garnetworks.Errorf(garnetworks.KindResponseLost, "lost")
 	}
 	o, ok := s.objects[key]
 	if !ok {
@@ -103,11 +103,11 @@
 			time.Sleep(3 * time.Second)
 			_, _ = s.put(key, value, after)
 		}()
-		return 0, garnetworks.Errorf(garnetworks.KindAnswerLost, "no answer; lands late")
+		return 0, garnetworks.Errorf(garnetworks.KindResponseLost, "no answer; lands late")
 	}
 	revision, err := s.put(key, value, after)
 	if lost {
-		return 0, garnetworks.Errorf(garnetworks.KindAnswerLost, "lost")
+		return 0, garnetworks.Errorf(garnetworks.KindResponseLost, "lost")
 	}
 	return revision, err
 }
@@ -220,11 +220,11 @@
 			defer cancel()
 			_, _ = l.cluster.nodes[i].Serve(c, shard, ops)
 		}()
-		return nil, garnetworks.Errorf(garnetworks.KindAnswerLost, "held up")
+		return nil, garnetworks.Errorf(garnetworks.KindResponseLost, "held up")
 	}
 	results, err := l.cluster.nodes[i].Serve(ctx, shard, ops)
 	if lost {
-		return nil, garnetworks.Errorf(garnetworks.KindAnswerLost, "lost")
+		return nil, garnetworks.Errorf(garnetworks.KindResponseLost, "lost")
 	}
 	return results, err
 }
--- a/claimer/faults_test.go
+++ b/claimer/faults_test.go
@@ -110,7 +110,7 @@
 				t.Errorf("key %d after the outage: %v", key, err)
 			}
 		}
-		if down, back := events.kinds[garnetworks.EventObjectAPIDown], events.kinds[garnetworks.EventObjectAPIBack]; down != 1 || back != 1 {
+		if down, back := events.kinds[garnetworks.EventObjectAPIDown], events.kinds[garnetworks.EventObjectAPIRestored]; down != 1 || back != 1 {
 			t.Errorf("got %d outages and %d ends on the time line, want 1 and 1", down, back)
 		}
 	})
--- a/claimer/pace.go
+++ b/claimer/pace.go
@@ -56,7 +56,7 @@
 	w.retryAt = time.Time{}
 	w.mu.Unlock()
 	if down && w.claimer.refusing.Add(-1) == 0 {
-		w.record(garnetworks.Event{Kind: garnetworks.EventObjectAPIBack, Detail: "claims are given again"})
+		w.record(garnetworks.Event{Kind: garnetworks.EventObjectAPIRestored, Detail: "claims are given again"})
 	}
 }
 
--- a/claimer/peers_test.go
+++ b/claimer/peers_test.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err = c.Complete(ctx, claim.Claim, &garnetworks.ServiceAnswer{ID: r.Call, Status: 200, Body: []byte("stored")}); err != nil {
+	if err = c.Complete(ctx, claim.Claim, &garnetworks.ServiceResponse{ID: r.Call, Status: 200, Body: []byte("stored")}); err != nil {
 		t.Fatal(err)
 	}
 	replay, err := c.Claim(ctx, request(key, 100+key))
--- a/claimer/shard_test.go
+++ b/claimer/shard_test.go
@@ -89,7 +89,7 @@
 		if _, err = c.nodes[1].Claim(ctx, request(0, 2)); !garnetworks.IsKind(err, garnetworks.KindInProgress) {
 			t.Fatalf("replay while running: %v", err)
 		}
-		answer := &garnetworks.ServiceAnswer{ID: "call-1", Status: 201, ContentType: "text/plain", Body: bytes.Repeat([]byte("x"), 300<<10)}
+		answer := &garnetworks.ServiceResponse{ID: "call-1", Status: 201, ContentType: "text/plain", Body: bytes.Repeat([]byte("x"), 300<<10)}
 		if err = c.nodes[0].Complete(ctx, claimed.Claim, answer); err != nil {
 			t.Fatal(err)
 		}
@@ -124,7 +124,7 @@
 			if claim.Recorded.Present {
 				t.Fatalf("key %d is not fresh", key)
 			}
-			if err := c.nodes[0].Complete(ctx, claim.Claim, &garnetworks.ServiceAnswer{ID: "x", Status: 200, Body: body(key)}); err != nil {
+			if err := c.nodes[0].Complete(ctx, claim.Claim, &garnetworks.ServiceResponse{ID: "x", Status: 200, Body: body(key)}); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(2 * time.Second)
--- a/claimer/writes_test.go
+++ b/claimer/writes_test.go
@@ -64,7 +64,7 @@
 			mu.Unlock()
 			if err == nil {
 				time.Sleep(20 * time.Millisecond)
-				_ = node.Complete(ctx, claim.Claim, &garnetworks.ServiceAnswer{ID: r.Call, Status: 200, Body: make([]byte, 200)})
+				_ = node.Complete(ctx, claim.Claim, &garnetworks.ServiceResponse{ID: r.Call, Status: 200, Body: make([]byte, 200)})
 			}
 		})
 	}
--- a/cmd/garnetctl/fake_test.go
+++ b/cmd/garnetctl/fake_test.go
@@ -89,13 +89,13 @@
 	return []garnetworks.ZoneView{
 		{
 			Zone: "south-a", Groups: []garnetworks.GroupView{group("g-1", "south-a", garnetworks.GroupServing, true), slow},
-			Servers:  []garnetworks.ServerView{{Instance: "l-1", Service: "ledger", Zone: "south-a", Address: "10.0.1.9:80"}},
-			Measures: garnetworks.Measures{Drawn: 11500, Limit: 40000},
+			Servers: []garnetworks.ServerView{{Instance: "l-1", Service: "ledger", Zone: "south-a", Address: "10.0.1.9:80"}},
+			Metrics: garnetworks.ZoneMetrics{Drawn: 11500, Limit: 40000},
 		},
 		{
 			Zone: "south-b", Groups: []garnetworks.GroupView{group("g-3", "south-b", garnetworks.GroupServing, false)},
 			Servers: []garnetworks.ServerView{{Instance: "l-2", Service: "ledger", Zone: "south-b", Address: "10.0.2.9:80", Leaving: true}},
-			Measures: garnetworks.Measures{
+			Metrics: garnetworks.ZoneMetrics{
 				Drawn: 5600, Limit: 30000, GroupsDown: 1, GroupDowntime: 63 * time.Second, InstancesStranded: 3, Stranded: 189 * time.Second,
 			},
 		},
--- a/cmd/garnetctl/main.go
+++ b/cmd/garnetctl/main.go
@@ -81,7 +81,7 @@
 		return exitStale
 	case garnetworks.KindConflict:
 		return exitPending
-	case garnetworks.KindOutcomeUnknown, garnetworks.KindAnswerLost:
+	case garnetworks.KindOutcomeUnknown, garnetworks.KindResponseLost:
 		return exitUnknown
 	case garnetworks.KindUnreachable, garnetworks.KindObjectAPIDown, garnetworks.KindThrottled, garnetworks.KindNotReady,
 		garnetworks.KindShuttingDown:
--- a/cmd/garnetctl/main_test.go
+++ b/cmd/garnetctl/main_test.go
@@ -109,8 +109,8 @@
 func TestCommitAsksAgainWithTheSameIdentifier(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nodes := &fakeNodes{proposals: []proposal{
-			{err: garnetworks.Errorf(garnetworks.KindAnswerLost, "the connection broke")},
-			{err: garnetworks.Errorf(garnetworks.KindAnswerLost, "the connection broke")},
+			{err: garnetworks.Errorf(garnetworks.KindResponseLost, "the connection broke")},
+			{err: garnetworks.Errorf(garnetworks.KindResponseLost, "the connection broke")},
 			{progress: inForce()},
 		}}
 		code, seen := execute(t.Context(), nodes, parser.Example(), nodesFlag, "manifest", "commit", "-")
--- a/cmd/garnetctl/manifest.go
+++ b/cmd/garnetctl/manifest.go
@@ -309,7 +309,7 @@
 		if err == nil {
 			return response.Progress, nil
 		}
-		unknown = unknown || garnetworks.IsKind(err, garnetworks.KindOutcomeUnknown, garnetworks.KindAnswerLost)
+		unknown = unknown || garnetworks.IsKind(err, garnetworks.KindOutcomeUnknown, garnetworks.KindResponseLost)
 		if !passes(err) && !unknown || garnetworks.IsKind(err, garnetworks.KindStaleGeneration) {
 			return garnetworks.CommitProgress{}, err
 		}
@@ -325,7 +325,7 @@
 
 // passes reports whether the same request may be answered otherwise later.
 func passes(err error) bool {
-	return garnetworks.IsKind(err, garnetworks.KindOutcomeUnknown, garnetworks.KindAnswerLost, garnetworks.KindUnreachable,
+	return garnetworks.IsKind(err, garnetworks.KindOutcomeUnknown, garnetworks.KindResponseLost, garnetworks.KindUnreachable,
 		garnetworks.KindObjectAPIDown, garnetworks.KindThrottled, garnetworks.KindNotReady, garnetworks.KindShuttingDown,
 		garnetworks.KindConflict)
 }
@@ -398,7 +398,7 @@
 func progressLine(p garnetworks.CommitProgress) string {
 	line := string(p.State)
 	for _, z := range p.Zones {
-		if z.LeftOut {
+		if z.Excluded {
 			line += fmt.Sprintf(", %s left out", z.Zone)
 			continue
 		}
@@ -474,7 +474,7 @@
 	t := newTable("zone", "node", "staged", "in force", "refusal")
 	for _, z := range p.Zones {
 		name := string(z.Zone)
-		if z.LeftOut {
+		if z.Excluded {
 			name += " (left out)"
 		}
 		if z.Live == 0 {
--- a/cmd/garnetctl/site.go
+++ b/cmd/garnetctl/site.go
@@ -34,10 +34,10 @@
 		bounded, cancel := context.WithTimeout(ctx, s.timeout)
 		err := call(bounded, address)
 		cancel()
-		if !garnetworks.IsKind(err, garnetworks.KindUnreachable, garnetworks.KindAnswerLost) {
+		if !garnetworks.IsKind(err, garnetworks.KindUnreachable, garnetworks.KindResponseLost) {
 			return err
 		}
-		if worst == nil || garnetworks.IsKind(err, garnetworks.KindAnswerLost) {
+		if worst == nil || garnetworks.IsKind(err, garnetworks.KindResponseLost) {
 			worst = err
 		}
 	}
--- a/cmd/garnetctl/views.go
+++ b/cmd/garnetctl/views.go
@@ -23,10 +23,10 @@
 	// Behind are reachable nodes that decide by a lower generation.
 	Behind []garnetworks.NodeID `json:"behind,omitempty"`
 	// ObjectAPIDown are the nodes that can't reach the object API.
-	ObjectAPIDown []garnetworks.NodeID `json:"object-api-down,omitempty"`
-	Groups        int                  `json:"groups"`
-	Serving       int                  `json:"serving"`
-	Measures      garnetworks.Measures `json:"measures"`
+	ObjectAPIDown []garnetworks.NodeID    `json:"object-api-down,omitempty"`
+	Groups        int                     `json:"groups"`
+	Serving       int                     `json:"serving"`
+	Measures      garnetworks.ZoneMetrics `json:"measures"`
 	// Silent are the zones that no controller tells of.
 	Silent []garnetworks.ZoneID `json:"silent-zones,omitempty"`
 }
@@ -105,12 +105,12 @@
 			o.Serving++
 		}
 	}
-	o.Measures.GroupDowntime += v.Measures.GroupDowntime
-	o.Measures.Stranded += v.Measures.Stranded
-	o.Measures.GroupsDown += v.Measures.GroupsDown
-	o.Measures.InstancesStranded += v.Measures.InstancesStranded
-	o.Measures.Drawn += v.Measures.Drawn
-	o.Measures.Limit += v.Measures.Limit
+	o.Measures.GroupDowntime += v.Metrics.GroupDowntime
+	o.Measures.Stranded += v.Metrics.Stranded
+	o.Measures.GroupsDown += v.Metrics.GroupsDown
+	o.Measures.InstancesStranded += v.Metrics.InstancesStranded
+	o.Measures.Drawn += v.Metrics.Drawn
+	o.Measures.Limit += v.Metrics.Limit
 }
 
 func serves(g garnetworks.GroupView) bool { return g.State == garnetworks.GroupServing && g.Confirmed }
@@ -242,7 +242,7 @@
 // zonePower is a row of power's output.
 type zonePower struct {
 	Zone garnetworks.ZoneID `json:"zone"`
-	garnetworks.Measures
+	garnetworks.ZoneMetrics
 }
 
 // Run prints the power of each zone.
@@ -253,7 +253,7 @@
 	}
 	rows := []zonePower{}
 	for _, v := range status.Views {
-		rows = append(rows, zonePower{v.Zone, v.Measures})
+		rows = append(rows, zonePower{v.Zone, v.Metrics})
 	}
 	slices.SortFunc(rows, func(a, b zonePower) int { return cmp.Compare(a.Zone, b.Zone) })
 	if s.json {
@@ -263,14 +263,14 @@
 	var sum zonePower
 	for _, r := range rows {
 		t.row(powerRow(r)...)
-		sum.add(r.Measures)
+		sum.add(r.ZoneMetrics)
 	}
 	sum.Zone = "all"
 	t.row(powerRow(sum)...)
 	return t.print(s.stdout)
 }
 
-func (p *zonePower) add(m garnetworks.Measures) {
+func (p *zonePower) add(m garnetworks.ZoneMetrics) {
 	p.Drawn += m.Drawn
 	p.Limit += m.Limit
 	p.GroupsDown += m.GroupsDown
--- a/cmd/garnetd/platform.go
+++ b/cmd/garnetd/platform.go
@@ -58,7 +58,7 @@
 	}
 	stop, _, release := signals()
 	defer release()
-	settings := newSettingsFollower(path, hangups, logger, func(site garnetworks.SiteNode) { node.Reload(site.Bounds) })
+	settings := newSettingsFollower(path, hangups, logger, func(site garnetworks.NodeSettings) { node.Reload(site.Bounds) })
 	go settings.run(stop)
 	if err := node.Run(stop); err != nil {
 		logger.Error("node failed", "error", err)
--- a/cmd/garnetd/reload.go
+++ b/cmd/garnetd/reload.go
@@ -27,7 +27,7 @@
 	path   string
 	last   []byte
 	logger hclog.Logger
-	apply  func(garnetworks.SiteNode)
+	apply  func(garnetworks.NodeSettings)
 	signal chan os.Signal
 }
 
@@ -39,7 +39,7 @@
 }
 
 // newSettingsFollower reads the file once, and again at each of the hangups.
-func newSettingsFollower(path string, hangups chan os.Signal, logger hclog.Logger, apply func(garnetworks.SiteNode)) *settingsFollower {
+func newSettingsFollower(path string, hangups chan os.Signal, logger hclog.Logger, apply func(garnetworks.NodeSettings)) *settingsFollower {
 	f := &settingsFollower{path: path, logger: logger, apply: apply, signal: hangups}
 	var err error
 	if f.last, err = os.ReadFile(path); err != nil {
--- a/cmd/garnetd/reload_test.go
+++ b/cmd/garnetd/reload_test.go
@@ -26,8 +26,8 @@
 		}
 	}
 	write(settingsText + "5000}\n")
-	applied := make(chan garnetworks.SiteNode, 1)
-	f := newSettingsFollower(path, catchHangups(), hclog.NewNullLogger(), func(site garnetworks.SiteNode) { applied <- site })
+	applied := make(chan garnetworks.NodeSettings, 1)
+	f := newSettingsFollower(path, catchHangups(), hclog.NewNullLogger(), func(site garnetworks.NodeSettings) { applied <- site })
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { defer close(ended); f.run(ctx) }()
@@ -46,7 +46,7 @@
 // was in force stays.
 func TestBadSettingsChangeNothing(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "boot.yaml")
-	f := newSettingsFollower(path, catchHangups(), hclog.NewNullLogger(), func(garnetworks.SiteNode) { t.Error("applied") })
+	f := newSettingsFollower(path, catchHangups(), hclog.NewNullLogger(), func(garnetworks.NodeSettings) { t.Error("applied") })
 	defer f.run(stopped())
 	f.read(true)
 	if err := os.WriteFile(path, []byte("node: ["), 0o600); err != nil {
@@ -70,7 +70,7 @@
 	if err := os.WriteFile(path, []byte(settingsText+"1000}\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f := newSettingsFollower(path, catchHangups(), hclog.NewNullLogger(), func(garnetworks.SiteNode) {})
+	f := newSettingsFollower(path, catchHangups(), hclog.NewNullLogger(), func(garnetworks.NodeSettings) {})
 	stopping, stop := context.WithCancel(t.Context())
 	stop()
 	f.run(stopping)
--- a/committer/progress.go
+++ b/committer/progress.go
@@ -87,7 +87,7 @@
 
 func (s *State) zoneProgress(spec garnetworks.ZoneSpec, number uint64, generation garnetworks.Generation) garnetworks.ZoneProgress {
 	live := s.live(spec.Name)
-	p := garnetworks.ZoneProgress{Zone: spec.Name, LeftOut: spec.LeftOut, Live: len(live)}
+	p := garnetworks.ZoneProgress{Zone: spec.Name, Excluded: spec.Excluded, Live: len(live)}
 	for _, n := range live {
 		r, ok := s.zone(spec.Name).reports[n.ID]
 		if ok && r.Incarnation >= n.Incarnation {
@@ -120,7 +120,7 @@
 	var parts []string
 	for _, z := range zones {
 		switch nodes := of(z); {
-		case z.LeftOut:
+		case z.Excluded:
 		case z.Live == 0:
 			parts = append(parts, fmt.Sprintf("no live node of zone %s is known", z.Zone))
 		case len(nodes) == z.Live:
--- a/committer/see.go
+++ b/committer/see.go
@@ -33,7 +33,7 @@
 	s.head, s.revision = head, revision
 	behind := head.Accepted.Generation < s.Applied()
 	if behind && !s.storeBehind && s.Watches() {
-		s.note(garnetworks.EventObjectAPIBehind, head.Accepted.Generation, garnetworks.KindStaleGeneration,
+		s.note(garnetworks.EventObjectAPIStale, head.Accepted.Generation, garnetworks.KindStaleGeneration,
 			fmt.Sprintf("nodes decide by generation %d", s.Applied()))
 	}
 	s.storeBehind = behind
--- a/committer/site_test.go
+++ b/committer/site_test.go
@@ -92,12 +92,12 @@
 	defer s.mu.Unlock()
 	if key == committer.HeadKey && s.outage > 0 {
 		s.until, s.outage = time.Now().Add(s.outage), 0
-		return 0, garnetworks.Errorf(garnetworks.KindAnswerLost, "outage")
+		return 0, garnetworks.Errorf(garnetworks.KindResponseLost, "outage")
 	}
 	if key == committer.HeadKey && s.loses > 0 {
 		s.loses--
 		s.reads = s.staleAfter
-		return 0, garnetworks.Errorf(garnetworks.KindAnswerLost, "lost")
+		return 0, garnetworks.Errorf(garnetworks.KindResponseLost, "lost")
 	}
 	return revision, err
 }
--- a/committer/step.go
+++ b/committer/step.go
@@ -215,7 +215,7 @@
 func awaited(specs []garnetworks.ZoneSpec) []garnetworks.ZoneID {
 	var zones []garnetworks.ZoneID
 	for _, z := range specs {
-		if !z.LeftOut {
+		if !z.Excluded {
 			zones = append(zones, z.Name)
 		}
 	}
--- a/confirm.go
+++ b/confirm.go
@@ -15,18 +15,18 @@
 	// milliseconds, read before the ages.
 	Stamp uint64
 	// Echo is the Stamp of the receiver's last answer, EchoAt the sender's
-	// monotonic time when that answer had come, rounded up, and EchoOf the
+	// monotonic time when that answer had come, rounded up, and EchoIncarnation the
 	// receiver's incarnation then; 0 before the first answer. They tell the
 	// receiver how the two clocks relate.
-	Echo, EchoAt, EchoOf uint64
+	Echo, EchoAt, EchoIncarnation uint64
 	// Relayed says that the list is of the sender's row of the zone, not only of
 	// the instances that it probes itself.
 	Relayed bool
-	// Base is the checksum of the list that Changed and Removed refer to; 0 is
+	// BaseChecksum is the checksum of the list that Changed and Removed refer to; 0 is
 	// the empty list. It is 0, too, if the receiver should hold List already.
-	Base uint64
-	// List is the checksum of the list that Ages and Loads refer to.
-	List uint64
+	BaseChecksum uint64
+	// ListChecksum is the checksum of the list that Ages and Loads refer to.
+	ListChecksum uint64
 	// Changed are the statuses that are not in the base, without their loads.
 	Changed []EngineStatus
 	// Removed are the instances of the base that are not in the list.
@@ -48,8 +48,8 @@
 	// Stamp is the receiver's monotonic time since its process started, in
 	// milliseconds.
 	Stamp uint64
-	// Holds is the checksum of the list that the receiver holds now.
-	Holds uint64
+	// ListChecksum is the checksum of the list that the receiver holds now.
+	ListChecksum uint64
 }
 
 // ConfirmCaller sends confirmations to another node by address. Errors are as
--- a/connector/doc.go
+++ b/connector/doc.go
@@ -19,7 +19,7 @@
 //	C4  Each part of an answer must echo the call's identifier; an answer is
 //	    whole only with its end marker (rule G7). A body that ends with its
 //	    connection has no end marker.
-//	C5  A write to the platform whose answer did not come is KindAnswerLost
+//	C5  A write to the platform whose answer did not come is KindResponseLost
 //	    unless rule C1 proves that it was not sent (rule G11).
 //	C6  A connection that makes no progress for the silence bound ends the
 //	    attempt, and the pooled connections to the same address are dropped,
--- a/connector/enginecaller.go
+++ b/connector/enginecaller.go
@@ -49,8 +49,8 @@
 // abandon ends an attempt and says if silence ended it.
 func (ec *EngineCaller) abandon(address string, watch *watchdog, cancel context.CancelFunc, failure *garnetworks.AttemptError) error {
 	cancel()
-	failure.Silent = watch.stop()
-	if failure.Silent || watch.idle() >= suspicion {
+	failure.Stalled = watch.stop()
+	if failure.Stalled || watch.idle() >= suspicion {
 		ec.drop(address)
 	}
 	return failure
@@ -124,7 +124,7 @@
 		return nil
 	}
 	return &garnetworks.AttemptError{
-		Phase: garnetworks.PhaseCrossed,
+		Phase: garnetworks.PhaseMismatched,
 		Cause: errors.Errorf("status %d with identifier %.64q in place of the call's own", response.StatusCode, echo),
 	}
 }
@@ -323,7 +323,7 @@
 		failure.Cause = io.ErrUnexpectedEOF
 	}
 	if err == errCrossed {
-		failure.Phase = garnetworks.PhaseCrossed
+		failure.Phase = garnetworks.PhaseMismatched
 	}
 	return s.caller.abandon(s.address, s.watch, s.cancel, failure)
 }
--- a/connector/events_test.go
+++ b/connector/events_test.go
@@ -67,9 +67,9 @@
 		"two values in one event": {"id: a.1\ndata: {\"index\":0,\"tokens\":1}{\"index\":1}\n\n" + end, "", garnetworks.PhaseBody},
 		"half a value":            {"id: a.1\ndata: {\"index\":0,\n\nid: a.1\ndata: \"tokens\":2}\n\n" + end, "", garnetworks.PhaseBody},
 		"too large":               {"id: a.1\ndata: {\"text\":\"" + strings.Repeat("x", maxEventBytes+eventBufferBytes) + "\"}\n\n", "", garnetworks.PhaseBody},
-		"another attempt's":       {one + strings.ReplaceAll(two, "a.1", "b.1") + end, "one ", garnetworks.PhaseCrossed},
-		"end of another attempt":  {one + two + strings.ReplaceAll(end, "a.1", "b.1"), "one two", garnetworks.PhaseCrossed},
-		"no identifier":           {one + strings.ReplaceAll(two, "id: a.1\n", "") + end, "one ", garnetworks.PhaseCrossed},
+		"another attempt's":       {one + strings.ReplaceAll(two, "a.1", "b.1") + end, "one ", garnetworks.PhaseMismatched},
+		"end of another attempt":  {one + two + strings.ReplaceAll(end, "a.1", "b.1"), "one two", garnetworks.PhaseMismatched},
+		"no identifier":           {one + strings.ReplaceAll(two, "id: a.1\n", "") + end, "one ", garnetworks.PhaseMismatched},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/connector/link_test.go
+++ b/connector/link_test.go
@@ -104,7 +104,7 @@
 			caller := &ServiceCaller{p}
 			call := func(id garnetworks.CallID) error {
 				_, err := caller.Call(t.Context(), s.address, &garnetworks.ServiceCall{
-					ID: id, Method: test.method, Path: "/parts", Body: []byte(test.body), Key: "key-" + string(id),
+					ID: id, Method: test.method, Path: "/parts", Body: []byte(test.body), IdempotencyKey: "key-" + string(id),
 				})
 				return err
 			}
@@ -233,10 +233,10 @@
 		"body shorter than its length":       {"HTTP/1.1 200 OK\r\n" + own + "Content-Length: 9\r\n\r\nhalf", garnetworks.PhaseBody},
 		"chunks without the last one":        {"HTTP/1.1 200 OK\r\n" + own + "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", garnetworks.PhaseBody},
 		"head that breaks off":               {"HTTP/1.1 200 OK\r\nGarnet-C", garnetworks.PhaseHeaders},
-		"no identifier":                      {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", garnetworks.PhaseCrossed},
-		"another identifier":                 {"HTTP/1.1 200 OK\r\n" + HeaderCall + ": c2\r\nContent-Length: 0\r\n\r\n", garnetworks.PhaseCrossed},
-		"refusal of another call":            {"HTTP/1.1 503 Busy\r\n" + HeaderCall + ": c2\r\n" + HeaderOutcome + ": not-run\r\nContent-Length: 0\r\n\r\n", garnetworks.PhaseCrossed},
-		"refusal by something between":       {"HTTP/1.1 503 Busy\r\n" + HeaderOutcome + ": not-run\r\nContent-Length: 0\r\n\r\n", garnetworks.PhaseCrossed},
+		"no identifier":                      {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", garnetworks.PhaseMismatched},
+		"another identifier":                 {"HTTP/1.1 200 OK\r\n" + HeaderCall + ": c2\r\nContent-Length: 0\r\n\r\n", garnetworks.PhaseMismatched},
+		"refusal of another call":            {"HTTP/1.1 503 Busy\r\n" + HeaderCall + ": c2\r\n" + HeaderOutcome + ": not-run\r\nContent-Length: 0\r\n\r\n", garnetworks.PhaseMismatched},
+		"refusal by something between":       {"HTTP/1.1 503 Busy\r\n" + HeaderOutcome + ": not-run\r\nContent-Length: 0\r\n\r\n", garnetworks.PhaseMismatched},
 		"refusal with an endless delay":      {"HTTP/1.1 503 Busy\r\n" + own + HeaderOutcome + ": not-run\r\nRetry-After: 99999999999\r\nContent-Length: 0\r\n\r\n", garnetworks.PhaseRefused},
 		"not-run with a status that ran":     {"HTTP/1.1 500 Oops\r\n" + own + HeaderOutcome + ": not-run\r\nContent-Length: 0\r\n\r\n", garnetworks.PhaseDone},
 		"unavailable without proof":          {"HTTP/1.1 503 Busy\r\n" + own + "Content-Length: 0\r\n\r\n", garnetworks.PhaseDone},
@@ -274,12 +274,12 @@
 		answer string
 		kind   garnetworks.Kind
 	}{
-		"gateway's own page":  {"HTTP/1.1 502 Bad\r\nContent-Length: 4\r\n\r\noops", garnetworks.KindAnswerLost},
-		"unknown kind":        {"HTTP/1.1 409 No\r\nContent-Length: 18\r\n\r\n{\"kind\":\"strange\"}", garnetworks.KindAnswerLost},
-		"no revision":         {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", garnetworks.KindAnswerLost},
+		"gateway's own page":  {"HTTP/1.1 502 Bad\r\nContent-Length: 4\r\n\r\noops", garnetworks.KindResponseLost},
+		"unknown kind":        {"HTTP/1.1 409 No\r\nContent-Length: 18\r\n\r\n{\"kind\":\"strange\"}", garnetworks.KindResponseLost},
+		"no revision":         {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", garnetworks.KindResponseLost},
 		"conflict":            {"HTTP/1.1 409 No\r\nContent-Length: 19\r\n\r\n{\"kind\":\"conflict\"}", garnetworks.KindConflict},
-		"body breaks off":     {"HTTP/1.1 200 OK\r\n" + HeaderRevision + ": 7\r\nContent-Length: 9\r\n\r\n{}", garnetworks.KindAnswerLost},
-		"nothing comes back":  {"", garnetworks.KindAnswerLost},
+		"body breaks off":     {"HTTP/1.1 200 OK\r\n" + HeaderRevision + ": 7\r\nContent-Length: 9\r\n\r\n{}", garnetworks.KindResponseLost},
+		"nothing comes back":  {"", garnetworks.KindResponseLost},
 		"unavailable by kind": {"HTTP/1.1 503 No\r\nContent-Length: 33\r\n\r\n{\"kind\":\"object-api-unavailable\"}", garnetworks.KindObjectAPIDown},
 	}
 	for name, test := range tests {
--- a/connector/platform.go
+++ b/connector/platform.go
@@ -106,7 +106,7 @@
 	case phase == garnetworks.PhaseConnect:
 		return garnetworks.WrapError(c.down, err, "not sent")
 	case x.writes:
-		return garnetworks.WrapError(garnetworks.KindAnswerLost, err, "the answer was lost in phase "+string(phase))
+		return garnetworks.WrapError(garnetworks.KindResponseLost, err, "the answer was lost in phase "+string(phase))
 	}
 	return garnetworks.WrapError(c.down, err, "no answer in phase "+string(phase))
 }
@@ -167,7 +167,7 @@
 }
 
 // known reports whether the problem's kind is one of the list.
-func (p Problem) known() bool { return garnetworks.KindAnswer(p.Kind).Kind == p.Kind }
+func (p Problem) known() bool { return garnetworks.ErrorResponseFor(p.Kind).Kind == p.Kind }
 
 func (p Problem) retryAfter() time.Duration {
 	return min(time.Duration(max(0, p.RetryAfterMillis))*time.Millisecond, maxRetryAfter)
--- a/connector/servicecaller.go
+++ b/connector/servicecaller.go
@@ -26,31 +26,31 @@
 
 // Call implements garnetworks.ServiceCaller. The context's deadline bounds the
 // call; a plain service shows no progress before its answer.
-func (sc *ServiceCaller) Call(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceAnswer, error) {
+func (sc *ServiceCaller) Call(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
 	request, err := serviceRequest(address, call)
 	if err != nil {
-		return garnetworks.ServiceAnswer{}, &garnetworks.AttemptError{Phase: garnetworks.PhaseConnect, Cause: err}
+		return garnetworks.ServiceResponse{}, &garnetworks.AttemptError{Phase: garnetworks.PhaseConnect, Cause: err}
 	}
 	response, t, err := sc.send(ctx, address, request, bytes.NewReader(call.Body), len(call.Body))
 	if err != nil {
-		return garnetworks.ServiceAnswer{}, &garnetworks.AttemptError{Phase: t.failed(), Cause: err}
+		return garnetworks.ServiceResponse{}, &garnetworks.AttemptError{Phase: t.failed(), Cause: err}
 	}
 	defer response.Body.Close()
 	return sc.read(response, call.ID)
 }
 
-func (sc *ServiceCaller) read(response *http.Response, id garnetworks.CallID) (garnetworks.ServiceAnswer, error) {
+func (sc *ServiceCaller) read(response *http.Response, id garnetworks.CallID) (garnetworks.ServiceResponse, error) {
 	if failure := checkEcho(response, HeaderCall, string(id)); failure != nil {
-		return garnetworks.ServiceAnswer{}, failure
+		return garnetworks.ServiceResponse{}, failure
 	}
 	if isRefusal(response) {
-		return garnetworks.ServiceAnswer{}, refused(response)
+		return garnetworks.ServiceResponse{}, refused(response)
 	}
 	body, err := readWhole(response, sc.options.MaxAnswerBytes)
 	if err != nil {
-		return garnetworks.ServiceAnswer{}, &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: err}
+		return garnetworks.ServiceResponse{}, &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: err}
 	}
-	return garnetworks.ServiceAnswer{
+	return garnetworks.ServiceResponse{
 		ID:          id,
 		Status:      response.StatusCode,
 		ContentType: response.Header.Get("Content-Type"),
@@ -73,8 +73,8 @@
 	if call.ContentType != "" {
 		h.Set("Content-Type", call.ContentType)
 	}
-	if call.Key != "" {
-		h.Set(HeaderKey, call.Key)
+	if call.IdempotencyKey != "" {
+		h.Set(HeaderKey, call.IdempotencyKey)
 	}
 	return request, nil
 }
--- a/content.go
+++ b/content.go
@@ -16,19 +16,19 @@
 // 128 bits of SHA-256 it can't.
 const contentBytes = 16
 
-// Content returns the call's digest, for the workspace whose key it has; empty for a call
+// ContentDigest returns the call's digest, for the workspace whose key it has; empty for a call
 // that needs no key.
-func (c *PassedCall) Content(workspace WorkspaceName) ContentDigest {
+func (c *ProxiedCall) ContentDigest(workspace WorkspaceName) ContentDigest {
 	return contentOf(c.Body, string(workspace), c.Host, c.Target)
 }
 
-// Content returns the call's digest.
-func (c *CallRequest) Content() ContentDigest {
+// ContentDigest returns the call's digest.
+func (c *CallRequest) ContentDigest() ContentDigest {
 	return contentOf([]byte(c.Prompt), string(c.Workspace), string(c.Model), string(c.Adapter))
 }
 
-// Content returns the call's digest.
-func (c *ServiceCall) Content() ContentDigest {
+// ContentDigest returns the call's digest.
+func (c *ServiceCall) ContentDigest() ContentDigest {
 	return contentOf(c.Body, string(c.Workspace), string(c.Service), c.Path)
 }
 
--- a/controller/act.go
+++ b/controller/act.go
@@ -335,7 +335,7 @@
 // nothing is powered on or off and nothing is stated.
 func (p *deciding) withoutList() bool {
 	p.Limit, p.granted = p.Power.Stored.Limit, false
-	return p.Power.Stored.Seen != 0 && p.o.Now.Sub(p.Since) >= listPatience
+	return p.Power.Stored.SeenSequence != 0 && p.o.Now.Sub(p.Since) >= listPatience
 }
 
 // commit keeps the decisions and asks for the writes that are due.
--- a/controller/faults_test.go
+++ b/controller/faults_test.go
@@ -24,7 +24,7 @@
 	t.Helper()
 	manifest := simManifest(2, 4, 16*simWatts, checks)
 	manifest.Site.Classes[0].FailuresPerDay = 100
-	manifest.Site.Weights.GroupDowntime = 1000
+	manifest.Site.CostWeights.GroupDowntime = 1000
 	s := newSim(seed, 2, 3, 2, 4, checks, manifest)
 	s.until(t, 3*time.Minute, "every group serves", func() bool { return s.serving() == 4 })
 	s.pass(t, time.Minute)
--- a/controller/fuzz_test.go
+++ b/controller/fuzz_test.go
@@ -42,8 +42,8 @@
 			Classes: []garnetworks.InstanceClass{{
 				Name: "gpu", Watts: simWatts, Accelerators: 8, ChecksFencing: checks, BootTime: 15 * time.Second, FailuresPerDay: 0.02,
 			}},
-			Weights: garnetworks.MeasureWeights{GroupDowntime: 4, Stranded: 1},
-			Grace:   garnetworks.GraceSpec{Drain: 10 * time.Second, Shed: 5 * time.Second},
+			CostWeights: garnetworks.CostWeights{GroupDowntime: 4, Stranded: 1},
+			Grace:       garnetworks.GraceSpec{Drain: 10 * time.Second, Shed: 5 * time.Second},
 		},
 		Models: []garnetworks.ModelSpec{{
 			Name: "large", Version: "v1", WeightBytes: 1, GroupSize: 3, Class: "gpu", MinGroups: groups, MaxGroups: groups, Priority: 1,
--- a/controller/plan.go
+++ b/controller/plan.go
@@ -28,7 +28,7 @@
 		Domains:   p.current(),
 		Models:    p.models(),
 		Classes:   manifest.Site.Classes,
-		Weights:   manifest.Site.Weights,
+		Weights:   manifest.Site.CostWeights,
 		Grace:     manifest.Site.Grace,
 		Limit:     max(p.Limit-p.servicesDraw(), 0),
 		StoreRate: p.storeShare(),
--- a/controller/record.go
+++ b/controller/record.go
@@ -92,7 +92,7 @@
 	if r.Failing.IsZero() {
 		r.Failing = now
 	}
-	if !garnetworks.IsKind(err, garnetworks.KindAnswerLost) {
+	if !garnetworks.IsKind(err, garnetworks.KindResponseLost) {
 		r.NotBefore = now.Add(min(max(now.Sub(r.Failing)/2, retryFailed), retryLongest))
 	}
 }
--- a/controller/sim_test.go
+++ b/controller/sim_test.go
@@ -237,13 +237,13 @@
 	if write && n.lateAPI > 0 {
 		n.lateAPI--
 		s.after(time.Duration(1+s.random.IntN(20))*time.Second, func() { _ = do() })
-		n.answer(simTick, func() { answer(garnetworks.Errorf(garnetworks.KindAnswerLost, "late")) })
+		n.answer(simTick, func() { answer(garnetworks.Errorf(garnetworks.KindResponseLost, "late")) })
 		return
 	}
 	err := do()
 	if write && n.loseAPI > 0 {
 		n.loseAPI--
-		err = garnetworks.Errorf(garnetworks.KindAnswerLost, "lost")
+		err = garnetworks.Errorf(garnetworks.KindResponseLost, "lost")
 	}
 	n.answer(simTick, func() { answer(err) })
 }
@@ -450,7 +450,7 @@
 	s.after(delay, func() {
 		status, err := e.order(s, o.EngineOrder)
 		if lost {
-			status, err = garnetworks.EngineStatus{}, garnetworks.Errorf(garnetworks.KindAnswerLost, "")
+			status, err = garnetworks.EngineStatus{}, garnetworks.Errorf(garnetworks.KindResponseLost, "")
 		}
 		n.answer(simTick, func() { n.state.OnOrder(sent, o, status, err) })
 	})
@@ -483,7 +483,7 @@
 		n.lose--
 		s.after(time.Duration(s.random.IntN(30))*time.Second, func() { _ = e.setPower(s.now, p.PowerOrder) })
 		n.answer(simTick, func() {
-			n.state.OnPower(s.now, p.PowerOrder, garnetworks.PowerUnknown, garnetworks.Errorf(garnetworks.KindAnswerLost, ""))
+			n.state.OnPower(s.now, p.PowerOrder, garnetworks.PowerUnknown, garnetworks.Errorf(garnetworks.KindResponseLost, ""))
 		})
 		return
 	}
--- a/controller/site.go
+++ b/controller/site.go
@@ -115,7 +115,7 @@
 	in.Now, in.Term, in.Memory = time.Now(), term, s.memory
 	in.Generation, in.Cap = manifest.Generation, manifest.Manifest.Site.PowerCap
 	for _, z := range manifest.Manifest.Site.Zones {
-		if !z.LeftOut {
+		if !z.Excluded {
 			in.Zones = append(in.Zones, z.Name)
 		}
 	}
--- a/controller/site_test.go
+++ b/controller/site_test.go
@@ -79,8 +79,8 @@
 				Name: "gpu", Watts: 10_000, Accelerators: 8, ChecksFencing: checks,
 				BootTime: 30 * time.Second, FailuresPerDay: 0.02,
 			}},
-			Weights: garnetworks.MeasureWeights{GroupDowntime: 4, Stranded: 1},
-			Grace:   garnetworks.GraceSpec{Drain: 20 * time.Second, Shed: 10 * time.Second},
+			CostWeights: garnetworks.CostWeights{GroupDowntime: 4, Stranded: 1},
+			Grace:       garnetworks.GraceSpec{Drain: 20 * time.Second, Shed: 10 * time.Second},
 		},
 		Models: []garnetworks.ModelSpec{{
 			Name: "large", Version: "v1", WeightBytes: 40_000_000_000, GroupSize: 4, Class: "gpu",
--- a/controller/state.go
+++ b/controller/state.go
@@ -118,7 +118,7 @@
 	// anything.
 	Limit    garnetworks.Watts
 	granted  bool
-	Measures garnetworks.Measures
+	Measures garnetworks.ZoneMetrics
 	measured time.Time
 	// stepped is the time of the last step.
 	stepped  time.Time
--- a/controller/turns.go
+++ b/controller/turns.go
@@ -36,7 +36,7 @@
 }
 
 func leftOut(manifest *garnetworks.Manifest, zone garnetworks.ZoneID) bool {
-	return slices.ContainsFunc(manifest.Site.Zones, func(z garnetworks.ZoneSpec) bool { return z.Name == zone && z.LeftOut })
+	return slices.ContainsFunc(manifest.Site.Zones, func(z garnetworks.ZoneSpec) bool { return z.Name == zone && z.Excluded })
 }
 
 // turnsTaken counts the zones that come before this one: those that have begun
@@ -59,7 +59,7 @@
 // loaded would go on to the next zone whenever a try has failed.
 func rollout(m *garnetworks.ModelSpec, view *garnetworks.ZoneView) (begun, ended bool) {
 	if !slices.ContainsFunc(view.Groups, func(g garnetworks.GroupView) bool { return g.Model == m.Name }) {
-		down := view.Measures.GroupsDown > 0
+		down := view.Metrics.GroupsDown > 0
 		return down, !down
 	}
 	ended = true
--- a/controller/turns_test.go
+++ b/controller/turns_test.go
@@ -32,14 +32,14 @@
 		"the zone after has begun":           {3, []garnetworks.ZoneView{view("a", moved), view("c", group("v2", garnetworks.GroupLoading, false))}, true},
 		"the zone before is cut off":         {3, []garnetworks.ZoneView{view("c", old)}, false},
 		"the zone before has no such groups": {3, []garnetworks.ZoneView{view("a"), view("c", old)}, false},
-		"the zone before has lost its group": {3, []garnetworks.ZoneView{{Zone: "a", Measures: garnetworks.Measures{GroupsDown: 1}}, view("c", old)}, true},
+		"the zone before has lost its group": {3, []garnetworks.ZoneView{{Zone: "a", Metrics: garnetworks.ZoneMetrics{GroupsDown: 1}}, view("c", old)}, true},
 		"the zone before is left out":        {3, []garnetworks.ZoneView{view("a-left-out", old), view("c", moved)}, false},
 		"the groups are many":                {24, []garnetworks.ZoneView{view("a", old), view("c", old)}, false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			manifest := &garnetworks.Manifest{
-				Site:   garnetworks.SiteSpec{Zones: []garnetworks.ZoneSpec{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "a-left-out", LeftOut: true}}},
+				Site:   garnetworks.SiteSpec{Zones: []garnetworks.ZoneSpec{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "a-left-out", Excluded: true}}},
 				Models: []garnetworks.ModelSpec{{Name: "chat", Version: "v2", MaxGroups: tt.max}},
 			}
 			if got := heldModels(manifest, "b", tt.others).Has("chat"); got != tt.held {
--- a/controller/view.go
+++ b/controller/view.go
@@ -13,7 +13,7 @@
 
 // zoneView is what all nodes are told.
 func (p *deciding) zoneView() garnetworks.ZoneView {
-	view := garnetworks.ZoneView{Zone: p.Zone, Measures: p.Measures}
+	view := garnetworks.ZoneView{Zone: p.Zone, Metrics: p.Measures}
 	for _, d := range p.open {
 		for n := range d.Ahead.Groups {
 			if g := &d.Ahead.Groups[n]; g.State != garnetworks.GroupBroken {
@@ -99,7 +99,7 @@
 
 // lasting leaves out what changes all the time.
 func lasting(view garnetworks.ZoneView) garnetworks.ZoneView {
-	view.Measures = garnetworks.Measures{}
+	view.Metrics = garnetworks.ZoneMetrics{}
 	groups := make([]garnetworks.GroupView, len(view.Groups))
 	copy(groups, view.Groups)
 	for n := range groups {
--- a/diagnoser/cause.go
+++ b/diagnoser/cause.go
@@ -133,7 +133,7 @@
 		return CauseNotAllowed
 	case garnetworks.KindNoGroup, garnetworks.KindNoBackend:
 		return CauseNoGroup
-	case garnetworks.KindOverloaded, garnetworks.KindDeadline, garnetworks.KindOverLimit:
+	case garnetworks.KindOverloaded, garnetworks.KindDeadlineUnreachable, garnetworks.KindOverLimit:
 		return CauseNoTime
 	case garnetworks.KindShuttingDown, garnetworks.KindNotReady:
 		return CauseNotReady
@@ -141,7 +141,7 @@
 		return CauseStaleRouting
 	case garnetworks.KindBackendRefused:
 		return CauseRefusedThere
-	case garnetworks.KindCallHeld:
+	case garnetworks.KindCallQuarantined:
 		return CauseHeld
 	}
 	return ""
--- a/diagnoser/event.go
+++ b/diagnoser/event.go
@@ -41,9 +41,9 @@
 	case garnetworks.EventNodeStarted:
 		h.zones[l.Node] = l.Zone
 		h.back[l.Node] = append(h.back[l.Node], l.At)
-	case garnetworks.EventObjectAPIBack:
+	case garnetworks.EventObjectAPIRestored:
 		h.back[l.Node] = append(h.back[l.Node], l.At)
-	case garnetworks.EventInstanceSilent, garnetworks.EventServerGone, garnetworks.EventServerLapsed:
+	case garnetworks.EventInstanceUnresponsive, garnetworks.EventServerGone, garnetworks.EventServerLapsed:
 		h.losses[l.Server] = append(h.losses[l.Server], l.At)
 	}
 }
--- a/distributor/distributor.go
+++ b/distributor/distributor.go
@@ -133,7 +133,7 @@
 
 // periodic tells the topics that are sent again and again, changed or not.
 func periodic(t garnetworks.Topic) bool {
-	_, pulse := garnetworks.CutTopic(t, garnetworks.TopicZonePulse)
+	_, pulse := garnetworks.CutTopic(t, garnetworks.TopicZoneStatus)
 	_, demand := garnetworks.CutTopic(t, garnetworks.TopicDemand)
 	return pulse || demand
 }
--- a/distributor/distributor_test.go
+++ b/distributor/distributor_test.go
@@ -274,7 +274,7 @@
 		for i := range n.nodes[1:] {
 			n.cutBetween(i, 5, true)
 		}
-		pulse := garnetworks.Update{Topic: garnetworks.TopicZonePulse + "zone-0", Version: version(7), Body: []byte("pulse")}
+		pulse := garnetworks.Update{Topic: garnetworks.TopicZoneStatus + "zone-0", Version: version(7), Body: []byte("pulse")}
 		mustPublish(t, n.running[n.nodes[0].Address], pulse)
 		time.Sleep(5 * time.Second)
 		if got := n.lacking(pulse.Topic, version(7)); !slices.Equal(got, []string{n.nodes[5].Address}) {
--- a/distributor/site_test.go
+++ b/distributor/site_test.go
@@ -248,7 +248,7 @@
 	for ctx.Err() == nil {
 		_, _ = rand.Read(body)
 		_ = s.entries[zone].distributor.Publish(garnetworks.Update{
-			Topic:   garnetworks.TopicZonePulse + garnetworks.Topic(s.entries[zone].info.Zone),
+			Topic:   garnetworks.TopicZoneStatus + garnetworks.Topic(s.entries[zone].info.Zone),
 			Version: garnetworks.UpdateVersion{Term: 3, Sequence: uint64(time.Now().UnixMilli())},
 			Body:    slices.Clone(body),
 		})
--- a/exchanger/contents.go
+++ b/exchanger/contents.go
@@ -11,9 +11,9 @@
 	if e.options.Contents == nil {
 		return nil, 0
 	}
-	sum := e.options.Contents.Sum()
+	sum := e.options.Contents.Checksum()
 	if e.takeAll(time.Now(), peer) {
-		return e.options.Contents.Lasting(), sum
+		return e.options.Contents.Retained(), sum
 	}
 	return e.options.Contents.Recent(), sum
 }
@@ -40,7 +40,7 @@
 		return
 	}
 	e.options.Contents.Merge(records)
-	differs := e.options.Contents.Sum() != sum
+	differs := e.options.Contents.Checksum() != sum
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !differs {
--- a/exchanger/exchanger.go
+++ b/exchanger/exchanger.go
@@ -190,7 +190,7 @@
 	// Suspect gets the groups that other nodes suspect.
 	Suspect func(garnetworks.GroupID)
 	// Contents are the node's records of calls; it may be nil.
-	Contents garnetworks.ContentRecords
+	Contents garnetworks.ContentRecordStore
 }
 
 // Exchanger is the duty. It is safe for concurrent use.
@@ -288,10 +288,10 @@
 	call, cancel := context.WithTimeout(ctx, callTime)
 	defer cancel()
 	request := &garnetworks.ExchangeRequest{From: from, Cell: cell, Report: report}
-	request.Contents, request.ContentSum = e.contents(n.Address)
+	request.ContentRecords, request.ContentChecksum = e.contents(n.Address)
 	answer, err := e.options.Peers.Exchange(call, n.Address, request)
 	if err == nil {
-		e.takeContents(n.Address, answer.Contents, answer.ContentSum)
+		e.takeContents(n.Address, answer.ContentRecords, answer.ContentChecksum)
 		return answer, true
 	}
 	e.mu.Lock()
@@ -372,9 +372,9 @@
 		return nil, garnetworks.Errorf(garnetworks.KindInvalidRequest, "a report names nobody")
 	}
 	e.suspect(time.Now(), request.Report.Suspects)
-	e.takeContents(request.From, request.Contents, request.ContentSum)
+	e.takeContents(request.From, request.ContentRecords, request.ContentChecksum)
 	response := &garnetworks.ExchangeResponse{}
-	response.Contents, response.ContentSum = e.contents(request.From)
+	response.ContentRecords, response.ContentChecksum = e.contents(request.From)
 	own := e.options.Load()
 	own.Nodes, own.Suspects = 1, e.recent()
 	if request.Cell {
@@ -438,27 +438,27 @@
 
 // Sum adds reports up.
 func Sum(reports ...garnetworks.LoadReport) garnetworks.LoadReport {
-	places := make(map[garnetworks.GroupID]garnetworks.PlaceLoad)
+	places := make(map[garnetworks.GroupID]garnetworks.GroupLoad)
 	demand := make(map[garnetworks.ModelName]float64)
 	sum := garnetworks.LoadReport{}
 	for _, r := range reports {
 		sum.Nodes += r.Nodes
-		for _, p := range r.Places {
+		for _, p := range r.Groups {
 			p.Running += places[p.Group].Running
-			p.Moving += places[p.Group].Moving
+			p.ActiveNodes += places[p.Group].ActiveNodes
 			places[p.Group] = p
 		}
 		for _, d := range r.Demands {
-			demand[d.Model] += d.PerSecond
+			demand[d.Model] += d.CallsPerSecond
 		}
 		sum.Suspects = join(sum.Suspects, r.Suspects, maxSuspects)
 		sum.Lost = join(sum.Lost, r.Lost, maxLost)
 	}
 	for _, p := range places {
-		sum.Places = append(sum.Places, p)
+		sum.Groups = append(sum.Groups, p)
 	}
 	for m, n := range demand {
-		sum.Demands = append(sum.Demands, garnetworks.ModelDemand{Model: m, PerSecond: n})
+		sum.Demands = append(sum.Demands, garnetworks.ModelDemand{Model: m, CallsPerSecond: n})
 	}
 	return sum
 }
--- a/exchanger/exchanger_test.go
+++ b/exchanger/exchanger_test.go
@@ -75,13 +75,13 @@
 				Load: func() garnetworks.LoadReport {
 					s.mu.Lock()
 					defer s.mu.Unlock()
-					return garnetworks.LoadReport{Places: []garnetworks.PlaceLoad{{Group: "g", Running: n.running}}, Lost: n.finds}
+					return garnetworks.LoadReport{Groups: []garnetworks.GroupLoad{{Group: "g", Running: n.running}}, Lost: n.finds}
 				},
 				Take: func(others garnetworks.LoadReport, known bool) {
 					s.mu.Lock()
 					defer s.mu.Unlock()
 					n.others, n.known, n.lost = 0, known, others.Lost
-					for _, p := range others.Places {
+					for _, p := range others.Groups {
 						n.others += p.Running
 					}
 				},
--- a/experimenter/fleet.go
+++ b/experimenter/fleet.go
@@ -71,11 +71,11 @@
 		if e.staging != "" && f.now >= e.stagedAt {
 			e.Staged, e.staging = []garnetworks.ModelName{e.staging}, ""
 		}
-		if e.Member.State == garnetworks.MemberJoining && f.now >= e.readyAt {
+		if e.Membership.State == garnetworks.MemberJoining && f.now >= e.readyAt {
 			f.joined(e)
 		}
 		if e.openAt != alive && f.now >= e.openAt {
-			e.openAt, e.Member.State = alive, garnetworks.MemberOpen
+			e.openAt, e.Membership.State = alive, garnetworks.MemberOpen
 			if f.whole(e) {
 				f.opened = append(f.opened, e.Model)
 			}
@@ -88,11 +88,11 @@
 }
 
 func (f *fleet) joined(e *engine) {
-	model := former.GroupModel(e.Member.Group)
+	model := former.GroupModel(e.Membership.Group)
 	if e.Model != model && !slices.Contains(e.Staged, model) {
 		e.Staged = []garnetworks.ModelName{model}
 	}
-	e.Model, e.Member.State = model, garnetworks.MemberReady
+	e.Model, e.Membership.State = model, garnetworks.MemberReady
 }
 
 // snapshot is what the store tells now: lost engines stay until their entry lapses.
@@ -118,11 +118,11 @@
 }
 
 // dark returns the lost engines that probes have found.
-func (f *fleet) dark(notices bool) garnetworks.Set[garnetworks.Life] {
-	dark := make(garnetworks.Set[garnetworks.Life])
+func (f *fleet) dark(notices bool) garnetworks.Set[garnetworks.Incarnation] {
+	dark := make(garnetworks.Set[garnetworks.Incarnation])
 	for _, e := range f.engines {
 		if notices && e.lostAt != alive && f.now-e.lostAt >= suspectTime {
-			dark.Add(e.Life())
+			dark.Add(e.Incarnation())
 		}
 	}
 	return dark
@@ -130,11 +130,11 @@
 
 // carryOut does what an engine does with an order.
 func (f *fleet) carryOut(o *garnetworks.GroupOrder) error {
-	e := f.engines[o.Life.Instance]
+	e := f.engines[o.Incarnation.Instance]
 	if e == nil || e.lostAt != alive {
 		return garnetworks.Errorf(garnetworks.KindUnreachable, "the engine is lost")
 	}
-	same := e.Member.Group == o.Group && e.Member.Epoch == o.Epoch
+	same := e.Membership.Group == o.Group && e.Membership.Epoch == o.Epoch
 	switch o.Kind {
 	case garnetworks.GroupStage:
 		if !slices.Contains(e.Staged, o.Model) && e.staging == "" {
@@ -158,24 +158,24 @@
 func (f *fleet) change(e *engine, kind garnetworks.GroupOrderKind) {
 	switch kind {
 	case garnetworks.GroupOpen:
-		if e.Member.State == garnetworks.MemberReady && e.openAt == alive {
+		if e.Membership.State == garnetworks.MemberReady && e.openAt == alive {
 			e.openAt = f.now + f.pattern.Profile.FormTime
 		}
 	case garnetworks.GroupClose:
-		e.Member.State = garnetworks.MemberReady
+		e.Membership.State = garnetworks.MemberReady
 	case garnetworks.GroupLeave:
-		e.Member, e.openAt = garnetworks.Membership{}, alive
+		e.Membership, e.openAt = garnetworks.Membership{}, alive
 	}
 }
 
 func (f *fleet) join(e *engine, o *garnetworks.GroupOrder) {
 	e.openAt = alive
-	e.Member = garnetworks.Membership{
-		Group: o.Group, Epoch: o.Epoch, Rank: slices.Index(o.Members, e.Life()), State: garnetworks.MemberJoining,
+	e.Membership = garnetworks.Membership{
+		Group: o.Group, Epoch: o.Epoch, Rank: slices.Index(o.Members, e.Incarnation()), State: garnetworks.MemberJoining,
 	}
 	took := f.loadTime(o.Model)
 	if slices.Contains(e.Staged, o.Model) {
-		took = f.model(o.Model).WarmTime
+		took = f.model(o.Model).WarmLoadTime
 	}
 	if e.Model == o.Model {
 		took = rejoinTime
@@ -191,11 +191,11 @@
 	}
 	running := 1
 	for _, e := range f.engines {
-		if e.staging != "" || e.Member.State == garnetworks.MemberJoining && e.readyAt-f.now > f.model(model).WarmTime {
+		if e.staging != "" || e.Membership.State == garnetworks.MemberJoining && e.readyAt-f.now > f.model(model).WarmLoadTime {
 			running++
 		}
 	}
-	return time.Duration(float64(took) * max(1, float64(running)/float64(f.pattern.Profile.LoadsAtOnce)))
+	return time.Duration(float64(took) * max(1, float64(running)/float64(f.pattern.Profile.MaxConcurrentLoads)))
 }
 
 func (f *fleet) model(name garnetworks.ModelName) *garnetworks.ModelProfile {
@@ -204,25 +204,25 @@
 			return &f.pattern.Profile.Models[i]
 		}
 	}
-	return &garnetworks.ModelProfile{Size: 1}
+	return &garnetworks.ModelProfile{GroupSize: 1}
 }
 
 // whole reports whether all members of the engine's group live.
 func (f *fleet) whole(head *engine) bool {
 	n := 0
 	for _, e := range f.engines {
-		if e.lostAt == alive && e.Member.Group == head.Member.Group && e.Member.Epoch == head.Member.Epoch {
+		if e.lostAt == alive && e.Membership.Group == head.Membership.Group && e.Membership.Epoch == head.Membership.Epoch {
 			n++
 		}
 	}
-	return n == f.model(former.GroupModel(head.Member.Group)).Size
+	return n == f.model(former.GroupModel(head.Membership.Group)).GroupSize
 }
 
 // heads returns the heads of the groups that serve.
 func (f *fleet) heads() []*engine {
 	var heads []*engine
 	for _, id := range slices.Sorted(maps.Keys(f.engines)) {
-		if e := f.engines[id]; e.lostAt == alive && e.Member.State == garnetworks.MemberOpen && f.whole(e) {
+		if e := f.engines[id]; e.lostAt == alive && e.Membership.State == garnetworks.MemberOpen && f.whole(e) {
 			heads = append(heads, e)
 		}
 	}
@@ -241,11 +241,11 @@
 func (f *fleet) members() []*engine {
 	serving := make(garnetworks.Set[garnetworks.GroupID])
 	for _, h := range f.heads() {
-		serving.Add(h.Member.Group)
+		serving.Add(h.Membership.Group)
 	}
 	var members []*engine
 	for _, id := range slices.Sorted(maps.Keys(f.engines)) {
-		if e := f.engines[id]; e.lostAt == alive && serving.Has(e.Member.Group) {
+		if e := f.engines[id]; e.lostAt == alive && serving.Has(e.Membership.Group) {
 			members = append(members, e)
 		}
 	}
--- a/experimenter/group.go
+++ b/experimenter/group.go
@@ -37,15 +37,15 @@
 	for len(g.waiting) > 0 && len(g.running) < g.profile.Slots {
 		t := g.waiting[0]
 		g.waiting = g.waiting[1:]
-		reading += float64(t.prompt) / g.profile.ReadRate
+		reading += float64(t.prompt) / g.profile.PrefillRate
 		g.running = append(g.running, t)
 	}
 	if len(g.running) == 0 {
 		return 0
 	}
-	step := g.profile.StepTime + time.Duration(len(g.running))*g.profile.PerCall
-	took := time.Duration(reading*float64(time.Second)) + time.Duration(g.profile.Stride)*step
-	return time.Duration(float64(took) * g.model.Pace)
+	step := g.profile.StepTime + time.Duration(len(g.running))*g.profile.StepTimePerCall
+	took := time.Duration(reading*float64(time.Second)) + time.Duration(g.profile.StepsPerPass)*step
+	return time.Duration(float64(took) * g.model.TimeFactor)
 }
 
 // end ends a pass and returns the calls that had their first event and those that
@@ -59,7 +59,7 @@
 			t.gap = max(t.gap, now-t.last)
 		}
 		t.last = now
-		if t.left -= g.profile.Stride; t.left <= 0 {
+		if t.left -= g.profile.StepsPerPass; t.left <= 0 {
 			done = append(done, t)
 		}
 	}
--- a/experimenter/naive.go
+++ b/experimenter/naive.go
@@ -36,10 +36,10 @@
 		counts[g.Model]++
 		switch head, ok := g.Head(); {
 		case g.AllIn(garnetworks.MemberReady):
-			orders = append(orders, garnetworks.GroupOrder{Kind: garnetworks.GroupOpen, Life: head.Life(), Group: g.ID, Epoch: g.Epoch})
+			orders = append(orders, garnetworks.GroupOrder{Kind: garnetworks.GroupOpen, Incarnation: head.Incarnation(), Group: g.ID, Epoch: g.Epoch})
 		case (!g.Whole || !ok) && !n.forming(&g):
 			for _, m := range g.Members {
-				orders = append(orders, garnetworks.GroupOrder{Kind: garnetworks.GroupLeave, Life: m.Life(), Group: g.ID, Epoch: g.Epoch})
+				orders = append(orders, garnetworks.GroupOrder{Kind: garnetworks.GroupLeave, Incarnation: m.Incarnation(), Group: g.ID, Epoch: g.Epoch})
 			}
 		}
 	}
@@ -58,21 +58,21 @@
 
 // form orders groups of free instances, by their identifiers.
 func (n *naive) form(in *former.Input, counts map[garnetworks.ModelName]int) []garnetworks.GroupOrder {
-	free := make(map[garnetworks.DomainID][]garnetworks.Life)
+	free := make(map[garnetworks.DomainID][]garnetworks.Incarnation)
 	for _, id := range slices.Sorted(maps.Keys(in.Servers)) {
 		s := in.Servers[id]
-		if s.Member.Epoch >= n.bound[id] && s.Member.Group != "" {
+		if s.Membership.Epoch >= n.bound[id] && s.Membership.Group != "" {
 			delete(n.bound, id)
 		}
-		if _, bound := n.bound[id]; s.Member.Group == "" && !bound {
-			free[s.Domain] = append(free[s.Domain], s.Life())
+		if _, bound := n.bound[id]; s.Membership.Group == "" && !bound {
+			free[s.Domain] = append(free[s.Domain], s.Incarnation())
 		}
 	}
 	var orders []garnetworks.GroupOrder
 	for _, domain := range slices.Sorted(maps.Keys(free)) {
 		for m := n.next(in.Profile, counts, len(free[domain])); m != nil; m = n.next(in.Profile, counts, len(free[domain])) {
-			orders = append(orders, n.join(m, free[domain][:m.Size])...)
-			free[domain] = free[domain][m.Size:]
+			orders = append(orders, n.join(m, free[domain][:m.GroupSize])...)
+			free[domain] = free[domain][m.GroupSize:]
 			counts[m.Name]++
 		}
 	}
@@ -83,21 +83,21 @@
 	var best *garnetworks.ModelProfile
 	for i := range profile.Models {
 		m := &profile.Models[i]
-		if m.Size <= free && (best == nil || counts[m.Name] < counts[best.Name]) {
+		if m.GroupSize <= free && (best == nil || counts[m.Name] < counts[best.Name]) {
 			best = m
 		}
 	}
 	return best
 }
 
-func (n *naive) join(m *garnetworks.ModelProfile, members []garnetworks.Life) []garnetworks.GroupOrder {
+func (n *naive) join(m *garnetworks.ModelProfile, members []garnetworks.Incarnation) []garnetworks.GroupOrder {
 	n.sequence++
 	epoch := garnetworks.NewFencingToken(1, n.sequence)
 	var orders []garnetworks.GroupOrder
 	for _, id := range members {
 		n.bound[id.Instance] = epoch
 		orders = append(orders, garnetworks.GroupOrder{
-			Kind: garnetworks.GroupJoin, Life: id, Group: former.GroupName(m.Name, epoch), Epoch: epoch, Model: m.Name, Members: members,
+			Kind: garnetworks.GroupJoin, Incarnation: id, Group: former.GroupName(m.Name, epoch), Epoch: epoch, Model: m.Name, Members: members,
 		})
 	}
 	return orders
--- a/experimenter/pattern.go
+++ b/experimenter/pattern.go
@@ -159,8 +159,8 @@
 // engines are the figures that the users' engines publish.
 func engines() garnetworks.EngineProfile {
 	return garnetworks.EngineProfile{
-		Slots: 26, Stride: 6, StepTime: 6450 * time.Microsecond, PerCall: 97 * time.Microsecond, ReadRate: 56100,
-		Models: []garnetworks.ModelProfile{{Name: "large", Size: 6, Pace: 1}, {Name: "small", Size: 3, Pace: 0.6}},
+		Slots: 26, StepsPerPass: 6, StepTime: 6450 * time.Microsecond, StepTimePerCall: 97 * time.Microsecond, PrefillRate: 56100,
+		Models: []garnetworks.ModelProfile{{Name: "large", GroupSize: 6, TimeFactor: 1}, {Name: "small", GroupSize: 3, TimeFactor: 0.6}},
 	}
 }
 
--- a/experimenter/regroup.go
+++ b/experimenter/regroup.go
@@ -95,10 +95,10 @@
 // once.
 func withModels(large, small int, largeShare, loadsPerSecond float64, loadsAtOnce int) garnetworks.EngineProfile {
 	profile := engines()
-	profile.LoadsPerSecond, profile.LoadsAtOnce, profile.FormTime = loadsPerSecond, loadsAtOnce, 300*time.Millisecond
+	profile.LoadsPerSecond, profile.MaxConcurrentLoads, profile.FormTime = loadsPerSecond, loadsAtOnce, 300*time.Millisecond
 	profile.Models = []garnetworks.ModelProfile{
-		{Name: "large", Size: large, Share: largeShare, Pace: 1, LoadTime: 16 * time.Second, WarmTime: 1600 * time.Millisecond},
-		{Name: "small", Size: small, Share: 1 - largeShare, Pace: 0.6, LoadTime: 12 * time.Second, WarmTime: 1100 * time.Millisecond},
+		{Name: "large", GroupSize: large, InitialShare: largeShare, TimeFactor: 1, LoadTime: 16 * time.Second, WarmLoadTime: 1600 * time.Millisecond},
+		{Name: "small", GroupSize: small, InitialShare: 1 - largeShare, TimeFactor: 0.6, LoadTime: 12 * time.Second, WarmLoadTime: 1100 * time.Millisecond},
 	}
 	return profile
 }
@@ -201,7 +201,7 @@
 	}
 	in := former.Input{
 		Servers: r.list(now - listLag), Service: service, Profile: &r.pattern.Profile, Dark: r.dark(r.notices),
-		Term: 1, Loads: r.pattern.Profile.LoadsAtOnce, Unhurried: now < firstCall,
+		Term: 1, Loads: r.pattern.Profile.MaxConcurrentLoads, Unhurried: now < firstCall,
 	}
 	if r.observes && now >= firstCall {
 		in.Work = r.pattern.work()
@@ -238,7 +238,7 @@
 		if r.down == nil {
 			r.down = make(map[garnetworks.ModelName][]time.Duration)
 		}
-		r.down[former.GroupModel(e.Member.Group)] = append(r.down[former.GroupModel(e.Member.Group)], r.now)
+		r.down[former.GroupModel(e.Membership.Group)] = append(r.down[former.GroupModel(e.Membership.Group)], r.now)
 	}
 }
 
@@ -263,7 +263,7 @@
 func (r *regrouping) served(s Sample) float64 {
 	sum := 0.0
 	for _, m := range r.pattern.Profile.Models {
-		sum += m.Share * min(1, float64(s.Serving[m.Name])/r.pattern.Needs[m.Name])
+		sum += m.InitialShare * min(1, float64(s.Serving[m.Name])/r.pattern.Needs[m.Name])
 	}
 	return sum
 }
--- a/faker/batch.go
+++ b/faker/batch.go
@@ -293,7 +293,7 @@
 	case errUnavailable:
 		return &garnetworks.AttemptError{Phase: garnetworks.PhaseRefused, Cause: err}
 	}
-	return &garnetworks.AttemptError{Phase: garnetworks.PhaseWait, Silent: silent, Cause: err}
+	return &garnetworks.AttemptError{Phase: garnetworks.PhaseWait, Stalled: silent, Cause: err}
 }
 
 // stream is an attempt's answer in process.
@@ -329,7 +329,7 @@
 		return &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: io.ErrUnexpectedEOF}
 	}
 	if st.sent == st.cross {
-		return &garnetworks.AttemptError{Phase: garnetworks.PhaseCrossed}
+		return &garnetworks.AttemptError{Phase: garnetworks.PhaseMismatched}
 	}
 	for {
 		plan, changed, _ := st.engine.snapshot()
@@ -381,7 +381,7 @@
 	case <-changed:
 		return st.Next(chunk)
 	case <-timer.C:
-		return &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Silent: true}
+		return &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Stalled: true}
 	}
 }
 
--- a/faker/control_test.go
+++ b/faker/control_test.go
@@ -44,7 +44,7 @@
 	e := f.Add(EngineSpec{ListedInstance: garnetworks.ListedInstance{ID: "e"}, On: true})
 	objects := NewObjects(ObjectsOptions{})
 	ledger := NewService("ledger", 0)
-	ledger.note(&garnetworks.ServiceCall{Key: "visit-7"})
+	ledger.note(&garnetworks.ServiceCall{IdempotencyKey: "visit-7"})
 	services := map[string]*Service{"ledger": ledger}
 	s, err := ServeControl(&Control{Targets: map[string]Faulty{"e": e, "objects": objects}, Fleet: f, Objects: objects, Services: services})
 	if err != nil {
--- a/faker/faults.go
+++ b/faker/faults.go
@@ -246,7 +246,7 @@
 var (
 	errDown        = garnetworks.Errorf(garnetworks.KindUnreachable, "the stand-in is down")
 	errUnavailable = garnetworks.Errorf(garnetworks.KindUnreachable, "the stand-in is unavailable")
-	errLost        = garnetworks.Errorf(garnetworks.KindAnswerLost, "the stand-in lost the answer")
+	errLost        = garnetworks.Errorf(garnetworks.KindResponseLost, "the stand-in lost the answer")
 )
 
 func sleep(ctx context.Context, d time.Duration) error {
@@ -289,7 +289,7 @@
 func failedWrite(kind garnetworks.Kind) func(error, bool) error {
 	return func(err error, begun bool) error {
 		if begun {
-			return garnetworks.WrapError(garnetworks.KindAnswerLost, err, "no answer after the effect")
+			return garnetworks.WrapError(garnetworks.KindResponseLost, err, "no answer after the effect")
 		}
 		return garnetworks.WrapError(kind, err, "not carried out")
 	}
--- a/faker/serve.go
+++ b/faker/serve.go
@@ -107,7 +107,7 @@
 
 func replyProblem(w http.ResponseWriter, err error) {
 	kind := garnetworks.KindOf(err)
-	answer := garnetworks.KindAnswer(kind)
+	answer := garnetworks.ErrorResponseFor(kind)
 	p := connector.Problem{
 		Kind:   kind,
 		Title:  answer.Title,
@@ -280,14 +280,14 @@
 		return
 	}
 	call := &garnetworks.ServiceCall{
-		ID:          garnetworks.CallID(r.Header.Get(connector.HeaderCall)),
-		Workspace:   garnetworks.WorkspaceName(r.Header.Get(connector.HeaderWorkspace)),
-		Service:     s.name,
-		Method:      r.Method,
-		Path:        r.URL.RequestURI(),
-		ContentType: r.Header.Get("Content-Type"),
-		Body:        body,
-		Key:         r.Header.Get(connector.HeaderKey),
+		ID:             garnetworks.CallID(r.Header.Get(connector.HeaderCall)),
+		Workspace:      garnetworks.WorkspaceName(r.Header.Get(connector.HeaderWorkspace)),
+		Service:        s.name,
+		Method:         r.Method,
+		Path:           r.URL.RequestURI(),
+		ContentType:    r.Header.Get("Content-Type"),
+		Body:           body,
+		IdempotencyKey: r.Header.Get(connector.HeaderKey),
 	}
 	t, err := s.begin(r.Context(), MethodCall)
 	if errors.Is(err, errUnavailable) {
--- a/faker/service.go
+++ b/faker/service.go
@@ -94,16 +94,16 @@
 }
 
 // execute runs the call and counts it before anything is answered (rule F4).
-func (s *Service) execute(ctx context.Context, call *garnetworks.ServiceCall) (garnetworks.ServiceAnswer, error) {
+func (s *Service) execute(ctx context.Context, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
 	execution := s.note(call)
 	// The execution counts although its caller may go away now.
 	_ = sleep(ctx, s.took)
-	result := ServiceResult{Service: s.name, Path: call.Path, Key: call.Key, Execution: execution}
+	result := ServiceResult{Service: s.name, Path: call.Path, Key: call.IdempotencyKey, Execution: execution}
 	body, err := json.Marshal(result)
 	if err != nil {
-		return garnetworks.ServiceAnswer{}, err
+		return garnetworks.ServiceResponse{}, err
 	}
-	return garnetworks.ServiceAnswer{
+	return garnetworks.ServiceResponse{
 		ID:          call.ID,
 		Status:      http.StatusOK,
 		ContentType: "application/json",
@@ -127,8 +127,8 @@
 	s.total++
 	s.byCall[call.ID]++
 	s.byBody[string(call.Body)]++
-	if call.Key != "" {
-		s.byKey[call.Key]++
+	if call.IdempotencyKey != "" {
+		s.byKey[call.IdempotencyKey]++
 	}
 	return s.total
 }
@@ -148,16 +148,16 @@
 
 // Call answers a call in process, with the failures that an adapter would
 // report.
-func (s *Service) Call(ctx context.Context, call *garnetworks.ServiceCall) (garnetworks.ServiceAnswer, error) {
+func (s *Service) Call(ctx context.Context, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
 	if _, err := url.ParseRequestURI(call.Path); err != nil || call.Path[0] != '/' {
-		return garnetworks.ServiceAnswer{}, &garnetworks.AttemptError{Phase: garnetworks.PhaseConnect, Cause: err}
+		return garnetworks.ServiceResponse{}, &garnetworks.AttemptError{Phase: garnetworks.PhaseConnect, Cause: err}
 	}
 	t, err := s.begin(ctx, MethodCall)
 	if err != nil {
-		return garnetworks.ServiceAnswer{}, beforeBegin(err, false)
+		return garnetworks.ServiceResponse{}, beforeBegin(err, false)
 	}
 	if refused := s.refuses(); refused != nil {
-		return garnetworks.ServiceAnswer{}, &garnetworks.AttemptError{Phase: garnetworks.PhaseRefused, RetryAfter: refused.RetryAfter, Cause: refused}
+		return garnetworks.ServiceResponse{}, &garnetworks.AttemptError{Phase: garnetworks.PhaseRefused, RetryAfter: refused.RetryAfter, Cause: refused}
 	}
 	answer, err := s.execute(ctx, call)
 	previous := s.previous(call.ID)
@@ -168,13 +168,13 @@
 		err = s.end(ctx, t)
 	}
 	if err != nil {
-		return garnetworks.ServiceAnswer{}, &garnetworks.AttemptError{Phase: garnetworks.PhaseWait, Cause: err}
+		return garnetworks.ServiceResponse{}, &garnetworks.AttemptError{Phase: garnetworks.PhaseWait, Cause: err}
 	}
 	if s.take(MethodCall, truncatedAnswers) {
-		return garnetworks.ServiceAnswer{}, &garnetworks.AttemptError{Phase: garnetworks.PhaseBody}
+		return garnetworks.ServiceResponse{}, &garnetworks.AttemptError{Phase: garnetworks.PhaseBody}
 	}
 	if s.take(MethodCall, crossedAnswers) && previous != call.ID {
-		return garnetworks.ServiceAnswer{}, &garnetworks.AttemptError{Phase: garnetworks.PhaseCrossed}
+		return garnetworks.ServiceResponse{}, &garnetworks.AttemptError{Phase: garnetworks.PhaseMismatched}
 	}
 	return answer, nil
 }
@@ -197,12 +197,12 @@
 }
 
 // Call implements garnetworks.ServiceCaller.
-func (s *Services) Call(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceAnswer, error) {
+func (s *Services) Call(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
 	s.mu.Lock()
 	server := s.addresses[address]
 	s.mu.Unlock()
 	if server == nil {
-		return garnetworks.ServiceAnswer{}, &garnetworks.AttemptError{Phase: garnetworks.PhaseConnect, Cause: errNoEngine(address)}
+		return garnetworks.ServiceResponse{}, &garnetworks.AttemptError{Phase: garnetworks.PhaseConnect, Cause: errNoEngine(address)}
 	}
 	return server.Call(ctx, call)
 }
--- a/fleet.go
+++ b/fleet.go
@@ -139,9 +139,9 @@
 	Holder NodeID `json:"holder"`
 	// Term grows by one with each change of holder and never decreases.
 	Term uint32 `json:"term"`
-	// Beat grows with each renewal; others measure the lease's age by how long
+	// Renewals grows with each renewal; others measure the lease's age by how long
 	// they have seen the same beat, on their own clock.
-	Beat uint64 `json:"beat"`
+	Renewals uint64 `json:"beat"`
 	// Duration is how long the holder may act after the renewal was sent.
 	Duration time.Duration `json:"duration"`
 	// WriteID identifies the write (rule G11).
@@ -154,13 +154,13 @@
 	// Granted is what the site controller counts for the zone: the most the
 	// zone may draw. The sum over zones is at most the cap (rule G4).
 	Granted Watts `json:"granted"`
-	// Wanted is the target; below Granted while the zone has yet to confirm that
+	// Target is the grant aimed at; below Granted while the zone has yet to confirm that
 	// it has shrunk.
-	Wanted Watts `json:"wanted"`
-	// Since is the ledger's Sequence that last changed Wanted. A zone's
+	Target Watts `json:"wanted"`
+	// TargetSequence is the ledger's Sequence that last changed Target. A zone's
 	// confirmation counts only if it has seen that version: one that was written
 	// in ignorance of it promises nothing.
-	Since uint64 `json:"since"`
+	TargetSequence uint64 `json:"since"`
 }
 
 // PowerLedger is the object that holds the grants of all zones.
@@ -189,10 +189,10 @@
 	Need Watts `json:"need"`
 	// Needs breaks Need down into whole groups, the most important first.
 	Needs []PowerNeed `json:"needs,omitempty"`
-	// Seen is the Sequence of the newest ledger that the zone obeys.
-	Seen    uint64 `json:"seen"`
-	Term    uint32 `json:"term"`
-	WriteID string `json:"write-id"`
+	// SeenSequence is the Sequence of the newest ledger that the zone obeys.
+	SeenSequence uint64 `json:"seen"`
+	Term         uint32 `json:"term"`
+	WriteID      string `json:"write-id"`
 }
 
 // PowerNeed is the power that some equal groups of a zone need.
--- a/follow.go
+++ b/follow.go
@@ -17,13 +17,13 @@
 type FollowResponse struct {
 	_  struct{} `cbor:",toarray"`
 	At Timestamp
-	// Listed says that Objects are all objects under the prefix, not changes.
-	Listed   bool
+	// Snapshot says that Objects are all objects under the prefix, not changes.
+	Snapshot bool
 	Objects  []Object
 	Revision Revision
-	// HeldMS is how long the answer waited, AgeMS how long before it left its
+	// WaitedMS is how long the answer waited, AgeMS how long before it left its
 	// objects were the newest ones for certain, in milliseconds.
-	HeldMS, AgeMS int64
+	WaitedMS, AgeMS int64
 }
 
 // FollowCaller asks other nodes by address. Errors are as for PeerCaller.
@@ -36,29 +36,29 @@
 	Follow(ctx context.Context, request *FollowRequest) (*FollowResponse, error)
 }
 
-// PlaceLoad is what some nodes have at a group.
-type PlaceLoad struct {
+// GroupLoad is what some nodes have at a group.
+type GroupLoad struct {
 	_     struct{} `cbor:",toarray"`
 	Group GroupID
 	// Running is the number of calls that they have sent there and that have not
 	// ended.
 	Running int
-	// Moving is the number of nodes that had an event from there a moment ago.
-	Moving int
+	// ActiveNodes is the number of nodes that had an event from there a moment ago.
+	ActiveNodes int
 }
 
 // ModelDemand is what some nodes are asked for.
 type ModelDemand struct {
 	_     struct{} `cbor:",toarray"`
 	Model ModelName
-	// PerSecond is the number of calls that arrived in the last second or so.
-	PerSecond float64
+	// CallsPerSecond is the number of calls that arrived in the last second or so.
+	CallsPerSecond float64
 }
 
 // LoadReport is the load of one node, or the sum over nodes.
 type LoadReport struct {
 	_       struct{} `cbor:",toarray"`
-	Places  []PlaceLoad
+	Groups  []GroupLoad
 	Demands []ModelDemand
 	// Suspects are groups that seem to stand still, newly since the last report.
 	Suspects []GroupID
@@ -77,10 +77,10 @@
 	// Cell says that the report is the sum of a cell.
 	Cell   bool
 	Report LoadReport
-	// Contents are records that changed a moment ago, or all that last if the nodes' sums
-	// differed. ContentSum is ContentRecords.Sum at the sender.
-	Contents   []ContentRecord
-	ContentSum uint64
+	// ContentRecords are records that changed a moment ago, or all that last if the nodes' sums
+	// differed. ContentChecksum is ContentRecordStore.Checksum at the sender.
+	ContentRecords  []ContentRecord
+	ContentChecksum uint64
 }
 
 // ExchangeResponse brings the sum of the reports of all others that the node
@@ -89,9 +89,9 @@
 	_      struct{} `cbor:",toarray"`
 	At     Timestamp
 	Report LoadReport
-	// Contents and ContentSum are as in ExchangeRequest.
-	Contents   []ContentRecord
-	ContentSum uint64
+	// ContentRecords and ContentSum are as in ExchangeRequest.
+	ContentRecords  []ContentRecord
+	ContentChecksum uint64
 }
 
 // ExchangeCaller sends reports to other nodes by address. Errors are as for
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -114,8 +114,8 @@
 	lapsed map[garnetworks.InstanceID]bool
 	// past are the lives that were known and are not any more, at most mostPast of them;
 	// pastOrder holds them by when they went.
-	past      map[garnetworks.Life]garnetworks.RegisteredServer
-	pastOrder []garnetworks.Life
+	past      map[garnetworks.Incarnation]garnetworks.RegisteredServer
+	pastOrder []garnetworks.Incarnation
 	// refused holds why the newest entries of some servers can't be decoded.
 	refused map[garnetworks.InstanceID]string
 	// fresh are the servers that registered since fresh ones were last told of.
@@ -128,7 +128,7 @@
 func New(options Options) *Follower {
 	f := &Follower{
 		options: options, known: make(Servers), lapsed: make(map[garnetworks.InstanceID]bool), refused: make(map[garnetworks.InstanceID]string),
-		past: make(map[garnetworks.Life]garnetworks.RegisteredServer),
+		past: make(map[garnetworks.Incarnation]garnetworks.RegisteredServer),
 	}
 	common := watcher.Options{
 		Margin: AnswerMargin, ListTimeout: ListTime,
@@ -211,7 +211,7 @@
 
 // Past returns the last entry of a life that is known no more: whether it has ended is
 // asked at the address that it had (rule F7).
-func (f *Follower) Past(life garnetworks.Life) (garnetworks.RegisteredServer, bool) {
+func (f *Follower) Past(life garnetworks.Incarnation) (garnetworks.RegisteredServer, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s, ok := f.past[life]
@@ -220,7 +220,7 @@
 
 // pass remembers a life that is known no more; f.mu is held.
 func (f *Follower) pass(s *garnetworks.RegisteredServer) {
-	life := s.Life()
+	life := s.Incarnation()
 	if _, again := f.past[life]; !again {
 		f.pastOrder = append(f.pastOrder, life)
 	}
@@ -291,14 +291,14 @@
 
 // remember adds to a server's newest entry what earlier ones told (rule F6).
 func (f *Follower) remember(old, s *garnetworks.RegisteredServer) {
-	s.Succeed(old)
-	if old.Life() == s.Life() {
+	s.InheritFrom(old)
+	if old.Incarnation() == s.Incarnation() {
 		return
 	}
 	f.pass(old)
 	f.record(garnetworks.Event{
-		Kind: garnetworks.EventServerRestarted, Instance: s.ID, Zone: s.Zone, Group: old.Member.Group,
-		Detail: fmt.Sprintf("it started at %d, the one known before at %d; what was known of that one is dropped", s.Born, old.Born),
+		Kind: garnetworks.EventServerRestarted, Instance: s.ID, Zone: s.Zone, Group: old.Membership.Group,
+		Detail: fmt.Sprintf("it started at %d, the one known before at %d; what was known of that one is dropped", s.StartMS, old.StartMS),
 	})
 }
 
--- a/follower/follower_test.go
+++ b/follower/follower_test.go
@@ -88,9 +88,9 @@
 	text, born, _ := strings.Cut(string(value), "@")
 	state, model, _ := strings.Cut(text, " ")
 	s.ID, s.State, s.Model = id, garnetworks.ListedState(state), garnetworks.ModelName(model)
-	s.Born = int64(len(born))
+	s.StartMS = int64(len(born))
 	if s.Model != "" {
-		s.Member = garnetworks.Membership{Group: garnetworks.GroupID("g-" + model), Epoch: 1}
+		s.Membership = garnetworks.Membership{Group: garnetworks.GroupID("g-" + model), Epoch: 1}
 	}
 	return s, nil
 }
@@ -243,7 +243,7 @@
 			s.set("servers/a", step.entry)
 			time.Sleep(second)
 			got := f.Servers()["a"]
-			if got.Model != step.model || got.Member.Group != step.group || got.Ended.Group != step.ended {
+			if got.Model != step.model || got.Membership.Group != step.group || got.PreviousMembership.Group != step.ended {
 				t.Errorf("step %d, %q: %+v", i, step.entry, got)
 			}
 		}
@@ -297,8 +297,8 @@
 		for range 500 {
 			time.Sleep(10 * time.Millisecond)
 			a := f.Servers()["a"]
-			restarted = restarted || a.Born == 2
-			if restarted && (a.Born != 2 || a.Member.Group != "" || a.Ended.Group != "g-m") {
+			restarted = restarted || a.StartMS == 2
+			if restarted && (a.StartMS != 2 || a.Membership.Group != "" || a.PreviousMembership.Group != "g-m") {
 				t.Fatalf("after the later life came, the entry is %+v", a)
 			}
 		}
--- a/former/balance.go
+++ b/former/balance.go
@@ -49,7 +49,7 @@
 	worth := 0.0
 	for i := range profile.Models {
 		m := &profile.Models[i]
-		worth += m.Share * math.Log(max(none, float64(counts[m.Name])))
+		worth += m.InitialShare * math.Log(max(none, float64(counts[m.Name])))
 	}
 	return worth
 }
@@ -153,7 +153,7 @@
 	for k := range r.Profile.Models {
 		m := &r.Profile.Models[k]
 		ready := len(soon(free, m))
-		if ready >= m.Size {
+		if ready >= m.GroupSize {
 			continue // it is complete without any exchange
 		}
 		offers := offersOf(sound, m)
@@ -163,7 +163,7 @@
 				continue
 			}
 			// One group for one serves again within a warm start.
-			if one := len(groups) == 1 && offers[i].ready < 2*m.Size; !one && !r.pays(groups, m, free, counts) {
+			if one := len(groups) == 1 && offers[i].ready < 2*m.GroupSize; !one && !r.pays(groups, m, free, counts) {
 				continue
 			}
 			if gain := r.exchangeGain(free, groups, m, counts); gain > bestGain {
@@ -219,7 +219,7 @@
 	var groups []*Group
 	for _, o := range append([]offer{offers[first]}, others...) {
 		groups = append(groups, o.group)
-		if ready += o.ready; ready >= m.Size {
+		if ready += o.ready; ready >= m.GroupSize {
 			return groups
 		}
 	}
@@ -237,7 +237,7 @@
 		with[g.Model]--
 	}
 	ready := soon(all, m)
-	n := max(1, len(ready)/m.Size)
+	n := max(1, len(ready)/m.GroupSize)
 	with[m.Name] += n
 	r.addGroups(with, without(all, r.pick(all, m, n)), closed)
 	r.addGroups(unchanged, free, closed)
@@ -266,9 +266,9 @@
 		}
 		counted.Add(m.Name)
 		ready := soon(servers, m)
-		n := len(ready) / m.Size
+		n := len(ready) / m.GroupSize
 		counts[m.Name] += n
-		servers = without(servers, ready[:n*m.Size])
+		servers = without(servers, ready[:n*m.GroupSize])
 	}
 }
 
@@ -280,8 +280,8 @@
 // close lets a group finish its calls.
 func (r *plan) close(head garnetworks.RegisteredServer) {
 	r.send(urgentForming, garnetworks.GroupOrder{
-		Kind: garnetworks.GroupClose, Life: head.Life(), Address: head.Address,
-		Group: head.Member.Group, Epoch: head.Member.Epoch,
+		Kind: garnetworks.GroupClose, Incarnation: head.Incarnation(), Address: head.Address,
+		Group: head.Membership.Group, Epoch: head.Membership.Epoch,
 	})
 }
 
@@ -295,7 +295,7 @@
 // other in the warm time.
 func (r *plan) stageSecond() {
 	if !r.Unhurried {
-		r.loads = min(r.loads, int(float64(r.Profile.LoadsAtOnce)*secondLoadsPart)-r.loading())
+		r.loads = min(r.loads, int(float64(r.Profile.MaxConcurrentLoads)*secondLoadsPart)-r.loading())
 	}
 	domains := make(map[garnetworks.DomainID][]garnetworks.RegisteredServer)
 	for _, s := range r.Servers {
@@ -307,7 +307,7 @@
 		servers := domains[domain]
 		slices.SortFunc(servers, func(a, b garnetworks.RegisteredServer) int {
 			// Spares have no group and come first.
-			return cmp.Or(cmp.Compare(a.Member.Group, b.Member.Group), cmp.Compare(a.ID, b.ID))
+			return cmp.Or(cmp.Compare(a.Membership.Group, b.Membership.Group), cmp.Compare(a.ID, b.ID))
 		})
 		for i := range r.Profile.Models {
 			r.stageOutside(servers, &r.Profile.Models[i])
@@ -336,15 +336,15 @@
 	for i := range servers {
 		s := &servers[i]
 		switch {
-		case GroupModel(s.Member.Group) == m.Name:
+		case GroupModel(s.Membership.Group) == m.Name:
 		case s.Model == m.Name || slices.Contains(s.Staged, m.Name) || r.staging(s) == m.Name:
 			ready++
-		case r.staging(s) == "" && holdsTwice(s) && s.Member.State != garnetworks.MemberJoining:
+		case r.staging(s) == "" && holdsTwice(s) && s.Membership.State != garnetworks.MemberJoining:
 			hosts = append(hosts, *s)
 		}
 	}
 	for _, s := range hosts {
-		if r.loads <= 0 || ready >= outsideReady && s.Member.Group != "" && !r.Unhurried {
+		if r.loads <= 0 || ready >= outsideReady && s.Membership.Group != "" && !r.Unhurried {
 			return
 		}
 		ready++
@@ -361,10 +361,10 @@
 // staging returns the model that the instance was ordered to load onto its host and
 // does not hold yet.
 func (r *plan) staging(s *garnetworks.RegisteredServer) garnetworks.ModelName {
-	if model, ok := r.stages[s.Life()]; ok {
+	if model, ok := r.stages[s.Incarnation()]; ok {
 		return model
 	}
-	last, ok := r.staged[s.Life()]
+	last, ok := r.staged[s.Incarnation()]
 	if !ok || slices.Contains(s.Staged, last.model) || r.now.Sub(last.at) > r.joinTime(last.model)+joinMargin {
 		return ""
 	}
@@ -374,6 +374,6 @@
 // stage orders a load onto the instance's host.
 func (r *plan) stage(u urgency, s *garnetworks.RegisteredServer, m *garnetworks.ModelProfile) {
 	r.loads--
-	r.stages[s.Life()] = m.Name
-	r.add(u, garnetworks.GroupOrder{Kind: garnetworks.GroupStage, Life: s.Life(), Address: s.Address, Model: m.Name})
+	r.stages[s.Incarnation()] = m.Name
+	r.add(u, garnetworks.GroupOrder{Kind: garnetworks.GroupStage, Incarnation: s.Incarnation(), Address: s.Address, Model: m.Name})
 }
--- a/former/balance_test.go
+++ b/former/balance_test.go
@@ -27,8 +27,8 @@
 func grownWorld(domains int) *world {
 	w := newWorld(domains, 27)
 	w.profile.Models = []garnetworks.ModelProfile{
-		{Name: "large", Size: 12, Share: 0.5, Pace: 1, LoadTime: 16 * time.Second, WarmTime: 1600 * time.Millisecond},
-		{Name: "small", Size: 6, Share: 0.5, Pace: 0.6, LoadTime: 12 * time.Second, WarmTime: 1100 * time.Millisecond},
+		{Name: "large", GroupSize: 12, InitialShare: 0.5, TimeFactor: 1, LoadTime: 16 * time.Second, WarmLoadTime: 1600 * time.Millisecond},
+		{Name: "small", GroupSize: 6, InitialShare: 0.5, TimeFactor: 0.6, LoadTime: 12 * time.Second, WarmLoadTime: 1100 * time.Millisecond},
 	}
 	w.run(60 * time.Second)
 	return w
@@ -127,7 +127,7 @@
 // unevenWorld has domains of eight for groups of four and of two, without a spare.
 func unevenWorld(domains int) *world {
 	w := newWorld(domains, 8)
-	w.profile.Models[0].Size, w.profile.Models[1].Size = 4, 2
+	w.profile.Models[0].GroupSize, w.profile.Models[1].GroupSize = 4, 2
 	w.run(40 * time.Second)
 	return w
 }
@@ -136,7 +136,7 @@
 func (w *world) restart(domain garnetworks.DomainID) {
 	for _, e := range w.engines {
 		if e.Domain == domain && !e.dead {
-			e.Member, e.Model, e.epoch = garnetworks.Membership{}, "", 0
+			e.Membership, e.Model, e.epoch = garnetworks.Membership{}, "", 0
 			e.dark = false
 		}
 	}
--- a/former/dissolution.go
+++ b/former/dissolution.go
@@ -18,7 +18,7 @@
 func (r *plan) followGroup(g *Group) {
 	head, ok := g.Head()
 	switch {
-	case r.abandoned.Has(g.ID) || g.Lost || ok && head.Member.State == garnetworks.MemberBroken:
+	case r.abandoned.Has(g.ID) || g.Lost || ok && head.Membership.State == garnetworks.MemberBroken:
 		r.dissolve(g)
 	case !g.Whole || r.hasDark(g):
 		// Failure: members are cut off from the store or from this node, or the head
@@ -33,8 +33,8 @@
 	case !r.together(g):
 		r.dissolve(g)
 	case g.AllIn(garnetworks.MemberReady): // rule O1: an earlier holder left it so.
-		r.send(urgentOpening, garnetworks.GroupOrder{Kind: garnetworks.GroupOpen, Life: head.Life(), Address: head.Address, Group: g.ID, Epoch: g.Epoch})
-	case head.Member.State == garnetworks.MemberJoining || head.Member.State == garnetworks.MemberReady:
+		r.send(urgentOpening, garnetworks.GroupOrder{Kind: garnetworks.GroupOpen, Incarnation: head.Incarnation(), Address: head.Address, Group: g.ID, Epoch: g.Epoch})
+	case head.Membership.State == garnetworks.MemberJoining || head.Membership.State == garnetworks.MemberReady:
 		r.adopt(g)
 	}
 }
@@ -46,7 +46,7 @@
 }
 
 func (r *plan) hasDark(g *Group) bool {
-	return slices.ContainsFunc(g.Members, func(s garnetworks.RegisteredServer) bool { return r.Dark.Has(s.Life()) })
+	return slices.ContainsFunc(g.Members, func(s garnetworks.RegisteredServer) bool { return r.Dark.Has(s.Incarnation()) })
 }
 
 // dissolve makes the members of a group that can't serve leave it. Each one says
@@ -69,7 +69,7 @@
 	if in.Group == "" || !r.usable(s) || r.formations[in.Group] != nil {
 		return
 	}
-	r.send(u, garnetworks.GroupOrder{Kind: garnetworks.GroupLeave, Life: s.Life(), Address: s.Address, Group: in.Group, Epoch: in.Epoch})
+	r.send(u, garnetworks.GroupOrder{Kind: garnetworks.GroupLeave, Incarnation: s.Incarnation(), Address: s.Address, Group: in.Group, Epoch: in.Epoch})
 }
 
 // membership returns the group that the instance is in, as far as its entry or the
@@ -79,11 +79,11 @@
 // later. Its entry, which lags, shows no group; it would be ordered into a second
 // group without having left the first one.
 func (r *plan) membership(s *garnetworks.RegisteredServer) garnetworks.Membership {
-	in := s.Member
-	if joined := r.joined[s.Life()]; joined.Epoch > in.Epoch {
+	in := s.Membership
+	if joined := r.joined[s.Incarnation()]; joined.Epoch > in.Epoch {
 		in = joined
 	}
-	if left, ok := r.left[s.Life()]; ok && left.Group == in.Group && left.Epoch == in.Epoch {
+	if left, ok := r.left[s.Incarnation()]; ok && left.Group == in.Group && left.Epoch == in.Epoch {
 		return garnetworks.Membership{}
 	}
 	return in
@@ -91,7 +91,7 @@
 
 // closeGroup lets a group finish its calls before it is dissolved (rule O6).
 func (r *plan) closeGroup(g *Group, head garnetworks.RegisteredServer) {
-	switch head.Member.State {
+	switch head.Membership.State {
 	case garnetworks.MemberOpen:
 		r.close(head)
 	case garnetworks.MemberClosing:
@@ -109,7 +109,7 @@
 			delete(r.joined, id)
 			continue
 		}
-		if r.joined[id].Epoch > s.Member.Epoch {
+		if r.joined[id].Epoch > s.Membership.Epoch {
 			r.release(&s, urgentTidying)
 		}
 	}
--- a/former/flight_test.go
+++ b/former/flight_test.go
@@ -130,11 +130,11 @@
 	f := &Former{options: Options{Recorder: told}, prober: newProber(100)}
 	for i := range 40 {
 		f.takeProbe(probed{
-			life: garnetworks.Life{Instance: garnetworks.InstanceID(rune('a' + i))}, zone: garnetworks.ZoneID([]string{"a", "b"}[i%2]),
+			life: garnetworks.Incarnation{Instance: garnetworks.InstanceID(rune('a' + i))}, zone: garnetworks.ZoneID([]string{"a", "b"}[i%2]),
 			err: garnetworks.Errorf(garnetworks.KindUnreachable, "no answer"), took: probeTime,
 		})
 	}
-	if told.kinds[garnetworks.EventOwnFault] != 1 || told.kinds[garnetworks.EventInstanceSilent] != 0 {
+	if told.kinds[garnetworks.EventLocalFaultSuspected] != 1 || told.kinds[garnetworks.EventInstanceUnresponsive] != 0 {
 		t.Errorf("told %v", told.kinds)
 	}
 }
--- a/former/formation.go
+++ b/former/formation.go
@@ -9,11 +9,11 @@
 )
 
 // giveUp ends a formation because of one instance, which is left out for a while.
-func (p *Planner) giveUp(now time.Time, id garnetworks.GroupID, culprit garnetworks.Life) {
+func (p *Planner) giveUp(now time.Time, id garnetworks.GroupID, culprit garnetworks.Incarnation) {
 	if p.formations[id] == nil {
 		return
 	}
-	if culprit != (garnetworks.Life{}) {
+	if culprit != (garnetworks.Incarnation{}) {
 		p.shun[culprit] = now.Add(shunTime)
 	}
 	delete(p.formations, id)
@@ -33,14 +33,14 @@
 		s, ok := r.server(id)
 		switch {
 		case !ok, !r.usable(&s):
-			r.giveUp(r.now, f.id, garnetworks.Life{})
+			r.giveUp(r.now, f.id, garnetworks.Incarnation{})
 			return
-		case s.Member.Group == f.id && s.Member.Epoch == f.epoch:
-			if i == 0 && s.Member.State == garnetworks.MemberOpen {
+		case s.Membership.Group == f.id && s.Membership.Epoch == f.epoch:
+			if i == 0 && s.Membership.State == garnetworks.MemberOpen {
 				delete(r.formations, f.id)
 				return
 			}
-			if s.Member.State == garnetworks.MemberReady {
+			if s.Membership.State == garnetworks.MemberReady {
 				ready++
 			}
 		default:
@@ -55,16 +55,16 @@
 	}
 	if ready == len(f.members) && f.prepares {
 		r.prepared[f.members[0]] = f.model
-		r.giveUp(r.now, f.id, garnetworks.Life{})
+		r.giveUp(r.now, f.id, garnetworks.Incarnation{})
 		return
 	}
 	if ready == len(f.members) { // rule O1
 		head, _ := r.server(f.members[0])
-		r.send(urgentOpening, garnetworks.GroupOrder{Kind: garnetworks.GroupOpen, Life: head.Life(), Address: head.Address, Group: f.id, Epoch: f.epoch})
+		r.send(urgentOpening, garnetworks.GroupOrder{Kind: garnetworks.GroupOpen, Incarnation: head.Incarnation(), Address: head.Address, Group: f.id, Epoch: f.epoch})
 		return
 	}
 	if r.now.After(f.until) || r.better(f) {
-		r.giveUp(r.now, f.id, garnetworks.Life{})
+		r.giveUp(r.now, f.id, garnetworks.Incarnation{})
 	}
 }
 
@@ -81,7 +81,7 @@
 	first, _ := r.server(f.members[0])
 	soon := len(f.members)
 	for _, id := range f.loading {
-		if s, _ := r.server(id); s.Member.Group != f.id || s.Member.State == garnetworks.MemberJoining {
+		if s, _ := r.server(id); s.Membership.Group != f.id || s.Membership.State == garnetworks.MemberJoining {
 			soon--
 		}
 	}
@@ -93,7 +93,7 @@
 			soon++
 		}
 	}
-	return soon >= m.Size
+	return soon >= m.GroupSize
 }
 
 // join orders an instance into a group.
@@ -103,7 +103,7 @@
 		u = urgentTidying
 	}
 	r.send(u, garnetworks.GroupOrder{
-		Kind: garnetworks.GroupJoin, Life: s.Life(), Address: s.Address,
+		Kind: garnetworks.GroupJoin, Incarnation: s.Incarnation(), Address: s.Address,
 		Group: f.id, Epoch: f.epoch, Model: f.model, Members: f.members,
 	})
 }
@@ -112,14 +112,14 @@
 func (r *plan) adopt(g *Group) {
 	f := &formation{id: g.ID, epoch: g.Epoch, model: g.Model, until: r.now.Add(r.joinTime(g.Model) + joinMargin)}
 	for i := range g.Members {
-		f.members = append(f.members, g.Members[i].Life())
+		f.members = append(f.members, g.Members[i].Incarnation())
 	}
 	r.formations[f.id] = f
 }
 
 // free returns the instances of each domain that may be ordered into a group.
 func (r *plan) free() map[garnetworks.DomainID][]garnetworks.RegisteredServer {
-	bound := make(garnetworks.Set[garnetworks.Life])
+	bound := make(garnetworks.Set[garnetworks.Incarnation])
 	for _, f := range r.formations {
 		for _, id := range f.members {
 			bound.Add(id)
@@ -127,7 +127,7 @@
 	}
 	free := make(map[garnetworks.DomainID][]garnetworks.RegisteredServer)
 	for _, s := range r.Servers {
-		if bound.Has(s.Life()) || !r.usable(&s) || !r.released(&s) {
+		if bound.Has(s.Incarnation()) || !r.usable(&s) || !r.released(&s) {
 			continue
 		}
 		free[s.Domain] = append(free[s.Domain], s)
@@ -184,7 +184,7 @@
 	r.unsettled = make(garnetworks.Set[garnetworks.DomainID])
 	for i := range r.orders {
 		if o := &r.orders[i]; o.Kind == garnetworks.GroupLeave {
-			r.unsettled.Add(r.Servers[o.Life.Instance].Domain)
+			r.unsettled.Add(r.Servers[o.Incarnation.Instance].Domain)
 		}
 	}
 	for id, s := range r.sent {
@@ -230,7 +230,7 @@
 func (r *plan) byNeed(counts map[garnetworks.ModelName]int) []*garnetworks.ModelProfile {
 	models := make([]*garnetworks.ModelProfile, 0, len(r.Profile.Models))
 	for i := range r.Profile.Models {
-		if r.Profile.Models[i].Size > 0 {
+		if r.Profile.Models[i].GroupSize > 0 {
 			models = append(models, &r.Profile.Models[i])
 		}
 	}
@@ -243,7 +243,7 @@
 // shareForNext is the share of the work that one more group would carry, for
 // each instance that it takes.
 func shareForNext(m *garnetworks.ModelProfile, groups int) float64 {
-	return m.Share / float64(m.Size*(groups+1))
+	return m.InitialShare / float64(m.GroupSize*(groups+1))
 }
 
 func (r *plan) bestDomain(free map[garnetworks.DomainID][]garnetworks.RegisteredServer, m *garnetworks.ModelProfile) (garnetworks.DomainID, bool) {
@@ -251,7 +251,7 @@
 	bestLoads, bestFree := 0, 0
 	for _, domain := range sortedKeys(free) {
 		servers := free[domain]
-		if len(servers) < m.Size {
+		if len(servers) < m.GroupSize {
 			continue
 		}
 		loads := r.loadsOf(r.pick(servers, m, 1), m)
@@ -287,7 +287,7 @@
 	slices.SortFunc(sorted, func(a, b garnetworks.RegisteredServer) int {
 		return cmp.Or(cmp.Compare(readiness(&a, m), readiness(&b, m)), cmp.Compare(a.ID, b.ID))
 	})
-	return sorted[:groups*m.Size]
+	return sorted[:groups*m.GroupSize]
 }
 
 func (r *plan) loadsOf(servers []garnetworks.RegisteredServer, m *garnetworks.ModelProfile) int {
@@ -307,9 +307,9 @@
 	epoch := garnetworks.NewFencingToken(r.Term, r.sequence)
 	f := &formation{id: GroupName(m.Name, epoch), epoch: epoch, model: m.Name, until: r.now.Add(m.LoadTime + joinMargin)}
 	for i := range members {
-		f.members = append(f.members, members[i].Life())
+		f.members = append(f.members, members[i].Incarnation())
 		if readiness(&members[i], m) > 1 {
-			f.loading = append(f.loading, members[i].Life())
+			f.loading = append(f.loading, members[i].Incarnation())
 		}
 	}
 	r.formations[f.id] = f
--- a/former/former.go
+++ b/former/former.go
@@ -232,8 +232,8 @@
 	moving := f.moving()
 	lost := make(garnetworks.Set[garnetworks.GroupID])
 	for life := range f.dark {
-		if s, ok := serverOf(servers, life); ok && s.Member.Group != "" && !moving.Has(s.Member.Group) {
-			lost.Add(s.Member.Group)
+		if s, ok := serverOf(servers, life); ok && s.Membership.Group != "" && !moving.Has(s.Membership.Group) {
+			lost.Add(s.Membership.Group)
 		}
 	}
 	list := slices.Sorted(maps.Keys(lost))
--- a/former/life_test.go
+++ b/former/life_test.go
@@ -20,7 +20,7 @@
 			w := newWorld(1, 11)
 			w.run(40 * time.Second)
 			e := w.member("large", rank)
-			group := e.Member.Group
+			group := e.Membership.Group
 			// Events of before the crash keep the group moving for a moment.
 			w.moving = garnetworks.NewSet(group)
 			e.startAgain()
@@ -48,7 +48,7 @@
 	before := w.serving()
 	struck := 0
 	for _, id := range slices.Sorted(maps.Keys(w.engines)) {
-		if e := w.engines[id]; struck < 5 && e.Member.Group != "" {
+		if e := w.engines[id]; struck < 5 && e.Membership.Group != "" {
 			e.startAgain()
 			struck++
 		}
@@ -71,10 +71,10 @@
 	w := newWorld(1, 11)
 	w.run(settled)
 	w.tell()
-	group := w.member("large", 0).Member.Group
+	group := w.member("large", 0).Membership.Group
 	for id, s := range w.told {
-		if s.Member.Group == group {
-			s.Member.Epoch = 0
+		if s.Membership.Group == group {
+			s.Membership.Epoch = 0
 			w.told[id] = s
 		}
 	}
@@ -120,12 +120,12 @@
 func (w *world) forming(model garnetworks.ModelName) *engine {
 	count := make(map[garnetworks.GroupID]int)
 	for _, e := range w.engines {
-		count[e.Member.Group]++
+		count[e.Membership.Group]++
 	}
 	for _, id := range slices.Sorted(maps.Keys(w.engines)) {
 		e := w.engines[id]
-		moving := e.Member.State == garnetworks.MemberJoining || e.Member.State == garnetworks.MemberReady && e.Member.Rank > 0
-		if moving && count[e.Member.Group] > 1 && former.GroupModel(e.Member.Group) == model && !w.open(e.Member.Group) {
+		moving := e.Membership.State == garnetworks.MemberJoining || e.Membership.State == garnetworks.MemberReady && e.Membership.Rank > 0
+		if moving && count[e.Membership.Group] > 1 && former.GroupModel(e.Membership.Group) == model && !w.open(e.Membership.Group) {
 			return e
 		}
 	}
@@ -135,7 +135,7 @@
 // open reports whether a group's head is open.
 func (w *world) open(id garnetworks.GroupID) bool {
 	for _, e := range w.engines {
-		if e.Member.Group == id && e.Member.State == garnetworks.MemberOpen {
+		if e.Membership.Group == id && e.Membership.State == garnetworks.MemberOpen {
 			return true
 		}
 	}
@@ -153,11 +153,11 @@
 	w := newWorld(1, 11)
 	w.run(settled)
 	e := w.member("large", 4)
-	before := e.Member
+	before := e.Membership
 	e.startAgain()
 	w.run(100 * time.Millisecond)
-	e.Member = before
-	e.Member.State, e.readyAt = garnetworks.MemberJoining, w.now.Add(200*time.Millisecond)
+	e.Membership = before
+	e.Membership.State, e.readyAt = garnetworks.MemberJoining, w.now.Add(200*time.Millisecond)
 	w.tell()
 	for _, g := range former.Observe(w.told, "llm", former.Sizes(w.profile)) {
 		if g.ID == before.Group && g.Serves() {
@@ -166,8 +166,8 @@
 	}
 	w.run(5 * time.Second)
 	check(t, w)
-	if got := w.serving(); got["large"] != 1 || e.Member.Group == before.Group {
-		t.Errorf("serving %v, the engine is in %q", got, e.Member.Group)
+	if got := w.serving(); got["large"] != 1 || e.Membership.Group == before.Group {
+		t.Errorf("serving %v, the engine is in %q", got, e.Membership.Group)
 	}
 }
 
@@ -177,12 +177,12 @@
 	w := newWorld(1, 11)
 	w.run(settled)
 	e := w.member("large", 4)
-	group := e.Member.Group
-	e.Member.State, e.readyAt = garnetworks.MemberJoining, w.now.Add(time.Hour)
+	group := e.Membership.Group
+	e.Membership.State, e.readyAt = garnetworks.MemberJoining, w.now.Add(time.Hour)
 	w.told, w.planner, w.term = nil, former.NewPlanner(), w.term+1
 	w.run(2 * time.Second)
 	for _, other := range w.engines {
-		if other.Member.Group == group {
+		if other.Membership.Group == group {
 			t.Errorf("%s is still in the group", other.ID)
 		}
 	}
@@ -205,7 +205,7 @@
 		for range 200 {
 			w.tell()
 			w.step(step)
-			if e.Member.Group != "" {
+			if e.Membership.Group != "" {
 				break
 			}
 		}
@@ -234,11 +234,11 @@
 func TestEntriesOfOtherServicesNameNoGroup(t *testing.T) {
 	w := newWorld(1, 11)
 	w.run(settled)
-	member := w.member("large", 0).Member
+	member := w.member("large", 0).Membership
 	other := &engine{}
 	other.ID, other.Service, other.Domain = "x", "other", "d0"
-	other.Member = member
-	other.Member.Epoch++
+	other.Membership = member
+	other.Membership.Epoch++
 	w.engines["x"] = other
 	w.left = 0
 	w.run(time.Second)
--- a/former/loads.go
+++ b/former/loads.go
@@ -36,7 +36,7 @@
 
 // count takes the loads that an order begins.
 func (b *loadBudget) count(o *garnetworks.GroupOrder, servers follower.Servers) {
-	s, _ := serverOf(servers, o.Life)
+	s, _ := serverOf(servers, o.Incarnation)
 	switch o.Kind {
 	case garnetworks.GroupJoin, garnetworks.GroupStage:
 		if s.Model != o.Model && !slices.Contains(s.Staged, o.Model) {
--- a/former/lost_test.go
+++ b/former/lost_test.go
@@ -12,8 +12,8 @@
 // or the dark instance is of an earlier life, or in no group.
 func TestHolderTellsWhichGroupsAreLost(t *testing.T) {
 	server := func(id garnetworks.InstanceID, born int64, group garnetworks.GroupID) garnetworks.RegisteredServer {
-		s := garnetworks.RegisteredServer{ListedInstance: garnetworks.ListedInstance{ID: id}, Born: born}
-		s.Member.Group = group
+		s := garnetworks.RegisteredServer{ListedInstance: garnetworks.ListedInstance{ID: id}, StartMS: born}
+		s.Membership.Group = group
 		return s
 	}
 	servers := follower.Servers{
@@ -21,9 +21,9 @@
 		"d": server("d", 2, "again"), "e": server("e", 1, ""), "f": server("f", 1, "sound"),
 	}
 	f := &Former{options: Options{Moving: func() garnetworks.Set[garnetworks.GroupID] { return garnetworks.NewSet[garnetworks.GroupID]("moving") }}}
-	f.dark = make(garnetworks.Set[garnetworks.Life])
+	f.dark = make(garnetworks.Set[garnetworks.Incarnation])
 	for _, id := range []garnetworks.InstanceID{"a", "b", "c", "d", "e"} {
-		f.dark.Add(garnetworks.Life{Instance: id, Born: 1})
+		f.dark.Add(garnetworks.Incarnation{Instance: id, StartMS: 1})
 	}
 	f.noteLost(servers)
 	if got := f.Lost(); len(got) != 1 || got[0] != "gone" {
--- a/former/observe.go
+++ b/former/observe.go
@@ -29,7 +29,7 @@
 
 // Head returns the member with rank 0, if it is registered.
 func (g *Group) Head() (garnetworks.RegisteredServer, bool) {
-	if len(g.Members) > 0 && g.Members[0].Member.Rank == 0 {
+	if len(g.Members) > 0 && g.Members[0].Membership.Rank == 0 {
 		return g.Members[0], true
 	}
 	return garnetworks.RegisteredServer{}, false
@@ -40,13 +40,13 @@
 // store; if it is lost, the group stands still and is found by that.
 func (g *Group) Serves() bool {
 	h, ok := g.Head()
-	return ok && !g.Leaving && !g.Lost && h.Member.State == garnetworks.MemberOpen
+	return ok && !g.Leaving && !g.Lost && h.Membership.State == garnetworks.MemberOpen
 }
 
 // AllIn reports whether each member has one of the states.
 func (g *Group) AllIn(states ...garnetworks.MemberState) bool {
 	for i := range g.Members {
-		if !slices.Contains(states, g.Members[i].Member.State) {
+		if !slices.Contains(states, g.Members[i].Membership.State) {
 			return false
 		}
 	}
@@ -80,18 +80,18 @@
 		if s.Service != service {
 			continue
 		}
-		if s.Ended.Group != "" {
-			ended[s.Ended.Group] = max(ended[s.Ended.Group], s.Ended.Epoch)
+		if s.PreviousMembership.Group != "" {
+			ended[s.PreviousMembership.Group] = max(ended[s.PreviousMembership.Group], s.PreviousMembership.Epoch)
 		}
-		if s.Member.Group == "" {
+		if s.Membership.Group == "" {
 			continue
 		}
-		g := byName[s.Member.Group]
+		g := byName[s.Membership.Group]
 		if g == nil {
-			g = &Group{ID: s.Member.Group, Service: s.Service, Model: GroupModel(s.Member.Group)}
+			g = &Group{ID: s.Membership.Group, Service: s.Service, Model: GroupModel(s.Membership.Group)}
 			byName[g.ID] = g
 		}
-		g.Epoch = max(g.Epoch, s.Member.Epoch)
+		g.Epoch = max(g.Epoch, s.Membership.Epoch)
 		g.Members = append(g.Members, s)
 	}
 	groups := make([]Group, 0, len(byName))
@@ -109,18 +109,18 @@
 // finish sorts the members and judges them together.
 func (g *Group) finish(size int) {
 	g.Members = slices.DeleteFunc(g.Members, func(s garnetworks.RegisteredServer) bool {
-		return s.Member.Epoch != g.Epoch
+		return s.Membership.Epoch != g.Epoch
 	})
 	slices.SortFunc(g.Members, func(a, b garnetworks.RegisteredServer) int {
-		return cmp.Or(cmp.Compare(a.Member.Rank, b.Member.Rank), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(a.Membership.Rank, b.Membership.Rank), cmp.Compare(a.ID, b.ID))
 	})
 	g.Whole = size > 0 && len(g.Members) == size
-	opened := len(g.Members) > 0 && g.Members[0].Member.Rank == 0 && g.Members[0].Member.State == garnetworks.MemberOpen
+	opened := len(g.Members) > 0 && g.Members[0].Membership.Rank == 0 && g.Members[0].Membership.State == garnetworks.MemberOpen
 	for i := range g.Members {
 		// All members were ready when the head opened (rule O1). One that joins after
 		// that has started again, and took a join that was carried out late.
-		g.Lost = g.Lost || opened && g.Members[i].Member.State == garnetworks.MemberJoining
-		if g.Members[i].Member.Rank != i {
+		g.Lost = g.Lost || opened && g.Members[i].Membership.State == garnetworks.MemberJoining
+		if g.Members[i].Membership.Rank != i {
 			g.Whole = false
 		}
 		if g.Members[i].State == garnetworks.ListedLeaving {
@@ -133,7 +133,7 @@
 func Sizes(profile *garnetworks.EngineProfile) map[garnetworks.ModelName]int {
 	sizes := make(map[garnetworks.ModelName]int, len(profile.Models))
 	for _, m := range profile.Models {
-		sizes[m.Name] = m.Size
+		sizes[m.Name] = m.GroupSize
 	}
 	return sizes
 }
--- a/former/orders.go
+++ b/former/orders.go
@@ -67,16 +67,16 @@
 func (p *Planner) Sent(now time.Time, o garnetworks.GroupOrder) {
 	switch o.Kind {
 	case garnetworks.GroupStage:
-		p.staged[o.Life] = stagedLoad{o.Model, now}
+		p.staged[o.Incarnation] = stagedLoad{o.Model, now}
 		return
 	case garnetworks.GroupJoin:
-		p.joined[o.Life] = garnetworks.Membership{Group: o.Group, Epoch: o.Epoch}
+		p.joined[o.Incarnation] = garnetworks.Membership{Group: o.Group, Epoch: o.Epoch}
 	}
 	tries := 1
-	if s := p.sent[o.Life]; s != nil && sameOrder(&s.order, &o) {
+	if s := p.sent[o.Incarnation]; s != nil && sameOrder(&s.order, &o) {
 		tries = s.tries + 1
 	}
-	p.sent[o.Life] = &sentOrder{order: o, at: now, tries: tries}
+	p.sent[o.Incarnation] = &sentOrder{order: o, at: now, tries: tries}
 }
 
 func sameOrder(a, b *garnetworks.GroupOrder) bool {
@@ -85,7 +85,7 @@
 
 // Answered takes the engine's answer to an order.
 func (p *Planner) Answered(now time.Time, order garnetworks.GroupOrder, err error) {
-	s := p.sent[order.Life]
+	s := p.sent[order.Incarnation]
 	if s != nil && s.order.Kind == order.Kind && s.order.Group == order.Group {
 		s.taken = err == nil
 	}
@@ -94,11 +94,11 @@
 	case garnetworks.GroupLeave:
 		// A conflict says that the engine is not in the group any more.
 		if err == nil || garnetworks.IsKind(err, garnetworks.KindConflict) {
-			p.left[order.Life] = garnetworks.Membership{Group: order.Group, Epoch: order.Epoch}
+			p.left[order.Incarnation] = garnetworks.Membership{Group: order.Group, Epoch: order.Epoch}
 		}
 	case garnetworks.GroupJoin:
 		if gone || garnetworks.IsKind(err, garnetworks.KindStaleToken, garnetworks.KindConflict) {
-			p.giveUp(now, order.Group, order.Life)
+			p.giveUp(now, order.Group, order.Incarnation)
 		}
 	}
 }
@@ -106,10 +106,10 @@
 // send adds an order unless the same one was sent a moment ago, or the plan has another
 // one for the instance.
 func (r *plan) send(u urgency, o garnetworks.GroupOrder) {
-	if s := r.sent[o.Life]; s != nil && sameOrder(&s.order, &o) && r.now.Sub(s.at) < r.again(s) || r.ordered.Has(o.Life) {
+	if s := r.sent[o.Incarnation]; s != nil && sameOrder(&s.order, &o) && r.now.Sub(s.at) < r.again(s) || r.ordered.Has(o.Incarnation) {
 		return
 	}
-	r.ordered.Add(o.Life)
+	r.ordered.Add(o.Incarnation)
 	r.add(u, o)
 }
 
--- a/former/partitions.go
+++ b/former/partitions.go
@@ -21,7 +21,7 @@
 		if _, listed := r.Servers[id]; listed {
 			continue
 		}
-		r.gone[s.Life()] = r.now
+		r.gone[s.Incarnation()] = r.now
 		if s.State == garnetworks.ListedLive {
 			vanished[s.Domain]++
 		}
@@ -48,7 +48,7 @@
 	}
 	r.domains(r.Servers)
 	r.seen = r.Servers
-	r.dark = make(garnetworks.Set[garnetworks.Life], len(r.Dark))
+	r.dark = make(garnetworks.Set[garnetworks.Incarnation], len(r.Dark))
 	for id := range r.Dark {
 		r.dark.Add(id)
 	}
@@ -75,7 +75,7 @@
 // domains remembers the domains of servers, also of those that have vanished.
 func (r *plan) domains(servers follower.Servers) {
 	for _, s := range servers {
-		r.domainOf[s.Life()] = s.Domain
+		r.domainOf[s.Incarnation()] = s.Domain
 	}
 	for id := range r.domainOf {
 		_, gone := r.gone[id]
--- a/former/planner.go
+++ b/former/planner.go
@@ -45,7 +45,7 @@
 	Service garnetworks.ServiceName
 	Profile *garnetworks.EngineProfile
 	// Dark holds the instances that do not answer although their entries stand.
-	Dark garnetworks.Set[garnetworks.Life]
+	Dark garnetworks.Set[garnetworks.Incarnation]
 	// Term is the lease's.
 	Term uint32
 	// Moving holds the groups that gave an event to some node a moment ago.
@@ -64,14 +64,14 @@
 	id      garnetworks.GroupID
 	epoch   garnetworks.FencingToken
 	model   garnetworks.ModelName
-	members []garnetworks.Life
+	members []garnetworks.Incarnation
 	// until is when it is given up.
 	until time.Time
 	// prepares says that the group is of one spare alone and never opens: it takes the
 	// model into the instance's memory, so that a later join takes no warm start.
 	prepares bool
 	// loading are the members that had to load the weights from the weight store.
-	loading []garnetworks.Life
+	loading []garnetworks.Incarnation
 }
 
 // Planner remembers what was ordered and not yet told by the engines. It is for
@@ -80,27 +80,27 @@
 	sequence   uint32
 	term       uint32
 	formations map[garnetworks.GroupID]*formation
-	sent       map[garnetworks.Life]*sentOrder
+	sent       map[garnetworks.Incarnation]*sentOrder
 	// left holds, for an instance, the group and epoch that it has left by its own
 	// word (rule O2). The store tells it a little later.
-	left map[garnetworks.Life]garnetworks.Membership
+	left map[garnetworks.Incarnation]garnetworks.Membership
 	// joined holds the last group that an instance was ordered into. The store
 	// tells of it a little later; until then the instance may be in it.
-	joined map[garnetworks.Life]garnetworks.Membership
-	shun   map[garnetworks.Life]time.Time
+	joined map[garnetworks.Incarnation]garnetworks.Membership
+	shun   map[garnetworks.Incarnation]time.Time
 	// prepared holds the model that a spare was prepared for.
-	prepared map[garnetworks.Life]garnetworks.ModelName
+	prepared map[garnetworks.Incarnation]garnetworks.ModelName
 	// abandoned are the groups that were given up while they were formed.
 	abandoned garnetworks.Set[garnetworks.GroupID]
 	// seen is the last view, gone when entries vanished from it, dark the instances
 	// that did not answer then.
 	seen follower.Servers
-	gone map[garnetworks.Life]time.Time
+	gone map[garnetworks.Incarnation]time.Time
 	// domainOf holds the domains of the listed and the vanished servers.
-	domainOf map[garnetworks.Life]garnetworks.DomainID
-	dark     garnetworks.Set[garnetworks.Life]
+	domainOf map[garnetworks.Incarnation]garnetworks.DomainID
+	dark     garnetworks.Set[garnetworks.Incarnation]
 	// staged holds the last order to load a model onto each instance's host.
-	staged map[garnetworks.Life]stagedLoad
+	staged map[garnetworks.Incarnation]stagedLoad
 	// exchanges holds what each domain gives up a group for.
 	exchanges map[garnetworks.DomainID]*exchange
 	work      workload
@@ -112,16 +112,16 @@
 func NewPlanner() *Planner {
 	return &Planner{
 		formations: make(map[garnetworks.GroupID]*formation),
-		sent:       make(map[garnetworks.Life]*sentOrder),
-		left:       make(map[garnetworks.Life]garnetworks.Membership),
-		joined:     make(map[garnetworks.Life]garnetworks.Membership),
-		shun:       make(map[garnetworks.Life]time.Time),
-		prepared:   make(map[garnetworks.Life]garnetworks.ModelName),
+		sent:       make(map[garnetworks.Incarnation]*sentOrder),
+		left:       make(map[garnetworks.Incarnation]garnetworks.Membership),
+		joined:     make(map[garnetworks.Incarnation]garnetworks.Membership),
+		shun:       make(map[garnetworks.Incarnation]time.Time),
+		prepared:   make(map[garnetworks.Incarnation]garnetworks.ModelName),
 		abandoned:  make(garnetworks.Set[garnetworks.GroupID]),
-		staged:     make(map[garnetworks.Life]stagedLoad),
+		staged:     make(map[garnetworks.Incarnation]stagedLoad),
 		exchanges:  make(map[garnetworks.DomainID]*exchange),
-		gone:       make(map[garnetworks.Life]time.Time),
-		domainOf:   make(map[garnetworks.Life]garnetworks.DomainID),
+		gone:       make(map[garnetworks.Incarnation]time.Time),
+		domainOf:   make(map[garnetworks.Incarnation]garnetworks.DomainID),
 		unsure:     make(map[garnetworks.DomainID]time.Time),
 	}
 }
@@ -135,8 +135,8 @@
 	orders []urgentOrder
 	// ordered are the instances that this plan orders something, stages the models that
 	// it orders them to load.
-	ordered garnetworks.Set[garnetworks.Life]
-	stages  map[garnetworks.Life]garnetworks.ModelName
+	ordered garnetworks.Set[garnetworks.Incarnation]
+	stages  map[garnetworks.Incarnation]garnetworks.ModelName
 	loads   int
 	// unsettled are the domains in which answers to orders to leave are awaited.
 	unsettled garnetworks.Set[garnetworks.DomainID]
@@ -158,7 +158,7 @@
 	}
 	r := &plan{
 		Planner: p, Input: in, now: now, loads: in.Loads,
-		ordered: make(garnetworks.Set[garnetworks.Life]), stages: make(map[garnetworks.Life]garnetworks.ModelName),
+		ordered: make(garnetworks.Set[garnetworks.Incarnation]), stages: make(map[garnetworks.Incarnation]garnetworks.ModelName),
 	}
 	r.notePartitions()
 	r.groups = Observe(in.Servers, in.Service, Sizes(in.Profile))
@@ -178,7 +178,7 @@
 }
 
 func (r *plan) usable(s *garnetworks.RegisteredServer) bool {
-	return s.Service == r.Service && s.State == garnetworks.ListedLive && !r.Dark.Has(s.Life()) && !r.now.Before(r.shun[s.Life()])
+	return s.Service == r.Service && s.State == garnetworks.ListedLive && !r.Dark.Has(s.Incarnation()) && !r.now.Before(r.shun[s.Incarnation()])
 }
 
 // forget drops what no longer matters, so that memory stays bounded.
@@ -188,32 +188,32 @@
 	if len(r.abandoned) > most {
 		r.forgetAbandoned()
 	}
-	maps.DeleteFunc(r.sent, func(l garnetworks.Life, s *sentOrder) bool { return !r.listed(l) && r.now.Sub(s.at) > keep })
-	maps.DeleteFunc(r.staged, func(l garnetworks.Life, _ stagedLoad) bool { return !r.listed(l) })
-	maps.DeleteFunc(r.prepared, func(l garnetworks.Life, _ garnetworks.ModelName) bool { return !r.listed(l) })
-	maps.DeleteFunc(r.left, func(l garnetworks.Life, _ garnetworks.Membership) bool { return !r.listed(l) })
-	maps.DeleteFunc(r.shun, func(_ garnetworks.Life, until time.Time) bool { return r.now.After(until) })
+	maps.DeleteFunc(r.sent, func(l garnetworks.Incarnation, s *sentOrder) bool { return !r.listed(l) && r.now.Sub(s.at) > keep })
+	maps.DeleteFunc(r.staged, func(l garnetworks.Incarnation, _ stagedLoad) bool { return !r.listed(l) })
+	maps.DeleteFunc(r.prepared, func(l garnetworks.Incarnation, _ garnetworks.ModelName) bool { return !r.listed(l) })
+	maps.DeleteFunc(r.left, func(l garnetworks.Incarnation, _ garnetworks.Membership) bool { return !r.listed(l) })
+	maps.DeleteFunc(r.shun, func(_ garnetworks.Incarnation, until time.Time) bool { return r.now.After(until) })
 }
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-func sortedLives[V any](m map[garnetworks.Life]V) []garnetworks.Life {
-	return slices.SortedFunc(maps.Keys(m), garnetworks.Life.Compare)
+func sortedLives[V any](m map[garnetworks.Incarnation]V) []garnetworks.Incarnation {
+	return slices.SortedFunc(maps.Keys(m), garnetworks.Incarnation.Compare)
 }
 
 // server returns the entry of a life; none if it is not listed, or a later life is.
-func (r *plan) server(l garnetworks.Life) (garnetworks.RegisteredServer, bool) {
+func (r *plan) server(l garnetworks.Incarnation) (garnetworks.RegisteredServer, bool) {
 	return serverOf(r.Servers, l)
 }
 
-func (r *plan) listed(l garnetworks.Life) bool {
+func (r *plan) listed(l garnetworks.Incarnation) bool {
 	_, ok := r.server(l)
 	return ok
 }
 
-func serverOf(servers follower.Servers, l garnetworks.Life) (garnetworks.RegisteredServer, bool) {
+func serverOf(servers follower.Servers, l garnetworks.Incarnation) (garnetworks.RegisteredServer, bool) {
 	s, ok := servers[l.Instance]
-	if !ok || s.Life() != l {
+	if !ok || s.Incarnation() != l {
 		return garnetworks.RegisteredServer{}, false
 	}
 	return s, true
--- a/former/planner_test.go
+++ b/former/planner_test.go
@@ -79,7 +79,7 @@
 // memberOf returns the same of a domain.
 func (w *world) memberOf(domain garnetworks.DomainID, model garnetworks.ModelName, rank int) *engine {
 	for _, id := range slices.Sorted(maps.Keys(w.engines)) {
-		if e := w.engines[id]; e.Domain == domain && e.Model == model && e.Member.Group != "" && e.Member.Rank == rank && !e.dead {
+		if e := w.engines[id]; e.Domain == domain && e.Model == model && e.Membership.Group != "" && e.Membership.Rank == rank && !e.dead {
 			return e
 		}
 	}
@@ -110,7 +110,7 @@
 		"member will stop":     {4, func(e *engine) { e.State = garnetworks.ListedLeaving }},
 		"head will stop":       {0, func(e *engine) { e.State = garnetworks.ListedLeaving }},
 		"member started anew":  {5, (*engine).startAgain},
-		"head broke by itself": {0, func(e *engine) { e.Member.State = garnetworks.MemberBroken }},
+		"head broke by itself": {0, func(e *engine) { e.Membership.State = garnetworks.MemberBroken }},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -134,7 +134,7 @@
 	w := newWorld(1, 10)
 	w.run(30 * time.Second)
 	for _, e := range w.engines {
-		if e.Member.Group == "" {
+		if e.Membership.Group == "" {
 			e.Staged = []garnetworks.ModelName{"large"}
 		}
 	}
@@ -157,7 +157,7 @@
 	w.run(30 * time.Second)
 	lost := w.member("large", 2)
 	w.left = 0
-	w.moving = garnetworks.NewSet(lost.Member.Group)
+	w.moving = garnetworks.NewSet(lost.Membership.Group)
 	lost.cut, lost.dark = true, true
 	w.run(5 * time.Second)
 	if w.left != 0 {
@@ -178,7 +178,7 @@
 	w := newWorld(2, 11)
 	w.run(30 * time.Second)
 	head := w.member("large", 0)
-	w.moving = garnetworks.NewSet(head.Member.Group)
+	w.moving = garnetworks.NewSet(head.Membership.Group)
 	head.cut = true
 	w.left = 0
 	w.run(2 * time.Second)
@@ -312,13 +312,13 @@
 func (w *world) idle(domain garnetworks.DomainID) int {
 	open := make(map[garnetworks.GroupID]bool)
 	for _, e := range w.engines {
-		if !e.dead && e.Member.Rank == 0 && e.Member.State == garnetworks.MemberOpen {
-			open[e.Member.Group] = true
+		if !e.dead && e.Membership.Rank == 0 && e.Membership.State == garnetworks.MemberOpen {
+			open[e.Membership.Group] = true
 		}
 	}
 	idle := 0
 	for _, e := range w.engines {
-		if e.Domain == domain && !e.dead && e.State == garnetworks.ListedLive && !open[e.Member.Group] {
+		if e.Domain == domain && !e.dead && e.State == garnetworks.ListedLive && !open[e.Membership.Group] {
 			idle++
 		}
 	}
@@ -339,7 +339,7 @@
 	case 2:
 		e.cut = !e.cut
 	case 3:
-		e.Member, e.Model, e.epoch = garnetworks.Membership{}, "", 0
+		e.Membership, e.Model, e.epoch = garnetworks.Membership{}, "", 0
 	case 4:
 		// A new holder reads the store anew before it acts.
 		w.term++
--- a/former/prober.go
+++ b/former/prober.go
@@ -43,14 +43,14 @@
 	// waiting are the probes that wait for room in flight, the oldest first.
 	waiting []pendingProbe
 	// dark instances do not answer.
-	dark garnetworks.Set[garnetworks.Life]
+	dark garnetworks.Set[garnetworks.Incarnation]
 	// doubted instances did not answer an order and are to be probed.
-	doubted garnetworks.Set[garnetworks.Life]
-	misses  map[garnetworks.Life]int
+	doubted garnetworks.Set[garnetworks.Incarnation]
+	misses  map[garnetworks.Incarnation]int
 	// late counts the probes in a row that this node's own delay spoilt.
-	late map[garnetworks.Life]int
+	late map[garnetworks.Incarnation]int
 	// probing holds when a probe of each instance was asked for.
-	probing map[garnetworks.Life]time.Time
+	probing map[garnetworks.Incarnation]time.Time
 	asked   map[garnetworks.GroupID]time.Time
 	results chan probed
 	silence silence
@@ -63,7 +63,7 @@
 
 // probed is the end of a probe.
 type probed struct {
-	life garnetworks.Life
+	life garnetworks.Incarnation
 	zone garnetworks.ZoneID
 	err  error
 	// took is the time to the answer or to the end of the wait for it.
@@ -75,11 +75,11 @@
 func newProber(ring int) prober {
 	return prober{
 		flight:  newFlight(),
-		dark:    make(garnetworks.Set[garnetworks.Life]),
-		doubted: make(garnetworks.Set[garnetworks.Life]),
-		misses:  make(map[garnetworks.Life]int),
-		late:    make(map[garnetworks.Life]int),
-		probing: make(map[garnetworks.Life]time.Time),
+		dark:    make(garnetworks.Set[garnetworks.Incarnation]),
+		doubted: make(garnetworks.Set[garnetworks.Incarnation]),
+		misses:  make(map[garnetworks.Incarnation]int),
+		late:    make(map[garnetworks.Incarnation]int),
+		probing: make(map[garnetworks.Incarnation]time.Time),
 		asked:   make(map[garnetworks.GroupID]time.Time),
 		results: make(chan probed, ring),
 	}
@@ -134,7 +134,7 @@
 // doubt notes that an instance did not answer an order. Only probes tell whether it
 // is dark: orders get lost, or are carried out late, at instances that serve well,
 // and a group that is given up for that is lost for nothing.
-func (f *Former) doubt(id garnetworks.Life) {
+func (f *Former) doubt(id garnetworks.Incarnation) {
 	if len(f.doubted) < cap(f.results) {
 		f.doubted.Add(id)
 	}
@@ -177,31 +177,31 @@
 	own := f.silence.note(now, p.zone, true)
 	if f.silence.since != before {
 		f.options.Recorder.Record(garnetworks.Event{
-			Kind: garnetworks.EventOwnFault, Zone: p.zone, Instance: p.life.Instance,
+			Kind: garnetworks.EventLocalFaultSuspected, Zone: p.zone, Instance: p.life.Instance,
 			Detail: "most instances of several zones are silent at once; none counts as silent for " + doubtFor.String(),
 		})
 	}
 	return own
 }
 
-func (f *Former) alive(id garnetworks.Life) {
+func (f *Former) alive(id garnetworks.Incarnation) {
 	if f.dark.Has(id) {
 		f.stale = true
-		f.options.Recorder.Record(garnetworks.Event{Kind: garnetworks.EventInstanceAnswers, Instance: id.Instance})
+		f.options.Recorder.Record(garnetworks.Event{Kind: garnetworks.EventInstanceResponsive, Instance: id.Instance})
 	}
 	f.dark.Remove(id)
 	delete(f.misses, id)
 	delete(f.late, id)
 }
 
-func (f *Former) miss(id garnetworks.Life) {
+func (f *Former) miss(id garnetworks.Incarnation) {
 	f.misses[id]++
 	if f.misses[id] < probeTries || f.dark.Has(id) {
 		return
 	}
 	f.dark.Add(id)
 	f.stale = true
-	f.options.Recorder.Record(garnetworks.Event{Kind: garnetworks.EventInstanceSilent, Instance: id.Instance, Detail: fmt.Sprintf("%d probes in a row without an answer", f.misses[id])})
+	f.options.Recorder.Record(garnetworks.Event{Kind: garnetworks.EventInstanceUnresponsive, Instance: id.Instance, Detail: fmt.Sprintf("%d probes in a row without an answer", f.misses[id])})
 }
 
 // suspect probes the members of a group twice.
@@ -213,7 +213,7 @@
 	f.asked[id] = now
 	f.options.Recorder.Record(garnetworks.Event{Kind: garnetworks.EventGroupSuspected, Group: id, Detail: "no events for a while, or a refusal; its members are probed"})
 	for _, s := range f.options.Follower.Servers() {
-		if s.Member.Group == id {
+		if s.Membership.Group == id {
 			f.probe(s, probeTries)
 		}
 	}
@@ -222,10 +222,10 @@
 // probe asks an instance up to tries times, until it answers. It returns false if the
 // last probe of it may still be under way.
 func (f *Former) probe(s garnetworks.RegisteredServer, tries int) bool {
-	if time.Since(f.probing[s.Life()]) < probeTime*time.Duration(tries) {
+	if time.Since(f.probing[s.Incarnation()]) < probeTime*time.Duration(tries) {
 		return false
 	}
-	f.probing[s.Life()] = time.Now()
+	f.probing[s.Incarnation()] = time.Now()
 	f.waiting = append(f.waiting, pendingProbe{s, tries})
 	return true
 }
@@ -244,13 +244,13 @@
 	for n := range tries {
 		began := time.Now()
 		call, cancel := context.WithTimeout(ctx, probeTime)
-		err := f.options.Orders.Probe(call, s.Address, s.Life())
+		err := f.options.Orders.Probe(call, s.Address, s.Incarnation())
 		cancel()
 		if ctx.Err() != nil {
 			return
 		}
 		last := err == nil || n == tries-1
-		f.results <- probed{s.Life(), s.Zone, err, time.Since(began), last}
+		f.results <- probed{s.Incarnation(), s.Zone, err, time.Since(began), last}
 		if last {
 			return
 		}
@@ -277,11 +277,11 @@
 
 // forget drops what is known of instances that are not registered any more.
 func (f *Former) forget(servers follower.Servers) {
-	gone := func(id garnetworks.Life) bool { _, ok := serverOf(servers, id); return !ok }
-	maps.DeleteFunc(f.dark, func(id garnetworks.Life, _ struct{}) bool { return gone(id) })
-	maps.DeleteFunc(f.misses, func(id garnetworks.Life, _ int) bool { return gone(id) })
-	maps.DeleteFunc(f.late, func(id garnetworks.Life, _ int) bool { return gone(id) })
-	maps.DeleteFunc(f.probing, func(id garnetworks.Life, _ time.Time) bool { return gone(id) })
+	gone := func(id garnetworks.Incarnation) bool { _, ok := serverOf(servers, id); return !ok }
+	maps.DeleteFunc(f.dark, func(id garnetworks.Incarnation, _ struct{}) bool { return gone(id) })
+	maps.DeleteFunc(f.misses, func(id garnetworks.Incarnation, _ int) bool { return gone(id) })
+	maps.DeleteFunc(f.late, func(id garnetworks.Incarnation, _ int) bool { return gone(id) })
+	maps.DeleteFunc(f.probing, func(id garnetworks.Incarnation, _ time.Time) bool { return gone(id) })
 	// Groups come and go; those asked about long ago matter no more.
 	maps.DeleteFunc(f.asked, func(_ garnetworks.GroupID, at time.Time) bool { return time.Since(at) > time.Minute })
 }
--- a/former/sender.go
+++ b/former/sender.go
@@ -61,13 +61,13 @@
 
 // take takes the end of an order.
 func (f *Former) take(a answered) {
-	lost := garnetworks.IsKind(a.err, garnetworks.KindUnreachable, garnetworks.KindAnswerLost)
+	lost := garnetworks.IsKind(a.err, garnetworks.KindUnreachable, garnetworks.KindResponseLost)
 	f.orderFlight.ended(time.Now(), a.took, !lost)
 	if p := f.planners[a.service]; p != nil {
 		p.Answered(time.Now(), a.order, a.err)
 	}
 	if lost {
-		f.doubt(a.order.Life)
+		f.doubt(a.order.Incarnation)
 	}
 	if a.err != nil {
 		f.record(garnetworks.EventOrderRefused, &a.order, a.err)
@@ -87,5 +87,5 @@
 	if err != nil {
 		detail += ": " + err.Error()
 	}
-	f.options.Recorder.Record(garnetworks.Event{Kind: kind, Instance: o.Life.Instance, Group: o.Group, Error: garnetworks.KindOf(err), Detail: detail})
+	f.options.Recorder.Record(garnetworks.Event{Kind: kind, Instance: o.Incarnation.Instance, Group: o.Group, Error: garnetworks.KindOf(err), Detail: detail})
 }
--- a/former/spares.go
+++ b/former/spares.go
@@ -25,7 +25,7 @@
 
 // stageGroup loads what free instances lack for one group of the model.
 func (r *plan) stageGroup(free []garnetworks.RegisteredServer, m *garnetworks.ModelProfile) {
-	if len(free) < m.Size {
+	if len(free) < m.GroupSize {
 		return
 	}
 	ready := 0
@@ -39,7 +39,7 @@
 			others = append(others, *s)
 		}
 	}
-	lacking := m.Size - ready
+	lacking := m.GroupSize - ready
 	if lacking > len(others) {
 		return
 	}
@@ -108,7 +108,7 @@
 	var best *garnetworks.ModelProfile
 	for i := range r.Profile.Models {
 		m := &r.Profile.Models[i]
-		if best == nil || held[m.Name] < held[best.Name] || held[m.Name] == held[best.Name] && m.Share > best.Share {
+		if best == nil || held[m.Name] < held[best.Name] || held[m.Name] == held[best.Name] && m.InitialShare > best.InitialShare {
 			best = m
 		}
 	}
@@ -139,14 +139,14 @@
 		return
 	}
 	m := r.profile(s.Staged[len(s.Staged)-1])
-	if m == nil || s.Model != "" || r.prepared[s.Life()] == m.Name {
+	if m == nil || s.Model != "" || r.prepared[s.Incarnation()] == m.Name {
 		return
 	}
 	r.sequence++
 	epoch := garnetworks.NewFencingToken(r.Term, r.sequence)
 	f := &formation{
-		id: GroupName(m.Name, epoch), epoch: epoch, model: m.Name, members: []garnetworks.Life{s.Life()},
-		until: r.now.Add(m.WarmTime + joinMargin), prepares: true,
+		id: GroupName(m.Name, epoch), epoch: epoch, model: m.Name, members: []garnetworks.Incarnation{s.Incarnation()},
+		until: r.now.Add(m.WarmLoadTime + joinMargin), prepares: true,
 	}
 	r.formations[f.id] = f
 	r.join(f, *s)
--- a/former/work.go
+++ b/former/work.go
@@ -70,7 +70,7 @@
 	used.Models = make([]garnetworks.ModelProfile, len(stated.Models))
 	for i, m := range stated.Models {
 		if share, ok := w.shares[m.Name]; ok {
-			m.Share = share
+			m.InitialShare = share
 		}
 		used.Models[i] = m
 	}
@@ -86,7 +86,7 @@
 	}
 	stated, use := 0.0, 0.0
 	for i := range profile.Models {
-		stated += profile.Models[i].Share
+		stated += profile.Models[i].InitialShare
 	}
 	for i := range profile.Models {
 		m := &profile.Models[i]
@@ -98,7 +98,7 @@
 	shares := make(map[garnetworks.ModelName]float64)
 	for i := range profile.Models {
 		m := &profile.Models[i]
-		shares[m.Name] = math.Pow(m.Share/stated, 1-weight) * math.Pow(observed[m.Name], weight)
+		shares[m.Name] = math.Pow(m.InitialShare/stated, 1-weight) * math.Pow(observed[m.Name], weight)
 		total += shares[m.Name]
 	}
 	for model := range shares {
@@ -114,9 +114,9 @@
 	stated, sizes, needs := 0.0, 0.0, 0.0
 	for i := range profile.Models {
 		m := &profile.Models[i]
-		stated += m.Share
-		sizes += float64(m.Size)
-		needs += calls[m.Name] * float64(m.Size)
+		stated += m.InitialShare
+		sizes += float64(m.GroupSize)
+		needs += calls[m.Name] * float64(m.GroupSize)
 	}
 	if stated <= 0 || needs <= 0 {
 		return nil
@@ -125,7 +125,7 @@
 	shares := make(map[garnetworks.ModelName]float64)
 	for i := range profile.Models {
 		m := &profile.Models[i]
-		shares[m.Name] = (calls[m.Name]*float64(m.Size) + prior*m.Share/stated) / (needs + prior)
+		shares[m.Name] = (calls[m.Name]*float64(m.GroupSize) + prior*m.InitialShare/stated) / (needs + prior)
 	}
 	return shares
 }
@@ -134,11 +134,11 @@
 func differ(shares map[garnetworks.ModelName]float64, used *garnetworks.EngineProfile) bool {
 	total := 0.0
 	for i := range used.Models {
-		total += used.Models[i].Share
+		total += used.Models[i].InitialShare
 	}
 	for i := range used.Models {
 		share, ok := shares[used.Models[i].Name]
-		before := used.Models[i].Share / total
+		before := used.Models[i].InitialShare / total
 		if ok && (share > before*shareChange || share*shareChange < before) {
 			return true
 		}
--- a/former/world_test.go
+++ b/former/world_test.go
@@ -54,10 +54,10 @@
 
 func profile() *garnetworks.EngineProfile {
 	return &garnetworks.EngineProfile{
-		Slots: 4, LoadsPerSecond: 5, LoadsAtOnce: 40,
+		Slots: 4, LoadsPerSecond: 5, MaxConcurrentLoads: 40,
 		Models: []garnetworks.ModelProfile{
-			{Name: "large", Size: 6, Share: 0.67, Pace: 1, LoadTime: 16 * time.Second, WarmTime: 1600 * time.Millisecond},
-			{Name: "small", Size: 3, Share: 0.33, Pace: 0.6, LoadTime: 12 * time.Second, WarmTime: 1100 * time.Millisecond},
+			{Name: "large", GroupSize: 6, InitialShare: 0.67, TimeFactor: 1, LoadTime: 16 * time.Second, WarmLoadTime: 1600 * time.Millisecond},
+			{Name: "small", GroupSize: 3, InitialShare: 0.33, TimeFactor: 0.6, LoadTime: 12 * time.Second, WarmLoadTime: 1100 * time.Millisecond},
 		},
 	}
 }
@@ -103,7 +103,7 @@
 		if !e.dead && !e.cut {
 			s := e.RegisteredServer
 			if old, ok := w.told[id]; ok {
-				s.Succeed(&old)
+				s.InheritFrom(&old)
 			}
 			told[id] = s
 		}
@@ -114,8 +114,8 @@
 // startAgain starts an engine again under its identifier: it knows nothing of before,
 // and its host keeps what it holds.
 func (e *engine) startAgain() {
-	e.Born++
-	e.Member, e.Model, e.epoch = garnetworks.Membership{}, "", 0
+	e.StartMS++
+	e.Membership, e.Model, e.epoch = garnetworks.Membership{}, "", 0
 	e.staging = ""
 }
 
@@ -126,23 +126,23 @@
 		if e.staging != "" && !w.now.Before(e.stagedAt) {
 			e.Staged, e.staging = []garnetworks.ModelName{e.staging}, ""
 		}
-		if e.Member.State == garnetworks.MemberJoining && !w.now.Before(e.readyAt) {
-			e.Member.State = garnetworks.MemberReady
-			model := former.GroupModel(e.Member.Group)
+		if e.Membership.State == garnetworks.MemberJoining && !w.now.Before(e.readyAt) {
+			e.Membership.State = garnetworks.MemberReady
+			model := former.GroupModel(e.Membership.Group)
 			if e.Model != model && !slices.Contains(e.Staged, model) {
 				e.Staged = []garnetworks.ModelName{model} // a load leaves it on the host
 			}
 			e.Model = model
-			if w.ready[e.Member.Group] == nil {
-				w.ready[e.Member.Group] = make(garnetworks.Set[garnetworks.InstanceID])
+			if w.ready[e.Membership.Group] == nil {
+				w.ready[e.Membership.Group] = make(garnetworks.Set[garnetworks.InstanceID])
 			}
-			w.ready[e.Member.Group].Add(e.ID)
+			w.ready[e.Membership.Group].Add(e.ID)
 		}
 	}
-	dark := make(garnetworks.Set[garnetworks.Life])
+	dark := make(garnetworks.Set[garnetworks.Incarnation])
 	for _, e := range w.engines {
 		if e.dark || e.dead {
-			dark.Add(e.Life())
+			dark.Add(e.Incarnation())
 		}
 	}
 	const loads = 100
@@ -155,14 +155,14 @@
 
 // carryOut does what an engine does with an order.
 func (w *world) carryOut(o garnetworks.GroupOrder) error {
-	e := w.engines[o.Life.Instance]
+	e := w.engines[o.Incarnation.Instance]
 	switch {
 	case e == nil || e.dead:
 		return garnetworks.Errorf(garnetworks.KindNotFound, "no such engine")
 	case e.dark || e.cut:
 		return garnetworks.Errorf(garnetworks.KindUnreachable, "dark")
 	}
-	same := e.Member.Group == o.Group && e.Member.Epoch == o.Epoch
+	same := e.Membership.Group == o.Group && e.Membership.Epoch == o.Epoch
 	switch o.Kind {
 	case garnetworks.GroupStage:
 		if !slices.Contains(e.Staged, o.Model) {
@@ -171,21 +171,21 @@
 	case garnetworks.GroupJoin:
 		return w.join(e, o)
 	case garnetworks.GroupOpen:
-		if !same || e.Member.State != garnetworks.MemberReady && e.Member.State != garnetworks.MemberOpen {
+		if !same || e.Membership.State != garnetworks.MemberReady && e.Membership.State != garnetworks.MemberOpen {
 			w.unfit++
 			return garnetworks.Errorf(garnetworks.KindConflict, "not ready")
 		}
 		w.checkOpen(o)
-		e.Member.State = garnetworks.MemberOpen
+		e.Membership.State = garnetworks.MemberOpen
 	case garnetworks.GroupClose:
 		if same {
-			e.Member.State = garnetworks.MemberReady
+			e.Membership.State = garnetworks.MemberReady
 		}
 	case garnetworks.GroupLeave:
 		if !same {
 			return garnetworks.Errorf(garnetworks.KindConflict, "not in the group")
 		}
-		e.Member = garnetworks.Membership{}
+		e.Membership = garnetworks.Membership{}
 		w.left++
 	}
 	return nil
@@ -195,14 +195,14 @@
 	if o.Epoch < e.epoch {
 		return garnetworks.Errorf(garnetworks.KindStaleToken, "older epoch")
 	}
-	if e.Member.Group == o.Group && e.Member.Epoch == o.Epoch {
+	if e.Membership.Group == o.Group && e.Membership.Epoch == o.Epoch {
 		return nil
 	}
-	if e.Member.Group != "" {
-		w.fault("%s joined %s while in %s", e.ID, o.Group, e.Member.Group) // rule O2
+	if e.Membership.Group != "" {
+		w.fault("%s joined %s while in %s", e.ID, o.Group, e.Membership.Group) // rule O2
 	}
 	e.epoch = o.Epoch
-	e.Member = garnetworks.Membership{Group: o.Group, Epoch: o.Epoch, Rank: slices.IndexFunc(o.Members, func(l garnetworks.Life) bool { return l.Instance == e.ID }), State: garnetworks.MemberJoining}
+	e.Membership = garnetworks.Membership{Group: o.Group, Epoch: o.Epoch, Rank: slices.IndexFunc(o.Members, func(l garnetworks.Incarnation) bool { return l.Instance == e.ID }), State: garnetworks.MemberJoining}
 	wait := w.load()
 	if slices.Contains(e.Staged, o.Model) {
 		wait = 1600 * time.Millisecond
@@ -222,8 +222,8 @@
 func (w *world) checkOpen(o garnetworks.GroupOrder) {
 	model := former.GroupModel(o.Group)
 	for _, p := range w.profile.Models {
-		if ready := len(w.ready[o.Group]); p.Name == model && ready < p.Size {
-			w.fault("%s opened after %d of %d members were ready", o.Group, ready, p.Size)
+		if ready := len(w.ready[o.Group]); p.Name == model && ready < p.GroupSize {
+			w.fault("%s opened after %d of %d members were ready", o.Group, ready, p.GroupSize)
 		}
 	}
 }
--- a/forwarder/events.go
+++ b/forwarder/events.go
@@ -77,14 +77,14 @@
 	}
 	kind := garnetworks.KindOf(err)
 	event := garnetworks.Event{
-		Kind:     garnetworks.EventCallUnknown,
+		Kind:     garnetworks.EventCallOutcomeUnknown,
 		Call:     call,
 		Group:    group,
 		Instance: instance,
 		Error:    kind,
 		Detail:   err.Error(),
 	}
-	if garnetworks.KindAnswer(kind).Outcome == garnetworks.OutcomeNotRun {
+	if garnetworks.ErrorResponseFor(kind).Outcome == garnetworks.OutcomeNotRun {
 		event.Kind = garnetworks.EventCallRefused
 	}
 	f.events.Record(event)
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -140,11 +140,11 @@
 func (q *quick) Choose(time.Time, *garnetworks.CallRequest, []garnetworks.GroupID) (garnetworks.GroupView, error) {
 	return garnetworks.GroupView{ID: "g1"}, nil
 }
-func (q *quick) Started(time.Time, *garnetworks.CallRequest, garnetworks.GroupID) {}
-func (q *quick) Finished(_ time.Time, _ *garnetworks.CallRequest, _ garnetworks.GroupID, r garnetworks.AttemptResult) {
+func (q *quick) AttemptStarted(time.Time, *garnetworks.CallRequest, garnetworks.GroupID) {}
+func (q *quick) AttemptFinished(_ time.Time, _ *garnetworks.CallRequest, _ garnetworks.GroupID, r garnetworks.AttemptResult) {
 	q.results = append(q.results, r)
 }
-func (q *quick) Loaded(time.Time, garnetworks.GroupID, garnetworks.EngineLoad) {}
+func (q *quick) ReportLoad(time.Time, garnetworks.GroupID, garnetworks.EngineLoad) {}
 
 func (q *quick) Generate(ctx context.Context, _ string, call *garnetworks.EngineCall) (garnetworks.EngineStream, error) {
 	if q.refuse {
@@ -235,7 +235,7 @@
 		defer cancel()
 		sink := &stuckSink{hold: 8 * time.Second}
 		_, err := f.Generate(ctx, callFor(time.Minute), sink)
-		if err != nil || len(q.results) != 1 || q.results[0].Silent || sink.taken != quickTokens {
+		if err != nil || len(q.results) != 1 || q.results[0].Stalled || sink.taken != quickTokens {
 			t.Errorf("%v, taken %d, %+v", err, sink.taken, q.results)
 		}
 	})
@@ -351,7 +351,7 @@
 	}
 }
 
-func (b *busy) Finished(time.Time, *garnetworks.CallRequest, garnetworks.GroupID, garnetworks.AttemptResult) {
+func (b *busy) AttemptFinished(time.Time, *garnetworks.CallRequest, garnetworks.GroupID, garnetworks.AttemptResult) {
 }
 
 // zones is eight groups in eight zones; calls go round. Zone 0 goes dark at a
--- a/forwarder/hold_test.go
+++ b/forwarder/hold_test.go
@@ -43,7 +43,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := &crashing{}
 		quarantine := quarantiner.New(quarantiner.Options{
-			Prove:   func(context.Context, garnetworks.Life, bool) garnetworks.EndState { return garnetworks.EndProven },
+			Prove: func(context.Context, garnetworks.Incarnation, bool) garnetworks.CrashState {
+				return garnetworks.CrashProven
+			},
 			Objects: nowhere{}, Reads: func() bool { return false },
 		})
 		ctx, stop := context.WithCancel(t.Context())
@@ -58,14 +60,14 @@
 		}
 		for n := range 10 {
 			err := generate("crash")
-			if ran := n == 0; ran != garnetworks.IsKind(err, garnetworks.KindBackendLost) || !ran && !garnetworks.IsKind(err, garnetworks.KindCallHeld) {
+			if ran := n == 0; ran != garnetworks.IsKind(err, garnetworks.KindBackendLost) || !ran && !garnetworks.IsKind(err, garnetworks.KindCallQuarantined) {
 				t.Errorf("copy %d ended with %v", n, err)
 			}
 		}
 		if c.ended != quarantiner.MostEnds {
 			t.Errorf("%d engines ended, want %d", c.ended, quarantiner.MostEnds)
 		}
-		if err := generate("sound"); garnetworks.IsKind(err, garnetworks.KindCallHeld) {
+		if err := generate("sound"); garnetworks.IsKind(err, garnetworks.KindCallQuarantined) {
 			t.Errorf("a sound call ended with %v", err)
 		}
 		stop()
--- a/forwarder/model.go
+++ b/forwarder/model.go
@@ -87,7 +87,7 @@
 	m := &modelCall{
 		Forwarder:  f,
 		call:       call,
-		content:    call.Content(),
+		content:    call.ContentDigest(),
 		ring:       newRing(),
 		transcript: transcript{maxTokens: call.MaxTokens},
 		history:    retrier.History{Repeatability: retrier.Repeatable, MaxAttempts: f.options.MaxAttempts},
@@ -212,7 +212,7 @@
 	// A call that can't make its first token any more is refused while that is
 	// still the whole truth: nothing was sent.
 	if m.history.Attempts == 0 && now.After(m.call.FirstTokenBy) {
-		return garnetworks.GroupView{}, garnetworks.Errorf(garnetworks.KindDeadline, "the first token's deadline has passed")
+		return garnetworks.GroupView{}, garnetworks.Errorf(garnetworks.KindDeadlineUnreachable, "the first token's deadline has passed")
 	}
 	group, err := m.options.Groups.Choose(now, m.call, m.tried)
 	if err == nil || m.transcript.tokens == 0 {
@@ -267,7 +267,7 @@
 		ResumeFrom:  before,
 		Delivered:   string(m.transcript.text),
 	}
-	m.options.Groups.Started(started, m.call, group.ID)
+	m.options.Groups.AttemptStarted(started, m.call, group.ID)
 	dog := m.watch(attemptCtx, cancel, group, m.call)
 	result := garnetworks.AttemptResult{Phase: garnetworks.PhaseDone}
 	err := guard(func() error { return m.stream(attemptCtx, group, call, dog, &result) })
@@ -282,14 +282,14 @@
 			// connection does not reach the engine now.
 			result.Phase = garnetworks.PhaseConnect
 		}
-		result.Silent = fail.connectionOnly
+		result.Stalled = fail.connectionOnly
 		result.StaleToken = fail.refusal == garnetworks.KindStaleToken
 		result.Leaving = fail.refusal == garnetworks.KindShuttingDown
 		result.Cancelled = cancelled(ctx) || errors.Is(err, errSlowCaller)
 	}
 	now := time.Now()
 	result.Elapsed = now.Sub(started)
-	m.options.Groups.Finished(now, m.call, group.ID, result)
+	m.options.Groups.AttemptFinished(now, m.call, group.ID, result)
 	return fail
 }
 
@@ -312,7 +312,7 @@
 			// F1: also where the adapter has checked; a crossed answer is the one
 			// failure that nobody downstream can see.
 			return &garnetworks.AttemptError{
-				Phase: garnetworks.PhaseCrossed,
+				Phase: garnetworks.PhaseMismatched,
 				Cause: errors.Errorf("the answer echoes attempt %q", chunk.Attempt),
 			}
 		}
@@ -330,7 +330,7 @@
 // note takes the load and the time of the first token.
 func (m *modelCall) note(group *garnetworks.GroupView, chunk *garnetworks.Chunk, dog *watchdog, result *garnetworks.AttemptResult) {
 	if load, ok := chunk.Load.Get(); ok {
-		m.options.Groups.Loaded(time.Now(), group.ID, load)
+		m.options.Groups.ReportLoad(time.Now(), group.ID, load)
 	}
 	if chunk.Tokens == 0 {
 		return
@@ -392,8 +392,8 @@
 	if errors.As(err, &attempt) {
 		fail.phase = attempt.Phase
 		fail.retryAfter = attempt.RetryAfter
-		fail.timedOut = attempt.Silent
-		fail.connectionOnly = attempt.Silent
+		fail.timedOut = attempt.Stalled
+		fail.connectionOnly = attempt.Stalled
 	}
 	// Failure: an adapter reports the end of an answer that had no end marker as
 	// done. No error is PhaseDone.
@@ -454,7 +454,7 @@
 	case ran:
 		return garnetworks.WrapError(garnetworks.KindBackendTimeout, cause, "the deadline passed before the answer came")
 	}
-	return garnetworks.WrapError(garnetworks.KindDeadline, cause, "the deadline passed before the call was sent")
+	return garnetworks.WrapError(garnetworks.KindDeadlineUnreachable, cause, "the deadline passed before the call was sent")
 }
 
 // endError returns the error of a call without an answer whose attempts failed,
--- a/forwarder/service.go
+++ b/forwarder/service.go
@@ -35,12 +35,12 @@
 
 // CallService runs the call and returns the service's whole answer, or an error
 // whose kind says what is known of the call.
-func (f *Forwarder) CallService(ctx context.Context, call *garnetworks.ServiceCall) (garnetworks.ServiceAnswer, error) {
+func (f *Forwarder) CallService(ctx context.Context, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
 	f.countCall()
 	s, err := f.newServiceCall(call)
 	if err != nil {
 		f.ended(call.ID, "", "", err)
-		return garnetworks.ServiceAnswer{}, err
+		return garnetworks.ServiceResponse{}, err
 	}
 	if s.history.Repeatability == retrier.Keyed {
 		return s.detached(ctx)
@@ -64,9 +64,9 @@
 	rule := MatchCall(spec, call.Method, call.Path)
 	repeatability := retrier.NotRepeatable
 	switch {
-	case rule.Repeatable:
+	case rule.Idempotent:
 		repeatability = retrier.Repeatable
-	case call.Key != "":
+	case call.IdempotencyKey != "":
 		repeatability = retrier.Keyed
 	case rule.KeyRequired:
 		return nil, garnetworks.Errorf(garnetworks.KindInvalidRequest, "this call needs an Idempotency-Key header")
@@ -74,7 +74,7 @@
 	return &serviceCall{
 		Forwarder: f,
 		call:      call,
-		content:   call.Content(),
+		content:   call.ContentDigest(),
 		spec:      spec,
 		history:   retrier.History{Repeatability: repeatability, MaxAttempts: f.options.MaxAttempts},
 	}, nil
@@ -111,9 +111,9 @@
 // Failure: a caller loses its connection while its call runs, and repeats it
 // with the same key. Had the first call been cut off, nobody could say whether
 // it ran. So it is finished and recorded, and the repetition gets the answer.
-func (s *serviceCall) detached(ctx context.Context) (garnetworks.ServiceAnswer, error) {
+func (s *serviceCall) detached(ctx context.Context) (garnetworks.ServiceResponse, error) {
 	type result struct {
-		answer garnetworks.ServiceAnswer
+		answer garnetworks.ServiceResponse
 		err    error
 	}
 	results := make(chan result, 1)
@@ -139,15 +139,15 @@
 		r := <-results
 		return r.answer, r.err
 	}
-	return garnetworks.ServiceAnswer{}, garnetworks.WrapError(garnetworks.KindCancelled, ctx.Err(),
+	return garnetworks.ServiceResponse{}, garnetworks.WrapError(garnetworks.KindCancelled, ctx.Err(),
 		"the caller went away; the call goes on and its answer is recorded under its key")
 }
 
 // claimed runs a keyed call under its claim (rule F7).
-func (s *serviceCall) claimed(ctx context.Context) (garnetworks.ServiceAnswer, error) {
+func (s *serviceCall) claimed(ctx context.Context) (garnetworks.ServiceResponse, error) {
 	claimed, err := s.claim(ctx)
 	if err != nil {
-		return garnetworks.ServiceAnswer{}, err
+		return garnetworks.ServiceResponse{}, err
 	}
 	if recorded, ok := claimed.Recorded.Get(); ok {
 		return recorded, nil
@@ -155,7 +155,7 @@
 	answer, err := s.underClaim(ctx, claimed.Claim)
 	if err != nil {
 		s.abandon(ctx, claimed.Claim, s.history.Outcome())
-		return garnetworks.ServiceAnswer{}, err
+		return garnetworks.ServiceResponse{}, err
 	}
 	s.record(ctx, claimed.Claim, &answer)
 	return answer, nil
@@ -172,7 +172,7 @@
 	request := garnetworks.ClaimRequest{
 		Workspace: s.call.Workspace,
 		Service:   s.call.Service,
-		Key:       s.call.Key,
+		Key:       s.call.IdempotencyKey,
 		BodyHash:  hashCall(s.call),
 		Call:      s.call.ID,
 		Until:     time.Now().Add(timeouts.Claim + s.spec.Timeout + claimMargin),
@@ -193,12 +193,12 @@
 	}
 }
 
-func (s *serviceCall) underClaim(ctx context.Context, claim garnetworks.Claim) (garnetworks.ServiceAnswer, error) {
+func (s *serviceCall) underClaim(ctx context.Context, claim garnetworks.Claim) (garnetworks.ServiceResponse, error) {
 	// Failure: the node is paused between claiming and forwarding, until after
 	// others have begun to answer "unknown" for the key. Running the call now
 	// would still be the first time, but nobody would wait for it any more.
 	if !claimer.MayForward(time.Now(), &claim) {
-		return garnetworks.ServiceAnswer{}, garnetworks.Errorf(garnetworks.KindDeadline, "the claim ended before the call was sent")
+		return garnetworks.ServiceResponse{}, garnetworks.Errorf(garnetworks.KindDeadlineUnreachable, "the claim ended before the call was sent")
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.spec.Timeout)
 	defer cancel()
@@ -219,7 +219,7 @@
 // record records the answer. It returns when that is done, or after RecordWait,
 // while the recording goes on: the answer is true, and a store that is down must
 // not hold it back.
-func (s *serviceCall) record(ctx context.Context, claim garnetworks.Claim, answer *garnetworks.ServiceAnswer) {
+func (s *serviceCall) record(ctx context.Context, claim garnetworks.Claim, answer *garnetworks.ServiceResponse) {
 	recorded := make(chan struct{})
 	kept := *answer
 	s.tasks.Run(func() {
@@ -234,7 +234,7 @@
 	}
 }
 
-func (s *serviceCall) keepRecording(ctx context.Context, claim garnetworks.Claim, answer *garnetworks.ServiceAnswer) {
+func (s *serviceCall) keepRecording(ctx context.Context, claim garnetworks.Claim, answer *garnetworks.ServiceResponse) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.Timeouts.Record)
 	defer cancel()
 	err := s.persist(ctx, func() error { return s.options.Claims.Complete(ctx, claim, answer) })
@@ -263,7 +263,7 @@
 	for {
 		err := write()
 		if !garnetworks.IsKind(err, garnetworks.KindClaimsUnavailable, garnetworks.KindObjectAPIDown,
-			garnetworks.KindAnswerLost, garnetworks.KindThrottled) {
+			garnetworks.KindResponseLost, garnetworks.KindThrottled) {
 			return err
 		}
 		select {
@@ -275,32 +275,32 @@
 }
 
 // run makes attempts until the answer is whole or the call is given up.
-func (s *serviceCall) run(ctx context.Context) (garnetworks.ServiceAnswer, error) {
+func (s *serviceCall) run(ctx context.Context) (garnetworks.ServiceResponse, error) {
 	for {
 		if ctx.Err() != nil {
-			return garnetworks.ServiceAnswer{}, s.stopped(ctx)
+			return garnetworks.ServiceResponse{}, s.stopped(ctx)
 		}
 		if err := s.heldBack(ctx, s.content); err != nil {
-			return garnetworks.ServiceAnswer{}, endError(&s.history, s.last, err)
+			return garnetworks.ServiceResponse{}, endError(&s.history, s.last, err)
 		}
 		server, err := s.choose()
 		if err != nil {
-			return garnetworks.ServiceAnswer{}, endError(&s.history, s.last, err)
+			return garnetworks.ServiceResponse{}, endError(&s.history, s.last, err)
 		}
-		var answer garnetworks.ServiceAnswer
+		var answer garnetworks.ServiceResponse
 		attemptCtx, cancel := s.bound(ctx)
 		answer, s.last = s.attempt(attemptCtx, &server)
 		cancel()
-		s.tellEnd(ctx, s.content, garnetworks.Life{Instance: server.Instance}, s.last)
+		s.tellEnd(ctx, s.content, garnetworks.Incarnation{Instance: server.Instance}, s.last)
 		if s.last == nil {
 			return answer, nil
 		}
 		verdict := s.history.Failed(retrier.Failure{Phase: s.last.phase, Refusal: s.last.refusal})
 		if ctx.Err() != nil {
-			return garnetworks.ServiceAnswer{}, s.stopped(ctx)
+			return garnetworks.ServiceResponse{}, s.stopped(ctx)
 		}
 		if !verdict.Retry || (!verdict.Free && !s.takeRetry()) {
-			return garnetworks.ServiceAnswer{}, endError(&s.history, s.last, s.last.cause)
+			return garnetworks.ServiceResponse{}, endError(&s.history, s.last, s.last.cause)
 		}
 		s.tried = append(s.tried, server.Instance)
 	}
@@ -333,20 +333,20 @@
 }
 
 // attempt sends the call to one server.
-func (s *serviceCall) attempt(ctx context.Context, server *garnetworks.ServerView) (garnetworks.ServiceAnswer, *failure) {
+func (s *serviceCall) attempt(ctx context.Context, server *garnetworks.ServerView) (garnetworks.ServiceResponse, *failure) {
 	started := time.Now()
 	s.instance = server.Instance
 	call := *s.call
 	call.ID = attemptID(s.call.ID, s.history.Attempts+1)
-	s.options.Servers.ServerStarted(started, s.call.Service, server.Instance)
-	var answer garnetworks.ServiceAnswer
+	s.options.Servers.ServerCallStarted(started, s.call.Service, server.Instance)
+	var answer garnetworks.ServiceResponse
 	err := guard(func() (err error) {
 		answer, err = s.options.Services.Call(ctx, server.Address, &call)
 		return err
 	})
 	if err == nil && answer.ID != call.ID {
 		err = &garnetworks.AttemptError{
-			Phase: garnetworks.PhaseCrossed,
+			Phase: garnetworks.PhaseMismatched,
 			Cause: errors.Errorf("the answer echoes call %q", answer.ID),
 		}
 	}
@@ -355,13 +355,13 @@
 	if err != nil {
 		fail = classify(ctx, err)
 		result.Phase = fail.phase
-		result.Silent = fail.timedOut || errors.Is(ctx.Err(), context.DeadlineExceeded)
+		result.Stalled = fail.timedOut || errors.Is(ctx.Err(), context.DeadlineExceeded)
 		result.Leaving = fail.refusal == garnetworks.KindShuttingDown
 		result.Cancelled = cancelled(ctx)
 	}
 	now := time.Now()
 	result.Elapsed = now.Sub(started)
-	s.options.Servers.ServerFinished(now, s.call.Service, server.Instance, result)
+	s.options.Servers.ServerCallFinished(now, s.call.Service, server.Instance, result)
 	answer.ID = s.call.ID
 	return answer, fail
 }
--- a/forwarder/service_test.go
+++ b/forwarder/service_test.go
@@ -22,7 +22,7 @@
 	return garnetworks.ClaimResult{Claim: garnetworks.Claim{ClaimRequest: request}}, nil
 }
 
-func (p *pausedNode) Complete(context.Context, garnetworks.Claim, *garnetworks.ServiceAnswer) error {
+func (p *pausedNode) Complete(context.Context, garnetworks.Claim, *garnetworks.ServiceResponse) error {
 	return nil
 }
 
@@ -31,18 +31,18 @@
 	return nil
 }
 
-func (p *pausedNode) Call(_ context.Context, _ string, call *garnetworks.ServiceCall) (garnetworks.ServiceAnswer, error) {
+func (p *pausedNode) Call(_ context.Context, _ string, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
 	p.calls++
-	return garnetworks.ServiceAnswer{ID: call.ID, Status: 200}, nil
+	return garnetworks.ServiceResponse{ID: call.ID, Status: 200}, nil
 }
 
 func (p *pausedNode) ChooseServer(time.Time, garnetworks.ServiceName, []garnetworks.InstanceID) (garnetworks.ServerView, error) {
 	return garnetworks.ServerView{Instance: "i1"}, nil
 }
 
-func (p *pausedNode) ServerStarted(time.Time, garnetworks.ServiceName, garnetworks.InstanceID) {}
+func (p *pausedNode) ServerCallStarted(time.Time, garnetworks.ServiceName, garnetworks.InstanceID) {}
 
-func (p *pausedNode) ServerFinished(time.Time, garnetworks.ServiceName, garnetworks.InstanceID, garnetworks.AttemptResult) {
+func (p *pausedNode) ServerCallFinished(time.Time, garnetworks.ServiceName, garnetworks.InstanceID, garnetworks.AttemptResult) {
 }
 
 func (p *pausedNode) Manifest() (*garnetworks.AcceptedManifest, bool) {
@@ -68,7 +68,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				p := &pausedNode{pause: tt.pause}
 				f := New(Options{Services: p, Servers: p, Claims: p, Manifest: p})
-				call := &garnetworks.ServiceCall{ID: "c1", Service: "visits", Method: "POST", Path: "/visits", Key: "k1"}
+				call := &garnetworks.ServiceCall{ID: "c1", Service: "visits", Method: "POST", Path: "/visits", IdempotencyKey: "k1"}
 				_, err := f.CallService(t.Context(), call)
 				synctest.Wait()
 				if p.calls != tt.calls || (err == nil) != (tt.calls == 1) {
--- a/forwarder/silence.go
+++ b/forwarder/silence.go
@@ -331,7 +331,7 @@
 func (w *watchdog) end(cause error) {
 	w.cancel(cause)
 	w.f.events.Record(garnetworks.Event{
-		Kind:   garnetworks.EventSilentConnection,
+		Kind:   garnetworks.EventStalledConnection,
 		Zone:   w.group.Zone,
 		Group:  w.group.ID,
 		Call:   w.call,
--- a/gateway/account.go
+++ b/gateway/account.go
@@ -202,7 +202,7 @@
 	if x.route.MaxGap > 0 {
 		list = append(list, "max-pause-ms", milliseconds(x.route.MaxGap))
 	}
-	if !x.route.Repeatable() {
+	if !x.route.Idempotent() {
 		list = append(list, "once", true)
 	}
 	return list
@@ -231,7 +231,7 @@
 // outcomeOf is what an answer of the node's own says of the call.
 func outcomeOf(status int) garnetworks.Outcome {
 	switch status {
-	case http.StatusBadGateway, http.StatusGatewayTimeout, garnetworks.KindAnswer(garnetworks.KindCancelled).Status, 0:
+	case http.StatusBadGateway, http.StatusGatewayTimeout, garnetworks.ErrorResponseFor(garnetworks.KindCancelled).Status, 0:
 		return garnetworks.OutcomeUnknown
 	}
 	return garnetworks.OutcomeNotRun
--- a/gateway/account_test.go
+++ b/gateway/account_test.go
@@ -17,10 +17,10 @@
 func newAccounted(t *testing.T) *stream {
 	t.Helper()
 	_, s := newGuarded(t)
-	s.heads = map[garnetworks.GroupID]head{"a-grey": {life: garnetworks.Life{Instance: "i"}}, "b-well": {life: garnetworks.Life{Instance: "j"}}}
+	s.heads = map[garnetworks.GroupID]head{"a-grey": {life: garnetworks.Incarnation{Instance: "i"}}, "b-well": {life: garnetworks.Incarnation{Instance: "j"}}}
 	s.route.MaxGap = 200 * time.Millisecond
 	s.route.Name, s.route.Timeout = "r", 6*time.Second
-	s.call.ID, s.call.PromptTokens, s.call.LikelyTokens = "c", 1400, 90
+	s.call.ID, s.call.PromptTokens, s.call.EstimatedTokens = "c", 1400, 90
 	s.until = s.call.Received.Add(s.route.Timeout)
 	return s
 }
@@ -152,7 +152,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newAccounted(t)
 		s.call.PromptTokens = 0 // it was placed before it had a size
-		before := &stream{exchange: &exchange{Gateway: s.Gateway, call: &garnetworks.PassedCall{Model: "m", PromptTokens: 5900}, route: s.route, service: s.service}}
+		before := &stream{exchange: &exchange{Gateway: s.Gateway, call: &garnetworks.ProxiedCall{Model: "m", PromptTokens: 5900}, route: s.route, service: s.service}}
 		if _, decided := s.scheduler.Arrive(time.Now(), scheduler.Work{ID: "other", Model: "m", Prompt: 5900, Arrived: time.Now(), Objective: time.Second, Tried: []garnetworks.GroupID{"b-well"}}); !decided {
 			t.Fatal("the other call was not placed")
 		}
--- a/gateway/age_test.go
+++ b/gateway/age_test.go
@@ -54,7 +54,7 @@
 func (siteReader) ReadRouting([]byte) (*garnetworks.Routing, error) {
 	route := func(name, prefix string, public bool) garnetworks.Route {
 		return garnetworks.Route{
-			Name: name, Host: "a.example", PathPrefix: prefix, Kind: garnetworks.RouteSafe, Timeout: time.Second, Attempts: 1, Public: public,
+			Name: name, Host: "a.example", PathPrefix: prefix, Kind: garnetworks.RouteSafe, Timeout: time.Second, MaxAttempts: 1, Public: public,
 			Targets: []garnetworks.RouteTarget{{Service: "svc", Weight: 1}},
 		}
 	}
@@ -76,23 +76,26 @@
 // callReader takes the key from the header Key.
 type callReader struct{}
 
-func (callReader) ReadCall(r *http.Request) (*garnetworks.PassedCall, error) {
-	return &garnetworks.PassedCall{ID: "c", Method: r.Method, Host: r.Host, Target: r.URL.Path, Key: r.Header.Get("Key"), Received: time.Now()}, nil
+func (callReader) ReadCall(r *http.Request) (*garnetworks.ProxiedCall, error) {
+	return &garnetworks.ProxiedCall{ID: "c", Method: r.Method, Host: r.Host, Target: r.URL.Path, WorkspaceKey: r.Header.Get("Key"), Received: time.Now()}, nil
 }
 
 // passer answers each call with success.
 type passer struct{}
 
-func (passer) Pass(context.Context, string, *garnetworks.PassedAttempt) (*garnetworks.PassedAnswer, error) {
-	return &garnetworks.PassedAnswer{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("x")), Signed: true}, nil
+func (passer) Send(context.Context, string, *garnetworks.ProxiedAttempt) (*garnetworks.ProxiedResponse, error) {
+	return &garnetworks.ProxiedResponse{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("x")), FromServer: true}, nil
 }
 
 // unheld is a quarantine that keeps nothing from servers.
 type unheld struct{}
 
-func (unheld) Held(context.Context, garnetworks.ContentDigest) (time.Duration, bool) { return 0, false }
-func (unheld) Broke(garnetworks.ContentDigest, garnetworks.Life)                     {}
-func (unheld) Answered(garnetworks.ContentDigest)                                    {}
+func (unheld) Quarantined(context.Context, garnetworks.ContentDigest) (time.Duration, bool) {
+	return 0, false
+}
+
+func (unheld) ReportInterrupted(garnetworks.ContentDigest, garnetworks.Incarnation) {}
+func (unheld) ReportCompleted(garnetworks.ContentDigest)                            {}
 
 type unrecorded struct{}
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -54,7 +54,7 @@
 	Bounds   garnetworks.SiteBounds
 	Follower *follower.Follower
 	Reader   garnetworks.CallReader
-	Passer   garnetworks.CallPasser
+	Passer   garnetworks.CallProxy
 	Meter    *meter.Meter
 	// Suspect is told of groups that seem to stand still.
 	Suspect    func(garnetworks.GroupID)
@@ -64,7 +64,7 @@
 
 // head is where a group takes calls.
 type head struct {
-	life    garnetworks.Life
+	life    garnetworks.Incarnation
 	address string
 }
 
@@ -188,7 +188,7 @@
 			if !ok || !group.Serves() {
 				continue
 			}
-			heads[group.ID] = head{h.Life(), h.Address}
+			heads[group.ID] = head{h.Incarnation(), h.Address}
 			serving = append(serving, scheduler.Group{ID: group.ID, Model: group.Model, Zone: h.Zone, Slots: profile.Slots, ReadRate: readRate(&profile, group.Model)})
 		}
 	}
@@ -202,15 +202,15 @@
 		}
 	}
 	g.heads = heads
-	g.picker.Keep(func(l garnetworks.Life) bool { s, ok := servers[l.Instance]; return ok && s.Life() == l })
+	g.picker.Keep(func(l garnetworks.Incarnation) bool { s, ok := servers[l.Instance]; return ok && s.Incarnation() == l })
 	g.deliver(g.scheduler.SetGroups(now, serving))
 }
 
 // readRate returns the prompt tokens that a group of the model reads in a second.
 func readRate(profile *garnetworks.EngineProfile, model garnetworks.ModelName) float64 {
 	for i := range profile.Models {
-		if m := &profile.Models[i]; m.Name == model && m.Pace > 0 {
-			return profile.ReadRate / m.Pace
+		if m := &profile.Models[i]; m.Name == model && m.TimeFactor > 0 {
+			return profile.PrefillRate / m.TimeFactor
 		}
 	}
 	return 0
@@ -244,9 +244,9 @@
 // load is Load; g.mu is held.
 func (g *Gateway) load(now time.Time) garnetworks.LoadReport {
 	report := g.scheduler.Load(now)
-	for i := range report.Places {
-		if now.Sub(g.progress[report.Places[i].Group]) < movingTime {
-			report.Places[i].Moving = 1
+	for i := range report.Groups {
+		if now.Sub(g.progress[report.Groups[i].Group]) < movingTime {
+			report.Groups[i].ActiveNodes = 1
 		}
 	}
 	return report
@@ -259,8 +259,8 @@
 	defer g.mu.Unlock()
 	moving := make(garnetworks.Set[garnetworks.GroupID])
 	for _, report := range []garnetworks.LoadReport{g.load(time.Now()), g.others} {
-		for _, p := range report.Places {
-			if p.Moving > 0 {
+		for _, p := range report.Groups {
+			if p.ActiveNodes > 0 {
 				moving.Add(p.Group)
 			}
 		}
@@ -370,7 +370,7 @@
 	w         http.ResponseWriter
 	ctx       context.Context
 	cancel    context.CancelFunc
-	call      *garnetworks.PassedCall
+	call      *garnetworks.ProxiedCall
 	route     *garnetworks.Route
 	workspace garnetworks.WorkspaceName
 	content   garnetworks.ContentDigest
@@ -403,7 +403,7 @@
 	} else if err != nil {
 		return x, err
 	}
-	x.content = call.Content(x.workspace)
+	x.content = call.ContentDigest(x.workspace)
 	target, ok := matcher.Target(x.route, random())
 	if ok {
 		x.service, ok = index.Service(target)
@@ -436,7 +436,7 @@
 	if !x.honoursKeys(x.routingAge) {
 		return garnetworks.Errorf(garnetworks.KindNotReady, "the node can't tell whether the key is still valid")
 	}
-	workspace, ok := index.Workspace(x.call.Key)
+	workspace, ok := index.Workspace(x.call.WorkspaceKey)
 	if !ok {
 		return x.lacking(garnetworks.Errorf(garnetworks.KindUnauthenticated, "no workspace has the key"))
 	}
@@ -457,7 +457,7 @@
 // refuse answers a call that was not passed on.
 func (g *Gateway) refuse(w http.ResponseWriter, x *exchange, err error) {
 	kind := garnetworks.KindOf(err)
-	answer := garnetworks.KindAnswer(kind)
+	answer := garnetworks.ErrorResponseFor(kind)
 	after := answer.RetryAfter
 	if e, ok := asError(err); ok && e.RetryAfter > 0 {
 		after = e.RetryAfter
--- a/gateway/guard.go
+++ b/gateway/guard.go
@@ -44,7 +44,7 @@
 func (s *stream) guard(group garnetworks.GroupID, cancel context.CancelCauseFunc) *guard {
 	g := &guard{
 		stream: s, group: group, cancel: cancel, began: time.Now(), limit: stillFirst,
-		movable: s.route.Repeatable() && s.attempts+1 < s.route.Attempts,
+		movable: s.route.Idempotent() && s.attempts+1 < s.route.MaxAttempts,
 		work:    s.work(),
 	}
 	g.work.Resumed = true
--- a/gateway/guard_test.go
+++ b/gateway/guard_test.go
@@ -25,8 +25,8 @@
 	g.scheduler.SetGroups(time.Now(), []scheduler.Group{{ID: "a-grey", Model: "m", Slots: 26}, {ID: "b-well", Model: "m", Slots: 26}})
 	x := &exchange{
 		Gateway: g, service: &garnetworks.RoutedService{Name: "llm"},
-		call:  &garnetworks.PassedCall{Model: "m", Received: time.Now()},
-		route: &garnetworks.Route{Kind: garnetworks.RouteStreaming, Resumable: true, Attempts: 2, Objective: 400 * time.Millisecond},
+		call:  &garnetworks.ProxiedCall{Model: "m", Received: time.Now()},
+		route: &garnetworks.Route{Kind: garnetworks.RouteStreaming, Resumable: true, MaxAttempts: 2, Objective: 400 * time.Millisecond},
 	}
 	s := &stream{exchange: x}
 	d, ok := s.place()
@@ -98,7 +98,7 @@
 			t.Fatalf("the call has a place at %q", s.reserved)
 		}
 		s.giveBack()
-		for _, p := range g.scheduler.Load(time.Now()).Places {
+		for _, p := range g.scheduler.Load(time.Now()).Groups {
 			if p.Group == "b-well" {
 				t.Errorf("%d calls hold places there", p.Running)
 			}
--- a/gateway/hold.go
+++ b/gateway/hold.go
@@ -2,15 +2,15 @@
 
 import "github.com/garnetworks/garnetworks"
 
-// heldBack returns an error of kind KindCallHeld if calls like this one are kept from
+// heldBack returns an error of kind KindCallQuarantined if calls like this one are kept from
 // servers now. It is asked before each attempt: other nodes may have found out while the
 // call waited or ran.
 func (x *exchange) heldBack() error {
-	left, held := x.options.Quarantine.Held(x.ctx, x.content)
+	left, held := x.options.Quarantine.Quarantined(x.ctx, x.content)
 	if !held {
 		return nil
 	}
-	return garnetworks.HeldError(left)
+	return garnetworks.QuarantinedError(left)
 }
 
 // endHeld answers a call that is held back: as one that did not run only if that is so
@@ -27,13 +27,13 @@
 // or the time ended it, or the server was known to leave: one that is stopped as planned
 // ends under calls that have no part in it. A later life at the server's identifier is no
 // such sign; it shows that the asked one has ended.
-func (x *exchange) brokeOff(life garnetworks.Life, failure *garnetworks.AttemptError) {
-	if x.ctx.Err() != nil || !failure.Phase.BrokeOff() {
+func (x *exchange) brokeOff(life garnetworks.Incarnation, failure *garnetworks.AttemptError) {
+	if x.ctx.Err() != nil || !failure.Phase.Interrupted() {
 		return
 	}
 	s, ok := x.options.Follower.Servers()[life.Instance]
-	if leaves := !ok || s.Life() == life && s.State != garnetworks.ListedLive; leaves {
+	if leaves := !ok || s.Incarnation() == life && s.State != garnetworks.ListedLive; leaves {
 		return
 	}
-	x.options.Quarantine.Broke(x.content, life)
+	x.options.Quarantine.ReportInterrupted(x.content, life)
 }
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -31,7 +31,7 @@
 
 // whole is an answer that was read to its end.
 type whole struct {
-	*garnetworks.PassedAnswer
+	*garnetworks.ProxiedResponse
 	body []byte
 }
 
@@ -47,7 +47,7 @@
 
 // repeatability says what the route's kind allows.
 func (x *exchange) repeatability() retrier.Repeatability {
-	if x.route.Repeatable() {
+	if x.route.Idempotent() {
 		return retrier.Repeatable
 	}
 	return retrier.NotRepeatable
@@ -55,9 +55,9 @@
 
 // passOn passes a call to a plain service.
 func (x *exchange) passOn() {
-	history := retrier.History{Repeatability: x.repeatability(), MaxAttempts: x.route.Attempts}
+	history := retrier.History{Repeatability: x.repeatability(), MaxAttempts: x.route.MaxAttempts}
 	repeatable := history.Repeatability == retrier.Repeatable
-	var tried []garnetworks.Life
+	var tried []garnetworks.Incarnation
 	free := 0
 	for {
 		server, ok := x.pick(tried)
@@ -69,8 +69,8 @@
 			x.endHeld(history.MayHaveRun, err)
 			return
 		}
-		tried = append(tried, server.Life())
-		more := repeatable && len(tried) < x.route.Attempts+free
+		tried = append(tried, server.Incarnation())
+		more := repeatable && len(tried) < x.route.MaxAttempts+free
 		answer, granted, failure := x.attemptPlain(&server, more)
 		if failure == nil && (answer.Status < http.StatusInternalServerError || !more) {
 			x.write(answer)
@@ -97,7 +97,7 @@
 }
 
 // pick chooses a server of the call's service.
-func (x *exchange) pick(tried []garnetworks.Life) (garnetworks.RegisteredServer, bool) {
+func (x *exchange) pick(tried []garnetworks.Incarnation) (garnetworks.RegisteredServer, bool) {
 	var servers []garnetworks.RegisteredServer
 	for _, s := range x.options.Follower.Servers() {
 		if s.Service == x.service.Name && s.State == garnetworks.ListedLive {
@@ -131,30 +131,30 @@
 		})
 		defer slow.Stop()
 	}
-	passed, err := x.options.Passer.Pass(ctx, server.Address, &garnetworks.PassedAttempt{
-		PassedCall: x.call, Instance: server.ID, Workspace: x.workspace, Until: x.until,
-		Once: !x.route.Repeatable(), ConnectTime: plainConnectTime,
+	passed, err := x.options.Passer.Send(ctx, server.Address, &garnetworks.ProxiedAttempt{
+		ProxiedCall: x.call, Instance: server.ID, Workspace: x.workspace, ServerDeadline: x.until,
+		AtMostOnce: !x.route.Idempotent(), ConnectTime: plainConnectTime,
 	})
 	answer, failure = readWhole(passed, err)
 	now := time.Now()
 	x.noteAttempt("", server.ID, began, failure)
 	if failure == nil {
-		x.options.Quarantine.Answered(x.content)
+		x.options.Quarantine.ReportCompleted(x.content)
 	} else {
-		x.brokeOff(server.Life(), failure)
+		x.brokeOff(server.Incarnation(), failure)
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	bad := failure != nil && x.ctx.Err() == nil
-	x.picker.Finished(now, server.Life(), now.Sub(began), bad)
+	x.picker.Finished(now, server.Incarnation(), now.Sub(began), bad)
 	if failure != nil && reachedNone(failure) {
-		x.picker.Unreachable(now, server.Life())
+		x.picker.Unreachable(now, server.Incarnation())
 	}
 	return answer, context.Cause(ctx) == errSlow, failure
 }
 
 // readWhole reads an answer's body and judges the answer.
-func readWhole(answer *garnetworks.PassedAnswer, err error) (*whole, *garnetworks.AttemptError) {
+func readWhole(answer *garnetworks.ProxiedResponse, err error) (*whole, *garnetworks.AttemptError) {
 	if err != nil {
 		return nil, asAttempt(err)
 	}
@@ -169,7 +169,7 @@
 		return nil, &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: err}
 	case len(body) > maxWholeAnswer:
 		return nil, &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: errors.New("the answer is too large")}
-	case !answer.Signed || answer.Header.Get("Content-Encoding") != "":
+	case !answer.FromServer || answer.Header.Get("Content-Encoding") != "":
 		return nil, &garnetworks.AttemptError{Phase: garnetworks.PhaseHeaders, Cause: errors.Errorf("an answer with status %d is not a server's own", answer.Status)}
 	}
 	return &whole{answer, body}, nil
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -70,7 +70,7 @@
 
 // run is what is known of an attempt while it runs.
 type run struct {
-	life  garnetworks.Life
+	life  garnetworks.Incarnation
 	began time.Time
 	// first is the time to its first event, 0 before it; last is when the last one
 	// came, or the start, and pause the longest time between two.
@@ -233,12 +233,12 @@
 		urgency, resumeAfter = urgencyResumed, s.splicer.LastID
 	}
 	ackTime := time.Duration(0)
-	if s.route.Repeatable() {
+	if s.route.Idempotent() {
 		ackTime = streamAckTime
 	}
-	answer, err := s.options.Passer.Pass(ctx, h.address, &garnetworks.PassedAttempt{
-		PassedCall: s.call, Instance: h.life.Instance, Workspace: s.workspace, Until: s.until,
-		Urgency: urgency, ResumeAfter: resumeAfter, Once: !s.route.Repeatable(), ConnectTime: streamConnectTime, AckTime: ackTime,
+	answer, err := s.options.Passer.Send(ctx, h.address, &garnetworks.ProxiedAttempt{
+		ProxiedCall: s.call, Instance: h.life.Instance, Workspace: s.workspace, ServerDeadline: s.until,
+		Urgency: urgency, ResumeAfter: resumeAfter, AtMostOnce: !s.route.Idempotent(), ConnectTime: streamConnectTime, AckTime: ackTime,
 	})
 	if err != nil {
 		s.brokeOff(s.run.life, asAttempt(err))
@@ -248,7 +248,7 @@
 	switch {
 	case answer.NotRun:
 		return s.refused(group, answer)
-	case !answer.Signed || answer.Header.Get("Content-Encoding") != "":
+	case !answer.FromServer || answer.Header.Get("Content-Encoding") != "":
 		return s.failed(group, &garnetworks.AttemptError{Phase: garnetworks.PhaseHeaders, Cause: errors.Errorf("an answer with status %d is not an engine's own", answer.Status)}, nil)
 	case answer.Status != http.StatusOK:
 		return s.error(group, answer)
@@ -282,10 +282,10 @@
 }
 
 // refused takes an engine's word that it did not begin the call.
-func (s *stream) refused(group garnetworks.GroupID, answer *garnetworks.PassedAnswer) (bool, error) {
+func (s *stream) refused(group garnetworks.GroupID, answer *garnetworks.ProxiedResponse) (bool, error) {
 	s.mu.Lock()
 	now := time.Now()
-	if answer.Status == http.StatusMisdirectedRequest || answer.Culprit != "" {
+	if answer.Status == http.StatusMisdirectedRequest || answer.FaultyInstance != "" {
 		s.scheduler.Still(now, s.call.Model, group)
 		defer s.options.Suspect(group)
 	} else {
@@ -293,8 +293,8 @@
 	}
 	s.mu.Unlock()
 	s.free++
-	err := errors.Errorf("%s refused with status %d because of %q", group, answer.Status, answer.Culprit)
-	return s.free <= maxFree && s.attempts < s.route.Attempts && s.retry(), err
+	err := errors.Errorf("%s refused with status %d because of %q", group, answer.Status, answer.FaultyInstance)
+	return s.free <= maxFree && s.attempts < s.route.MaxAttempts && s.retry(), err
 }
 
 // failed takes the failure of an attempt before its answer.
@@ -332,7 +332,7 @@
 
 // goOn decides whether a call whose attempt was lost may go on at another group.
 func (s *stream) goOn(failure error) (bool, error) {
-	if !s.route.Repeatable() || s.attempts >= s.route.Attempts {
+	if !s.route.Idempotent() || s.attempts >= s.route.MaxAttempts {
 		return false, failure
 	}
 	s.resuming = true
@@ -349,7 +349,7 @@
 }
 
 // error gives an engine's own error to the client, unless another group may try.
-func (s *stream) error(group garnetworks.GroupID, answer *garnetworks.PassedAnswer) (bool, error) {
+func (s *stream) error(group garnetworks.GroupID, answer *garnetworks.ProxiedResponse) (bool, error) {
 	s.attempts++
 	s.mayHaveRun = true
 	result, failure := readWhole(answer, nil)
@@ -359,9 +359,9 @@
 	if s.begun {
 		return s.goOn(errors.Errorf("%s answered with status %d", group, answer.Status))
 	}
-	s.options.Quarantine.Answered(s.content)
+	s.options.Quarantine.ReportCompleted(s.content)
 	s.failedThere(group, answer.Status)
-	if answer.Status >= http.StatusInternalServerError && s.route.Repeatable() && s.attempts < s.route.Attempts && s.retry() {
+	if answer.Status >= http.StatusInternalServerError && s.route.Idempotent() && s.attempts < s.route.MaxAttempts && s.retry() {
 		return true, errors.Errorf("%s answered with status %d", group, answer.Status)
 	}
 	s.write(result)
@@ -379,7 +379,7 @@
 }
 
 // relay gives the events on as they come.
-func (s *stream) relay(group garnetworks.GroupID, answer *garnetworks.PassedAnswer, guard *guard, cause func() error) (bool, error) {
+func (s *stream) relay(group garnetworks.GroupID, answer *garnetworks.ProxiedResponse, guard *guard, cause func() error) (bool, error) {
 	buffer := make([]byte, readBytes)
 	var events []byte
 	s.splicer.Resume()
@@ -434,7 +434,7 @@
 }
 
 // begin sends the answer's headers; later runs keep those of the first one.
-func (s *stream) begin(answer *garnetworks.PassedAnswer) {
+func (s *stream) begin(answer *garnetworks.ProxiedResponse) {
 	if s.begun {
 		return
 	}
@@ -443,7 +443,7 @@
 	s.w.WriteHeader(answer.Status)
 }
 
-func (s *stream) send(answer *garnetworks.PassedAnswer, events []byte) error {
+func (s *stream) send(answer *garnetworks.ProxiedResponse, events []byte) error {
 	s.begin(answer)
 	began := time.Now()
 	if _, err := s.w.Write(events); err != nil {
@@ -457,10 +457,10 @@
 }
 
 // finish ends an answer that is whole.
-func (s *stream) finish(answer *garnetworks.PassedAnswer) error {
+func (s *stream) finish(answer *garnetworks.ProxiedResponse) error {
 	s.begin(answer)
 	s.done = true
-	s.options.Quarantine.Answered(s.content)
+	s.options.Quarantine.ReportCompleted(s.content)
 	return nil
 }
 
@@ -479,7 +479,7 @@
 		return
 	}
 	if kind == garnetworks.KindCancelled && !s.mayHaveRun {
-		kind = garnetworks.KindDeadline
+		kind = garnetworks.KindDeadlineUnreachable
 	}
 	s.giveUp(s.mayHaveRun, kind, cause)
 }
--- a/granter/granter_test.go
+++ b/granter/granter_test.go
@@ -105,7 +105,7 @@
 	if out.Changed {
 		for _, g := range out.Ledger.Grants {
 			for _, old := range s.ledger.Grants {
-				if old.Zone == g.Zone && old.Wanted != g.Wanted {
+				if old.Zone == g.Zone && old.Target != g.Target {
 					s.moves[g.Zone]++
 				}
 			}
@@ -306,7 +306,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			got := [2]garnetworks.Watts{out.Ledger.Grants[0].Wanted, out.Ledger.Grants[1].Wanted}
+			got := [2]garnetworks.Watts{out.Ledger.Grants[0].Target, out.Ledger.Grants[1].Target}
 			if got != c.want {
 				t.Errorf("targets are %v, want %v", got, c.want)
 			}
@@ -344,13 +344,13 @@
 // TestDeletedLedgerIsHeededAgain: somebody deletes the ledger's object. The next
 // one must be heeded by zones that have stated a later version.
 func TestDeletedLedgerIsHeededAgain(t *testing.T) {
-	stated := garnetworks.ZonePower{Zone: "a", Limit: 40, Drawn: 40, Seen: 77}
+	stated := garnetworks.ZonePower{Zone: "a", Limit: 40, Drawn: 40, SeenSequence: 77}
 	out, err := PlanSite(SiteInput{Term: 1, Generation: 1, Cap: 100, Zones: []garnetworks.ZoneID{"a"}, Powers: map[garnetworks.ZoneID]garnetworks.ZonePower{"a": stated}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	zone := PlanZone(ZoneInput{Zone: "a", Term: 1, Stated: stated, Ledger: garnetworks.Some(out.Ledger), Drawn: 40})
-	if zone.Statement.Limit != 100 || zone.Statement.Seen <= 77 {
+	if zone.Statement.Limit != 100 || zone.Statement.SeenSequence <= 77 {
 		t.Errorf("the zone states %+v under the ledger %+v", zone.Statement, out.Ledger)
 	}
 }
@@ -393,15 +393,15 @@
 		"granted, not yet shrunk":   {100, 80, 100, 80, 5, 6, 80, 80},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ledger := garnetworks.PowerLedger{Sequence: c.sequence, Grants: []garnetworks.ZoneGrant{{Zone: "a", Granted: c.granted, Wanted: c.wanted, Since: c.sequence}}}
+			ledger := garnetworks.PowerLedger{Sequence: c.sequence, Grants: []garnetworks.ZoneGrant{{Zone: "a", Granted: c.granted, Target: c.wanted, TargetSequence: c.sequence}}}
 			out := PlanZone(ZoneInput{
 				Zone: "a", Term: 1, Drawn: c.drawn, Ledger: garnetworks.Some(ledger),
-				Stated: garnetworks.ZonePower{Zone: "a", Term: 1, Limit: c.stated, Drawn: c.drawn, Seen: c.seen},
+				Stated: garnetworks.ZonePower{Zone: "a", Term: 1, Limit: c.stated, Drawn: c.drawn, SeenSequence: c.seen},
 			})
 			if out.Limit != c.wantLimit || out.Statement.Limit != c.wantStated {
 				t.Errorf("limit %d W, stated %d W, want %d W and %d W", out.Limit, out.Statement.Limit, c.wantLimit, c.wantStated)
 			}
-			if c.sequence > c.seen && (!out.Changed || out.Statement.Seen != c.sequence) {
+			if c.sequence > c.seen && (!out.Changed || out.Statement.SeenSequence != c.sequence) {
 				t.Errorf("version %d is not confirmed: %+v", c.sequence, out)
 			}
 		})
@@ -423,10 +423,10 @@
 		"confirmed":         {7, 50, 40, 50},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ledger := garnetworks.PowerLedger{Cap: 100, Sequence: 8, Generation: 1, Term: 1, Grants: []garnetworks.ZoneGrant{{Zone: "a", Granted: 100, Wanted: 50, Since: 7}}}
+			ledger := garnetworks.PowerLedger{Cap: 100, Sequence: 8, Generation: 1, Term: 1, Grants: []garnetworks.ZoneGrant{{Zone: "a", Granted: 100, Target: 50, TargetSequence: 7}}}
 			out, err := PlanSite(SiteInput{
 				Now: time.Unix(0, 0), Term: 1, Generation: 1, Cap: 50, Zones: []garnetworks.ZoneID{"a"}, Ledger: ledger,
-				Powers: map[garnetworks.ZoneID]garnetworks.ZonePower{"a": {Zone: "a", Seen: c.seen, Limit: c.limit, Drawn: c.drawn}},
+				Powers: map[garnetworks.ZoneID]garnetworks.ZonePower{"a": {Zone: "a", SeenSequence: c.seen, Limit: c.limit, Drawn: c.drawn}},
 			})
 			if err != nil {
 				t.Fatal(err)
--- a/granter/site.go
+++ b/granter/site.go
@@ -88,8 +88,8 @@
 	for _, power := range in.Powers {
 		// A ledger that was deleted or restored would count from behind what the
 		// zones have seen, and they would not heed it.
-		if power.Seen >= p.next {
-			p.next = power.Seen + restoredLead
+		if power.SeenSequence >= p.next {
+			p.next = power.SeenSequence + restoredLead
 		}
 	}
 	p.Memory.Moved = maps.Clone(in.Memory.Moved)
@@ -111,7 +111,7 @@
 	if _, stated := p.Powers[z]; has || !stated {
 		return
 	}
-	p.grants = append(p.grants, garnetworks.ZoneGrant{Zone: z, Since: p.next})
+	p.grants = append(p.grants, garnetworks.ZoneGrant{Zone: z, TargetSequence: p.next})
 }
 
 // counted is what a zone counts with (W1).
@@ -133,10 +133,10 @@
 	for n := range p.grants {
 		g := &p.grants[n]
 		power, stated := p.Powers[g.Zone]
-		if !stated || power.Seen < g.Since || g.Wanted >= g.Granted {
+		if !stated || power.SeenSequence < g.TargetSequence || g.Target >= g.Granted {
 			continue
 		}
-		confirmed := max(g.Wanted, power.Limit, power.Drawn)
+		confirmed := max(g.Target, power.Limit, power.Drawn)
 		if confirmed < g.Granted {
 			p.note(g.Zone, "grant shrinks from %d W to %d W", g.Granted, confirmed)
 			g.Granted = confirmed
@@ -153,7 +153,7 @@
 	}
 	var over garnetworks.Watts
 	for _, g := range p.grants {
-		over += g.Wanted
+		over += g.Target
 	}
 	forced = forced || over > p.Cap
 	for n := range p.grants {
@@ -161,9 +161,9 @@
 		if !p.mayMove(*g, targets[g.Zone], forced) {
 			continue
 		}
-		p.note(g.Zone, "wanted moves from %d W to %d W", g.Wanted, targets[g.Zone])
-		g.Wanted = targets[g.Zone]
-		g.Since = p.next
+		p.note(g.Zone, "wanted moves from %d W to %d W", g.Target, targets[g.Zone])
+		g.Target = targets[g.Zone]
+		g.TargetSequence = p.next
 		p.Memory.Moved[g.Zone] = p.Now
 	}
 	p.Memory.Generation = p.Generation
@@ -171,7 +171,7 @@
 }
 
 func (p *sitePlan) mayMove(g garnetworks.ZoneGrant, target garnetworks.Watts, forced bool) bool {
-	move := target - g.Wanted
+	move := target - g.Target
 	if move == 0 {
 		return false
 	}
@@ -194,11 +194,11 @@
 	for n := range p.grants {
 		g := &p.grants[n]
 		counted := p.counted(*g)
-		if g.Wanted <= g.Granted {
+		if g.Target <= g.Granted {
 			continue
 		}
 		// Up to counted the zone's draw is in the sum already.
-		granted := min(g.Wanted, counted+max(room, 0))
+		granted := min(g.Target, counted+max(room, 0))
 		if granted <= g.Granted {
 			continue
 		}
@@ -217,7 +217,7 @@
 
 func (p *sitePlan) note(zone garnetworks.ZoneID, format string, from, to garnetworks.Watts) {
 	p.events = append(p.events, garnetworks.Event{
-		Kind: garnetworks.EventGrantMoved, Zone: zone, Generation: p.Generation,
+		Kind: garnetworks.EventGrantChanged, Zone: zone, Generation: p.Generation,
 		Detail: sprintf(format, from, to),
 	})
 }
--- a/granter/zone.go
+++ b/granter/zone.go
@@ -47,17 +47,17 @@
 		// Rule W5: nothing newer than the statement is known. A zone that was never
 		// granted anything draws what it was found to draw.
 		limit := in.Stated.Limit
-		if in.Stated.Seen == 0 {
+		if in.Stated.SeenSequence == 0 {
 			limit = in.Drawn
 		}
-		return ZoneOutput{Statement: next, Changed: worthWriting(in.Stated, next), Limit: limit, Granted: in.Stated.Seen != 0}
+		return ZoneOutput{Statement: next, Changed: worthWriting(in.Stated, next), Limit: limit, Granted: in.Stated.SeenSequence != 0}
 	}
-	may := min(grant.Granted, grant.Wanted)
-	next.Seen = in.Ledger.Value.Sequence
+	may := min(grant.Granted, grant.Target)
+	next.SeenSequence = in.Ledger.Value.Sequence
 	next.Limit = statedLimit(may, in.Stated.Limit, in.Drawn)
 	return ZoneOutput{
 		Statement: next,
-		Changed:   worthWriting(in.Stated, next) || in.Stated.Seen < grant.Since,
+		Changed:   worthWriting(in.Stated, next) || in.Stated.SeenSequence < grant.TargetSequence,
 		// Rule W3: more than the stated limit is drawn only once it is stated; what
 		// is drawn already need not be shed for that.
 		Limit:   min(may, max(in.Stated.Limit, in.Drawn)),
@@ -69,7 +69,7 @@
 // older one could raise the limit to what the zone has since given back (W3).
 func (in ZoneInput) grant() (garnetworks.ZoneGrant, bool) {
 	ledger, ok := in.Ledger.Get()
-	if !ok || ledger.Sequence < in.Stated.Seen {
+	if !ok || ledger.Sequence < in.Stated.SeenSequence {
 		return garnetworks.ZoneGrant{}, false
 	}
 	n := slices.IndexFunc(ledger.Grants, func(g garnetworks.ZoneGrant) bool { return g.Zone == in.Zone })
