--- a/experimenter/policy.go
+++ b/experimenter/policy.go
@@ -52,9 +52,9 @@
 	s.next++
 	id := garnetworks.CallID(strconv.Itoa(s.next))
 	s.calls[id] = c
-	d, decided := s.Arrive(instant(now), scheduler.Work{
+	d, decided := s.Arrive(instant(now), scheduler.Call{
 		ID: id, Model: c.kind.Model, Arrived: instant(c.arrived), Objective: c.kind.Objective,
-		Prompt: c.prompt, MaxPause: c.kind.MaxGap,
+		PromptTokens: c.prompt, MaxGap: c.kind.MaxGap,
 	})
 	if !decided {
 		return nil
@@ -72,14 +72,14 @@
 }
 
 func (s *scheduled) first(now time.Duration, t *task) {
-	s.Read(t.kind.Model, t.place, t.prompt)
+	s.PrefillDone(t.kind.Model, t.place, t.prompt)
 	s.FirstEvent(instant(now), t.kind.Model, t.place, now-t.sent, t.kind.Objective)
 }
 
 func (s *scheduled) finished(now time.Duration, t *task) []verdict {
 	if !t.begun {
-		s.Read(t.kind.Model, t.place, t.prompt)
-		s.Still(instant(now), t.kind.Model, t.place)
+		s.PrefillDone(t.kind.Model, t.place, t.prompt)
+		s.Stalled(instant(now), t.kind.Model, t.place)
 	}
 	return s.verdicts(s.Finished(instant(now), t.kind.Model, t.place, now-t.sent, t.begun))
 }
@@ -93,7 +93,7 @@
 func (s *scheduled) load(now time.Duration) garnetworks.LoadReport { return s.Load(instant(now)) }
 
 func (s *scheduled) others(now time.Duration, r garnetworks.LoadReport) []verdict {
-	return s.verdicts(s.SetOthers(instant(now), r, true))
+	return s.verdicts(s.SetPeerLoad(instant(now), r, true))
 }
 
 // leastRunning is the baseline: each call goes at once to the group with the fewest
--- a/gateway/account.go
+++ b/gateway/account.go
@@ -119,7 +119,7 @@
 		list = append(list, "workspace", x.workspace)
 	}
 	if d := &x.decision; d.Kind != "" {
-		list = append(list, "ahead", d.Ahead, "expected-wait-ms", milliseconds(d.Expected), "may-wait-ms", milliseconds(d.Patience),
+		list = append(list, "ahead", d.Ahead, "expected-wait-ms", milliseconds(d.ExpectedWait), "may-wait-ms", milliseconds(d.Patience),
 			"groups", d.Groups, "spare", d.Spare)
 	}
 	if len(x.trials) > 0 {
--- a/gateway/account_test.go
+++ b/gateway/account_test.go
@@ -153,7 +153,7 @@
 		s := newAccounted(t)
 		s.call.PromptTokens = 0 // it was placed before it had a size
 		before := &stream{exchange: &exchange{Gateway: s.Gateway, call: &garnetworks.ProxiedCall{Model: "m", PromptTokens: 5900}, route: s.route, service: s.service}}
-		if _, decided := s.scheduler.Arrive(time.Now(), scheduler.Work{ID: "other", Model: "m", Prompt: 5900, Arrived: time.Now(), Objective: time.Second, Tried: []garnetworks.GroupID{"b-well"}}); !decided {
+		if _, decided := s.scheduler.Arrive(time.Now(), scheduler.Call{ID: "other", Model: "m", PromptTokens: 5900, Arrived: time.Now(), Objective: time.Second, Tried: []garnetworks.GroupID{"b-well"}}); !decided {
 			t.Fatal("the other call was not placed")
 		}
 		before.enter("a-grey")
@@ -162,10 +162,10 @@
 			t.Errorf("the group had %d calls and %d prompt tokens before", s.run.calls, s.run.reading)
 		}
 		before.run.event(time.Now().Add(time.Millisecond))
-		before.scheduler.Read("m", "a-grey", 5900)
+		before.scheduler.PrefillDone("m", "a-grey", 5900)
 		before.leave("a-grey")
 		s.leave("a-grey")
-		if left := s.scheduler.Unread("m", "a-grey"); left != 0 {
+		if left := s.scheduler.PendingPrefill("m", "a-grey"); left != 0 {
 			t.Errorf("%d prompt tokens stay counted", left)
 		}
 	})
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -189,7 +189,7 @@
 				continue
 			}
 			heads[group.ID] = head{h.Incarnation(), h.Address}
-			serving = append(serving, scheduler.Group{ID: group.ID, Model: group.Model, Zone: h.Zone, Slots: profile.Slots, ReadRate: readRate(&profile, group.Model)})
+			serving = append(serving, scheduler.Group{ID: group.ID, Model: group.Model, Zone: h.Zone, Slots: profile.Slots, PrefillRate: readRate(&profile, group.Model)})
 		}
 	}
 	g.mu.Lock()
@@ -272,7 +272,7 @@
 func (g *Gateway) Work() map[garnetworks.ModelName]float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.scheduler.Work(time.Now())
+	return g.scheduler.OfferedLoad(time.Now())
 }
 
 // SetOthers takes what the other nodes have at each group; known is false if
@@ -284,7 +284,7 @@
 		g.countNodes(time.Now(), others.Nodes+1)
 	}
 	g.others = others
-	g.deliver(g.scheduler.SetOthers(time.Now(), others, known))
+	g.deliver(g.scheduler.SetPeerLoad(time.Now(), others, known))
 }
 
 // countNodes takes the number of nodes that share the site's retries; g.mu is held.
--- a/gateway/guard.go
+++ b/gateway/guard.go
@@ -36,7 +36,7 @@
 	// movable says that the route allows another attempt after this one, and work is
 	// what the call then asks the scheduler for.
 	movable bool
-	work    scheduler.Work
+	work    scheduler.Call
 	stopped bool
 }
 
@@ -60,7 +60,7 @@
 	g.stream.mu.Lock()
 	defer g.stream.mu.Unlock()
 	g.stream.progress[g.group] = now
-	g.stream.scheduler.Heard(now, g.stream.call.Model, g.group)
+	g.stream.scheduler.EventReceived(now, g.stream.call.Model, g.group)
 	g.limit, g.begun = stillTime, true
 	g.timer.Reset(quietTime)
 }
@@ -98,7 +98,7 @@
 	}
 	silence := now.Sub(last)
 	if silence >= quietTime {
-		g.stream.scheduler.Unreached(now, g.stream.call.Model, g.group)
+		g.stream.scheduler.Unreachable(now, g.stream.call.Model, g.group)
 	}
 	if g.neverBegins(now) && g.movable && g.stream.reserve(now, g.work) {
 		return silence >= quietTime, true
@@ -128,7 +128,7 @@
 // its health is good and its group gives events. It shows as calls without a first
 // event; their clients left after two seconds, and new calls went there all the same.
 func (g *guard) neverBegins(now time.Time) bool {
-	if g.begun || now.Sub(g.began) < g.stream.scheduler.BeginTime(g.stream.call.Model) {
+	if g.begun || now.Sub(g.began) < g.stream.scheduler.FirstEventTimeout(g.stream.call.Model) {
 		return false
 	}
 	if !g.late {
@@ -140,12 +140,12 @@
 
 // reserve takes a place at another group and a retry, if there are both; the lock is
 // held.
-func (s *stream) reserve(now time.Time, work scheduler.Work) bool {
+func (s *stream) reserve(now time.Time, work scheduler.Call) bool {
 	retries := s.window(now, s.service.Name)
 	if retries.Left(now) < 1 {
 		return false
 	}
-	group, ok := s.scheduler.Elsewhere(now, work)
+	group, ok := s.scheduler.TryPlace(now, work)
 	if !ok {
 		return false
 	}
@@ -171,6 +171,6 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.scheduler.Read(s.call.Model, d.Group, s.call.PromptTokens)
+	s.scheduler.PrefillDone(s.call.Model, d.Group, s.call.PromptTokens)
 	s.deliver(s.scheduler.Finished(time.Now(), s.call.Model, d.Group, 0, false))
 }
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -153,11 +153,11 @@
 }
 
 // work returns what the call asks the scheduler for.
-func (s *stream) work() scheduler.Work {
-	w := scheduler.Work{
+func (s *stream) work() scheduler.Call {
+	w := scheduler.Call{
 		ID:    garnetworks.CallID(strconv.FormatUint(s.sequence.Add(1), 10)),
 		Model: s.call.Model, Priority: s.priority, Arrived: s.call.Received,
-		Objective: s.route.Objective, Prompt: s.call.PromptTokens, MaxPause: s.route.MaxGap, Resumed: s.begun || s.resuming, Tried: s.tried,
+		Objective: s.route.Objective, PromptTokens: s.call.PromptTokens, MaxGap: s.route.MaxGap, Resumed: s.begun || s.resuming, Tried: s.tried,
 	}
 	if w.Resumed {
 		w.Arrived = time.Now()
@@ -191,12 +191,12 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		delete(s.waiters, id)
-		s.scheduler.Leave(id, s.call.Model)
+		s.scheduler.Cancel(id, s.call.Model)
 		select {
 		case d := <-waiter:
 			// The decision crossed the client's leaving; its place goes back.
 			if d.Group != "" {
-				s.scheduler.Read(s.call.Model, d.Group, s.call.PromptTokens)
+				s.scheduler.PrefillDone(s.call.Model, d.Group, s.call.PromptTokens)
 				s.deliver(s.scheduler.Finished(time.Now(), s.call.Model, d.Group, 0, false))
 			}
 		default:
@@ -264,7 +264,7 @@
 	now := time.Now()
 	s.run.began, s.run.last = now, now
 	s.run.calls = max(0, s.scheduler.Calls(s.call.Model, group)-1)
-	s.run.reading = max(0, s.scheduler.Unread(s.call.Model, group)-s.call.PromptTokens)
+	s.run.reading = max(0, s.scheduler.PendingPrefill(s.call.Model, group)-s.call.PromptTokens)
 	h, ok := s.heads[group]
 	s.run.life = h.life
 	return h, ok
@@ -275,7 +275,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.run.first == 0 {
-		s.scheduler.Read(s.call.Model, group, s.call.PromptTokens)
+		s.scheduler.PrefillDone(s.call.Model, group, s.call.PromptTokens)
 	}
 	now := time.Now()
 	s.deliver(s.scheduler.Finished(now, s.call.Model, group, now.Sub(s.run.began), s.run.first > 0))
@@ -286,7 +286,7 @@
 	s.mu.Lock()
 	now := time.Now()
 	if answer.Status == http.StatusMisdirectedRequest || answer.FaultyInstance != "" {
-		s.scheduler.Still(now, s.call.Model, group)
+		s.scheduler.Stalled(now, s.call.Model, group)
 		defer s.options.Suspect(group)
 	} else {
 		s.scheduler.Full(now, s.call.Model, group)
@@ -317,8 +317,8 @@
 func (s *stream) still(group garnetworks.GroupID) {
 	now := time.Now()
 	s.mu.Lock()
-	s.scheduler.Still(now, s.call.Model, group)
-	s.scheduler.Unreached(now, s.call.Model, group)
+	s.scheduler.Stalled(now, s.call.Model, group)
+	s.scheduler.Unreachable(now, s.call.Model, group)
 	s.mu.Unlock()
 	s.options.Suspect(group)
 }
@@ -418,7 +418,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.scheduler.Read(s.call.Model, group, s.call.PromptTokens)
+	s.scheduler.PrefillDone(s.call.Model, group, s.call.PromptTokens)
 	s.scheduler.FirstEvent(time.Now(), s.call.Model, group, took, s.route.Objective)
 }
 
--- a/scheduler/reach_test.go
+++ b/scheduler/reach_test.go
@@ -21,12 +21,12 @@
 }
 
 // toFar counts the calls of many that go to the far zone, at one moment; all end at once.
-func toFar(s *scheduler.Scheduler, now time.Time) (n int) {
+func callsToFarZone(s *scheduler.Scheduler, now time.Time) (n int) {
 	const calls = 30
 	for i := range calls {
-		w := work(fmt.Sprint(now.UnixNano(), i))
-		w.Arrived = now
-		d, _ := s.Arrive(now, w)
+		call := newCall(fmt.Sprint(now.UnixNano(), i))
+		call.Arrived = now
+		d, _ := s.Arrive(now, call)
 		if d.Group == "far0" || d.Group == "far1" {
 			n++
 		}
@@ -40,68 +40,68 @@
 // was sent elsewhere, late (895 of 18,000 calls of a day, 740 of them in the cut). After
 // two groups that give no sign of life the zone gets one call at a time, and its calls
 // again once anything is heard from it.
-func TestZoneThatIsCutOffRests(t *testing.T) {
+func TestUnreachableZoneGetsOnlyProbes(t *testing.T) {
 	s := scheduler.New("z", rand.New(rand.NewPCG(1, 1)).Float64)
 	s.SetGroups(start, threeZones())
-	s.SetOthers(start, garnetworks.LoadReport{}, true)
+	s.SetPeerLoad(start, garnetworks.LoadReport{}, true)
 	now := start
-	s.Unreached(now, "m", "far0")
+	s.Unreachable(now, "m", "far0")
 	now = now.Add(100 * time.Millisecond)
-	s.Unreached(now, "m", "far1")
-	if n := toFar(s, now); n != 0 {
+	s.Unreachable(now, "m", "far1")
+	if n := callsToFarZone(s, now); n != 0 {
 		t.Errorf("%d calls go to a zone that was just found cut off", n)
 	}
 	tried := 0
 	for range 40 {
 		now = now.Add(100 * time.Millisecond)
-		n := toFar(s, now)
+		n := callsToFarZone(s, now)
 		if n > 1 {
 			t.Fatalf("%d calls try the way at once", n)
 		}
 		if n == 1 {
 			tried++
-			s.Unreached(now.Add(50*time.Millisecond), "m", "far0")
+			s.Unreachable(now.Add(50*time.Millisecond), "m", "far0")
 		}
 	}
 	if tried == 0 || tried > 3 {
 		t.Errorf("the way was tried %d times in four seconds, want 1 to 3", tried)
 	}
-	s.Heard(now, "m", "far1")
-	if n := toFar(s, now); n < 2 {
+	s.EventReceived(now, "m", "far1")
+	if n := callsToFarZone(s, now); n < 2 {
 		t.Errorf("%d calls go to a zone that was heard again", n)
 	}
 }
 
 // Story: one group is lost, or two are while a third of their zone gives events, or nothing
 // is heard from any zone. None of these is a zone that is cut off from the node.
-func TestZoneServesOnBesideLostGroups(t *testing.T) {
+func TestLostGroupsDoNotMakeZoneUnreachable(t *testing.T) {
 	cases := map[string]func(s *scheduler.Scheduler, now time.Time){
 		"one group": func(s *scheduler.Scheduler, now time.Time) {
-			s.Unreached(now, "m", "far0")
-			s.Unreached(now, "m", "far0")
+			s.Unreachable(now, "m", "far0")
+			s.Unreachable(now, "m", "far0")
 		},
 		"an event between": func(s *scheduler.Scheduler, now time.Time) {
-			s.Unreached(now, "m", "far0")
-			s.Heard(now, "m", "far1")
-			s.Unreached(now, "m", "far1")
+			s.Unreachable(now, "m", "far0")
+			s.EventReceived(now, "m", "far1")
+			s.Unreachable(now, "m", "far1")
 		},
 		"long ago": func(s *scheduler.Scheduler, now time.Time) {
-			s.Unreached(now.Add(-time.Minute), "m", "far0")
-			s.Unreached(now, "m", "far1")
+			s.Unreachable(now.Add(-time.Minute), "m", "far0")
+			s.Unreachable(now, "m", "far1")
 		},
 		"all zones": func(s *scheduler.Scheduler, now time.Time) {
 			for _, g := range threeZones() {
-				s.Unreached(now, "m", g.ID)
+				s.Unreachable(now, "m", g.ID)
 			}
 		},
 	}
-	for name, play := range cases {
+	for name, setUp := range cases {
 		t.Run(name, func(t *testing.T) {
 			s := scheduler.New("z", rand.New(rand.NewPCG(1, 1)).Float64)
 			s.SetGroups(start, threeZones())
-			s.SetOthers(start, garnetworks.LoadReport{}, true)
-			play(s, start)
-			if toFar(s, start) == 0 {
+			s.SetPeerLoad(start, garnetworks.LoadReport{}, true)
+			setUp(s, start)
+			if callsToFarZone(s, start) == 0 {
 				t.Error("no call goes to the zone")
 			}
 		})
@@ -113,31 +113,31 @@
 // (some 40 calls a group, half of them late). What the holder of the lease has found counts
 // at all nodes at once; where the group still gives events, or nobody says so any more, it
 // does not.
-func TestGroupThatIsToldLostGetsNoCalls(t *testing.T) {
+func TestGroupReportedLostGetsNoCalls(t *testing.T) {
 	lost := garnetworks.LoadReport{Lost: []garnetworks.GroupID{"far0", "far1"}}
 	now := start.Add(time.Second)
 	cases := map[string]struct {
-		play func(s *scheduler.Scheduler)
-		want bool
+		setUp func(s *scheduler.Scheduler)
+		want  bool
 	}{
-		"told": {func(s *scheduler.Scheduler) { s.SetOthers(now, lost, true) }, false},
+		"told": {func(s *scheduler.Scheduler) { s.SetPeerLoad(now, lost, true) }, false},
 		"told no more": {func(s *scheduler.Scheduler) {
-			s.SetOthers(now, lost, true)
-			s.SetOthers(now, garnetworks.LoadReport{}, true)
+			s.SetPeerLoad(now, lost, true)
+			s.SetPeerLoad(now, garnetworks.LoadReport{}, true)
 		}, true},
 		"nothing is known": {func(s *scheduler.Scheduler) {
-			s.SetOthers(now, lost, true)
-			s.SetOthers(now, garnetworks.LoadReport{}, false)
+			s.SetPeerLoad(now, lost, true)
+			s.SetPeerLoad(now, garnetworks.LoadReport{}, false)
 		}, true},
-		"it gives events": {func(s *scheduler.Scheduler) { s.SetOthers(now, lost, true); s.Heard(now, "m", "far1") }, true},
+		"it gives events": {func(s *scheduler.Scheduler) { s.SetPeerLoad(now, lost, true); s.EventReceived(now, "m", "far1") }, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			s := scheduler.New("z", rand.New(rand.NewPCG(1, 1)).Float64)
 			s.SetGroups(start, threeZones())
-			s.SetOthers(start, garnetworks.LoadReport{}, true)
-			c.play(s)
-			if got := toFar(s, now) > 0; got != c.want {
+			s.SetPeerLoad(start, garnetworks.LoadReport{}, true)
+			c.setUp(s)
+			if got := callsToFarZone(s, now) > 0; got != c.want {
 				t.Errorf("calls are sent there: %t", got)
 			}
 		})
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -8,38 +8,38 @@
 
 // Limits of waiting and placing.
 const (
-	// TargetPart is the part of the objective by which a group's first event shall
+	// TargetFraction is the part of the objective by which a group's first event shall
 	// come after the call was sent; a later one shrinks the window (Q2). It is above
 	// 1: where more is asked for than can be served, a group that answers a few
 	// calls late serves more of them on time than one with a small batch. Mean part
 	// of the worth earned, less costs, over twenty runs of six nodes under overload:
 	// 0.565 at 0.85, 0.602 at 1.1, 0.611 at 1.5.
-	TargetPart = 1.5
+	TargetFraction = 1.5
 	// wayTime is the time of a call's way between the client and the group, which
 	// is left out of what a call may wait.
-	wayTime = 20 * time.Millisecond
+	networkTime = 20 * time.Millisecond
 	// minWaitPart is the part of the objective that a call may wait even if the
 	// groups are slow.
-	minWaitPart = 0.1
+	minWaitFraction = 0.1
 	// usualFirstTime is taken for the time to a first event before one has come.
-	usualFirstTime = 150 * time.Millisecond
+	initialFirstEventTime = 150 * time.Millisecond
 	// firstTimeWeight is the weight of a new first event in the usual time.
-	firstTimeWeight = 0.1
+	firstEventTimeWeight = 0.1
 	// heldTimeWeight is the weight of a new call in the usual time at a group.
-	heldTimeWeight = 0.05
+	serviceTimeWeight = 0.05
 	// aloneWindowPart is the part of a group's slots that a window begins with while
 	// nothing is known of other nodes.
-	aloneWindowPart = 0.34
+	initialWindowFraction = 0.34
 	// minWindowPart is the part of a group's slots under which its window does not
 	// shrink while the other nodes' calls are known; the window is the site's then.
-	minWindowPart = 0.2
+	minWindowFraction = 0.2
 	// shrink is the factor on a window when a first event came late.
-	shrink = 0.85
+	shrinkFactor = 0.85
 	// shrinkEvery is the shortest time between two shrinks: the calls sent before
 	// the first one are late for the same reason.
-	shrinkEvery = 250 * time.Millisecond
+	shrinkInterval = 250 * time.Millisecond
 	// restTime is how long a group that stands still or refuses gets no call.
-	restTime = 700 * time.Millisecond
+	groupCooldown = 700 * time.Millisecond
 	// minRetryAfter and maxRetryAfter bound what a caller is told to wait. Under
 	// the first one callers come back into the same queue; with more than the
 	// second one they give up sooner than they are served.
@@ -50,49 +50,49 @@
 	noGroupRetry = time.Second
 	// rateMemory is the time over which the rate of places that come free is
 	// averaged.
-	rateMemory = time.Second
+	freeRateDecay = time.Second
 	// newsTime is the time in which nodes place calls before they hear of each other's:
 	// twice the time between two news, as those are about as old when they come.
-	newsTime = 300 * time.Millisecond
+	peerReportDelay = 300 * time.Millisecond
 	// plenty is how many times the calls that all nodes place in newsTime must be free, so
 	// that each may take plentyPart of them: calls come in bursts, at a few nodes at once.
-	plenty     = 2
-	plentyPart = 0.2
+	surplusFactor = 2
+	surplusShare  = 0.2
 	// fewFreed is the rate of own places that come free, in a second, under which that of
 	// the whole site tells more.
-	fewFreed = 3
+	lowFreeRate = 3
 	// mirrored is the part of the own placements since the last news that the other
 	// nodes are taken to have made as well; calls that ended meanwhile make up for
 	// the rest.
-	mirrored = 0.5
+	mirroredShare = 0.5
 	// drawn is the number of groups that a call is chosen from (Q7).
-	drawn = 2
+	sampleSize = 2
 	// failureWeight is the weight of one call in the part of a group's calls that
 	// fail, so that two failures in a row, or a third of all calls, pass failingPart.
 	failureWeight = 0.15
 	// failingPart is the part of failing calls from which a group gets failingCalls at
 	// a time (Q8). Answers that get lost on their way, or break off, are a few in a
 	// hundred; of a failing engine's calls a third or more fail.
-	failingPart  = 0.25
-	failingCalls = 2
+	maxFailureRate  = 0.25
+	maxFailingCalls = 2
 	// beginFactor times the usual time to a first event, and beginLeast at least, is
 	// the time after which a call that has had no event counts as failed. Clients
 	// leave after two seconds without one.
-	beginFactor = 4
-	beginLeast  = time.Second
+	firstEventTimeoutFactor = 4
+	minFirstEventTimeout    = time.Second
 	// readPart is the part of the pause that clients allow in which a group may read new
 	// prompts (Q9); in the other part its other calls get their next event.
-	readPart = 0.5
+	prefillFraction = 0.5
 	// queuedPart is the part of a group's slots that may be sent beyond them. News
 	// are a few calls old; with a few calls in the engine's queue no place of its
 	// batch stays empty for them.
-	queuedPart = 0.15
+	queuedFraction = 0.15
 	// readingWeight is what a call whose prompt is being read counts for more in the
 	// order of groups: a prompt takes the time of several calls' tokens in a pass.
-	readingWeight = 2
+	prefillWeight = 2
 	// foreignZonePart makes a group of another availability zone count as fuller
 	// by this part, since each event then crosses zones.
-	foreignZonePart = 0.05
+	crossZonePenalty = 0.05
 )
 
 // Group is a group that serves, as the node sees it.
@@ -102,13 +102,13 @@
 	Zone  garnetworks.ZoneID
 	// Slots is the number of calls that the group works on together.
 	Slots int
-	// ReadRate is the number of prompt tokens that it reads in a second; 0 if that is
+	// PrefillRate is the number of prompt tokens that it reads in a second; 0 if that is
 	// not known.
-	ReadRate float64
+	PrefillRate float64
 }
 
-// Work is a call that asks for a group.
-type Work struct {
+// Call is a call that asks for a group.
+type Call struct {
 	ID       garnetworks.CallID
 	Model    garnetworks.ModelName
 	Priority int
@@ -116,10 +116,10 @@
 	Arrived time.Time
 	// Objective is the time from Arrived to the first event that is on time.
 	Objective time.Duration
-	// Prompt is the number of prompt tokens, MaxPause the longest pause between two
+	// PromptTokens is the number of prompt tokens, MaxPause the longest pause between two
 	// events that the client allows; 0 if it states none.
-	Prompt   int
-	MaxPause time.Duration
+	PromptTokens int
+	MaxGap       time.Duration
 	// Resumed says that the call was cut off with its group (Q5).
 	Resumed bool
 	// Tried holds the groups that failed the call; they are not chosen again.
@@ -138,15 +138,15 @@
 	// Ahead, Expected, Patience and Groups are what a call was turned away by: the
 	// calls before it, the time that it would have waited, the time that it could
 	// have waited, and the groups that might have taken it.
-	Ahead              int
-	Expected, Patience time.Duration
-	Groups             int
+	Ahead                  int
+	ExpectedWait, Patience time.Duration
+	Groups                 int
 	// Spare is the number of places that were free at groups of other models.
 	Spare int
 }
 
 // place is a group with what the node knows of it.
-type place struct {
+type groupState struct {
 	Group
 	// window is the number of calls that the group shall have from all nodes, or
 	// from this one while nothing is known of the others.
@@ -154,43 +154,43 @@
 	inflight int
 	// others is what the other nodes have there, as last heard, and placed the calls
 	// that this node has sent there since.
-	others, placed int
+	peerCalls, placed int
 	// reading is the number of this node's calls there that have had no event yet:
 	// the group reads their prompts before it answers a later one.
-	reading int
+	prefilling int
 	// unread is the number of prompt tokens of those calls.
-	unread int
+	prefillTokens int
 	// restUntil is when a group that stood still is tried again; probing says
 	// that it has not answered since.
-	restUntil time.Time
-	probing   bool
+	cooldownUntil time.Time
+	probing       bool
 	// failing is the part of the last calls there that failed or did not begin (Q8).
-	failing float64
-	shrunk  time.Time
-	gone    bool
+	failureRate float64
+	shrunkAt    time.Time
+	gone        bool
 	// lost says that an instance of the group is known to be dark, heard when this node
 	// last had an event from the group.
-	lost  bool
-	heard time.Time
+	lost      bool
+	lastEvent time.Time
 }
 
 // pool is a model's groups and the calls that wait for them.
 type pool struct {
-	places  map[garnetworks.GroupID]*place
-	waiting []*Work
+	groups  map[garnetworks.GroupID]*groupState
+	waiting []*Call
 	// rate is the number of places that come free in a second.
-	rate   float64
-	rateAt time.Time
+	freeRate   float64
+	freeRateAt time.Time
 	// firstTime is the usual time from a call's sending to its first event.
-	firstTime time.Duration
+	firstEventTime time.Duration
 	// arrivals is the decayed number of calls that came, at arrivedAt.
-	arrivals  float64
-	arrivedAt time.Time
+	demandRate float64
+	demandAt   time.Time
 	// othersDemand is the number of calls a second that come to the other nodes, as last
 	// heard.
-	othersDemand float64
+	peerDemand float64
 	// heldTime is the usual time of a call at a group; 0 before one has ended.
-	heldTime time.Duration
+	serviceTime time.Duration
 	// share is the part of the site's calls for the model that come to this node.
 	share float64
 	// refill is the number of places a second that this node may expect: its part of those
@@ -206,22 +206,22 @@
 	zone  garnetworks.ZoneID
 	pools map[garnetworks.ModelName]*pool
 	// ways holds the zones whose groups gave no sign of life of late.
-	ways map[garnetworks.ZoneID]*way
+	zones map[garnetworks.ZoneID]*zoneHealth
 	// known says that the calls of other nodes are known.
-	known  bool
-	random func() float64
+	peersKnown bool
+	random     func() float64
 }
 
 // New returns a scheduler of a node in a zone, without groups; random returns
 // values in [0, 1).
 func New(zone garnetworks.ZoneID, random func() float64) *Scheduler {
-	return &Scheduler{zone: zone, random: random, pools: make(map[garnetworks.ModelName]*pool), ways: make(map[garnetworks.ZoneID]*way)}
+	return &Scheduler{zone: zone, random: random, pools: make(map[garnetworks.ModelName]*pool), zones: make(map[garnetworks.ZoneID]*zoneHealth)}
 }
 
 func (s *Scheduler) pool(model garnetworks.ModelName) *pool {
 	p := s.pools[model]
 	if p == nil {
-		p = &pool{places: make(map[garnetworks.GroupID]*place), firstTime: usualFirstTime}
+		p = &pool{groups: make(map[garnetworks.GroupID]*groupState), firstEventTime: initialFirstEventTime}
 		s.pools[model] = p
 	}
 	return p
@@ -230,24 +230,24 @@
 // SetGroups takes the groups that serve now and returns the calls that can be
 // placed.
 func (s *Scheduler) SetGroups(now time.Time, groups []Group) []Decision {
-	named := make(garnetworks.Set[garnetworks.GroupID])
+	listed := make(garnetworks.Set[garnetworks.GroupID])
 	for _, g := range groups {
-		named.Add(g.ID)
+		listed.Add(g.ID)
 		p := s.pool(g.Model)
-		if old := p.places[g.ID]; old != nil {
+		if old := p.groups[g.ID]; old != nil {
 			old.Group, old.gone = g, false
 			continue
 		}
-		p.places[g.ID] = &place{Group: g, window: s.firstWindow(g.Slots)}
+		p.groups[g.ID] = &groupState{Group: g, window: s.initialWindow(g.Slots)}
 	}
 	for _, p := range s.pools {
-		for id, l := range p.places {
-			if named.Has(id) {
+		for id, g := range p.groups {
+			if listed.Has(id) {
 				continue
 			}
-			l.gone = true
-			if l.inflight == 0 {
-				delete(p.places, id)
+			g.gone = true
+			if g.inflight == 0 {
+				delete(p.groups, id)
 			}
 		}
 	}
@@ -255,32 +255,32 @@
 }
 
 // demandMemory is the time over which arrivals are averaged.
-const demandMemory = 2 * time.Second
+const demandDecay = 2 * time.Second
 
 // Arrive decides on a call that comes: it is placed, turned away, or waits; in
 // the last case it returns false and a later decision follows.
-func (s *Scheduler) Arrive(now time.Time, w Work) (Decision, bool) {
-	p := s.pool(w.Model)
-	p.arrived(now)
-	if len(p.waiting) == 0 || w.Resumed {
-		if l := s.best(now, p, &w); l != nil {
-			s.put(now, p, l, &w)
-			return Decision{Call: w.ID, Group: l.ID}, true
+func (s *Scheduler) Arrive(now time.Time, c Call) (Decision, bool) {
+	p := s.pool(c.Model)
+	p.recordArrival(now)
+	if len(p.waiting) == 0 || c.Resumed {
+		if g := s.pickGroup(now, p, &c); g != nil {
+			s.dispatch(now, p, g, &c)
+			return Decision{Call: c.ID, Group: g.ID}, true
 		}
 	}
-	if d, refused := p.refusal(now, &w); refused {
+	if d, rejected := p.reject(now, &c); rejected {
 		d.Spare = s.spare(now, p)
 		return d, true
 	}
-	p.insert(&w)
+	p.enqueue(&c)
 	return Decision{}, false
 }
 
 // Calls returns the number of calls that a group has, those of other nodes as last
 // heard.
 func (s *Scheduler) Calls(model garnetworks.ModelName, group garnetworks.GroupID) int {
-	if l := s.pool(model).places[group]; l != nil {
-		return l.inflight + l.others
+	if g := s.pool(model).groups[group]; g != nil {
+		return g.inflight + g.peerCalls
 	}
 	return 0
 }
@@ -293,9 +293,9 @@
 		if other == p {
 			continue
 		}
-		for _, l := range other.places {
-			if !l.gone && !now.Before(l.restUntil) {
-				free += int(max(0, l.window-other.expected(l)))
+		for _, g := range other.groups {
+			if !g.gone && !now.Before(g.cooldownUntil) {
+				free += int(max(0, g.window-other.expectedCalls(g)))
 			}
 		}
 	}
@@ -304,21 +304,21 @@
 
 // Finished gives a place back and returns the calls that can be placed now; read
 // says whether the call had an event there, and took how long it was there.
-func (s *Scheduler) Finished(now time.Time, model garnetworks.ModelName, group garnetworks.GroupID, took time.Duration, read bool) []Decision {
+func (s *Scheduler) Finished(now time.Time, model garnetworks.ModelName, group garnetworks.GroupID, took time.Duration, hadEvent bool) []Decision {
 	p := s.pool(model)
-	if read {
-		p.held(took)
+	if hadEvent {
+		p.recordServiceTime(took)
 	}
-	if l := p.places[group]; l != nil {
-		l.inflight--
-		if !read {
-			l.reading--
+	if g := p.groups[group]; g != nil {
+		g.inflight--
+		if !hadEvent {
+			g.prefilling--
 		}
 		p.allowance++ // the place is this node's to fill again
-		if l.gone && l.inflight == 0 {
-			delete(p.places, group)
+		if g.gone && g.inflight == 0 {
+			delete(p.groups, group)
 		}
 	}
-	p.freed(now)
+	p.recordFreed(now)
 	return s.advance(now, p, nil)
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Unix(1000, 0)
 
-func fixed() float64 { return 0.4 }
+func fixedRandom() float64 { return 0.4 }
 
 func groups(slots int, names ...garnetworks.GroupID) []scheduler.Group {
 	var list []scheduler.Group
@@ -24,14 +24,14 @@
 	return list
 }
 
-func work(id string) scheduler.Work {
-	return scheduler.Work{ID: garnetworks.CallID(id), Model: "m", Arrived: start, Objective: 400 * time.Millisecond}
+func newCall(id string) scheduler.Call {
+	return scheduler.Call{ID: garnetworks.CallID(id), Model: "m", Arrived: start, Objective: 400 * time.Millisecond}
 }
 
 // fill sends calls until one is not placed, and returns how many were.
 func fill(s *scheduler.Scheduler) int {
 	for n := 0; ; n++ {
-		d, decided := s.Arrive(start, work(fmt.Sprint("fill", n)))
+		d, decided := s.Arrive(start, newCall(fmt.Sprint("fill", n)))
 		if !decided || d.Group == "" {
 			return n
 		}
@@ -41,7 +41,7 @@
 // Story: no group serves a model. Its callers are told at once that their calls did
 // not run and when to come back; they don't wait for their deadline.
 func TestNoGroupRefusesAtOnce(t *testing.T) {
-	d, decided := scheduler.New("z", fixed).Arrive(start, work("a"))
+	d, decided := scheduler.New("z", fixedRandom).Arrive(start, newCall("a"))
 	if !decided || d.Kind != garnetworks.KindNoGroup || d.RetryAfter <= 0 {
 		t.Errorf("got %+v, decided is %t", d, decided)
 	}
@@ -49,8 +49,8 @@
 
 // Story: the group is full. A call waits as long as its first event can still be in
 // time, and is then turned away, at once and not at its deadline.
-func TestCallWaitsAsLongAsItIsOfUse(t *testing.T) {
-	s := scheduler.New("z", fixed)
+func TestCallWaitsWhileObjectiveCanBeMet(t *testing.T) {
+	s := scheduler.New("z", fixedRandom)
 	s.SetGroups(start, groups(6, "g"))
 	fill(s)
 	for wait := time.Duration(0); wait < 400*time.Millisecond; wait += 20 * time.Millisecond {
@@ -68,8 +68,8 @@
 
 // Story: a group's first events come late, so it has more than it can do. The node
 // sends it fewer calls; when they come in time again, it sends more.
-func TestWindowFollowsFirstEvents(t *testing.T) {
-	s := scheduler.New("z", fixed)
+func TestLateFirstEventsShrinkWindow(t *testing.T) {
+	s := scheduler.New("z", fixedRandom)
 	s.SetGroups(start, groups(30, "g"))
 	before := fill(s)
 	now := start
@@ -87,37 +87,37 @@
 
 // Story: a group stands still. It gets no call until it has rested, then one, and
 // the others only when that one has had an event.
-func TestGroupThatStandsStillRests(t *testing.T) {
-	s := scheduler.New("z", fixed)
+func TestStalledGroupCoolsDown(t *testing.T) {
+	s := scheduler.New("z", fixedRandom)
 	s.SetGroups(start, groups(30, "g", "h"))
-	s.Still(start, "m", "g")
+	s.Stalled(start, "m", "g")
 	for n := range 5 {
-		if d, _ := s.Arrive(start, work(fmt.Sprint(n))); d.Group != "h" {
+		if d, _ := s.Arrive(start, newCall(fmt.Sprint(n))); d.Group != "h" {
 			t.Fatalf("call %d went to %q", n, d.Group)
 		}
 	}
 	s.SetGroups(start, groups(30, "g"))
 	later := start.Add(time.Second)
-	if d, _ := s.Arrive(later, scheduler.Work{ID: "first", Model: "m", Arrived: later, Objective: time.Second}); d.Group != "g" {
+	if d, _ := s.Arrive(later, scheduler.Call{ID: "first", Model: "m", Arrived: later, Objective: time.Second}); d.Group != "g" {
 		t.Fatalf("the first call after the rest got %+v", d)
 	}
-	if d, decided := s.Arrive(later, scheduler.Work{ID: "second", Model: "m", Arrived: later, Objective: time.Second}); decided && d.Group != "" {
+	if d, decided := s.Arrive(later, scheduler.Call{ID: "second", Model: "m", Arrived: later, Objective: time.Second}); decided && d.Group != "" {
 		t.Errorf("a second call was sent before the first had an event")
 	}
 }
 
 // Story: 26 places are free, and six nodes hear of them at once. Together they send
 // about as many calls, not six times as many.
-func TestNodesDivideFreePlaces(t *testing.T) {
+func TestNodesDivideFreeSlots(t *testing.T) {
 	const nodes, slots = 6, 26
 	placed := 0
 	for range nodes {
-		s := scheduler.New("z", fixed)
+		s := scheduler.New("z", fixedRandom)
 		s.SetGroups(start, groups(slots, "g"))
-		s.Arrive(start, work("own"))
+		s.Arrive(start, newCall("own"))
 		s.Finished(start, "m", "g", 0, true)
 		others := garnetworks.LoadReport{Nodes: nodes - 1, Demands: []garnetworks.ModelDemand{{Model: "m", CallsPerSecond: 0.5 * (nodes - 1)}}}
-		s.SetOthers(start, others, true)
+		s.SetPeerLoad(start, others, true)
 		placed += fill(s)
 	}
 	if placed < slots/2 || placed > slots*3/2 {
@@ -128,11 +128,11 @@
 // Story: a call was cut off with its group while others wait. Its client waits in
 // the middle of an answer, so it goes first.
 func TestResumedCallsGoFirst(t *testing.T) {
-	s := scheduler.New("z", fixed)
+	s := scheduler.New("z", fixedRandom)
 	s.SetGroups(start, groups(1, "g"))
-	s.Arrive(start, work("running"))
-	s.Arrive(start, work("waiting"))
-	resumed := work("resumed")
+	s.Arrive(start, newCall("running"))
+	s.Arrive(start, newCall("waiting"))
+	resumed := newCall("resumed")
 	resumed.Resumed = true
 	if d, decided := s.Arrive(start, resumed); decided && d.Group == "" {
 		t.Fatalf("the resumed call was turned away: %+v", d)
@@ -150,15 +150,15 @@
 // Story: calls come and end, groups come and go, and clients leave in any order.
 // Each call gets one verdict at most, no group has more calls than its slots and
 // what may queue there, and nothing is left when all calls have ended.
-func TestAnyOrderKeepsTheCounts(t *testing.T) {
+func TestCountsStayConsistentInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const slots = 4
-		s := scheduler.New("z", fixed)
+		s := scheduler.New("z", fixedRandom)
 		now := start
 		names := []garnetworks.GroupID{"a", "b", "c"}
 		running := make(map[garnetworks.CallID]garnetworks.GroupID)
 		waiting := make(map[garnetworks.CallID]bool)
-		take := func(decisions []scheduler.Decision) {
+		record := func(decisions []scheduler.Decision) {
 			for _, d := range decisions {
 				if !waiting[d.Call] {
 					t.Fatalf("a second verdict on %s: %+v", d.Call, d)
@@ -175,25 +175,25 @@
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0, 1:
 				next++
-				w := scheduler.Work{ID: garnetworks.CallID(fmt.Sprint(next)), Model: "m", Arrived: now, Objective: 400 * time.Millisecond}
-				waiting[w.ID] = true
-				if d, decided := s.Arrive(now, w); decided {
-					take([]scheduler.Decision{d})
+				call := scheduler.Call{ID: garnetworks.CallID(fmt.Sprint(next)), Model: "m", Arrived: now, Objective: 400 * time.Millisecond}
+				waiting[call.ID] = true
+				if d, decided := s.Arrive(now, call); decided {
+					record([]scheduler.Decision{d})
 				}
 			case 2:
 				for id, g := range running {
 					delete(running, id)
-					take(s.Finished(now, "m", g, 0, rapid.Bool().Draw(t, "read")))
+					record(s.Finished(now, "m", g, 0, rapid.Bool().Draw(t, "read")))
 					break
 				}
 			case 3:
-				take(s.SetGroups(now, groups(slots, names[:rapid.IntRange(0, len(names)).Draw(t, "groups")]...)))
+				record(s.SetGroups(now, groups(slots, names[:rapid.IntRange(0, len(names)).Draw(t, "groups")]...)))
 			case 4:
-				take(s.Advance(now))
+				record(s.Advance(now))
 			case 5:
 				for id := range waiting {
 					delete(waiting, id)
-					s.Leave(id, "m")
+					s.Cancel(id, "m")
 					break
 				}
 			}
@@ -209,9 +209,9 @@
 		}
 		for id, g := range running {
 			delete(running, id)
-			take(s.Finished(now, "m", g, 0, true))
+			record(s.Finished(now, "m", g, 0, true))
 		}
-		take(s.Advance(now.Add(time.Minute)))
+		record(s.Advance(now.Add(time.Minute)))
 		if s.Waiting() != 0 {
 			t.Fatalf("%d calls still wait", s.Waiting())
 		}
@@ -227,11 +227,11 @@
 	now := start
 	// round places calls, ten at a time, and returns how many went to the grey group.
 	round := func(fails func(int) bool) int {
-		grey := 0
+		toFailing := 0
 		for range 60 {
 			var placed []garnetworks.GroupID
 			for range 10 {
-				if d, ok := s.Arrive(now, work("a")); ok && d.Group != "" {
+				if d, ok := s.Arrive(now, newCall("a")); ok && d.Group != "" {
 					placed = append(placed, d.Group)
 				}
 			}
@@ -242,8 +242,8 @@
 					s.Finished(now, "m", g, 0, true)
 					continue
 				}
-				grey++
-				if fails(grey) {
+				toFailing++
+				if fails(toFailing) {
 					s.Failed("m", g)
 					s.Finished(now, "m", g, 0, false)
 					continue
@@ -252,20 +252,20 @@
 				s.Finished(now, "m", g, 0, true)
 			}
 		}
-		return grey
+		return toFailing
 	}
-	failing := round(func(n int) bool { return n%3 == 0 })
-	well := round(func(int) bool { return false })
-	if failing > well/2 || failing == 0 {
-		t.Errorf("of 600 calls, %d went to the group while it failed, and %d when it was well", failing, well)
+	whileFailing := round(func(n int) bool { return n%3 == 0 })
+	whenHealthy := round(func(int) bool { return false })
+	if whileFailing > whenHealthy/2 || whileFailing == 0 {
+		t.Errorf("of 600 calls, %d went to the group while it failed, and %d when it was well", whileFailing, whenHealthy)
 	}
 }
 
 // Story: calls for one model are turned away while the groups of another stand half
 // empty. Whoever reads the log must see that the numbers of groups are wrong, and not
 // order more engines.
-func TestRefusalTellsPlacesOfOtherModels(t *testing.T) {
-	s := scheduler.New("z", fixed)
+func TestRejectionReportsSpareSlotsOfOtherModels(t *testing.T) {
+	s := scheduler.New("z", fixedRandom)
 	others := groups(10, "other-a", "other-b")
 	for i := range others {
 		others[i].Model = "other"
@@ -273,7 +273,7 @@
 	s.SetGroups(start, append(others, groups(6, "g")...))
 	fill(s)
 	for i := range 40 {
-		d, decided := s.Arrive(start, work(fmt.Sprint("late", i)))
+		d, decided := s.Arrive(start, newCall(fmt.Sprint("late", i)))
 		if !decided || d.Kind != garnetworks.KindOverloaded {
 			continue
 		}
@@ -291,10 +291,10 @@
 }
 
 func TestCallsOfAGroup(t *testing.T) {
-	s := scheduler.New("z", fixed)
+	s := scheduler.New("z", fixedRandom)
 	s.SetGroups(start, groups(6, "g"))
-	s.Arrive(start, work("a"))
-	s.SetOthers(start, garnetworks.LoadReport{Nodes: 1, Groups: []garnetworks.GroupLoad{{Group: "g", Running: 3}}}, true)
+	s.Arrive(start, newCall("a"))
+	s.SetPeerLoad(start, garnetworks.LoadReport{Nodes: 1, Groups: []garnetworks.GroupLoad{{Group: "g", Running: 3}}}, true)
 	if n := s.Calls("m", "g"); n != 4 {
 		t.Errorf("the group has %d calls, not its one and the others' three", n)
 	}
@@ -306,8 +306,8 @@
 // Story: a group has just opened and is the emptiest of all, so that each node sends it
 // its next calls, ten prompts within a moment. It reads them between two events of its
 // other calls, and all of them pause for longer than their clients allow.
-func TestPromptsAreSpreadOverTime(t *testing.T) {
-	const rate, usual = 50_000, 1400
+func TestPrefillIsLimitedByMaxGap(t *testing.T) {
+	const rate, typicalPrompt = 50_000, 1400
 	cases := map[string]struct {
 		rate   float64
 		pause  time.Duration
@@ -323,16 +323,16 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			s := scheduler.New("z", fixed)
-			s.SetOthers(start, garnetworks.LoadReport{}, true)
-			s.SetGroups(start, []scheduler.Group{{ID: "g", Model: "m", Zone: "z", Slots: 26, ReadRate: c.rate}})
-			s.SetOthers(start, garnetworks.LoadReport{}, true)
-			prompt := max(usual, c.prompt)
+			s := scheduler.New("z", fixedRandom)
+			s.SetPeerLoad(start, garnetworks.LoadReport{}, true)
+			s.SetGroups(start, []scheduler.Group{{ID: "g", Model: "m", Zone: "z", Slots: 26, PrefillRate: c.rate}})
+			s.SetPeerLoad(start, garnetworks.LoadReport{}, true)
+			prompt := max(typicalPrompt, c.prompt)
 			placed := 0
 			for i := range 10 {
-				w := work(fmt.Sprint("call", i))
-				w.Prompt, w.MaxPause = prompt, c.pause
-				if d, decided := s.Arrive(start, w); decided && d.Group == "g" {
+				call := newCall(fmt.Sprint("call", i))
+				call.PromptTokens, call.MaxGap = prompt, c.pause
+				if d, decided := s.Arrive(start, call); decided && d.Group == "g" {
 					placed++
 				}
 			}
@@ -342,7 +342,7 @@
 			if placed == 10 {
 				return
 			}
-			s.Read("m", "g", prompt)
+			s.PrefillDone("m", "g", prompt)
 			s.FirstEvent(start, "m", "g", 100*time.Millisecond, 400*time.Millisecond)
 			if list := s.Advance(start); len(list) != 1 || list[0].Group != "g" {
 				t.Errorf("after one prompt was read, %+v was decided", list)
@@ -353,13 +353,13 @@
 
 // Story: a group reads a short prompt, and a long one waits at the node. Short ones that
 // come later find a place before it again and again, until its time is over.
-func TestLongPromptsFindAPlaceBesideShortOnes(t *testing.T) {
-	s := scheduler.New("z", fixed)
-	s.SetGroups(start, []scheduler.Group{{ID: "g", Model: "m", Zone: "z", Slots: 26, ReadRate: 50_000}})
+func TestShortPromptsDoNotStarveLongOnes(t *testing.T) {
+	s := scheduler.New("z", fixedRandom)
+	s.SetGroups(start, []scheduler.Group{{ID: "g", Model: "m", Zone: "z", Slots: 26, PrefillRate: 50_000}})
 	for i, prompt := range []int{1400, 6000} {
-		w := work(fmt.Sprint("call", i))
-		w.Prompt, w.MaxPause = prompt, 200*time.Millisecond
-		if d, decided := s.Arrive(start, w); !decided || d.Group != "g" {
+		call := newCall(fmt.Sprint("call", i))
+		call.PromptTokens, call.MaxGap = prompt, 200*time.Millisecond
+		if d, decided := s.Arrive(start, call); !decided || d.Group != "g" {
 			t.Errorf("the prompt of %d tokens was not sent", prompt)
 		}
 	}
@@ -368,21 +368,21 @@
 // Story: 88 nodes share six groups of a model that gets 42 calls a second. A third of the
 // places is free, yet a node's part of them is less than one, and its second call within a
 // moment was told to come back in 3.8 s ("expected-wait-ms" in its line).
-func TestNodesWithFewCallsFindFreePlaces(t *testing.T) {
-	const nodes, slots, each = 88, 20, 14
+func TestNodesWithFewCallsGetFreeSlots(t *testing.T) {
+	const nodes, slots, runningPerGroup = 88, 20, 14
 	s := scheduler.New("z", rand.New(rand.NewPCG(1, 1)).Float64)
 	names := []garnetworks.GroupID{"a", "b", "c", "d", "e", "f"}
 	s.SetGroups(start, groups(slots, names...))
-	s.Arrive(start, work("own"))
+	s.Arrive(start, newCall("own"))
 	s.Finished(start, "m", "a", time.Second, true)
 	others := garnetworks.LoadReport{Nodes: nodes - 1, Demands: []garnetworks.ModelDemand{{Model: "m", CallsPerSecond: 42}}}
 	for _, g := range names {
-		others.Groups = append(others.Groups, garnetworks.GroupLoad{Group: g, Running: each})
+		others.Groups = append(others.Groups, garnetworks.GroupLoad{Group: g, Running: runningPerGroup})
 	}
-	s.SetOthers(start, others, true)
+	s.SetPeerLoad(start, others, true)
 	for i := range 3 {
-		if d, decided := s.Arrive(start, work(fmt.Sprint("call", i))); !decided || d.Group == "" {
-			t.Errorf("call %d is not placed beside %d free places: %+v", i, len(names)*(slots-each), d)
+		if d, decided := s.Arrive(start, newCall(fmt.Sprint("call", i))); !decided || d.Group == "" {
+			t.Errorf("call %d is not placed beside %d free places: %+v", i, len(names)*(slots-runningPerGroup), d)
 		}
 	}
 	// With all places taken it is told when one comes free for it, by what ends at the site.
@@ -390,10 +390,10 @@
 		others.Groups[i].Running = slots * 2
 	}
 	later := start.Add(10 * time.Second)
-	s.SetOthers(later, others, true)
-	w := work("late")
-	w.Arrived = later
-	d, _ := s.Arrive(later, w)
+	s.SetPeerLoad(later, others, true)
+	call := newCall("late")
+	call.Arrived = later
+	d, _ := s.Arrive(later, call)
 	if d.RetryAfter <= 0 || d.RetryAfter > time.Second {
 		t.Errorf("told to come back after %s", d.RetryAfter)
 	}
--- a/scheduler/waiting.go
+++ b/scheduler/waiting.go
@@ -11,19 +11,19 @@
 )
 
 // refusal turns a call away for which no place can be expected in time (Q1).
-func (p *pool) refusal(now time.Time, w *Work) (Decision, bool) {
-	groups := p.serving(now, w)
+func (p *pool) reject(now time.Time, c *Call) (Decision, bool) {
+	groups := p.serving(now, c)
 	if groups == 0 {
-		return Decision{Call: w.ID, Kind: garnetworks.KindNoGroup, RetryAfter: noGroupRetry}, true
+		return Decision{Call: c.ID, Kind: garnetworks.KindNoGroup, RetryAfter: noGroupRetry}, true
 	}
-	ahead := p.ahead(w)
-	wait, patience := p.wait(now, ahead+1), p.patience(now, w)
+	ahead := p.ahead(c)
+	wait, patience := p.expectedWait(now, ahead+1), p.patience(now, c)
 	if wait <= patience {
 		return Decision{}, false
 	}
 	return Decision{
-		Call: w.ID, Kind: garnetworks.KindOverloaded, RetryAfter: clampRetry(wait),
-		Ahead: ahead, Expected: wait, Patience: patience, Groups: groups,
+		Call: c.ID, Kind: garnetworks.KindOverloaded, RetryAfter: clampRetry(wait),
+		Ahead: ahead, ExpectedWait: wait, Patience: patience, Groups: groups,
 	}, true
 }
 
@@ -31,20 +31,20 @@
 
 // patience is how much longer the call may wait (Q1): until a group that takes it
 // then would just give its first event in time.
-func (p *pool) patience(now time.Time, w *Work) time.Duration {
-	waited := now.Sub(w.Arrived)
-	if w.Resumed {
-		return 2*w.Objective - waited
+func (p *pool) patience(now time.Time, c *Call) time.Duration {
+	waited := now.Sub(c.Arrived)
+	if c.Resumed {
+		return 2*c.Objective - waited
 	}
-	least := time.Duration(float64(w.Objective) * minWaitPart)
-	return max(w.Objective-p.firstTime-wayTime, least) - waited
+	minWait := time.Duration(float64(c.Objective) * minWaitFraction)
+	return max(c.Objective-p.firstEventTime-networkTime, minWait) - waited
 }
 
 // serving returns the number of groups that may get the call.
-func (p *pool) serving(now time.Time, w *Work) int {
+func (p *pool) serving(now time.Time, c *Call) int {
 	n := 0
-	for _, l := range p.places {
-		if !l.gone && !l.isLost(now) && !slices.Contains(w.Tried, l.ID) && (!now.Before(l.restUntil) || l.probing) {
+	for _, g := range p.groups {
+		if !g.gone && !g.isLost(now) && !slices.Contains(c.Tried, g.ID) && (!now.Before(g.cooldownUntil) || g.probing) {
 			n++
 		}
 	}
@@ -52,9 +52,9 @@
 }
 
 // wait estimates the time until n places have come free.
-func (p *pool) wait(now time.Time, n int) time.Duration {
-	rate := p.decayedRate(now)
-	if rate < fewFreed {
+func (p *pool) expectedWait(now time.Time, n int) time.Duration {
+	rate := p.currentFreeRate(now)
+	if rate < lowFreeRate {
 		// A node at which hardly any call ends learns nothing from its own.
 		rate = max(rate, p.refill)
 	}
@@ -64,20 +64,20 @@
 	return time.Duration(float64(n) / rate * float64(time.Second))
 }
 
-func (p *pool) decayedRate(now time.Time) float64 {
-	if p.rateAt.IsZero() {
+func (p *pool) currentFreeRate(now time.Time) float64 {
+	if p.freeRateAt.IsZero() {
 		return 0
 	}
-	return p.rate * math.Exp(-float64(now.Sub(p.rateAt))/float64(rateMemory))
+	return p.freeRate * math.Exp(-float64(now.Sub(p.freeRateAt))/float64(freeRateDecay))
 }
 
-func (p *pool) freed(now time.Time) {
-	p.rate = p.decayedRate(now) + 1/rateMemory.Seconds()
-	p.rateAt = now
+func (p *pool) recordFreed(now time.Time) {
+	p.freeRate = p.currentFreeRate(now) + 1/freeRateDecay.Seconds()
+	p.freeRateAt = now
 }
 
 // before orders calls that wait (Q4 and Q5).
-func before(a, b *Work) int {
+func compareCalls(a, b *Call) int {
 	if a.Resumed != b.Resumed {
 		if a.Resumed {
 			return -1
@@ -87,26 +87,26 @@
 	return cmp.Or(cmp.Compare(a.Priority, b.Priority), a.due().Compare(b.due()))
 }
 
-func (w *Work) due() time.Time { return w.Arrived.Add(w.Objective) }
+func (c *Call) due() time.Time { return c.Arrived.Add(c.Objective) }
 
-func (p *pool) ahead(w *Work) int {
+func (p *pool) ahead(c *Call) int {
 	n := 0
 	for _, other := range p.waiting {
-		if before(other, w) <= 0 {
+		if compareCalls(other, c) <= 0 {
 			n++
 		}
 	}
 	return n
 }
 
-func (p *pool) insert(w *Work) {
-	at, _ := slices.BinarySearchFunc(p.waiting, w, func(a, b *Work) int {
-		if before(a, b) <= 0 {
+func (p *pool) enqueue(c *Call) {
+	at, _ := slices.BinarySearchFunc(p.waiting, c, func(a, b *Call) int {
+		if compareCalls(a, b) <= 0 {
 			return -1
 		}
 		return 1
 	})
-	p.waiting = slices.Insert(p.waiting, at, w)
+	p.waiting = slices.Insert(p.waiting, at, c)
 }
 
 // Advance places the calls that can be placed and turns away those that have
@@ -121,22 +121,22 @@
 
 func (s *Scheduler) advance(now time.Time, p *pool, decisions []Decision) []Decision {
 	kept := p.waiting[:0]
-	for _, w := range p.waiting {
-		if l := s.best(now, p, w); l != nil {
-			s.put(now, p, l, w)
-			decisions = append(decisions, Decision{Call: w.ID, Group: l.ID})
+	for _, c := range p.waiting {
+		if g := s.pickGroup(now, p, c); g != nil {
+			s.dispatch(now, p, g, c)
+			decisions = append(decisions, Decision{Call: c.ID, Group: g.ID})
 			continue
 		}
-		groups, wait := p.serving(now, w), p.wait(now, len(kept)+1)
+		groups, wait := p.serving(now, c), p.expectedWait(now, len(kept)+1)
 		switch {
 		case groups == 0:
-			decisions = append(decisions, Decision{Call: w.ID, Kind: garnetworks.KindNoGroup, RetryAfter: noGroupRetry, Ahead: len(kept), Spare: s.spare(now, p)})
-		case p.patience(now, w) <= 0:
+			decisions = append(decisions, Decision{Call: c.ID, Kind: garnetworks.KindNoGroup, RetryAfter: noGroupRetry, Ahead: len(kept), Spare: s.spare(now, p)})
+		case p.patience(now, c) <= 0:
 			decisions = append(decisions, Decision{
-				Call: w.ID, Kind: garnetworks.KindOverloaded, RetryAfter: clampRetry(wait), Ahead: len(kept), Expected: wait, Groups: groups, Spare: s.spare(now, p),
+				Call: c.ID, Kind: garnetworks.KindOverloaded, RetryAfter: clampRetry(wait), Ahead: len(kept), ExpectedWait: wait, Groups: groups, Spare: s.spare(now, p),
 			})
 		default:
-			kept = append(kept, w)
+			kept = append(kept, c)
 		}
 	}
 	clear(p.waiting[len(kept):])
@@ -144,10 +144,10 @@
 	return decisions
 }
 
-// Leave takes a waiting call out, whose client has left.
-func (s *Scheduler) Leave(id garnetworks.CallID, model garnetworks.ModelName) {
+// Cancel takes a waiting call out, whose client has left.
+func (s *Scheduler) Cancel(id garnetworks.CallID, model garnetworks.ModelName) {
 	p := s.pool(model)
-	p.waiting = slices.DeleteFunc(p.waiting, func(w *Work) bool { return w.ID == id })
+	p.waiting = slices.DeleteFunc(p.waiting, func(c *Call) bool { return c.ID == id })
 }
 
 // Waiting returns the number of calls that wait.
