--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -1,50 +1,46 @@
 // Package scheduler decides at a node which calls to a model wait, which are
-// turned away, and which group gets a call. It is pure: it does no I/O, starts
-// nothing and takes the time as an argument.
+// rejected, and which group gets a call. It is pure: it does no I/O, starts no
+// goroutines and takes the time as an argument.
 //
-// Load patterns and the rules that answer them:
+// Load patterns and the rules that handle them:
 //
-//	Q1  More calls than the groups can serve, for long. A call that waits until
-//	    its objective has passed is worth little to its caller, and one that
-//	    waits behind it is late as well. So a call waits at most
-//	    until a group would just give its first event in time, and is turned away on arrival if the calls
-//	    before it, at the rate at which places come free, would make it wait
-//	    longer. What is served is then served on time.
-//	Q2  A burst at a node that sees a part of the traffic. Each group has a
-//	    window at this node, the number of calls that the node keeps there at
-//	    once. It grows by one for each full window of calls whose first event came
-//	    in time and shrinks by a part when one came late, so that nodes share a
-//	    group without talking about it.
-//	    Where nodes tell each other their calls, the window is the site's.
-//	Q3  A group that stands still or refuses. It gets no call for a while, then
-//	    one at a time until it answers.
-//	Q4  Calls of several priorities. The most urgent come first; within a priority
-//	    the one whose objective ends first.
-//	Q5  A call that was cut off with its group. It goes before all others, since
-//	    its client waits between two events, and it is not turned away while a
-//	    group serves.
-//	Q6  Many nodes that hear of the same free place at once. Each takes its part of
-//	    the free places, by its part of the calls, until it hears of the others
-//	    again, besides those that its own calls leave.
-//	Q7  Many nodes with the same news, some calls old. If each chose the group with
-//	    the fewest calls, all would send theirs to it until the next news, and its
-//	    calls would wait for each other's prompts. So each call takes the better one
-//	    of a few groups drawn at random.
+//	Q1  Sustained overload. A call that waits beyond its objective delays those
+//	    behind it as well. So a call waits at most until a group could just give
+//	    its first event on time, and is rejected on arrival if the calls ahead
+//	    of it, at the rate at which slots become free, would make it wait longer.
+//	Q2  Bursts at a node that sees only a part of the traffic. The node keeps a
+//	    window for each group: the number of calls that it allows there at once.
+//	    The window grows by one for each full window of calls with a timely first
+//	    event and shrinks by a factor after a late one, so that nodes share a group
+//	    without coordination. Where nodes exchange their load, the window bounds the
+//	    calls of the whole site.
+//	Q3  A group that stalls or refuses calls. It gets no call during a cooldown,
+//	    then one at a time until it answers.
+//	Q4  Calls of several priorities. The most urgent come first; within a priority,
+//	    the one with the earliest objective.
+//	Q5  A call that was interrupted by the failure of its group. It goes before all
+//	    others, since its client waits in the middle of an answer, and has more
+//	    time to wait before it is rejected.
+//	Q6  Many nodes that learn of the same free slots at once. Until the next report,
+//	    each takes a share of the free slots in proportion to its share of the
+//	    calls, in addition to those that its own calls free.
+//	Q7  Many nodes that act on the same outdated report. If each chose the least
+//	    loaded group, all would send their calls there until the next report. So
+//	    each call goes to the less loaded of a few randomly drawn groups.
 //	Q8  A group that fails or never begins a part of its calls and answers the
-//	    others: its engine's health is good, and it gives events all the time. Each
-//	    such call counts against it, and while too many of its last ones did, a node
-//	    has few calls there at once, which show when it is well again.
-//	Q9  Many prompts at once at one group: it has just opened and is the emptiest, or
-//	    calls of a lost group move there. It reads them between two events of its
-//	    other calls, which are late then, all of them. So a node lets a group read its
-//	    part of what can be read within the pause that clients allow, and its next
-//	    call goes elsewhere or waits until that is read.
-//	Q10 A zone that is cut off from the node: for four seconds its groups are listed, and
-//	    a third of the calls went there, each to wait for a connection in vain. Several
-//	    groups give no sign of life, and nothing is heard from the zone. So the whole zone
-//	    rests, and one call at a time tries the way again, unless no zone is reached.
-//	Q11 A group whose instances all went dark: nothing changes in the list until their
-//	    entries lapse, four seconds later, and meanwhile each node sent it its calls and
-//	    found it by itself. So what the holder of the lease has found by probes counts at
-//	    all nodes, but where a group just gave an event.
+//	    others, while its health checks pass. Each such call raises its failure
+//	    rate, and while that is high, a node has few calls there at once, which
+//	    show when the group has recovered.
+//	Q9  Many prompts at once at one group, because it has just opened or takes over
+//	    the calls of a lost group. Prefill delays the events of its other calls. So
+//	    a node limits the prompts in prefill at a group to its share of what can be
+//	    processed within the pause that clients allow; further calls go elsewhere or
+//	    wait.
+//	Q10 An availability zone that is unreachable from the node while its groups are
+//	    still listed. If several of its groups give no sign of life and nothing is
+//	    received from the zone, it gets one probing call at a time, unless no zone
+//	    is reachable.
+//	Q11 A group whose instances have all failed, while their entries have not
+//	    lapsed. Failures that the lease holder finds by probes count at all nodes,
+//	    except at a node that has just received an event from the group.
 package scheduler
--- a/scheduler/others.go
+++ b/scheduler/others.go
@@ -9,7 +9,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Load returns what this node has at each group, and is asked for.
+// Load returns the calls that this node has at each group, and the demand for each model.
 func (s *Scheduler) Load(now time.Time) garnetworks.LoadReport {
 	var report garnetworks.LoadReport
 	for _, model := range slices.Sorted(maps.Keys(s.pools)) {
@@ -24,20 +24,20 @@
 	return report
 }
 
-// OfferedLoad returns the number of calls that each model's arrivals would keep running, if all of
-// them were served: those of all nodes, as last heard, times the time that a call is at a
-// group. Models of which no call has been served are left out.
+// OfferedLoad returns the number of calls of each model that would be running if all arrivals
+// were served: the arrival rate at all nodes, by the last report, times the service time.
+// Models without a completed call are left out.
 func (s *Scheduler) OfferedLoad(now time.Time) map[garnetworks.ModelName]float64 {
-	work := make(map[garnetworks.ModelName]float64)
+	load := make(map[garnetworks.ModelName]float64)
 	for model, p := range s.pools {
 		if p.serviceTime > 0 {
-			work[model] = (p.demand(now) + p.peerDemand) * p.serviceTime.Seconds()
+			load[model] = (p.demand(now) + p.peerDemand) * p.serviceTime.Seconds()
 		}
 	}
-	return work
+	return load
 }
 
-// held takes how long a call was at a group.
+// recordServiceTime adds the time that a call was at a group to the moving average.
 func (p *pool) recordServiceTime(took time.Duration) {
 	if p.serviceTime == 0 {
 		p.serviceTime = took
@@ -57,8 +57,8 @@
 	p.demandAt = now
 }
 
-// SetPeerLoad takes what the other nodes have and are asked for, and returns the
-// calls that can be placed now (Q6).
+// SetPeerLoad sets the load and demand of the other nodes, or that they are unknown, and
+// returns decisions on waiting calls (Q6).
 func (s *Scheduler) SetPeerLoad(now time.Time, peers garnetworks.LoadReport, known bool) []Decision {
 	if known != s.peersKnown {
 		s.peersKnown = known
@@ -91,7 +91,8 @@
 	return s.Advance(now)
 }
 
-// resetWindows begins anew when the meaning of the windows changes.
+// resetWindows reinitializes all windows. Whether a window covers the calls of one node or
+// of the whole site depends on peersKnown.
 func (s *Scheduler) resetWindows() {
 	for _, p := range s.pools {
 		p.allowance = 0
@@ -102,12 +103,9 @@
 	}
 }
 
-// hear takes the other nodes' calls and divides the places that are free.
-//
-// Load pattern: 88 nodes, and a model that gets 42 calls a second. A node's part of 80 free
-// places is less than one, and its second call in a moment was turned away beside them. All
-// nodes together place six calls until they hear of each other again; while far more places
-// are free than that, each may take a fifth of them.
+// applyPeerLoad sets the peers' calls of a pool and computes the node's allowance. With many
+// nodes, a node's proportional share can be less than one slot although slots are free; it
+// then gets a minimum, so that it doesn't reject its second call in a burst.
 func (s *Scheduler) applyPeerLoad(now time.Time, p *pool, running map[garnetworks.GroupID]int, demand float64, nodes int) {
 	free, total := 0.0, 0.0
 	for _, g := range p.groups {
@@ -123,8 +121,7 @@
 	if own+demand > 0 {
 		p.share = own / (own + demand)
 	}
-	// What was left of a part of a place is kept, so that a node with few calls
-	// gets its whole place in time.
+	// Carries over the fractional part, so that a node with few calls gets a whole slot in time.
 	remainder := p.allowance - math.Floor(p.allowance)
 	p.allowance = free*p.share + min(max(remainder, 0), 1)
 	fraction := max(p.share, 1/float64(nodes))
@@ -135,7 +132,7 @@
 	if free >= surplusFactor*(own+demand)*peerReportDelay.Seconds()+1 {
 		p.allowance = max(p.allowance, free*surplusShare)
 	}
-	// A node with few calls seems to have none between two of them. Where there is a
-	// place for each node, it need not wait for the news after its call.
+	// Between two calls the demand of a node with few calls is near zero. If there is a free slot
+	// for each node, it need not wait for the next report.
 	p.allowance = max(p.allowance, math.Floor(free/float64(nodes)))
 }
--- a/scheduler/placing.go
+++ b/scheduler/placing.go
@@ -8,7 +8,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// firstWindow is the window of a group that is new to the node.
+// initialWindow returns the window of a group that is new to the node.
 func (s *Scheduler) initialWindow(slots int) float64 {
 	if s.peersKnown {
 		return maxWindow(slots)
@@ -18,7 +18,7 @@
 
 func maxWindow(slots int) float64 { return float64(slots) * (1 + queuedFraction) }
 
-// put counts a call at a place.
+// dispatch counts a call as placed at a group.
 func (s *Scheduler) dispatch(now time.Time, p *pool, g *groupState, c *Call) {
 	s.recordProbe(now, g.Zone)
 	g.inflight++
@@ -28,8 +28,8 @@
 	p.allowance--
 }
 
-// expected is the number of calls that the group has now, if the other nodes have
-// placed theirs since they were heard of as this node has placed its own (Q6).
+// expectedCalls estimates the group's current calls: peers are assumed to have placed calls
+// since their last report in proportion to this node's (Q6).
 func (p *pool) expectedCalls(g *groupState) float64 {
 	n := float64(g.inflight + g.peerCalls)
 	if p.share > 0 {
@@ -38,7 +38,7 @@
 	return n
 }
 
-// best returns the place that a call shall go to, or nil if none is free.
+// pickGroup returns the group for a call, or nil if none can take it now.
 func (s *Scheduler) pickGroup(now time.Time, p *pool, c *Call) *groupState {
 	if s.peersKnown && p.allowance < 1 && !c.Resumed { // Q6
 		return nil
@@ -70,8 +70,8 @@
 	return s.leastLoaded(p, free)
 }
 
-// choose returns the better one of a few groups drawn at random (Q7), or nil if
-// there is none.
+// leastLoaded returns the least utilized of a few randomly drawn groups (Q7), or nil if
+// there are none. It reorders free.
 func (s *Scheduler) leastLoaded(p *pool, free []*groupState) *groupState {
 	slices.SortFunc(free, func(a, b *groupState) int { return cmp.Compare(a.ID, b.ID) })
 	var best *groupState
@@ -94,12 +94,10 @@
 	return best
 }
 
-// reads reports whether the group can read the call's prompt beside those that it reads
-// for this node, within the node's part of what keeps its other calls in time (Q9). A
-// single prompt is always read, however long it is, and one that is longer than half of
-// that part counts as half of it: else short ones would always find a place before it. The
-// largest tenths of three kinds earn 0.66 of their worth under overload with it and 0.64
-// without, mean over four seeds of the lab.
+// canPrefill reports whether the group can prefill the call's prompt in addition to those that
+// it is processing for this node, within the node's share of the prefill budget (Q9). If no
+// prompt is in progress, any length is accepted. A prompt longer than half of the budget counts
+// as half of it, so that short prompts don't starve long ones.
 func (p *pool) canPrefill(g *groupState, c *Call) bool {
 	if g.prefillTokens == 0 || g.PrefillRate <= 0 || c.MaxGap <= 0 {
 		return true
@@ -111,7 +109,7 @@
 	return float64(g.prefillTokens)+min(float64(c.PromptTokens), limit/2) <= limit
 }
 
-// PendingPrefill returns the prompt tokens of this node's calls that a group has not read.
+// PendingPrefill returns the prompt tokens of this node's calls that a group has yet to prefill.
 func (s *Scheduler) PendingPrefill(model garnetworks.ModelName, group garnetworks.GroupID) int {
 	if g := s.pool(model).groups[group]; g != nil {
 		return g.prefillTokens
@@ -119,17 +117,17 @@
 	return 0
 }
 
-// PrefillDone takes that a group has read a prompt, or that its call ended before. It is called
-// once for each call that was placed.
+// PrefillDone records that a group has prefilled a prompt, or that the call ended before. It must
+// be called once for each placed call.
 func (s *Scheduler) PrefillDone(model garnetworks.ModelName, group garnetworks.GroupID, tokens int) {
 	if g := s.pool(model).groups[group]; g != nil {
 		g.prefillTokens = max(0, g.prefillTokens-tokens)
 	}
 }
 
-// TryPlace takes a place at another group for a call whose group stands still, if
-// one is free now (Q5). It does not wait: until there is a place, the call is better
-// off where it is, since a group that stands still may go on.
+// TryPlace places a call whose group stalls at another group, if one is free now (Q5), and counts
+// it there. It never enqueues the call: a stalled group may continue, so the call stays there
+// until a slot is free.
 func (s *Scheduler) TryPlace(now time.Time, c Call) (garnetworks.GroupID, bool) {
 	p := s.pool(c.Model)
 	g := s.pickGroup(now, p, &c)
@@ -140,19 +138,19 @@
 	return g.ID, true
 }
 
-// isLost reports whether nothing shall be sent to the group for what others know of it
-// (Q11).
+// isLost reports whether the group is reported lost and this node has no recent event that
+// contradicts the report (Q11).
 func (g *groupState) isLost(now time.Time) bool {
 	return g.lost && now.Sub(g.lastEvent) > eventValidity
 }
 
-// Lost reports whether the group is known to be lost, and gave this node no event since.
+// Lost reports whether the group is reported lost and gave this node no recent event.
 func (s *Scheduler) Lost(now time.Time, model garnetworks.ModelName, group garnetworks.GroupID) bool {
 	g := s.pool(model).groups[group]
 	return g != nil && g.isLost(now)
 }
 
-// FirstEvent takes the time from a call's sending to its first event (Q2).
+// FirstEvent records the time from a call's dispatch to its first event (Q2).
 func (s *Scheduler) FirstEvent(now time.Time, model garnetworks.ModelName, group garnetworks.GroupID, took, objective time.Duration) {
 	p := s.pool(model)
 	p.firstEventTime += time.Duration(firstEventTimeWeight * float64(took-p.firstEventTime))
@@ -172,7 +170,7 @@
 	}
 }
 
-// least is the window under which a group's does not shrink.
+// minWindow returns the lower bound of the group's window.
 func (s *Scheduler) minWindow(g *groupState) float64 {
 	if s.peersKnown {
 		return max(1, float64(g.Slots)*minWindowFraction)
@@ -188,15 +186,15 @@
 	g.window = max(minWindow, g.window*shrinkFactor)
 }
 
-// Full takes a group's refusal of a call because it is full.
+// Full records that a group refused a call because it is full.
 func (s *Scheduler) Full(now time.Time, model garnetworks.ModelName, group garnetworks.GroupID) {
 	if g := s.pool(model).groups[group]; g != nil {
 		g.shrink(now, s.minWindow(g))
 	}
 }
 
-// Failed takes a call that the group failed, or did not begin within BeginTime, though
-// it may answer others (Q8).
+// Failed records a call that the group failed or did not begin within FirstEventTimeout; the
+// group may still answer others (Q8).
 func (s *Scheduler) Failed(model garnetworks.ModelName, group garnetworks.GroupID) {
 	if g := s.pool(model).groups[group]; g != nil {
 		g.failureRate += failureWeight * (1 - g.failureRate)
@@ -208,7 +206,7 @@
 	return max(minFirstEventTimeout, firstEventTimeoutFactor*s.pool(model).firstEventTime)
 }
 
-// Stalled takes a sign that a group stands still, refuses or can't be reached (Q3).
+// Stalled records that a group stalls, refuses calls or can't be reached (Q3).
 func (s *Scheduler) Stalled(now time.Time, model garnetworks.ModelName, group garnetworks.GroupID) {
 	if g := s.pool(model).groups[group]; g != nil {
 		g.cooldownUntil = now.Add(groupCooldown)
--- a/scheduler/reach.go
+++ b/scheduler/reach.go
@@ -7,35 +7,35 @@
 )
 
 const (
-	// unreachedGroups is the number of groups of a zone that give no sign of life, with
-	// nothing heard from the zone since, from which the way there counts as cut. One group
-	// may be lost by itself.
+	// minUnreachableGroups is the number of unreachable groups in a zone, without an event from
+	// the zone in between, from which the whole zone counts as unreachable. It is above 1
+	// because a single group can fail alone.
 	minUnreachableGroups = 2
-	// unreachedTime is the time within which they fail.
+	// unreachableWindow is the time within which they must be found unreachable.
 	unreachableWindow = 3 * time.Second
-	// heardTime is how long an event speaks for a group that is said to be lost; a group
-	// gives its calls one each 0.1 s or sooner.
+	// eventValidity is how long an event of a group outweighs a report that it is lost. It
+	// spans a few of the intervals at which a healthy group gives events.
 	eventValidity = 300 * time.Millisecond
-	// mostZoneRest bounds the time between two calls that try the way again. Entries of a
-	// zone that the platform does not reach either lapse within four seconds.
+	// maxProbeInterval bounds the time between two probes. The entries of a zone that the
+	// platform can't reach either lapse within a few seconds.
 	maxProbeInterval = 4 * groupCooldown
 )
 
-// way is what a node knows of its way to the groups of an availability zone (Q10).
+// zoneHealth is what a node knows of its connectivity to an availability zone (Q10).
 type zoneHealth struct {
-	// unreached are the groups that gave no sign of life since anything was heard from the
-	// zone last, the first of them at first.
+	// unreachable holds the groups found unreachable since the last event from the zone, since
+	// is the time of the first of them.
 	unreachable garnetworks.Set[garnetworks.GroupID]
 	since       time.Time
-	// rest is the time between two calls that try the way; 0 while it is sound. Nothing is
-	// sent before restUntil.
+	// probeInterval is the time between two calls that probe the zone; 0 while it counts as
+	// reachable. Nothing is sent before cooldownUntil.
 	probeInterval time.Duration
 	cooldownUntil time.Time
-	// tried says that a call was sent since the last rest.
+	// probed says that a call was sent since the zone was last found unreachable.
 	probed bool
 }
 
-// EventReceived takes an event of a group: it lives, and the way to its zone is sound.
+// EventReceived records an event of a group: the group is alive and its zone reachable.
 func (s *Scheduler) EventReceived(now time.Time, model garnetworks.ModelName, group garnetworks.GroupID) {
 	g := s.pool(model).groups[group]
 	if g == nil {
@@ -45,8 +45,8 @@
 	delete(s.zones, g.Zone)
 }
 
-// Unreachable takes that a group did not give the sign of life that was due: a connection, an
-// acknowledgement, or an event (Q10).
+// Unreachable records that a group did not give the sign of life that was due: a
+// connection, an acknowledgement or an event (Q10).
 func (s *Scheduler) Unreachable(now time.Time, model garnetworks.ModelName, group garnetworks.GroupID) {
 	g := s.pool(model).groups[group]
 	if g == nil {
@@ -66,20 +66,20 @@
 	case z.probed:
 		z.probeInterval = min(2*z.probeInterval, maxProbeInterval)
 	default:
-		return // a call from before the way was found cut
+		return // sent before the zone was found unreachable
 	}
 	z.probed = false
 	z.cooldownUntil = now.Add(z.probeInterval)
 }
 
-// cutOff reports whether nothing shall be sent to a zone's groups now (Q10).
+// zoneUnreachable reports whether nothing may be sent to a zone's groups now (Q10).
 func (s *Scheduler) zoneUnreachable(now time.Time, zone garnetworks.ZoneID) bool {
 	z := s.zones[zone]
 	return z != nil && now.Before(z.cooldownUntil)
 }
 
-// tries notes that a call tries the way to a zone that was cut off: others wait for what
-// becomes of it.
+// recordProbe records that a call probes an unreachable zone: others are held back until its
+// outcome is known or the interval ends.
 func (s *Scheduler) recordProbe(now time.Time, zone garnetworks.ZoneID) {
 	if z := s.zones[zone]; z != nil && z.probeInterval > 0 {
 		z.cooldownUntil = now.Add(z.probeInterval)
@@ -87,8 +87,8 @@
 	}
 }
 
-// reachedElsewhere reports whether the pool has a group in a zone that is not cut off. If
-// all zones seem to be, it is the node itself that is, or nothing is known.
+// anyZoneReachable reports whether the pool has a group in a reachable zone. If all zones seem
+// unreachable, the node itself may be partitioned, and the zones can't be told apart.
 func (s *Scheduler) anyZoneReachable(now time.Time, p *pool) bool {
 	for _, g := range p.groups {
 		if !g.gone && !s.zoneUnreachable(now, g.Zone) {
--- a/scheduler/reach_test.go
+++ b/scheduler/reach_test.go
@@ -10,7 +10,7 @@
 	"github.com/garnetworks/garnetworks/scheduler"
 )
 
-// threeZones are two groups in each of three zones.
+// threeZones returns two groups in each of three zones.
 func threeZones() (list []scheduler.Group) {
 	for _, zone := range []garnetworks.ZoneID{"z", "far", "other"} {
 		for i := range 2 {
@@ -20,7 +20,7 @@
 	return list
 }
 
-// toFar counts the calls of many that go to the far zone, at one moment; all end at once.
+// callsToFarZone places calls at one moment, ends them, and returns how many went to zone far.
 func callsToFarZone(s *scheduler.Scheduler, now time.Time) (n int) {
 	const calls = 30
 	for i := range calls {
@@ -35,11 +35,8 @@
 	return n
 }
 
-// Story: a zone is cut off for six seconds, and for four of them its groups are listed. A
-// third of a node's calls went there, and each waited for a connection in vain before it
-// was sent elsewhere, late (895 of 18,000 calls of a day, 740 of them in the cut). After
-// two groups that give no sign of life the zone gets one call at a time, and its calls
-// again once anything is heard from it.
+// Guards against calls that wait in vain for connections to a partitioned zone whose groups are
+// still listed: it gets single probes, and normal traffic after the next event.
 func TestUnreachableZoneGetsOnlyProbes(t *testing.T) {
 	s := scheduler.New("z", rand.New(rand.NewPCG(1, 1)).Float64)
 	s.SetGroups(start, threeZones())
@@ -49,14 +46,14 @@
 	now = now.Add(100 * time.Millisecond)
 	s.Unreachable(now, "m", "far1")
 	if n := callsToFarZone(s, now); n != 0 {
-		t.Errorf("%d calls go to a zone that was just found cut off", n)
+		t.Errorf("%d calls go to a zone that was just found unreachable", n)
 	}
 	tried := 0
 	for range 40 {
 		now = now.Add(100 * time.Millisecond)
 		n := callsToFarZone(s, now)
 		if n > 1 {
-			t.Fatalf("%d calls try the way at once", n)
+			t.Fatalf("%d calls probe the zone at once", n)
 		}
 		if n == 1 {
 			tried++
@@ -64,28 +61,28 @@
 		}
 	}
 	if tried == 0 || tried > 3 {
-		t.Errorf("the way was tried %d times in four seconds, want 1 to 3", tried)
+		t.Errorf("the zone was probed %d times in four seconds, want 1 to 3", tried)
 	}
 	s.EventReceived(now, "m", "far1")
 	if n := callsToFarZone(s, now); n < 2 {
-		t.Errorf("%d calls go to a zone that was heard again", n)
+		t.Errorf("%d calls go to a zone that is reachable again, want at least 2", n)
 	}
 }
 
-// Story: one group is lost, or two are while a third of their zone gives events, or nothing
-// is heard from any zone. None of these is a zone that is cut off from the node.
+// Guards against treating lost groups, or a partition of the node itself, as an unreachable
+// zone.
 func TestLostGroupsDoNotMakeZoneUnreachable(t *testing.T) {
 	cases := map[string]func(s *scheduler.Scheduler, now time.Time){
 		"one group": func(s *scheduler.Scheduler, now time.Time) {
 			s.Unreachable(now, "m", "far0")
 			s.Unreachable(now, "m", "far0")
 		},
-		"an event between": func(s *scheduler.Scheduler, now time.Time) {
+		"event in between": func(s *scheduler.Scheduler, now time.Time) {
 			s.Unreachable(now, "m", "far0")
 			s.EventReceived(now, "m", "far1")
 			s.Unreachable(now, "m", "far1")
 		},
-		"long ago": func(s *scheduler.Scheduler, now time.Time) {
+		"outside the window": func(s *scheduler.Scheduler, now time.Time) {
 			s.Unreachable(now.Add(-time.Minute), "m", "far0")
 			s.Unreachable(now, "m", "far1")
 		},
@@ -108,11 +105,8 @@
 	}
 }
 
-// Story: both instances of a group go dark at once. Nobody is left to change the list, and
-// for four seconds each of 88 nodes sent the group calls of its own until one found it
-// (some 40 calls a group, half of them late). What the holder of the lease has found counts
-// at all nodes at once; where the group still gives events, or nobody says so any more, it
-// does not.
+// Guards against each node discovering by its own calls that all instances of a group have
+// failed: a report by the lease holder counts, unless the group still gives events.
 func TestGroupReportedLostGetsNoCalls(t *testing.T) {
 	lost := garnetworks.LoadReport{Lost: []garnetworks.GroupID{"far0", "far1"}}
 	now := start.Add(time.Second)
@@ -120,16 +114,16 @@
 		setUp func(s *scheduler.Scheduler)
 		want  bool
 	}{
-		"told": {func(s *scheduler.Scheduler) { s.SetPeerLoad(now, lost, true) }, false},
-		"told no more": {func(s *scheduler.Scheduler) {
+		"reported lost": {func(s *scheduler.Scheduler) { s.SetPeerLoad(now, lost, true) }, false},
+		"no longer reported": {func(s *scheduler.Scheduler) {
 			s.SetPeerLoad(now, lost, true)
 			s.SetPeerLoad(now, garnetworks.LoadReport{}, true)
 		}, true},
-		"nothing is known": {func(s *scheduler.Scheduler) {
+		"peer load unknown": {func(s *scheduler.Scheduler) {
 			s.SetPeerLoad(now, lost, true)
 			s.SetPeerLoad(now, garnetworks.LoadReport{}, false)
 		}, true},
-		"it gives events": {func(s *scheduler.Scheduler) { s.SetPeerLoad(now, lost, true); s.EventReceived(now, "m", "far1") }, true},
+		"recent event": {func(s *scheduler.Scheduler) { s.SetPeerLoad(now, lost, true); s.EventReceived(now, "m", "far1") }, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -138,7 +132,7 @@
 			s.SetPeerLoad(start, garnetworks.LoadReport{}, true)
 			c.setUp(s)
 			if got := callsToFarZone(s, now) > 0; got != c.want {
-				t.Errorf("calls are sent there: %t", got)
+				t.Errorf("calls are sent to the group: %t", got)
 			}
 		})
 	}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -6,214 +6,210 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Limits of waiting and placing.
+// Limits of queueing and placement.
 const (
-	// TargetFraction is the part of the objective by which a group's first event shall
-	// come after the call was sent; a later one shrinks the window (Q2). It is above
-	// 1: where more is asked for than can be served, a group that answers a few
-	// calls late serves more of them on time than one with a small batch. Mean part
-	// of the worth earned, less costs, over twenty runs of six nodes under overload:
-	// 0.565 at 0.85, 0.602 at 1.1, 0.611 at 1.5.
+	// TargetFraction is the fraction of the objective within which a group's first event must
+	// come after dispatch; a later one shrinks the window (Q2). It is above 1 because under
+	// overload a large batch with a few late calls serves more calls on time than a small one.
 	TargetFraction = 1.5
-	// wayTime is the time of a call's way between the client and the group, which
-	// is left out of what a call may wait.
+	// networkTime is the latency between client and group, subtracted from the time that a
+	// call may wait.
 	networkTime = 20 * time.Millisecond
-	// minWaitPart is the part of the objective that a call may wait even if the
-	// groups are slow.
+	// minWaitFraction is the fraction of the objective that a call may always wait, even if
+	// first events are slow.
 	minWaitFraction = 0.1
-	// usualFirstTime is taken for the time to a first event before one has come.
+	// initialFirstEventTime is the assumed time to first event before any was measured.
 	initialFirstEventTime = 150 * time.Millisecond
-	// firstTimeWeight is the weight of a new first event in the usual time.
+	// firstEventTimeWeight is the weight of a new sample in the moving average of first event
+	// times.
 	firstEventTimeWeight = 0.1
-	// heldTimeWeight is the weight of a new call in the usual time at a group.
+	// serviceTimeWeight is the weight of a new sample in the moving average of service times.
 	serviceTimeWeight = 0.05
-	// aloneWindowPart is the part of a group's slots that a window begins with while
-	// nothing is known of other nodes.
+	// initialWindowFraction is the initial window as a fraction of a group's slots while the
+	// peers' load is unknown.
 	initialWindowFraction = 0.34
-	// minWindowPart is the part of a group's slots under which its window does not
-	// shrink while the other nodes' calls are known; the window is the site's then.
+	// minWindowFraction is the lower bound of a window as a fraction of the group's slots while
+	// the peers' load is known; the window then covers the calls of the whole site.
 	minWindowFraction = 0.2
-	// shrink is the factor on a window when a first event came late.
+	// shrinkFactor multiplies a window when a first event is late.
 	shrinkFactor = 0.85
-	// shrinkEvery is the shortest time between two shrinks: the calls sent before
-	// the first one are late for the same reason.
+	// shrinkInterval is the minimum time between two reductions of a window: calls dispatched
+	// before the first reduction are late for the same reason.
 	shrinkInterval = 250 * time.Millisecond
-	// restTime is how long a group that stands still or refuses gets no call.
+	// groupCooldown is how long a group that stalls or refuses calls gets none.
 	groupCooldown = 700 * time.Millisecond
-	// minRetryAfter and maxRetryAfter bound what a caller is told to wait. Under
-	// the first one callers come back into the same queue; with more than the
-	// second one they give up sooner than they are served.
+	// minRetryAfter and maxRetryAfter bound the retry delay given to callers. With a shorter
+	// one they return to the same queue; with a longer one they give up before being served.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 2 * time.Second
-	// noGroupRetry is told where no group serves the model: a lost group is
-	// replaced within about two seconds, and others take its calls meanwhile.
+	// noGroupRetry is the retry delay if no group serves the model: within that time another
+	// group usually takes over.
 	noGroupRetry = time.Second
-	// rateMemory is the time over which the rate of places that come free is
-	// averaged.
+	// freeRateDecay is the time constant of the average rate at which slots become free.
 	freeRateDecay = time.Second
-	// newsTime is the time in which nodes place calls before they hear of each other's:
-	// twice the time between two news, as those are about as old when they come.
+	// peerReportDelay is the time for which nodes dispatch calls without knowing of each
+	// other's: twice the report interval, since reports are about one interval old on arrival.
 	peerReportDelay = 300 * time.Millisecond
-	// plenty is how many times the calls that all nodes place in newsTime must be free, so
-	// that each may take plentyPart of them: calls come in bursts, at a few nodes at once.
+	// If the free slots exceed surplusFactor times the calls that all nodes dispatch in
+	// peerReportDelay, each node may take the fraction surplusShare of them: calls arrive in
+	// bursts at a few nodes.
 	surplusFactor = 2
 	surplusShare  = 0.2
-	// fewFreed is the rate of own places that come free, in a second, under which that of
-	// the whole site tells more.
+	// lowFreeRate is the number of this node's slots freed per second below which the expected
+	// rate of the site is the better estimate.
 	lowFreeRate = 3
-	// mirrored is the part of the own placements since the last news that the other
-	// nodes are taken to have made as well; calls that ended meanwhile make up for
-	// the rest.
+	// mirroredShare is the fraction of this node's dispatches since the last report that peers
+	// are assumed to have matched; the rest is offset by calls that ended since.
 	mirroredShare = 0.5
-	// drawn is the number of groups that a call is chosen from (Q7).
+	// sampleSize is the number of randomly drawn groups that a call is placed among (Q7).
 	sampleSize = 2
-	// failureWeight is the weight of one call in the part of a group's calls that
-	// fail, so that two failures in a row, or a third of all calls, pass failingPart.
+	// failureWeight is the weight of one call in a group's failure rate. Two failures in a row,
+	// or failures of a third of all calls, exceed maxFailureRate.
 	failureWeight = 0.15
-	// failingPart is the part of failing calls from which a group gets failingCalls at
-	// a time (Q8). Answers that get lost on their way, or break off, are a few in a
-	// hundred; of a failing engine's calls a third or more fail.
+	// A group whose failure rate exceeds maxFailureRate gets no further call while it has
+	// maxFailingCalls (Q8). The bound is above the rate of lost or interrupted answers of a
+	// healthy engine and below that of a failing one.
 	maxFailureRate  = 0.25
 	maxFailingCalls = 2
-	// beginFactor times the usual time to a first event, and beginLeast at least, is
-	// the time after which a call that has had no event counts as failed. Clients
-	// leave after two seconds without one.
+	// A call without an event counts as failed after firstEventTimeoutFactor times the average
+	// first event time, and no sooner than minFirstEventTimeout, which must be less than the
+	// time after which clients give up.
 	firstEventTimeoutFactor = 4
 	minFirstEventTimeout    = time.Second
-	// readPart is the part of the pause that clients allow in which a group may read new
-	// prompts (Q9); in the other part its other calls get their next event.
+	// prefillFraction is the fraction of a client's MaxGap in which a group may prefill new
+	// prompts (Q9); the remainder is for the next event of its other calls.
 	prefillFraction = 0.5
-	// queuedPart is the part of a group's slots that may be sent beyond them. News
-	// are a few calls old; with a few calls in the engine's queue no place of its
-	// batch stays empty for them.
+	// queuedFraction is the number of calls that may be dispatched beyond a group's slots, as a
+	// fraction of the slots. A short queue at the engine keeps its batch full although load
+	// reports are slightly out of date.
 	queuedFraction = 0.15
-	// readingWeight is what a call whose prompt is being read counts for more in the
-	// order of groups: a prompt takes the time of several calls' tokens in a pass.
+	// prefillWeight is the additional weight of a call in prefill when the load of groups is
+	// compared: a prompt takes as long in a pass as the tokens of several calls.
 	prefillWeight = 2
-	// foreignZonePart makes a group of another availability zone count as fuller
-	// by this part, since each event then crosses zones.
+	// crossZonePenalty is added to the utilization of a group in another availability zone,
+	// since each of its events crosses zones.
 	crossZonePenalty = 0.05
 )
 
-// Group is a group that serves, as the node sees it.
+// Group is a serving group.
 type Group struct {
 	ID    garnetworks.GroupID
 	Model garnetworks.ModelName
 	Zone  garnetworks.ZoneID
-	// Slots is the number of calls that the group works on together.
+	// Slots is the number of calls that the group processes concurrently.
 	Slots int
-	// PrefillRate is the number of prompt tokens that it reads in a second; 0 if that is
-	// not known.
+	// PrefillRate is the number of prompt tokens that the group processes per second; 0 if
+	// unknown.
 	PrefillRate float64
 }
 
-// Call is a call that asks for a group.
+// Call is a call to be placed at a group.
 type Call struct {
 	ID       garnetworks.CallID
 	Model    garnetworks.ModelName
 	Priority int
-	// Arrived is when the call came.
+	// Arrived is the arrival time of the call.
 	Arrived time.Time
-	// Objective is the time from Arrived to the first event that is on time.
+	// Objective is the time from Arrived within which the first event is on time.
 	Objective time.Duration
-	// PromptTokens is the number of prompt tokens, MaxPause the longest pause between two
-	// events that the client allows; 0 if it states none.
+	// PromptTokens is the length of the prompt. MaxGap is the longest pause between two events
+	// that the client allows; 0 if it states none.
 	PromptTokens int
 	MaxGap       time.Duration
-	// Resumed says that the call was cut off with its group (Q5).
+	// Resumed says that the call was interrupted by the failure of its group (Q5).
 	Resumed bool
-	// Tried holds the groups that failed the call; they are not chosen again.
+	// Tried holds the groups that have failed the call; they are not chosen again.
 	Tried []garnetworks.GroupID
 }
 
-// Decision is what becomes of a call.
+// Decision is the outcome for a call: placed or rejected.
 type Decision struct {
 	Call garnetworks.CallID
-	// Group is where it goes; empty if it is turned away.
+	// Group is the group that gets the call; empty if the call is rejected.
 	Group garnetworks.GroupID
-	// Kind says why it is turned away.
+	// Kind is the reason for a rejection.
 	Kind garnetworks.Kind
-	// RetryAfter is when places are expected to be free.
+	// RetryAfter is the estimated time until slots are free.
 	RetryAfter time.Duration
-	// Ahead, Expected, Patience and Groups are what a call was turned away by: the
-	// calls before it, the time that it would have waited, the time that it could
-	// have waited, and the groups that might have taken it.
+	// Ahead, ExpectedWait, Patience and Groups explain a rejection: the number of waiting
+	// calls ahead, the expected and the longest acceptable wait, and the number of groups that
+	// could have served the call.
 	Ahead                  int
 	ExpectedWait, Patience time.Duration
 	Groups                 int
-	// Spare is the number of places that were free at groups of other models.
+	// Spare is the number of free slots at groups of other models.
 	Spare int
 }
 
-// place is a group with what the node knows of it.
+// groupState is a group and this node's view of its load and health.
 type groupState struct {
 	Group
-	// window is the number of calls that the group shall have from all nodes, or
-	// from this one while nothing is known of the others.
+	// window is the maximum number of calls at the group: from all nodes while the peers' load
+	// is known, else from this node.
 	window   float64
 	inflight int
-	// others is what the other nodes have there, as last heard, and placed the calls
-	// that this node has sent there since.
+	// peerCalls is the number of calls from other nodes by the last report, placed the number
+	// that this node has dispatched since.
 	peerCalls, placed int
-	// reading is the number of this node's calls there that have had no event yet:
-	// the group reads their prompts before it answers a later one.
+	// prefilling is the number of this node's calls there without an event: the group
+	// processes their prompts before it answers later calls.
 	prefilling int
-	// unread is the number of prompt tokens of those calls.
+	// prefillTokens is the number of prompt tokens that are not yet prefilled.
 	prefillTokens int
-	// restUntil is when a group that stood still is tried again; probing says
-	// that it has not answered since.
+	// No call is sent before cooldownUntil. probing is true from a stall until the group's next
+	// first event; while it is, the group gets one call at a time.
 	cooldownUntil time.Time
 	probing       bool
-	// failing is the part of the last calls there that failed or did not begin (Q8).
+	// failureRate is the moving average of calls that failed or did not begin (Q8).
 	failureRate float64
 	shrunkAt    time.Time
 	gone        bool
-	// lost says that an instance of the group is known to be dark, heard when this node
-	// last had an event from the group.
+	// lost says that an instance of the group is reported as failed; lastEvent is the time of
+	// the last event that this node received from the group.
 	lost      bool
 	lastEvent time.Time
 }
 
-// pool is a model's groups and the calls that wait for them.
+// pool holds the groups of a model and the calls that wait for them.
 type pool struct {
 	groups  map[garnetworks.GroupID]*groupState
 	waiting []*Call
-	// rate is the number of places that come free in a second.
+	// freeRate is the number of slots that became free per second, averaged, at freeRateAt.
 	freeRate   float64
 	freeRateAt time.Time
-	// firstTime is the usual time from a call's sending to its first event.
+	// firstEventTime is the average time from dispatch to first event.
 	firstEventTime time.Duration
-	// arrivals is the decayed number of calls that came, at arrivedAt.
+	// demandRate is the number of calls that arrived per second, averaged, at demandAt.
 	demandRate float64
 	demandAt   time.Time
-	// othersDemand is the number of calls a second that come to the other nodes, as last
-	// heard.
+	// peerDemand is the number of calls per second that arrive at other nodes, by the last
+	// report.
 	peerDemand float64
-	// heldTime is the usual time of a call at a group; 0 before one has ended.
+	// serviceTime is the average time of a call at a group; 0 before one has ended.
 	serviceTime time.Duration
-	// share is the part of the site's calls for the model that come to this node.
+	// share is this node's fraction of the site's calls for the model.
 	share float64
-	// refill is the number of places a second that this node may expect: its part of those
-	// that are free, with each news, and of those that come free at the site.
+	// refill is the number of slots per second that this node can expect: its part of the free
+	// slots with each report, and of the slots that become free at the site.
 	refill float64
-	// allowance is the number of places that this node may still take until it
-	// hears of the others again (Q6).
+	// allowance is the number of slots that this node may still take until the next report
+	// from the peers (Q6).
 	allowance float64
 }
 
-// Scheduler holds the pools of all models. It is for use under a lock.
+// Scheduler holds the pools of all models. It is not safe for concurrent use.
 type Scheduler struct {
 	zone  garnetworks.ZoneID
 	pools map[garnetworks.ModelName]*pool
-	// ways holds the zones whose groups gave no sign of life of late.
+	// zones holds the availability zones with groups that were recently unreachable.
 	zones map[garnetworks.ZoneID]*zoneHealth
-	// known says that the calls of other nodes are known.
+	// peersKnown says that the load of the other nodes is known.
 	peersKnown bool
 	random     func() float64
 }
 
-// New returns a scheduler of a node in a zone, without groups; random returns
-// values in [0, 1).
+// New returns a scheduler without groups for a node in the zone; random must return values
+// in [0, 1).
 func New(zone garnetworks.ZoneID, random func() float64) *Scheduler {
 	return &Scheduler{zone: zone, random: random, pools: make(map[garnetworks.ModelName]*pool), zones: make(map[garnetworks.ZoneID]*zoneHealth)}
 }
@@ -227,8 +223,7 @@
 	return p
 }
 
-// SetGroups takes the groups that serve now and returns the calls that can be
-// placed.
+// SetGroups replaces the serving groups and returns decisions on waiting calls.
 func (s *Scheduler) SetGroups(now time.Time, groups []Group) []Decision {
 	listed := make(garnetworks.Set[garnetworks.GroupID])
 	for _, g := range groups {
@@ -254,11 +249,11 @@
 	return s.Advance(now)
 }
 
-// demandMemory is the time over which arrivals are averaged.
+// demandDecay is the time constant of the average arrival rate.
 const demandDecay = 2 * time.Second
 
-// Arrive decides on a call that comes: it is placed, turned away, or waits; in
-// the last case it returns false and a later decision follows.
+// Arrive places, rejects or enqueues an arriving call. It returns false if the call was
+// enqueued; a later decision follows.
 func (s *Scheduler) Arrive(now time.Time, c Call) (Decision, bool) {
 	p := s.pool(c.Model)
 	p.recordArrival(now)
@@ -276,8 +271,8 @@
 	return Decision{}, false
 }
 
-// Calls returns the number of calls that a group has, those of other nodes as last
-// heard.
+// Calls returns the number of calls at a group, including those of other nodes by the last
+// report.
 func (s *Scheduler) Calls(model garnetworks.ModelName, group garnetworks.GroupID) int {
 	if g := s.pool(model).groups[group]; g != nil {
 		return g.inflight + g.peerCalls
@@ -285,8 +280,8 @@
 	return 0
 }
 
-// spare returns the number of free places at groups of other models than p's. Where
-// calls are turned away beside them, the models' numbers of groups are wrong.
+// spare returns the number of free slots at groups of models other than p's. If there are
+// some while calls are rejected, the models have the wrong numbers of groups.
 func (s *Scheduler) spare(now time.Time, p *pool) int {
 	free := 0
 	for _, other := range s.pools {
@@ -302,8 +297,8 @@
 	return free
 }
 
-// Finished gives a place back and returns the calls that can be placed now; read
-// says whether the call had an event there, and took how long it was there.
+// Finished frees the slot of a call and returns decisions on waiting calls of the model;
+// hadEvent says whether the call had an event at the group, took how long it was there.
 func (s *Scheduler) Finished(now time.Time, model garnetworks.ModelName, group garnetworks.GroupID, took time.Duration, hadEvent bool) []Decision {
 	p := s.pool(model)
 	if hadEvent {
@@ -314,7 +309,7 @@
 		if !hadEvent {
 			g.prefilling--
 		}
-		p.allowance++ // the place is this node's to fill again
+		p.allowance++ // this node may fill the slot again
 		if g.gone && g.inflight == 0 {
 			delete(p.groups, group)
 		}
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -28,7 +28,7 @@
 	return scheduler.Call{ID: garnetworks.CallID(id), Model: "m", Arrived: start, Objective: 400 * time.Millisecond}
 }
 
-// fill sends calls until one is not placed, and returns how many were.
+// fill places calls until one is not placed at once, and returns the number placed.
 func fill(s *scheduler.Scheduler) int {
 	for n := 0; ; n++ {
 		d, decided := s.Arrive(start, newCall(fmt.Sprint("fill", n)))
@@ -38,17 +38,16 @@
 	}
 }
 
-// Story: no group serves a model. Its callers are told at once that their calls did
-// not run and when to come back; they don't wait for their deadline.
+// Guards against calls that wait for their deadline although no group serves their model.
 func TestNoGroupRefusesAtOnce(t *testing.T) {
 	d, decided := scheduler.New("z", fixedRandom).Arrive(start, newCall("a"))
 	if !decided || d.Kind != garnetworks.KindNoGroup || d.RetryAfter <= 0 {
-		t.Errorf("got %+v, decided is %t", d, decided)
+		t.Errorf("got %+v, decided is %t, want an immediate rejection with a retry delay", d, decided)
 	}
 }
 
-// Story: the group is full. A call waits as long as its first event can still be in
-// time, and is then turned away, at once and not at its deadline.
+// Guards against keeping a call until its deadline although its first event can no longer be on
+// time.
 func TestCallWaitsWhileObjectiveCanBeMet(t *testing.T) {
 	s := scheduler.New("z", fixedRandom)
 	s.SetGroups(start, groups(6, "g"))
@@ -59,15 +58,14 @@
 			continue
 		}
 		if d := decisions[0]; d.Group != "" || d.RetryAfter <= 0 || d.Kind != garnetworks.KindOverloaded {
-			t.Errorf("after %s: %+v", wait, d)
+			t.Errorf("after %s: got %+v, want an overload rejection with a retry delay", wait, d)
 		}
 		return
 	}
-	t.Error("the call still waits at its objective")
+	t.Error("the call still waits after its objective")
 }
 
-// Story: a group's first events come late, so it has more than it can do. The node
-// sends it fewer calls; when they come in time again, it sends more.
+// Guards against sending an overloaded group as many calls as before.
 func TestLateFirstEventsShrinkWindow(t *testing.T) {
 	s := scheduler.New("z", fixedRandom)
 	s.SetGroups(start, groups(30, "g"))
@@ -81,33 +79,32 @@
 		s.Finished(now, "m", "g", 0, true)
 	}
 	if after := fill(s); after >= before {
-		t.Errorf("%d calls were placed before first events were late, %d after", before, after)
+		t.Errorf("%d calls placed before late first events, %d after; want fewer", before, after)
 	}
 }
 
-// Story: a group stands still. It gets no call until it has rested, then one, and
-// the others only when that one has had an event.
+// Guards against sending calls to a stalled group: after the cooldown it gets a single probe
+// until that has an event.
 func TestStalledGroupCoolsDown(t *testing.T) {
 	s := scheduler.New("z", fixedRandom)
 	s.SetGroups(start, groups(30, "g", "h"))
 	s.Stalled(start, "m", "g")
 	for n := range 5 {
 		if d, _ := s.Arrive(start, newCall(fmt.Sprint(n))); d.Group != "h" {
-			t.Fatalf("call %d went to %q", n, d.Group)
+			t.Fatalf("call %d went to group %q, want h", n, d.Group)
 		}
 	}
 	s.SetGroups(start, groups(30, "g"))
 	later := start.Add(time.Second)
 	if d, _ := s.Arrive(later, scheduler.Call{ID: "first", Model: "m", Arrived: later, Objective: time.Second}); d.Group != "g" {
-		t.Fatalf("the first call after the rest got %+v", d)
+		t.Fatalf("the first call after the cooldown: got %+v, want group g", d)
 	}
 	if d, decided := s.Arrive(later, scheduler.Call{ID: "second", Model: "m", Arrived: later, Objective: time.Second}); decided && d.Group != "" {
-		t.Errorf("a second call was sent before the first had an event")
+		t.Errorf("a second call was placed before the first had an event")
 	}
 }
 
-// Story: 26 places are free, and six nodes hear of them at once. Together they send
-// about as many calls, not six times as many.
+// Guards against several nodes each taking all free slots that they learn of at the same time.
 func TestNodesDivideFreeSlots(t *testing.T) {
 	const nodes, slots = 6, 26
 	placed := 0
@@ -121,12 +118,11 @@
 		placed += fill(s)
 	}
 	if placed < slots/2 || placed > slots*3/2 {
-		t.Errorf("six nodes sent %d calls to %d places", placed, slots)
+		t.Errorf("six nodes placed %d calls in %d slots", placed, slots)
 	}
 }
 
-// Story: a call was cut off with its group while others wait. Its client waits in
-// the middle of an answer, so it goes first.
+// Guards against interrupted streams that queue behind new calls.
 func TestResumedCallsGoFirst(t *testing.T) {
 	s := scheduler.New("z", fixedRandom)
 	s.SetGroups(start, groups(1, "g"))
@@ -135,21 +131,20 @@
 	resumed := newCall("resumed")
 	resumed.Resumed = true
 	if d, decided := s.Arrive(start, resumed); decided && d.Group == "" {
-		t.Fatalf("the resumed call was turned away: %+v", d)
+		t.Fatalf("the resumed call was rejected: %+v", d)
 	}
 	for _, d := range s.Finished(start, "m", "g", 0, true) {
 		if d.Call != "resumed" && d.Call != "waiting" {
-			t.Errorf("%s was placed", d.Call)
+			t.Errorf("unexpected decision on call %s", d.Call)
 		}
 		if d.Group != "" && d.Call != "resumed" {
-			t.Errorf("%s was placed before the resumed call", d.Call)
+			t.Errorf("call %s was placed before the resumed call", d.Call)
 		}
 	}
 }
 
-// Story: calls come and end, groups come and go, and clients leave in any order.
-// Each call gets one verdict at most, no group has more calls than its slots and
-// what may queue there, and nothing is left when all calls have ended.
+// Guards against duplicate decisions, overfilled groups and calls left behind, under random
+// sequences of arrivals, completions, group changes and cancellations.
 func TestCountsStayConsistentInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const slots = 4
@@ -161,7 +156,7 @@
 		record := func(decisions []scheduler.Decision) {
 			for _, d := range decisions {
 				if !waiting[d.Call] {
-					t.Fatalf("a second verdict on %s: %+v", d.Call, d)
+					t.Fatalf("unexpected decision on call %s: %+v", d.Call, d)
 				}
 				delete(waiting, d.Call)
 				if d.Group != "" {
@@ -203,7 +198,7 @@
 			}
 			for g, n := range counts {
 				if n > slots+1 {
-					t.Fatalf("%s has %d calls of %d slots", g, n, slots)
+					t.Fatalf("group %s has %d calls in %d slots", g, n, slots)
 				}
 			}
 		}
@@ -218,14 +213,13 @@
 	})
 }
 
-// Story: the engine of one of two groups fails a third of its calls and answers the
-// others in time. It kept half of all calls, and a sixth of them was lost. With few
-// calls at a time it gets some of them, and all of its part again once it is well.
+// Guards against a group that fails a third of its calls but keeps its full share of calls, and
+// against one that does not regain its share after recovery.
 func TestFailingGroupGetsFewCalls(t *testing.T) {
 	s := scheduler.New("z", rand.New(rand.NewPCG(1, 1)).Float64)
-	s.SetGroups(start, groups(30, "grey", "well"))
+	s.SetGroups(start, groups(30, "failing", "healthy"))
 	now := start
-	// round places calls, ten at a time, and returns how many went to the grey group.
+	// round places calls, ten at a time, and returns how many went to the failing group.
 	round := func(fails func(int) bool) int {
 		toFailing := 0
 		for range 60 {
@@ -237,7 +231,7 @@
 			}
 			now = now.Add(200 * time.Millisecond)
 			for _, g := range placed {
-				if g != "grey" {
+				if g != "failing" {
 					s.FirstEvent(now, "m", g, 200*time.Millisecond, time.Second)
 					s.Finished(now, "m", g, 0, true)
 					continue
@@ -257,13 +251,11 @@
 	whileFailing := round(func(n int) bool { return n%3 == 0 })
 	whenHealthy := round(func(int) bool { return false })
 	if whileFailing > whenHealthy/2 || whileFailing == 0 {
-		t.Errorf("of 600 calls, %d went to the group while it failed, and %d when it was well", whileFailing, whenHealthy)
+		t.Errorf("of 600 calls, %d went to the group while it failed, and %d after it recovered", whileFailing, whenHealthy)
 	}
 }
 
-// Story: calls for one model are turned away while the groups of another stand half
-// empty. Whoever reads the log must see that the numbers of groups are wrong, and not
-// order more engines.
+// Guards against rejections that don't show free slots at groups of other models.
 func TestRejectionReportsSpareSlotsOfOtherModels(t *testing.T) {
 	s := scheduler.New("z", fixedRandom)
 	others := groups(10, "other-a", "other-b")
@@ -278,14 +270,14 @@
 			continue
 		}
 		if d.Spare < 5 {
-			t.Errorf("%d places are told to be free at the other model's groups", d.Spare)
+			t.Errorf("rejection reports %d spare slots at the other model's groups, want at least 5", d.Spare)
 		}
 		return
 	}
-	// Nothing was turned away on arrival: what waits is, once its time is over.
+	// Nothing was rejected on arrival: waiting calls are rejected after their patience.
 	for _, d := range s.Advance(start.Add(time.Second)) {
 		if d.Kind != "" && d.Spare < 5 {
-			t.Errorf("%d places are told to be free at the other model's groups", d.Spare)
+			t.Errorf("rejection reports %d spare slots at the other model's groups, want at least 5", d.Spare)
 		}
 	}
 }
@@ -296,16 +288,15 @@
 	s.Arrive(start, newCall("a"))
 	s.SetPeerLoad(start, garnetworks.LoadReport{Nodes: 1, Groups: []garnetworks.GroupLoad{{Group: "g", Running: 3}}}, true)
 	if n := s.Calls("m", "g"); n != 4 {
-		t.Errorf("the group has %d calls, not its one and the others' three", n)
+		t.Errorf("the group has %d calls, want 4: one own and three of peers", n)
 	}
 	if n := s.Calls("m", "gone"); n != 0 {
-		t.Errorf("an unknown group has %d calls", n)
+		t.Errorf("an unknown group has %d calls, want 0", n)
 	}
 }
 
-// Story: a group has just opened and is the emptiest of all, so that each node sends it
-// its next calls, ten prompts within a moment. It reads them between two events of its
-// other calls, and all of them pause for longer than their clients allow.
+// Guards against prefilling so many prompts at once that the gaps between a group's events
+// exceed what clients allow.
 func TestPrefillIsLimitedByMaxGap(t *testing.T) {
 	const rate, typicalPrompt = 50_000, 1400
 	cases := map[string]struct {
@@ -315,7 +306,7 @@
 		placed int
 	}{
 		"long prompts": {rate: rate, pause: 200 * time.Millisecond, prompt: 6000, placed: 1},
-		// Half of 200 ms at 50 tokens a ms is 5,000 tokens: three prompts.
+		// Half of 200 ms at 50 tokens per ms is 5,000 tokens: three prompts.
 		"within half a pause": {rate: rate, pause: 200 * time.Millisecond, placed: 3},
 		"one prompt at least": {rate: rate, pause: 10 * time.Millisecond, placed: 1},
 		"rate is not known":   {pause: 200 * time.Millisecond, placed: 10},
@@ -337,7 +328,7 @@
 				}
 			}
 			if placed != c.placed {
-				t.Errorf("%d prompts were sent at once, not %d", placed, c.placed)
+				t.Errorf("%d prompts were placed at once, want %d", placed, c.placed)
 			}
 			if placed == 10 {
 				return
@@ -345,14 +336,13 @@
 			s.PrefillDone("m", "g", prompt)
 			s.FirstEvent(start, "m", "g", 100*time.Millisecond, 400*time.Millisecond)
 			if list := s.Advance(start); len(list) != 1 || list[0].Group != "g" {
-				t.Errorf("after one prompt was read, %+v was decided", list)
+				t.Errorf("after prefill of one prompt: got decisions %+v, want one placement", list)
 			}
 		})
 	}
 }
 
-// Story: a group reads a short prompt, and a long one waits at the node. Short ones that
-// come later find a place before it again and again, until its time is over.
+// Guards against short prompts that starve a long one.
 func TestShortPromptsDoNotStarveLongOnes(t *testing.T) {
 	s := scheduler.New("z", fixedRandom)
 	s.SetGroups(start, []scheduler.Group{{ID: "g", Model: "m", Zone: "z", Slots: 26, PrefillRate: 50_000}})
@@ -360,14 +350,13 @@
 		call := newCall(fmt.Sprint("call", i))
 		call.PromptTokens, call.MaxGap = prompt, 200*time.Millisecond
 		if d, decided := s.Arrive(start, call); !decided || d.Group != "g" {
-			t.Errorf("the prompt of %d tokens was not sent", prompt)
+			t.Errorf("the prompt of %d tokens was not placed", prompt)
 		}
 	}
 }
 
-// Story: 88 nodes share six groups of a model that gets 42 calls a second. A third of the
-// places is free, yet a node's part of them is less than one, and its second call within a
-// moment was told to come back in 3.8 s ("expected-wait-ms" in its line).
+// Guards against rejections beside free slots if a node's proportional share is less than one
+// slot.
 func TestNodesWithFewCallsGetFreeSlots(t *testing.T) {
 	const nodes, slots, runningPerGroup = 88, 20, 14
 	s := scheduler.New("z", rand.New(rand.NewPCG(1, 1)).Float64)
@@ -382,10 +371,10 @@
 	s.SetPeerLoad(start, others, true)
 	for i := range 3 {
 		if d, decided := s.Arrive(start, newCall(fmt.Sprint("call", i))); !decided || d.Group == "" {
-			t.Errorf("call %d is not placed beside %d free places: %+v", i, len(names)*(slots-runningPerGroup), d)
+			t.Errorf("call %d is not placed beside %d free slots: %+v", i, len(names)*(slots-runningPerGroup), d)
 		}
 	}
-	// With all places taken it is told when one comes free for it, by what ends at the site.
+	// With all slots taken, the retry delay follows from the rate at which the site frees slots.
 	for i := range others.Groups {
 		others.Groups[i].Running = slots * 2
 	}
@@ -395,6 +384,6 @@
 	call.Arrived = later
 	d, _ := s.Arrive(later, call)
 	if d.RetryAfter <= 0 || d.RetryAfter > time.Second {
-		t.Errorf("told to come back after %s", d.RetryAfter)
+		t.Errorf("retry delay is %s, want above 0 and at most 1s", d.RetryAfter)
 	}
 }
--- a/scheduler/waiting.go
+++ b/scheduler/waiting.go
@@ -10,7 +10,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// refusal turns a call away for which no place can be expected in time (Q1).
+// reject rejects a call that can't expect a slot in time (Q1).
 func (p *pool) reject(now time.Time, c *Call) (Decision, bool) {
 	groups := p.serving(now, c)
 	if groups == 0 {
@@ -29,8 +29,8 @@
 
 func clampRetry(d time.Duration) time.Duration { return min(max(d, minRetryAfter), maxRetryAfter) }
 
-// patience is how much longer the call may wait (Q1): until a group that takes it
-// then would just give its first event in time.
+// patience is how much longer the call may wait (Q1): until a group that takes it then is
+// expected to give its first event just in time.
 func (p *pool) patience(now time.Time, c *Call) time.Duration {
 	waited := now.Sub(c.Arrived)
 	if c.Resumed {
@@ -51,11 +51,11 @@
 	return n
 }
 
-// wait estimates the time until n places have come free.
+// expectedWait estimates the time until n slots have become free.
 func (p *pool) expectedWait(now time.Time, n int) time.Duration {
 	rate := p.currentFreeRate(now)
 	if rate < lowFreeRate {
-		// A node at which hardly any call ends learns nothing from its own.
+		// The node's own rate is no estimate if hardly any of its calls end.
 		rate = max(rate, p.refill)
 	}
 	if rate <= 0 {
@@ -76,7 +76,7 @@
 	p.freeRateAt = now
 }
 
-// before orders calls that wait (Q4 and Q5).
+// compareCalls orders waiting calls (Q4 and Q5).
 func compareCalls(a, b *Call) int {
 	if a.Resumed != b.Resumed {
 		if a.Resumed {
@@ -109,8 +109,8 @@
 	p.waiting = slices.Insert(p.waiting, at, c)
 }
 
-// Advance places the calls that can be placed and turns away those that have
-// waited for too long.
+// Advance places the waiting calls that can be placed and rejects those whose time to wait is
+// over.
 func (s *Scheduler) Advance(now time.Time) []Decision {
 	var decisions []Decision
 	for _, model := range slices.Sorted(maps.Keys(s.pools)) {
@@ -144,13 +144,13 @@
 	return decisions
 }
 
-// Cancel takes a waiting call out, whose client has left.
+// Cancel removes a waiting call whose client has disconnected.
 func (s *Scheduler) Cancel(id garnetworks.CallID, model garnetworks.ModelName) {
 	p := s.pool(model)
 	p.waiting = slices.DeleteFunc(p.waiting, func(c *Call) bool { return c.ID == id })
 }
 
-// Waiting returns the number of calls that wait.
+// Waiting returns the number of waiting calls.
 func (s *Scheduler) Waiting() int {
 	n := 0
 	for _, p := range s.pools {
