--- a/router/capacity.go
+++ b/router/capacity.go
@@ -31,8 +31,8 @@
 		}
 		sum.Slots += int(g.load.capacity)
 		sum.InUse += g.load.inUse()
-		if g.pace.judged(now) {
-			t.scratch = append(t.scratch, g.pace.first)
+		if g.pace.reliable(now) {
+			t.scratch = append(t.scratch, g.pace.firstToken)
 		}
 	}
 	if len(t.scratch) > 0 {
--- a/router/choose.go
+++ b/router/choose.go
@@ -9,53 +9,53 @@
 const (
 	// ranks is the number of groups that a prefix's ranking keeps; a prefix that
 	// needs more than these is spread over all.
-	ranks = 16
+	rankingSize = 16
 	// spread is how much wider than its share of the calls a prefix is spread
 	// (R5). At 1 a prefix that needs a whole group shares its home with others
 	// and overloads it.
-	spread = 3
+	spreadFactor = 3
 	// spillRanks is the number of ranks that a call is spilled to (R6).
 	spillRanks = 4
 	// spillLow and spillHigh are the use, as a share of a group's capacity, that
 	// another group must lie below the home to be worth a lost cache: no call is
 	// spilled for less than the first, each for more than the second (R6).
-	spillLow, spillHigh = 0.15, 0.5
+	minSpillGain, maxSpillGain = 0.15, 0.5
 	// hintGain is how much busier than the home a hinted group may be (R9).
-	hintGain = 0.15
+	hintTolerance = 0.15
 	// zoneGain is the difference in mean use that is worth the way to another
 	// zone or region (R8).
-	zoneGain = 0.25
+	crossZoneGain = 0.25
 	// fullUse is the filled part of the region from which other regions help out (R8).
-	fullUse = 0.95
+	fullUtilization = 0.95
 )
 
 // ranking is the best groups by rendezvous hashing, the best first.
 type ranking struct {
-	groups [ranks]*group
-	scores [ranks]uint64
+	groups [rankingSize]*group
+	scores [rankingSize]uint64
 	n      int
 	// keep is the highest n; ranks at most.
-	keep int
+	limit int
 }
 
 // scan ranks the eligible groups of a scope and keeps the first of them (R1,
 // R4). Most groups are passed by after one comparison of scores.
-func (r *ranking) scan(now int64, s *scope, hash uint64, keep int, tried []garnetworks.GroupID) {
+func (r *ranking) scan(now int64, s *scope, hash uint64, limit int, tried []garnetworks.GroupID) {
 	r.n = 0
-	r.keep = min(keep, ranks)
-	least := uint64(0)
+	r.limit = min(limit, rankingSize)
+	minScore := uint64(0)
 	for i := range s.entries {
 		e := &s.entries[i]
 		score := mix(hash ^ e.seed)
-		if score <= least {
+		if score <= minScore {
 			continue
 		}
 		if !e.group.eligible(now) || isTried(e.group, tried) {
 			continue
 		}
 		r.insert(e.group, score)
-		if r.n == r.keep {
-			least = r.scores[r.n-1]
+		if r.n == r.limit {
+			minScore = r.scores[r.n-1]
 		}
 	}
 }
@@ -71,7 +71,7 @@
 
 func (r *ranking) insert(g *group, score uint64) {
 	i := r.n
-	if i == r.keep {
+	if i == r.limit {
 		i--
 	} else {
 		r.n++
@@ -84,7 +84,7 @@
 }
 
 // narrow ranks the first m groups anew by a longer prefix's hash (R5).
-func (r *ranking) narrow(m int, hash uint64) {
+func (r *ranking) rerank(m int, hash uint64) {
 	m = min(m, r.n)
 	for i := range m {
 		g := r.groups[i]
@@ -100,9 +100,9 @@
 
 // width returns the number of groups that a prefix is spread over: a power of
 // two, or 0 for all groups of the scope (R5).
-func (t *table) width(hash uint64, eligible int) int {
-	want := t.sketch.share(hash) * float64(eligible) * spread
-	for m := 1; m <= ranks; m *= 2 {
+func (t *table) spreadWidth(hash uint64, eligible int) int {
+	want := t.sketch.share(hash) * float64(eligible) * spreadFactor
+	for m := 1; m <= rankingSize; m *= 2 {
 		if want <= float64(m) {
 			return m
 		}
@@ -116,46 +116,46 @@
 	if p == nil {
 		return nil
 	}
-	t.judge(now)
+	t.updateStragglers(now)
 	s := t.scope(now, p)
 	prefix := newPrefix(call)
 	if !prefix.next() {
-		return t.chooseLoose(now, p, s, tried)
+		return t.chooseByLoad(now, p, s, tried)
 	}
 	var r ranking
-	m := t.width(prefix.hash, s.eligible)
+	m := t.spreadWidth(prefix.hash, s.eligible)
 	more := true
 	for m == 0 && more {
 		if more = prefix.next(); more {
-			m = t.width(prefix.hash, s.eligible)
+			m = t.spreadWidth(prefix.hash, s.eligible)
 		}
 	}
 	if m == 0 {
-		return t.chooseLoose(now, p, s, tried)
+		return t.chooseByLoad(now, p, s, tried)
 	}
 	r.scan(now, s, prefix.hash, m+spillRanks, tried)
 	for m > 1 && prefix.next() {
-		r.narrow(m, prefix.hash)
-		m = min(m, max(1, t.width(prefix.hash, s.eligible)))
+		r.rerank(m, prefix.hash)
+		m = min(m, max(1, t.spreadWidth(prefix.hash, s.eligible)))
 	}
 	if r.n == 0 {
-		return t.chooseLoose(now, p, s, tried)
+		return t.chooseByLoad(now, p, s, tried)
 	}
 	var hinted *group
-	if t.hints.taken {
-		hinted = t.longest(now, call, tried)
+	if t.hints.nonEmpty {
+		hinted = t.longestHint(now, call, tried)
 	}
-	return t.settleRank(now, &r, m, hinted)
+	return t.homeOrSpill(now, &r, m, hinted)
 }
 
 // settleRank picks the home or a group of the next ranks (R6). The part of the
 // calls that is spilled grows with the difference in use, and they go to
 // several groups: nodes that act on the same report would else all leave the
 // home at once and fill the next group, until the next report sends them back.
-func (t *table) settleRank(now int64, r *ranking, m int, hinted *group) *group {
+func (t *table) homeOrSpill(now int64, r *ranking, m int, hinted *group) *group {
 	m = min(m, r.n)
-	home := r.groups[t.lessBusy(now, r, 0, m)]
-	if hinted != nil && hinted.cost(now) < home.cost(now)+hintGain {
+	home := r.groups[t.lessLoaded(now, r, 0, m)]
+	if hinted != nil && hinted.cost(now) < home.cost(now)+hintTolerance {
 		// A hint is worth something and a hash that no event confirms is not, but
 		// a hint can be old (R9).
 		home = hinted
@@ -164,8 +164,8 @@
 	if n == 0 {
 		return home
 	}
-	other := r.groups[t.lessBusy(now, r, m, n)]
-	gain := spillLow + (spillHigh-spillLow)*t.uniform()
+	other := r.groups[t.lessLoaded(now, r, m, n)]
+	gain := minSpillGain + (maxSpillGain-minSpillGain)*t.uniform()
 	if other.cost(now)+gain < home.cost(now) {
 		return other
 	}
@@ -178,7 +178,7 @@
 // lessBusy returns the rank of the less busy of two random groups among n from
 // a first rank on. Looking at the same few groups from every node would send all
 // nodes to whichever of them the last report called idle.
-func (t *table) lessBusy(now int64, r *ranking, first, n int) int {
+func (t *table) lessLoaded(now int64, r *ranking, first, n int) int {
 	if n == 1 {
 		return first
 	}
@@ -196,19 +196,19 @@
 // cost is the group's use, with groups that could not be reached far behind.
 func (g *group) cost(now int64) float64 {
 	if g.cooldown.until > now {
-		return g.use() + 100
+		return g.utilization() + 100
 	}
-	return g.use()
+	return g.utilization()
 }
 
 // scope returns the part of the pool that the call is chosen from (R8).
 func (t *table) scope(now int64, p *pool) *scope {
 	p.region.refresh(now)
-	if p.region.eligible > 0 && p.region.filled < fullUse {
+	if p.region.eligible > 0 && p.region.cappedMean < fullUtilization {
 		return &p.region
 	}
 	p.site.refresh(now)
-	if p.region.eligible > 0 && p.site.filled > p.region.filled-zoneGain {
+	if p.region.eligible > 0 && p.site.cappedMean > p.region.cappedMean-crossZoneGain {
 		return &p.region
 	}
 	return &p.site
@@ -216,27 +216,27 @@
 
 // chooseLoose takes the less busy of two random groups, of the own zone if it
 // has room (R8).
-func (t *table) chooseLoose(now int64, p *pool, s *scope, tried []garnetworks.GroupID) *group {
+func (t *table) chooseByLoad(now int64, p *pool, s *scope, tried []garnetworks.GroupID) *group {
 	p.zone.refresh(now)
-	if p.zone.eligible > 0 && p.zone.mean < s.mean+zoneGain {
-		if g := t.chooseTwo(now, &p.zone, tried); g != nil {
+	if p.zone.eligible > 0 && p.zone.mean < s.mean+crossZoneGain {
+		if g := t.lessLoadedOfTwo(now, &p.zone, tried); g != nil {
 			return g
 		}
 	}
-	if g := t.chooseTwo(now, s, tried); g != nil {
+	if g := t.lessLoadedOfTwo(now, s, tried); g != nil {
 		return g
 	}
 	p.site.refresh(now)
-	return t.chooseTwo(now, &p.site, tried)
+	return t.lessLoadedOfTwo(now, &p.site, tried)
 }
 
 // chooseTwo takes the less busy of two random eligible groups.
-func (t *table) chooseTwo(now int64, s *scope, tried []garnetworks.GroupID) *group {
-	a := t.chooseOne(now, s, nil, tried)
+func (t *table) lessLoadedOfTwo(now int64, s *scope, tried []garnetworks.GroupID) *group {
+	a := t.randomEligible(now, s, nil, tried)
 	if a == nil {
 		return nil
 	}
-	b := t.chooseOne(now, s, a, tried)
+	b := t.randomEligible(now, s, a, tried)
 	if b != nil && b.cost(now) < a.cost(now) {
 		return b
 	}
@@ -244,7 +244,7 @@
 }
 
 // chooseOne takes a random eligible group other than one.
-func (t *table) chooseOne(now int64, s *scope, other *group, tried []garnetworks.GroupID) *group {
+func (t *table) randomEligible(now int64, s *scope, other *group, tried []garnetworks.GroupID) *group {
 	n := len(s.entries)
 	if n == 0 {
 		return nil
@@ -268,28 +268,28 @@
 }
 
 // judge compares the paces of each model's groups now and then.
-func (t *table) judge(now int64) {
-	if t.judged != 0 && now-t.judged < int64(time.Second) {
+func (t *table) updateStragglers(now int64) {
+	if t.stragglersUpdated != 0 && now-t.stragglersUpdated < int64(time.Second) {
 		return
 	}
-	t.judged = now
+	t.stragglersUpdated = now
 	for key, p := range t.pools {
 		if key.adapter == "" {
-			t.judgePool(now, p)
+			t.updatePaceRatios(now, p)
 		}
 	}
 }
 
-func (t *table) judgePool(now int64, p *pool) {
+func (t *table) updatePaceRatios(now int64, p *pool) {
 	t.scratch = t.scratch[:0]
 	for _, e := range p.site.entries {
-		if e.group.pace.judged(now) {
-			t.scratch = append(t.scratch, e.group.pace.token)
+		if e.group.pace.reliable(now) {
+			t.scratch = append(t.scratch, e.group.pace.perToken)
 		}
 	}
-	median := medianOf(t.scratch)
+	median := lowerMedian(t.scratch)
 	for _, e := range p.site.entries {
-		e.group.judge(now, median)
+		e.group.updatePaceRatio(now, median)
 	}
 }
 
@@ -299,7 +299,7 @@
 	if g := t.groups[id]; g != nil {
 		g.load.own++
 	}
-	t.sketch.call()
+	t.sketch.countCall()
 	eligible := 0
 	if p := t.pools[poolKey{call.Model, call.Adapter}]; p != nil {
 		eligible = p.region.eligible
@@ -307,7 +307,7 @@
 	prefix := newPrefix(call)
 	for prefix.next() {
 		t.sketch.add(prefix.hash)
-		if t.width(prefix.hash, eligible) == 1 {
+		if t.spreadWidth(prefix.hash, eligible) == 1 {
 			return
 		}
 	}
--- a/router/compare_test.go
+++ b/router/compare_test.go
@@ -70,7 +70,7 @@
 func (p *leastInFlight) finished(_ time.Time, c *simCall, _ time.Duration) { p.inFlight[c.group]-- }
 
 // ours is the router under test.
-type ours struct {
+type routerPolicy struct {
 	router *Router
 	index  map[garnetworks.GroupID]int
 	names  []garnetworks.GroupID
@@ -79,7 +79,7 @@
 	refreshed time.Time
 }
 
-func (p *ours) choose(now time.Time, c *simCall) int {
+func (p *routerPolicy) choose(now time.Time, c *simCall) int {
 	if now.Sub(p.refreshed) >= time.Second {
 		p.refreshed = now
 		p.router.RefreshView(now, "z1")
@@ -91,15 +91,15 @@
 	return p.index[g.ID]
 }
 
-func (p *ours) started(now time.Time, c *simCall) {
+func (p *routerPolicy) started(now time.Time, c *simCall) {
 	p.router.AttemptStarted(now, &c.request, p.names[c.group])
 }
 
-func (p *ours) loaded(now time.Time, group int, load garnetworks.EngineLoad) {
+func (p *routerPolicy) loaded(now time.Time, group int, load garnetworks.EngineLoad) {
 	p.router.ReportLoad(now, p.names[group], load)
 }
 
-func (p *ours) finished(now time.Time, c *simCall, end time.Duration) {
+func (p *routerPolicy) finished(now time.Time, c *simCall, end time.Duration) {
 	p.router.AttemptFinished(now, &c.request, p.names[c.group], garnetworks.AttemptResult{
 		Phase:      garnetworks.PhaseDone,
 		FirstToken: c.first - c.arrived,
@@ -108,9 +108,9 @@
 	})
 }
 
-func (p *ours) view(now time.Time, view garnetworks.ZoneView) { p.router.SetView(now, view) }
+func (p *routerPolicy) view(now time.Time, view garnetworks.ZoneView) { p.router.SetView(now, view) }
 
-var simPolicies = []string{"round-robin", "random", "least-in-flight", "ours"}
+var simPolicies = []string{"round-robin", "random", "least-in-flight", "router"}
 
 func newSimPolicy(name string, node, groups int, view garnetworks.ZoneView) simPolicy {
 	random := rand.New(rand.NewPCG(uint64(node), 7))
@@ -122,7 +122,7 @@
 	case "least-in-flight":
 		return &leastInFlight{simBase{groups}, make([]int, groups), random}
 	}
-	p := &ours{
+	p := &routerPolicy{
 		router: New(Options{Node: garnetworks.NodeID(fmt.Sprintf("n%d", node)), Zone: "z1"}),
 		index:  map[garnetworks.GroupID]int{},
 	}
@@ -147,12 +147,12 @@
 	simShape
 	// viewEvery and viewLag are the time between two reports of all loads to all
 	// nodes, and their age on receipt.
-	viewEvery, viewLag time.Duration
+	viewInterval, viewLag time.Duration
 	// events hands cache events to the nodes with each report; one report in
 	// ten is lost.
 	events bool
 	// warmUp is not measured; length ends the run.
-	warmUp, length time.Duration
+	warmUp, duration time.Duration
 }
 
 // simResult holds what a run measured after its warm-up.
@@ -162,17 +162,17 @@
 	shed          float64
 	// most is the highest share of the calls that one group got, times the
 	// number of groups.
-	most float64
+	maxShare float64
 	// slowShare is the slow group's part of an equal share.
 	slowShare float64
 }
 
 const (
-	simWarmUp    = 60 * time.Second
-	simLength    = 120 * time.Second
-	simViewEvery = 2 * time.Second
-	simViewLag   = time.Second
-	simLinkTime  = time.Millisecond
+	simWarmUp       = 60 * time.Second
+	simDuration     = 120 * time.Second
+	simViewInterval = 2 * time.Second
+	simViewLag      = time.Second
+	simLinkLatency  = time.Millisecond
 )
 
 type simRun struct {
@@ -191,11 +191,11 @@
 }
 
 func simulate(s simSetup) simResult {
-	if s.viewEvery == 0 {
-		s.viewEvery, s.viewLag = simViewEvery, simViewLag
+	if s.viewInterval == 0 {
+		s.viewInterval, s.viewLag = simViewInterval, simViewLag
 	}
-	if s.length == 0 {
-		s.warmUp, s.length = simWarmUp, simLength
+	if s.duration == 0 {
+		s.warmUp, s.duration = simWarmUp, simDuration
 	}
 	r := &simRun{simSetup: s, workload: newSimWorkload(s.simShape, 11), balancer: rand.New(rand.NewPCG(5, 5))}
 	view := testView("z1", s.groups)
@@ -211,25 +211,25 @@
 	}
 	r.share = make([]int, s.groups)
 	r.loop.at(0, r.arrive)
-	for t := s.viewEvery; t < s.length; t += s.viewEvery {
+	for t := s.viewInterval; t < s.duration; t += s.viewInterval {
 		r.loop.at(t, r.report)
 	}
 	r.loop.run()
 	return r.result()
 }
 
-func clock(now time.Duration) time.Time { return testStart.Add(now) }
+func timeAt(now time.Duration) time.Time { return testStart.Add(now) }
 
 // report takes the engines' loads and hands them to all nodes later.
 func (r *simRun) report(now time.Duration) {
 	view := testView("z1", r.groups)
 	for i := range view.Groups {
-		view.Groups[i].Load = r.engines[i].load(clock(now))
+		view.Groups[i].Load = r.engines[i].load(timeAt(now))
 	}
 	r.reportEvents(now)
 	r.loop.at(now+r.viewLag, func(now time.Duration) {
 		for _, p := range r.policies {
-			p.view(clock(now), view)
+			p.view(timeAt(now), view)
 		}
 	})
 }
@@ -243,7 +243,7 @@
 		}
 		r.loop.at(now+r.viewLag, func(time.Duration) {
 			for _, p := range r.policies {
-				if o, ok := p.(*ours); ok {
+				if o, ok := p.(*routerPolicy); ok {
 					o.router.CacheEvents(e.id, events)
 				}
 			}
@@ -252,16 +252,16 @@
 }
 
 func (r *simRun) arrive(now time.Duration) {
-	if now >= r.length {
+	if now >= r.duration {
 		return
 	}
 	c := r.workload.next()
 	c.arrived = now
 	c.node = r.balancer.IntN(r.nodes)
 	p := r.policies[c.node]
-	c.group = p.choose(clock(now), c)
-	p.started(clock(now), c)
-	r.loop.at(now+simLinkTime, func(now time.Duration) { r.receive(now, c) })
+	c.group = p.choose(timeAt(now), c)
+	p.started(timeAt(now), c)
+	r.loop.at(now+simLinkLatency, func(now time.Duration) { r.receive(now, c) })
 	r.loop.at(now+r.workload.arrival(r.rate), r.arrive)
 }
 
@@ -282,21 +282,21 @@
 		r.calls++
 		r.shed++
 	}
-	r.policies[c.node].loaded(clock(now), c.group, e.load(clock(now)))
+	r.policies[c.node].loaded(timeAt(now), c.group, e.load(timeAt(now)))
 	c.first = now
-	r.policies[c.node].finished(clock(now), c, now)
+	r.policies[c.node].finished(timeAt(now), c, now)
 }
 
 func (r *simRun) begin(now time.Duration, e *simEngine, c *simCall) {
 	first, end := e.begin(now, c)
 	r.loop.at(first, func(now time.Duration) {
 		r.measure(now, c)
-		r.policies[c.node].loaded(clock(now), c.group, e.load(clock(now)))
+		r.policies[c.node].loaded(timeAt(now), c.group, e.load(timeAt(now)))
 	})
 	r.loop.at(end, func(now time.Duration) {
 		e.running--
-		r.policies[c.node].loaded(clock(now), c.group, e.load(clock(now)))
-		r.policies[c.node].finished(clock(now), c, now)
+		r.policies[c.node].loaded(timeAt(now), c.group, e.load(timeAt(now)))
+		r.policies[c.node].finished(timeAt(now), c, now)
 		if len(e.waiting) > 0 {
 			next := e.waiting[0]
 			e.waiting = e.waiting[1:]
@@ -310,7 +310,7 @@
 		return
 	}
 	r.calls++
-	r.ttft = append(r.ttft, now-c.arrived+simLinkTime)
+	r.ttft = append(r.ttft, now-c.arrived+simLinkLatency)
 	r.prompt += len(c.blocks)
 	r.cached += c.cached
 	r.share[c.group]++
@@ -322,8 +322,8 @@
 	result := simResult{
 		hitRate: float64(r.cached) / float64(r.prompt),
 		p50:     at(0.5), p95: at(0.95), p99: at(0.99),
-		shed: float64(r.shed) / float64(r.calls),
-		most: float64(slices.Max(r.share)) * float64(r.groups) / float64(len(r.ttft)),
+		shed:     float64(r.shed) / float64(r.calls),
+		maxShare: float64(slices.Max(r.share)) * float64(r.groups) / float64(len(r.ttft)),
 	}
 	if r.slow >= 0 {
 		result.slowShare = float64(r.share[r.slow]) * float64(r.groups) / float64(len(r.ttft))
@@ -366,7 +366,7 @@
 	for i, s := range setups {
 		r := results[i]
 		t.Logf("%-15s %-15s %5d %7.1f%% %7s %7s %7s %5.1f%% %5.2f", s.shape, s.policy, s.nodes, 100*r.hitRate,
-			r.p50.Round(time.Millisecond), r.p95.Round(time.Millisecond), r.p99.Round(time.Millisecond), 100*r.shed, r.most)
+			r.p50.Round(time.Millisecond), r.p95.Round(time.Millisecond), r.p99.Round(time.Millisecond), 100*r.shed, r.maxShare)
 	}
 	return results
 }
@@ -389,16 +389,16 @@
 	results := compare(t, setups)
 	one := results[3].hitRate
 	for i := 0; i < len(results); i += len(simPolicies) {
-		roundRobin, least, ours := results[i], results[i+2], results[i+3]
+		roundRobin, leastInFlight, router := results[i], results[i+2], results[i+3]
 		nodes := setups[i].nodes
-		if ours.hitRate < 2*roundRobin.hitRate {
-			t.Errorf("%d nodes: hit rate %.3f is below twice that of round robin, %.3f", nodes, ours.hitRate, roundRobin.hitRate)
+		if router.hitRate < 2*roundRobin.hitRate {
+			t.Errorf("%d nodes: hit rate %.3f is below twice that of round robin, %.3f", nodes, router.hitRate, roundRobin.hitRate)
 		}
-		if ours.p95 > least.p95 {
-			t.Errorf("%d nodes: p95 %v is above that of least in flight, %v", nodes, ours.p95, least.p95)
+		if router.p95 > leastInFlight.p95 {
+			t.Errorf("%d nodes: p95 %v is above that of least in flight, %v", nodes, router.p95, leastInFlight.p95)
 		}
-		if ours.hitRate < 0.9*one {
-			t.Errorf("%d nodes: hit rate %.3f is below 0.9 of that at one node, %.3f", nodes, ours.hitRate, one)
+		if router.hitRate < 0.9*one {
+			t.Errorf("%d nodes: hit rate %.3f is below 0.9 of that at one node, %.3f", nodes, router.hitRate, one)
 		}
 	}
 }
@@ -412,22 +412,22 @@
 	var setups []simSetup
 	for _, shape := range slices.Sorted(maps.Keys(simShapes)) {
 		setups = append(setups,
-			setup("ours", shape, 1, simGroups, 0.8),
+			setup("router", shape, 1, simGroups, 0.8),
 			setup("round-robin", shape, 40, simGroups, 0.8),
 			setup("least-in-flight", shape, 40, simGroups, 0.8),
-			setup("ours", shape, 40, simGroups, 0.8))
+			setup("router", shape, 40, simGroups, 0.8))
 	}
 	for i := range setups {
-		setups[i].warmUp, setups[i].length = 400*time.Second, 490*time.Second
+		setups[i].warmUp, setups[i].duration = 400*time.Second, 490*time.Second
 	}
 	results := compare(t, setups)
 	for i := 0; i < len(results); i += 4 {
-		one, least, ours := results[i], results[i+2], results[i+3]
-		if ours.p95 > least.p95 {
-			t.Errorf("%s: p95 %v is above that of least in flight, %v", setups[i].shape, ours.p95, least.p95)
+		one, leastInFlight, router := results[i], results[i+2], results[i+3]
+		if router.p95 > leastInFlight.p95 {
+			t.Errorf("%s: p95 %v is above that of least in flight, %v", setups[i].shape, router.p95, leastInFlight.p95)
 		}
-		if ours.hitRate < 0.9*one.hitRate {
-			t.Errorf("%s: hit rate %.3f is below 0.9 of that at one node, %.3f", setups[i].shape, ours.hitRate, one.hitRate)
+		if router.hitRate < 0.9*one.hitRate {
+			t.Errorf("%s: hit rate %.3f is below 0.9 of that at one node, %.3f", setups[i].shape, router.hitRate, one.hitRate)
 		}
 	}
 }
@@ -441,7 +441,7 @@
 	}
 	results := compare(t, []simSetup{
 		setup("least-in-flight", "hot-prompt", 40, simGroups, 0.8),
-		setup("ours", "hot-prompt", 40, simGroups, 0.8),
+		setup("router", "hot-prompt", 40, simGroups, 0.8),
 	})
 	if results[1].p95 > results[0].p95 {
 		t.Errorf("p95 %v is above that of least in flight, %v", results[1].p95, results[0].p95)
@@ -469,12 +469,12 @@
 	if !*measure {
 		t.Skip("needs -measure and half a minute")
 	}
-	stale := setup("ours", "mixed", 330, 150, 0.8)
-	stale.viewEvery, stale.viewLag = 10*time.Second, 3*time.Second
+	stale := setup("router", "mixed", 330, 150, 0.8)
+	stale.viewInterval, stale.viewLag = 10*time.Second, 3*time.Second
 	results := compare(t, []simSetup{
 		setup("least-in-flight", "mixed", 330, 150, 0.8),
-		setup("ours", "mixed", 330, 150, 0.8),
-		setup("ours", "hot-prompt", 330, 150, 0.8),
+		setup("router", "mixed", 330, 150, 0.8),
+		setup("router", "hot-prompt", 330, 150, 0.8),
 		stale,
 	})
 	for _, r := range results[1:] {
@@ -492,13 +492,13 @@
 		t.Skip("a measurement")
 	}
 	var setups []simSetup
-	for _, policy := range []string{"least-in-flight", "ours"} {
+	for _, policy := range []string{"least-in-flight", "router"} {
 		s := setup(policy, "mixed", 6, simGroups, 0.6)
 		s.slow = 4
 		setups = append(setups, s)
 	}
 	results := compare(t, setups)
-	t.Logf("the slow group's calls against an equal share: least-in-flight %.2f, ours %.2f", results[0].slowShare, results[1].slowShare)
+	t.Logf("the slow group's calls against an equal share: least-in-flight %.2f, router %.2f", results[0].slowShare, results[1].slowShare)
 	if results[1].slowShare > 0.5 {
 		t.Errorf("got %.2f of an equal share for the slow group, want 0.5 at most", results[1].slowShare)
 	}
--- a/router/engine_test.go
+++ b/router/engine_test.go
@@ -130,11 +130,11 @@
 }
 
 func (l *simLoop) Len() int           { return len(l.events) }
-func (l *simLoop) Less(i, j int) bool { return simBefore(l.events[i], l.events[j]) }
+func (l *simLoop) Less(i, j int) bool { return simEventBefore(l.events[i], l.events[j]) }
 func (l *simLoop) Swap(i, j int)      { l.events[i], l.events[j] = l.events[j], l.events[i] }
 func (l *simLoop) Push(x any)         { l.events = append(l.events, x.(simEvent)) }
 
-func simBefore(a, b simEvent) bool {
+func simEventBefore(a, b simEvent) bool {
 	if a.at != b.at {
 		return a.at < b.at
 	}
--- a/router/hints.go
+++ b/router/hints.go
@@ -27,7 +27,7 @@
 	slots [hintSlots]hint
 	// taken is false until the first hint, so that nodes without cache events
 	// spend nothing on looking.
-	taken bool
+	nonEmpty bool
 }
 
 // put remembers a prefix. The first group that was seen to hold it keeps the
@@ -37,7 +37,7 @@
 		return
 	}
 	h.slots[hash%hintSlots] = hint{hash: hash, group: g, epoch: g.epoch}
-	h.taken = true
+	h.nonEmpty = true
 }
 
 // get returns the group that was seen to hold a prefix, or nil.
@@ -51,7 +51,7 @@
 
 // longest returns the eligible group that was seen to hold the longest part of
 // the prompt, or nil.
-func (t *table) longest(now int64, call *garnetworks.CallRequest, tried []garnetworks.GroupID) *group {
+func (t *table) longestHint(now int64, call *garnetworks.CallRequest, tried []garnetworks.GroupID) *group {
 	t.blocks = garnetworks.AppendPrefixBlocks(t.blocks[:0], call.Model, call.Adapter, call.Prompt, hintBlocks)
 	for i := len(t.blocks) - 1; i >= 0; i-- {
 		g := t.hints.get(t.blocks[i])
@@ -80,16 +80,16 @@
 // events takes a group's cache events in the order read. A gap means that
 // evictions may be among the lost events: the group's hints would then send
 // calls to a cache that no longer holds their prefix, so all are dropped (R9).
-func (h *hints) events(g *group, events []garnetworks.CacheEvent) {
+func (h *hints) applyEvents(g *group, events []garnetworks.CacheEvent) {
 	for _, e := range events {
-		if e.Number <= g.lastEvent {
+		if e.Number <= g.lastEventNumber {
 			continue
 		}
-		if e.Number != g.lastEvent+1 && g.lastEvent != 0 {
+		if e.Number != g.lastEventNumber+1 && g.lastEventNumber != 0 {
 			g.epoch++
 			g.gaps++
 		}
-		g.lastEvent = e.Number
+		g.lastEventNumber = e.Number
 		if e.Added {
 			h.put(e.Block, g)
 		} else {
--- a/router/load.go
+++ b/router/load.go
@@ -22,44 +22,44 @@
 	// own is the number of the node's calls in flight; never below 0.
 	own int
 	// others is the reported load without the node's own calls at that time.
-	others float64
+	reportedOthers float64
 	// at is when the report was measured, in nanoseconds; 0 if there was none.
-	at       int64
-	capacity float64
+	reportedAt int64
+	capacity   float64
 	// expected is others discounted by its age, as of the last refresh.
 	expected float64
 }
 
 // report takes a report unless a newer one is known.
-func (l *load) report(now int64, report garnetworks.EngineLoad) {
+func (l *load) update(now int64, report garnetworks.EngineLoad) {
 	at := now
 	if !report.At.IsZero() {
 		at = min(now, report.At.UnixNano())
 	}
-	if at <= l.at || report.Capacity <= 0 && report.Running == 0 && report.Waiting == 0 {
+	if at <= l.reportedAt || report.Capacity <= 0 && report.Running == 0 && report.Waiting == 0 {
 		return
 	}
-	l.at = at
+	l.reportedAt = at
 	l.capacity = defaultCapacity
 	if report.Capacity > 0 {
 		l.capacity = float64(report.Capacity)
 	}
-	l.others = max(0, float64(report.Running+report.Waiting-l.own))
-	l.expected = l.others
+	l.reportedOthers = max(0, float64(report.Running+report.Waiting-l.own))
+	l.expected = l.reportedOthers
 }
 
 // fresh returns how much the report counts: 1 when new, 0 from loadHorizon on.
-func (l *load) fresh(now int64) float64 {
-	if l.at == 0 {
+func (l *load) freshness(now int64) float64 {
+	if l.reportedAt == 0 {
 		return 0
 	}
-	return max(0, 1-float64(now-l.at)/float64(loadHorizon))
+	return max(0, 1-float64(now-l.reportedAt)/float64(loadHorizon))
 }
 
 // refresh computes expected from the mean of the others' calls on a slot.
 func (l *load) refresh(now int64, mean float64) {
-	f := l.fresh(now)
-	l.expected = f*l.others + (1-f)*mean*l.capacity
+	f := l.freshness(now)
+	l.expected = f*l.reportedOthers + (1-f)*mean*l.capacity
 }
 
 // inUse returns the calls that the group is expected to have now.
--- a/router/router.go
+++ b/router/router.go
@@ -83,7 +83,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if g := r.table.groups[id]; g != nil {
-		r.table.hints.events(g, events)
+		r.table.hints.applyEvents(g, events)
 	}
 }
 
@@ -118,7 +118,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if g := r.table.groups[group]; g != nil {
-		g.load.report(now.UnixNano(), load)
+		g.load.update(now.UnixNano(), load)
 	}
 }
 
@@ -153,7 +153,7 @@
 func (r *Router) Stragglers(now time.Time) []Straggler {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.table.judge(now.UnixNano())
+	r.table.updateStragglers(now.UnixNano())
 	var stragglers []Straggler
 	for id, g := range r.table.groups {
 		if g.pace.ratio > slowRatio {
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestCutOffNode(t *testing.T) {
+func TestNodePartitionedFromController(t *testing.T) {
 	// An availability zone is cut off from its controller. Its nodes must neither
 	// send calls to a group that may have lost a member since (rule G1), nor stop
 	// serving groups that they can confirm themselves.
--- a/router/servers.go
+++ b/router/servers.go
@@ -13,7 +13,7 @@
 	inFlight int
 	// refused is set by the server's own word that it leaves. It stays set for
 	// as long as the views name the instance: they lag behind the server.
-	refused  bool
+	leaving  bool
 	cooldown cooldown
 }
 
@@ -42,7 +42,7 @@
 				s = &service{}
 				services[view.Service] = s
 			}
-			s.servers = append(s.servers, t.known(view))
+			s.servers = append(s.servers, t.serverFor(view))
 		}
 	}
 	for _, s := range services {
@@ -55,11 +55,11 @@
 
 // known returns the server's state with the new view; a new address is a new
 // process, whose predecessor's word no longer counts.
-func (t *table) known(view garnetworks.ServerView) *server {
+func (t *table) serverFor(view garnetworks.ServerView) *server {
 	if s := t.services[view.Service]; s != nil {
 		if v := s.find(view.Instance); v != nil {
 			if v.view.Address != view.Address {
-				v.refused = false
+				v.leaving = false
 				v.cooldown.succeed()
 			}
 			v.view = view
@@ -70,8 +70,8 @@
 }
 
 // takes reports whether the server may get new work (R11).
-func (v *server) takes(tried []garnetworks.InstanceID) bool {
-	return !v.view.Leaving && !v.refused && !slices.Contains(tried, v.view.Instance)
+func (v *server) accepts(tried []garnetworks.InstanceID) bool {
+	return !v.view.Leaving && !v.leaving && !slices.Contains(tried, v.view.Instance)
 }
 
 // chooseServer takes the less busy of two random servers of the best class:
@@ -86,7 +86,7 @@
 	count := uint64(0)
 	for _, v := range s.servers {
 		c := t.class(now, v)
-		if !v.takes(tried) || c > class {
+		if !v.accepts(tried) || c > class {
 			continue
 		}
 		if c < class {
@@ -146,7 +146,7 @@
 	}
 	v.inFlight = max(0, v.inFlight-1)
 	if result.Leaving {
-		v.refused = true
+		v.leaving = true
 	}
 	switch result.Phase {
 	case garnetworks.PhaseConnect:
--- a/router/sketch.go
+++ b/router/sketch.go
@@ -34,7 +34,7 @@
 }
 
 // call counts a call and forgets slowly.
-func (s *sketch) call() {
+func (s *sketch) countCall() {
 	s.total++
 	if s.total < sketchWindow {
 		return
--- a/router/state_test.go
+++ b/router/state_test.go
@@ -27,8 +27,8 @@
 // oracleGroup is what the oracle knows of a group: the newest row, and the
 // times that the rules speak of.
 type oracleGroup struct {
-	row                    garnetworks.GroupView
-	viewed, probed, denied time.Time
+	row                                            garnetworks.GroupView
+	confirmedByView, confirmedByProbe, deniedUntil time.Time
 }
 
 // oracle judges eligibility straight from rules R1 to R3.
@@ -45,13 +45,13 @@
 	if adapter != "" && !slices.Contains(g.row.Adapters, adapter) {
 		return false
 	}
-	if !g.denied.IsZero() && o.now.Before(g.denied) {
+	if !g.deniedUntil.IsZero() && o.now.Before(g.deniedUntil) {
 		return false
 	}
 	fresh := func(at time.Time) bool {
 		return !at.IsZero() && o.now.Sub(at) <= garnetworks.ConfirmationBound
 	}
-	return fresh(g.viewed) || fresh(g.probed)
+	return fresh(g.confirmedByView) || fresh(g.confirmedByProbe)
 }
 
 func (o *oracle) view(at time.Time, view garnetworks.ZoneView) {
@@ -67,14 +67,14 @@
 		case row.Token < g.row.Token:
 			continue
 		case row.Token > g.row.Token:
-			g.denied, g.viewed, g.probed = time.Time{}, time.Time{}, time.Time{}
+			g.deniedUntil, g.confirmedByView, g.confirmedByProbe = time.Time{}, time.Time{}, time.Time{}
 		}
 		g.row = row
-		if at.After(g.viewed) {
-			g.viewed = at
+		if at.After(g.confirmedByView) {
+			g.confirmedByView = at
 		}
 		if !row.Confirmed {
-			g.viewed, g.probed = time.Time{}, time.Time{}
+			g.confirmedByView, g.confirmedByProbe = time.Time{}, time.Time{}
 		}
 	}
 	for id, g := range o.groups {
@@ -138,8 +138,8 @@
 	zone := rapid.SampledFrom(m.zones).Draw(t, "zone")
 	m.router.RefreshView(m.oracle.now, zone)
 	for _, g := range m.oracle.groups {
-		if g.row.Zone == zone && !g.viewed.IsZero() {
-			g.viewed = m.oracle.now
+		if g.row.Zone == zone && !g.confirmedByView.IsZero() {
+			g.confirmedByView = m.oracle.now
 		}
 	}
 }
@@ -149,13 +149,13 @@
 	token := garnetworks.FencingToken(rapid.IntRange(1, 3).Draw(t, "token"))
 	m.router.ConfirmGroup(m.oracle.now, id, token)
 	if g := m.oracle.groups[id]; g != nil && g.row.Token == token {
-		g.probed, g.denied = m.oracle.now, time.Time{}
+		g.confirmedByProbe, g.deniedUntil = m.oracle.now, time.Time{}
 	}
 }
 
 func (m *routerMachine) deny(id garnetworks.GroupID) {
 	if g := m.oracle.groups[id]; g != nil {
-		g.denied = m.oracle.now.Add(DenialTime)
+		g.deniedUntil = m.oracle.now.Add(DenialTime)
 	}
 }
 
@@ -258,7 +258,7 @@
 	})
 }
 
-func TestNodesAgreeAndLossMovesLittle(t *testing.T) {
+func TestGroupLossMovesOnlyItsCalls(t *testing.T) {
 	// A group dies. Calls of the other groups must keep their homes, else one
 	// death empties every cache of the site.
 	rapid.Check(t, func(t *rapid.T) {
--- a/router/table.go
+++ b/router/table.go
@@ -18,8 +18,8 @@
 const (
 	// cooldownStart and cooldownMost bound the time for which a group or a
 	// server that could not be reached is tried last.
-	cooldownStart = 250 * time.Millisecond
-	cooldownMost  = 4 * time.Second
+	minCooldown = 250 * time.Millisecond
+	maxCooldown = 4 * time.Second
 )
 
 // group is what the node knows of a replica group.
@@ -32,19 +32,19 @@
 	// viewed and probed are when the newest confirmations by the zone's view and
 	// by the node's own probes were received, in nanoseconds; 0 if the newest
 	// word of that source was against the group.
-	viewed, probed int64
+	confirmedByView, confirmedByProbe int64
 	// denied is the time up to which a sign against the group counts.
-	denied int64
+	deniedUntil int64
 	// until is the time up to which the group is confirmed; 0 if it is not.
-	until    int64
-	cooldown cooldown
+	confirmedUntil int64
+	cooldown       cooldown
 	// gone is set once the group is no longer in any view.
 	gone bool
 	// round is that of the last view that named the group.
-	round     uint64
-	epoch     uint32
-	lastEvent uint64
-	gaps      uint64
+	viewSequence    uint64
+	epoch           uint32
+	lastEventNumber uint64
+	gaps            uint64
 }
 
 // cooldown lets a backend server rest that could not be reached.
@@ -54,29 +54,29 @@
 }
 
 func (c *cooldown) fail(now int64) {
-	rest := min(cooldownMost, cooldownStart<<min(c.failures, 8))
+	d := min(maxCooldown, minCooldown<<min(c.failures, 8))
 	c.failures++
-	c.until = now + int64(rest)
+	c.until = now + int64(d)
 }
 
 func (c *cooldown) succeed() { *c = cooldown{} }
 
 // eligible reports whether the group may get a call now (R1, R3).
-func (g *group) eligible(now int64) bool { return g.until >= now && g.denied <= now }
+func (g *group) eligible(now int64) bool { return g.confirmedUntil >= now && g.deniedUntil <= now }
 
 // settle recomputes until after any change (R1).
-func (g *group) settle() {
-	g.until = 0
+func (g *group) updateConfirmation() {
+	g.confirmedUntil = 0
 	if g.gone || g.view.State != garnetworks.GroupServing {
 		return
 	}
-	if newest := max(g.viewed, g.probed); newest > 0 {
-		g.until = newest + int64(garnetworks.ConfirmationBound)
+	if newest := max(g.confirmedByView, g.confirmedByProbe); newest > 0 {
+		g.confirmedUntil = newest + int64(garnetworks.ConfirmationBound)
 	}
 }
 
 // use returns the used share of what the group can take.
-func (g *group) use() float64 { return g.load.inUse() / (g.load.capacity * g.pace.weight) }
+func (g *group) utilization() float64 { return g.load.inUse() / (g.load.capacity * g.pace.weight) }
 
 // poolKey names what a call needs of a group.
 type poolKey struct {
@@ -103,10 +103,10 @@
 	entries []entry
 	// mean is the mean use of the eligible groups at the last refresh, filled the
 	// same with no group above 1, and eligible their number.
-	mean      float64
-	filled    float64
-	eligible  int
-	refreshed int64
+	mean       float64
+	cappedMean float64
+	eligible   int
+	refreshed  int64
 }
 
 // zone is what the node knows of an availability zone.
@@ -123,15 +123,15 @@
 	groups  map[garnetworks.GroupID]*group
 	pools   map[poolKey]*pool
 	// services holds the servers of each service by instance.
-	services map[garnetworks.ServiceName]*service
-	sketch   sketch
-	hints    hints
-	random   uint64
-	judged   int64
+	services          map[garnetworks.ServiceName]*service
+	sketch            sketch
+	hints             hints
+	rngState          uint64
+	stragglersUpdated int64
 	// round counts the views.
-	round   uint64
-	scratch []float64
-	blocks  []uint64
+	viewSequence uint64
+	scratch      []float64
+	blocks       []uint64
 }
 
 func newTable(options Options) *table {
@@ -142,7 +142,7 @@
 		groups:   map[garnetworks.GroupID]*group{},
 		pools:    map[poolKey]*pool{},
 		services: map[garnetworks.ServiceName]*service{},
-		random:   mix(xxhash.Sum64String(string(options.Node)) ^ options.Seed),
+		rngState: mix(xxhash.Sum64String(string(options.Node)) ^ options.Seed),
 	}
 	t.setZones(options.Zones)
 	return t
@@ -150,8 +150,8 @@
 
 // next returns the next pseudo-random number of the node's own sequence.
 func (t *table) next() uint64 {
-	t.random += 0x9e3779b97f4a7c15
-	return mix(t.random)
+	t.rngState += 0x9e3779b97f4a7c15
+	return mix(t.rngState)
 }
 
 func (t *table) setZones(zones []garnetworks.ZoneSpec) {
@@ -172,7 +172,7 @@
 		t.zones[view.Zone] = z
 	}
 	sorted := true
-	t.round++
+	t.viewSequence++
 	for i := range view.Groups {
 		v := &view.Groups[i]
 		if !t.setGroup(now, view.Zone, v) {
@@ -181,7 +181,7 @@
 		z.groups[v.ID] = t.groups[v.ID]
 	}
 	for id, g := range z.groups {
-		if g.round != t.round {
+		if g.viewSequence != t.viewSequence {
 			t.dropGroup(id, g)
 			delete(z.groups, id)
 			sorted = false
@@ -205,7 +205,7 @@
 		g.pace.weight = 1
 		t.groups[view.ID] = g
 	}
-	g.round = t.round
+	g.viewSequence = t.viewSequence
 	if view.Token < g.view.Token {
 		// A row from before the newest token: a delayed view must not bring back
 		// members that have since been given away (rule G3).
@@ -213,9 +213,9 @@
 	}
 	if view.Token > g.view.Token {
 		// Signs and confirmations were about the earlier token.
-		g.denied = 0
-		g.viewed = 0
-		g.probed = 0
+		g.deniedUntil = 0
+		g.confirmedByView = 0
+		g.confirmedByProbe = 0
 	}
 	last := g.view
 	g.view = *view
@@ -223,20 +223,20 @@
 		g.view.Zone = zone
 	}
 	if view.Confirmed {
-		g.viewed = max(g.viewed, now)
+		g.confirmedByView = max(g.confirmedByView, now)
 	} else {
-		g.viewed = 0
-		g.probed = 0
+		g.confirmedByView = 0
+		g.confirmedByProbe = 0
 	}
-	g.load.report(now, view.Load)
-	g.settle()
+	g.load.update(now, view.Load)
+	g.updateConfirmation()
 	return last.ID == view.ID && last.Model == view.Model && last.Zone == g.view.Zone &&
 		slices.Equal(last.Adapters, view.Adapters)
 }
 
 func (t *table) dropGroup(id garnetworks.GroupID, g *group) {
 	g.gone = true
-	g.settle()
+	g.updateConfirmation()
 	delete(t.groups, id)
 }
 
@@ -248,9 +248,9 @@
 		return
 	}
 	for _, g := range z.groups {
-		if g.viewed > 0 {
-			g.viewed = max(g.viewed, now)
-			g.settle()
+		if g.confirmedByView > 0 {
+			g.confirmedByView = max(g.confirmedByView, now)
+			g.updateConfirmation()
 		}
 	}
 }
@@ -261,9 +261,9 @@
 	if g == nil || g.view.Token != token {
 		return
 	}
-	g.denied = 0
-	g.probed = max(g.probed, now)
-	g.settle()
+	g.deniedUntil = 0
+	g.confirmedByProbe = max(g.confirmedByProbe, now)
+	g.updateConfirmation()
 }
 
 // deny takes a sign against a group (R3).
@@ -272,16 +272,16 @@
 	if g == nil {
 		return
 	}
-	g.denied = now + int64(DenialTime)
+	g.deniedUntil = now + int64(DenialTime)
 }
 
 // rebuild sorts the groups into pools.
 func (t *table) rebuild() {
 	clear(t.pools)
 	for _, g := range t.groups {
-		t.enter(g, "")
+		t.addToPool(g, "")
 		for _, a := range g.view.Adapters {
-			t.enter(g, a)
+			t.addToPool(g, a)
 		}
 	}
 	for _, p := range t.pools {
@@ -292,10 +292,10 @@
 		}
 	}
 	t.scratch = make([]float64, 0, len(t.groups))
-	t.judged = 0
+	t.stragglersUpdated = 0
 }
 
-func (t *table) enter(g *group, adapter garnetworks.AdapterName) {
+func (t *table) addToPool(g *group, adapter garnetworks.AdapterName) {
 	key := poolKey{g.view.Model, adapter}
 	p := t.pools[key]
 	if p == nil {
@@ -304,7 +304,7 @@
 	}
 	e := entry{g.seed, g}
 	p.site.entries = append(p.site.entries, e)
-	if t.near(g.view.Zone) {
+	if t.inRegion(g.view.Zone) {
 		p.region.entries = append(p.region.entries, e)
 	}
 	if g.view.Zone == t.options.Zone {
@@ -314,7 +314,7 @@
 
 // near reports whether a zone is in the node's region; zones of unknown region
 // count as near only if the node's own region is unknown too.
-func (t *table) near(id garnetworks.ZoneID) bool {
+func (t *table) inRegion(id garnetworks.ZoneID) bool {
 	return id == t.options.Zone || t.regions[id] == t.regions[t.options.Zone]
 }
 
@@ -331,15 +331,15 @@
 			continue
 		}
 		l := &e.group.load
-		f := l.fresh(now)
-		reported += f * l.others
+		f := l.freshness(now)
+		reported += f * l.reportedOthers
 		weight += f * l.capacity
 	}
 	mean := 0.0
 	if weight > 0 {
 		mean = reported / weight
 	}
-	used, filled, capacity := 0.0, 0.0, 0.0
+	used, capped, capacity := 0.0, 0.0, 0.0
 	s.eligible = 0
 	for _, e := range s.entries {
 		g := e.group
@@ -348,13 +348,13 @@
 		}
 		g.load.refresh(now, mean)
 		s.eligible++
-		room := g.load.capacity * g.pace.weight
+		weighted := g.load.capacity * g.pace.weight
 		used += g.load.inUse()
-		filled += min(g.load.inUse(), room)
-		capacity += room
+		capped += min(g.load.inUse(), weighted)
+		capacity += weighted
 	}
-	s.mean, s.filled = 0, 0
+	s.mean, s.cappedMean = 0, 0
 	if capacity > 0 {
-		s.mean, s.filled = used/capacity, filled/capacity
+		s.mean, s.cappedMean = used/capacity, capped/capacity
 	}
 }
