--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// benchCalls are calls of the mixed workload.
+// benchCalls returns calls of the mixed workload.
 func benchCalls(n int) []*garnetworks.CallRequest {
 	w := newSimWorkload(simShapes["mixed"], 3)
 	calls := make([]*garnetworks.CallRequest, n)
@@ -67,7 +67,7 @@
 }
 
 func BenchmarkNewWithView(b *testing.B) {
-	// B/op is about what a router holds.
+	// B/op approximates the memory that a router holds.
 	view := testView("z1", 150)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/router/choose.go
+++ b/router/choose.go
@@ -7,39 +7,39 @@
 )
 
 const (
-	// ranks is the number of groups that a prefix's ranking keeps; a prefix that
-	// needs more than these is spread over all.
+	// rankingSize is the maximum number of groups in a ranking; a prefix that needs more is
+	// spread over all groups.
 	rankingSize = 16
-	// spread is how much wider than its share of the calls a prefix is spread
-	// (R5). At 1 a prefix that needs a whole group shares its home with others
-	// and overloads it.
+	// spreadFactor is the ratio of the groups that a prefix is spread over to its share of the
+	// calls (R5). At 1, a prefix that fills a whole group would overload its home, which other
+	// prefixes share.
 	spreadFactor = 3
-	// spillRanks is the number of ranks that a call is spilled to (R6).
+	// spillRanks is the number of ranks after the home that a call can be spilled to (R6).
 	spillRanks = 4
-	// spillLow and spillHigh are the use, as a share of a group's capacity, that
-	// another group must lie below the home to be worth a lost cache: no call is
-	// spilled for less than the first, each for more than the second (R6).
+	// A call is never spilled if the other group's utilization is lower by less than
+	// minSpillGain, which does not outweigh the home's cache, and always if it is lower by more
+	// than maxSpillGain (R6).
 	minSpillGain, maxSpillGain = 0.15, 0.5
-	// hintGain is how much busier than the home a hinted group may be (R9).
+	// hintTolerance is how much more utilized than the home a hinted group may be (R9).
 	hintTolerance = 0.15
-	// zoneGain is the difference in mean use that is worth the way to another
-	// zone or region (R8).
+	// crossZoneGain is the difference in mean utilization that outweighs the cost of using
+	// another zone or region (R8).
 	crossZoneGain = 0.25
-	// fullUse is the filled part of the region from which other regions help out (R8).
+	// fullUtilization is the utilization of the region from which other regions are used (R8).
 	fullUtilization = 0.95
 )
 
-// ranking is the best groups by rendezvous hashing, the best first.
+// ranking holds the best groups by rendezvous hashing, best first.
 type ranking struct {
 	groups [rankingSize]*group
 	scores [rankingSize]uint64
 	n      int
-	// keep is the highest n; ranks at most.
+	// limit is the maximum of n; at most rankingSize.
 	limit int
 }
 
-// scan ranks the eligible groups of a scope and keeps the first of them (R1,
-// R4). Most groups are passed by after one comparison of scores.
+// scan ranks the eligible groups of a scope and keeps the best limit of them (R1, R4). Most
+// groups are rejected after one comparison of scores.
 func (r *ranking) scan(now int64, s *scope, hash uint64, limit int, tried []garnetworks.GroupID) {
 	r.n = 0
 	r.limit = min(limit, rankingSize)
@@ -83,7 +83,7 @@
 	r.scores[i], r.groups[i] = score, g
 }
 
-// narrow ranks the first m groups anew by a longer prefix's hash (R5).
+// rerank reorders the first m groups by the hash of a longer prefix (R5).
 func (r *ranking) rerank(m int, hash uint64) {
 	m = min(m, r.n)
 	for i := range m {
@@ -98,8 +98,8 @@
 	}
 }
 
-// width returns the number of groups that a prefix is spread over: a power of
-// two, or 0 for all groups of the scope (R5).
+// spreadWidth returns the number of groups that a prefix is spread over: a power of two, or 0
+// for all groups of the scope (R5).
 func (t *table) spreadWidth(hash uint64, eligible int) int {
 	want := t.sketch.share(hash) * float64(eligible) * spreadFactor
 	for m := 1; m <= rankingSize; m *= 2 {
@@ -110,7 +110,7 @@
 	return 0
 }
 
-// choose decides on a group for a call, or returns nil.
+// choose returns the group for a call, or nil if none is eligible.
 func (t *table) choose(now int64, call *garnetworks.CallRequest, tried []garnetworks.GroupID) *group {
 	p := t.pools[poolKey{call.Model, call.Adapter}]
 	if p == nil {
@@ -148,16 +148,14 @@
 	return t.homeOrSpill(now, &r, m, hinted)
 }
 
-// settleRank picks the home or a group of the next ranks (R6). The part of the
-// calls that is spilled grows with the difference in use, and they go to
-// several groups: nodes that act on the same report would else all leave the
-// home at once and fill the next group, until the next report sends them back.
+// homeOrSpill chooses the home or a group of the next ranks (R6). The probability of a spill
+// grows with the difference in utilization, and spilled calls go to several groups:
+// otherwise nodes that act on the same report would all move from group to group together.
 func (t *table) homeOrSpill(now int64, r *ranking, m int, hinted *group) *group {
 	m = min(m, r.n)
 	home := r.groups[t.lessLoaded(now, r, 0, m)]
 	if hinted != nil && hinted.cost(now) < home.cost(now)+hintTolerance {
-		// A hint is worth something and a hash that no event confirms is not, but
-		// a hint can be old (R9).
+		// A hint is backed by an event and the hash is not, but the hint can be outdated (R9).
 		home = hinted
 	}
 	n := min(spillRanks, r.n-m)
@@ -175,9 +173,9 @@
 // uniform returns a pseudo-random number in [0, 1).
 func (t *table) uniform() float64 { return float64(t.next()>>11) / (1 << 53) }
 
-// lessBusy returns the rank of the less busy of two random groups among n from
-// a first rank on. Looking at the same few groups from every node would send all
-// nodes to whichever of them the last report called idle.
+// lessLoaded returns the rank of the less loaded of two random groups among n, starting at
+// rank first. Comparing the same few groups at every node would send all calls to the one
+// that the last report showed as idle.
 func (t *table) lessLoaded(now int64, r *ranking, first, n int) int {
 	if n == 1 {
 		return first
@@ -193,7 +191,7 @@
 	return first + i
 }
 
-// cost is the group's use, with groups that could not be reached far behind.
+// cost returns the group's utilization, with a penalty that ranks groups in cooldown last.
 func (g *group) cost(now int64) float64 {
 	if g.cooldown.until > now {
 		return g.utilization() + 100
@@ -201,7 +199,7 @@
 	return g.utilization()
 }
 
-// scope returns the part of the pool that the call is chosen from (R8).
+// scope returns the part of the pool from which the group is chosen (R8).
 func (t *table) scope(now int64, p *pool) *scope {
 	p.region.refresh(now)
 	if p.region.eligible > 0 && p.region.cappedMean < fullUtilization {
@@ -214,8 +212,8 @@
 	return &p.site
 }
 
-// chooseLoose takes the less busy of two random groups, of the own zone if it
-// has room (R8).
+// chooseByLoad returns the less loaded of two random groups, from the node's own zone unless
+// it is much more loaded (R8).
 func (t *table) chooseByLoad(now int64, p *pool, s *scope, tried []garnetworks.GroupID) *group {
 	p.zone.refresh(now)
 	if p.zone.eligible > 0 && p.zone.mean < s.mean+crossZoneGain {
@@ -230,7 +228,7 @@
 	return t.lessLoadedOfTwo(now, &p.site, tried)
 }
 
-// chooseTwo takes the less busy of two random eligible groups.
+// lessLoadedOfTwo returns the less loaded of two random eligible groups.
 func (t *table) lessLoadedOfTwo(now int64, s *scope, tried []garnetworks.GroupID) *group {
 	a := t.randomEligible(now, s, nil, tried)
 	if a == nil {
@@ -243,7 +241,7 @@
 	return a
 }
 
-// chooseOne takes a random eligible group other than one.
+// randomEligible returns a random eligible group other than the given one.
 func (t *table) randomEligible(now int64, s *scope, other *group, tried []garnetworks.GroupID) *group {
 	n := len(s.entries)
 	if n == 0 {
@@ -256,7 +254,7 @@
 			return g
 		}
 	}
-	// Few groups are eligible: look at all, from a random one on.
+	// Few groups are eligible: try all, starting at a random one.
 	first := int(t.next() % uint64(n))
 	for i := range n {
 		g := s.entries[(first+i)%n].group
@@ -267,7 +265,7 @@
 	return nil
 }
 
-// judge compares the paces of each model's groups now and then.
+// updateStragglers recomputes the pace ratios of all groups, at most once per second.
 func (t *table) updateStragglers(now int64) {
 	if t.stragglersUpdated != 0 && now-t.stragglersUpdated < int64(time.Second) {
 		return
@@ -293,8 +291,8 @@
 	}
 }
 
-// started counts the call's prefixes as far as a decision looks at them, and
-// the attempt as in flight.
+// started counts an attempt as in flight, and the call's prefixes up to the length that a
+// decision looks at.
 func (t *table) started(now int64, call *garnetworks.CallRequest, id garnetworks.GroupID) {
 	if g := t.groups[id]; g != nil {
 		g.load.own++
@@ -313,7 +311,7 @@
 	}
 }
 
-// finished ends an attempt and takes what it tells of the group.
+// finished ends an attempt and evaluates its result.
 func (t *table) finished(now int64, id garnetworks.GroupID, result garnetworks.AttemptResult) {
 	g := t.groups[id]
 	if g == nil {
--- a/router/compare_test.go
+++ b/router/compare_test.go
@@ -14,7 +14,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// simPolicy chooses a group at one node.
+// simPolicy chooses groups at one simulated node.
 type simPolicy interface {
 	choose(now time.Time, c *simCall) int
 	started(now time.Time, c *simCall)
@@ -23,7 +23,7 @@
 	view(now time.Time, view garnetworks.ZoneView)
 }
 
-// simBase ignores what a baseline does not use.
+// simBase provides no-op methods for baselines.
 type simBase struct{ groups int }
 
 func (simBase) started(time.Time, *simCall)                   {}
@@ -48,7 +48,7 @@
 
 func (p *randomChoice) choose(time.Time, *simCall) int { return p.random.IntN(p.groups) }
 
-// leastInFlight counts the node's own calls, as proxies do.
+// leastInFlight counts the node's own calls, as load-balancing proxies do.
 type leastInFlight struct {
 	simBase
 	inFlight []int
@@ -69,13 +69,13 @@
 func (p *leastInFlight) started(_ time.Time, c *simCall)                   { p.inFlight[c.group]++ }
 func (p *leastInFlight) finished(_ time.Time, c *simCall, _ time.Duration) { p.inFlight[c.group]-- }
 
-// ours is the router under test.
+// routerPolicy is the router under test.
 type routerPolicy struct {
 	router *Router
 	index  map[garnetworks.GroupID]int
 	names  []garnetworks.GroupID
-	// refreshed is when the zone's controller last said that its view is still
-	// the newest; it does so each second.
+	// refreshed is when the zone's controller last confirmed that its view is still the newest;
+	// it does so every second.
 	refreshed time.Time
 }
 
@@ -134,36 +134,35 @@
 	return p
 }
 
-// simSetup describes one run.
+// simSetup configures one simulation.
 type simSetup struct {
 	policy        string
 	nodes, groups int
-	// rate is calls in a second over all nodes.
+	// rate is the number of calls per second over all nodes.
 	rate float64
-	// slow is the index of a group whose decoding takes three times as long;
-	// none if below 0.
+	// slow is the index of a group whose decoding takes three times as long; negative for none.
 	slow  int
 	shape string
 	simShape
-	// viewEvery and viewLag are the time between two reports of all loads to all
-	// nodes, and their age on receipt.
+	// viewInterval is the time between two reports of all loads to all nodes, viewLag their
+	// age on receipt.
 	viewInterval, viewLag time.Duration
-	// events hands cache events to the nodes with each report; one report in
-	// ten is lost.
+	// events enables cache events, sent to the nodes with each report; one in ten messages is
+	// lost.
 	events bool
-	// warmUp is not measured; length ends the run.
+	// Calls that arrive during warmUp are not measured; none arrive after duration.
 	warmUp, duration time.Duration
 }
 
-// simResult holds what a run measured after its warm-up.
+// simResult holds the measurements after the warm-up.
 type simResult struct {
 	hitRate       float64
 	p50, p95, p99 time.Duration
 	shed          float64
-	// most is the highest share of the calls that one group got, times the
-	// number of groups.
+	// maxShare is the largest fraction of the calls that one group got, times the number of
+	// groups.
 	maxShare float64
-	// slowShare is the slow group's part of an equal share.
+	// slowShare is the same for the slow group.
 	slowShare float64
 }
 
@@ -220,7 +219,7 @@
 
 func timeAt(now time.Duration) time.Time { return testStart.Add(now) }
 
-// report takes the engines' loads and hands them to all nodes later.
+// report samples the engines' loads and delivers them to all nodes after viewLag.
 func (r *simRun) report(now time.Duration) {
 	view := testView("z1", r.groups)
 	for i := range view.Groups {
@@ -331,14 +330,14 @@
 	return result
 }
 
-// firstTokenGoal is the users' goal for 95 in 100 calls.
+// firstTokenGoal is the objective for the 95th percentile of the time to first token.
 const firstTokenGoal = 840 * time.Millisecond
 
-// simGroups is the number of groups of today's sites.
+// simGroups is the number of groups of a typical site.
 const simGroups = 18
 
-// fullRates are the calls a second at which least-in-flight at one node just
-// keeps the goal, by shape; 80 % load is 0.8 of it for all policies.
+// fullRates holds, by shape, the calls per second at which least-in-flight at one node just
+// meets firstTokenGoal; a load of 0.8 is 0.8 of it for all policies.
 var fullRates = map[string]float64{
 	"mixed":          146,
 	"small-caches":   125,
@@ -350,7 +349,7 @@
 
 var measure = flag.Bool("measure", false, "run the long measurements too")
 
-// compare runs setups side by side and logs them in order.
+// compare runs the simulations concurrently and logs the results in order.
 func compare(t *testing.T, setups []simSetup) []simResult {
 	results := make([]simResult, len(setups))
 	var group errgroup.Group
@@ -362,10 +361,10 @@
 		})
 	}
 	_ = group.Wait()
-	t.Logf("%-15s %-15s %5s %8s %7s %7s %7s %6s %5s", "shape", "policy", "nodes", "hit rate", "p50", "p95", "p99", "shed", "most")
+	t.Logf("%-15s %-15s %5s %8s %7s %7s %7s %6s %9s", "shape", "policy", "nodes", "hit rate", "p50", "p95", "p99", "shed", "max share")
 	for i, s := range setups {
 		r := results[i]
-		t.Logf("%-15s %-15s %5d %7.1f%% %7s %7s %7s %5.1f%% %5.2f", s.shape, s.policy, s.nodes, 100*r.hitRate,
+		t.Logf("%-15s %-15s %5d %7.1f%% %7s %7s %7s %5.1f%% %9.2f", s.shape, s.policy, s.nodes, 100*r.hitRate,
 			r.p50.Round(time.Millisecond), r.p95.Round(time.Millisecond), r.p99.Round(time.Millisecond), 100*r.shed, r.maxShare)
 	}
 	return results
@@ -378,7 +377,7 @@
 
 func TestCompare(t *testing.T) {
 	if testing.Short() {
-		t.Skip("a measurement")
+		t.Skip("long simulation")
 	}
 	var setups []simSetup
 	for _, nodes := range []int{1, 6, 40} {
@@ -404,10 +403,10 @@
 }
 
 func TestCompareShapes(t *testing.T) {
-	// A node counts popular prefixes among its own calls. With 40 nodes it takes
-	// some minutes until all of them spread a prefix alike.
+	// A node counts popular prefixes among its own calls only, so many nodes need a long warm-up
+	// until all spread a prefix alike.
 	if !*measure {
-		t.Skip("needs -measure and a minute")
+		t.Skip("long simulation; needs -measure")
 	}
 	var setups []simSetup
 	for _, shape := range slices.Sorted(maps.Keys(simShapes)) {
@@ -433,11 +432,10 @@
 }
 
 func TestHotPromptAtManyNodes(t *testing.T) {
-	// Half of the calls share a prompt, as before a publication. Callers waited
-	// for 5 s: every node compared the same three groups by the same report, and
-	// all turned to whichever had been the least busy.
+	// Guards against a queue at a hot prompt's groups: all nodes choose by the same report among
+	// the same few groups and move to the least loaded one together.
 	if testing.Short() {
-		t.Skip("a measurement")
+		t.Skip("long simulation")
 	}
 	results := compare(t, []simSetup{
 		setup("least-in-flight", "hot-prompt", 40, simGroups, 0.8),
@@ -449,9 +447,9 @@
 }
 
 func TestFullRate(t *testing.T) {
-	// 80 % load means something only if 100 % is where the goal is lost.
+	// Checks that fullRates marks the load at which firstTokenGoal is just met.
 	if testing.Short() {
-		t.Skip("a measurement")
+		t.Skip("long simulation")
 	}
 	results := compare(t, []simSetup{
 		setup("least-in-flight", "mixed", 1, simGroups, 1),
@@ -463,11 +461,10 @@
 }
 
 func TestDesignSize(t *testing.T) {
-	// Nodes that see a report of all loads every few seconds, and next to no
-	// calls of their own, once moved each popular prefix to the same next group
-	// all together; calls then waited for seconds at a group that was full.
+	// Guards against nodes with few calls of their own that move a popular prefix to the same
+	// next group together when the load reports are old.
 	if !*measure {
-		t.Skip("needs -measure and half a minute")
+		t.Skip("long simulation; needs -measure")
 	}
 	stale := setup("router", "mixed", 330, 150, 0.8)
 	stale.viewInterval, stale.viewLag = 10*time.Second, 3*time.Second
@@ -485,11 +482,10 @@
 }
 
 func TestSlowGroup(t *testing.T) {
-	// A group decodes three times as slowly as the others, since one of its
-	// instances throttles. Callers routed there wait three times as long between
-	// tokens, and its slots fill up.
+	// Guards against sending a straggler its equal share of calls, which fills its slots and
+	// triples the time between tokens.
 	if testing.Short() {
-		t.Skip("a measurement")
+		t.Skip("long simulation")
 	}
 	var setups []simSetup
 	for _, policy := range []string{"least-in-flight", "router"} {
--- a/router/engine_test.go
+++ b/router/engine_test.go
@@ -8,13 +8,12 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// The stand-in of a replica group: continuous batching with a bounded number of
-// slots, one prefill at a time, decoding that slows down with the batch, and a
-// prefix cache of bounded size that evicts what was used longest ago.
+// Simulated engine: continuous batching with a bounded number of slots, one prefill at a time,
+// decode steps that slow down with the batch size, and an LRU prefix cache of bounded size.
 const (
 	engineSlots       = 64
 	engineWaiting     = 128
-	enginePrefill     = 30_000 // tokens in a second
+	enginePrefill     = 30_000 // tokens per second
 	engineStep        = 25 * time.Millisecond
 	engineStepPerCall = 300 * time.Microsecond
 	blockTokens       = 128
@@ -26,7 +25,7 @@
 	output  int
 	node    int
 	group   int
-	// arrived, started and first are times since the run's start.
+	// arrived, started and first are times since the start of the simulation.
 	arrived, started, first time.Duration
 	cached                  int
 }
@@ -35,16 +34,16 @@
 	id      garnetworks.GroupID
 	running int
 	waiting []*simCall
-	// prefillFree is when the prefill unit is free.
+	// prefillFree is the time at which the prefill unit becomes idle.
 	prefillFree time.Duration
-	// slow multiplies the decoding time.
+	// slow is a factor on the decode time.
 	slow  float64
 	cache map[uint64]*list.Element
 	order *list.List
-	// blocks bounds the cache.
+	// blocks is the capacity of the cache in blocks.
 	blocks int
-	// names maps blocks to their hashes in events; events not yet sent are in
-	// pending, the last one's number in number.
+	// names maps blocks to their hashes in events. pending holds the events that were not sent
+	// yet, number is that of the last one.
 	names   map[uint64]uint64
 	pending []garnetworks.CacheEvent
 	number  uint64
@@ -83,7 +82,7 @@
 	}
 }
 
-// name learns the hashes of a call's blocks in events.
+// name records the hashes by which events refer to a call's blocks.
 func (e *simEngine) name(c *simCall) {
 	per := BlockBytes / garnetworks.PrefixBlockBytes
 	hashes := garnetworks.PrefixBlocks(c.request.Model, c.request.Adapter, c.request.Prompt, hintBlocks)
@@ -103,7 +102,7 @@
 	return garnetworks.EngineLoad{Running: e.running, Waiting: len(e.waiting), Capacity: engineSlots, At: at}
 }
 
-// begin gives the call a slot and returns when its first token and its end come.
+// begin assigns a slot to the call and returns the times of its first token and of its end.
 func (e *simEngine) begin(now time.Duration, c *simCall) (first, end time.Duration) {
 	e.running++
 	c.started = now
@@ -123,7 +122,7 @@
 	do    func(now time.Duration)
 }
 
-// simLoop runs events in order of time.
+// simLoop executes events in order of time.
 type simLoop struct {
 	events []simEvent
 	count  int
--- a/router/hints.go
+++ b/router/hints.go
@@ -7,31 +7,31 @@
 )
 
 const (
-	// hintSlots is the number of prefixes that hints remember.
+	// hintSlots is the number of slots for hints.
 	hintSlots = 1 << 14
-	// hintBlocks is the number of a prompt's blocks that hints are looked up for.
+	// hintBlocks is the number of a prompt's blocks for which hints are looked up.
 	hintBlocks = 32
 )
 
-// hint says that a group was seen to hold a prefix.
+// hint records that a group holds a prefix.
 type hint struct {
 	hash  uint64
 	group *group
-	// epoch is the group's epoch when the hint was taken; hints of an earlier
-	// epoch do not count, so that dropping all of a group's hints is one step.
+	// epoch is the group's epoch when the hint was stored; hints of earlier epochs are invalid,
+	// so incrementing a group's epoch invalidates all its hints.
 	epoch uint32
 }
 
-// hints remembers which group holds a prefix.
+// hints maps prefix hashes to groups that hold them. Prefixes of the same slot replace each
+// other.
 type hints struct {
 	slots [hintSlots]hint
-	// taken is false until the first hint, so that nodes without cache events
-	// spend nothing on looking.
+	// nonEmpty is false until the first hint, so that nodes without cache events skip lookups.
 	nonEmpty bool
 }
 
-// put remembers a prefix. The first group that was seen to hold it keeps the
-// slot: if the newest one took it, calls would wander with each miss.
+// put stores a hint. An existing valid hint for the prefix is kept: replacing it would move
+// calls to another group with each cache miss.
 func (h *hints) put(hash uint64, g *group) {
 	if h.get(hash) != nil {
 		return
@@ -40,7 +40,7 @@
 	h.nonEmpty = true
 }
 
-// get returns the group that was seen to hold a prefix, or nil.
+// get returns the group that holds a prefix according to a valid hint, or nil.
 func (h *hints) get(hash uint64) *group {
 	s := &h.slots[hash%hintSlots]
 	if s.hash != hash || s.group == nil || s.epoch != s.group.epoch || s.group.gone {
@@ -49,8 +49,8 @@
 	return s.group
 }
 
-// longest returns the eligible group that was seen to hold the longest part of
-// the prompt, or nil.
+// longestHint returns the eligible group with a hint for the longest prefix of the prompt, or
+// nil.
 func (t *table) longestHint(now int64, call *garnetworks.CallRequest, tried []garnetworks.GroupID) *group {
 	t.blocks = garnetworks.AppendPrefixBlocks(t.blocks[:0], call.Model, call.Adapter, call.Prompt, hintBlocks)
 	for i := len(t.blocks) - 1; i >= 0; i-- {
@@ -77,9 +77,9 @@
 	}
 }
 
-// events takes a group's cache events in the order read. A gap means that
-// evictions may be among the lost events: the group's hints would then send
-// calls to a cache that no longer holds their prefix, so all are dropped (R9).
+// applyEvents applies a group's cache events in the order read. A gap may hide evictions, after
+// which hints could send calls to a cache that no longer holds their prefix, so all hints of the
+// group are invalidated (R9).
 func (h *hints) applyEvents(g *group, events []garnetworks.CacheEvent) {
 	for _, e := range events {
 		if e.Number <= g.lastEventNumber {
--- a/router/load.go
+++ b/router/load.go
@@ -7,30 +7,29 @@
 )
 
 const (
-	// loadHorizon is the age at which a report tells no more than the mean does
-	// (R7). A call holds its slot for some seconds, so that a load lasts longer
-	// than the reports of it take.
+	// loadHorizon is the age from which a report counts no more than the mean (R7). It is long
+	// compared to the report interval, since a call holds its slot for seconds.
 	loadHorizon = 10 * time.Second
-	// defaultCapacity is taken for an engine that reports none.
+	// defaultCapacity is assumed for an engine that reports none.
 	defaultCapacity = 32
-	// refreshInterval is the time between two computations of a pool's mean.
+	// refreshInterval is the minimum time between two computations of a scope's means.
 	refreshInterval = 50 * time.Millisecond
 )
 
-// load is what a node knows of a group's load.
+// load is the load of a group as known to the node.
 type load struct {
-	// own is the number of the node's calls in flight; never below 0.
+	// own is the number of this node's calls in flight; never negative.
 	own int
-	// others is the reported load without the node's own calls at that time.
+	// reportedOthers is the reported load minus this node's calls at the time of the report.
 	reportedOthers float64
-	// at is when the report was measured, in nanoseconds; 0 if there was none.
+	// reportedAt is the time of the report in Unix nanoseconds; 0 if there is none.
 	reportedAt int64
 	capacity   float64
-	// expected is others discounted by its age, as of the last refresh.
+	// expected is reportedOthers adjusted for its age at the last refresh.
 	expected float64
 }
 
-// report takes a report unless a newer one is known.
+// update stores a report if it is newer than the current one and not empty.
 func (l *load) update(now int64, report garnetworks.EngineLoad) {
 	at := now
 	if !report.At.IsZero() {
@@ -48,7 +47,7 @@
 	l.expected = l.reportedOthers
 }
 
-// fresh returns how much the report counts: 1 when new, 0 from loadHorizon on.
+// freshness returns the weight of the report: 1 when new, falling to 0 at loadHorizon.
 func (l *load) freshness(now int64) float64 {
 	if l.reportedAt == 0 {
 		return 0
@@ -56,11 +55,11 @@
 	return max(0, 1-float64(now-l.reportedAt)/float64(loadHorizon))
 }
 
-// refresh computes expected from the mean of the others' calls on a slot.
+// refresh computes expected; mean is the mean number of other nodes' calls per slot.
 func (l *load) refresh(now int64, mean float64) {
 	f := l.freshness(now)
 	l.expected = f*l.reportedOthers + (1-f)*mean*l.capacity
 }
 
-// inUse returns the calls that the group is expected to have now.
+// inUse returns the expected number of calls that the group has now.
 func (l *load) inUse() float64 { return float64(l.own) + l.expected }
--- a/router/prefix.go
+++ b/router/prefix.go
@@ -9,22 +9,23 @@
 const (
 	// BlockBytes is the size of a prefix block, about 128 tokens of text.
 	BlockBytes = 512
-	// prefixLevels is the number of prefix lengths that are hashed: 1, 2, 4, 8
-	// and 16 blocks. Longer prefixes separate no more calls than 16 blocks do,
-	// and hashing them would cost more than the rest of the decision.
+	// prefixLevels is the number of prefix lengths that are hashed: 1, 2, 4, 8 and 16 blocks.
+	// Longer prefixes hardly distinguish more calls, and hashing them would dominate the cost
+	// of a decision.
 	prefixLevels = 5
 )
 
-// prefix walks the hashes of a call's prompt from short to long, and computes
-// no further than it is asked to.
+// prefix iterates over the hashes of a prompt's prefixes, shortest first, and computes each
+// on demand.
 type prefix struct {
 	prompt string
-	// hash covers scope and the first done bytes of the prompt.
+	// hash covers workspace, model, adapter and the first done bytes of the prompt.
 	hash uint64
 	done int
 }
 
-// newPrefix starts with the scope that cached state is never shared beyond.
+// newPrefix starts with the hash of workspace, model and adapter: cached state is never shared
+// between different ones.
 func newPrefix(call *garnetworks.CallRequest) prefix {
 	h := mix(xxhash.Sum64String(string(call.Workspace)))
 	h = mix(h ^ xxhash.Sum64String(string(call.Model)))
@@ -32,7 +33,7 @@
 	return prefix{prompt: call.Prompt, hash: h}
 }
 
-// next goes to the next level and reports whether the prompt is that long.
+// next advances to the next length and reports whether the prompt is long enough.
 func (p *prefix) next() bool {
 	end := BlockBytes
 	if p.done > 0 {
@@ -46,7 +47,7 @@
 	return true
 }
 
-// mix spreads the bits of x over the whole word, one to one.
+// mix is a bijective mixing function on 64-bit words.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -55,8 +56,7 @@
 	return x ^ x>>31
 }
 
-// PrefixHashes returns the hashes of the prompt's prefixes at each level, as
-// routers and cache events use them.
+// PrefixHashes returns the hashes of the prompt's prefixes at each level.
 func PrefixHashes(call *garnetworks.CallRequest) []uint64 {
 	var hashes []uint64
 	p := newPrefix(call)
--- a/router/router.go
+++ b/router/router.go
@@ -9,20 +9,19 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Options describe the node that routes.
+// Options configure a Router.
 type Options struct {
 	Node garnetworks.NodeID
 	// Zone is the node's own availability zone.
 	Zone garnetworks.ZoneID
-	// Zones give the regions; SetZones replaces them.
+	// Zones assign zones to regions; SetZones replaces them.
 	Zones []garnetworks.ZoneSpec
-	// Seed varies the node's random choices; 0 is as good as any other.
+	// Seed varies the node's random choices; any value is valid.
 	Seed uint64
 }
 
-// Router chooses groups and servers. It is safe for concurrent use: one mutex
-// guards the table, since a decision takes about a microsecond and a node makes
-// some thousand a second at most.
+// Router chooses groups and servers. It is safe for concurrent use. A single mutex guards the
+// table: a decision is too short for contention at the call rate of a node.
 type Router struct {
 	mu    sync.Mutex
 	table *table
@@ -33,28 +32,28 @@
 	_ garnetworks.ServerChooser = (*Router)(nil)
 )
 
-// New returns a router without views: it refuses all calls until SetView.
+// New returns a router without views: it rejects all calls until SetView is called.
 func New(options Options) *Router {
 	return &Router{table: newTable(options)}
 }
 
-// SetZones takes the zones and regions of the manifest in force.
+// SetZones sets the zones and regions of the active manifest.
 func (r *Router) SetZones(zones []garnetworks.ZoneSpec) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.table.setZones(zones)
 }
 
-// SetView takes a zone's newest view. at is when the node received it, less
-// the age that the view is known to have. The router keeps the rows' members and
-// adapters, which nobody may change afterwards.
+// SetView replaces the view of a zone. at is when the node received it, less the age that the
+// view is known to have. The router keeps the rows' members and adapters; the caller must not
+// change them afterwards.
 func (r *Router) SetView(at time.Time, view garnetworks.ZoneView) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.table.setView(at.UnixNano(), view)
 }
 
-// RefreshView takes the word of a zone's controller, directly or by way of
+// RefreshView records the statement of a zone's controller, received directly or through
 // peers, that the view held here was still its newest at the given time.
 func (r *Router) RefreshView(at time.Time, zone garnetworks.ZoneID) {
 	r.mu.Lock()
@@ -62,23 +61,22 @@
 	r.table.refreshZone(at.UnixNano(), zone)
 }
 
-// ConfirmGroup takes the node's own finding that all members of the group
-// confirmed group, token, model and version at the given time (R2). A token
-// other than the view's is ignored.
+// ConfirmGroup records that all members of the group confirmed group, token, model and version
+// to this node at the given time (R2). It is ignored if the token differs from the view's.
 func (r *Router) ConfirmGroup(at time.Time, id garnetworks.GroupID, token garnetworks.FencingToken) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.table.confirm(at.UnixNano(), id, token)
 }
 
-// DenyGroup takes a sign that the group does not serve (R3).
+// DenyGroup records evidence that the group does not serve (R3).
 func (r *Router) DenyGroup(now time.Time, id garnetworks.GroupID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.table.deny(now.UnixNano(), id)
 }
 
-// CacheEvents takes a group's cache events as hints (R9).
+// CacheEvents applies a group's cache events to the hints (R9).
 func (r *Router) CacheEvents(id garnetworks.GroupID, events []garnetworks.CacheEvent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,21 +97,21 @@
 	return g.view, nil
 }
 
-// AttemptStarted counts an attempt; see garnetworks.GroupChooser.
+// AttemptStarted counts an attempt as in flight; see garnetworks.GroupChooser.
 func (r *Router) AttemptStarted(now time.Time, call *garnetworks.CallRequest, group garnetworks.GroupID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.table.started(now.UnixNano(), call, group)
 }
 
-// AttemptFinished ends an attempt; see garnetworks.GroupChooser.
+// AttemptFinished ends an attempt and evaluates its result; see garnetworks.GroupChooser.
 func (r *Router) AttemptFinished(now time.Time, _ *garnetworks.CallRequest, group garnetworks.GroupID, result garnetworks.AttemptResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.table.finished(now.UnixNano(), group, result)
 }
 
-// ReportLoad takes a load from an answer; see garnetworks.GroupChooser.
+// ReportLoad records the load reported with an answer; see garnetworks.GroupChooser.
 func (r *Router) ReportLoad(now time.Time, group garnetworks.GroupID, load garnetworks.EngineLoad) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -122,7 +120,7 @@
 	}
 }
 
-// ChooseServer returns the server for a call; see garnetworks.ServerChooser.
+// ChooseServer returns the server for an attempt; see garnetworks.ServerChooser.
 func (r *Router) ChooseServer(now time.Time, service garnetworks.ServiceName, tried []garnetworks.InstanceID) (garnetworks.ServerView, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -134,22 +132,21 @@
 	return s.view, nil
 }
 
-// ServerCallStarted counts a call; see garnetworks.ServerChooser.
+// ServerCallStarted counts a call as in flight; see garnetworks.ServerChooser.
 func (r *Router) ServerCallStarted(_ time.Time, service garnetworks.ServiceName, instance garnetworks.InstanceID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.table.serverStarted(service, instance)
 }
 
-// ServerCallFinished ends a call; see garnetworks.ServerChooser.
+// ServerCallFinished ends a call and evaluates its result; see garnetworks.ServerChooser.
 func (r *Router) ServerCallFinished(now time.Time, service garnetworks.ServiceName, instance garnetworks.InstanceID, result garnetworks.AttemptResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.table.serverFinished(now.UnixNano(), service, instance, result)
 }
 
-// Stragglers returns the groups that are slow by this node's measurements,
-// sorted by ID.
+// Stragglers returns the groups that are slow by this node's measurements, sorted by ID.
 func (r *Router) Stragglers(now time.Time) []Straggler {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -166,8 +163,7 @@
 	return stragglers
 }
 
-// Capacities returns what the eligible groups of each model can take, sorted
-// by model.
+// Capacities returns the total capacity and load of each model's eligible groups, sorted by model.
 func (r *Router) Capacities(now time.Time) []garnetworks.ModelCapacity {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -31,8 +31,8 @@
 }
 
 func TestChoosesSameGroupAtAllNodes(t *testing.T) {
-	// A caller's next turn comes in at another node. If nodes ranked groups
-	// differently, the engine that holds the prefix would be missed.
+	// Guards against nodes that rank groups differently and so miss the engine that holds the
+	// prefix of a conversation.
 	view := testView("z1", 18)
 	call := testCall("the same long prefix", 8)
 	want := garnetworks.GroupID("")
@@ -53,9 +53,8 @@
 }
 
 func TestNodePartitionedFromController(t *testing.T) {
-	// An availability zone is cut off from its controller. Its nodes must neither
-	// send calls to a group that may have lost a member since (rule G1), nor stop
-	// serving groups that they can confirm themselves.
+	// Guards against sending calls to an unconfirmed group while a zone is partitioned from its
+	// controller (rule G1), and against rejecting calls that a confirmed group could serve.
 	r := New(Options{Node: "n1", Zone: "z1"})
 	r.SetView(testStart, testView("z1", 2))
 	call := testCall("prefix", 4)
@@ -78,7 +77,7 @@
 		blocks int
 		// lost zones have no view.
 		lost garnetworks.Set[garnetworks.ZoneID]
-		// full zones have three calls waiting for each slot.
+		// full zones have three waiting calls per slot.
 		full garnetworks.Set[garnetworks.ZoneID]
 		want garnetworks.Set[garnetworks.ZoneID]
 	}{
@@ -194,8 +193,7 @@
 }
 
 func TestGapDropsHints(t *testing.T) {
-	// An engine's events are lost while it evicts a prefix. A node that still
-	// trusted the hint would send calls to a cache that no longer holds it.
+	// Guards against trusting hints after a gap in a group's events, which may hide evictions.
 	r := New(Options{Node: "n1", Zone: "z1"})
 	r.SetView(testStart, testView("z1", 18))
 	call := testCall("prefix", 8)
--- a/router/servers.go
+++ b/router/servers.go
@@ -11,13 +11,13 @@
 type server struct {
 	view     garnetworks.ServerView
 	inFlight int
-	// refused is set by the server's own word that it leaves. It stays set for
-	// as long as the views name the instance: they lag behind the server.
+	// leaving is set once the server itself has said that it is leaving. It stays set while the
+	// views list the instance at this address, since they lag behind the server.
 	leaving  bool
 	cooldown cooldown
 }
 
-// service is a plain service's servers, sorted by instance.
+// service holds the servers of a plain service, sorted by instance.
 type service struct {
 	servers []*server
 }
@@ -31,8 +31,7 @@
 	return nil
 }
 
-// setServers sorts the servers of all views by service and keeps what is known
-// of each.
+// setServers rebuilds the services from all views and keeps the state of known servers.
 func (t *table) setServers() {
 	services := map[garnetworks.ServiceName]*service{}
 	for _, z := range t.zones {
@@ -53,8 +52,8 @@
 	t.services = services
 }
 
-// known returns the server's state with the new view; a new address is a new
-// process, whose predecessor's word no longer counts.
+// serverFor returns the server's state with the new view. A new address means a new process,
+// for which the statements and failures of its predecessor don't count.
 func (t *table) serverFor(view garnetworks.ServerView) *server {
 	if s := t.services[view.Service]; s != nil {
 		if v := s.find(view.Instance); v != nil {
@@ -69,13 +68,13 @@
 	return &server{view: view}
 }
 
-// takes reports whether the server may get new work (R11).
+// accepts reports whether the server may get new work (R11).
 func (v *server) accepts(tried []garnetworks.InstanceID) bool {
 	return !v.view.Leaving && !v.leaving && !slices.Contains(tried, v.view.Instance)
 }
 
-// chooseServer takes the less busy of two random servers of the best class:
-// own zone and reachable, other zones and reachable, the rest.
+// chooseServer returns the less loaded of two random servers of the best class: own zone and
+// reachable, other zones and reachable, the rest.
 func (t *table) chooseServer(now int64, name garnetworks.ServiceName, tried []garnetworks.InstanceID) *server {
 	s := t.services[name]
 	if s == nil {
@@ -116,7 +115,7 @@
 	return a
 }
 
-// class orders servers: 0 is best.
+// class ranks a server; 0 is best.
 func (t *table) class(now int64, v *server) int {
 	switch {
 	case v.cooldown.until > now:
--- a/router/sketch.go
+++ b/router/sketch.go
@@ -2,16 +2,16 @@
 
 const (
 	sketchCells = 1 << 13
-	// sketchWindow is the number of counted calls after which all counts are
-	// halved, so that a share reflects the last thousand calls or two.
+	// sketchWindow is the number of counted calls at which all counts are halved, so that a
+	// share reflects recent calls.
 	sketchWindow = 2048
-	// sketchPrior is added to the number of calls: a node that has seen few
-	// calls takes no prefix to be popular.
+	// sketchPrior is added to the number of calls, so that a node that has seen few calls does
+	// not take a prefix for popular.
 	sketchPrior = 64
 )
 
-// sketch counts prefixes in bounded memory; it can count too high where two
-// prefixes share both cells, and never too low.
+// sketch counts prefixes in bounded memory. It overestimates where prefixes collide in both
+// cells and never underestimates.
 type sketch struct {
 	first, second [sketchCells]uint16
 	total         int
@@ -24,7 +24,7 @@
 // add counts one call with the prefix.
 func (s *sketch) add(hash uint64) {
 	a, b := s.cells(hash)
-	// Only the lower cell is known to be too low.
+	// Conservative update: only the lower count is raised, which limits overestimation.
 	if *a <= *b {
 		*a++
 	}
@@ -33,7 +33,7 @@
 	}
 }
 
-// call counts a call and forgets slowly.
+// countCall counts a call and halves all counts when the total reaches sketchWindow.
 func (s *sketch) countCall() {
 	s.total++
 	if s.total < sketchWindow {
@@ -46,7 +46,7 @@
 	}
 }
 
-// share returns the part of the counted calls that have the prefix.
+// share returns the estimated fraction of the counted calls that have the prefix.
 func (s *sketch) share(hash uint64) float64 {
 	a, b := s.cells(hash)
 	return float64(min(*a, *b)) / float64(s.total+sketchPrior)
--- a/router/state_test.go
+++ b/router/state_test.go
@@ -24,14 +24,14 @@
 	os.Exit(m.Run())
 }
 
-// oracleGroup is what the oracle knows of a group: the newest row, and the
-// times that the rules speak of.
+// oracleGroup is the oracle's state of a group: the newest row and the times of the last
+// confirmations and denial.
 type oracleGroup struct {
 	row                                            garnetworks.GroupView
 	confirmedByView, confirmedByProbe, deniedUntil time.Time
 }
 
-// oracle judges eligibility straight from rules R1 to R3.
+// oracle determines eligibility directly from rules R1 to R3.
 type oracle struct {
 	now    time.Time
 	groups map[garnetworks.GroupID]*oracleGroup
@@ -84,7 +84,7 @@
 	}
 }
 
-// routerMachine drives a router and the oracle side by side.
+// routerMachine runs a router and the oracle in parallel.
 type routerMachine struct {
 	router   *Router
 	oracle   *oracle
@@ -231,7 +231,7 @@
 	m.router.CacheEvents(m.id(t), events)
 }
 
-// check holds the node's own counts against the oracle's.
+// check compares the router's in-flight counts with the test's.
 func (m *routerMachine) check(t *rapid.T) {
 	for id, g := range m.router.table.groups {
 		if g.load.own != m.inFlight[id] {
@@ -259,8 +259,8 @@
 }
 
 func TestGroupLossMovesOnlyItsCalls(t *testing.T) {
-	// A group dies. Calls of the other groups must keep their homes, else one
-	// death empties every cache of the site.
+	// Guards against the loss of one group moving the calls of other groups, which would empty
+	// the caches of the whole site.
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 40).Draw(t, "groups")
 		lost := rapid.IntRange(0, n-1).Draw(t, "lost")
--- a/router/straggler.go
+++ b/router/straggler.go
@@ -9,35 +9,35 @@
 
 const (
 	paceWeight = 0.2
-	// paceSamples is the number of answers before a group is judged.
+	// minPaceSamples is the number of answers from which a pace is reliable.
 	minPaceSamples = 8
-	// paceGroups is the number of judged groups that a median needs.
+	// minPaceGroups is the number of reliable paces that a median needs.
 	minPaceGroups = 4
 	// slowRatio is the ratio to the median above which a group is a straggler.
 	slowRatio = 1.5
-	// paceMemory is the age at which measurements no longer count, so that a
-	// group that recovers is tried again (R10).
+	// paceMaxAge is the age from which measurements no longer count, so that a slow group is
+	// tried again (R10).
 	paceMaxAge = time.Minute
-	// slowWeight is the capacity left to a group that its controller calls
-	// slow, and leastWeight the least that any straggler keeps.
+	// slowWeight scales the capacity of a group that its controller marks as slow; minWeight is
+	// the lower bound of any straggler's weight.
 	slowWeight = 0.5
 	minWeight  = 0.1
 )
 
-// pace is a group's speed by the node's own measurements.
+// pace is a group's speed as measured by this node.
 type pace struct {
-	// token and first are moving averages of the seconds for each token after
-	// the first, and up to the first.
+	// perToken and firstToken are moving averages, in seconds, of the time per token after the
+	// first one and of the time to the first token.
 	perToken, firstToken float64
 	samples              int
 	updatedAt            int64
-	// ratio is token over the median of the model's groups; 0 if not judged.
+	// ratio is perToken over the median of the model's groups; 0 if unknown.
 	ratio float64
 	// weight scales the group's capacity, in (0, 1].
 	weight float64
 }
 
-// add takes the times of a whole answer.
+// add adds the measurements of a complete answer.
 func (p *pace) add(now int64, r garnetworks.AttemptResult) {
 	if r.Phase != garnetworks.PhaseDone || r.Tokens < 2 || r.FirstToken <= 0 {
 		return
@@ -54,13 +54,12 @@
 	p.firstToken += paceWeight * (firstToken - p.firstToken)
 }
 
-// judged reports whether the measurements count.
+// reliable reports whether there are enough recent measurements.
 func (p *pace) reliable(now int64) bool {
 	return p.samples >= minPaceSamples && now-p.updatedAt < int64(paceMaxAge)
 }
 
-// medianOf returns the lower median, or 0 if there are too few values; it
-// sorts them.
+// lowerMedian sorts the values and returns their lower median, or 0 if there are too few.
 func lowerMedian(values []float64) float64 {
 	if len(values) < minPaceGroups {
 		return 0
@@ -69,7 +68,7 @@
 	return values[(len(values)-1)/2]
 }
 
-// judge compares the group with the median of its model's groups (R10).
+// updatePaceRatio compares the group with the median of its model's groups (R10).
 func (g *group) updatePaceRatio(now int64, median float64) {
 	p := &g.pace
 	p.ratio = 0
@@ -86,13 +85,13 @@
 	}
 }
 
-// Straggler is a group whose answers are slower than the other groups' of its
-// model, by one node's measurements.
+// Straggler is a group that answers more slowly than the other groups of its model, as
+// measured by one node.
 type Straggler struct {
 	Group garnetworks.GroupID
 	Zone  garnetworks.ZoneID
-	// Ratio is the time for each token over the median group's; above 1.5.
+	// Ratio is the time per token over that of the median group; above 1.5.
 	Ratio float64
-	// Samples is the number of answers measured.
+	// Samples is the number of measured answers.
 	Samples int
 }
--- a/router/table.go
+++ b/router/table.go
@@ -10,44 +10,44 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// DenialTime is the longest time that a sign against a group lasts (R3). A
-// wrong sign costs the group this time; a right one is renewed by the next
-// refusal, which is proven not run.
+// DenialTime is how long evidence against a group counts (R3). Wrong evidence excludes a group
+// for no longer than this; right evidence is renewed by the group's next refusal, after which
+// the call is known not to have run.
 const DenialTime = 5 * time.Second
 
 const (
-	// cooldownStart and cooldownMost bound the time for which a group or a
-	// server that could not be reached is tried last.
+	// minCooldown and maxCooldown bound the time for which an unreachable group or server is
+	// tried last. The time doubles with each failure.
 	minCooldown = 250 * time.Millisecond
 	maxCooldown = 4 * time.Second
 )
 
-// group is what the node knows of a replica group.
+// group is the state of a replica group as known to the node.
 type group struct {
 	view garnetworks.GroupView
 	// seed is the hash of the group's ID.
 	seed uint64
 	load load
 	pace pace
-	// viewed and probed are when the newest confirmations by the zone's view and
-	// by the node's own probes were received, in nanoseconds; 0 if the newest
-	// word of that source was against the group.
+	// confirmedByView and confirmedByProbe are when the newest confirmation by the zone's view
+	// and by the node's own probes was received, in Unix nanoseconds; 0 if there is none or a
+	// later statement revoked it.
 	confirmedByView, confirmedByProbe int64
-	// denied is the time up to which a sign against the group counts.
+	// deniedUntil is the time until which evidence against the group counts.
 	deniedUntil int64
-	// until is the time up to which the group is confirmed; 0 if it is not.
+	// confirmedUntil is the time until which the group is confirmed; 0 if it is not.
 	confirmedUntil int64
 	cooldown       cooldown
-	// gone is set once the group is no longer in any view.
+	// gone is set once no view lists the group.
 	gone bool
-	// round is that of the last view that named the group.
+	// viewSequence is that of the last view that listed the group.
 	viewSequence    uint64
 	epoch           uint32
 	lastEventNumber uint64
 	gaps            uint64
 }
 
-// cooldown lets a backend server rest that could not be reached.
+// cooldown delays further attempts at an unreachable group or server.
 type cooldown struct {
 	failures int
 	until    int64
@@ -64,7 +64,8 @@
 // eligible reports whether the group may get a call now (R1, R3).
 func (g *group) eligible(now int64) bool { return g.confirmedUntil >= now && g.deniedUntil <= now }
 
-// settle recomputes until after any change (R1).
+// updateConfirmation recomputes confirmedUntil; it must be called after each change of the
+// fields that it reads (R1).
 func (g *group) updateConfirmation() {
 	g.confirmedUntil = 0
 	if g.gone || g.view.State != garnetworks.GroupServing {
@@ -75,60 +76,60 @@
 	}
 }
 
-// use returns the used share of what the group can take.
+// utilization returns the expected calls over the weighted capacity.
 func (g *group) utilization() float64 { return g.load.inUse() / (g.load.capacity * g.pace.weight) }
 
-// poolKey names what a call needs of a group.
+// poolKey identifies a pool by model and adapter; adapter is empty for the base model.
 type poolKey struct {
 	model   garnetworks.ModelName
 	adapter garnetworks.AdapterName
 }
 
-// entry is a group in a pool, laid out for the scan of all groups.
+// entry is a group in a pool, with its seed for a fast scan.
 type entry struct {
 	seed  uint64
 	group *group
 }
 
-// pool holds the groups that a call may go to by model and adapter; whether
-// they are eligible now is checked in the scan.
+// pool holds the groups that have a model and adapter, whether or not they are eligible.
 type pool struct {
-	// zone, region and site hold the groups of the node's zone, of its region,
-	// and all, each sorted by ID.
+	// zone, region and site hold the groups of the node's zone, of its region, and all, each
+	// sorted by ID.
 	zone, region, site scope
 }
 
-// scope is a part of a pool.
+// scope is a subset of a pool's groups.
 type scope struct {
 	entries []entry
-	// mean is the mean use of the eligible groups at the last refresh, filled the
-	// same with no group above 1, and eligible their number.
+	// mean is the utilization of the eligible groups together at the last refresh. cappedMean
+	// is the same with the calls of each group capped at its capacity. eligible is the number
+	// of eligible groups.
 	mean       float64
 	cappedMean float64
 	eligible   int
 	refreshed  int64
 }
 
-// zone is what the node knows of an availability zone.
+// zone is what the last view of an availability zone listed.
 type zone struct {
 	groups  map[garnetworks.GroupID]*group
 	servers []garnetworks.ServerView
 }
 
-// table is the state behind decisions; it does no I/O and no locking.
+// table is the state on which decisions are based. It does no I/O; callers hold Router.mu.
 type table struct {
 	options Options
 	regions map[garnetworks.ZoneID]garnetworks.RegionID
 	zones   map[garnetworks.ZoneID]*zone
 	groups  map[garnetworks.GroupID]*group
 	pools   map[poolKey]*pool
-	// services holds the servers of each service by instance.
+	// services holds the servers of each plain service.
 	services          map[garnetworks.ServiceName]*service
 	sketch            sketch
 	hints             hints
 	rngState          uint64
 	stragglersUpdated int64
-	// round counts the views.
+	// viewSequence is the number of views received.
 	viewSequence uint64
 	scratch      []float64
 	blocks       []uint64
@@ -148,7 +149,7 @@
 	return t
 }
 
-// next returns the next pseudo-random number of the node's own sequence.
+// next returns the next number of the node's pseudo-random sequence.
 func (t *table) next() uint64 {
 	t.rngState += 0x9e3779b97f4a7c15
 	return mix(t.rngState)
@@ -162,9 +163,9 @@
 	t.rebuild()
 }
 
-// setView replaces what is known of a zone's groups and servers. Most views
-// differ from the last one in loads and confirmations only; the pools are sorted
-// anew only if one of the groups came, went or changed what it serves.
+// setView replaces the groups and servers of a zone. The pools are rebuilt only if a group was
+// added, removed or changed its model, zone or adapters; most views change only loads and
+// confirmations.
 func (t *table) setView(now int64, view garnetworks.ZoneView) {
 	z := t.zones[view.Zone]
 	if z == nil {
@@ -196,7 +197,7 @@
 	}
 }
 
-// setGroup takes a group's row and reports whether the pools are still sorted.
+// setGroup updates a group from its row and reports whether the pools are still valid.
 func (t *table) setGroup(now int64, zone garnetworks.ZoneID, view *garnetworks.GroupView) bool {
 	g := t.groups[view.ID]
 	if g == nil {
@@ -207,12 +208,12 @@
 	}
 	g.viewSequence = t.viewSequence
 	if view.Token < g.view.Token {
-		// A row from before the newest token: a delayed view must not bring back
-		// members that have since been given away (rule G3).
+		// A row with an earlier token is outdated: it must not bring back members that have since
+		// been assigned to another group (rule G3).
 		return true
 	}
 	if view.Token > g.view.Token {
-		// Signs and confirmations were about the earlier token.
+		// Evidence and confirmations refer to the earlier token.
 		g.deniedUntil = 0
 		g.confirmedByView = 0
 		g.confirmedByProbe = 0
@@ -240,8 +241,8 @@
 	delete(t.groups, id)
 }
 
-// refreshZone renews the confirmations of a zone's groups: its controller said
-// that the view held here is still the newest.
+// refreshZone renews the confirmations of a zone's groups after its controller has stated that
+// the view held here is still the newest.
 func (t *table) refreshZone(now int64, id garnetworks.ZoneID) {
 	z := t.zones[id]
 	if z == nil {
@@ -255,7 +256,7 @@
 	}
 }
 
-// confirm takes the node's own probe of all members of a group (R2).
+// confirm records a probe by this node in which all members confirmed (R2).
 func (t *table) confirm(now int64, id garnetworks.GroupID, token garnetworks.FencingToken) {
 	g := t.groups[id]
 	if g == nil || g.view.Token != token {
@@ -266,7 +267,7 @@
 	g.updateConfirmation()
 }
 
-// deny takes a sign against a group (R3).
+// deny records evidence against a group (R3).
 func (t *table) deny(now int64, id garnetworks.GroupID) {
 	g := t.groups[id]
 	if g == nil {
@@ -275,7 +276,7 @@
 	g.deniedUntil = now + int64(DenialTime)
 }
 
-// rebuild sorts the groups into pools.
+// rebuild assigns all groups to pools.
 func (t *table) rebuild() {
 	clear(t.pools)
 	for _, g := range t.groups {
@@ -312,14 +313,14 @@
 	}
 }
 
-// near reports whether a zone is in the node's region; zones of unknown region
-// count as near only if the node's own region is unknown too.
+// inRegion reports whether a zone is in the node's region. Zones of unknown region count as such
+// only if the node's own region is unknown too.
 func (t *table) inRegion(id garnetworks.ZoneID) bool {
 	return id == t.options.Zone || t.regions[id] == t.regions[t.options.Zone]
 }
 
-// refresh recomputes a scope's mean and the expected loads now and then (R7).
-// The mean is that of fresh reports; the own calls count besides.
+// refresh recomputes the means and the expected loads, at most once per refreshInterval (R7). The
+// mean used for expected loads is that of fresh reports, without the node's own calls.
 func (s *scope) refresh(now int64) {
 	if s.refreshed != 0 && now-s.refreshed < int64(refreshInterval) {
 		return
--- a/router/workload_test.go
+++ b/router/workload_test.go
@@ -11,25 +11,24 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// The workload follows the users' calls: a few large workspaces, for each some
-// instructions (templates), documents that are asked about again (a pump's
-// history, a contract, a league's roster), and conversations that go on.
+// Simulated workload: a few large workspaces, each with instruction templates, documents that
+// are used repeatedly, and conversations with follow-ups.
 const (
 	simWorkspaces    = 10
 	simTemplates     = 6
 	simConversations = 2000
 )
 
-// simShape varies the workload and the engines' caches.
+// simShape parameterizes the workload and the engines' caches.
 type simShape struct {
-	// documents is the number of each workspace's documents.
+	// documents is the number of documents per workspace.
 	documents int
-	// followUps is the part of the calls that go on with a conversation.
+	// followUps is the fraction of calls that continue a conversation.
 	followUps float64
-	// hot is the part of the calls that share one prompt of 12 blocks and ask
-	// one question each.
+	// hot is the fraction of calls that share one prompt of 12 blocks, each followed by a
+	// different block.
 	hot float64
-	// short is the part of the calls that have less than a block.
+	// short is the fraction of calls that are shorter than a block.
 	short float64
 	// cache is the size of each engine's cache in blocks.
 	cache int
@@ -76,14 +75,14 @@
 	return blocks
 }
 
-// zipf draws from n, the first most often.
+// zipf draws an index below n with decreasing probability.
 func (w *simWorkload) zipf(n int) int {
 	u := w.random.Float64()
 	return min(n-1, int(math.Pow(float64(n+1), u))-1)
 }
 
-// next returns the next call; blocks are chained, so that equal blocks after
-// different ones differ.
+// next returns the next call. Block hashes are chained, so that equal blocks with different
+// predecessors differ.
 func (w *simWorkload) next() *simCall {
 	if w.hot > 0 && w.random.Float64() < w.hot {
 		return w.call(0, append(w.hotPrompt[:12:12], w.blocks(1)...))
@@ -94,7 +93,7 @@
 		return c
 	}
 	if len(w.conversations) > 100 && w.random.Float64() < w.followUps {
-		// Callers go on with what they asked of late.
+		// Follow-ups favor recent conversations.
 		i := len(w.conversations) - 1 - w.zipf(len(w.conversations))
 		w.conversations[i] = append(w.conversations[i][:len(w.conversations[i]):len(w.conversations[i])], w.blocks(2)...)
 		return w.call(w.owners[i], w.conversations[i])
@@ -129,7 +128,7 @@
 	return c
 }
 
-// promptOf spells the first blocks out; routers look no further.
+// promptOf spells out the first blocks; routers read no further.
 func promptOf(raw []uint64) string {
 	var b strings.Builder
 	var word [8]byte
@@ -142,7 +141,7 @@
 	return b.String()
 }
 
-// arrival returns the time to the next call at a rate.
+// arrival returns the exponentially distributed time to the next call at a rate.
 func (w *simWorkload) arrival(rate float64) time.Duration {
 	return time.Duration(w.random.ExpFloat64() / rate * float64(time.Second))
 }
