--- a/router/capacity.go
+++ b/router/capacity.go
@@ -8,7 +8,8 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// capacities returns the total capacity and load of each model's eligible groups, sorted by model.
+// capacities returns the total capacity and load of each model's eligible groups, sorted by
+// model.
 func (t *table) capacities(now int64) []garnetworks.ModelCapacity {
 	var all []garnetworks.ModelCapacity
 	for key, p := range t.pools {
--- a/router/router.go
+++ b/router/router.go
@@ -163,7 +163,8 @@
 	return stragglers
 }
 
-// Capacities returns the total capacity and load of each model's eligible groups, sorted by model.
+// Capacities returns the total capacity and load of each model's eligible groups, sorted by
+// model.
 func (r *Router) Capacities(now time.Time) []garnetworks.ModelCapacity {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/router/table.go
+++ b/router/table.go
@@ -208,8 +208,8 @@
 	}
 	g.viewSequence = t.viewSequence
 	if view.Token < g.view.Token {
-		// A row with an earlier token is outdated: it must not bring back members that have since
-		// been assigned to another group (rule G3).
+		// A row with an earlier token is outdated: it must not bring back members that have
+		// since been assigned to another group (rule G3).
 		return true
 	}
 	if view.Token > g.view.Token {
@@ -319,8 +319,8 @@
 	return id == t.options.Zone || t.regions[id] == t.regions[t.options.Zone]
 }
 
-// refresh recomputes the means and the expected loads, at most once per refreshInterval (R7). The
-// mean used for expected loads is that of fresh reports, without the node's own calls.
+// refresh recomputes the means and the expected loads, at most once per refreshInterval (R7).
+// The mean used for expected loads is that of fresh reports, without the node's own calls.
 func (s *scope) refresh(now int64) {
 	if s.refreshed != 0 && now-s.refreshed < int64(refreshInterval) {
 		return
--- a/scheduler/others.go
+++ b/scheduler/others.go
@@ -132,7 +132,7 @@
 	if free >= surplusFactor*(own+demand)*peerReportDelay.Seconds()+1 {
 		p.allowance = max(p.allowance, free*surplusShare)
 	}
-	// Between two calls the demand of a node with few calls is near zero. If there is a free slot
-	// for each node, it need not wait for the next report.
+	// Between two calls the demand of a node with few calls is near zero. If there is a free
+	// slot for each node, it need not wait for the next report.
 	p.allowance = max(p.allowance, math.Floor(free/float64(nodes)))
 }
--- a/scheduler/placing.go
+++ b/scheduler/placing.go
@@ -117,17 +117,17 @@
 	return 0
 }
 
-// PrefillDone records that a group has prefilled a prompt, or that the call ended before. It must
-// be called once for each placed call.
+// PrefillDone records that a group has prefilled a prompt, or that the call ended before. It
+// must be called once for each placed call.
 func (s *Scheduler) PrefillDone(model garnetworks.ModelName, group garnetworks.GroupID, tokens int) {
 	if g := s.pool(model).groups[group]; g != nil {
 		g.prefillTokens = max(0, g.prefillTokens-tokens)
 	}
 }
 
-// TryPlace places a call whose group stalls at another group, if one is free now (Q5), and counts
-// it there. It never enqueues the call: a stalled group may continue, so the call stays there
-// until a slot is free.
+// TryPlace places a call whose group stalls at another group, if one is free now (Q5), and
+// counts it there. It never enqueues the call: a stalled group may continue, so the call stays
+// there until a slot is free.
 func (s *Scheduler) TryPlace(now time.Time, c Call) (garnetworks.GroupID, bool) {
 	p := s.pool(c.Model)
 	g := s.pickGroup(now, p, &c)
