--- a/matcher/matcher.go
+++ b/matcher/matcher.go
@@ -99,15 +99,15 @@
 	if sum <= 0 {
 		return "", false
 	}
-	mark := random * sum
+	remaining := random * sum
 	for _, t := range route.Targets {
 		if t.Weight <= 0 {
 			continue
 		}
-		if mark < t.Weight {
+		if remaining < t.Weight {
 			return t.Service, true
 		}
-		mark -= t.Weight
+		remaining -= t.Weight
 	}
 	// Rounding can leave a rest above the last weight.
 	for i := len(route.Targets) - 1; i >= 0; i-- {
