--- a/matcher/matcher.go
+++ b/matcher/matcher.go
@@ -1,12 +1,11 @@
-// Package matcher finds what the operators' routing says of a call: its route,
-// the workspace that holds its key, and the service that it goes to. It is pure;
-// an Index is built once for each routing and never changes.
+// Package matcher looks up the routing of a call: its route, the workspace that owns its key,
+// and its target service. It is pure; an Index is built once for each routing and never changes.
 //
-//	M1  Of a host's routes, the one with the longest prefix that begins the path
-//	    counts. Prefixes end with a slash, so the path is looked up at each of
-//	    its slashes from the last to the first.
-//	M2  The path is matched as it stands on the request line, since it is passed
-//	    on like that; nothing is unescaped or cleaned.
+//	M1  Of a host's routes, the one with the longest prefix that begins the path is used.
+//	    Prefixes end with a slash, so the path is looked up at each of its slashes from the
+//	    last to the first.
+//	M2  The path is matched as it appears on the request line, since it is forwarded
+//	    unchanged; nothing is unescaped or normalized.
 package matcher
 
 import (
@@ -16,7 +15,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Index answers for one routing.
+// Index looks up routes, workspaces and services of one routing. It is safe for concurrent use.
 type Index struct {
 	*garnetworks.Routing
 	// hosts maps a host to its routes by prefix.
@@ -25,7 +24,7 @@
 	services   map[garnetworks.ServiceName]*garnetworks.RoutedService
 }
 
-// New returns an index of the routing, which nobody may change afterwards.
+// New returns an index of the routing, which must not be changed afterwards.
 func New(routing *garnetworks.Routing) *Index {
 	x := &Index{
 		Routing:    routing,
@@ -53,8 +52,8 @@
 	return x
 }
 
-// Route returns the route of a request by its host and its target as on the
-// request line (rules M1 and M2).
+// Route returns the route for a request's host and its target as on the request line (rules M1
+// and M2).
 func (x *Index) Route(host, target string) (*garnetworks.Route, bool) {
 	prefixes := x.hosts[hostName(host)]
 	if prefixes == nil {
@@ -77,7 +76,7 @@
 	return strings.ToLower(host)
 }
 
-// Workspace returns the workspace that holds the key.
+// Workspace returns the workspace that owns the key.
 func (x *Index) Workspace(key string) (*garnetworks.RoutedWorkspace, bool) {
 	w, ok := x.workspaces[key]
 	return w, ok
@@ -89,8 +88,8 @@
 	return s, ok
 }
 
-// Target returns the service that a call of the route goes to, by weight; random
-// is in [0, 1).
+// Target chooses the service for a call of the route at random by weight; random must be in
+// [0, 1). It returns false if no target has a positive weight.
 func Target(route *garnetworks.Route, random float64) (garnetworks.ServiceName, bool) {
 	sum := 0.0
 	for _, t := range route.Targets {
@@ -109,7 +108,7 @@
 		}
 		remaining -= t.Weight
 	}
-	// Rounding can leave a rest above the last weight.
+	// Rounding errors can leave a remainder after the last weight.
 	for i := len(route.Targets) - 1; i >= 0; i-- {
 		if route.Targets[i].Weight > 0 {
 			return route.Targets[i].Service, true
--- a/matcher/matcher_test.go
+++ b/matcher/matcher_test.go
@@ -21,20 +21,20 @@
 
 func TestRoute(t *testing.T) {
 	cases := map[string]struct{ host, target, want string }{
-		"prefix":             {"a.example", "/p/x", "short"},
-		"the prefix alone":   {"a.example", "/p/", "short"},
-		"longest prefix":     {"a.example", "/p/q/x", "long"},
-		"no slash after":     {"a.example", "/p/q", "short"},
-		"not a whole part":   {"a.example", "/pq/x", ""},
-		"query":              {"a.example", "/p/x?a=/p/q/", "short"},
-		"query with slash":   {"a.example", "/o?/p/", ""},
-		"other host":         {"b.example", "/p/q/x", "other-host"},
-		"unknown host":       {"c.example", "/p/x", ""},
-		"host with port":     {"a.example:80", "/p/x", "short"},
-		"host in capitals":   {"A.Example", "/p/x", "short"},
-		"escaped slash":      {"a.example", "/p%2fx", ""},
-		"dots are not a way": {"a.example", "/p/../o/x", "short"},
-		"empty":              {"", "", ""},
+		"prefix":                {"a.example", "/p/x", "short"},
+		"the prefix alone":      {"a.example", "/p/", "short"},
+		"longest prefix":        {"a.example", "/p/q/x", "long"},
+		"no slash after":        {"a.example", "/p/q", "short"},
+		"not a whole segment":   {"a.example", "/pq/x", ""},
+		"query":                 {"a.example", "/p/x?a=/p/q/", "short"},
+		"query with slash":      {"a.example", "/o?/p/", ""},
+		"other host":            {"b.example", "/p/q/x", "other-host"},
+		"unknown host":          {"c.example", "/p/x", ""},
+		"host with port":        {"a.example:80", "/p/x", "short"},
+		"upper-case host":       {"A.Example", "/p/x", "short"},
+		"escaped slash":         {"a.example", "/p%2fx", ""},
+		"dots are not resolved": {"a.example", "/p/../o/x", "short"},
+		"empty":                 {"", "", ""},
 	}
 	x := newIndex()
 	for name, c := range cases {
@@ -68,9 +68,9 @@
 		counts[name]++
 	}
 	if counts["a"] != 900 || counts["b"] != 100 {
-		t.Errorf("drawn %v", counts)
+		t.Errorf("got %v, want 900 of a and 100 of b", counts)
 	}
 	if _, ok := matcher.Target(&garnetworks.Route{}, 0); ok {
-		t.Error("a route without targets has one")
+		t.Error("got a target of a route without targets")
 	}
 }
