--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -202,7 +202,7 @@
 		}
 	}
 	g.heads = heads
-	g.picker.Keep(func(l garnetworks.Incarnation) bool { s, ok := servers[l.Instance]; return ok && s.Incarnation() == l })
+	g.picker.Retain(func(l garnetworks.Incarnation) bool { s, ok := servers[l.Instance]; return ok && s.Incarnation() == l })
 	g.deliver(g.scheduler.SetGroups(now, serving))
 }
 
--- a/picker/picker.go
+++ b/picker/picker.go
@@ -18,28 +18,28 @@
 )
 
 const (
-	// RestTime is how long a server that can't be reached is left out.
-	RestTime = time.Second
+	// Cooldown is how long a server that can't be reached is left out.
+	Cooldown = time.Second
 	// memory is the time over which answers and failures are averaged. It spans
 	// some tens of calls of a service with a few calls a second at each node.
-	memory = 4 * time.Second
+	historyDecay = 4 * time.Second
 	// firstAnswer is taken for the time of a server that has not answered yet.
-	firstAnswer = 20 * time.Millisecond
+	initialAnswerTime = 20 * time.Millisecond
 	// failureWeight makes a server that fails half of its calls look six times as
 	// slow.
 	failureWeight = 10
 	// foreignZonePart makes servers of other zones look slower by this part.
-	foreignZonePart = 0.3
+	crossZonePenalty = 0.3
 )
 
 // record is what is known of one server.
 type record struct {
-	inflight  int
-	took      float64
-	failed    float64
-	answered  float64
-	at        time.Time
-	restUntil time.Time
+	inflight      int
+	meanTime      float64
+	failures      float64
+	answers       float64
+	updatedAt     time.Time
+	cooldownUntil time.Time
 }
 
 // Picker remembers how servers answered. It is for use under a lock.
@@ -56,7 +56,7 @@
 func (p *Picker) record(id garnetworks.Incarnation) *record {
 	r := p.records[id]
 	if r == nil {
-		r = &record{took: firstAnswer.Seconds()}
+		r = &record{meanTime: initialAnswerTime.Seconds()}
 		p.records[id] = r
 	}
 	return r
@@ -84,24 +84,24 @@
 // score is lower for a server that would answer sooner (rules K1 to K4).
 func (p *Picker) score(now time.Time, s *garnetworks.RegisteredServer) float64 {
 	r := p.record(s.Incarnation())
-	score := r.took * float64(r.inflight+1)
-	if calls := r.decayed(now, r.answered) + r.decayed(now, r.failed); calls > 0 {
-		score *= 1 + failureWeight*r.decayed(now, r.failed)/(calls+1)
+	score := r.meanTime * float64(r.inflight+1)
+	if calls := r.decayed(now, r.answers) + r.decayed(now, r.failures); calls > 0 {
+		score *= 1 + failureWeight*r.decayed(now, r.failures)/(calls+1)
 	}
 	if s.Zone != p.zone {
-		score *= 1 + foreignZonePart
+		score *= 1 + crossZonePenalty
 	}
-	if now.Before(r.restUntil) {
+	if now.Before(r.cooldownUntil) {
 		score += float64(time.Hour / time.Second)
 	}
 	return score
 }
 
 func (r *record) decayed(now time.Time, n float64) float64 {
-	if r.at.IsZero() {
+	if r.updatedAt.IsZero() {
 		return n
 	}
-	return n * math.Exp(-float64(now.Sub(r.at))/float64(memory))
+	return n * math.Exp(-float64(now.Sub(r.updatedAt))/float64(historyDecay))
 }
 
 // Finished ends a call; failed says that the server did not answer it as it
@@ -110,23 +110,23 @@
 	const weight = 0.2
 	r := p.record(id)
 	r.inflight--
-	r.answered, r.failed = r.decayed(now, r.answered), r.decayed(now, r.failed)
-	r.at = now
+	r.answers, r.failures = r.decayed(now, r.answers), r.decayed(now, r.failures)
+	r.updatedAt = now
 	if failed {
-		r.failed++
+		r.failures++
 		return
 	}
-	r.answered++
-	r.took += weight * (took.Seconds() - r.took)
+	r.answers++
+	r.meanTime += weight * (took.Seconds() - r.meanTime)
 }
 
 // Unreachable leaves the server out for a while (rule K3).
 func (p *Picker) Unreachable(now time.Time, id garnetworks.Incarnation) {
-	p.record(id).restUntil = now.Add(RestTime)
+	p.record(id).cooldownUntil = now.Add(Cooldown)
 }
 
-// Keep forgets the servers that are not in the set and have no calls.
-func (p *Picker) Keep(has func(garnetworks.Incarnation) bool) {
+// Retain forgets the servers that are not in the set and have no calls.
+func (p *Picker) Retain(has func(garnetworks.Incarnation) bool) {
 	for id, r := range p.records {
 		if r.inflight == 0 && !has(id) {
 			delete(p.records, id)
--- a/picker/picker_test.go
+++ b/picker/picker_test.go
@@ -16,7 +16,7 @@
 	return list
 }
 
-func life(id garnetworks.InstanceID) garnetworks.Incarnation {
+func incarnation(id garnetworks.InstanceID) garnetworks.Incarnation {
 	return garnetworks.Incarnation{Instance: id}
 }
 
@@ -39,12 +39,12 @@
 // Story: one of three servers turns five times slower, or fails half of its calls
 // while its health check is good. Callers wait for it a third of the time.
 func TestBadServersGetFewCalls(t *testing.T) {
-	const usual, calls = 30 * time.Millisecond, 300
+	const normalTime, calls = 30 * time.Millisecond, 300
 	cases := map[string]func(id garnetworks.InstanceID, n int) (time.Duration, bool){
 		"slow": func(id garnetworks.InstanceID, _ int) (time.Duration, bool) {
-			return usual * time.Duration(1+4*btoi(id == "a")), false
+			return normalTime * time.Duration(1+4*btoi(id == "a")), false
 		},
-		"fails": func(id garnetworks.InstanceID, n int) (time.Duration, bool) { return usual, id == "a" && n%2 == 0 },
+		"fails": func(id garnetworks.InstanceID, n int) (time.Duration, bool) { return normalTime, id == "a" && n%2 == 0 },
 	}
 	for name, behave := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -75,14 +75,14 @@
 		want    garnetworks.InstanceID
 	}{
 		"fewest calls": {prepare: func(p *picker.Picker) { p.Pick(now, servers("a"), nil) }, want: "b"},
-		"not tried":    {tried: []garnetworks.Incarnation{life("a")}, want: "b"},
-		"all tried":    {tried: []garnetworks.Incarnation{life("a"), life("b")}},
-		"unreachable":  {prepare: func(p *picker.Picker) { p.Unreachable(now, life("a")) }, want: "b"},
+		"not tried":    {tried: []garnetworks.Incarnation{incarnation("a")}, want: "b"},
+		"all tried":    {tried: []garnetworks.Incarnation{incarnation("a"), incarnation("b")}},
+		"unreachable":  {prepare: func(p *picker.Picker) { p.Unreachable(now, incarnation("a")) }, want: "b"},
 		"all unreachable": {prepare: func(p *picker.Picker) {
-			p.Unreachable(now, life("a"))
-			p.Unreachable(now, life("b"))
+			p.Unreachable(now, incarnation("a"))
+			p.Unreachable(now, incarnation("b"))
 		}, want: "a"},
-		"reachable again": {prepare: func(p *picker.Picker) { p.Unreachable(now.Add(-picker.RestTime), life("a")) }, want: "a"},
+		"reachable again": {prepare: func(p *picker.Picker) { p.Unreachable(now.Add(-picker.Cooldown), incarnation("a")) }, want: "a"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -101,7 +101,7 @@
 // Story: a plain server could not be reached and failed calls before that. It starts
 // again under its identifier, empty and well, and got no calls for a second and few for
 // some seconds after.
-func TestServerThatStartedAgainIsUsedAtOnce(t *testing.T) {
+func TestRestartedServerIsUsedAtOnce(t *testing.T) {
 	now := time.Unix(0, 0)
 	p := picker.New("z")
 	list := servers("a", "b")
