--- a/picker/picker.go
+++ b/picker/picker.go
@@ -1,12 +1,12 @@
-// Package picker chooses the backend server of a plain service for a call. It is
-// pure: it does no I/O and takes the time as an argument.
+// Package picker chooses the backend server of a plain service for a call. It is pure: it does
+// no I/O and takes the time as an argument.
 //
-//	K1  The server that would answer soonest gets the call: the time that its
-//	    recent answers took, times the calls that this node has there.
-//	K2  A server that failed calls lately gets fewer, in the measure of how many
-//	    it failed; one call in a while still tells whether it is well again.
-//	K3  A server that can't be reached gets no call for RestTime.
-//	K4  A server of the node's own availability zone goes first among equals.
+//	K1  The server with the lowest expected answer time gets the call: its mean answer time
+//	    multiplied by the number of this node's calls there, including the new one.
+//	K2  The score of a server is raised by its rate of recent failures, so that it gets fewer
+//	    calls. Failures decay, so that it is tried again.
+//	K3  An unreachable server gets no call for Cooldown, unless no other server is left.
+//	K4  Among equal servers, one in the node's own availability zone is preferred.
 package picker
 
 import (
@@ -18,21 +18,21 @@
 )
 
 const (
-	// Cooldown is how long a server that can't be reached is left out.
+	// Cooldown is how long an unreachable server is avoided.
 	Cooldown = time.Second
-	// memory is the time over which answers and failures are averaged. It spans
-	// some tens of calls of a service with a few calls a second at each node.
+	// historyDecay is the time constant of the decaying counts of answers and failures. It must
+	// span some tens of a node's calls.
 	historyDecay = 4 * time.Second
-	// firstAnswer is taken for the time of a server that has not answered yet.
+	// initialAnswerTime is the assumed answer time of a server that has not answered yet.
 	initialAnswerTime = 20 * time.Millisecond
-	// failureWeight makes a server that fails half of its calls look six times as
-	// slow.
+	// failureWeight sets the effect of failures: a server that fails half of its calls ranks as
+	// if it were six times as slow.
 	failureWeight = 10
-	// foreignZonePart makes servers of other zones look slower by this part.
+	// crossZonePenalty is the relative penalty of servers in other availability zones.
 	crossZonePenalty = 0.3
 )
 
-// record is what is known of one server.
+// record is the history of one server.
 type record struct {
 	inflight      int
 	meanTime      float64
@@ -42,13 +42,13 @@
 	cooldownUntil time.Time
 }
 
-// Picker remembers how servers answered. It is for use under a lock.
+// Picker keeps the history of servers. It is not safe for concurrent use.
 type Picker struct {
 	zone    garnetworks.ZoneID
 	records map[garnetworks.Incarnation]*record
 }
 
-// New returns a picker of a node in a zone.
+// New returns a picker for a node in the zone.
 func New(zone garnetworks.ZoneID) *Picker {
 	return &Picker{zone: zone, records: make(map[garnetworks.Incarnation]*record)}
 }
@@ -62,7 +62,8 @@
 	return r
 }
 
-// Pick chooses one of the servers that is not in tried and counts a call there.
+// Pick chooses a server that is not in tried and counts a call there. It returns false if there
+// is none.
 func (p *Picker) Pick(now time.Time, servers []garnetworks.RegisteredServer, tried []garnetworks.Incarnation) (garnetworks.RegisteredServer, bool) {
 	best, bestScore := -1, math.Inf(1)
 	for i := range servers {
@@ -81,7 +82,7 @@
 	return servers[best], true
 }
 
-// score is lower for a server that would answer sooner (rules K1 to K4).
+// score returns the rank of a server; lower is better (rules K1 to K4).
 func (p *Picker) score(now time.Time, s *garnetworks.RegisteredServer) float64 {
 	r := p.record(s.Incarnation())
 	score := r.meanTime * float64(r.inflight+1)
@@ -104,8 +105,8 @@
 	return n * math.Exp(-float64(now.Sub(r.updatedAt))/float64(historyDecay))
 }
 
-// Finished ends a call; failed says that the server did not answer it as it
-// should.
+// Finished ends a call; failed says that the server did not answer it correctly, in which case
+// its time does not count.
 func (p *Picker) Finished(now time.Time, id garnetworks.Incarnation, took time.Duration, failed bool) {
 	const weight = 0.2
 	r := p.record(id)
@@ -120,12 +121,12 @@
 	r.meanTime += weight * (took.Seconds() - r.meanTime)
 }
 
-// Unreachable leaves the server out for a while (rule K3).
+// Unreachable starts the cooldown of the server (rule K3).
 func (p *Picker) Unreachable(now time.Time, id garnetworks.Incarnation) {
 	p.record(id).cooldownUntil = now.Add(Cooldown)
 }
 
-// Retain forgets the servers that are not in the set and have no calls.
+// Retain removes the history of servers without calls for which has returns false.
 func (p *Picker) Retain(has func(garnetworks.Incarnation) bool) {
 	for id, r := range p.records {
 		if r.inflight == 0 && !has(id) {
