--- a/runner/reports.go
+++ b/runner/reports.go
@@ -34,7 +34,7 @@
 	r *Runner
 
 	mu     sync.Mutex
-	keeper *sharer.Keeper
+	keeper *sharer.Aggregator
 	// slow holds each node's newest word on slow groups.
 	slow map[garnetworks.NodeID][]garnetworks.GroupSlowdown
 	// demandAt is when the zone's demand was last sent to the site.
@@ -142,7 +142,7 @@
 	if !known {
 		return garnetworks.Option[admitter.NodeShare]{}
 	}
-	return p.keeper.Row(now, manifest.Manifest.Workspaces, request.From.ID)
+	return p.keeper.NodeShare(now, manifest.Manifest.Workspaces, request.From.ID)
 }
 
 // control takes the controller's own report and tells the site of the zone's
@@ -188,7 +188,7 @@
 		var demand sharer.ZoneDemand
 		if p.decode(u, &demand) {
 			p.mu.Lock()
-			p.keeper.TakeZone(time.Now(), garnetworks.ZoneID(zone), demand)
+			p.keeper.SetZoneDemand(time.Now(), garnetworks.ZoneID(zone), demand)
 			p.mu.Unlock()
 		}
 		return true
--- a/sharer/sharer.go
+++ b/sharer/sharer.go
@@ -32,73 +32,73 @@
 }
 
 // word is what was heard and when.
-type word[T any] struct {
-	at   time.Time
-	what T
+type report[T any] struct {
+	at    time.Time
+	value T
 }
 
 // tableAge is how long a table is used before it is worked out anew.
-const tableAge = time.Second
+const maxTableAge = time.Second
 
-// Keeper keeps the words of one zone's nodes and of the other zones. It is not
+// Aggregator keeps the words of one zone's nodes and of the other zones. It is not
 // safe for concurrent use.
-type Keeper struct {
-	zone  garnetworks.ZoneID
-	nodes []garnetworks.NodeInfo
-	own   map[garnetworks.NodeID]word[[]garnetworks.Demand]
-	zones map[garnetworks.ZoneID]word[ZoneDemand]
+type Aggregator struct {
+	zone        garnetworks.ZoneID
+	nodes       []garnetworks.NodeInfo
+	nodeReports map[garnetworks.NodeID]report[[]garnetworks.Demand]
+	zoneReports map[garnetworks.ZoneID]report[ZoneDemand]
 
 	table   admitter.ShareTable
 	tableAt time.Time
 }
 
 // New returns a keeper for the zone.
-func New(zone garnetworks.ZoneID) *Keeper {
-	return &Keeper{
-		zone:  zone,
-		own:   make(map[garnetworks.NodeID]word[[]garnetworks.Demand]),
-		zones: make(map[garnetworks.ZoneID]word[ZoneDemand]),
+func New(zone garnetworks.ZoneID) *Aggregator {
+	return &Aggregator{
+		zone:        zone,
+		nodeReports: make(map[garnetworks.NodeID]report[[]garnetworks.Demand]),
+		zoneReports: make(map[garnetworks.ZoneID]report[ZoneDemand]),
 	}
 }
 
 // SetNodes takes the nodes on the rosters of all zones; what others reported is
 // forgotten.
-func (k *Keeper) SetNodes(nodes []garnetworks.NodeInfo) {
-	k.nodes = nodes
+func (a *Aggregator) SetNodes(nodes []garnetworks.NodeInfo) {
+	a.nodes = nodes
 	known := garnetworks.NewSet[garnetworks.NodeID]()
 	for i := range nodes {
 		known.Add(nodes[i].ID)
 	}
-	for id := range k.own {
+	for id := range a.nodeReports {
 		if !known.Has(id) {
-			delete(k.own, id)
+			delete(a.nodeReports, id)
 		}
 	}
 }
 
 // Report takes the demand of a node of the own zone (rule S1).
-func (k *Keeper) Report(now time.Time, node garnetworks.NodeID, demands []garnetworks.Demand) {
-	k.own[node] = word[[]garnetworks.Demand]{now, demands}
+func (a *Aggregator) Report(now time.Time, node garnetworks.NodeID, demands []garnetworks.Demand) {
+	a.nodeReports[node] = report[[]garnetworks.Demand]{now, demands}
 }
 
-// TakeZone takes another zone's demand.
-func (k *Keeper) TakeZone(now time.Time, zone garnetworks.ZoneID, demand ZoneDemand) {
-	if zone != k.zone {
-		k.zones[zone] = word[ZoneDemand]{now, demand}
+// SetZoneDemand takes another zone's demand.
+func (a *Aggregator) SetZoneDemand(now time.Time, zone garnetworks.ZoneID, demand ZoneDemand) {
+	if zone != a.zone {
+		a.zoneReports[zone] = report[ZoneDemand]{now, demand}
 	}
 }
 
 // ZoneDemand returns the sum of the own zone's demand.
-func (k *Keeper) ZoneDemand(now time.Time) ZoneDemand {
+func (a *Aggregator) ZoneDemand(now time.Time) ZoneDemand {
 	sums := make(map[garnetworks.WorkspaceName]garnetworks.Demand)
-	heard := 0
-	for _, w := range k.own {
-		if now.Sub(w.at) > admitter.ShareBound { // S3
+	reporting := 0
+	for _, r := range a.nodeReports {
+		if now.Sub(r.at) > admitter.ShareBound { // S3
 			continue
 		}
-		heard++
-		for _, d := range w.what {
-			sums[d.Workspace] = plus(sums[d.Workspace], d)
+		reporting++
+		for _, d := range r.value {
+			sums[d.Workspace] = addDemand(sums[d.Workspace], d)
 		}
 	}
 	demands := make([]garnetworks.Demand, 0, len(sums))
@@ -106,10 +106,10 @@
 		demands = append(demands, d)
 	}
 	slices.SortFunc(demands, func(a, b garnetworks.Demand) int { return cmp.Compare(a.Workspace, b.Workspace) })
-	return ZoneDemand{Nodes: heard, Demands: demands}
+	return ZoneDemand{Nodes: reporting, Demands: demands}
 }
 
-func plus(a, b garnetworks.Demand) garnetworks.Demand {
+func addDemand(a, b garnetworks.Demand) garnetworks.Demand {
 	return garnetworks.Demand{
 		Workspace:         b.Workspace,
 		RequestsPerSecond: a.RequestsPerSecond + b.RequestsPerSecond,
@@ -118,13 +118,13 @@
 	}
 }
 
-// Row returns a node's shares, or none if the node is on no roster yet.
-func (k *Keeper) Row(now time.Time, workspaces []garnetworks.WorkspaceSpec, node garnetworks.NodeID) garnetworks.Option[admitter.NodeShare] {
-	if k.tableAt.IsZero() || now.Sub(k.tableAt) >= tableAge || len(k.table.Nodes) != len(k.nodes) {
-		k.table = admitter.Shares(workspaces, k.demands(now))
-		k.tableAt = now
+// NodeShare returns a node's shares, or none if the node is on no roster yet.
+func (a *Aggregator) NodeShare(now time.Time, workspaces []garnetworks.WorkspaceSpec, node garnetworks.NodeID) garnetworks.Option[admitter.NodeShare] {
+	if a.tableAt.IsZero() || now.Sub(a.tableAt) >= maxTableAge || len(a.table.Nodes) != len(a.nodes) {
+		a.table = admitter.Shares(workspaces, a.demands(now))
+		a.tableAt = now
 	}
-	row, ok := k.table.Node(node)
+	row, ok := a.table.Node(node)
 	if !ok {
 		return garnetworks.Option[admitter.NodeShare]{}
 	}
@@ -132,32 +132,32 @@
 }
 
 // demands lays out what is known for every node of the site (S2).
-func (k *Keeper) demands(now time.Time) []admitter.NodeDemand {
+func (a *Aggregator) demands(now time.Time) []admitter.NodeDemand {
 	count := make(map[garnetworks.ZoneID]int)
-	for i := range k.nodes {
-		count[k.nodes[i].Zone]++
+	for i := range a.nodes {
+		count[a.nodes[i].Zone]++
 	}
-	parts := make(map[garnetworks.ZoneID][]garnetworks.Demand, len(k.zones))
-	for zone, w := range k.zones {
-		if now.Sub(w.at) <= admitter.ShareBound && count[zone] > 0 { // S3
-			parts[zone] = divide(w.what.Demands, count[zone])
+	parts := make(map[garnetworks.ZoneID][]garnetworks.Demand, len(a.zoneReports))
+	for zone, r := range a.zoneReports {
+		if now.Sub(r.at) <= admitter.ShareBound && count[zone] > 0 { // S3
+			parts[zone] = divide(r.value.Demands, count[zone])
 		}
 	}
-	list := make([]admitter.NodeDemand, 0, len(k.nodes))
-	for i := range k.nodes {
-		list = append(list, k.demand(now, &k.nodes[i], parts))
+	list := make([]admitter.NodeDemand, 0, len(a.nodes))
+	for i := range a.nodes {
+		list = append(list, a.demand(now, &a.nodes[i], parts))
 	}
 	return list
 }
 
-func (k *Keeper) demand(now time.Time, n *garnetworks.NodeInfo, parts map[garnetworks.ZoneID][]garnetworks.Demand) admitter.NodeDemand {
-	if n.Zone != k.zone {
-		part, heard := parts[n.Zone]
-		return admitter.NodeDemand{Node: n.ID, Silent: !heard, Demands: part}
+func (a *Aggregator) demand(now time.Time, n *garnetworks.NodeInfo, parts map[garnetworks.ZoneID][]garnetworks.Demand) admitter.NodeDemand {
+	if n.Zone != a.zone {
+		part, recent := parts[n.Zone]
+		return admitter.NodeDemand{Node: n.ID, Silent: !recent, Demands: part}
 	}
-	w, heard := k.own[n.ID]
-	heard = heard && now.Sub(w.at) <= admitter.ShareBound // S3
-	return admitter.NodeDemand{Node: n.ID, Silent: !heard, Demands: w.what}
+	r, recent := a.nodeReports[n.ID]
+	recent = recent && now.Sub(r.at) <= admitter.ShareBound // S3
+	return admitter.NodeDemand{Node: n.ID, Silent: !recent, Demands: r.value}
 }
 
 // divide returns one of n equal parts of the demands. The calls in flight are
@@ -176,17 +176,17 @@
 }
 
 // minimumWitnesses is the number of nodes that must call a group slow (S4).
-const minimumWitnesses = 2
+const minReports = 2
 
 // Slowdowns returns the groups that are slow by the nodes' words (S4).
-func Slowdowns(words map[garnetworks.NodeID][]garnetworks.GroupSlowdown) map[garnetworks.GroupID]float64 {
+func Slowdowns(reports map[garnetworks.NodeID][]garnetworks.GroupSlowdown) map[garnetworks.GroupID]float64 {
 	ratios := make(map[garnetworks.GroupID][]float64)
-	for _, slow := range words {
+	for _, slow := range reports {
 		for _, s := range slow {
 			ratios[s.Group] = append(ratios[s.Group], s.Ratio)
 		}
 	}
-	needed := min(minimumWitnesses, len(words))
+	needed := min(minReports, len(reports))
 	result := make(map[garnetworks.GroupID]float64)
 	for group, list := range ratios {
 		if len(list) < needed {
--- a/sharer/sharer_test.go
+++ b/sharer/sharer_test.go
@@ -16,7 +16,7 @@
 )
 
 // site returns zones of unequal size.
-func site(sizes map[garnetworks.ZoneID]int) []garnetworks.NodeInfo {
+func siteNodes(sizes map[garnetworks.ZoneID]int) []garnetworks.NodeInfo {
 	var nodes []garnetworks.NodeInfo
 	for _, zone := range []garnetworks.ZoneID{"a", "b", "c"} {
 		for i := range sizes[zone] {
@@ -31,9 +31,9 @@
 }
 
 // share returns a node's share of workspace w.
-func share(t *testing.T, k *Keeper, now time.Time, node garnetworks.NodeID) float64 {
+func share(t *testing.T, a *Aggregator, now time.Time, node garnetworks.NodeID) float64 {
 	t.Helper()
-	row, ok := k.Row(now, workspaces, node).Get()
+	row, ok := a.NodeShare(now, workspaces, node).Get()
 	if !ok {
 		t.Fatalf("no row for %s", node)
 	}
@@ -45,25 +45,25 @@
 	// Each zone's controller works out its own nodes' shares from its own reports
 	// and the other zones' sums; if these tables did not fit each other, the
 	// workspace would get more than its limit.
-	nodes := site(map[garnetworks.ZoneID]int{"a": 2, "b": 5, "c": 1})
-	keepers := map[garnetworks.ZoneID]*Keeper{"a": New("a"), "b": New("b"), "c": New("c")}
+	nodes := siteNodes(map[garnetworks.ZoneID]int{"a": 2, "b": 5, "c": 1})
+	aggregators := map[garnetworks.ZoneID]*Aggregator{"a": New("a"), "b": New("b"), "c": New("c")}
 	for i, n := range nodes {
-		keepers[n.Zone].SetNodes(nodes)
-		keepers[n.Zone].Report(start, n.ID, demand(float64(10*i)))
+		aggregators[n.Zone].SetNodes(nodes)
+		aggregators[n.Zone].Report(start, n.ID, demand(float64(10*i)))
 	}
-	for from, k := range keepers {
-		for _, other := range keepers {
-			other.TakeZone(start, from, k.ZoneDemand(start))
+	for from, a := range aggregators {
+		for _, other := range aggregators {
+			other.SetZoneDemand(start, from, a.ZoneDemand(start))
 		}
 	}
 	sum := 0.0
 	for _, n := range nodes {
-		sum += share(t, keepers[n.Zone], start, n.ID)
+		sum += share(t, aggregators[n.Zone], start, n.ID)
 	}
 	if math.Abs(sum-1) > 1e-9 {
 		t.Errorf("shares sum to %v", sum)
 	}
-	if low, high := share(t, keepers["b"], start, "b-0"), share(t, keepers["b"], start, "b-4"); low >= high {
+	if low, high := share(t, aggregators["b"], start, "b-0"), share(t, aggregators["b"], start, "b-4"); low >= high {
 		t.Errorf("shares do not follow demand: %v for less, %v for more", low, high)
 	}
 }
@@ -72,42 +72,42 @@
 	// Zone c is cut off. Its node goes on with the equal share among the known
 	// nodes, so the others must leave that much, or the workspace gets more than
 	// its limit.
-	nodes := site(map[garnetworks.ZoneID]int{"a": 2, "b": 1, "c": 1})
-	k := New("a")
-	k.SetNodes(nodes)
-	k.TakeZone(start, "b", ZoneDemand{Nodes: 1, Demands: demand(10)})
-	k.TakeZone(start, "c", ZoneDemand{Nodes: 1, Demands: demand(80)})
+	nodes := siteNodes(map[garnetworks.ZoneID]int{"a": 2, "b": 1, "c": 1})
+	a := New("a")
+	a.SetNodes(nodes)
+	a.SetZoneDemand(start, "b", ZoneDemand{Nodes: 1, Demands: demand(10)})
+	a.SetZoneDemand(start, "c", ZoneDemand{Nodes: 1, Demands: demand(80)})
 	now := start.Add(admitter.ShareBound + time.Second)
-	k.TakeZone(now, "b", ZoneDemand{Nodes: 1, Demands: demand(10)})
-	k.Report(now, "a-0", demand(10))
-	k.Report(now, "a-1", demand(10))
+	a.SetZoneDemand(now, "b", ZoneDemand{Nodes: 1, Demands: demand(10)})
+	a.Report(now, "a-0", demand(10))
+	a.Report(now, "a-1", demand(10))
 
-	sum := share(t, k, now, "a-0") + share(t, k, now, "a-1") + share(t, k, now, "b-0")
+	sum := share(t, a, now, "a-0") + share(t, a, now, "a-1") + share(t, a, now, "b-0")
 	if want := 0.75; math.Abs(sum-want) > 1e-9 {
 		t.Errorf("nodes that were heard have %v together, want %v", sum, want)
 	}
 }
 
 func TestUnknownNodeGetsNoShares(t *testing.T) {
-	k := New("a")
-	k.SetNodes(site(map[garnetworks.ZoneID]int{"a": 1}))
-	k.Report(start, "a-9", demand(1))
-	if row := k.Row(start, workspaces, "a-9"); row.Present {
+	a := New("a")
+	a.SetNodes(siteNodes(map[garnetworks.ZoneID]int{"a": 1}))
+	a.Report(start, "a-9", demand(1))
+	if row := a.NodeShare(start, workspaces, "a-9"); row.Present {
 		t.Errorf("a node on no roster got %+v", row.Value)
 	}
-	k.SetNodes(site(map[garnetworks.ZoneID]int{"a": 1}))
-	if got := k.ZoneDemand(start).Nodes; got != 0 {
+	a.SetNodes(siteNodes(map[garnetworks.ZoneID]int{"a": 1}))
+	if got := a.ZoneDemand(start).Nodes; got != 0 {
 		t.Errorf("a node that is gone counts in the zone's demand")
 	}
 }
 
-func TestSlowdownsNeedTwoWitnesses(t *testing.T) {
+func TestSlowdownNeedsTwoNodes(t *testing.T) {
 	slow := func(ratio float64) []garnetworks.GroupSlowdown {
 		return []garnetworks.GroupSlowdown{{Group: "g", Ratio: ratio}}
 	}
 	tests := map[string]struct {
-		words map[garnetworks.NodeID][]garnetworks.GroupSlowdown
-		want  float64
+		reports map[garnetworks.NodeID][]garnetworks.GroupSlowdown
+		want    float64
 	}{
 		"one of two":          {map[garnetworks.NodeID][]garnetworks.GroupSlowdown{"x": slow(3), "y": nil}, 0},
 		"the only node":       {map[garnetworks.NodeID][]garnetworks.GroupSlowdown{"x": slow(3)}, 3},
@@ -116,7 +116,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			if got := Slowdowns(tt.words)["g"]; got != tt.want {
+			if got := Slowdowns(tt.reports)["g"]; got != tt.want {
 				t.Errorf("Slowdowns() = %v, want %v", got, tt.want)
 			}
 		})
@@ -127,23 +127,23 @@
 func BenchmarkTable(b *testing.B) {
 	for _, count := range []int{6, 24, 96, 330} {
 		b.Run(fmt.Sprintf("nodes=%d", count), func(b *testing.B) {
-			nodes := site(map[garnetworks.ZoneID]int{"a": count / 3, "b": count / 3, "c": count / 3})
+			nodes := siteNodes(map[garnetworks.ZoneID]int{"a": count / 3, "b": count / 3, "c": count / 3})
 			specs := make([]garnetworks.WorkspaceSpec, 10)
 			demands := make([]garnetworks.Demand, 10)
 			for i := range specs {
 				specs[i] = garnetworks.WorkspaceSpec{Name: garnetworks.WorkspaceName(fmt.Sprintf("workspace-%d", i)), Limits: garnetworks.LimitsSpec{RequestsPerSecond: 100}}
 				demands[i] = garnetworks.Demand{Workspace: specs[i].Name, RequestsPerSecond: float64(i)}
 			}
-			k := New("a")
-			k.SetNodes(nodes)
+			a := New("a")
+			a.SetNodes(nodes)
 			for _, n := range nodes {
-				k.Report(start, n.ID, demands)
+				a.Report(start, n.ID, demands)
 			}
-			k.TakeZone(start, "b", ZoneDemand{Nodes: count / 3, Demands: demands})
+			a.SetZoneDemand(start, "b", ZoneDemand{Nodes: count / 3, Demands: demands})
 			b.ReportAllocs()
 			for b.Loop() {
-				k.tableAt = time.Time{}
-				k.Row(start, specs, "a-0")
+				a.tableAt = time.Time{}
+				a.NodeShare(start, specs, "a-0")
 			}
 		})
 	}
