--- a/picker/picker_test.go
+++ b/picker/picker_test.go
@@ -20,7 +20,7 @@
 	return garnetworks.Incarnation{Instance: id}
 }
 
-// run makes calls one after the other and returns how many each server got.
+// run makes sequential calls and returns the number of calls by server.
 func run(p *picker.Picker, now time.Time, list []garnetworks.RegisteredServer, calls int, answer func(garnetworks.InstanceID) (time.Duration, bool)) map[garnetworks.InstanceID]int {
 	counts := make(map[garnetworks.InstanceID]int)
 	for range calls {
@@ -36,8 +36,8 @@
 	return counts
 }
 
-// Story: one of three servers turns five times slower, or fails half of its calls
-// while its health check is good. Callers wait for it a third of the time.
+// Guards against sending a slow or failing server its full share of calls while its health
+// check passes.
 func TestBadServersGetFewCalls(t *testing.T) {
 	const normalTime, calls = 30 * time.Millisecond, 300
 	cases := map[string]func(id garnetworks.InstanceID, n int) (time.Duration, bool){
@@ -98,9 +98,7 @@
 	}
 }
 
-// Story: a plain server could not be reached and failed calls before that. It starts
-// again under its identifier, empty and well, and got no calls for a second and few for
-// some seconds after.
+// Guards against applying the history of a server to its next incarnation.
 func TestRestartedServerIsUsedAtOnce(t *testing.T) {
 	now := time.Unix(0, 0)
 	p := picker.New("z")
@@ -111,11 +109,11 @@
 	}
 	p.Unreachable(now, list[0].Incarnation())
 	if s, _ := p.Pick(now, list, nil); s.ID != "b" {
-		t.Fatalf("picked %q, which can't be reached", s.ID)
+		t.Fatalf("picked %q, which is unreachable", s.ID)
 	}
 	list[0].StartMS = 1
 	if s, _ := p.Pick(now, list, nil); s.ID != "a" {
-		t.Errorf("picked %q beside an idle server that has just started", s.ID)
+		t.Errorf("picked %q, want the server that has just restarted", s.ID)
 	}
 }
 
@@ -124,6 +122,6 @@
 	list[0].Zone = "far"
 	s, _ := picker.New("z").Pick(time.Unix(0, 0), list, nil)
 	if s.ID != "b" {
-		t.Errorf("picked %q of another zone", s.ID)
+		t.Errorf("picked %q, which is in another zone", s.ID)
 	}
 }
