--- a/sharer/sharer.go
+++ b/sharer/sharer.go
@@ -1,17 +1,17 @@
-// Package sharer keeps, at the controller of an availability zone, what the
-// nodes are asked for, and works out each node's share of the limits.
+// Package sharer aggregates the demand of nodes at the controller of an availability zone and
+// computes each node's share of the limits.
 //
 // The rules:
 //
-//	S1  Nodes report to their own zone's controller alone; controllers tell each
-//	    other the sum of their zone, so that traffic grows with zones.
-//	S2  A zone's sum stands for its nodes in equal parts. The table is then that
-//	    of package admitter over all nodes of the site, so its shares sum to 1
-//	    at most and a silent node keeps its equal share reserved.
-//	S3  A word older than admitter.ShareBound counts as silence.
-//	S4  A group counts as slow by the median of the nodes that measured it so,
-//	    and only if two nodes did, or all that there are: one node with a bad way
-//	    to a group must not have it replaced.
+//	S1  Nodes report to the controller of their own zone only; controllers send each other
+//	    the sum of their zone, so that traffic grows with the number of zones.
+//	S2  Another zone's sum is divided equally among its nodes. Shares are then computed by
+//	    package admitter over all nodes of the site, so they sum to 1 at most, and the
+//	    equal share of a silent node stays reserved.
+//	S3  A report older than admitter.ShareBound counts as silence.
+//	S4  A group's slowdown is the median over the nodes that measured one, and counts only
+//	    if at least two nodes did, or all if there are fewer: a single node with a bad
+//	    connection to a group must not cause its replacement.
 package sharer
 
 import (
@@ -23,24 +23,24 @@
 	"github.com/garnetworks/garnetworks/admitter"
 )
 
-// ZoneDemand is the sum of a zone's demand, as its controller tells the site.
+// ZoneDemand is the total demand of a zone, as its controller sends it to the other zones.
 type ZoneDemand struct {
-	// Nodes is the number of nodes heard.
+	// Nodes is the number of nodes with a recent report.
 	Nodes int `json:"nodes"`
-	// Demands are sorted by workspace.
+	// Demands is sorted by workspace.
 	Demands []garnetworks.Demand `json:"demands"`
 }
 
-// word is what was heard and when.
+// report is a received value with the time of its receipt.
 type report[T any] struct {
 	at    time.Time
 	value T
 }
 
-// tableAge is how long a table is used before it is worked out anew.
+// maxTableAge is the age at which the table of shares is recomputed.
 const maxTableAge = time.Second
 
-// Aggregator keeps the words of one zone's nodes and of the other zones. It is not
+// Aggregator holds the latest reports of one zone's nodes and of the other zones. It is not
 // safe for concurrent use.
 type Aggregator struct {
 	zone        garnetworks.ZoneID
@@ -52,7 +52,7 @@
 	tableAt time.Time
 }
 
-// New returns a keeper for the zone.
+// New returns an aggregator for the zone.
 func New(zone garnetworks.ZoneID) *Aggregator {
 	return &Aggregator{
 		zone:        zone,
@@ -61,8 +61,7 @@
 	}
 }
 
-// SetNodes takes the nodes on the rosters of all zones; what others reported is
-// forgotten.
+// SetNodes sets the nodes on the rosters of all zones and removes the reports of other nodes.
 func (a *Aggregator) SetNodes(nodes []garnetworks.NodeInfo) {
 	a.nodes = nodes
 	known := garnetworks.NewSet[garnetworks.NodeID]()
@@ -76,19 +75,19 @@
 	}
 }
 
-// Report takes the demand of a node of the own zone (rule S1).
+// Report records the demand of a node in the aggregator's zone (rule S1).
 func (a *Aggregator) Report(now time.Time, node garnetworks.NodeID, demands []garnetworks.Demand) {
 	a.nodeReports[node] = report[[]garnetworks.Demand]{now, demands}
 }
 
-// SetZoneDemand takes another zone's demand.
+// SetZoneDemand records another zone's demand; the aggregator's own zone is ignored.
 func (a *Aggregator) SetZoneDemand(now time.Time, zone garnetworks.ZoneID, demand ZoneDemand) {
 	if zone != a.zone {
 		a.zoneReports[zone] = report[ZoneDemand]{now, demand}
 	}
 }
 
-// ZoneDemand returns the sum of the own zone's demand.
+// ZoneDemand returns the total demand of the aggregator's zone.
 func (a *Aggregator) ZoneDemand(now time.Time) ZoneDemand {
 	sums := make(map[garnetworks.WorkspaceName]garnetworks.Demand)
 	reporting := 0
@@ -118,7 +117,7 @@
 	}
 }
 
-// NodeShare returns a node's shares, or none if the node is on no roster yet.
+// NodeShare returns a node's shares; the option is empty if the node is on no roster.
 func (a *Aggregator) NodeShare(now time.Time, workspaces []garnetworks.WorkspaceSpec, node garnetworks.NodeID) garnetworks.Option[admitter.NodeShare] {
 	if a.tableAt.IsZero() || now.Sub(a.tableAt) >= maxTableAge || len(a.table.Nodes) != len(a.nodes) {
 		a.table = admitter.Shares(workspaces, a.demands(now))
@@ -131,7 +130,7 @@
 	return garnetworks.Some(row)
 }
 
-// demands lays out what is known for every node of the site (S2).
+// demands returns the demand of every node of the site (S2).
 func (a *Aggregator) demands(now time.Time) []admitter.NodeDemand {
 	count := make(map[garnetworks.ZoneID]int)
 	for i := range a.nodes {
@@ -160,8 +159,8 @@
 	return admitter.NodeDemand{Node: n.ID, Silent: !recent, Demands: r.value}
 }
 
-// divide returns one of n equal parts of the demands. The calls in flight are
-// rounded up, so that a few calls don't count as none.
+// divide returns one of n equal parts of the demands. Calls in flight are rounded up, so that
+// a few calls don't become zero.
 func divide(demands []garnetworks.Demand, n int) []garnetworks.Demand {
 	part := make([]garnetworks.Demand, len(demands))
 	for i, d := range demands {
@@ -175,10 +174,10 @@
 	return part
 }
 
-// minimumWitnesses is the number of nodes that must call a group slow (S4).
+// minReports is the number of nodes that must report a group as slow (S4).
 const minReports = 2
 
-// Slowdowns returns the groups that are slow by the nodes' words (S4).
+// Slowdowns returns the slow groups and their slowdown according to the nodes' reports (S4).
 func Slowdowns(reports map[garnetworks.NodeID][]garnetworks.GroupSlowdown) map[garnetworks.GroupID]float64 {
 	ratios := make(map[garnetworks.GroupID][]float64)
 	for _, slow := range reports {
--- a/sharer/sharer_test.go
+++ b/sharer/sharer_test.go
@@ -15,7 +15,7 @@
 	workspaces = []garnetworks.WorkspaceSpec{{Name: "w", Limits: garnetworks.LimitsSpec{RequestsPerSecond: 100}}}
 )
 
-// site returns zones of unequal size.
+// siteNodes returns the nodes of zones of the given sizes.
 func siteNodes(sizes map[garnetworks.ZoneID]int) []garnetworks.NodeInfo {
 	var nodes []garnetworks.NodeInfo
 	for _, zone := range []garnetworks.ZoneID{"a", "b", "c"} {
@@ -41,10 +41,8 @@
 }
 
 func TestSharesOfAllControllersSumToOne(t *testing.T) {
-	// An operator limits a workspace to 100 requests a second over the site.
-	// Each zone's controller works out its own nodes' shares from its own reports
-	// and the other zones' sums; if these tables did not fit each other, the
-	// workspace would get more than its limit.
+	// Guards against zone controllers whose tables of shares together exceed the limit of a
+	// workspace.
 	nodes := siteNodes(map[garnetworks.ZoneID]int{"a": 2, "b": 5, "c": 1})
 	aggregators := map[garnetworks.ZoneID]*Aggregator{"a": New("a"), "b": New("b"), "c": New("c")}
 	for i, n := range nodes {
@@ -61,7 +59,7 @@
 		sum += share(t, aggregators[n.Zone], start, n.ID)
 	}
 	if math.Abs(sum-1) > 1e-9 {
-		t.Errorf("shares sum to %v", sum)
+		t.Errorf("shares sum to %v, want 1", sum)
 	}
 	if low, high := share(t, aggregators["b"], start, "b-0"), share(t, aggregators["b"], start, "b-4"); low >= high {
 		t.Errorf("shares do not follow demand: %v for less, %v for more", low, high)
@@ -69,9 +67,7 @@
 }
 
 func TestSilentZoneKeepsItsEqualShare(t *testing.T) {
-	// Zone c is cut off. Its node goes on with the equal share among the known
-	// nodes, so the others must leave that much, or the workspace gets more than
-	// its limit.
+	// Guards against assigning the equal share that nodes of a partitioned zone continue to use.
 	nodes := siteNodes(map[garnetworks.ZoneID]int{"a": 2, "b": 1, "c": 1})
 	a := New("a")
 	a.SetNodes(nodes)
@@ -84,7 +80,7 @@
 
 	sum := share(t, a, now, "a-0") + share(t, a, now, "a-1") + share(t, a, now, "b-0")
 	if want := 0.75; math.Abs(sum-want) > 1e-9 {
-		t.Errorf("nodes that were heard have %v together, want %v", sum, want)
+		t.Errorf("reporting nodes have %v together, want %v", sum, want)
 	}
 }
 
@@ -93,11 +89,11 @@
 	a.SetNodes(siteNodes(map[garnetworks.ZoneID]int{"a": 1}))
 	a.Report(start, "a-9", demand(1))
 	if row := a.NodeShare(start, workspaces, "a-9"); row.Present {
-		t.Errorf("a node on no roster got %+v", row.Value)
+		t.Errorf("a node on no roster got %+v, want no shares", row.Value)
 	}
 	a.SetNodes(siteNodes(map[garnetworks.ZoneID]int{"a": 1}))
 	if got := a.ZoneDemand(start).Nodes; got != 0 {
-		t.Errorf("a node that is gone counts in the zone's demand")
+		t.Errorf("a removed node counts in the zone's demand")
 	}
 }
 
@@ -123,7 +119,7 @@
 	}
 }
 
-// BenchmarkTable works out the table of one zone's controller.
+// BenchmarkTable measures computing the table of shares at one zone's controller.
 func BenchmarkTable(b *testing.B) {
 	for _, count := range []int{6, 24, 96, 330} {
 		b.Run(fmt.Sprintf("nodes=%d", count), func(b *testing.B) {
