--- a/router/router_test.go
+++ b/router/router_test.go
@@ -81,14 +81,14 @@
 		full garnetworks.Set[garnetworks.ZoneID]
 		want garnetworks.Set[garnetworks.ZoneID]
 	}{
-		"long prompts use the region":           {blocks: 4, want: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2")},
-		"short prompts stay in the zone":        {want: garnetworks.NewSet[garnetworks.ZoneID]("z1")},
-		"short prompts leave a full zone":       {full: garnetworks.NewSet[garnetworks.ZoneID]("z1"), want: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2")},
-		"a lost zone is served by the region":   {lost: garnetworks.NewSet[garnetworks.ZoneID]("z1"), want: garnetworks.NewSet[garnetworks.ZoneID]("z2")},
-		"a lost region is served by another":    {blocks: 4, lost: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2"), want: garnetworks.NewSet[garnetworks.ZoneID]("z3")},
-		"a full region is helped out":           {blocks: 4, full: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2"), want: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2", "z3")},
-		"full regions do not help out":          {blocks: 4, full: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2", "z3"), want: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2")},
-		"a region whose other is full stays so": {blocks: 4, full: garnetworks.NewSet[garnetworks.ZoneID]("z3"), want: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2")},
+		"long prompts use the region":            {blocks: 4, want: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2")},
+		"short prompts stay in the zone":         {want: garnetworks.NewSet[garnetworks.ZoneID]("z1")},
+		"short prompts leave a full zone":        {full: garnetworks.NewSet[garnetworks.ZoneID]("z1"), want: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2")},
+		"a lost zone is served by the region":    {lost: garnetworks.NewSet[garnetworks.ZoneID]("z1"), want: garnetworks.NewSet[garnetworks.ZoneID]("z2")},
+		"a lost region is served by another":     {blocks: 4, lost: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2"), want: garnetworks.NewSet[garnetworks.ZoneID]("z3")},
+		"a full region spills to another":        {blocks: 4, full: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2"), want: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2", "z3")},
+		"full regions take no spilled calls":     {blocks: 4, full: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2", "z3"), want: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2")},
+		"calls stay if the other region is full": {blocks: 4, full: garnetworks.NewSet[garnetworks.ZoneID]("z3"), want: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2")},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -145,17 +145,17 @@
 			views: []garnetworks.ZoneView{view("z1", true, "s1"), view("z2", false, "s2")},
 			want:  garnetworks.NewSet[garnetworks.InstanceID]("s2"),
 		},
-		"leaving by its own word, and a lagging view": {
+		"leaving by its own statement, outdated view": {
 			views:    []garnetworks.ZoneView{view("z1", false, "s1", "s2"), view("z1", false, "s1", "s2")},
 			finished: []finish{{"s1", garnetworks.AttemptResult{Phase: garnetworks.PhaseRefused, Leaving: true}}},
 			want:     garnetworks.NewSet[garnetworks.InstanceID]("s2"),
 		},
-		"not reached, so another zone": {
+		"unreachable, another zone": {
 			views:    []garnetworks.ZoneView{view("z1", false, "s1"), view("z2", false, "s2")},
 			finished: []finish{{"s1", garnetworks.AttemptResult{Phase: garnetworks.PhaseConnect}}},
 			want:     garnetworks.NewSet[garnetworks.InstanceID]("s2"),
 		},
-		"not reached, but the last one": {
+		"unreachable, the only server": {
 			views:    []garnetworks.ZoneView{view("z1", false, "s1")},
 			finished: []finish{{"s1", garnetworks.AttemptResult{Phase: garnetworks.PhaseConnect}}},
 			want:     garnetworks.NewSet[garnetworks.InstanceID]("s1"),
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -37,7 +37,7 @@
 //	    processed within the pause that clients allow; further calls go elsewhere or
 //	    wait.
 //	Q10 An availability zone that is unreachable from the node while its groups are
-//	    still listed. If several of its groups give no sign of life and nothing is
+//	    still listed. If several of its groups do not respond and no event is
 //	    received from the zone, it gets one probing call at a time, unless no zone
 //	    is reachable.
 //	Q11 A group whose instances have all failed, while their entries have not
--- a/scheduler/placing.go
+++ b/scheduler/placing.go
@@ -109,7 +109,8 @@
 	return float64(g.prefillTokens)+min(float64(c.PromptTokens), limit/2) <= limit
 }
 
-// PendingPrefill returns the prompt tokens of this node's calls that a group has yet to prefill.
+// PendingPrefill returns the prompt tokens of this node's calls that a group has yet to
+// prefill.
 func (s *Scheduler) PendingPrefill(model garnetworks.ModelName, group garnetworks.GroupID) int {
 	if g := s.pool(model).groups[group]; g != nil {
 		return g.prefillTokens
--- a/scheduler/reach.go
+++ b/scheduler/reach.go
@@ -45,8 +45,8 @@
 	delete(s.zones, g.Zone)
 }
 
-// Unreachable records that a group did not give the sign of life that was due: a
-// connection, an acknowledgement or an event (Q10).
+// Unreachable records that a group did not respond in time: with a connection, an
+// acknowledgement or an event (Q10).
 func (s *Scheduler) Unreachable(now time.Time, model garnetworks.ModelName, group garnetworks.GroupID) {
 	g := s.pool(model).groups[group]
 	if g == nil {
