--- a/picker/picker_test.go
+++ b/picker/picker_test.go
@@ -16,11 +16,11 @@
 	return list
 }
 
-func life(id garnetworks.InstanceID) garnetworks.Incarnation {
+func incarnation(id garnetworks.InstanceID) garnetworks.Incarnation {
 	return garnetworks.Incarnation{Instance: id}
 }
 
-// run makes calls one after the other and returns how many each server got.
+// run makes sequential calls and returns the number of calls by server.
 func run(p *picker.Picker, now time.Time, list []garnetworks.RegisteredServer, calls int, answer func(garnetworks.InstanceID) (time.Duration, bool)) map[garnetworks.InstanceID]int {
 	counts := make(map[garnetworks.InstanceID]int)
 	for range calls {
@@ -36,15 +36,15 @@
 	return counts
 }
 
-// Story: one of three servers turns five times slower, or fails half of its calls
-// while its health check is good. Callers wait for it a third of the time.
+// Guards against sending a slow or failing server its full share of calls while its health
+// check passes.
 func TestBadServersGetFewCalls(t *testing.T) {
-	const usual, calls = 30 * time.Millisecond, 300
+	const normalTime, calls = 30 * time.Millisecond, 300
 	cases := map[string]func(id garnetworks.InstanceID, n int) (time.Duration, bool){
 		"slow": func(id garnetworks.InstanceID, _ int) (time.Duration, bool) {
-			return usual * time.Duration(1+4*btoi(id == "a")), false
+			return normalTime * time.Duration(1+4*btoi(id == "a")), false
 		},
-		"fails": func(id garnetworks.InstanceID, n int) (time.Duration, bool) { return usual, id == "a" && n%2 == 0 },
+		"fails": func(id garnetworks.InstanceID, n int) (time.Duration, bool) { return normalTime, id == "a" && n%2 == 0 },
 	}
 	for name, behave := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -75,14 +75,14 @@
 		want    garnetworks.InstanceID
 	}{
 		"fewest calls": {prepare: func(p *picker.Picker) { p.Pick(now, servers("a"), nil) }, want: "b"},
-		"not tried":    {tried: []garnetworks.Incarnation{life("a")}, want: "b"},
-		"all tried":    {tried: []garnetworks.Incarnation{life("a"), life("b")}},
-		"unreachable":  {prepare: func(p *picker.Picker) { p.Unreachable(now, life("a")) }, want: "b"},
+		"not tried":    {tried: []garnetworks.Incarnation{incarnation("a")}, want: "b"},
+		"all tried":    {tried: []garnetworks.Incarnation{incarnation("a"), incarnation("b")}},
+		"unreachable":  {prepare: func(p *picker.Picker) { p.Unreachable(now, incarnation("a")) }, want: "b"},
 		"all unreachable": {prepare: func(p *picker.Picker) {
-			p.Unreachable(now, life("a"))
-			p.Unreachable(now, life("b"))
+			p.Unreachable(now, incarnation("a"))
+			p.Unreachable(now, incarnation("b"))
 		}, want: "a"},
-		"reachable again": {prepare: func(p *picker.Picker) { p.Unreachable(now.Add(-picker.RestTime), life("a")) }, want: "a"},
+		"reachable again": {prepare: func(p *picker.Picker) { p.Unreachable(now.Add(-picker.Cooldown), incarnation("a")) }, want: "a"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -98,10 +98,8 @@
 	}
 }
 
-// Story: a plain server could not be reached and failed calls before that. It starts
-// again under its identifier, empty and well, and got no calls for a second and few for
-// some seconds after.
-func TestServerThatStartedAgainIsUsedAtOnce(t *testing.T) {
+// Guards against applying the history of a server to its next incarnation.
+func TestRestartedServerIsUsedAtOnce(t *testing.T) {
 	now := time.Unix(0, 0)
 	p := picker.New("z")
 	list := servers("a", "b")
@@ -111,11 +109,11 @@
 	}
 	p.Unreachable(now, list[0].Incarnation())
 	if s, _ := p.Pick(now, list, nil); s.ID != "b" {
-		t.Fatalf("picked %q, which can't be reached", s.ID)
+		t.Fatalf("picked %q, which is unreachable", s.ID)
 	}
 	list[0].StartMS = 1
 	if s, _ := p.Pick(now, list, nil); s.ID != "a" {
-		t.Errorf("picked %q beside an idle server that has just started", s.ID)
+		t.Errorf("picked %q, want the server that has just restarted", s.ID)
 	}
 }
 
@@ -124,6 +122,6 @@
 	list[0].Zone = "far"
 	s, _ := picker.New("z").Pick(time.Unix(0, 0), list, nil)
 	if s.ID != "b" {
-		t.Errorf("picked %q of another zone", s.ID)
+		t.Errorf("picked %q, which is in another zone", s.ID)
 	}
 }
--- a/router/capacity.go
+++ b/router/capacity.go
@@ -8,7 +8,8 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// capacities sums the eligible groups of each model.
+// capacities returns the total capacity and load of each model's eligible groups, sorted by
+// model.
 func (t *table) capacities(now int64) []garnetworks.ModelCapacity {
 	var all []garnetworks.ModelCapacity
 	for key, p := range t.pools {
@@ -31,8 +32,8 @@
 		}
 		sum.Slots += int(g.load.capacity)
 		sum.InUse += g.load.inUse()
-		if g.pace.judged(now) {
-			t.scratch = append(t.scratch, g.pace.first)
+		if g.pace.reliable(now) {
+			t.scratch = append(t.scratch, g.pace.firstToken)
 		}
 	}
 	if len(t.scratch) > 0 {
--- a/router/choose.go
+++ b/router/choose.go
@@ -7,55 +7,55 @@
 )
 
 const (
-	// ranks is the number of groups that a prefix's ranking keeps; a prefix that
-	// needs more than these is spread over all.
-	ranks = 16
-	// spread is how much wider than its share of the calls a prefix is spread
-	// (R5). At 1 a prefix that needs a whole group shares its home with others
-	// and overloads it.
-	spread = 3
-	// spillRanks is the number of ranks that a call is spilled to (R6).
+	// rankingSize is the maximum number of groups in a ranking; a prefix that needs more is
+	// spread over all groups.
+	rankingSize = 16
+	// spreadFactor is the ratio of the groups that a prefix is spread over to its share of the
+	// calls (R5). At 1, a prefix that fills a whole group would overload its home, which other
+	// prefixes share.
+	spreadFactor = 3
+	// spillRanks is the number of ranks after the home that a call can be spilled to (R6).
 	spillRanks = 4
-	// spillLow and spillHigh are the use, as a share of a group's capacity, that
-	// another group must lie below the home to be worth a lost cache: no call is
-	// spilled for less than the first, each for more than the second (R6).
-	spillLow, spillHigh = 0.15, 0.5
-	// hintGain is how much busier than the home a hinted group may be (R9).
-	hintGain = 0.15
-	// zoneGain is the difference in mean use that is worth the way to another
-	// zone or region (R8).
-	zoneGain = 0.25
-	// fullUse is the filled part of the region from which other regions help out (R8).
-	fullUse = 0.95
+	// A call is never spilled if the other group's utilization is lower by less than
+	// minSpillGain, which does not outweigh the home's cache, and always if it is lower by more
+	// than maxSpillGain (R6).
+	minSpillGain, maxSpillGain = 0.15, 0.5
+	// hintTolerance is how much more utilized than the home a hinted group may be (R9).
+	hintTolerance = 0.15
+	// crossZoneGain is the difference in mean utilization that outweighs the cost of using
+	// another zone or region (R8).
+	crossZoneGain = 0.25
+	// fullUtilization is the utilization of the region from which other regions are used (R8).
+	fullUtilization = 0.95
 )
 
-// ranking is the best groups by rendezvous hashing, the best first.
+// ranking holds the best groups by rendezvous hashing, best first.
 type ranking struct {
-	groups [ranks]*group
-	scores [ranks]uint64
+	groups [rankingSize]*group
+	scores [rankingSize]uint64
 	n      int
-	// keep is the highest n; ranks at most.
-	keep int
+	// limit is the maximum of n; at most rankingSize.
+	limit int
 }
 
-// scan ranks the eligible groups of a scope and keeps the first of them (R1,
-// R4). Most groups are passed by after one comparison of scores.
-func (r *ranking) scan(now int64, s *scope, hash uint64, keep int, tried []garnetworks.GroupID) {
+// scan ranks the eligible groups of a scope and keeps the best limit of them (R1, R4). Most
+// groups are rejected after one comparison of scores.
+func (r *ranking) scan(now int64, s *scope, hash uint64, limit int, tried []garnetworks.GroupID) {
 	r.n = 0
-	r.keep = min(keep, ranks)
-	least := uint64(0)
+	r.limit = min(limit, rankingSize)
+	minScore := uint64(0)
 	for i := range s.entries {
 		e := &s.entries[i]
 		score := mix(hash ^ e.seed)
-		if score <= least {
+		if score <= minScore {
 			continue
 		}
 		if !e.group.eligible(now) || isTried(e.group, tried) {
 			continue
 		}
 		r.insert(e.group, score)
-		if r.n == r.keep {
-			least = r.scores[r.n-1]
+		if r.n == r.limit {
+			minScore = r.scores[r.n-1]
 		}
 	}
 }
@@ -71,7 +71,7 @@
 
 func (r *ranking) insert(g *group, score uint64) {
 	i := r.n
-	if i == r.keep {
+	if i == r.limit {
 		i--
 	} else {
 		r.n++
@@ -83,8 +83,8 @@
 	r.scores[i], r.groups[i] = score, g
 }
 
-// narrow ranks the first m groups anew by a longer prefix's hash (R5).
-func (r *ranking) narrow(m int, hash uint64) {
+// rerank reorders the first m groups by the hash of a longer prefix (R5).
+func (r *ranking) rerank(m int, hash uint64) {
 	m = min(m, r.n)
 	for i := range m {
 		g := r.groups[i]
@@ -98,11 +98,11 @@
 	}
 }
 
-// width returns the number of groups that a prefix is spread over: a power of
-// two, or 0 for all groups of the scope (R5).
-func (t *table) width(hash uint64, eligible int) int {
-	want := t.sketch.share(hash) * float64(eligible) * spread
-	for m := 1; m <= ranks; m *= 2 {
+// spreadWidth returns the number of groups that a prefix is spread over: a power of two, or 0
+// for all groups of the scope (R5).
+func (t *table) spreadWidth(hash uint64, eligible int) int {
+	want := t.sketch.share(hash) * float64(eligible) * spreadFactor
+	for m := 1; m <= rankingSize; m *= 2 {
 		if want <= float64(m) {
 			return m
 		}
@@ -110,62 +110,60 @@
 	return 0
 }
 
-// choose decides on a group for a call, or returns nil.
+// choose returns the group for a call, or nil if none is eligible.
 func (t *table) choose(now int64, call *garnetworks.CallRequest, tried []garnetworks.GroupID) *group {
 	p := t.pools[poolKey{call.Model, call.Adapter}]
 	if p == nil {
 		return nil
 	}
-	t.judge(now)
+	t.updateStragglers(now)
 	s := t.scope(now, p)
 	prefix := newPrefix(call)
 	if !prefix.next() {
-		return t.chooseLoose(now, p, s, tried)
+		return t.chooseByLoad(now, p, s, tried)
 	}
 	var r ranking
-	m := t.width(prefix.hash, s.eligible)
+	m := t.spreadWidth(prefix.hash, s.eligible)
 	more := true
 	for m == 0 && more {
 		if more = prefix.next(); more {
-			m = t.width(prefix.hash, s.eligible)
+			m = t.spreadWidth(prefix.hash, s.eligible)
 		}
 	}
 	if m == 0 {
-		return t.chooseLoose(now, p, s, tried)
+		return t.chooseByLoad(now, p, s, tried)
 	}
 	r.scan(now, s, prefix.hash, m+spillRanks, tried)
 	for m > 1 && prefix.next() {
-		r.narrow(m, prefix.hash)
-		m = min(m, max(1, t.width(prefix.hash, s.eligible)))
+		r.rerank(m, prefix.hash)
+		m = min(m, max(1, t.spreadWidth(prefix.hash, s.eligible)))
 	}
 	if r.n == 0 {
-		return t.chooseLoose(now, p, s, tried)
+		return t.chooseByLoad(now, p, s, tried)
 	}
 	var hinted *group
-	if t.hints.taken {
-		hinted = t.longest(now, call, tried)
+	if t.hints.nonEmpty {
+		hinted = t.longestHint(now, call, tried)
 	}
-	return t.settleRank(now, &r, m, hinted)
+	return t.homeOrSpill(now, &r, m, hinted)
 }
 
-// settleRank picks the home or a group of the next ranks (R6). The part of the
-// calls that is spilled grows with the difference in use, and they go to
-// several groups: nodes that act on the same report would else all leave the
-// home at once and fill the next group, until the next report sends them back.
-func (t *table) settleRank(now int64, r *ranking, m int, hinted *group) *group {
+// homeOrSpill chooses the home or a group of the next ranks (R6). The probability of a spill
+// grows with the difference in utilization, and spilled calls go to several groups:
+// otherwise nodes that act on the same report would all move from group to group together.
+func (t *table) homeOrSpill(now int64, r *ranking, m int, hinted *group) *group {
 	m = min(m, r.n)
-	home := r.groups[t.lessBusy(now, r, 0, m)]
-	if hinted != nil && hinted.cost(now) < home.cost(now)+hintGain {
-		// A hint is worth something and a hash that no event confirms is not, but
-		// a hint can be old (R9).
+	home := r.groups[t.lessLoaded(now, r, 0, m)]
+	if hinted != nil && hinted.cost(now) < home.cost(now)+hintTolerance {
+		// A hint is backed by an event and the hash is not, but the hint can be outdated (R9).
 		home = hinted
 	}
 	n := min(spillRanks, r.n-m)
 	if n == 0 {
 		return home
 	}
-	other := r.groups[t.lessBusy(now, r, m, n)]
-	gain := spillLow + (spillHigh-spillLow)*t.uniform()
+	other := r.groups[t.lessLoaded(now, r, m, n)]
+	gain := minSpillGain + (maxSpillGain-minSpillGain)*t.uniform()
 	if other.cost(now)+gain < home.cost(now) {
 		return other
 	}
@@ -175,10 +173,10 @@
 // uniform returns a pseudo-random number in [0, 1).
 func (t *table) uniform() float64 { return float64(t.next()>>11) / (1 << 53) }
 
-// lessBusy returns the rank of the less busy of two random groups among n from
-// a first rank on. Looking at the same few groups from every node would send all
-// nodes to whichever of them the last report called idle.
-func (t *table) lessBusy(now int64, r *ranking, first, n int) int {
+// lessLoaded returns the rank of the less loaded of two random groups among n, starting at
+// rank first. Comparing the same few groups at every node would send all calls to the one
+// that the last report showed as idle.
+func (t *table) lessLoaded(now int64, r *ranking, first, n int) int {
 	if n == 1 {
 		return first
 	}
@@ -193,58 +191,58 @@
 	return first + i
 }
 
-// cost is the group's use, with groups that could not be reached far behind.
+// cost returns the group's utilization, with a penalty that ranks groups in cooldown last.
 func (g *group) cost(now int64) float64 {
 	if g.cooldown.until > now {
-		return g.use() + 100
+		return g.utilization() + 100
 	}
-	return g.use()
+	return g.utilization()
 }
 
-// scope returns the part of the pool that the call is chosen from (R8).
+// scope returns the part of the pool from which the group is chosen (R8).
 func (t *table) scope(now int64, p *pool) *scope {
 	p.region.refresh(now)
-	if p.region.eligible > 0 && p.region.filled < fullUse {
+	if p.region.eligible > 0 && p.region.cappedMean < fullUtilization {
 		return &p.region
 	}
 	p.site.refresh(now)
-	if p.region.eligible > 0 && p.site.filled > p.region.filled-zoneGain {
+	if p.region.eligible > 0 && p.site.cappedMean > p.region.cappedMean-crossZoneGain {
 		return &p.region
 	}
 	return &p.site
 }
 
-// chooseLoose takes the less busy of two random groups, of the own zone if it
-// has room (R8).
-func (t *table) chooseLoose(now int64, p *pool, s *scope, tried []garnetworks.GroupID) *group {
+// chooseByLoad returns the less loaded of two random groups, from the node's own zone unless
+// it is much more loaded (R8).
+func (t *table) chooseByLoad(now int64, p *pool, s *scope, tried []garnetworks.GroupID) *group {
 	p.zone.refresh(now)
-	if p.zone.eligible > 0 && p.zone.mean < s.mean+zoneGain {
-		if g := t.chooseTwo(now, &p.zone, tried); g != nil {
+	if p.zone.eligible > 0 && p.zone.mean < s.mean+crossZoneGain {
+		if g := t.lessLoadedOfTwo(now, &p.zone, tried); g != nil {
 			return g
 		}
 	}
-	if g := t.chooseTwo(now, s, tried); g != nil {
+	if g := t.lessLoadedOfTwo(now, s, tried); g != nil {
 		return g
 	}
 	p.site.refresh(now)
-	return t.chooseTwo(now, &p.site, tried)
+	return t.lessLoadedOfTwo(now, &p.site, tried)
 }
 
-// chooseTwo takes the less busy of two random eligible groups.
-func (t *table) chooseTwo(now int64, s *scope, tried []garnetworks.GroupID) *group {
-	a := t.chooseOne(now, s, nil, tried)
+// lessLoadedOfTwo returns the less loaded of two random eligible groups.
+func (t *table) lessLoadedOfTwo(now int64, s *scope, tried []garnetworks.GroupID) *group {
+	a := t.randomEligible(now, s, nil, tried)
 	if a == nil {
 		return nil
 	}
-	b := t.chooseOne(now, s, a, tried)
+	b := t.randomEligible(now, s, a, tried)
 	if b != nil && b.cost(now) < a.cost(now) {
 		return b
 	}
 	return a
 }
 
-// chooseOne takes a random eligible group other than one.
-func (t *table) chooseOne(now int64, s *scope, other *group, tried []garnetworks.GroupID) *group {
+// randomEligible returns a random eligible group other than the given one.
+func (t *table) randomEligible(now int64, s *scope, other *group, tried []garnetworks.GroupID) *group {
 	n := len(s.entries)
 	if n == 0 {
 		return nil
@@ -256,7 +254,7 @@
 			return g
 		}
 	}
-	// Few groups are eligible: look at all, from a random one on.
+	// Few groups are eligible: try all, starting at a random one.
 	first := int(t.next() % uint64(n))
 	for i := range n {
 		g := s.entries[(first+i)%n].group
@@ -267,39 +265,39 @@
 	return nil
 }
 
-// judge compares the paces of each model's groups now and then.
-func (t *table) judge(now int64) {
-	if t.judged != 0 && now-t.judged < int64(time.Second) {
+// updateStragglers recomputes the pace ratios of all groups, at most once per second.
+func (t *table) updateStragglers(now int64) {
+	if t.stragglersUpdated != 0 && now-t.stragglersUpdated < int64(time.Second) {
 		return
 	}
-	t.judged = now
+	t.stragglersUpdated = now
 	for key, p := range t.pools {
 		if key.adapter == "" {
-			t.judgePool(now, p)
+			t.updatePaceRatios(now, p)
 		}
 	}
 }
 
-func (t *table) judgePool(now int64, p *pool) {
+func (t *table) updatePaceRatios(now int64, p *pool) {
 	t.scratch = t.scratch[:0]
 	for _, e := range p.site.entries {
-		if e.group.pace.judged(now) {
-			t.scratch = append(t.scratch, e.group.pace.token)
+		if e.group.pace.reliable(now) {
+			t.scratch = append(t.scratch, e.group.pace.perToken)
 		}
 	}
-	median := medianOf(t.scratch)
+	median := lowerMedian(t.scratch)
 	for _, e := range p.site.entries {
-		e.group.judge(now, median)
+		e.group.updatePaceRatio(now, median)
 	}
 }
 
-// started counts the call's prefixes as far as a decision looks at them, and
-// the attempt as in flight.
+// started counts an attempt as in flight, and the call's prefixes up to the length that a
+// decision looks at.
 func (t *table) started(now int64, call *garnetworks.CallRequest, id garnetworks.GroupID) {
 	if g := t.groups[id]; g != nil {
 		g.load.own++
 	}
-	t.sketch.call()
+	t.sketch.countCall()
 	eligible := 0
 	if p := t.pools[poolKey{call.Model, call.Adapter}]; p != nil {
 		eligible = p.region.eligible
@@ -307,13 +305,13 @@
 	prefix := newPrefix(call)
 	for prefix.next() {
 		t.sketch.add(prefix.hash)
-		if t.width(prefix.hash, eligible) == 1 {
+		if t.spreadWidth(prefix.hash, eligible) == 1 {
 			return
 		}
 	}
 }
 
-// finished ends an attempt and takes what it tells of the group.
+// finished ends an attempt and evaluates its result.
 func (t *table) finished(now int64, id garnetworks.GroupID, result garnetworks.AttemptResult) {
 	g := t.groups[id]
 	if g == nil {
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -31,8 +31,8 @@
 }
 
 func TestChoosesSameGroupAtAllNodes(t *testing.T) {
-	// A caller's next turn comes in at another node. If nodes ranked groups
-	// differently, the engine that holds the prefix would be missed.
+	// Guards against nodes that rank groups differently and so miss the engine that holds the
+	// prefix of a conversation.
 	view := testView("z1", 18)
 	call := testCall("the same long prefix", 8)
 	want := garnetworks.GroupID("")
@@ -52,10 +52,9 @@
 	}
 }
 
-func TestCutOffNode(t *testing.T) {
-	// An availability zone is cut off from its controller. Its nodes must neither
-	// send calls to a group that may have lost a member since (rule G1), nor stop
-	// serving groups that they can confirm themselves.
+func TestNodePartitionedFromController(t *testing.T) {
+	// Guards against sending calls to an unconfirmed group while a zone is partitioned from its
+	// controller (rule G1), and against rejecting calls that a confirmed group could serve.
 	r := New(Options{Node: "n1", Zone: "z1"})
 	r.SetView(testStart, testView("z1", 2))
 	call := testCall("prefix", 4)
@@ -78,18 +77,18 @@
 		blocks int
 		// lost zones have no view.
 		lost garnetworks.Set[garnetworks.ZoneID]
-		// full zones have three calls waiting for each slot.
+		// full zones have three waiting calls per slot.
 		full garnetworks.Set[garnetworks.ZoneID]
 		want garnetworks.Set[garnetworks.ZoneID]
 	}{
-		"long prompts use the region":           {blocks: 4, want: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2")},
-		"short prompts stay in the zone":        {want: garnetworks.NewSet[garnetworks.ZoneID]("z1")},
-		"short prompts leave a full zone":       {full: garnetworks.NewSet[garnetworks.ZoneID]("z1"), want: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2")},
-		"a lost zone is served by the region":   {lost: garnetworks.NewSet[garnetworks.ZoneID]("z1"), want: garnetworks.NewSet[garnetworks.ZoneID]("z2")},
-		"a lost region is served by another":    {blocks: 4, lost: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2"), want: garnetworks.NewSet[garnetworks.ZoneID]("z3")},
-		"a full region is helped out":           {blocks: 4, full: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2"), want: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2", "z3")},
-		"full regions do not help out":          {blocks: 4, full: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2", "z3"), want: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2")},
-		"a region whose other is full stays so": {blocks: 4, full: garnetworks.NewSet[garnetworks.ZoneID]("z3"), want: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2")},
+		"long prompts use the region":            {blocks: 4, want: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2")},
+		"short prompts stay in the zone":         {want: garnetworks.NewSet[garnetworks.ZoneID]("z1")},
+		"short prompts leave a full zone":        {full: garnetworks.NewSet[garnetworks.ZoneID]("z1"), want: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2")},
+		"a lost zone is served by the region":    {lost: garnetworks.NewSet[garnetworks.ZoneID]("z1"), want: garnetworks.NewSet[garnetworks.ZoneID]("z2")},
+		"a lost region is served by another":     {blocks: 4, lost: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2"), want: garnetworks.NewSet[garnetworks.ZoneID]("z3")},
+		"a full region spills to another":        {blocks: 4, full: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2"), want: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2", "z3")},
+		"full regions take no spilled calls":     {blocks: 4, full: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2", "z3"), want: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2")},
+		"calls stay if the other region is full": {blocks: 4, full: garnetworks.NewSet[garnetworks.ZoneID]("z3"), want: garnetworks.NewSet[garnetworks.ZoneID]("z1", "z2")},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -146,17 +145,17 @@
 			views: []garnetworks.ZoneView{view("z1", true, "s1"), view("z2", false, "s2")},
 			want:  garnetworks.NewSet[garnetworks.InstanceID]("s2"),
 		},
-		"leaving by its own word, and a lagging view": {
+		"leaving by its own statement, outdated view": {
 			views:    []garnetworks.ZoneView{view("z1", false, "s1", "s2"), view("z1", false, "s1", "s2")},
 			finished: []finish{{"s1", garnetworks.AttemptResult{Phase: garnetworks.PhaseRefused, Leaving: true}}},
 			want:     garnetworks.NewSet[garnetworks.InstanceID]("s2"),
 		},
-		"not reached, so another zone": {
+		"unreachable, another zone": {
 			views:    []garnetworks.ZoneView{view("z1", false, "s1"), view("z2", false, "s2")},
 			finished: []finish{{"s1", garnetworks.AttemptResult{Phase: garnetworks.PhaseConnect}}},
 			want:     garnetworks.NewSet[garnetworks.InstanceID]("s2"),
 		},
-		"not reached, but the last one": {
+		"unreachable, the only server": {
 			views:    []garnetworks.ZoneView{view("z1", false, "s1")},
 			finished: []finish{{"s1", garnetworks.AttemptResult{Phase: garnetworks.PhaseConnect}}},
 			want:     garnetworks.NewSet[garnetworks.InstanceID]("s1"),
@@ -194,8 +193,7 @@
 }
 
 func TestGapDropsHints(t *testing.T) {
-	// An engine's events are lost while it evicts a prefix. A node that still
-	// trusted the hint would send calls to a cache that no longer holds it.
+	// Guards against trusting hints after a gap in a group's events, which may hide evictions.
 	r := New(Options{Node: "n1", Zone: "z1"})
 	r.SetView(testStart, testView("z1", 18))
 	call := testCall("prefix", 8)
--- a/router/straggler.go
+++ b/router/straggler.go
@@ -9,90 +9,89 @@
 
 const (
 	paceWeight = 0.2
-	// paceSamples is the number of answers before a group is judged.
-	paceSamples = 8
-	// paceGroups is the number of judged groups that a median needs.
-	paceGroups = 4
+	// minPaceSamples is the number of answers from which a pace is reliable.
+	minPaceSamples = 8
+	// minPaceGroups is the number of reliable paces that a median needs.
+	minPaceGroups = 4
 	// slowRatio is the ratio to the median above which a group is a straggler.
 	slowRatio = 1.5
-	// paceMemory is the age at which measurements no longer count, so that a
-	// group that recovers is tried again (R10).
-	paceMemory = time.Minute
-	// slowWeight is the capacity left to a group that its controller calls
-	// slow, and leastWeight the least that any straggler keeps.
-	slowWeight  = 0.5
-	leastWeight = 0.1
+	// paceMaxAge is the age from which measurements no longer count, so that a slow group is
+	// tried again (R10).
+	paceMaxAge = time.Minute
+	// slowWeight scales the capacity of a group that its controller marks as slow; minWeight is
+	// the lower bound of any straggler's weight.
+	slowWeight = 0.5
+	minWeight  = 0.1
 )
 
-// pace is a group's speed by the node's own measurements.
+// pace is a group's speed as measured by this node.
 type pace struct {
-	// token and first are moving averages of the seconds for each token after
-	// the first, and up to the first.
-	token, first float64
-	samples      int
-	at           int64
-	// ratio is token over the median of the model's groups; 0 if not judged.
+	// perToken and firstToken are moving averages, in seconds, of the time per token after the
+	// first one and of the time to the first token.
+	perToken, firstToken float64
+	samples              int
+	updatedAt            int64
+	// ratio is perToken over the median of the model's groups; 0 if unknown.
 	ratio float64
 	// weight scales the group's capacity, in (0, 1].
 	weight float64
 }
 
-// add takes the times of a whole answer.
+// add adds the measurements of a complete answer.
 func (p *pace) add(now int64, r garnetworks.AttemptResult) {
 	if r.Phase != garnetworks.PhaseDone || r.Tokens < 2 || r.FirstToken <= 0 {
 		return
 	}
-	token := (r.Elapsed - r.FirstToken).Seconds() / float64(r.Tokens-1)
-	first := r.FirstToken.Seconds()
-	p.at = now
+	perToken := (r.Elapsed - r.FirstToken).Seconds() / float64(r.Tokens-1)
+	firstToken := r.FirstToken.Seconds()
+	p.updatedAt = now
 	p.samples++
 	if p.samples == 1 {
-		p.token, p.first = token, first
+		p.perToken, p.firstToken = perToken, firstToken
 		return
 	}
-	p.token += paceWeight * (token - p.token)
-	p.first += paceWeight * (first - p.first)
+	p.perToken += paceWeight * (perToken - p.perToken)
+	p.firstToken += paceWeight * (firstToken - p.firstToken)
 }
 
-// judged reports whether the measurements count.
-func (p *pace) judged(now int64) bool {
-	return p.samples >= paceSamples && now-p.at < int64(paceMemory)
+// reliable reports whether there are enough recent measurements.
+func (p *pace) reliable(now int64) bool {
+	return p.samples >= minPaceSamples && now-p.updatedAt < int64(paceMaxAge)
 }
 
-// medianOf returns the lower median, or 0 if there are too few values; it
-// sorts them.
-func medianOf(values []float64) float64 {
-	if len(values) < paceGroups {
+// lowerMedian sorts the values and returns their lower median, or 0 if there are too few.
+func lowerMedian(values []float64) float64 {
+	if len(values) < minPaceGroups {
 		return 0
 	}
 	slices.Sort(values)
 	return values[(len(values)-1)/2]
 }
 
-// judge compares the group with the median of its model's groups (R10).
-func (g *group) judge(now int64, median float64) {
+// updatePaceRatio compares the group with the median of its model's groups (R10).
+func (g *group) updatePaceRatio(now int64, median float64) {
 	p := &g.pace
 	p.ratio = 0
 	p.weight = 1
 	if g.view.Slow {
 		p.weight = slowWeight
 	}
-	if median <= 0 || !p.judged(now) {
+	if median <= 0 || !p.reliable(now) {
 		return
 	}
-	p.ratio = p.token / median
+	p.ratio = p.perToken / median
 	if p.ratio > slowRatio {
-		p.weight = max(leastWeight, min(p.weight, 1/(p.ratio*p.ratio)))
+		p.weight = max(minWeight, min(p.weight, 1/(p.ratio*p.ratio)))
 	}
 }
 
-// Straggler is a group whose answers are slower than the other groups' of its
-// model, by one node's measurements.
+// Straggler is a group that answers more slowly than the other groups of its model, as
+// measured by one node.
 type Straggler struct {
 	Group garnetworks.GroupID
 	Zone  garnetworks.ZoneID
-	// Ratio is the time for each token over the median group's; above 1.5.
+	// Ratio is the time per token over that of the median group; above 1.5.
 	Ratio float64
-	// Samples is the number of answers measured.
+	// Samples is the number of measured answers.
 	Samples int
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Unix(1000, 0)
 
-func fixed() float64 { return 0.4 }
+func fixedRandom() float64 { return 0.4 }
 
 func groups(slots int, names ...garnetworks.GroupID) []scheduler.Group {
 	var list []scheduler.Group
@@ -24,33 +24,32 @@
 	return list
 }
 
-func work(id string) scheduler.Work {
-	return scheduler.Work{ID: garnetworks.CallID(id), Model: "m", Arrived: start, Objective: 400 * time.Millisecond}
+func newCall(id string) scheduler.Call {
+	return scheduler.Call{ID: garnetworks.CallID(id), Model: "m", Arrived: start, Objective: 400 * time.Millisecond}
 }
 
-// fill sends calls until one is not placed, and returns how many were.
+// fill places calls until one is not placed at once, and returns the number placed.
 func fill(s *scheduler.Scheduler) int {
 	for n := 0; ; n++ {
-		d, decided := s.Arrive(start, work(fmt.Sprint("fill", n)))
+		d, decided := s.Arrive(start, newCall(fmt.Sprint("fill", n)))
 		if !decided || d.Group == "" {
 			return n
 		}
 	}
 }
 
-// Story: no group serves a model. Its callers are told at once that their calls did
-// not run and when to come back; they don't wait for their deadline.
+// Guards against calls that wait for their deadline although no group serves their model.
 func TestNoGroupRefusesAtOnce(t *testing.T) {
-	d, decided := scheduler.New("z", fixed).Arrive(start, work("a"))
+	d, decided := scheduler.New("z", fixedRandom).Arrive(start, newCall("a"))
 	if !decided || d.Kind != garnetworks.KindNoGroup || d.RetryAfter <= 0 {
-		t.Errorf("got %+v, decided is %t", d, decided)
+		t.Errorf("got %+v, decided is %t, want an immediate rejection with a retry delay", d, decided)
 	}
 }
 
-// Story: the group is full. A call waits as long as its first event can still be in
-// time, and is then turned away, at once and not at its deadline.
-func TestCallWaitsAsLongAsItIsOfUse(t *testing.T) {
-	s := scheduler.New("z", fixed)
+// Guards against keeping a call until its deadline although its first event can no longer be on
+// time.
+func TestCallWaitsWhileObjectiveCanBeMet(t *testing.T) {
+	s := scheduler.New("z", fixedRandom)
 	s.SetGroups(start, groups(6, "g"))
 	fill(s)
 	for wait := time.Duration(0); wait < 400*time.Millisecond; wait += 20 * time.Millisecond {
@@ -59,17 +58,16 @@
 			continue
 		}
 		if d := decisions[0]; d.Group != "" || d.RetryAfter <= 0 || d.Kind != garnetworks.KindOverloaded {
-			t.Errorf("after %s: %+v", wait, d)
+			t.Errorf("after %s: got %+v, want an overload rejection with a retry delay", wait, d)
 		}
 		return
 	}
-	t.Error("the call still waits at its objective")
+	t.Error("the call still waits after its objective")
 }
 
-// Story: a group's first events come late, so it has more than it can do. The node
-// sends it fewer calls; when they come in time again, it sends more.
-func TestWindowFollowsFirstEvents(t *testing.T) {
-	s := scheduler.New("z", fixed)
+// Guards against sending an overloaded group as many calls as before.
+func TestLateFirstEventsShrinkWindow(t *testing.T) {
+	s := scheduler.New("z", fixedRandom)
 	s.SetGroups(start, groups(30, "g"))
 	before := fill(s)
 	now := start
@@ -81,87 +79,84 @@
 		s.Finished(now, "m", "g", 0, true)
 	}
 	if after := fill(s); after >= before {
-		t.Errorf("%d calls were placed before first events were late, %d after", before, after)
+		t.Errorf("%d calls placed before late first events, %d after; want fewer", before, after)
 	}
 }
 
-// Story: a group stands still. It gets no call until it has rested, then one, and
-// the others only when that one has had an event.
-func TestGroupThatStandsStillRests(t *testing.T) {
-	s := scheduler.New("z", fixed)
+// Guards against sending calls to a stalled group: after the cooldown it gets a single probe
+// until that has an event.
+func TestStalledGroupCoolsDown(t *testing.T) {
+	s := scheduler.New("z", fixedRandom)
 	s.SetGroups(start, groups(30, "g", "h"))
-	s.Still(start, "m", "g")
+	s.Stalled(start, "m", "g")
 	for n := range 5 {
-		if d, _ := s.Arrive(start, work(fmt.Sprint(n))); d.Group != "h" {
-			t.Fatalf("call %d went to %q", n, d.Group)
+		if d, _ := s.Arrive(start, newCall(fmt.Sprint(n))); d.Group != "h" {
+			t.Fatalf("call %d went to group %q, want h", n, d.Group)
 		}
 	}
 	s.SetGroups(start, groups(30, "g"))
 	later := start.Add(time.Second)
-	if d, _ := s.Arrive(later, scheduler.Work{ID: "first", Model: "m", Arrived: later, Objective: time.Second}); d.Group != "g" {
-		t.Fatalf("the first call after the rest got %+v", d)
+	if d, _ := s.Arrive(later, scheduler.Call{ID: "first", Model: "m", Arrived: later, Objective: time.Second}); d.Group != "g" {
+		t.Fatalf("the first call after the cooldown: got %+v, want group g", d)
 	}
-	if d, decided := s.Arrive(later, scheduler.Work{ID: "second", Model: "m", Arrived: later, Objective: time.Second}); decided && d.Group != "" {
-		t.Errorf("a second call was sent before the first had an event")
+	if d, decided := s.Arrive(later, scheduler.Call{ID: "second", Model: "m", Arrived: later, Objective: time.Second}); decided && d.Group != "" {
+		t.Errorf("a second call was placed before the first had an event")
 	}
 }
 
-// Story: 26 places are free, and six nodes hear of them at once. Together they send
-// about as many calls, not six times as many.
-func TestNodesDivideFreePlaces(t *testing.T) {
+// Guards against several nodes each taking all free slots that they learn of at the same time.
+func TestNodesDivideFreeSlots(t *testing.T) {
 	const nodes, slots = 6, 26
 	placed := 0
 	for range nodes {
-		s := scheduler.New("z", fixed)
+		s := scheduler.New("z", fixedRandom)
 		s.SetGroups(start, groups(slots, "g"))
-		s.Arrive(start, work("own"))
+		s.Arrive(start, newCall("own"))
 		s.Finished(start, "m", "g", 0, true)
 		others := garnetworks.LoadReport{Nodes: nodes - 1, Demands: []garnetworks.ModelDemand{{Model: "m", CallsPerSecond: 0.5 * (nodes - 1)}}}
-		s.SetOthers(start, others, true)
+		s.SetPeerLoad(start, others, true)
 		placed += fill(s)
 	}
 	if placed < slots/2 || placed > slots*3/2 {
-		t.Errorf("six nodes sent %d calls to %d places", placed, slots)
+		t.Errorf("six nodes placed %d calls in %d slots", placed, slots)
 	}
 }
 
-// Story: a call was cut off with its group while others wait. Its client waits in
-// the middle of an answer, so it goes first.
+// Guards against interrupted streams that queue behind new calls.
 func TestResumedCallsGoFirst(t *testing.T) {
-	s := scheduler.New("z", fixed)
+	s := scheduler.New("z", fixedRandom)
 	s.SetGroups(start, groups(1, "g"))
-	s.Arrive(start, work("running"))
-	s.Arrive(start, work("waiting"))
-	resumed := work("resumed")
+	s.Arrive(start, newCall("running"))
+	s.Arrive(start, newCall("waiting"))
+	resumed := newCall("resumed")
 	resumed.Resumed = true
 	if d, decided := s.Arrive(start, resumed); decided && d.Group == "" {
-		t.Fatalf("the resumed call was turned away: %+v", d)
+		t.Fatalf("the resumed call was rejected: %+v", d)
 	}
 	for _, d := range s.Finished(start, "m", "g", 0, true) {
 		if d.Call != "resumed" && d.Call != "waiting" {
-			t.Errorf("%s was placed", d.Call)
+			t.Errorf("unexpected decision on call %s", d.Call)
 		}
 		if d.Group != "" && d.Call != "resumed" {
-			t.Errorf("%s was placed before the resumed call", d.Call)
+			t.Errorf("call %s was placed before the resumed call", d.Call)
 		}
 	}
 }
 
-// Story: calls come and end, groups come and go, and clients leave in any order.
-// Each call gets one verdict at most, no group has more calls than its slots and
-// what may queue there, and nothing is left when all calls have ended.
-func TestAnyOrderKeepsTheCounts(t *testing.T) {
+// Guards against duplicate decisions, overfilled groups and calls left behind, under random
+// sequences of arrivals, completions, group changes and cancellations.
+func TestCountsStayConsistentInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const slots = 4
-		s := scheduler.New("z", fixed)
+		s := scheduler.New("z", fixedRandom)
 		now := start
 		names := []garnetworks.GroupID{"a", "b", "c"}
 		running := make(map[garnetworks.CallID]garnetworks.GroupID)
 		waiting := make(map[garnetworks.CallID]bool)
-		take := func(decisions []scheduler.Decision) {
+		record := func(decisions []scheduler.Decision) {
 			for _, d := range decisions {
 				if !waiting[d.Call] {
-					t.Fatalf("a second verdict on %s: %+v", d.Call, d)
+					t.Fatalf("unexpected decision on call %s: %+v", d.Call, d)
 				}
 				delete(waiting, d.Call)
 				if d.Group != "" {
@@ -175,25 +170,25 @@
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0, 1:
 				next++
-				w := scheduler.Work{ID: garnetworks.CallID(fmt.Sprint(next)), Model: "m", Arrived: now, Objective: 400 * time.Millisecond}
-				waiting[w.ID] = true
-				if d, decided := s.Arrive(now, w); decided {
-					take([]scheduler.Decision{d})
+				call := scheduler.Call{ID: garnetworks.CallID(fmt.Sprint(next)), Model: "m", Arrived: now, Objective: 400 * time.Millisecond}
+				waiting[call.ID] = true
+				if d, decided := s.Arrive(now, call); decided {
+					record([]scheduler.Decision{d})
 				}
 			case 2:
 				for id, g := range running {
 					delete(running, id)
-					take(s.Finished(now, "m", g, 0, rapid.Bool().Draw(t, "read")))
+					record(s.Finished(now, "m", g, 0, rapid.Bool().Draw(t, "read")))
 					break
 				}
 			case 3:
-				take(s.SetGroups(now, groups(slots, names[:rapid.IntRange(0, len(names)).Draw(t, "groups")]...)))
+				record(s.SetGroups(now, groups(slots, names[:rapid.IntRange(0, len(names)).Draw(t, "groups")]...)))
 			case 4:
-				take(s.Advance(now))
+				record(s.Advance(now))
 			case 5:
 				for id := range waiting {
 					delete(waiting, id)
-					s.Leave(id, "m")
+					s.Cancel(id, "m")
 					break
 				}
 			}
@@ -203,47 +198,46 @@
 			}
 			for g, n := range counts {
 				if n > slots+1 {
-					t.Fatalf("%s has %d calls of %d slots", g, n, slots)
+					t.Fatalf("group %s has %d calls in %d slots", g, n, slots)
 				}
 			}
 		}
 		for id, g := range running {
 			delete(running, id)
-			take(s.Finished(now, "m", g, 0, true))
+			record(s.Finished(now, "m", g, 0, true))
 		}
-		take(s.Advance(now.Add(time.Minute)))
+		record(s.Advance(now.Add(time.Minute)))
 		if s.Waiting() != 0 {
 			t.Fatalf("%d calls still wait", s.Waiting())
 		}
 	})
 }
 
-// Story: the engine of one of two groups fails a third of its calls and answers the
-// others in time. It kept half of all calls, and a sixth of them was lost. With few
-// calls at a time it gets some of them, and all of its part again once it is well.
+// Guards against a group that fails a third of its calls but keeps its full share of calls, and
+// against one that does not regain its share after recovery.
 func TestFailingGroupGetsFewCalls(t *testing.T) {
 	s := scheduler.New("z", rand.New(rand.NewPCG(1, 1)).Float64)
-	s.SetGroups(start, groups(30, "grey", "well"))
+	s.SetGroups(start, groups(30, "failing", "healthy"))
 	now := start
-	// round places calls, ten at a time, and returns how many went to the grey group.
+	// round places calls, ten at a time, and returns how many went to the failing group.
 	round := func(fails func(int) bool) int {
-		grey := 0
+		toFailing := 0
 		for range 60 {
 			var placed []garnetworks.GroupID
 			for range 10 {
-				if d, ok := s.Arrive(now, work("a")); ok && d.Group != "" {
+				if d, ok := s.Arrive(now, newCall("a")); ok && d.Group != "" {
 					placed = append(placed, d.Group)
 				}
 			}
 			now = now.Add(200 * time.Millisecond)
 			for _, g := range placed {
-				if g != "grey" {
+				if g != "failing" {
 					s.FirstEvent(now, "m", g, 200*time.Millisecond, time.Second)
 					s.Finished(now, "m", g, 0, true)
 					continue
 				}
-				grey++
-				if fails(grey) {
+				toFailing++
+				if fails(toFailing) {
 					s.Failed("m", g)
 					s.Finished(now, "m", g, 0, false)
 					continue
@@ -252,20 +246,18 @@
 				s.Finished(now, "m", g, 0, true)
 			}
 		}
-		return grey
+		return toFailing
 	}
-	failing := round(func(n int) bool { return n%3 == 0 })
-	well := round(func(int) bool { return false })
-	if failing > well/2 || failing == 0 {
-		t.Errorf("of 600 calls, %d went to the group while it failed, and %d when it was well", failing, well)
+	whileFailing := round(func(n int) bool { return n%3 == 0 })
+	whenHealthy := round(func(int) bool { return false })
+	if whileFailing > whenHealthy/2 || whileFailing == 0 {
+		t.Errorf("of 600 calls, %d went to the group while it failed, and %d after it recovered", whileFailing, whenHealthy)
 	}
 }
 
-// Story: calls for one model are turned away while the groups of another stand half
-// empty. Whoever reads the log must see that the numbers of groups are wrong, and not
-// order more engines.
-func TestRefusalTellsPlacesOfOtherModels(t *testing.T) {
-	s := scheduler.New("z", fixed)
+// Guards against rejections that don't show free slots at groups of other models.
+func TestRejectionReportsSpareSlotsOfOtherModels(t *testing.T) {
+	s := scheduler.New("z", fixedRandom)
 	others := groups(10, "other-a", "other-b")
 	for i := range others {
 		others[i].Model = "other"
@@ -273,41 +265,40 @@
 	s.SetGroups(start, append(others, groups(6, "g")...))
 	fill(s)
 	for i := range 40 {
-		d, decided := s.Arrive(start, work(fmt.Sprint("late", i)))
+		d, decided := s.Arrive(start, newCall(fmt.Sprint("late", i)))
 		if !decided || d.Kind != garnetworks.KindOverloaded {
 			continue
 		}
 		if d.Spare < 5 {
-			t.Errorf("%d places are told to be free at the other model's groups", d.Spare)
+			t.Errorf("rejection reports %d spare slots at the other model's groups, want at least 5", d.Spare)
 		}
 		return
 	}
-	// Nothing was turned away on arrival: what waits is, once its time is over.
+	// Nothing was rejected on arrival: waiting calls are rejected after their patience.
 	for _, d := range s.Advance(start.Add(time.Second)) {
 		if d.Kind != "" && d.Spare < 5 {
-			t.Errorf("%d places are told to be free at the other model's groups", d.Spare)
+			t.Errorf("rejection reports %d spare slots at the other model's groups, want at least 5", d.Spare)
 		}
 	}
 }
 
 func TestCallsOfAGroup(t *testing.T) {
-	s := scheduler.New("z", fixed)
+	s := scheduler.New("z", fixedRandom)
 	s.SetGroups(start, groups(6, "g"))
-	s.Arrive(start, work("a"))
-	s.SetOthers(start, garnetworks.LoadReport{Nodes: 1, Groups: []garnetworks.GroupLoad{{Group: "g", Running: 3}}}, true)
+	s.Arrive(start, newCall("a"))
+	s.SetPeerLoad(start, garnetworks.LoadReport{Nodes: 1, Groups: []garnetworks.GroupLoad{{Group: "g", Running: 3}}}, true)
 	if n := s.Calls("m", "g"); n != 4 {
-		t.Errorf("the group has %d calls, not its one and the others' three", n)
+		t.Errorf("the group has %d calls, want 4: one own and three of peers", n)
 	}
 	if n := s.Calls("m", "gone"); n != 0 {
-		t.Errorf("an unknown group has %d calls", n)
+		t.Errorf("an unknown group has %d calls, want 0", n)
 	}
 }
 
-// Story: a group has just opened and is the emptiest of all, so that each node sends it
-// its next calls, ten prompts within a moment. It reads them between two events of its
-// other calls, and all of them pause for longer than their clients allow.
-func TestPromptsAreSpreadOverTime(t *testing.T) {
-	const rate, usual = 50_000, 1400
+// Guards against prefilling so many prompts at once that the gaps between a group's events
+// exceed what clients allow.
+func TestPrefillIsLimitedByMaxGap(t *testing.T) {
+	const rate, typicalPrompt = 50_000, 1400
 	cases := map[string]struct {
 		rate   float64
 		pause  time.Duration
@@ -315,7 +306,7 @@
 		placed int
 	}{
 		"long prompts": {rate: rate, pause: 200 * time.Millisecond, prompt: 6000, placed: 1},
-		// Half of 200 ms at 50 tokens a ms is 5,000 tokens: three prompts.
+		// Half of 200 ms at 50 tokens per ms is 5,000 tokens: three prompts.
 		"within half a pause": {rate: rate, pause: 200 * time.Millisecond, placed: 3},
 		"one prompt at least": {rate: rate, pause: 10 * time.Millisecond, placed: 1},
 		"rate is not known":   {pause: 200 * time.Millisecond, placed: 10},
@@ -323,78 +314,76 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			s := scheduler.New("z", fixed)
-			s.SetOthers(start, garnetworks.LoadReport{}, true)
-			s.SetGroups(start, []scheduler.Group{{ID: "g", Model: "m", Zone: "z", Slots: 26, ReadRate: c.rate}})
-			s.SetOthers(start, garnetworks.LoadReport{}, true)
-			prompt := max(usual, c.prompt)
+			s := scheduler.New("z", fixedRandom)
+			s.SetPeerLoad(start, garnetworks.LoadReport{}, true)
+			s.SetGroups(start, []scheduler.Group{{ID: "g", Model: "m", Zone: "z", Slots: 26, PrefillRate: c.rate}})
+			s.SetPeerLoad(start, garnetworks.LoadReport{}, true)
+			prompt := max(typicalPrompt, c.prompt)
 			placed := 0
 			for i := range 10 {
-				w := work(fmt.Sprint("call", i))
-				w.Prompt, w.MaxPause = prompt, c.pause
-				if d, decided := s.Arrive(start, w); decided && d.Group == "g" {
+				call := newCall(fmt.Sprint("call", i))
+				call.PromptTokens, call.MaxGap = prompt, c.pause
+				if d, decided := s.Arrive(start, call); decided && d.Group == "g" {
 					placed++
 				}
 			}
 			if placed != c.placed {
-				t.Errorf("%d prompts were sent at once, not %d", placed, c.placed)
+				t.Errorf("%d prompts were placed at once, want %d", placed, c.placed)
 			}
 			if placed == 10 {
 				return
 			}
-			s.Read("m", "g", prompt)
+			s.PrefillDone("m", "g", prompt)
 			s.FirstEvent(start, "m", "g", 100*time.Millisecond, 400*time.Millisecond)
 			if list := s.Advance(start); len(list) != 1 || list[0].Group != "g" {
-				t.Errorf("after one prompt was read, %+v was decided", list)
+				t.Errorf("after prefill of one prompt: got decisions %+v, want one placement", list)
 			}
 		})
 	}
 }
 
-// Story: a group reads a short prompt, and a long one waits at the node. Short ones that
-// come later find a place before it again and again, until its time is over.
-func TestLongPromptsFindAPlaceBesideShortOnes(t *testing.T) {
-	s := scheduler.New("z", fixed)
-	s.SetGroups(start, []scheduler.Group{{ID: "g", Model: "m", Zone: "z", Slots: 26, ReadRate: 50_000}})
+// Guards against short prompts that starve a long one.
+func TestShortPromptsDoNotStarveLongOnes(t *testing.T) {
+	s := scheduler.New("z", fixedRandom)
+	s.SetGroups(start, []scheduler.Group{{ID: "g", Model: "m", Zone: "z", Slots: 26, PrefillRate: 50_000}})
 	for i, prompt := range []int{1400, 6000} {
-		w := work(fmt.Sprint("call", i))
-		w.Prompt, w.MaxPause = prompt, 200*time.Millisecond
-		if d, decided := s.Arrive(start, w); !decided || d.Group != "g" {
-			t.Errorf("the prompt of %d tokens was not sent", prompt)
+		call := newCall(fmt.Sprint("call", i))
+		call.PromptTokens, call.MaxGap = prompt, 200*time.Millisecond
+		if d, decided := s.Arrive(start, call); !decided || d.Group != "g" {
+			t.Errorf("the prompt of %d tokens was not placed", prompt)
 		}
 	}
 }
 
-// Story: 88 nodes share six groups of a model that gets 42 calls a second. A third of the
-// places is free, yet a node's part of them is less than one, and its second call within a
-// moment was told to come back in 3.8 s ("expected-wait-ms" in its line).
-func TestNodesWithFewCallsFindFreePlaces(t *testing.T) {
-	const nodes, slots, each = 88, 20, 14
+// Guards against rejections beside free slots if a node's proportional share is less than one
+// slot.
+func TestNodesWithFewCallsGetFreeSlots(t *testing.T) {
+	const nodes, slots, runningPerGroup = 88, 20, 14
 	s := scheduler.New("z", rand.New(rand.NewPCG(1, 1)).Float64)
 	names := []garnetworks.GroupID{"a", "b", "c", "d", "e", "f"}
 	s.SetGroups(start, groups(slots, names...))
-	s.Arrive(start, work("own"))
+	s.Arrive(start, newCall("own"))
 	s.Finished(start, "m", "a", time.Second, true)
 	others := garnetworks.LoadReport{Nodes: nodes - 1, Demands: []garnetworks.ModelDemand{{Model: "m", CallsPerSecond: 42}}}
 	for _, g := range names {
-		others.Groups = append(others.Groups, garnetworks.GroupLoad{Group: g, Running: each})
+		others.Groups = append(others.Groups, garnetworks.GroupLoad{Group: g, Running: runningPerGroup})
 	}
-	s.SetOthers(start, others, true)
+	s.SetPeerLoad(start, others, true)
 	for i := range 3 {
-		if d, decided := s.Arrive(start, work(fmt.Sprint("call", i))); !decided || d.Group == "" {
-			t.Errorf("call %d is not placed beside %d free places: %+v", i, len(names)*(slots-each), d)
+		if d, decided := s.Arrive(start, newCall(fmt.Sprint("call", i))); !decided || d.Group == "" {
+			t.Errorf("call %d is not placed beside %d free slots: %+v", i, len(names)*(slots-runningPerGroup), d)
 		}
 	}
-	// With all places taken it is told when one comes free for it, by what ends at the site.
+	// With all slots taken, the retry delay follows from the rate at which the site frees slots.
 	for i := range others.Groups {
 		others.Groups[i].Running = slots * 2
 	}
 	later := start.Add(10 * time.Second)
-	s.SetOthers(later, others, true)
-	w := work("late")
-	w.Arrived = later
-	d, _ := s.Arrive(later, w)
+	s.SetPeerLoad(later, others, true)
+	call := newCall("late")
+	call.Arrived = later
+	d, _ := s.Arrive(later, call)
 	if d.RetryAfter <= 0 || d.RetryAfter > time.Second {
-		t.Errorf("told to come back after %s", d.RetryAfter)
+		t.Errorf("retry delay is %s, want above 0 and at most 1s", d.RetryAfter)
 	}
 }
--- a/sharer/sharer.go
+++ b/sharer/sharer.go
@@ -1,17 +1,17 @@
-// Package sharer keeps, at the controller of an availability zone, what the
-// nodes are asked for, and works out each node's share of the limits.
+// Package sharer aggregates the demand of nodes at the controller of an availability zone and
+// computes each node's share of the limits.
 //
 // The rules:
 //
-//	S1  Nodes report to their own zone's controller alone; controllers tell each
-//	    other the sum of their zone, so that traffic grows with zones.
-//	S2  A zone's sum stands for its nodes in equal parts. The table is then that
-//	    of package admitter over all nodes of the site, so its shares sum to 1
-//	    at most and a silent node keeps its equal share reserved.
-//	S3  A word older than admitter.ShareBound counts as silence.
-//	S4  A group counts as slow by the median of the nodes that measured it so,
-//	    and only if two nodes did, or all that there are: one node with a bad way
-//	    to a group must not have it replaced.
+//	S1  Nodes report to the controller of their own zone only; controllers send each other
+//	    the sum of their zone, so that traffic grows with the number of zones.
+//	S2  Another zone's sum is divided equally among its nodes. Shares are then computed by
+//	    package admitter over all nodes of the site, so they sum to 1 at most, and the
+//	    equal share of a silent node stays reserved.
+//	S3  A report older than admitter.ShareBound counts as silence.
+//	S4  A group's slowdown is the median over the nodes that measured one, and counts only
+//	    if at least two nodes did, or all if there are fewer: a single node with a bad
+//	    connection to a group must not cause its replacement.
 package sharer
 
 import (
@@ -23,82 +23,81 @@
 	"github.com/garnetworks/garnetworks/admitter"
 )
 
-// ZoneDemand is the sum of a zone's demand, as its controller tells the site.
+// ZoneDemand is the total demand of a zone, as its controller sends it to the other zones.
 type ZoneDemand struct {
-	// Nodes is the number of nodes heard.
+	// Nodes is the number of nodes with a recent report.
 	Nodes int `json:"nodes"`
-	// Demands are sorted by workspace.
+	// Demands is sorted by workspace.
 	Demands []garnetworks.Demand `json:"demands"`
 }
 
-// word is what was heard and when.
-type word[T any] struct {
-	at   time.Time
-	what T
+// report is a received value with the time of its receipt.
+type report[T any] struct {
+	at    time.Time
+	value T
 }
 
-// tableAge is how long a table is used before it is worked out anew.
-const tableAge = time.Second
+// maxTableAge is the age at which the table of shares is recomputed.
+const maxTableAge = time.Second
 
-// Keeper keeps the words of one zone's nodes and of the other zones. It is not
+// Aggregator holds the latest reports of one zone's nodes and of the other zones. It is not
 // safe for concurrent use.
-type Keeper struct {
-	zone  garnetworks.ZoneID
-	nodes []garnetworks.NodeInfo
-	own   map[garnetworks.NodeID]word[[]garnetworks.Demand]
-	zones map[garnetworks.ZoneID]word[ZoneDemand]
+type Aggregator struct {
+	zone        garnetworks.ZoneID
+	nodes       []garnetworks.NodeInfo
+	nodeReports map[garnetworks.NodeID]report[[]garnetworks.Demand]
+	zoneReports map[garnetworks.ZoneID]report[ZoneDemand]
 
 	table   admitter.ShareTable
 	tableAt time.Time
 }
 
-// New returns a keeper for the zone.
-func New(zone garnetworks.ZoneID) *Keeper {
-	return &Keeper{
-		zone:  zone,
-		own:   make(map[garnetworks.NodeID]word[[]garnetworks.Demand]),
-		zones: make(map[garnetworks.ZoneID]word[ZoneDemand]),
+// New returns an aggregator for the zone.
+func New(zone garnetworks.ZoneID) *Aggregator {
+	return &Aggregator{
+		zone:        zone,
+		nodeReports: make(map[garnetworks.NodeID]report[[]garnetworks.Demand]),
+		zoneReports: make(map[garnetworks.ZoneID]report[ZoneDemand]),
 	}
 }
 
-// SetNodes takes the nodes on the rosters of all zones; what others reported is
-// forgotten.
-func (k *Keeper) SetNodes(nodes []garnetworks.NodeInfo) {
-	k.nodes = nodes
+// SetNodes sets the nodes on the rosters of all zones and removes the reports of other nodes.
+func (a *Aggregator) SetNodes(nodes []garnetworks.NodeInfo) {
+	a.nodes = nodes
 	known := garnetworks.NewSet[garnetworks.NodeID]()
 	for i := range nodes {
 		known.Add(nodes[i].ID)
 	}
-	for id := range k.own {
+	for id := range a.nodeReports {
 		if !known.Has(id) {
-			delete(k.own, id)
+			delete(a.nodeReports, id)
 		}
 	}
 }
 
-// Report takes the demand of a node of the own zone (rule S1).
-func (k *Keeper) Report(now time.Time, node garnetworks.NodeID, demands []garnetworks.Demand) {
-	k.own[node] = word[[]garnetworks.Demand]{now, demands}
+// Report records the demand of a node in the aggregator's zone (rule S1).
+func (a *Aggregator) Report(now time.Time, node garnetworks.NodeID, demands []garnetworks.Demand) {
+	a.nodeReports[node] = report[[]garnetworks.Demand]{now, demands}
 }
 
-// TakeZone takes another zone's demand.
-func (k *Keeper) TakeZone(now time.Time, zone garnetworks.ZoneID, demand ZoneDemand) {
-	if zone != k.zone {
-		k.zones[zone] = word[ZoneDemand]{now, demand}
+// SetZoneDemand records another zone's demand; the aggregator's own zone is ignored.
+func (a *Aggregator) SetZoneDemand(now time.Time, zone garnetworks.ZoneID, demand ZoneDemand) {
+	if zone != a.zone {
+		a.zoneReports[zone] = report[ZoneDemand]{now, demand}
 	}
 }
 
-// ZoneDemand returns the sum of the own zone's demand.
-func (k *Keeper) ZoneDemand(now time.Time) ZoneDemand {
+// ZoneDemand returns the total demand of the aggregator's zone.
+func (a *Aggregator) ZoneDemand(now time.Time) ZoneDemand {
 	sums := make(map[garnetworks.WorkspaceName]garnetworks.Demand)
-	heard := 0
-	for _, w := range k.own {
-		if now.Sub(w.at) > admitter.ShareBound { // S3
+	reporting := 0
+	for _, r := range a.nodeReports {
+		if now.Sub(r.at) > admitter.ShareBound { // S3
 			continue
 		}
-		heard++
-		for _, d := range w.what {
-			sums[d.Workspace] = plus(sums[d.Workspace], d)
+		reporting++
+		for _, d := range r.value {
+			sums[d.Workspace] = addDemand(sums[d.Workspace], d)
 		}
 	}
 	demands := make([]garnetworks.Demand, 0, len(sums))
@@ -106,10 +105,10 @@
 		demands = append(demands, d)
 	}
 	slices.SortFunc(demands, func(a, b garnetworks.Demand) int { return cmp.Compare(a.Workspace, b.Workspace) })
-	return ZoneDemand{Nodes: heard, Demands: demands}
+	return ZoneDemand{Nodes: reporting, Demands: demands}
 }
 
-func plus(a, b garnetworks.Demand) garnetworks.Demand {
+func addDemand(a, b garnetworks.Demand) garnetworks.Demand {
 	return garnetworks.Demand{
 		Workspace:         b.Workspace,
 		RequestsPerSecond: a.RequestsPerSecond + b.RequestsPerSecond,
@@ -118,50 +117,50 @@
 	}
 }
 
-// Row returns a node's shares, or none if the node is on no roster yet.
-func (k *Keeper) Row(now time.Time, workspaces []garnetworks.WorkspaceSpec, node garnetworks.NodeID) garnetworks.Option[admitter.NodeShare] {
-	if k.tableAt.IsZero() || now.Sub(k.tableAt) >= tableAge || len(k.table.Nodes) != len(k.nodes) {
-		k.table = admitter.Shares(workspaces, k.demands(now))
-		k.tableAt = now
+// NodeShare returns a node's shares; the option is empty if the node is on no roster.
+func (a *Aggregator) NodeShare(now time.Time, workspaces []garnetworks.WorkspaceSpec, node garnetworks.NodeID) garnetworks.Option[admitter.NodeShare] {
+	if a.tableAt.IsZero() || now.Sub(a.tableAt) >= maxTableAge || len(a.table.Nodes) != len(a.nodes) {
+		a.table = admitter.Shares(workspaces, a.demands(now))
+		a.tableAt = now
 	}
-	row, ok := k.table.Node(node)
+	row, ok := a.table.Node(node)
 	if !ok {
 		return garnetworks.Option[admitter.NodeShare]{}
 	}
 	return garnetworks.Some(row)
 }
 
-// demands lays out what is known for every node of the site (S2).
-func (k *Keeper) demands(now time.Time) []admitter.NodeDemand {
+// demands returns the demand of every node of the site (S2).
+func (a *Aggregator) demands(now time.Time) []admitter.NodeDemand {
 	count := make(map[garnetworks.ZoneID]int)
-	for i := range k.nodes {
-		count[k.nodes[i].Zone]++
+	for i := range a.nodes {
+		count[a.nodes[i].Zone]++
 	}
-	parts := make(map[garnetworks.ZoneID][]garnetworks.Demand, len(k.zones))
-	for zone, w := range k.zones {
-		if now.Sub(w.at) <= admitter.ShareBound && count[zone] > 0 { // S3
-			parts[zone] = divide(w.what.Demands, count[zone])
+	parts := make(map[garnetworks.ZoneID][]garnetworks.Demand, len(a.zoneReports))
+	for zone, r := range a.zoneReports {
+		if now.Sub(r.at) <= admitter.ShareBound && count[zone] > 0 { // S3
+			parts[zone] = divide(r.value.Demands, count[zone])
 		}
 	}
-	list := make([]admitter.NodeDemand, 0, len(k.nodes))
-	for i := range k.nodes {
-		list = append(list, k.demand(now, &k.nodes[i], parts))
+	list := make([]admitter.NodeDemand, 0, len(a.nodes))
+	for i := range a.nodes {
+		list = append(list, a.demand(now, &a.nodes[i], parts))
 	}
 	return list
 }
 
-func (k *Keeper) demand(now time.Time, n *garnetworks.NodeInfo, parts map[garnetworks.ZoneID][]garnetworks.Demand) admitter.NodeDemand {
-	if n.Zone != k.zone {
-		part, heard := parts[n.Zone]
-		return admitter.NodeDemand{Node: n.ID, Silent: !heard, Demands: part}
+func (a *Aggregator) demand(now time.Time, n *garnetworks.NodeInfo, parts map[garnetworks.ZoneID][]garnetworks.Demand) admitter.NodeDemand {
+	if n.Zone != a.zone {
+		part, recent := parts[n.Zone]
+		return admitter.NodeDemand{Node: n.ID, Silent: !recent, Demands: part}
 	}
-	w, heard := k.own[n.ID]
-	heard = heard && now.Sub(w.at) <= admitter.ShareBound // S3
-	return admitter.NodeDemand{Node: n.ID, Silent: !heard, Demands: w.what}
+	r, recent := a.nodeReports[n.ID]
+	recent = recent && now.Sub(r.at) <= admitter.ShareBound // S3
+	return admitter.NodeDemand{Node: n.ID, Silent: !recent, Demands: r.value}
 }
 
-// divide returns one of n equal parts of the demands. The calls in flight are
-// rounded up, so that a few calls don't count as none.
+// divide returns one of n equal parts of the demands. Calls in flight are rounded up, so that
+// a few calls don't become zero.
 func divide(demands []garnetworks.Demand, n int) []garnetworks.Demand {
 	part := make([]garnetworks.Demand, len(demands))
 	for i, d := range demands {
@@ -175,18 +174,18 @@
 	return part
 }
 
-// minimumWitnesses is the number of nodes that must call a group slow (S4).
-const minimumWitnesses = 2
+// minReports is the number of nodes that must report a group as slow (S4).
+const minReports = 2
 
-// Slowdowns returns the groups that are slow by the nodes' words (S4).
-func Slowdowns(words map[garnetworks.NodeID][]garnetworks.GroupSlowdown) map[garnetworks.GroupID]float64 {
+// Slowdowns returns the slow groups and their slowdown according to the nodes' reports (S4).
+func Slowdowns(reports map[garnetworks.NodeID][]garnetworks.GroupSlowdown) map[garnetworks.GroupID]float64 {
 	ratios := make(map[garnetworks.GroupID][]float64)
-	for _, slow := range words {
+	for _, slow := range reports {
 		for _, s := range slow {
 			ratios[s.Group] = append(ratios[s.Group], s.Ratio)
 		}
 	}
-	needed := min(minimumWitnesses, len(words))
+	needed := min(minReports, len(reports))
 	result := make(map[garnetworks.GroupID]float64)
 	for group, list := range ratios {
 		if len(list) < needed {
