--- a/experimenter/naive.go
+++ b/experimenter/naive.go
@@ -37,7 +37,7 @@
 		switch head, ok := g.Head(); {
 		case g.AllIn(garnetworks.MemberReady):
 			orders = append(orders, garnetworks.GroupOrder{Kind: garnetworks.GroupOpen, Incarnation: head.Incarnation(), Group: g.ID, Epoch: g.Epoch})
-		case (!g.Whole || !ok) && !n.forming(&g):
+		case (!g.Complete || !ok) && !n.forming(&g):
 			for _, m := range g.Members {
 				orders = append(orders, garnetworks.GroupOrder{Kind: garnetworks.GroupLeave, Incarnation: m.Incarnation(), Group: g.ID, Epoch: g.Epoch})
 			}
--- a/experimenter/regroup.go
+++ b/experimenter/regroup.go
@@ -200,11 +200,11 @@
 		r.restart()
 	}
 	in := former.Input{
-		Servers: r.list(now - listLag), Service: service, Profile: &r.pattern.Profile, Dark: r.dark(r.notices),
-		Term: 1, Loads: r.pattern.Profile.MaxConcurrentLoads, Unhurried: now < firstCall,
+		Servers: r.list(now - listLag), Service: service, Profile: &r.pattern.Profile, Unresponsive: r.dark(r.notices),
+		Term: 1, Loads: r.pattern.Profile.MaxConcurrentLoads, BeforeFirstCall: now < firstCall,
 	}
 	if r.observes && now >= firstCall {
-		in.Work = r.pattern.work()
+		in.Demand = r.pattern.work()
 	}
 	for _, o := range r.policy.Plan(instant(now), in) {
 		r.policy.Sent(instant(now), o)
--- a/former/balance.go
+++ b/former/balance.go
@@ -14,44 +14,44 @@
 	// exchangeTime bounds the wait for the members of a group that is closed for the
 	// sake of another model: its calls end within their deadlines, of which 8 s is the
 	// longest usual one.
-	exchangeTime = 8 * time.Second
+	reallocationTimeout = 8 * time.Second
 	// closedTime is the time for which the groups that an exchange closes serve nobody:
 	// their calls end within two seconds, and a warm start takes about as long.
-	closedTime = 4 * time.Second
+	reallocationDowntime = 4 * time.Second
 	// keptTime is for how long an exchange of several groups shall pay: where engines are
 	// lost every few seconds, a domain changes again about as soon.
-	keptTime = 20 * time.Second
+	paybackTime = 20 * time.Second
 	// outsideReady is the number of instances of a domain outside a model's groups
 	// that shall hold the model, so that a lost member is replaced without a load
 	// even after the spares are used up. Where a domain of 27 loses one each 6 s, eight
 	// last for 48 s, the time of three loads.
-	outsideReady = 8
+	minReserve = 8
 	// secondLoadsPart is the part of the loads that the weight store carries at once
 	// which second models may take. Beyond that number each load takes longer; the
 	// other half is left to what a domain lacks.
-	secondLoadsPart = 0.5
+	secondModelLoadFraction = 0.5
 )
 
 // exchange is what a domain closes so that its instances suffice for a group of another
 // model.
-type exchange struct {
-	groups []garnetworks.GroupID
-	model  garnetworks.ModelName
-	until  time.Time
+type reallocation struct {
+	groups   []garnetworks.GroupID
+	model    garnetworks.ModelName
+	deadline time.Time
 }
 
 // worthOf is what a site gets of the groups that it has: each model's share of the
 // work, with less for each group more. It is highest where the numbers of groups
 // are in proportion to the work, for the instances that there are.
-func worthOf(profile *garnetworks.EngineProfile, counts map[garnetworks.ModelName]int) float64 {
+func utility(profile *garnetworks.EngineProfile, counts map[garnetworks.ModelName]int) float64 {
 	// none stands for a model without a group; its callers get nothing at all.
-	const none = 0.1
-	worth := 0.0
+	const ungroupedWeight = 0.1
+	total := 0.0
 	for i := range profile.Models {
 		m := &profile.Models[i]
-		worth += m.InitialShare * math.Log(max(none, float64(counts[m.Name])))
+		total += m.InitialShare * math.Log(max(ungroupedWeight, float64(counts[m.Name])))
 	}
-	return worth
+	return total
 }
 
 // exchangeGroups closes groups where their members complete a group of another model
@@ -72,17 +72,17 @@
 // closed at once, in one domain at a time and only where that pays for the time in which
 // they serve nobody: without these bounds one lost engine set off exchanges in all
 // domains, and a calm day earned 0.71 in place of 0.87.
-func (r *plan) exchangeGroups(free map[garnetworks.DomainID][]garnetworks.RegisteredServer, counts map[garnetworks.ModelName]int) {
-	r.followExchanges(counts)
+func (r *plan) reallocateGroups(free map[garnetworks.DomainID][]garnetworks.RegisteredServer, counts map[garnetworks.ModelName]int) {
+	r.updateReallocations(counts)
 	for _, domain := range r.listedDomains() {
-		if r.exchanges[domain] != nil || r.unsettled.Has(domain) || r.now.Before(r.unsure[domain]) {
+		if r.reallocations[domain] != nil || r.pendingLeaves.Has(domain) || r.now.Before(r.uncertainUntil[domain]) {
 			continue
 		}
-		closed, model := r.bestExchange(free[domain], domain, counts)
+		closed, model := r.bestReallocation(free[domain], domain, counts)
 		if model == nil {
 			continue
 		}
-		e := &exchange{model: model.Name, until: r.now.Add(exchangeTime)}
+		e := &reallocation{model: model.Name, deadline: r.now.Add(reallocationTimeout)}
 		counts[model.Name]++
 		for _, g := range closed {
 			e.groups = append(e.groups, g.ID)
@@ -91,21 +91,21 @@
 				r.close(head)
 			}
 		}
-		r.exchanges[domain] = e
+		r.reallocations[domain] = e
 	}
 }
 
 // followExchanges forgets the exchanges whose time is over, and counts the others as if
 // they were done.
-func (r *plan) followExchanges(counts map[garnetworks.ModelName]int) {
-	for domain, e := range r.exchanges {
-		if r.now.After(e.until) {
-			delete(r.exchanges, domain)
+func (r *plan) updateReallocations(counts map[garnetworks.ModelName]int) {
+	for domain, e := range r.reallocations {
+		if r.now.After(e.deadline) {
+			delete(r.reallocations, domain)
 			continue
 		}
 		counts[e.model]++
 		for i := range r.groups {
-			if g := &r.groups[i]; slices.Contains(e.groups, g.ID) && r.sound(g) {
+			if g := &r.groups[i]; slices.Contains(e.groups, g.ID) && r.healthy(g) {
 				counts[g.Model]--
 			}
 		}
@@ -113,8 +113,8 @@
 }
 
 // exchangingSeveral reports whether an exchange of several groups is under way.
-func (r *plan) exchangingSeveral() bool {
-	for _, e := range r.exchanges {
+func (r *plan) reallocatingSeveral() bool {
+	for _, e := range r.reallocations {
 		if len(e.groups) > 1 {
 			return true
 		}
@@ -134,8 +134,8 @@
 }
 
 // exchanging reports whether the group is closed for the sake of another model.
-func (r *plan) exchanging(id garnetworks.GroupID) bool {
-	for _, e := range r.exchanges {
+func (r *plan) reallocating(id garnetworks.GroupID) bool {
+	for _, e := range r.reallocations {
 		if slices.Contains(e.groups, id) {
 			return true
 		}
@@ -145,28 +145,28 @@
 
 // bestExchange returns the groups of a domain to close, and the model whose group they
 // complete, with which the site gains most; no model if it gains by none.
-func (r *plan) bestExchange(free []garnetworks.RegisteredServer, domain garnetworks.DomainID, counts map[garnetworks.ModelName]int) ([]*Group, *garnetworks.ModelProfile) {
-	sound := r.soundGroups(domain)
+func (r *plan) bestReallocation(free []garnetworks.RegisteredServer, domain garnetworks.DomainID, counts map[garnetworks.ModelName]int) ([]*Group, *garnetworks.ModelProfile) {
+	healthy := r.healthyGroups(domain)
 	var best []*Group
 	var bestModel *garnetworks.ModelProfile
 	bestGain := 0.0
 	for k := range r.Profile.Models {
 		m := &r.Profile.Models[k]
-		ready := len(soon(free, m))
+		ready := len(joinable(free, m))
 		if ready >= m.GroupSize {
 			continue // it is complete without any exchange
 		}
-		offers := offersOf(sound, m)
-		for i := range offers {
-			groups := enough(ready, offers, i, m)
-			if groups == nil || len(groups) > 1 && r.exchangingSeveral() {
+		candidates := candidatesFor(healthy, m)
+		for i := range candidates {
+			groups := groupsToClose(ready, candidates, i, m)
+			if groups == nil || len(groups) > 1 && r.reallocatingSeveral() {
 				continue
 			}
 			// One group for one serves again within a warm start.
-			if one := len(groups) == 1 && offers[i].ready < 2*m.GroupSize; !one && !r.pays(groups, m, free, counts) {
+			if one := len(groups) == 1 && candidates[i].ready < 2*m.GroupSize; !one && !r.paysOff(groups, m, free, counts) {
 				continue
 			}
-			if gain := r.exchangeGain(free, groups, m, counts); gain > bestGain {
+			if gain := r.reallocationGain(free, groups, m, counts); gain > bestGain {
 				best, bestModel, bestGain = groups, m, gain
 			}
 		}
@@ -176,48 +176,48 @@
 
 // soundGroups returns the groups of a domain that serve and with which nothing is under
 // way.
-func (r *plan) soundGroups(domain garnetworks.DomainID) []*Group {
+func (r *plan) healthyGroups(domain garnetworks.DomainID) []*Group {
 	var list []*Group
 	for i := range r.groups {
 		g := &r.groups[i]
-		if head, ok := g.Head(); ok && head.Domain == domain && r.sound(g) {
+		if head, ok := g.Head(); ok && head.Domain == domain && r.healthy(g) {
 			list = append(list, g)
 		}
 	}
 	return list
 }
 
-func (r *plan) sound(g *Group) bool {
-	return g.Serves() && g.Whole && !r.hasDark(g) && r.formations[g.ID] == nil
+func (r *plan) healthy(g *Group) bool {
+	return g.Serves() && g.Complete && !r.hasUnresponsive(g) && r.formations[g.ID] == nil
 }
 
 // offer is a group of another model that may be closed for one of a model.
-type offer struct {
+type candidate struct {
 	group *Group
 	// ready is the number of its members that can join without a load.
 	ready int
 }
 
 // offersOf returns the groups of other models.
-func offersOf(sound []*Group, m *garnetworks.ModelProfile) []offer {
-	var offers []offer
-	for _, g := range sound {
+func candidatesFor(healthy []*Group, m *garnetworks.ModelProfile) []candidate {
+	var candidates []candidate
+	for _, g := range healthy {
 		if g.Model != m.Name {
-			offers = append(offers, offer{g, len(soon(g.Members, m))})
+			candidates = append(candidates, candidate{g, len(joinable(g.Members, m))})
 		}
 	}
-	return offers
+	return candidates
 }
 
 // enough returns groups, beginning with one of the offers, whose members complete a group
 // of the model together with some that are ready, without a load; nil if they don't.
 // After the first one it takes those with the most members that count.
-func enough(ready int, offers []offer, first int, m *garnetworks.ModelProfile) []*Group {
-	others := slices.Clone(offers)
-	others = slices.DeleteFunc(slices.Delete(others, first, first+1), func(o offer) bool { return o.ready == 0 })
-	slices.SortStableFunc(others, func(a, b offer) int { return cmp.Compare(b.ready, a.ready) })
+func groupsToClose(ready int, candidates []candidate, first int, m *garnetworks.ModelProfile) []*Group {
+	others := slices.Clone(candidates)
+	others = slices.DeleteFunc(slices.Delete(others, first, first+1), func(o candidate) bool { return o.ready == 0 })
+	slices.SortStableFunc(others, func(a, b candidate) int { return cmp.Compare(b.ready, a.ready) })
 	var groups []*Group
-	for _, o := range append([]offer{offers[first]}, others...) {
+	for _, o := range append([]candidate{candidates[first]}, others...) {
 		groups = append(groups, o.group)
 		if ready += o.ready; ready >= m.GroupSize {
 			return groups
@@ -229,35 +229,35 @@
 // exchangeGain is what the site gains by the groups of the model that the instances make in
 // place of some of others, against what the free instances can become without that; neither
 // counts groups that wait for a load.
-func (r *plan) exchangeGain(free []garnetworks.RegisteredServer, closed []*Group, m *garnetworks.ModelProfile, counts map[garnetworks.ModelName]int) float64 {
+func (r *plan) reallocationGain(free []garnetworks.RegisteredServer, closed []*Group, m *garnetworks.ModelProfile, counts map[garnetworks.ModelName]int) float64 {
 	with, unchanged := maps.Clone(counts), maps.Clone(counts)
 	all := slices.Clone(free)
 	for _, g := range closed {
 		all = append(all, g.Members...)
 		with[g.Model]--
 	}
-	ready := soon(all, m)
+	ready := joinable(all, m)
 	n := max(1, len(ready)/m.GroupSize)
 	with[m.Name] += n
-	r.addGroups(with, without(all, r.pick(all, m, n)), closed)
-	r.addGroups(unchanged, free, closed)
-	return worthOf(r.Profile, with) - worthOf(r.Profile, unchanged)
+	r.addFormableGroups(with, without(all, r.pick(all, m, n)), closed)
+	r.addFormableGroups(unchanged, free, closed)
+	return utility(r.Profile, with) - utility(r.Profile, unchanged)
 }
 
 // pays reports whether an exchange gains more in keptTime than the closed groups lose in
 // closedTime.
-func (r *plan) pays(closed []*Group, m *garnetworks.ModelProfile, free []garnetworks.RegisteredServer, counts map[garnetworks.ModelName]int) bool {
+func (r *plan) paysOff(closed []*Group, m *garnetworks.ModelProfile, free []garnetworks.RegisteredServer, counts map[garnetworks.ModelName]int) bool {
 	meanwhile := maps.Clone(counts)
 	for _, g := range closed {
 		meanwhile[g.Model]--
 	}
-	cost := worthOf(r.Profile, counts) - worthOf(r.Profile, meanwhile)
-	return r.exchangeGain(free, closed, m, counts)*keptTime.Seconds() > cost*closedTime.Seconds()
+	cost := utility(r.Profile, counts) - utility(r.Profile, meanwhile)
+	return r.reallocationGain(free, closed, m, counts)*paybackTime.Seconds() > cost*reallocationDowntime.Seconds()
 }
 
 // addGroups adds the groups of the closed ones' models that instances can become without
 // a load.
-func (r *plan) addGroups(counts map[garnetworks.ModelName]int, servers []garnetworks.RegisteredServer, closed []*Group) {
+func (r *plan) addFormableGroups(counts map[garnetworks.ModelName]int, servers []garnetworks.RegisteredServer, closed []*Group) {
 	counted := make(garnetworks.Set[garnetworks.ModelName])
 	for _, g := range closed {
 		m := r.profile(g.Model)
@@ -265,7 +265,7 @@
 			continue
 		}
 		counted.Add(m.Name)
-		ready := soon(servers, m)
+		ready := joinable(servers, m)
 		n := len(ready) / m.GroupSize
 		counts[m.Name] += n
 		servers = without(servers, ready[:n*m.GroupSize])
@@ -273,7 +273,7 @@
 }
 
 // soon returns the instances that can join a group of the model without a load.
-func soon(servers []garnetworks.RegisteredServer, m *garnetworks.ModelProfile) []garnetworks.RegisteredServer {
+func joinable(servers []garnetworks.RegisteredServer, m *garnetworks.ModelProfile) []garnetworks.RegisteredServer {
 	return slices.DeleteFunc(slices.Clone(servers), func(s garnetworks.RegisteredServer) bool { return readiness(&s, m) > 1 })
 }
 
@@ -293,9 +293,9 @@
 // An instance keeps the model that it has in memory besides the one on its host. So a
 // spare replaces a lost member of either of two models, of one in 0.2 s and of the
 // other in the warm time.
-func (r *plan) stageSecond() {
-	if !r.Unhurried {
-		r.loads = min(r.loads, int(float64(r.Profile.MaxConcurrentLoads)*secondLoadsPart)-r.loading())
+func (r *plan) stageSecondModels() {
+	if !r.BeforeFirstCall {
+		r.loadsLeft = min(r.loadsLeft, int(float64(r.Profile.MaxConcurrentLoads)*secondModelLoadFraction)-r.loadsInProgress())
 	}
 	domains := make(map[garnetworks.DomainID][]garnetworks.RegisteredServer)
 	for _, s := range r.Servers {
@@ -310,19 +310,19 @@
 			return cmp.Or(cmp.Compare(a.Membership.Group, b.Membership.Group), cmp.Compare(a.ID, b.ID))
 		})
 		for i := range r.Profile.Models {
-			r.stageOutside(servers, &r.Profile.Models[i])
+			r.stageOutsideGroups(servers, &r.Profile.Models[i])
 		}
 	}
 }
 
 // loading returns the number of loads that are under way.
-func (r *plan) loading() int {
+func (r *plan) loadsInProgress() int {
 	n := 0
 	for _, f := range r.formations {
 		n += len(f.loading)
 	}
 	for id := range r.staged {
-		if s, ok := r.server(id); ok && r.staging(&s) != "" {
+		if s, ok := r.server(id); ok && r.stagingModel(&s) != "" {
 			n++
 		}
 	}
@@ -330,21 +330,21 @@
 }
 
 // stageOutside loads one model onto hosts of a domain that are not of its groups.
-func (r *plan) stageOutside(servers []garnetworks.RegisteredServer, m *garnetworks.ModelProfile) {
+func (r *plan) stageOutsideGroups(servers []garnetworks.RegisteredServer, m *garnetworks.ModelProfile) {
 	ready := 0
 	var hosts []garnetworks.RegisteredServer
 	for i := range servers {
 		s := &servers[i]
 		switch {
 		case GroupModel(s.Membership.Group) == m.Name:
-		case s.Model == m.Name || slices.Contains(s.Staged, m.Name) || r.staging(s) == m.Name:
+		case s.Model == m.Name || slices.Contains(s.Staged, m.Name) || r.stagingModel(s) == m.Name:
 			ready++
-		case r.staging(s) == "" && holdsTwice(s) && s.Membership.State != garnetworks.MemberJoining:
+		case r.stagingModel(s) == "" && hostDuplicatesMemory(s) && s.Membership.State != garnetworks.MemberJoining:
 			hosts = append(hosts, *s)
 		}
 	}
 	for _, s := range hosts {
-		if r.loads <= 0 || ready >= outsideReady && s.Membership.Group != "" && !r.Unhurried {
+		if r.loadsLeft <= 0 || ready >= minReserve && s.Membership.Group != "" && !r.BeforeFirstCall {
 			return
 		}
 		ready++
@@ -354,14 +354,14 @@
 
 // holdsTwice reports whether the host holds nothing but the model that the instance
 // has in memory.
-func holdsTwice(s *garnetworks.RegisteredServer) bool {
+func hostDuplicatesMemory(s *garnetworks.RegisteredServer) bool {
 	return s.Model != "" && (len(s.Staged) == 0 || s.Staged[len(s.Staged)-1] == s.Model)
 }
 
 // staging returns the model that the instance was ordered to load onto its host and
 // does not hold yet.
-func (r *plan) staging(s *garnetworks.RegisteredServer) garnetworks.ModelName {
-	if model, ok := r.stages[s.Incarnation()]; ok {
+func (r *plan) stagingModel(s *garnetworks.RegisteredServer) garnetworks.ModelName {
+	if model, ok := r.plannedStages[s.Incarnation()]; ok {
 		return model
 	}
 	last, ok := r.staged[s.Incarnation()]
@@ -373,7 +373,7 @@
 
 // stage orders a load onto the instance's host.
 func (r *plan) stage(u urgency, s *garnetworks.RegisteredServer, m *garnetworks.ModelProfile) {
-	r.loads--
-	r.stages[s.Incarnation()] = m.Name
+	r.loadsLeft--
+	r.plannedStages[s.Incarnation()] = m.Name
 	r.add(u, garnetworks.GroupOrder{Kind: garnetworks.GroupStage, Incarnation: s.Incarnation(), Address: s.Address, Model: m.Name})
 }
--- a/former/bench_test.go
+++ b/former/bench_test.go
@@ -14,9 +14,9 @@
 	for _, size := range []struct{ domains, each int }{{6, 11}, {6, 27}, {25, 35}, {57, 35}} {
 		for name, lost := range map[string]int{"calm": 0, "losses": 100} {
 			b.Run(fmt.Sprintf("%d/%s", size.domains*size.each, name), func(b *testing.B) {
-				w := newWorld(size.domains, size.each)
+				w := newSimulation(size.domains, size.each)
 				for range 40 {
-					w.tell()
+					w.refreshView()
 					w.step(time.Second)
 				}
 				n := 0
@@ -25,8 +25,8 @@
 						e.dead = true
 					}
 				}
-				w.tell()
-				in := former.Input{Servers: w.told, Service: "llm", Profile: w.profile, Term: w.term, Loads: 100}
+				w.refreshView()
+				in := former.Input{Servers: w.view, Service: "llm", Profile: w.profile, Term: w.term, Loads: 100}
 				b.ReportAllocs()
 				b.ResetTimer()
 				for range b.N {
--- a/former/dissolution.go
+++ b/former/dissolution.go
@@ -7,30 +7,30 @@
 )
 
 // followGroups looks after the groups that are not being formed.
-func (r *plan) followGroups() {
+func (r *plan) maintainGroups() {
 	for i := range r.groups {
 		if g := &r.groups[i]; r.formations[g.ID] == nil {
-			r.followGroup(g)
+			r.maintainGroup(g)
 		}
 	}
 }
 
-func (r *plan) followGroup(g *Group) {
+func (r *plan) maintainGroup(g *Group) {
 	head, ok := g.Head()
 	switch {
 	case r.abandoned.Has(g.ID) || g.Lost || ok && head.Membership.State == garnetworks.MemberBroken:
 		r.dissolve(g)
-	case !g.Whole || r.hasDark(g):
+	case !g.Complete || r.hasUnresponsive(g):
 		// Failure: members are cut off from the store or from this node, or the head
 		// stops without having said so, and the group serves on. Taking it for lost
 		// would cut its calls off and cost the time of forming it anew. Where a member
 		// really is lost, nothing moves.
-		if !r.Moving.Has(g.ID) {
+		if !r.Progressing.Has(g.ID) {
 			r.dissolve(g)
 		}
-	case g.Leaving || r.exchanging(g.ID):
+	case g.Leaving || r.reallocating(g.ID):
 		r.closeGroup(g, head)
-	case !r.together(g):
+	case !r.noMemberLeft(g):
 		r.dissolve(g)
 	case g.AllIn(garnetworks.MemberReady): // rule O1: an earlier holder left it so.
 		r.send(urgentOpening, garnetworks.GroupOrder{Kind: garnetworks.GroupOpen, Incarnation: head.Incarnation(), Address: head.Address, Group: g.ID, Epoch: g.Epoch})
@@ -41,12 +41,12 @@
 
 // together reports whether no member has left the group by its own word. Its entry
 // tells that later.
-func (r *plan) together(g *Group) bool {
+func (r *plan) noMemberLeft(g *Group) bool {
 	return !slices.ContainsFunc(g.Members, func(s garnetworks.RegisteredServer) bool { return r.membership(&s).Group != g.ID })
 }
 
-func (r *plan) hasDark(g *Group) bool {
-	return slices.ContainsFunc(g.Members, func(s garnetworks.RegisteredServer) bool { return r.Dark.Has(s.Incarnation()) })
+func (r *plan) hasUnresponsive(g *Group) bool {
+	return slices.ContainsFunc(g.Members, func(s garnetworks.RegisteredServer) bool { return r.Unresponsive.Has(s.Incarnation()) })
 }
 
 // dissolve makes the members of a group that can't serve leave it. Each one says
@@ -56,7 +56,7 @@
 func (r *plan) dissolve(g *Group) {
 	for i := range g.Members {
 		m := &g.Members[i]
-		if r.now.Before(r.unsure[m.Domain]) {
+		if r.now.Before(r.uncertainUntil[m.Domain]) {
 			return
 		}
 		r.release(m, urgentForming)
@@ -102,15 +102,15 @@
 
 // releaseGivenUp makes instances leave the groups that they were ordered into and
 // that were given up before their entries told of them.
-func (r *plan) releaseGivenUp() {
-	for _, id := range sortedLives(r.joined) {
+func (r *plan) releaseAbandoned() {
+	for _, id := range sortedIncarnations(r.joined) {
 		s, ok := r.server(id)
 		if !ok {
 			delete(r.joined, id)
 			continue
 		}
 		if r.joined[id].Epoch > s.Membership.Epoch {
-			r.release(&s, urgentTidying)
+			r.release(&s, urgentCleanup)
 		}
 	}
 }
--- a/former/flight.go
+++ b/former/flight.go
@@ -6,22 +6,22 @@
 const (
 	// firstFlight is what may be in flight before anything is known of what the node
 	// carries: a connection, some goroutines and a few kilobytes each.
-	firstFlight = 16
+	initialWindow = 16
 	// leastFlight lets a group of sixteen be ordered in two turns also where the node
 	// is slow.
-	leastFlight = 8
+	minWindow = 8
 	// mostFlight is a small part of the descriptors and of the memory that the smallest
 	// instances have.
-	mostFlight = 128
+	maxWindow = 128
 	// quickAnswer is the time of an answer that shows that there is room for more.
 	// Engines answer within some milliseconds, whatever their load, and zones are a few
 	// milliseconds apart.
-	quickAnswer = 40 * time.Millisecond
+	fastResponse = 40 * time.Millisecond
 	// slowAnswer is the time of an answer that waited for this node's own processor or
 	// link. It is well below the time after which a connect is given up.
-	slowAnswer = 100 * time.Millisecond
+	slowResponse = 100 * time.Millisecond
 	// slowPart is what is left of the window after a slow answer.
-	slowPart = 0.7
+	decreaseFactor = 0.7
 )
 
 // flight bounds what a node has in flight to engines by how late its answers are.
@@ -32,38 +32,38 @@
 // counted as silent. A window that grows with quick answers and shrinks with late ones
 // finds what the node carries, whatever its processor and its links. Answers that don't
 // come at all are an engine's fault more often than the node's, and change nothing.
-type flight struct {
-	window   float64
+type congestionWindow struct {
+	size     float64
 	inFlight int
 	// met says that a slow answer has come; from then on the window grows by one for
 	// each windowful of quick answers, before by one for each of them.
-	met bool
+	leftSlowStart bool
 	// shrunk is when the window last shrank: the answers to what was in flight then
 	// say nothing new.
-	shrunk time.Time
+	lastDecrease time.Time
 }
 
-func newFlight() flight { return flight{window: firstFlight} }
+func newCongestionWindow() congestionWindow { return congestionWindow{size: initialWindow} }
 
 // room returns how many more may be sent.
-func (f *flight) room() int { return int(f.window) - f.inFlight }
+func (f *congestionWindow) available() int { return int(f.size) - f.inFlight }
 
-func (f *flight) sent() { f.inFlight++ }
+func (f *congestionWindow) start() { f.inFlight++ }
 
 // ended takes the end of one; took is the time to its answer, answered whether there
 // was one.
-func (f *flight) ended(now time.Time, took time.Duration, answered bool) {
+func (f *congestionWindow) done(now time.Time, took time.Duration, responded bool) {
 	f.inFlight--
 	switch {
-	case !answered:
-	case took >= slowAnswer:
-		f.met = true
-		if now.Sub(f.shrunk) > took {
-			f.window, f.shrunk = max(leastFlight, f.window*slowPart), now
+	case !responded:
+	case took >= slowResponse:
+		f.leftSlowStart = true
+		if now.Sub(f.lastDecrease) > took {
+			f.size, f.lastDecrease = max(minWindow, f.size*decreaseFactor), now
 		}
-	case took <= quickAnswer && f.met:
-		f.window = min(mostFlight, f.window+1/f.window)
-	case took <= quickAnswer:
-		f.window = min(mostFlight, f.window+1)
+	case took <= fastResponse && f.leftSlowStart:
+		f.size = min(maxWindow, f.size+1/f.size)
+	case took <= fastResponse:
+		f.size = min(maxWindow, f.size+1)
 	}
 }
--- a/former/flight_test.go
+++ b/former/flight_test.go
@@ -11,7 +11,7 @@
 // costs its processor a millisecond or more, so the last ones waited for a second, and
 // hundreds were given up by the bound of 250 ms though every engine answered at once.
 // The replay has a node that handles orders one after the other.
-func TestFlightFindsWhatTheNodeCarries(t *testing.T) {
+func TestWindowAdaptsToNodeCapacity(t *testing.T) {
 	const orders, bound = 3000, 250 * time.Millisecond
 	cases := map[string]struct {
 		each, later, slowest time.Duration
@@ -26,13 +26,13 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			f := newFlight()
+			f := newCongestionWindow()
 			now, free := time.Unix(0, 0), time.Unix(0, 0)
 			begun := make([]time.Time, 0, orders)
 			sent, late := 0, 0
 			for done := 0; done < orders; done++ {
-				for ; f.room() > 0 && sent < orders; sent++ {
-					f.sent()
+				for ; f.available() > 0 && sent < orders; sent++ {
+					f.start()
 					begun = append(begun, now)
 				}
 				// The oldest order in flight is the next that the node handles.
@@ -49,7 +49,7 @@
 				if took > bound {
 					late++
 				}
-				f.ended(now, took, true)
+				f.done(now, took, true)
 			}
 			if late > c.late {
 				t.Errorf("%d of %d orders were late by the node's own doing", late, orders)
@@ -57,31 +57,31 @@
 			if took := now.Sub(time.Unix(0, 0)); took > c.slowest {
 				t.Errorf("all orders took %s", took)
 			}
-			t.Logf("window %.0f, %d late, all within %s", f.window, late, now.Sub(time.Unix(0, 0)))
+			t.Logf("window %.0f, %d late, all within %s", f.size, late, now.Sub(time.Unix(0, 0)))
 		})
 	}
 }
 
 // Story: engines that are gone answer nothing. A window that shrank with each of them
 // would starve the orders to all others in the moment of a loss.
-func TestSilentEnginesDoNotShrinkTheFlight(t *testing.T) {
-	f := newFlight()
+func TestUnresponsiveEnginesDoNotShrinkWindow(t *testing.T) {
+	f := newCongestionWindow()
 	for range 100 {
-		f.sent()
-		f.ended(time.Unix(0, 0), time.Second, false)
+		f.start()
+		f.done(time.Unix(0, 0), time.Second, false)
 	}
-	if f.window < firstFlight || f.inFlight != 0 {
-		t.Errorf("window %.0f, %d in flight", f.window, f.inFlight)
+	if f.size < initialWindow || f.inFlight != 0 {
+		t.Errorf("window %.0f, %d in flight", f.size, f.inFlight)
 	}
 }
 
 // Story: the node is cut off from the engines while it still reaches the store. Engines
 // of all zones were silent to it, and it took apart the groups of the whole site. A dark
 // domain or a zone that is lost must be found at once all the same.
-func TestSilenceOfManyZonesIsPresumedOwnFault(t *testing.T) {
+func TestFailuresInSeveralZonesSuspectLocalFault(t *testing.T) {
 	type probe struct {
 		zone   garnetworks.ZoneID
-		silent bool
+		failed bool
 	}
 	repeat := func(n int, probes ...probe) []probe {
 		var list []probe
@@ -103,21 +103,21 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			var s silence
+			var s localFaultDetector
 			got := false
 			for i, p := range c.probes {
-				got = s.note(time.Unix(0, int64(i)*int64(time.Millisecond)), p.zone, p.silent)
+				got = s.observe(time.Unix(0, int64(i)*int64(time.Millisecond)), p.zone, p.failed)
 			}
 			if got != c.want {
 				t.Errorf("own fault %t, want %t", got, c.want)
 			}
 		})
 	}
-	var s silence
+	var s localFaultDetector
 	now := time.Unix(0, 0)
 	for i := range 40 {
-		own := s.note(now.Add(time.Duration(i)*100*time.Millisecond), garnetworks.ZoneID([]string{"a", "b"}[i%2]), true)
-		if past := time.Duration(i) * 100 * time.Millisecond; own && past > doubtFor+2*silenceWindow {
+		isLocal := s.observe(now.Add(time.Duration(i)*100*time.Millisecond), garnetworks.ZoneID([]string{"a", "b"}[i%2]), true)
+		if past := time.Duration(i) * 100 * time.Millisecond; isLocal && past > localFaultHold+2*localFaultWindow {
 			t.Errorf("silence is still presumed to be the node's own fault after %s", past)
 		}
 	}
@@ -125,24 +125,24 @@
 
 // Story: the holder of the lease is cut off from the engines of all zones. On-call
 // engineers found no line that told why it did not give them up at once.
-func TestPresumedOwnFaultIsTold(t *testing.T) {
-	told := &told{}
-	f := &Former{options: Options{Recorder: told}, prober: newProber(100)}
+func TestLocalFaultIsRecorded(t *testing.T) {
+	recorder := &eventCounter{}
+	f := &Former{options: Options{Recorder: recorder}, prober: newProber(100)}
 	for i := range 40 {
-		f.takeProbe(probed{
-			life: garnetworks.Incarnation{Instance: garnetworks.InstanceID(rune('a' + i))}, zone: garnetworks.ZoneID([]string{"a", "b"}[i%2]),
-			err: garnetworks.Errorf(garnetworks.KindUnreachable, "no answer"), took: probeTime,
+		f.handleProbeResult(probeResult{
+			incarnation: garnetworks.Incarnation{Instance: garnetworks.InstanceID(rune('a' + i))}, zone: garnetworks.ZoneID([]string{"a", "b"}[i%2]),
+			err: garnetworks.Errorf(garnetworks.KindUnreachable, "no answer"), took: probeTimeout,
 		})
 	}
-	if told.kinds[garnetworks.EventLocalFaultSuspected] != 1 || told.kinds[garnetworks.EventInstanceUnresponsive] != 0 {
-		t.Errorf("told %v", told.kinds)
+	if recorder.kinds[garnetworks.EventLocalFaultSuspected] != 1 || recorder.kinds[garnetworks.EventInstanceUnresponsive] != 0 {
+		t.Errorf("told %v", recorder.kinds)
 	}
 }
 
 // told counts events by kind.
-type told struct{ kinds map[garnetworks.EventKind]int }
+type eventCounter struct{ kinds map[garnetworks.EventKind]int }
 
-func (t *told) Record(e garnetworks.Event) {
+func (t *eventCounter) Record(e garnetworks.Event) {
 	if t.kinds == nil {
 		t.kinds = make(map[garnetworks.EventKind]int)
 	}
--- a/former/formation.go
+++ b/former/formation.go
@@ -9,31 +9,31 @@
 )
 
 // giveUp ends a formation because of one instance, which is left out for a while.
-func (p *Planner) giveUp(now time.Time, id garnetworks.GroupID, culprit garnetworks.Incarnation) {
+func (p *Planner) abandon(now time.Time, id garnetworks.GroupID, cause garnetworks.Incarnation) {
 	if p.formations[id] == nil {
 		return
 	}
-	if culprit != (garnetworks.Incarnation{}) {
-		p.shun[culprit] = now.Add(shunTime)
+	if cause != (garnetworks.Incarnation{}) {
+		p.excluded[cause] = now.Add(exclusionTime)
 	}
 	delete(p.formations, id)
 	p.abandoned.Add(id)
 }
 
 // followFormations brings ordered groups on, or gives them up.
-func (r *plan) followFormations() {
+func (r *plan) advanceFormations() {
 	for _, id := range sortedKeys(r.formations) {
-		r.followFormation(r.formations[id])
+		r.advanceFormation(r.formations[id])
 	}
 }
 
-func (r *plan) followFormation(f *formation) {
+func (r *plan) advanceFormation(f *formation) {
 	ready := 0
 	for i, id := range f.members {
 		s, ok := r.server(id)
 		switch {
 		case !ok, !r.usable(&s):
-			r.giveUp(r.now, f.id, garnetworks.Incarnation{})
+			r.abandon(r.now, f.id, garnetworks.Incarnation{})
 			return
 		case s.Membership.Group == f.id && s.Membership.Epoch == f.epoch:
 			if i == 0 && s.Membership.State == garnetworks.MemberOpen {
@@ -44,18 +44,18 @@
 				ready++
 			}
 		default:
-			if last := r.sent[id]; last != nil && last.tries >= joinTries && !last.taken && r.now.Sub(last.at) >= orderAgain {
-				r.giveUp(r.now, f.id, id)
+			if last := r.sent[id]; last != nil && last.attempts >= maxJoinAttempts && !last.accepted && r.now.Sub(last.at) >= resendInterval {
+				r.abandon(r.now, f.id, id)
 				return
 			}
-			if last := r.sent[id]; last == nil || !last.taken || last.order.Group != f.id {
+			if last := r.sent[id]; last == nil || !last.accepted || last.order.Group != f.id {
 				r.join(f, s)
 			}
 		}
 	}
-	if ready == len(f.members) && f.prepares {
-		r.prepared[f.members[0]] = f.model
-		r.giveUp(r.now, f.id, garnetworks.Incarnation{})
+	if ready == len(f.members) && f.prewarms {
+		r.prewarmed[f.members[0]] = f.model
+		r.abandon(r.now, f.id, garnetworks.Incarnation{})
 		return
 	}
 	if ready == len(f.members) { // rule O1
@@ -63,8 +63,8 @@
 		r.send(urgentOpening, garnetworks.GroupOrder{Kind: garnetworks.GroupOpen, Incarnation: head.Incarnation(), Address: head.Address, Group: f.id, Epoch: f.epoch})
 		return
 	}
-	if r.now.After(f.until) || r.better(f) {
-		r.giveUp(r.now, f.id, garnetworks.Incarnation{})
+	if r.now.After(f.deadline) || r.hasBetterMembers(f) {
+		r.abandon(r.now, f.id, garnetworks.Incarnation{})
 	}
 }
 
@@ -73,34 +73,34 @@
 // Failure: a member was cut off for some seconds, and an instance that has to load
 // the weights took its place. The member came back with the weights and stayed
 // free, while the others of its group waited for the load.
-func (r *plan) better(f *formation) bool {
+func (r *plan) hasBetterMembers(f *formation) bool {
 	m := r.profile(f.model)
 	if m == nil || len(f.loading) == 0 {
 		return false
 	}
 	first, _ := r.server(f.members[0])
-	soon := len(f.members)
+	joinable := len(f.members)
 	for _, id := range f.loading {
 		if s, _ := r.server(id); s.Membership.Group != f.id || s.Membership.State == garnetworks.MemberJoining {
-			soon--
+			joinable--
 		}
 	}
-	if soon == len(f.members) {
+	if joinable == len(f.members) {
 		return false
 	}
 	for _, s := range r.free()[first.Domain] {
 		if readiness(&s, m) <= 1 {
-			soon++
+			joinable++
 		}
 	}
-	return soon >= m.GroupSize
+	return joinable >= m.GroupSize
 }
 
 // join orders an instance into a group.
 func (r *plan) join(f *formation, s garnetworks.RegisteredServer) {
 	u := urgentForming
-	if f.prepares {
-		u = urgentTidying
+	if f.prewarms {
+		u = urgentCleanup
 	}
 	r.send(u, garnetworks.GroupOrder{
 		Kind: garnetworks.GroupJoin, Incarnation: s.Incarnation(), Address: s.Address,
@@ -110,7 +110,7 @@
 
 // adopt goes on with a group that an earlier holder ordered.
 func (r *plan) adopt(g *Group) {
-	f := &formation{id: g.ID, epoch: g.Epoch, model: g.Model, until: r.now.Add(r.joinTime(g.Model) + joinMargin)}
+	f := &formation{id: g.ID, epoch: g.Epoch, model: g.Model, deadline: r.now.Add(r.joinTime(g.Model) + joinMargin)}
 	for i := range g.Members {
 		f.members = append(f.members, g.Members[i].Incarnation())
 	}
@@ -154,16 +154,16 @@
 
 // formGroups orders new groups while a domain has enough free instances.
 func (r *plan) formGroups() {
-	counts := r.counts()
+	counts := r.groupCounts()
 	free := r.free()
 	for domain := range free {
-		if r.unsettled.Has(domain) {
+		if r.pendingLeaves.Has(domain) {
 			delete(free, domain)
 		}
 	}
-	r.exchangeGroups(free, counts)
+	r.reallocateGroups(free, counts)
 	for {
-		domain, model := r.next(free, counts)
+		domain, model := r.nextGroup(free, counts)
 		if model == nil {
 			return
 		}
@@ -180,33 +180,33 @@
 // Failure: the answers of a broken group's members come one after the other. With
 // the first few of them a group of a smaller model is formed, and the instances
 // that are left are too few for the model that was lost.
-func (r *plan) noteUnsettled() {
-	r.unsettled = make(garnetworks.Set[garnetworks.DomainID])
+func (r *plan) findPendingLeaves() {
+	r.pendingLeaves = make(garnetworks.Set[garnetworks.DomainID])
 	for i := range r.orders {
 		if o := &r.orders[i]; o.Kind == garnetworks.GroupLeave {
-			r.unsettled.Add(r.Servers[o.Incarnation.Instance].Domain)
+			r.pendingLeaves.Add(r.Servers[o.Incarnation.Instance].Domain)
 		}
 	}
 	for id, s := range r.sent {
-		if s.order.Kind != garnetworks.GroupLeave || s.taken || r.now.Sub(s.at) >= orderAgain {
+		if s.order.Kind != garnetworks.GroupLeave || s.accepted || r.now.Sub(s.at) >= resendInterval {
 			continue
 		}
 		if server, ok := r.server(id); ok && r.usable(&server) && !r.released(&server) {
-			r.unsettled.Add(server.Domain)
+			r.pendingLeaves.Add(server.Domain)
 		}
 	}
 }
 
 // counts returns the groups of each model that serve or are on their way.
-func (r *plan) counts() map[garnetworks.ModelName]int {
+func (r *plan) groupCounts() map[garnetworks.ModelName]int {
 	counts := make(map[garnetworks.ModelName]int)
 	for i := range r.groups {
-		if g := &r.groups[i]; g.Serves() && r.formations[g.ID] == nil && (g.Whole && !r.hasDark(g) || r.Moving.Has(g.ID)) {
+		if g := &r.groups[i]; g.Serves() && r.formations[g.ID] == nil && (g.Complete && !r.hasUnresponsive(g) || r.Progressing.Has(g.ID)) {
 			counts[g.Model]++
 		}
 	}
 	for _, f := range r.formations {
-		if !f.prepares {
+		if !f.prewarms {
 			counts[f.model]++
 		}
 	}
@@ -217,8 +217,8 @@
 // that has the fewest groups for its share of the work, in the domain where most
 // of its members need no load, and among those in the one that it fills best, so
 // that whole gaps are left to larger models.
-func (r *plan) next(free map[garnetworks.DomainID][]garnetworks.RegisteredServer, counts map[garnetworks.ModelName]int) (garnetworks.DomainID, *garnetworks.ModelProfile) {
-	for _, m := range r.byNeed(counts) {
+func (r *plan) nextGroup(free map[garnetworks.DomainID][]garnetworks.RegisteredServer, counts map[garnetworks.ModelName]int) (garnetworks.DomainID, *garnetworks.ModelProfile) {
+	for _, m := range r.modelsByNeed(counts) {
 		if domain, ok := r.bestDomain(free, m); ok {
 			return domain, m
 		}
@@ -227,7 +227,7 @@
 }
 
 // byNeed returns the models, those first whose next group would carry most work.
-func (r *plan) byNeed(counts map[garnetworks.ModelName]int) []*garnetworks.ModelProfile {
+func (r *plan) modelsByNeed(counts map[garnetworks.ModelName]int) []*garnetworks.ModelProfile {
 	models := make([]*garnetworks.ModelProfile, 0, len(r.Profile.Models))
 	for i := range r.Profile.Models {
 		if r.Profile.Models[i].GroupSize > 0 {
@@ -235,14 +235,14 @@
 		}
 	}
 	slices.SortStableFunc(models, func(a, b *garnetworks.ModelProfile) int {
-		return cmp.Compare(shareForNext(b, counts[b.Name]), shareForNext(a, counts[a.Name]))
+		return cmp.Compare(marginalShare(b, counts[b.Name]), marginalShare(a, counts[a.Name]))
 	})
 	return models
 }
 
 // shareForNext is the share of the work that one more group would carry, for
 // each instance that it takes.
-func shareForNext(m *garnetworks.ModelProfile, groups int) float64 {
+func marginalShare(m *garnetworks.ModelProfile, groups int) float64 {
 	return m.InitialShare / float64(m.GroupSize*(groups+1))
 }
 
@@ -254,11 +254,11 @@
 		if len(servers) < m.GroupSize {
 			continue
 		}
-		loads := r.loadsOf(r.pick(servers, m, 1), m)
-		if loads > r.loads || loads > 0 && !r.Unhurried {
+		loads := r.loadsNeeded(r.pick(servers, m, 1), m)
+		if loads > r.loadsLeft || loads > 0 && !r.BeforeFirstCall {
 			continue // rules O5 and O7
 		}
-		if e := r.exchanges[domain]; e != nil && e.model != m.Name {
+		if e := r.reallocations[domain]; e != nil && e.model != m.Name {
 			continue // a group is closed so that this one is complete
 		}
 		if !found || loads < bestLoads || loads == bestLoads && len(servers) < bestFree {
@@ -290,7 +290,7 @@
 	return sorted[:groups*m.GroupSize]
 }
 
-func (r *plan) loadsOf(servers []garnetworks.RegisteredServer, m *garnetworks.ModelProfile) int {
+func (r *plan) loadsNeeded(servers []garnetworks.RegisteredServer, m *garnetworks.ModelProfile) int {
 	loads := 0
 	for i := range servers {
 		if readiness(&servers[i], m) > 1 {
@@ -302,10 +302,10 @@
 
 // form orders a group.
 func (r *plan) form(m *garnetworks.ModelProfile, members []garnetworks.RegisteredServer) {
-	r.loads -= r.loadsOf(members, m)
+	r.loadsLeft -= r.loadsNeeded(members, m)
 	r.sequence++
 	epoch := garnetworks.NewFencingToken(r.Term, r.sequence)
-	f := &formation{id: GroupName(m.Name, epoch), epoch: epoch, model: m.Name, until: r.now.Add(m.LoadTime + joinMargin)}
+	f := &formation{id: GroupName(m.Name, epoch), epoch: epoch, model: m.Name, deadline: r.now.Add(m.LoadTime + joinMargin)}
 	for i := range members {
 		f.members = append(f.members, members[i].Incarnation())
 		if readiness(&members[i], m) > 1 {
@@ -313,7 +313,7 @@
 		}
 	}
 	r.formations[f.id] = f
-	delete(r.exchanges, members[0].Domain)
+	delete(r.reallocations, members[0].Domain)
 	for i := range members {
 		r.join(f, members[i])
 	}
--- a/former/former.go
+++ b/former/former.go
@@ -17,16 +17,16 @@
 const (
 	// planEvery is the longest time between two plans; changes and answers bring
 	// them forward.
-	planEvery = 200 * time.Millisecond
+	planInterval = 200 * time.Millisecond
 	// planRest is the least time between two plans. It joins changes that come together,
 	// and is small beside the second that a repair takes.
-	planRest = 10 * time.Millisecond
+	minPlanPause = 10 * time.Millisecond
 	// restFactor is the rest after a plan in parts of the time that the plan took, so that
 	// plans take a fifth of the node's processor at most.
-	restFactor = 4
+	pauseFactor = 4
 	// firstLoadTime is the time from the site's first start in which loads don't
 	// count against the weight store's rate, since no call has come yet.
-	firstLoadTime = 9 * time.Second
+	unmeteredLoadTime = 9 * time.Second
 	// settleTime is how long no further server may have registered before groups
 	// are formed at the site's first start, and settleMost bounds that wait.
 	//
@@ -35,11 +35,11 @@
 	// no domain with enough instances left. 162 engines take 4.1 s; with settleMost,
 	// the load of the first groups (a tenth of the usual time) and their opening they
 	// serve 8 s after the start, before the first calls at 10 s or more.
-	settleTime = 350 * time.Millisecond
-	settleMost = 6 * time.Second
+	settleTime    = 350 * time.Millisecond
+	maxSettleTime = 6 * time.Second
 	// loadRatePart is the part of the weight store's rate that is used: orders
 	// that are carried out late may bring loads together.
-	loadRatePart = 0.9
+	loadRateFraction = 0.9
 )
 
 // Options describe the duty.
@@ -52,10 +52,10 @@
 	FirstStart bool
 	// Moving returns the groups that gave an event to some node a moment ago; it may
 	// be nil.
-	Moving func() garnetworks.Set[garnetworks.GroupID]
+	Progressing func() garnetworks.Set[garnetworks.GroupID]
 	// Work returns the number of calls of each model that are or could be running at the
 	// site; it may be nil.
-	Work func() map[garnetworks.ModelName]float64
+	Demand func() map[garnetworks.ModelName]float64
 	// Recorder is told of orders and of what is believed of instances.
 	Recorder garnetworks.Recorder
 }
@@ -69,42 +69,42 @@
 	// lost are the groups that have a dark instance, while the node holds the lease.
 	lost atomic.Pointer[[]garnetworks.GroupID]
 	prober
-	answers  chan answered
-	suspects chan garnetworks.GroupID
-	changed  <-chan struct{}
+	orderResults chan orderResult
+	suspects     chan garnetworks.GroupID
+	changed      <-chan struct{}
 	// queue holds the newest plan's orders that wait to be sent.
 	queue       []queuedOrder
-	orderFlight flight
+	orderWindow congestionWindow
 	// stale says that something has changed since the last plan, and rested from when
 	// on the next one may be made.
-	stale  bool
-	rested time.Time
+	needsPlan  bool
+	nextPlanAt time.Time
 	// planned is the view that the newest plan was made from.
-	planned follower.Servers
-	loads   loadBudget
+	plannedServers follower.Servers
+	loads          loadBudget
 	// sending counts the orders in flight.
 	sending sync.WaitGroup
 	term    uint32
 	// held is when this node took the lease.
-	held time.Time
+	leaseSince time.Time
 	// count is the number of registered servers, and grown when it last rose.
-	count int
-	grown time.Time
+	serverCount      int
+	lastRegistration time.Time
 }
 
 // New returns the duty; it is called before the follower runs.
 func New(options Options) *Former {
-	const ring = 1024
+	const bufferSize = 1024
 	f := &Former{
-		options:  options,
-		started:  time.Now(),
-		planners: make(map[garnetworks.ServiceName]*Planner),
-		prober:   newProber(ring),
-		answers:  make(chan answered, ring),
-		suspects: make(chan garnetworks.GroupID, ring),
-		changed:  options.Follower.Changed(),
+		options:      options,
+		started:      time.Now(),
+		planners:     make(map[garnetworks.ServiceName]*Planner),
+		prober:       newProber(bufferSize),
+		orderResults: make(chan orderResult, bufferSize),
+		suspects:     make(chan garnetworks.GroupID, bufferSize),
+		changed:      options.Follower.Changed(),
 
-		orderFlight: newFlight(),
+		orderWindow: newCongestionWindow(),
 	}
 	f.bounds.Store(&options.Bounds)
 	return f
@@ -124,33 +124,33 @@
 // Run forms groups until ctx ends. It returns once all orders have ended, so that
 // the lease may then be given up.
 func (f *Former) Run(ctx context.Context) error {
-	ticker := time.NewTicker(planEvery)
+	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
-	rest := time.NewTimer(0)
-	defer rest.Stop()
+	pause := time.NewTimer(0)
+	defer pause.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			f.sending.Wait()
 			return nil
 		case <-ticker.C:
-			f.stale = true
+			f.needsPlan = true
 		case <-f.changed:
-			f.stale = true
+			f.needsPlan = true
 		case <-f.options.Lease.Changed():
-			f.stale = true
-		case <-rest.C:
-		case a := <-f.answers:
-			f.take(a)
-		case p := <-f.results:
-			f.takeProbe(p)
+			f.needsPlan = true
+		case <-pause.C:
+		case a := <-f.orderResults:
+			f.handleOrderResult(a)
+		case p := <-f.probeResults:
+			f.handleProbeResult(p)
 		case id := <-f.suspects:
 			f.suspect(id)
 		}
-		f.drain()
-		if f.stale && !time.Now().Before(f.rested) {
+		f.drainResults()
+		if f.needsPlan && !time.Now().Before(f.nextPlanAt) {
 			f.replan()
-			rest.Reset(time.Until(f.rested))
+			pause.Reset(time.Until(f.nextPlanAt))
 		}
 		f.dispatch(ctx)
 		f.dispatchProbes(ctx)
@@ -158,13 +158,13 @@
 }
 
 // drain takes all answers that are there, so that one plan serves them.
-func (f *Former) drain() {
+func (f *Former) drainResults() {
 	for {
 		select {
-		case a := <-f.answers:
-			f.take(a)
-		case p := <-f.results:
-			f.takeProbe(p)
+		case a := <-f.orderResults:
+			f.handleOrderResult(a)
+		case p := <-f.probeResults:
+			f.handleProbeResult(p)
 		default:
 			return
 		}
@@ -178,10 +178,10 @@
 // took all of it, so that the answers waited and looked like silence.
 func (f *Former) replan() {
 	began := time.Now()
-	f.stale = false
+	f.needsPlan = false
 	f.plan()
 	took := time.Since(began)
-	f.rested = time.Now().Add(min(planEvery, max(planRest, restFactor*took)))
+	f.nextPlanAt = time.Now().Add(min(planInterval, max(minPlanPause, pauseFactor*took)))
 }
 
 // plan queues the orders that are due.
@@ -190,7 +190,7 @@
 	term := f.options.Lease.Term(now)
 	f.queue = f.queue[:0]
 	if term != f.term {
-		f.term, f.held, f.loads = term, now, loadBudget{}
+		f.term, f.leaseSince, f.loads = term, now, loadBudget{}
 		if term != 0 {
 			f.options.Follower.RefreshServers()
 		}
@@ -198,7 +198,7 @@
 	x := f.options.Follower.Index()
 	// Failure: a view from before the lease shows engines as free that the last
 	// holder has ordered into a group since. So a new holder reads the store first.
-	if term == 0 || f.options.Follower.ServersConfirmed().Before(f.held) || x == nil || !f.options.Follower.Ready() {
+	if term == 0 || f.options.Follower.ServersConfirmed().Before(f.leaseSince) || x == nil || !f.options.Follower.Ready() {
 		f.lost.Store(nil)
 		return
 	}
@@ -207,11 +207,11 @@
 		f.lost.Store(nil)
 		return
 	}
-	f.planned = servers
+	f.plannedServers = servers
 	f.forget(servers)
-	f.noteLost(servers)
-	f.probeDark(servers)
-	f.probeDoubted(servers)
+	f.findLostGroups(servers)
+	f.probeUnresponsive(servers)
+	f.probeUnconfirmed(servers)
 	for i := range x.Services {
 		if profile, ok := x.Services[i].Engines.Get(); ok {
 			f.planService(now, term, servers, x.Services[i].Name, &profile)
@@ -228,11 +228,11 @@
 }
 
 // noteLost finds the groups that have a dark instance and give no node any event.
-func (f *Former) noteLost(servers follower.Servers) {
-	moving := f.moving()
+func (f *Former) findLostGroups(servers follower.Servers) {
+	progressing := f.progressing()
 	lost := make(garnetworks.Set[garnetworks.GroupID])
-	for life := range f.dark {
-		if s, ok := serverOf(servers, life); ok && s.Membership.Group != "" && !moving.Has(s.Membership.Group) {
+	for incarnation := range f.unresponsive {
+		if s, ok := serverOf(servers, incarnation); ok && s.Membership.Group != "" && !progressing.Has(s.Membership.Group) {
 			lost.Add(s.Membership.Group)
 		}
 	}
@@ -242,14 +242,14 @@
 
 // settled reports whether the servers that start with the site have registered.
 func (f *Former) settled(now time.Time, count int) bool {
-	if count > f.count {
-		f.grown = now
+	if count > f.serverCount {
+		f.lastRegistration = now
 	}
-	f.count = count
-	if !f.options.FirstStart || now.Sub(f.started) > settleMost {
+	f.serverCount = count
+	if !f.options.FirstStart || now.Sub(f.started) > maxSettleTime {
 		return true
 	}
-	return count > 0 && now.Sub(f.grown) >= settleTime
+	return count > 0 && now.Sub(f.lastRegistration) >= settleTime
 }
 
 func (f *Former) planService(now time.Time, term uint32, servers follower.Servers, service garnetworks.ServiceName, profile *garnetworks.EngineProfile) {
@@ -259,30 +259,30 @@
 		f.planners[service] = p
 	}
 	f.loads.configure(profile, *f.bounds.Load())
-	loads := f.loads.left(now)
-	first := f.options.FirstStart && now.Sub(f.started) < firstLoadTime
+	loads := f.loads.available(now)
+	first := f.options.FirstStart && now.Sub(f.started) < unmeteredLoadTime
 	if first {
 		loads = len(servers)
 	}
 	orders := p.Plan(now, Input{
-		Servers: servers, Service: service, Profile: profile, Dark: f.dark,
-		Term: term, Loads: loads, Unhurried: first, Moving: f.moving(), Work: f.work(),
+		Servers: servers, Service: service, Profile: profile, Unresponsive: f.unresponsive,
+		Term: term, Loads: loads, BeforeFirstCall: first, Progressing: f.progressing(), Demand: f.demand(),
 	})
 	for _, o := range orders {
 		f.queue = append(f.queue, queuedOrder{service, o, !first})
 	}
 }
 
-func (f *Former) work() map[garnetworks.ModelName]float64 {
-	if f.options.Work == nil {
+func (f *Former) demand() map[garnetworks.ModelName]float64 {
+	if f.options.Demand == nil {
 		return nil
 	}
-	return f.options.Work()
+	return f.options.Demand()
 }
 
-func (f *Former) moving() garnetworks.Set[garnetworks.GroupID] {
-	if f.options.Moving == nil {
+func (f *Former) progressing() garnetworks.Set[garnetworks.GroupID] {
+	if f.options.Progressing == nil {
 		return nil
 	}
-	return f.options.Moving()
+	return f.options.Progressing()
 }
--- a/former/loads.go
+++ b/former/loads.go
@@ -21,12 +21,12 @@
 const loadSlack = 3
 
 func (b *loadBudget) configure(profile *garnetworks.EngineProfile, bounds garnetworks.SiteBounds) {
-	b.rate = profile.LoadsPerSecond * loadRatePart
-	beyond := profile.LoadsPerSecond * bounds.LoadWindow.Seconds() * (bounds.LoadOverage - loadRatePart)
+	b.rate = profile.LoadsPerSecond * loadRateFraction
+	beyond := profile.LoadsPerSecond * bounds.LoadWindow.Seconds() * (bounds.LoadOverage - loadRateFraction)
 	b.depth = max(1, beyond+loadSlack-1)
 }
 
-func (b *loadBudget) left(now time.Time) int {
+func (b *loadBudget) available(now time.Time) int {
 	if !b.at.IsZero() {
 		b.tokens = min(b.depth, b.tokens+b.rate*now.Sub(b.at).Seconds())
 	}
@@ -35,7 +35,7 @@
 }
 
 // count takes the loads that an order begins.
-func (b *loadBudget) count(o *garnetworks.GroupOrder, servers follower.Servers) {
+func (b *loadBudget) spend(o *garnetworks.GroupOrder, servers follower.Servers) {
 	s, _ := serverOf(servers, o.Incarnation)
 	switch o.Kind {
 	case garnetworks.GroupJoin, garnetworks.GroupStage:
--- a/former/loads_test.go
+++ b/former/loads_test.go
@@ -11,7 +11,7 @@
 // Story: a domain comes back and wants many loads at once, and the lease passes on
 // in the middle. Two holders in a row each spend a whole budget, and the weight
 // store gets more than the site allows in some window.
-func TestLoadsStayUnderTheCeiling(t *testing.T) {
+func TestLoadsStayUnderLimit(t *testing.T) {
 	profile := &garnetworks.EngineProfile{LoadsPerSecond: 5.5}
 	bounds := garnetworks.SiteBounds{LoadWindow: 5 * time.Second, LoadOverage: 1.1}
 	ceiling := profile.LoadsPerSecond*bounds.LoadWindow.Seconds()*bounds.LoadOverage + loadSlack
@@ -22,8 +22,8 @@
 		for range 30 + 40*holder {
 			now = now.Add(100 * time.Millisecond)
 			b.configure(profile, bounds)
-			for range b.left(now) {
-				b.count(&garnetworks.GroupOrder{Kind: garnetworks.GroupStage, Model: "m"}, follower.Servers{})
+			for range b.available(now) {
+				b.spend(&garnetworks.GroupOrder{Kind: garnetworks.GroupStage, Model: "m"}, follower.Servers{})
 				begun = append(begun, now)
 			}
 		}
--- a/former/lost_test.go
+++ b/former/lost_test.go
@@ -10,7 +10,7 @@
 // Story: both instances of a group go dark. The holder of the lease finds it by its probes;
 // what it tells the other nodes is the group, unless some node just had an event from it,
 // or the dark instance is of an earlier life, or in no group.
-func TestHolderTellsWhichGroupsAreLost(t *testing.T) {
+func TestLeaseHolderReportsLostGroups(t *testing.T) {
 	server := func(id garnetworks.InstanceID, born int64, group garnetworks.GroupID) garnetworks.RegisteredServer {
 		s := garnetworks.RegisteredServer{ListedInstance: garnetworks.ListedInstance{ID: id}, StartMS: born}
 		s.Membership.Group = group
@@ -20,12 +20,12 @@
 		"a": server("a", 1, "gone"), "b": server("b", 1, "gone"), "c": server("c", 1, "moving"),
 		"d": server("d", 2, "again"), "e": server("e", 1, ""), "f": server("f", 1, "sound"),
 	}
-	f := &Former{options: Options{Moving: func() garnetworks.Set[garnetworks.GroupID] { return garnetworks.NewSet[garnetworks.GroupID]("moving") }}}
-	f.dark = make(garnetworks.Set[garnetworks.Incarnation])
+	f := &Former{options: Options{Progressing: func() garnetworks.Set[garnetworks.GroupID] { return garnetworks.NewSet[garnetworks.GroupID]("moving") }}}
+	f.unresponsive = make(garnetworks.Set[garnetworks.Incarnation])
 	for _, id := range []garnetworks.InstanceID{"a", "b", "c", "d", "e"} {
-		f.dark.Add(garnetworks.Incarnation{Instance: id, StartMS: 1})
+		f.unresponsive.Add(garnetworks.Incarnation{Instance: id, StartMS: 1})
 	}
-	f.noteLost(servers)
+	f.findLostGroups(servers)
 	if got := f.Lost(); len(got) != 1 || got[0] != "gone" {
 		t.Errorf("lost are %v", got)
 	}
--- a/former/observe.go
+++ b/former/observe.go
@@ -19,7 +19,7 @@
 	// Members are those that are registered now, by rank.
 	Members []garnetworks.RegisteredServer
 	// Whole says that all ranks of the model's size are there, in one epoch.
-	Whole bool
+	Complete bool
 	// Leaving says that a member is about to stop.
 	Leaving bool
 	// Lost says that a member has started again since it was ready, so that the group
@@ -50,7 +50,7 @@
 			return false
 		}
 	}
-	return g.Whole
+	return g.Complete
 }
 
 // groupSeparator stands between the model and the epoch in a group's name.
@@ -114,14 +114,14 @@
 	slices.SortFunc(g.Members, func(a, b garnetworks.RegisteredServer) int {
 		return cmp.Or(cmp.Compare(a.Membership.Rank, b.Membership.Rank), cmp.Compare(a.ID, b.ID))
 	})
-	g.Whole = size > 0 && len(g.Members) == size
+	g.Complete = size > 0 && len(g.Members) == size
 	opened := len(g.Members) > 0 && g.Members[0].Membership.Rank == 0 && g.Members[0].Membership.State == garnetworks.MemberOpen
 	for i := range g.Members {
 		// All members were ready when the head opened (rule O1). One that joins after
 		// that has started again, and took a join that was carried out late.
 		g.Lost = g.Lost || opened && g.Members[i].Membership.State == garnetworks.MemberJoining
 		if g.Members[i].Membership.Rank != i {
-			g.Whole = false
+			g.Complete = false
 		}
 		if g.Members[i].State == garnetworks.ListedLeaving {
 			g.Leaving = true
--- a/former/orders.go
+++ b/former/orders.go
@@ -12,10 +12,10 @@
 type sentOrder struct {
 	order garnetworks.GroupOrder
 	// at is when it was sent.
-	at    time.Time
-	tries int
+	at       time.Time
+	attempts int
 	// taken says that the engine accepted it.
-	taken bool
+	accepted bool
 }
 
 // stagedLoad is an order to load a model onto a host.
@@ -35,10 +35,10 @@
 	// urgentForming brings instances from a group that can't serve into one that will.
 	urgentForming
 	// urgentLacking loads what a group lacks.
-	urgentLacking
+	urgentMissing
 	// urgentTidying takes instances out of groups that were given up, and prepares
 	// spares.
-	urgentTidying
+	urgentCleanup
 	// urgentSpare loads models onto hosts that no group lacks now.
 	urgentSpare
 )
@@ -72,11 +72,11 @@
 	case garnetworks.GroupJoin:
 		p.joined[o.Incarnation] = garnetworks.Membership{Group: o.Group, Epoch: o.Epoch}
 	}
-	tries := 1
+	attempts := 1
 	if s := p.sent[o.Incarnation]; s != nil && sameOrder(&s.order, &o) {
-		tries = s.tries + 1
+		attempts = s.attempts + 1
 	}
-	p.sent[o.Incarnation] = &sentOrder{order: o, at: now, tries: tries}
+	p.sent[o.Incarnation] = &sentOrder{order: o, at: now, attempts: attempts}
 }
 
 func sameOrder(a, b *garnetworks.GroupOrder) bool {
@@ -87,7 +87,7 @@
 func (p *Planner) Answered(now time.Time, order garnetworks.GroupOrder, err error) {
 	s := p.sent[order.Incarnation]
 	if s != nil && s.order.Kind == order.Kind && s.order.Group == order.Group {
-		s.taken = err == nil
+		s.accepted = err == nil
 	}
 	gone := garnetworks.IsKind(err, garnetworks.KindNotFound)
 	switch order.Kind {
@@ -98,7 +98,7 @@
 		}
 	case garnetworks.GroupJoin:
 		if gone || garnetworks.IsKind(err, garnetworks.KindStaleToken, garnetworks.KindConflict) {
-			p.giveUp(now, order.Group, order.Incarnation)
+			p.abandon(now, order.Group, order.Incarnation)
 		}
 	}
 }
@@ -106,7 +106,7 @@
 // send adds an order unless the same one was sent a moment ago, or the plan has another
 // one for the instance.
 func (r *plan) send(u urgency, o garnetworks.GroupOrder) {
-	if s := r.sent[o.Incarnation]; s != nil && sameOrder(&s.order, &o) && r.now.Sub(s.at) < r.again(s) || r.ordered.Has(o.Incarnation) {
+	if s := r.sent[o.Incarnation]; s != nil && sameOrder(&s.order, &o) && r.now.Sub(s.at) < r.resendAfter(s) || r.ordered.Has(o.Incarnation) {
 		return
 	}
 	r.ordered.Add(o.Incarnation)
@@ -116,11 +116,11 @@
 // again returns how long an order may go without effect before it is sent again. A head
 // that has taken the order to open says so by its entry after its own time only; without
 // this each group was ordered to open twice or more.
-func (r *plan) again(s *sentOrder) time.Duration {
-	if s.taken && s.order.Kind == garnetworks.GroupOpen {
-		return r.Profile.FormTime + 2*orderAgain
+func (r *plan) resendAfter(s *sentOrder) time.Duration {
+	if s.accepted && s.order.Kind == garnetworks.GroupOpen {
+		return r.Profile.FormTime + 2*resendInterval
 	}
-	return orderAgain
+	return resendInterval
 }
 
 func (r *plan) add(u urgency, o garnetworks.GroupOrder) {
--- a/former/partitions.go
+++ b/former/partitions.go
@@ -13,59 +13,59 @@
 // vanish one after the other, and come back one after the other; a group of which
 // a part is listed looks like one that has lost members, and was dissolved the
 // moment its zone came back.
-func (r *plan) notePartitions() {
+func (r *plan) detectPartitions() {
 	vanished := make(map[garnetworks.DomainID]int)
-	for id, s := range r.seen {
+	for id, s := range r.lastServers {
 		// An instance that is listed under a later life has started again; its earlier
 		// one is no entry that a partition hides.
 		if _, listed := r.Servers[id]; listed {
 			continue
 		}
-		r.gone[s.Incarnation()] = r.now
+		r.vanishedAt[s.Incarnation()] = r.now
 		if s.State == garnetworks.ListedLive {
 			vanished[s.Domain]++
 		}
 	}
-	for id, at := range r.gone {
+	for id, at := range r.vanishedAt {
 		s, back := r.server(id)
 		switch {
 		case back:
-			delete(r.gone, id)
-			r.wait(s.Domain, returnTime)
+			delete(r.vanishedAt, id)
+			r.deferDissolution(s.Domain, returnGrace)
 		case r.now.Sub(at) > time.Minute:
-			delete(r.gone, id)
+			delete(r.vanishedAt, id)
 		}
 	}
 	for domain := range vanished {
-		if r.recentlyGone(domain) >= massCount {
-			r.wait(domain, returnTime)
+		if r.recentlyVanished(domain) >= partitionCount {
+			r.deferDissolution(domain, returnGrace)
 		}
 	}
-	for id := range r.dark {
-		if s, ok := r.server(id); ok && !r.Dark.Has(id) {
-			r.wait(s.Domain, answerTime)
+	for id := range r.lastUnresponsive {
+		if s, ok := r.server(id); ok && !r.Unresponsive.Has(id) {
+			r.deferDissolution(s.Domain, probeReturnGrace)
 		}
 	}
-	r.domains(r.Servers)
-	r.seen = r.Servers
-	r.dark = make(garnetworks.Set[garnetworks.Incarnation], len(r.Dark))
-	for id := range r.Dark {
-		r.dark.Add(id)
+	r.recordDomains(r.Servers)
+	r.lastServers = r.Servers
+	r.lastUnresponsive = make(garnetworks.Set[garnetworks.Incarnation], len(r.Unresponsive))
+	for id := range r.Unresponsive {
+		r.lastUnresponsive.Add(id)
 	}
 }
 
 // wait keeps a domain's groups from being dissolved for a while.
-func (r *plan) wait(domain garnetworks.DomainID, d time.Duration) {
-	if until := r.now.Add(d); until.After(r.unsure[domain]) {
-		r.unsure[domain] = until
+func (r *plan) deferDissolution(domain garnetworks.DomainID, d time.Duration) {
+	if until := r.now.Add(d); until.After(r.uncertainUntil[domain]) {
+		r.uncertainUntil[domain] = until
 	}
 }
 
 // recentlyGone counts the entries that vanished from a domain within massTime.
-func (r *plan) recentlyGone(domain garnetworks.DomainID) int {
+func (r *plan) recentlyVanished(domain garnetworks.DomainID) int {
 	n := 0
-	for id, at := range r.gone {
-		if r.now.Sub(at) <= massTime && r.domainOf[id] == domain {
+	for id, at := range r.vanishedAt {
+		if r.now.Sub(at) <= partitionWindow && r.domainOf[id] == domain {
 			n++
 		}
 	}
@@ -73,12 +73,12 @@
 }
 
 // domains remembers the domains of servers, also of those that have vanished.
-func (r *plan) domains(servers follower.Servers) {
+func (r *plan) recordDomains(servers follower.Servers) {
 	for _, s := range servers {
 		r.domainOf[s.Incarnation()] = s.Domain
 	}
 	for id := range r.domainOf {
-		_, gone := r.gone[id]
+		_, gone := r.vanishedAt[id]
 		if !r.listed(id) && !gone {
 			delete(r.domainOf, id)
 		}
--- a/former/planner.go
+++ b/former/planner.go
@@ -15,28 +15,28 @@
 	// orderAgain is how long an order may go unanswered before it is sent again.
 	// Engines answer within milliseconds and tell their state by the store within
 	// some tens of them; a repeated order changes nothing.
-	orderAgain = 250 * time.Millisecond
+	resendInterval = 250 * time.Millisecond
 	// joinMargin is added to the time that a join should take before the group
 	// is given up: a store that is slow tells it late.
 	joinMargin = 4 * time.Second
 	// shunTime is how long an instance that did not take a join is left out.
-	shunTime = 3 * time.Second
+	exclusionTime = 3 * time.Second
 	// joinTries is the number of unanswered joins after which a member is shunned.
-	joinTries = 6
+	maxJoinAttempts = 6
 )
 
 // Times and numbers by which a partition is told from losses.
 const (
 	// massCount entries that vanish from a domain within massTime are a partition or
 	// a dark domain rather than losses of single engines.
-	massCount = 4
-	massTime  = 4 * time.Second
+	partitionCount  = 4
+	partitionWindow = 4 * time.Second
 	// returnTime is how long after a return the others' entries may take to be back;
 	// the platform says about two seconds.
-	returnTime = 2300 * time.Millisecond
+	returnGrace = 2300 * time.Millisecond
 	// answerTime is the same for instances that answer probes again: each dark one is
 	// probed once in it.
-	answerTime = time.Second
+	probeReturnGrace = time.Second
 )
 
 // Input is what a plan is made from.
@@ -45,18 +45,18 @@
 	Service garnetworks.ServiceName
 	Profile *garnetworks.EngineProfile
 	// Dark holds the instances that do not answer although their entries stand.
-	Dark garnetworks.Set[garnetworks.Incarnation]
+	Unresponsive garnetworks.Set[garnetworks.Incarnation]
 	// Term is the lease's.
 	Term uint32
 	// Moving holds the groups that gave an event to some node a moment ago.
-	Moving garnetworks.Set[garnetworks.GroupID]
+	Progressing garnetworks.Set[garnetworks.GroupID]
 	// Loads is the number of loads from the weight store that may begin now.
 	Loads int
 	// Work is the number of calls of each model that are or could be running, as observed;
 	// empty if nothing is known.
-	Work map[garnetworks.ModelName]float64
+	Demand map[garnetworks.ModelName]float64
 	// Unhurried says that no call has come yet, so that loads hold nothing up.
-	Unhurried bool
+	BeforeFirstCall bool
 }
 
 // formation is a group that was ordered and has not opened yet.
@@ -66,10 +66,10 @@
 	model   garnetworks.ModelName
 	members []garnetworks.Incarnation
 	// until is when it is given up.
-	until time.Time
+	deadline time.Time
 	// prepares says that the group is of one spare alone and never opens: it takes the
 	// model into the instance's memory, so that a later join takes no warm start.
-	prepares bool
+	prewarms bool
 	// loading are the members that had to load the weights from the weight store.
 	loading []garnetworks.Incarnation
 }
@@ -86,43 +86,43 @@
 	left map[garnetworks.Incarnation]garnetworks.Membership
 	// joined holds the last group that an instance was ordered into. The store
 	// tells of it a little later; until then the instance may be in it.
-	joined map[garnetworks.Incarnation]garnetworks.Membership
-	shun   map[garnetworks.Incarnation]time.Time
+	joined   map[garnetworks.Incarnation]garnetworks.Membership
+	excluded map[garnetworks.Incarnation]time.Time
 	// prepared holds the model that a spare was prepared for.
-	prepared map[garnetworks.Incarnation]garnetworks.ModelName
+	prewarmed map[garnetworks.Incarnation]garnetworks.ModelName
 	// abandoned are the groups that were given up while they were formed.
 	abandoned garnetworks.Set[garnetworks.GroupID]
 	// seen is the last view, gone when entries vanished from it, dark the instances
 	// that did not answer then.
-	seen follower.Servers
-	gone map[garnetworks.Incarnation]time.Time
+	lastServers follower.Servers
+	vanishedAt  map[garnetworks.Incarnation]time.Time
 	// domainOf holds the domains of the listed and the vanished servers.
-	domainOf map[garnetworks.Incarnation]garnetworks.DomainID
-	dark     garnetworks.Set[garnetworks.Incarnation]
+	domainOf         map[garnetworks.Incarnation]garnetworks.DomainID
+	lastUnresponsive garnetworks.Set[garnetworks.Incarnation]
 	// staged holds the last order to load a model onto each instance's host.
 	staged map[garnetworks.Incarnation]stagedLoad
 	// exchanges holds what each domain gives up a group for.
-	exchanges map[garnetworks.DomainID]*exchange
-	work      workload
+	reallocations map[garnetworks.DomainID]*reallocation
+	demand        demandTracker
 	// unsure holds the domains whose groups are not dissolved before a time.
-	unsure map[garnetworks.DomainID]time.Time
+	uncertainUntil map[garnetworks.DomainID]time.Time
 }
 
 // NewPlanner returns a planner that has ordered nothing.
 func NewPlanner() *Planner {
 	return &Planner{
-		formations: make(map[garnetworks.GroupID]*formation),
-		sent:       make(map[garnetworks.Incarnation]*sentOrder),
-		left:       make(map[garnetworks.Incarnation]garnetworks.Membership),
-		joined:     make(map[garnetworks.Incarnation]garnetworks.Membership),
-		shun:       make(map[garnetworks.Incarnation]time.Time),
-		prepared:   make(map[garnetworks.Incarnation]garnetworks.ModelName),
-		abandoned:  make(garnetworks.Set[garnetworks.GroupID]),
-		staged:     make(map[garnetworks.Incarnation]stagedLoad),
-		exchanges:  make(map[garnetworks.DomainID]*exchange),
-		gone:       make(map[garnetworks.Incarnation]time.Time),
-		domainOf:   make(map[garnetworks.Incarnation]garnetworks.DomainID),
-		unsure:     make(map[garnetworks.DomainID]time.Time),
+		formations:     make(map[garnetworks.GroupID]*formation),
+		sent:           make(map[garnetworks.Incarnation]*sentOrder),
+		left:           make(map[garnetworks.Incarnation]garnetworks.Membership),
+		joined:         make(map[garnetworks.Incarnation]garnetworks.Membership),
+		excluded:       make(map[garnetworks.Incarnation]time.Time),
+		prewarmed:      make(map[garnetworks.Incarnation]garnetworks.ModelName),
+		abandoned:      make(garnetworks.Set[garnetworks.GroupID]),
+		staged:         make(map[garnetworks.Incarnation]stagedLoad),
+		reallocations:  make(map[garnetworks.DomainID]*reallocation),
+		vanishedAt:     make(map[garnetworks.Incarnation]time.Time),
+		domainOf:       make(map[garnetworks.Incarnation]garnetworks.DomainID),
+		uncertainUntil: make(map[garnetworks.DomainID]time.Time),
 	}
 }
 
@@ -135,11 +135,11 @@
 	orders []urgentOrder
 	// ordered are the instances that this plan orders something, stages the models that
 	// it orders them to load.
-	ordered garnetworks.Set[garnetworks.Incarnation]
-	stages  map[garnetworks.Incarnation]garnetworks.ModelName
-	loads   int
+	ordered       garnetworks.Set[garnetworks.Incarnation]
+	plannedStages map[garnetworks.Incarnation]garnetworks.ModelName
+	loadsLeft     int
 	// unsettled are the domains in which answers to orders to leave are awaited.
-	unsettled garnetworks.Set[garnetworks.DomainID]
+	pendingLeaves garnetworks.Set[garnetworks.DomainID]
 }
 
 // Plan returns the orders that are due, the most urgent ones first. Those that are sent
@@ -154,31 +154,31 @@
 		clear(p.left)
 		clear(p.joined)
 		clear(p.staged)
-		clear(p.exchanges)
+		clear(p.reallocations)
 	}
 	r := &plan{
-		Planner: p, Input: in, now: now, loads: in.Loads,
-		ordered: make(garnetworks.Set[garnetworks.Incarnation]), stages: make(map[garnetworks.Incarnation]garnetworks.ModelName),
+		Planner: p, Input: in, now: now, loadsLeft: in.Loads,
+		ordered: make(garnetworks.Set[garnetworks.Incarnation]), plannedStages: make(map[garnetworks.Incarnation]garnetworks.ModelName),
 	}
-	r.notePartitions()
+	r.detectPartitions()
 	r.groups = Observe(in.Servers, in.Service, Sizes(in.Profile))
-	r.work.take(now, in.Profile, in.Work, r.counts())
-	r.Profile = r.work.profile(in.Profile)
-	r.followFormations()
-	r.followGroups()
-	r.releaseGivenUp()
-	r.noteUnsettled()
+	r.demand.update(now, in.Profile, in.Demand, r.groupCounts())
+	r.Profile = r.demand.profile(in.Profile)
+	r.advanceFormations()
+	r.maintainGroups()
+	r.releaseAbandoned()
+	r.findPendingLeaves()
 	r.formGroups()
-	r.stageLacking()
+	r.stageMissing()
 	r.stageSpares()
-	r.prepareSpares()
-	r.stageSecond()
+	r.prewarmSpares()
+	r.stageSecondModels()
 	r.forget()
 	return r.byUrgency()
 }
 
 func (r *plan) usable(s *garnetworks.RegisteredServer) bool {
-	return s.Service == r.Service && s.State == garnetworks.ListedLive && !r.Dark.Has(s.Incarnation()) && !r.now.Before(r.shun[s.Incarnation()])
+	return s.Service == r.Service && s.State == garnetworks.ListedLive && !r.Unresponsive.Has(s.Incarnation()) && !r.now.Before(r.excluded[s.Incarnation()])
 }
 
 // forget drops what no longer matters, so that memory stays bounded.
@@ -190,14 +190,14 @@
 	}
 	maps.DeleteFunc(r.sent, func(l garnetworks.Incarnation, s *sentOrder) bool { return !r.listed(l) && r.now.Sub(s.at) > keep })
 	maps.DeleteFunc(r.staged, func(l garnetworks.Incarnation, _ stagedLoad) bool { return !r.listed(l) })
-	maps.DeleteFunc(r.prepared, func(l garnetworks.Incarnation, _ garnetworks.ModelName) bool { return !r.listed(l) })
+	maps.DeleteFunc(r.prewarmed, func(l garnetworks.Incarnation, _ garnetworks.ModelName) bool { return !r.listed(l) })
 	maps.DeleteFunc(r.left, func(l garnetworks.Incarnation, _ garnetworks.Membership) bool { return !r.listed(l) })
-	maps.DeleteFunc(r.shun, func(_ garnetworks.Incarnation, until time.Time) bool { return r.now.After(until) })
+	maps.DeleteFunc(r.excluded, func(_ garnetworks.Incarnation, until time.Time) bool { return r.now.After(until) })
 }
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-func sortedLives[V any](m map[garnetworks.Incarnation]V) []garnetworks.Incarnation {
+func sortedIncarnations[V any](m map[garnetworks.Incarnation]V) []garnetworks.Incarnation {
 	return slices.SortedFunc(maps.Keys(m), garnetworks.Incarnation.Compare)
 }
 
@@ -219,9 +219,9 @@
 	return s, true
 }
 
-func without(servers, taken []garnetworks.RegisteredServer) []garnetworks.RegisteredServer {
+func without(servers, removed []garnetworks.RegisteredServer) []garnetworks.RegisteredServer {
 	return slices.DeleteFunc(slices.Clone(servers), func(s garnetworks.RegisteredServer) bool {
-		return slices.ContainsFunc(taken, func(t garnetworks.RegisteredServer) bool { return t.ID == s.ID })
+		return slices.ContainsFunc(removed, func(t garnetworks.RegisteredServer) bool { return t.ID == s.ID })
 	})
 }
 
--- a/former/planner_test.go
+++ b/former/planner_test.go
@@ -12,13 +12,13 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-func check(t interface {
+func checkRules(t interface {
 	Helper()
 	Errorf(string, ...any)
-}, w *world,
+}, w *simulation,
 ) {
 	t.Helper()
-	for _, f := range w.faults {
+	for _, f := range w.violations {
 		t.Errorf("%s", f)
 	}
 }
@@ -26,12 +26,12 @@
 // Story: a member of a group is lost, and the spare that takes its place has the
 // weights on its host only: it starts warm while the whole group waits. A spare
 // that was prepared joins as fast as the survivors do.
-func TestPreparedSpareJoinsAtOnce(t *testing.T) {
-	w := newWorld(1, 11)
+func TestPrewarmedSpareJoinsAtOnce(t *testing.T) {
+	w := newSimulation(1, 11)
 	w.run(40 * time.Second)
 	w.member("large", 1).dead = true
 	w.run(800 * time.Millisecond)
-	check(t, w)
+	checkRules(t, w)
 	if got := w.serving(); got["large"] != 1 {
 		t.Errorf("serving %v 0.8 s after the loss", got)
 	}
@@ -40,11 +40,11 @@
 // Story: both spares of a domain held the large model. A lost member of a small
 // group was replaced by one of them, and the group waited 12 s for its load.
 func TestEachModelHasASpare(t *testing.T) {
-	w := newWorld(1, 11)
+	w := newSimulation(1, 11)
 	w.run(40 * time.Second)
 	w.member("small", 1).dead = true
 	w.run(800 * time.Millisecond)
-	check(t, w)
+	checkRules(t, w)
 	if got := w.serving(); got["small"] != 1 {
 		t.Errorf("serving %v 0.8 s after the loss", got)
 	}
@@ -53,9 +53,9 @@
 // Story: a site starts. Its domains hold one large and one small group each and
 // two spares; other mixtures leave whole groups' worth of engines idle.
 func TestDomainsAreFilled(t *testing.T) {
-	w := newWorld(6, 11)
+	w := newSimulation(6, 11)
 	w.run(30 * time.Second)
-	check(t, w)
+	checkRules(t, w)
 	if got := w.serving(); got["large"] != 6 || got["small"] != 6 {
 		t.Errorf("serving %v, want 6 of each", got)
 	}
@@ -67,7 +67,7 @@
 }
 
 // member returns the member of a serving group of a model with a rank.
-func (w *world) member(model garnetworks.ModelName, rank int) *engine {
+func (w *simulation) member(model garnetworks.ModelName, rank int) *engine {
 	for _, domain := range slices.Sorted(maps.Keys(w.domains())) {
 		if e := w.memberOf(domain, model, rank); e != nil {
 			return e
@@ -77,7 +77,7 @@
 }
 
 // memberOf returns the same of a domain.
-func (w *world) memberOf(domain garnetworks.DomainID, model garnetworks.ModelName, rank int) *engine {
+func (w *simulation) memberOf(domain garnetworks.DomainID, model garnetworks.ModelName, rank int) *engine {
 	for _, id := range slices.Sorted(maps.Keys(w.engines)) {
 		if e := w.engines[id]; e.Domain == domain && e.Model == model && e.Membership.Group != "" && e.Membership.Rank == rank && !e.dead {
 			return e
@@ -86,7 +86,7 @@
 	return nil
 }
 
-func (w *world) domains() garnetworks.Set[garnetworks.DomainID] {
+func (w *simulation) domains() garnetworks.Set[garnetworks.DomainID] {
 	domains := make(garnetworks.Set[garnetworks.DomainID])
 	for _, e := range w.engines {
 		domains.Add(e.Domain)
@@ -100,26 +100,26 @@
 func TestLostMemberIsReplaced(t *testing.T) {
 	cases := map[string]struct {
 		rank   int
-		strike func(*engine)
+		inject func(*engine)
 	}{
 		"member dies":          {1, func(e *engine) { e.dead = true }},
 		"head dies":            {0, func(e *engine) { e.dead = true }},
-		"member falls silent":  {2, func(e *engine) { e.dark = true }},
-		"head falls silent":    {0, func(e *engine) { e.dark = true }},
-		"member is cut off":    {3, func(e *engine) { e.cut = true }},
+		"member falls silent":  {2, func(e *engine) { e.unresponsive = true }},
+		"head falls silent":    {0, func(e *engine) { e.unresponsive = true }},
+		"member is cut off":    {3, func(e *engine) { e.partitioned = true }},
 		"member will stop":     {4, func(e *engine) { e.State = garnetworks.ListedLeaving }},
 		"head will stop":       {0, func(e *engine) { e.State = garnetworks.ListedLeaving }},
-		"member started anew":  {5, (*engine).startAgain},
+		"member started anew":  {5, (*engine).restart},
 		"head broke by itself": {0, func(e *engine) { e.Membership.State = garnetworks.MemberBroken }},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(2, 11)
+			w := newSimulation(2, 11)
 			w.run(30 * time.Second)
 			before := w.serving()
-			c.strike(w.member("large", c.rank))
+			c.inject(w.member("large", c.rank))
 			w.run(3 * time.Second)
-			check(t, w)
+			checkRules(t, w)
 			if got := w.serving(); got["large"] != before["large"] {
 				t.Errorf("%d large groups serve, want %d", got["large"], before["large"])
 			}
@@ -130,8 +130,8 @@
 // Story: a member of a small group is cut off from the store for five seconds. The
 // only spare has to load the small model for twelve seconds, and the other members
 // wait with it, though the member is back with the weights long before.
-func TestMemberThatReturnsIsTakenBack(t *testing.T) {
-	w := newWorld(1, 10)
+func TestReturningMemberIsReused(t *testing.T) {
+	w := newSimulation(1, 10)
 	w.run(30 * time.Second)
 	for _, e := range w.engines {
 		if e.Membership.Group == "" {
@@ -139,11 +139,11 @@
 		}
 	}
 	lost := w.member("small", 1)
-	lost.cut = true
+	lost.partitioned = true
 	w.run(5 * time.Second)
-	lost.cut = false
+	lost.partitioned = false
 	w.run(4 * time.Second)
-	check(t, w)
+	checkRules(t, w)
 	if got := w.serving(); got["small"] != 1 || got["large"] != 1 {
 		t.Errorf("serving %v four seconds after the return", got)
 	}
@@ -152,20 +152,20 @@
 // Story: engines are cut off from the store and from the holder of the lease, while
 // calls still reach them and get their events. Their groups were dissolved, and the
 // calls of all nodes with them.
-func TestGroupThatGivesEventsIsKept(t *testing.T) {
-	w := newWorld(1, 11)
+func TestProgressingGroupIsKept(t *testing.T) {
+	w := newSimulation(1, 11)
 	w.run(30 * time.Second)
 	lost := w.member("large", 2)
-	w.left = 0
-	w.moving = garnetworks.NewSet(lost.Membership.Group)
-	lost.cut, lost.dark = true, true
+	w.leaveOrders = 0
+	w.progressing = garnetworks.NewSet(lost.Membership.Group)
+	lost.partitioned, lost.unresponsive = true, true
 	w.run(5 * time.Second)
-	if w.left != 0 {
-		t.Errorf("%d members were ordered to leave a group that serves", w.left)
+	if w.leaveOrders != 0 {
+		t.Errorf("%d members were ordered to leave a group that serves", w.leaveOrders)
 	}
-	w.moving = nil
+	w.progressing = nil
 	w.run(3 * time.Second)
-	check(t, w)
+	checkRules(t, w)
 	if got := w.serving(); got["large"] != 1 {
 		t.Errorf("serving %v after the group stood still", got)
 	}
@@ -175,19 +175,19 @@
 // it goes on answering the calls that it has. The other members were ordered to leave
 // at once, the head stood still, and its streams broke off in the middle.
 func TestHeadThatLeavesUnannouncedFinishesItsCalls(t *testing.T) {
-	w := newWorld(2, 11)
+	w := newSimulation(2, 11)
 	w.run(30 * time.Second)
 	head := w.member("large", 0)
-	w.moving = garnetworks.NewSet(head.Membership.Group)
-	head.cut = true
-	w.left = 0
+	w.progressing = garnetworks.NewSet(head.Membership.Group)
+	head.partitioned = true
+	w.leaveOrders = 0
 	w.run(2 * time.Second)
-	if w.left != 0 {
-		t.Errorf("%d members were ordered to leave while the head gave events", w.left)
+	if w.leaveOrders != 0 {
+		t.Errorf("%d members were ordered to leave while the head gave events", w.leaveOrders)
 	}
-	w.moving = nil
+	w.progressing = nil
 	w.run(3 * time.Second)
-	check(t, w)
+	checkRules(t, w)
 	if got := w.serving(); got["large"] != 2 {
 		t.Errorf("serving %v after the head had ended", got)
 	}
@@ -196,21 +196,21 @@
 // Story: an availability zone is cut off from the store, and its groups serve on.
 // When it is back, its engines still are in their groups; the holder of the lease
 // had taken the groups for gone and ordered the engines into others.
-func TestGroupsOfAReturnedZoneServeOn(t *testing.T) {
-	w := newWorld(2, 11)
+func TestGroupsOfReturnedZoneKeepServing(t *testing.T) {
+	w := newSimulation(2, 11)
 	w.run(60 * time.Second)
 	for _, e := range w.engines {
 		if e.Domain == "d1" {
-			e.cut = true
+			e.partitioned = true
 		}
 	}
 	w.run(10 * time.Second)
 	for _, e := range w.engines {
-		e.cut = false
+		e.partitioned = false
 	}
 	orders := w.orders
 	w.run(5 * time.Second)
-	check(t, w)
+	checkRules(t, w)
 	if got := w.serving(); got["large"] != 2 || got["small"] != 2 {
 		t.Errorf("serving %v after the return", got)
 	}
@@ -222,8 +222,8 @@
 // Story: the same, but the zone's entries vanish and come back one after the other,
 // and its engines answer no probes meanwhile. Each time a part of a group is listed;
 // its members were ordered to leave as soon as one of them could be reached.
-func TestGroupsOfAZoneThatReturnsInPartsServeOn(t *testing.T) {
-	w := newWorld(2, 11)
+func TestGroupsOfGraduallyReturningZoneKeepServing(t *testing.T) {
+	w := newSimulation(2, 11)
 	w.run(30 * time.Second)
 	var zone []*engine
 	for _, id := range slices.Sorted(maps.Keys(w.engines)) {
@@ -237,33 +237,33 @@
 			w.run(gap)
 		}
 	}
-	w.left = 0
-	each(func(e *engine) { e.dark = true }, 0)
-	each(func(e *engine) { e.cut = true }, 100*time.Millisecond)
+	w.leaveOrders = 0
+	each(func(e *engine) { e.unresponsive = true }, 0)
+	each(func(e *engine) { e.partitioned = true }, 100*time.Millisecond)
 	w.run(5 * time.Second)
-	each(func(e *engine) { e.dark = false }, 100*time.Millisecond)
-	each(func(e *engine) { e.cut = false }, 100*time.Millisecond)
+	each(func(e *engine) { e.unresponsive = false }, 100*time.Millisecond)
+	each(func(e *engine) { e.partitioned = false }, 100*time.Millisecond)
 	w.run(5 * time.Second)
-	check(t, w)
+	checkRules(t, w)
 	if got := w.serving(); got["large"] != 2 || got["small"] != 2 {
 		t.Errorf("serving %v after the return", got)
 	}
-	if w.left != 0 {
-		t.Errorf("%d members were ordered to leave groups that were whole", w.left)
+	if w.leaveOrders != 0 {
+		t.Errorf("%d members were ordered to leave groups that were whole", w.leaveOrders)
 	}
 }
 
 // Story: the holder of the lease dies between a group's joins and its opening. The
 // next holder finds members that are ready in a group that nobody has opened.
-func TestNextHolderGoesOn(t *testing.T) {
-	w := newWorld(1, 11)
+func TestNextLeaseHolderContinuesFormation(t *testing.T) {
+	w := newSimulation(1, 11)
 	for range 18 {
-		w.tell()
+		w.refreshView()
 		w.step(time.Second)
 	}
 	w.term++
 	w.run(10 * time.Second)
-	check(t, w)
+	checkRules(t, w)
 	if got := w.serving(); got["large"] != 1 || got["small"] != 1 {
 		t.Errorf("serving %v", got)
 	}
@@ -271,8 +271,8 @@
 
 // Story: the answers of a broken group's members come one after the other. With
 // the first three a small group was formed, and the large one was never replaced.
-func TestDomainWaitsForAllAnswers(t *testing.T) {
-	w := newWorld(1, 11)
+func TestDomainWaitsForAllLeaveResponses(t *testing.T) {
+	w := newSimulation(1, 11)
 	w.run(30 * time.Second)
 	w.member("large", 1).dead = true
 	w.run(2500 * time.Millisecond)
@@ -287,20 +287,20 @@
 // over all domains are filled again.
 func TestAnyTroubleKeepsTheRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(2, 11)
+		w := newSimulation(2, 11)
 		steps := rapid.IntRange(20, 120).Draw(t, "steps")
 		for i := range steps {
-			w.trouble(t, i)
+			w.injectFault(t, i)
 			if rapid.IntRange(0, 3).Draw(t, "view") > 0 {
-				w.tell()
+				w.refreshView()
 			}
 			w.step(time.Duration(rapid.IntRange(20, 2000).Draw(t, "ms")) * time.Millisecond)
 		}
 		for _, e := range w.engines {
-			e.dark, e.cut = false, false
+			e.unresponsive, e.partitioned = false, false
 		}
 		w.run(60 * time.Second)
-		check(t, w)
+		checkRules(t, w)
 		for _, domain := range []garnetworks.DomainID{"d0", "d1"} {
 			if idle := w.idle(domain); idle >= 3 {
 				t.Errorf("%d engines of %s are in no group that serves", idle, domain)
@@ -309,7 +309,7 @@
 	})
 }
 
-func (w *world) idle(domain garnetworks.DomainID) int {
+func (w *simulation) idle(domain garnetworks.DomainID) int {
 	open := make(map[garnetworks.GroupID]bool)
 	for _, e := range w.engines {
 		if !e.dead && e.Membership.Rank == 0 && e.Membership.State == garnetworks.MemberOpen {
@@ -326,7 +326,7 @@
 }
 
 // trouble strikes one engine, or the holder of the lease.
-func (w *world) trouble(t *rapid.T, step int) {
+func (w *simulation) injectFault(t *rapid.T, step int) {
 	ids := slices.Sorted(maps.Keys(w.engines))
 	id := rapid.SampledFrom(ids).Draw(t, "engine")
 	e := w.engines[id]
@@ -335,18 +335,18 @@
 		e.dead = true
 		w.add(fmt.Sprintf("n-%d", step), string(e.Domain))
 	case 1:
-		e.dark = !e.dark
+		e.unresponsive = !e.unresponsive
 	case 2:
-		e.cut = !e.cut
+		e.partitioned = !e.partitioned
 	case 3:
 		e.Membership, e.Model, e.epoch = garnetworks.Membership{}, "", 0
 	case 4:
 		// A new holder reads the store anew before it acts.
 		w.term++
-		w.tell()
+		w.refreshView()
 	case 5:
 		e.State = garnetworks.ListedLeaving
 	case 6:
-		e.startAgain()
+		e.restart()
 	}
 }
--- a/former/sender.go
+++ b/former/sender.go
@@ -12,11 +12,11 @@
 	service garnetworks.ServiceName
 	order   garnetworks.GroupOrder
 	// counts says that its load counts against the weight store's rate.
-	counts bool
+	metered bool
 }
 
 // answered is the end of an order.
-type answered struct {
+type orderResult struct {
 	queuedOrder
 	took time.Duration
 	err  error
@@ -24,7 +24,7 @@
 
 // dispatch sends what is queued, as far as there is room in flight (rule O8).
 func (f *Former) dispatch(ctx context.Context) {
-	for len(f.queue) > 0 && f.orderFlight.room() > 0 {
+	for len(f.queue) > 0 && f.orderWindow.available() > 0 {
 		next := f.queue[0]
 		f.queue = f.queue[1:]
 		if !f.send(ctx, next) {
@@ -44,37 +44,37 @@
 	}
 	began := time.Now()
 	f.planners[next.service].Sent(began, next.order)
-	if next.counts {
-		f.loads.count(&next.order, f.planned)
+	if next.metered {
+		f.loads.spend(&next.order, f.plannedServers)
 	}
 	f.record(garnetworks.EventOrderSent, &next.order, nil)
-	f.orderFlight.sent()
+	f.orderWindow.start()
 	f.sending.Add(1)
 	go func() {
 		defer f.sending.Done()
 		defer cancel()
 		err := f.options.Orders.SendOrder(call, next.order)
-		f.answers <- answered{next, time.Since(began), err}
+		f.orderResults <- orderResult{next, time.Since(began), err}
 	}()
 	return true
 }
 
 // take takes the end of an order.
-func (f *Former) take(a answered) {
+func (f *Former) handleOrderResult(a orderResult) {
 	lost := garnetworks.IsKind(a.err, garnetworks.KindUnreachable, garnetworks.KindResponseLost)
-	f.orderFlight.ended(time.Now(), a.took, !lost)
+	f.orderWindow.done(time.Now(), a.took, !lost)
 	if p := f.planners[a.service]; p != nil {
 		p.Answered(time.Now(), a.order, a.err)
 	}
 	if lost {
-		f.doubt(a.order.Incarnation)
+		f.scheduleProbe(a.order.Incarnation)
 	}
 	if a.err != nil {
 		f.record(garnetworks.EventOrderRefused, &a.order, a.err)
 	}
 	if a.err != nil || a.order.Kind == garnetworks.GroupLeave {
 		// Other answers are followed by the engine's own word, which the plan waits for.
-		f.stale = true
+		f.needsPlan = true
 	}
 }
 
--- a/former/settled_test.go
+++ b/former/settled_test.go
@@ -34,7 +34,7 @@
 		for count := 1; !f.settled(time.Now(), count); count++ {
 			time.Sleep(settleTime / 2)
 		}
-		if waited := time.Since(f.started); waited > settleMost+settleTime {
+		if waited := time.Since(f.started); waited > maxSettleTime+settleTime {
 			t.Errorf("groups are formed after %s", waited)
 		}
 	})
--- a/former/spares.go
+++ b/former/spares.go
@@ -13,11 +13,11 @@
 // Failure: a group was ordered with members that had to load its model. Its other
 // members waited for 16 s, as free instances of no use to the groups of their domain
 // that lost a member meanwhile: up to 70 of 140 engines served nobody.
-func (r *plan) stageLacking() {
+func (r *plan) stageMissing() {
 	free := r.free()
-	counts := r.counts()
+	counts := r.groupCounts()
 	for _, domain := range sortedKeys(free) {
-		for _, m := range r.byNeed(counts) {
+		for _, m := range r.modelsByNeed(counts) {
 			r.stageGroup(free[domain], m)
 		}
 	}
@@ -33,25 +33,25 @@
 	for i := range free {
 		s := &free[i]
 		switch {
-		case readiness(s, m) <= 1 || r.staging(s) == m.Name:
+		case readiness(s, m) <= 1 || r.stagingModel(s) == m.Name:
 			ready++
-		case r.staging(s) == "":
+		case r.stagingModel(s) == "":
 			others = append(others, *s)
 		}
 	}
-	lacking := m.GroupSize - ready
-	if lacking > len(others) {
+	missing := m.GroupSize - ready
+	if missing > len(others) {
 		return
 	}
 	// Empty hosts first, then those that hold nothing else than the memory does.
 	slices.SortFunc(others, func(a, b garnetworks.RegisteredServer) int {
-		return cmp.Or(cmp.Compare(len(a.Staged), len(b.Staged)), compareBool(holdsTwice(&b), holdsTwice(&a)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(len(a.Staged), len(b.Staged)), compareBool(hostDuplicatesMemory(&b), hostDuplicatesMemory(&a)), cmp.Compare(a.ID, b.ID))
 	})
-	for i := range max(0, lacking) {
-		if r.loads <= 0 {
+	for i := range max(0, missing) {
+		if r.loadsLeft <= 0 {
 			return // rule O5
 		}
-		r.stage(urgentLacking, &others[i], m)
+		r.stage(urgentMissing, &others[i], m)
 	}
 }
 
@@ -60,15 +60,15 @@
 func (r *plan) stageSpares() {
 	free := r.free()
 	for _, domain := range sortedKeys(free) {
-		r.stageDomain(free[domain])
+		r.stageDomainSpares(free[domain])
 	}
 }
 
-func (r *plan) stageDomain(spares []garnetworks.RegisteredServer) {
+func (r *plan) stageDomainSpares(spares []garnetworks.RegisteredServer) {
 	held := make(map[garnetworks.ModelName]int)
 	var empty []garnetworks.RegisteredServer
 	for _, s := range spares {
-		switch first := r.firstModel(&s); first {
+		switch first := r.spareModelOf(&s); first {
 		case "":
 			empty = append(empty, s)
 		default:
@@ -77,10 +77,10 @@
 	}
 	slices.SortFunc(empty, func(a, b garnetworks.RegisteredServer) int { return cmp.Compare(a.ID, b.ID) })
 	for _, s := range empty {
-		if r.loads <= 0 {
+		if r.loadsLeft <= 0 {
 			return // rule O5
 		}
-		m := r.spareModel(held)
+		m := r.nextSpareModel(held)
 		if m == nil {
 			return
 		}
@@ -91,11 +91,11 @@
 
 // firstModel returns the model that a spare is for: the one in its memory, or that on
 // its host, or that which is being loaded.
-func (r *plan) firstModel(s *garnetworks.RegisteredServer) garnetworks.ModelName {
+func (r *plan) spareModelOf(s *garnetworks.RegisteredServer) garnetworks.ModelName {
 	if len(s.Staged) > 0 {
 		return cmp.Or(s.Model, s.Staged[len(s.Staged)-1])
 	}
-	return cmp.Or(s.Model, r.staging(s))
+	return cmp.Or(s.Model, r.stagingModel(s))
 }
 
 // spareModel returns the model that the next spare of a domain is for: the one with
@@ -104,7 +104,7 @@
 // Failure: spares were divided by the models' shares, so that two thirds of the work
 // got both spares of each domain, and each loss in a small group waited 12 s for a
 // load. A second loss of one model in a domain is rarer than a first one of another.
-func (r *plan) spareModel(held map[garnetworks.ModelName]int) *garnetworks.ModelProfile {
+func (r *plan) nextSpareModel(held map[garnetworks.ModelName]int) *garnetworks.ModelProfile {
 	var best *garnetworks.ModelProfile
 	for i := range r.Profile.Models {
 		m := &r.Profile.Models[i]
@@ -122,31 +122,31 @@
 // its group away for 1.6 s more, a prepared one for 0.2 s. Median time from a loss
 // to the new group's first call, over 16 losses in two calm runs: 2.5 s without
 // prepared spares, 1.2 s with them.
-func (r *plan) prepareSpares() {
+func (r *plan) prewarmSpares() {
 	free := r.free()
 	for _, domain := range sortedKeys(free) {
-		if r.unsettled.Has(domain) || r.now.Before(r.unsure[domain]) {
+		if r.pendingLeaves.Has(domain) || r.now.Before(r.uncertainUntil[domain]) {
 			continue
 		}
 		for _, s := range free[domain] {
-			r.prepare(&s)
+			r.prewarm(&s)
 		}
 	}
 }
 
-func (r *plan) prepare(s *garnetworks.RegisteredServer) {
+func (r *plan) prewarm(s *garnetworks.RegisteredServer) {
 	if len(s.Staged) == 0 {
 		return
 	}
 	m := r.profile(s.Staged[len(s.Staged)-1])
-	if m == nil || s.Model != "" || r.prepared[s.Incarnation()] == m.Name {
+	if m == nil || s.Model != "" || r.prewarmed[s.Incarnation()] == m.Name {
 		return
 	}
 	r.sequence++
 	epoch := garnetworks.NewFencingToken(r.Term, r.sequence)
 	f := &formation{
 		id: GroupName(m.Name, epoch), epoch: epoch, model: m.Name, members: []garnetworks.Incarnation{s.Incarnation()},
-		until: r.now.Add(m.WarmLoadTime + joinMargin), prepares: true,
+		deadline: r.now.Add(m.WarmLoadTime + joinMargin), prewarms: true,
 	}
 	r.formations[f.id] = f
 	r.join(f, *s)
--- a/former/world_test.go
+++ b/former/world_test.go
@@ -22,34 +22,34 @@
 	epoch garnetworks.FencingToken
 	dead  bool
 	// dark engines get no orders; cut ones also have no entry in the store.
-	dark, cut bool
+	unresponsive, partitioned bool
 }
 
 // world is a site's engines, an oracle of the rules, and a planner.
-type world struct {
+type simulation struct {
 	now     time.Time
 	engines map[garnetworks.InstanceID]*engine
 	planner *former.Planner
 	// moving are the groups that give events.
-	moving  garnetworks.Set[garnetworks.GroupID]
-	profile *garnetworks.EngineProfile
-	term    uint32
+	progressing garnetworks.Set[garnetworks.GroupID]
+	profile     *garnetworks.EngineProfile
+	term        uint32
 	// loadTime is the time of a load from the weight store after started+unhurried,
 	// when the first call comes; loads take a tenth of it before.
 	loadTime time.Duration
 	started  time.Time
 	// told is the view of the store, which may lag behind the engines.
-	told follower.Servers
+	view follower.Servers
 	// ready holds the members that have ever been ready in each group.
 	ready map[garnetworks.GroupID]garnetworks.Set[garnetworks.InstanceID]
 	// faults are the rules that were broken.
-	faults []string
-	orders int
+	violations []string
+	orders     int
 	// left counts the orders to leave that were carried out, unfit those to open that
 	// did not fit the engine's state.
-	left, unfit int
+	leaveOrders, invalidOpens int
 	// waits counts the joins that had to wait for a load after the first call.
-	waits int
+	joinsWithLoad int
 }
 
 func profile() *garnetworks.EngineProfile {
@@ -63,21 +63,21 @@
 }
 
 // unhurried is the time from the site's start to its first call.
-const unhurried = 9 * time.Second
+const firstCallDelay = 9 * time.Second
 
-func (w *world) unhurried() bool { return w.now.Sub(w.started) < unhurried }
+func (w *simulation) beforeFirstCall() bool { return w.now.Sub(w.started) < firstCallDelay }
 
 // load returns how long a load takes that begins now.
-func (w *world) load() time.Duration {
-	const part = 10
-	if w.unhurried() {
-		return w.loadTime / part
+func (w *simulation) load() time.Duration {
+	const loadSpeedup = 10
+	if w.beforeFirstCall() {
+		return w.loadTime / loadSpeedup
 	}
 	return w.loadTime
 }
 
-func newWorld(domains, each int) *world {
-	w := &world{
+func newSimulation(domains, each int) *simulation {
+	w := &simulation{
 		now: time.Unix(1000, 0), ready: make(map[garnetworks.GroupID]garnetworks.Set[garnetworks.InstanceID]), engines: make(map[garnetworks.InstanceID]*engine),
 		planner: former.NewPlanner(), profile: profile(), term: 1, loadTime: 16 * time.Second, started: time.Unix(1000, 0),
 	}
@@ -89,7 +89,7 @@
 	return w
 }
 
-func (w *world) add(id, domain string) {
+func (w *simulation) add(id, domain string) {
 	e := &engine{}
 	e.ID, e.Address, e.Service = garnetworks.InstanceID(id), id, "llm"
 	e.Domain, e.State = garnetworks.DomainID(domain), garnetworks.ListedLive
@@ -97,30 +97,30 @@
 }
 
 // tell brings the store's view up to date.
-func (w *world) tell() {
-	told := make(follower.Servers)
+func (w *simulation) refreshView() {
+	view := make(follower.Servers)
 	for id, e := range w.engines {
-		if !e.dead && !e.cut {
+		if !e.dead && !e.partitioned {
 			s := e.RegisteredServer
-			if old, ok := w.told[id]; ok {
+			if old, ok := w.view[id]; ok {
 				s.InheritFrom(&old)
 			}
-			told[id] = s
+			view[id] = s
 		}
 	}
-	w.told = told
+	w.view = view
 }
 
 // startAgain starts an engine again under its identifier: it knows nothing of before,
 // and its host keeps what it holds.
-func (e *engine) startAgain() {
+func (e *engine) restart() {
 	e.StartMS++
 	e.Membership, e.Model, e.epoch = garnetworks.Membership{}, "", 0
 	e.staging = ""
 }
 
 // step lets time pass, finishes joins and runs the planner once.
-func (w *world) step(d time.Duration) {
+func (w *simulation) step(d time.Duration) {
 	w.now = w.now.Add(d)
 	for _, e := range w.engines {
 		if e.staging != "" && !w.now.Before(e.stagedAt) {
@@ -139,27 +139,27 @@
 			w.ready[e.Membership.Group].Add(e.ID)
 		}
 	}
-	dark := make(garnetworks.Set[garnetworks.Incarnation])
+	unresponsive := make(garnetworks.Set[garnetworks.Incarnation])
 	for _, e := range w.engines {
-		if e.dark || e.dead {
-			dark.Add(e.Incarnation())
+		if e.unresponsive || e.dead {
+			unresponsive.Add(e.Incarnation())
 		}
 	}
 	const loads = 100
-	for _, o := range w.planner.Plan(w.now, former.Input{Servers: w.told, Service: "llm", Profile: w.profile, Dark: dark, Term: w.term, Loads: loads, Unhurried: w.unhurried(), Moving: w.moving}) {
+	for _, o := range w.planner.Plan(w.now, former.Input{Servers: w.view, Service: "llm", Profile: w.profile, Unresponsive: unresponsive, Term: w.term, Loads: loads, BeforeFirstCall: w.beforeFirstCall(), Progressing: w.progressing}) {
 		w.orders++
 		w.planner.Sent(w.now, o)
-		w.planner.Answered(w.now, o, w.carryOut(o))
+		w.planner.Answered(w.now, o, w.execute(o))
 	}
 }
 
 // carryOut does what an engine does with an order.
-func (w *world) carryOut(o garnetworks.GroupOrder) error {
+func (w *simulation) execute(o garnetworks.GroupOrder) error {
 	e := w.engines[o.Incarnation.Instance]
 	switch {
 	case e == nil || e.dead:
 		return garnetworks.Errorf(garnetworks.KindNotFound, "no such engine")
-	case e.dark || e.cut:
+	case e.unresponsive || e.partitioned:
 		return garnetworks.Errorf(garnetworks.KindUnreachable, "dark")
 	}
 	same := e.Membership.Group == o.Group && e.Membership.Epoch == o.Epoch
@@ -172,7 +172,7 @@
 		return w.join(e, o)
 	case garnetworks.GroupOpen:
 		if !same || e.Membership.State != garnetworks.MemberReady && e.Membership.State != garnetworks.MemberOpen {
-			w.unfit++
+			w.invalidOpens++
 			return garnetworks.Errorf(garnetworks.KindConflict, "not ready")
 		}
 		w.checkOpen(o)
@@ -186,12 +186,12 @@
 			return garnetworks.Errorf(garnetworks.KindConflict, "not in the group")
 		}
 		e.Membership = garnetworks.Membership{}
-		w.left++
+		w.leaveOrders++
 	}
 	return nil
 }
 
-func (w *world) join(e *engine, o garnetworks.GroupOrder) error {
+func (w *simulation) join(e *engine, o garnetworks.GroupOrder) error {
 	if o.Epoch < e.epoch {
 		return garnetworks.Errorf(garnetworks.KindStaleToken, "older epoch")
 	}
@@ -199,7 +199,7 @@
 		return nil
 	}
 	if e.Membership.Group != "" {
-		w.fault("%s joined %s while in %s", e.ID, o.Group, e.Membership.Group) // rule O2
+		w.reportViolation("%s joined %s while in %s", e.ID, o.Group, e.Membership.Group) // rule O2
 	}
 	e.epoch = o.Epoch
 	e.Membership = garnetworks.Membership{Group: o.Group, Epoch: o.Epoch, Rank: slices.IndexFunc(o.Members, func(l garnetworks.Incarnation) bool { return l.Instance == e.ID }), State: garnetworks.MemberJoining}
@@ -211,7 +211,7 @@
 		wait = 200 * time.Millisecond
 	}
 	if wait == w.loadTime {
-		w.waits++
+		w.joinsWithLoad++
 	}
 	e.readyAt = w.now.Add(wait)
 	return nil
@@ -219,30 +219,30 @@
 
 // checkOpen holds an order to open against rule O1: each member has been ready in the
 // group. One that was and is lost meanwhile can't be known of.
-func (w *world) checkOpen(o garnetworks.GroupOrder) {
+func (w *simulation) checkOpen(o garnetworks.GroupOrder) {
 	model := former.GroupModel(o.Group)
 	for _, p := range w.profile.Models {
 		if ready := len(w.ready[o.Group]); p.Name == model && ready < p.GroupSize {
-			w.fault("%s opened after %d of %d members were ready", o.Group, ready, p.GroupSize)
+			w.reportViolation("%s opened after %d of %d members were ready", o.Group, ready, p.GroupSize)
 		}
 	}
 }
 
-func (w *world) fault(format string, args ...any) {
-	w.faults = append(w.faults, fmt.Sprintf(format, args...))
+func (w *simulation) reportViolation(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
 // serving counts the groups of each model whose members all live.
-func (w *world) serving() map[garnetworks.ModelName]int {
+func (w *simulation) serving() map[garnetworks.ModelName]int {
 	servers := make(follower.Servers)
 	for id, e := range w.engines {
-		if !e.dead && !e.dark && !e.cut {
+		if !e.dead && !e.unresponsive && !e.partitioned {
 			servers[id] = e.RegisteredServer
 		}
 	}
 	counts := make(map[garnetworks.ModelName]int)
 	for _, g := range former.Observe(servers, "llm", former.Sizes(w.profile)) {
-		if g.Serves() && g.Whole {
+		if g.Serves() && g.Complete {
 			counts[g.Model]++
 		}
 	}
@@ -250,10 +250,10 @@
 }
 
 // run lets the world go on for a while, with a view that is always up to date.
-func (w *world) run(d time.Duration) {
+func (w *simulation) run(d time.Duration) {
 	const tick = 100 * time.Millisecond
 	for ; d > 0; d -= tick {
-		w.tell()
+		w.refreshView()
 		w.step(tick)
 	}
 }
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -183,8 +183,8 @@
 	l.peers.leading = func() bool { return l.lease.Term(time.Now()) != 0 }
 	l.former = former.New(former.Options{
 		Follower: l.follower, Orders: options.Orders, Lease: l.lease, Bounds: site.Bounds, FirstStart: site.FirstStart, Recorder: events,
-		Moving: func() garnetworks.Set[garnetworks.GroupID] { return l.gateway.Moving() },
-		Work:   func() map[garnetworks.ModelName]float64 { return l.gateway.Work() },
+		Progressing: func() garnetworks.Set[garnetworks.GroupID] { return l.gateway.Moving() },
+		Demand:      func() map[garnetworks.ModelName]float64 { return l.gateway.Work() },
 	})
 	l.quarantine = quarantiner.New(quarantiner.Options{
 		Prove: l.prove, Objects: objects, Reads: func() bool { return l.peers.exchanger.Reads() }, Recorder: events,
