--- a/former/balance.go
+++ b/former/balance.go
@@ -11,40 +11,37 @@
 )
 
 const (
-	// exchangeTime bounds the wait for the members of a group that is closed for the
-	// sake of another model: its calls end within their deadlines, of which 8 s is the
-	// longest usual one.
+	// reallocationTimeout bounds the wait for a reallocation. The calls of a closed group
+	// end within their deadlines, the longest usual one being 8 s.
 	reallocationTimeout = 8 * time.Second
-	// closedTime is the time for which the groups that an exchange closes serve nobody:
-	// their calls end within two seconds, and a warm start takes about as long.
+	// reallocationDowntime is how long the groups that a reallocation closes are assumed
+	// to serve nobody: the rest of their calls and a warm start.
 	reallocationDowntime = 4 * time.Second
-	// keptTime is for how long an exchange of several groups shall pay: where engines are
-	// lost every few seconds, a domain changes again about as soon.
+	// paybackTime is the time within which a reallocation that needs paysOff must recover its
+	// cost.
 	paybackTime = 20 * time.Second
-	// outsideReady is the number of instances of a domain outside a model's groups
-	// that shall hold the model, so that a lost member is replaced without a load
-	// even after the spares are used up. Where a domain of 27 loses one each 6 s, eight
-	// last for 48 s, the time of three loads.
+	// minReserve is the number of instances of a domain outside a model's groups that should
+	// hold the model, so that a lost member is replaced without a load even when the spares
+	// are used up.
 	minReserve = 8
-	// secondLoadsPart is the part of the loads that the weight store carries at once
-	// which second models may take. Beyond that number each load takes longer; the
-	// other half is left to what a domain lacks.
+	// secondModelLoadFraction is the part of the weight store's concurrent loads that second
+	// models may take. Beyond MaxConcurrentLoads each load slows down; the rest is kept for
+	// the models that a domain lacks.
 	secondModelLoadFraction = 0.5
 )
 
-// exchange is what a domain closes so that its instances suffice for a group of another
-// model.
+// reallocation describes the groups that a domain closes so that their instances can form
+// a group of another model.
 type reallocation struct {
 	groups   []garnetworks.GroupID
 	model    garnetworks.ModelName
 	deadline time.Time
 }
 
-// worthOf is what a site gets of the groups that it has: each model's share of the
-// work, with less for each group more. It is highest where the numbers of groups
-// are in proportion to the work, for the instances that there are.
+// utility is the sum over the models of their share of the work times the logarithm of their
+// number of groups. It is highest where the instances are divided in proportion to the shares.
 func utility(profile *garnetworks.EngineProfile, counts map[garnetworks.ModelName]int) float64 {
-	// none stands for a model without a group; its callers get nothing at all.
+	// ungroupedWeight stands in for the number of groups of a model without any.
 	const ungroupedWeight = 0.1
 	total := 0.0
 	for i := range profile.Models {
@@ -54,24 +51,17 @@
 	return total
 }
 
-// exchangeGroups closes groups where their members complete a group of another model
-// without a load, and the site is worth more with it.
+// reallocateGroups closes groups whose members complete a group of another model without a
+// load, where that raises the utility. At most one reallocation runs in a domain.
 //
-// Failure: engines are lost for good, one every few seconds, and a domain has one too
-// few for the large model. Its eleven other instances, which hold the large model,
-// became a small group after a load of 12 s, or waited 16 s for a twelfth that had to
-// load it; so the large model had 3 of its 6 groups left after 22 s, while the small
-// one had all it needed. A member of a small group that has the large model on its
-// host completes the large one within the warm time, and the others often find a
-// spare and are a group again. Mean part of the worth earned over 30 overloaded
-// days of 66 engines: 0.678 before, 0.696 with it and with rule O7.
+// Failure: after losses a domain has one instance too few for a large group, while a member
+// of a small group has the large model on its host. The large model lost a group for each
+// such domain, and the small model had more groups than it needed.
 //
-// Failure: the engines of a domain start anew, hold the small model on their hosts and
-// become small groups. None of these alone has the members for a large one, so the
-// small model stayed with 15 groups and the large one with 3 of its 8. So several are
-// closed at once, in one domain at a time and only where that pays for the time in which
-// they serve nobody: without these bounds one lost engine set off exchanges in all
-// domains, and a calm day earned 0.71 in place of 0.87.
+// Failure: the engines of a domain restart with the small model on their hosts and form
+// small groups, none of which has enough members for a large group. So several groups may be
+// closed at once, but in one domain at a time and only if paysOff: without these bounds a
+// single lost engine started reallocations in all domains.
 func (r *plan) reallocateGroups(free map[garnetworks.DomainID][]garnetworks.RegisteredServer, counts map[garnetworks.ModelName]int) {
 	r.updateReallocations(counts)
 	for _, domain := range r.listedDomains() {
@@ -95,8 +85,8 @@
 	}
 }
 
-// followExchanges forgets the exchanges whose time is over, and counts the others as if
-// they were done.
+// updateReallocations deletes the reallocations that have timed out, and counts the others as
+// if they were complete.
 func (r *plan) updateReallocations(counts map[garnetworks.ModelName]int) {
 	for domain, e := range r.reallocations {
 		if r.now.After(e.deadline) {
@@ -112,7 +102,7 @@
 	}
 }
 
-// exchangingSeveral reports whether an exchange of several groups is under way.
+// reallocatingSeveral reports whether a reallocation that closes several groups is in progress.
 func (r *plan) reallocatingSeveral() bool {
 	for _, e := range r.reallocations {
 		if len(e.groups) > 1 {
@@ -122,7 +112,7 @@
 	return false
 }
 
-// listedDomains returns the domains of the instances that are registered.
+// listedDomains returns the domains of the service's registered instances, sorted.
 func (r *plan) listedDomains() []garnetworks.DomainID {
 	domains := make(garnetworks.Set[garnetworks.DomainID])
 	for _, s := range r.Servers {
@@ -133,7 +123,7 @@
 	return sortedKeys(domains)
 }
 
-// exchanging reports whether the group is closed for the sake of another model.
+// reallocating reports whether the group is being closed by a reallocation.
 func (r *plan) reallocating(id garnetworks.GroupID) bool {
 	for _, e := range r.reallocations {
 		if slices.Contains(e.groups, id) {
@@ -143,8 +133,8 @@
 	return false
 }
 
-// bestExchange returns the groups of a domain to close, and the model whose group they
-// complete, with which the site gains most; no model if it gains by none.
+// bestReallocation returns the groups of a domain to close and the model of the group that
+// their members complete, with the highest gain. The model is nil if none has a gain.
 func (r *plan) bestReallocation(free []garnetworks.RegisteredServer, domain garnetworks.DomainID, counts map[garnetworks.ModelName]int) ([]*Group, *garnetworks.ModelProfile) {
 	healthy := r.healthyGroups(domain)
 	var best []*Group
@@ -154,7 +144,7 @@
 		m := &r.Profile.Models[k]
 		ready := len(joinable(free, m))
 		if ready >= m.GroupSize {
-			continue // it is complete without any exchange
+			continue // complete without a reallocation
 		}
 		candidates := candidatesFor(healthy, m)
 		for i := range candidates {
@@ -162,7 +152,7 @@
 			if groups == nil || len(groups) > 1 && r.reallocatingSeveral() {
 				continue
 			}
-			// One group for one serves again within a warm start.
+			// A single group that is replaced by a single one serves again after a warm start.
 			if one := len(groups) == 1 && candidates[i].ready < 2*m.GroupSize; !one && !r.paysOff(groups, m, free, counts) {
 				continue
 			}
@@ -174,8 +164,7 @@
 	return best, bestModel
 }
 
-// soundGroups returns the groups of a domain that serve and with which nothing is under
-// way.
+// healthyGroups returns the domain's groups that serve and are not being changed.
 func (r *plan) healthyGroups(domain garnetworks.DomainID) []*Group {
 	var list []*Group
 	for i := range r.groups {
@@ -191,14 +180,14 @@
 	return g.Serves() && g.Complete && !r.hasUnresponsive(g) && r.formations[g.ID] == nil
 }
 
-// offer is a group of another model that may be closed for one of a model.
+// candidate is a group of another model that a reallocation may close.
 type candidate struct {
 	group *Group
-	// ready is the number of its members that can join without a load.
+	// ready is the number of its members that can join the new group without a load.
 	ready int
 }
 
-// offersOf returns the groups of other models.
+// candidatesFor returns the groups of models other than m.
 func candidatesFor(healthy []*Group, m *garnetworks.ModelProfile) []candidate {
 	var candidates []candidate
 	for _, g := range healthy {
@@ -209,9 +198,9 @@
 	return candidates
 }
 
-// enough returns groups, beginning with one of the offers, whose members complete a group
-// of the model together with some that are ready, without a load; nil if they don't.
-// After the first one it takes those with the most members that count.
+// groupsToClose returns groups, beginning with candidates[first], whose members complete a
+// group of the model together with the ready free instances, without a load. It returns nil
+// if there are not enough. After the first one it adds those with the most ready members.
 func groupsToClose(ready int, candidates []candidate, first int, m *garnetworks.ModelProfile) []*Group {
 	others := slices.Clone(candidates)
 	others = slices.DeleteFunc(slices.Delete(others, first, first+1), func(o candidate) bool { return o.ready == 0 })
@@ -226,9 +215,8 @@
 	return nil
 }
 
-// exchangeGain is what the site gains by the groups of the model that the instances make in
-// place of some of others, against what the free instances can become without that; neither
-// counts groups that wait for a load.
+// reallocationGain returns how much more utility a reallocation yields than the groups that
+// the free instances can form without it. Groups that would wait for a load count in neither.
 func (r *plan) reallocationGain(free []garnetworks.RegisteredServer, closed []*Group, m *garnetworks.ModelProfile, counts map[garnetworks.ModelName]int) float64 {
 	with, unchanged := maps.Clone(counts), maps.Clone(counts)
 	all := slices.Clone(free)
@@ -244,8 +232,8 @@
 	return utility(r.Profile, with) - utility(r.Profile, unchanged)
 }
 
-// pays reports whether an exchange gains more in keptTime than the closed groups lose in
-// closedTime.
+// paysOff reports whether a reallocation gains more in paybackTime than its closed groups
+// lose in reallocationDowntime.
 func (r *plan) paysOff(closed []*Group, m *garnetworks.ModelProfile, free []garnetworks.RegisteredServer, counts map[garnetworks.ModelName]int) bool {
 	meanwhile := maps.Clone(counts)
 	for _, g := range closed {
@@ -255,8 +243,8 @@
 	return r.reallocationGain(free, closed, m, counts)*paybackTime.Seconds() > cost*reallocationDowntime.Seconds()
 }
 
-// addGroups adds the groups of the closed ones' models that instances can become without
-// a load.
+// addFormableGroups adds to counts the groups of the closed groups' models that the servers
+// can form without a load.
 func (r *plan) addFormableGroups(counts map[garnetworks.ModelName]int, servers []garnetworks.RegisteredServer, closed []*Group) {
 	counted := make(garnetworks.Set[garnetworks.ModelName])
 	for _, g := range closed {
@@ -272,12 +260,12 @@
 	}
 }
 
-// soon returns the instances that can join a group of the model without a load.
+// joinable returns the instances that can join a group of the model without a load.
 func joinable(servers []garnetworks.RegisteredServer, m *garnetworks.ModelProfile) []garnetworks.RegisteredServer {
 	return slices.DeleteFunc(slices.Clone(servers), func(s garnetworks.RegisteredServer) bool { return readiness(&s, m) > 1 })
 }
 
-// close lets a group finish its calls.
+// close orders a group's head to finish its calls and take no new ones.
 func (r *plan) close(head garnetworks.RegisteredServer) {
 	r.send(urgentForming, garnetworks.GroupOrder{
 		Kind: garnetworks.GroupClose, Incarnation: head.Incarnation(), Address: head.Address,
@@ -285,14 +273,13 @@
 	})
 }
 
-// stageSecond loads a second model onto hosts: of all spares, and of members of other
-// models' groups until outsideReady instances of each domain outside a model's groups
-// hold it, or all of them before the first call comes. It takes what first loads leave
-// of the budget (rule O5).
+// stageSecondModels loads a second model onto hosts: onto those of spares, and onto those of
+// members of other models' groups until minReserve instances of each domain outside a model's
+// groups hold it; before the first call onto all of them. It uses what is left of the load
+// budget (rule O5).
 //
-// An instance keeps the model that it has in memory besides the one on its host. So a
-// spare replaces a lost member of either of two models, of one in 0.2 s and of the
-// other in the warm time.
+// An instance keeps the model in its memory besides the one on its host, so that a spare can
+// replace a lost member of either model.
 func (r *plan) stageSecondModels() {
 	if !r.BeforeFirstCall {
 		r.loadsLeft = min(r.loadsLeft, int(float64(r.Profile.MaxConcurrentLoads)*secondModelLoadFraction)-r.loadsInProgress())
@@ -306,7 +293,7 @@
 	for _, domain := range sortedKeys(domains) {
 		servers := domains[domain]
 		slices.SortFunc(servers, func(a, b garnetworks.RegisteredServer) int {
-			// Spares have no group and come first.
+			// Spares have no group and sort first.
 			return cmp.Or(cmp.Compare(a.Membership.Group, b.Membership.Group), cmp.Compare(a.ID, b.ID))
 		})
 		for i := range r.Profile.Models {
@@ -315,7 +302,7 @@
 	}
 }
 
-// loading returns the number of loads that are under way.
+// loadsInProgress returns the number of loads that are in progress.
 func (r *plan) loadsInProgress() int {
 	n := 0
 	for _, f := range r.formations {
@@ -329,7 +316,7 @@
 	return n
 }
 
-// stageOutside loads one model onto hosts of a domain that are not of its groups.
+// stageOutsideGroups loads the model onto hosts of a domain that are not in its groups.
 func (r *plan) stageOutsideGroups(servers []garnetworks.RegisteredServer, m *garnetworks.ModelProfile) {
 	ready := 0
 	var hosts []garnetworks.RegisteredServer
@@ -352,14 +339,14 @@
 	}
 }
 
-// holdsTwice reports whether the host holds nothing but the model that the instance
-// has in memory.
+// hostDuplicatesMemory reports whether the newest model on the host is the one that the
+// instance has in memory, or the host has none. It is false if the memory is empty.
 func hostDuplicatesMemory(s *garnetworks.RegisteredServer) bool {
 	return s.Model != "" && (len(s.Staged) == 0 || s.Staged[len(s.Staged)-1] == s.Model)
 }
 
-// staging returns the model that the instance was ordered to load onto its host and
-// does not hold yet.
+// stagingModel returns the model that the instance was ordered to load onto its host and does
+// not hold yet, or "" if there is none.
 func (r *plan) stagingModel(s *garnetworks.RegisteredServer) garnetworks.ModelName {
 	if model, ok := r.plannedStages[s.Incarnation()]; ok {
 		return model
@@ -371,7 +358,7 @@
 	return last.model
 }
 
-// stage orders a load onto the instance's host.
+// stage orders the instance to load the model onto its host and takes the load from the budget.
 func (r *plan) stage(u urgency, s *garnetworks.RegisteredServer, m *garnetworks.ModelProfile) {
 	r.loadsLeft--
 	r.plannedStages[s.Incarnation()] = m.Name
--- a/former/balance_test.go
+++ b/former/balance_test.go
@@ -7,9 +7,8 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Story: two members of large groups are lost in one domain. The first one's place is
-// taken by the spare that was prepared for the large model; the second spare held the
-// small model only, and the group waited 16 s for its load.
+// Two members of large groups are lost in one domain. Spares that held a single model could
+// replace only the first one without a load.
 func TestSpareReplacesEitherModel(t *testing.T) {
 	w := newSimulation(1, 11)
 	w.run(60 * time.Second)
@@ -23,7 +22,7 @@
 	}
 }
 
-// grownWorld has domains with a large group, two small ones and three spares each.
+// newLargeSimulation has domains of 27: a large group, two small ones and three spares each.
 func newLargeSimulation(domains int) *simulation {
 	w := newSimulation(domains, 27)
 	w.profile.Models = []garnetworks.ModelProfile{
@@ -34,10 +33,8 @@
 	return w
 }
 
-// Story: engines are lost for good, one after the other, until a domain has 23 of its
-// 27. Its large group lacked one member, and the eleven others became a small group
-// and five spares; the large model lost a group in each domain, and the small one,
-// which had enough, gained them.
+// A domain lacks one member for its large group after several losses. It must close a small
+// group for it rather than form another small one.
 func TestLargeGroupIsCompletedByASmallOne(t *testing.T) {
 	w := newLargeSimulation(2)
 	for range 4 {
@@ -51,8 +48,8 @@
 	}
 }
 
-// Story: a holder of the lease begins to exchange a group and is replaced. The closed
-// group must not stay closed.
+// A lease holder that has begun a reallocation is replaced. The closed group must not stay
+// closed.
 func TestReallocationSurvivesLeaseChange(t *testing.T) {
 	w := newLargeSimulation(2)
 	for range 4 {
@@ -71,10 +68,8 @@
 	}
 }
 
-// Story: a group is closed for the sake of another model, and its members leave it.
-// Their entries tell that some hundred milliseconds later. The holder of the lease took
-// the group for one that an earlier holder had left unopened, and ordered its old head
-// to open and to join the other group by turns, 200 times.
+// The entries of a closed group's members lag. Its head must not be ordered to open the old
+// group again as if an earlier lease holder had left it unopened.
 func TestReallocatedGroupIsNotReopened(t *testing.T) {
 	w := newLargeSimulation(2)
 	for range 4 {
@@ -92,14 +87,12 @@
 		t.Errorf("serving %v, want 2 large groups", got)
 	}
 	if w.invalidOpens > 0 {
-		t.Errorf("%d orders to open did not fit", w.invalidOpens)
+		t.Errorf("%d orders to open did not match the engine's state", w.invalidOpens)
 	}
 }
 
-// Story: a large group needs one more instance, and the only free one is new and has
-// no weights. The eleven others were ordered into a group with it and waited for its
-// load of 16 s, while a small group of the domain lost a member that any of them could
-// have replaced.
+// A large group needs one more instance, and the only free one has no weights. The others must
+// not wait for its load in a group, since a small group may need one of them.
 func TestMembersDoNotWaitForALoad(t *testing.T) {
 	w := newLargeSimulation(1)
 	for range 3 {
@@ -116,7 +109,7 @@
 		t.Errorf("serving %v four seconds after the loss", got)
 	}
 	if w.joinsWithLoad > 0 {
-		t.Errorf("%d joins waited for a load", w.joinsWithLoad)
+		t.Errorf("%d joins had to wait for a load", w.joinsWithLoad)
 	}
 	w.run(30 * time.Second)
 	if got := w.serving(); got["large"] != 1 || got["small"] != 1 {
@@ -124,7 +117,7 @@
 	}
 }
 
-// unevenWorld has domains of eight for groups of four and of two, without a spare.
+// newUnevenSimulation has domains of eight for groups of four and of two, without a spare.
 func newUnevenSimulation(domains int) *simulation {
 	w := newSimulation(domains, 8)
 	w.profile.Models[0].GroupSize, w.profile.Models[1].GroupSize = 4, 2
@@ -132,7 +125,7 @@
 	return w
 }
 
-// restart lets the engines of a domain begin anew with what their hosts hold.
+// restartDomain restarts the engines of a domain; their hosts keep their models.
 func (w *simulation) restartDomain(domain garnetworks.DomainID) {
 	for _, e := range w.engines {
 		if e.Domain == domain && !e.dead {
@@ -142,11 +135,8 @@
 	}
 }
 
-// Story: a domain goes dark for some seconds and its engines start anew. Their hosts
-// hold the small model, which was loaded last, so all of them became small groups, as
-// these need no load. There they stayed: no single one of them has enough members for a
-// large group. In the end the small model had 15 groups and the large one, with two
-// thirds of the work, 3 of its 8: 280 of its calls were turned away beside free places.
+// The engines of a domain restart with only the small model on their hosts and form small
+// groups. Several of these must be closed for each large group that was lost.
 func TestLargeModelRecoversAfterDomainRestart(t *testing.T) {
 	w := newUnevenSimulation(6)
 	before := w.serving()
--- a/former/bench_test.go
+++ b/former/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/garnetworks/garnetworks/former"
 )
 
-// BenchmarkPlan tells what one plan costs where nothing has changed, and where one
-// engine in a hundred has just been lost.
+// BenchmarkPlan measures one plan where nothing has changed, and where one engine in a hundred
+// was just lost.
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range []struct{ domains, each int }{{6, 11}, {6, 27}, {25, 35}, {57, 35}} {
 		for name, lost := range map[string]int{"calm": 0, "losses": 100} {
--- a/former/dissolution.go
+++ b/former/dissolution.go
@@ -6,7 +6,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// followGroups looks after the groups that are not being formed.
+// maintainGroups dissolves, closes, opens or adopts the groups that are not being formed.
 func (r *plan) maintainGroups() {
 	for i := range r.groups {
 		if g := &r.groups[i]; r.formations[g.ID] == nil {
@@ -21,10 +21,9 @@
 	case r.abandoned.Has(g.ID) || g.Lost || ok && head.Membership.State == garnetworks.MemberBroken:
 		r.dissolve(g)
 	case !g.Complete || r.hasUnresponsive(g):
-		// Failure: members are cut off from the store or from this node, or the head
-		// stops without having said so, and the group serves on. Taking it for lost
-		// would cut its calls off and cost the time of forming it anew. Where a member
-		// really is lost, nothing moves.
+		// Failure: members are cut off from the store or from this node, or the head stops
+		// without notice, and the group keeps serving. Dissolving it would end its calls. A
+		// group that has really lost a member makes no progress.
 		if !r.Progressing.Has(g.ID) {
 			r.dissolve(g)
 		}
@@ -32,15 +31,15 @@
 		r.closeGroup(g, head)
 	case !r.noMemberLeft(g):
 		r.dissolve(g)
-	case g.AllIn(garnetworks.MemberReady): // rule O1: an earlier holder left it so.
+	case g.AllIn(garnetworks.MemberReady): // rule O1: an earlier lease holder left it unopened
 		r.send(urgentOpening, garnetworks.GroupOrder{Kind: garnetworks.GroupOpen, Incarnation: head.Incarnation(), Address: head.Address, Group: g.ID, Epoch: g.Epoch})
 	case head.Membership.State == garnetworks.MemberJoining || head.Membership.State == garnetworks.MemberReady:
 		r.adopt(g)
 	}
 }
 
-// together reports whether no member has left the group by its own word. Its entry
-// tells that later.
+// noMemberLeft reports whether no member has acknowledged that it left the group. The
+// registered entries show that only later.
 func (r *plan) noMemberLeft(g *Group) bool {
 	return !slices.ContainsFunc(g.Members, func(s garnetworks.RegisteredServer) bool { return r.membership(&s).Group != g.ID })
 }
@@ -49,10 +48,10 @@
 	return slices.ContainsFunc(g.Members, func(s garnetworks.RegisteredServer) bool { return r.Unresponsive.Has(s.Incarnation()) })
 }
 
-// dissolve makes the members of a group that can't serve leave it. Each one says
-// itself that it has left before it is ordered into another group (rule O2): a
-// head that can't be reached may serve on behind a partition, and a member that
-// was taken away without its word would belong to two groups.
+// dissolve orders the members of a group that can't serve to leave it. Each one must
+// acknowledge that before it is ordered into another group (rule O2): a head behind a
+// partition may still serve, and a member that was reassigned without its acknowledgement
+// would belong to two groups.
 func (r *plan) dissolve(g *Group) {
 	for i := range g.Members {
 		m := &g.Members[i]
@@ -63,7 +62,7 @@
 	}
 }
 
-// release makes an instance leave the group that it is or may be in.
+// release orders an instance to leave the group that it is or may be in.
 func (r *plan) release(s *garnetworks.RegisteredServer, u urgency) {
 	in := r.membership(s)
 	if in.Group == "" || !r.usable(s) || r.formations[in.Group] != nil {
@@ -72,12 +71,12 @@
 	r.send(u, garnetworks.GroupOrder{Kind: garnetworks.GroupLeave, Incarnation: s.Incarnation(), Address: s.Address, Group: in.Group, Epoch: in.Epoch})
 }
 
-// membership returns the group that the instance is in, as far as its entry or the
-// orders since tell; none if it has left it.
+// membership returns the group that the instance is in, by its entry or by the orders that it
+// was sent since; it is empty if the instance has left the group.
 //
-// Failure: an instance takes the order to join a group that is given up a moment
-// later. Its entry, which lags, shows no group; it would be ordered into a second
-// group without having left the first one.
+// Failure: an instance takes an order to join a group that is abandoned a moment later. Its
+// entry lags and shows no group, so that it would be ordered into a second group without
+// having left the first one.
 func (r *plan) membership(s *garnetworks.RegisteredServer) garnetworks.Membership {
 	in := s.Membership
 	if joined := r.joined[s.Incarnation()]; joined.Epoch > in.Epoch {
@@ -100,8 +99,8 @@
 	}
 }
 
-// releaseGivenUp makes instances leave the groups that they were ordered into and
-// that were given up before their entries told of them.
+// releaseAbandoned orders instances to leave groups that were abandoned before the instances'
+// entries showed them.
 func (r *plan) releaseAbandoned() {
 	for _, id := range sortedIncarnations(r.joined) {
 		s, ok := r.server(id)
--- a/former/flight_test.go
+++ b/former/flight_test.go
@@ -7,10 +7,8 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Story: 880 engines are due for an order at once. The holder sent all of them; each
-// costs its processor a millisecond or more, so the last ones waited for a second, and
-// hundreds were given up by the bound of 250 ms though every engine answered at once.
-// The replay has a node that handles orders one after the other.
+// Many engines are due for an order at once, at a node that handles one after the other. An
+// unbounded number in flight makes orders time out although every engine responds at once.
 func TestWindowAdaptsToNodeCapacity(t *testing.T) {
 	const orders, bound = 3000, 250 * time.Millisecond
 	cases := map[string]struct {
@@ -21,7 +19,7 @@
 		"strong node": {each: 300 * time.Microsecond, later: 300 * time.Microsecond, slowest: time.Second, late: 30},
 		"weak node":   {each: 1500 * time.Microsecond, later: 1500 * time.Microsecond, slowest: 5 * time.Second, late: 30},
 		"busy node":   {each: 10 * time.Millisecond, later: 10 * time.Millisecond, slowest: 33 * time.Second, late: 30},
-		// What was in flight when the node turned slow is late, and little after that.
+		// Orders in flight when the node becomes slow are late, and few after that.
 		"node that turns slow": {each: 300 * time.Microsecond, later: 15 * time.Millisecond, slowest: 25 * time.Second, late: 400},
 	}
 	for name, c := range cases {
@@ -35,7 +33,7 @@
 					f.start()
 					begun = append(begun, now)
 				}
-				// The oldest order in flight is the next that the node handles.
+				// The node handles the oldest order in flight next.
 				if free.Before(begun[done]) {
 					free = begun[done]
 				}
@@ -52,7 +50,7 @@
 				f.done(now, took, true)
 			}
 			if late > c.late {
-				t.Errorf("%d of %d orders were late by the node's own doing", late, orders)
+				t.Errorf("%d of %d orders were late because of the node itself", late, orders)
 			}
 			if took := now.Sub(time.Unix(0, 0)); took > c.slowest {
 				t.Errorf("all orders took %s", took)
@@ -62,8 +60,8 @@
 	}
 }
 
-// Story: engines that are gone answer nothing. A window that shrank with each of them
-// would starve the orders to all others in the moment of a loss.
+// Lost engines don't respond. A window that shrank with each of them would delay the orders to
+// all others during a loss.
 func TestUnresponsiveEnginesDoNotShrinkWindow(t *testing.T) {
 	f := newCongestionWindow()
 	for range 100 {
@@ -75,9 +73,8 @@
 	}
 }
 
-// Story: the node is cut off from the engines while it still reaches the store. Engines
-// of all zones were silent to it, and it took apart the groups of the whole site. A dark
-// domain or a zone that is lost must be found at once all the same.
+// A node that is cut off from all engines must not dissolve the site's groups, while the loss of
+// a domain or a zone must be detected at once.
 func TestFailuresInSeveralZonesSuspectLocalFault(t *testing.T) {
 	type probe struct {
 		zone   garnetworks.ZoneID
@@ -94,12 +91,12 @@
 		probes []probe
 		want   bool
 	}{
-		"one engine":                      {repeat(2, probe{"a", true}), false},
-		"a dark domain":                   {repeat(35, probe{"a", true}), false},
-		"a zone, others well":             {repeat(35, probe{"a", true}, probe{"b", false}), false},
-		"a domain and two losses":         {append(repeat(35, probe{"a", true}), repeat(3, probe{"b", true})...), false},
-		"losses among many that are well": {repeat(10, probe{"a", true}, probe{"a", false}, probe{"a", false}, probe{"b", true}, probe{"b", false}, probe{"b", false}), false},
-		"all zones":                       {repeat(10, probe{"a", true}, probe{"b", true}, probe{"c", true}), true},
+		"one engine":                   {repeat(2, probe{"a", true}), false},
+		"a lost domain":                {repeat(35, probe{"a", true}), false},
+		"a zone, others responsive":    {repeat(35, probe{"a", true}, probe{"b", false}), false},
+		"a domain and two losses":      {append(repeat(35, probe{"a", true}), repeat(3, probe{"b", true})...), false},
+		"losses among many responsive": {repeat(10, probe{"a", true}, probe{"a", false}, probe{"a", false}, probe{"b", true}, probe{"b", false}, probe{"b", false}), false},
+		"all zones":                    {repeat(10, probe{"a", true}, probe{"b", true}, probe{"c", true}), true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -109,7 +106,7 @@
 				got = s.observe(time.Unix(0, int64(i)*int64(time.Millisecond)), p.zone, p.failed)
 			}
 			if got != c.want {
-				t.Errorf("own fault %t, want %t", got, c.want)
+				t.Errorf("local fault %t, want %t", got, c.want)
 			}
 		})
 	}
@@ -118,13 +115,13 @@
 	for i := range 40 {
 		isLocal := s.observe(now.Add(time.Duration(i)*100*time.Millisecond), garnetworks.ZoneID([]string{"a", "b"}[i%2]), true)
 		if past := time.Duration(i) * 100 * time.Millisecond; isLocal && past > localFaultHold+2*localFaultWindow {
-			t.Errorf("silence is still presumed to be the node's own fault after %s", past)
+			t.Errorf("failures are still presumed to be a local fault after %s", past)
 		}
 	}
 }
 
-// Story: the holder of the lease is cut off from the engines of all zones. On-call
-// engineers found no line that told why it did not give them up at once.
+// The lease holder is cut off from the engines of all zones. The time line must say why it does
+// not take them for unresponsive.
 func TestLocalFaultIsRecorded(t *testing.T) {
 	recorder := &eventCounter{}
 	f := &Former{options: Options{Recorder: recorder}, prober: newProber(100)}
@@ -135,11 +132,11 @@
 		})
 	}
 	if recorder.kinds[garnetworks.EventLocalFaultSuspected] != 1 || recorder.kinds[garnetworks.EventInstanceUnresponsive] != 0 {
-		t.Errorf("told %v", recorder.kinds)
+		t.Errorf("recorded %v", recorder.kinds)
 	}
 }
 
-// told counts events by kind.
+// eventCounter counts events by kind.
 type eventCounter struct{ kinds map[garnetworks.EventKind]int }
 
 func (t *eventCounter) Record(e garnetworks.Event) {
--- a/former/formation.go
+++ b/former/formation.go
@@ -8,7 +8,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// giveUp ends a formation because of one instance, which is left out for a while.
+// abandon ends a formation. The instance that caused it, if any, is excluded for exclusionTime.
 func (p *Planner) abandon(now time.Time, id garnetworks.GroupID, cause garnetworks.Incarnation) {
 	if p.formations[id] == nil {
 		return
@@ -20,7 +20,7 @@
 	p.abandoned.Add(id)
 }
 
-// followFormations brings ordered groups on, or gives them up.
+// advanceFormations sends the next orders of the groups being formed, or abandons them.
 func (r *plan) advanceFormations() {
 	for _, id := range sortedKeys(r.formations) {
 		r.advanceFormation(r.formations[id])
@@ -68,11 +68,11 @@
 	}
 }
 
-// better reports whether the group would open sooner with other members.
+// hasBetterMembers reports whether the group would open sooner with other members.
 //
-// Failure: a member was cut off for some seconds, and an instance that has to load
-// the weights took its place. The member came back with the weights and stayed
-// free, while the others of its group waited for the load.
+// Failure: a member is cut off for some seconds, and an instance that has to load the weights
+// takes its place. The member returns with the weights and stays free, while the rest of the
+// group waits for the load.
 func (r *plan) hasBetterMembers(f *formation) bool {
 	m := r.profile(f.model)
 	if m == nil || len(f.loading) == 0 {
@@ -96,7 +96,7 @@
 	return joinable >= m.GroupSize
 }
 
-// join orders an instance into a group.
+// join orders an instance into the group that is being formed.
 func (r *plan) join(f *formation, s garnetworks.RegisteredServer) {
 	u := urgentForming
 	if f.prewarms {
@@ -108,7 +108,7 @@
 	})
 }
 
-// adopt goes on with a group that an earlier holder ordered.
+// adopt continues the formation of a group that an earlier lease holder ordered.
 func (r *plan) adopt(g *Group) {
 	f := &formation{id: g.ID, epoch: g.Epoch, model: g.Model, deadline: r.now.Add(r.joinTime(g.Model) + joinMargin)}
 	for i := range g.Members {
@@ -174,12 +174,11 @@
 	}
 }
 
-// noteUnsettled finds the domains of which instances were told to leave a moment ago and
-// have not answered yet, or are to be told now.
+// findPendingLeaves finds the domains with instances that are ordered to leave by this plan,
+// or were ordered a moment ago and have not acknowledged it.
 //
-// Failure: the answers of a broken group's members come one after the other. With
-// the first few of them a group of a smaller model is formed, and the instances
-// that are left are too few for the model that was lost.
+// Failure: the members of a broken group acknowledge one after the other. The first few are
+// formed into a group of a smaller model, and the rest are too few to replace the lost group.
 func (r *plan) findPendingLeaves() {
 	r.pendingLeaves = make(garnetworks.Set[garnetworks.DomainID])
 	for i := range r.orders {
@@ -197,7 +196,7 @@
 	}
 }
 
-// counts returns the groups of each model that serve or are on their way.
+// groupCounts returns the number of groups of each model that serve or are being formed.
 func (r *plan) groupCounts() map[garnetworks.ModelName]int {
 	counts := make(map[garnetworks.ModelName]int)
 	for i := range r.groups {
@@ -213,10 +212,10 @@
 	return counts
 }
 
-// next returns the domain and the model of the group to form next: the model
-// that has the fewest groups for its share of the work, in the domain where most
-// of its members need no load, and among those in the one that it fills best, so
-// that whole gaps are left to larger models.
+// nextGroup returns the domain and the model of the group to form next: the model with the
+// fewest groups for its share of the work, in the domain where its members need the fewest
+// loads. Among equal domains it takes the one with the fewest free instances, which leaves
+// larger gaps to larger models.
 func (r *plan) nextGroup(free map[garnetworks.DomainID][]garnetworks.RegisteredServer, counts map[garnetworks.ModelName]int) (garnetworks.DomainID, *garnetworks.ModelProfile) {
 	for _, m := range r.modelsByNeed(counts) {
 		if domain, ok := r.bestDomain(free, m); ok {
@@ -226,7 +225,7 @@
 	return "", nil
 }
 
-// byNeed returns the models, those first whose next group would carry most work.
+// modelsByNeed returns the models sorted by descending marginalShare.
 func (r *plan) modelsByNeed(counts map[garnetworks.ModelName]int) []*garnetworks.ModelProfile {
 	models := make([]*garnetworks.ModelProfile, 0, len(r.Profile.Models))
 	for i := range r.Profile.Models {
@@ -240,8 +239,8 @@
 	return models
 }
 
-// shareForNext is the share of the work that one more group would carry, for
-// each instance that it takes.
+// marginalShare is the share of the work that one more group would carry, for each instance
+// that it takes.
 func marginalShare(m *garnetworks.ModelProfile, groups int) float64 {
 	return m.InitialShare / float64(m.GroupSize*(groups+1))
 }
@@ -259,7 +258,7 @@
 			continue // rules O5 and O7
 		}
 		if e := r.reallocations[domain]; e != nil && e.model != m.Name {
-			continue // a group is closed so that this one is complete
+			continue // reserved for the group that the reallocation completes
 		}
 		if !found || loads < bestLoads || loads == bestLoads && len(servers) < bestFree {
 			best, found, bestLoads, bestFree = domain, true, loads, len(servers)
@@ -268,7 +267,7 @@
 	return best, found
 }
 
-// readiness ranks an instance by how soon it could join a group of the model.
+// readiness ranks an instance by how soon it can join a group of the model; lower is sooner.
 func readiness(s *garnetworks.RegisteredServer, m *garnetworks.ModelProfile) int {
 	switch {
 	case s.Model == m.Name:
@@ -281,7 +280,7 @@
 	return 3
 }
 
-// pick returns the instances for some groups that would join soonest.
+// pick returns the instances for the given number of groups that would join soonest.
 func (r *plan) pick(servers []garnetworks.RegisteredServer, m *garnetworks.ModelProfile, groups int) []garnetworks.RegisteredServer {
 	sorted := slices.Clone(servers)
 	slices.SortFunc(sorted, func(a, b garnetworks.RegisteredServer) int {
@@ -300,7 +299,7 @@
 	return loads
 }
 
-// form orders a group.
+// form orders the members into a new group.
 func (r *plan) form(m *garnetworks.ModelProfile, members []garnetworks.RegisteredServer) {
 	r.loadsLeft -= r.loadsNeeded(members, m)
 	r.sequence++
--- a/former/former.go
+++ b/former/former.go
@@ -13,36 +13,34 @@
 	"github.com/garnetworks/garnetworks/leaser"
 )
 
-// Times of the duty.
+// Times and rates of planning.
 const (
-	// planEvery is the longest time between two plans; changes and answers bring
-	// them forward.
+	// planInterval is the longest time between two plans; changes and responses trigger
+	// earlier ones.
 	planInterval = 200 * time.Millisecond
-	// planRest is the least time between two plans. It joins changes that come together,
-	// and is small beside the second that a repair takes.
+	// minPlanPause is the shortest pause between two plans, which batches changes that arrive
+	// together.
 	minPlanPause = 10 * time.Millisecond
-	// restFactor is the rest after a plan in parts of the time that the plan took, so that
-	// plans take a fifth of the node's processor at most.
+	// pauseFactor is the pause after a plan as a multiple of the time that the plan took, up
+	// to planInterval. It keeps planning to about a fifth of the processor.
 	pauseFactor = 4
-	// firstLoadTime is the time from the site's first start in which loads don't
-	// count against the weight store's rate, since no call has come yet.
+	// unmeteredLoadTime is the time after the site's first start in which loads don't count
+	// against the weight store's rate, since no call has arrived yet.
 	unmeteredLoadTime = 9 * time.Second
-	// settleTime is how long no further server may have registered before groups
-	// are formed at the site's first start, and settleMost bounds that wait.
+	// settleTime is how long no further server may have registered before groups are formed
+	// at the site's first start; maxSettleTime bounds that wait.
 	//
-	// Failure: servers register one after the other within some seconds. Groups
-	// formed of the first ones are all of the smallest model, and the others find
-	// no domain with enough instances left. 162 engines take 4.1 s; with settleMost,
-	// the load of the first groups (a tenth of the usual time) and their opening they
-	// serve 8 s after the start, before the first calls at 10 s or more.
+	// Failure: servers register one after the other within some seconds. Groups formed of
+	// the first ones are all of the smallest model, and no domain has enough instances left
+	// for the others.
 	settleTime    = 350 * time.Millisecond
 	maxSettleTime = 6 * time.Second
-	// loadRatePart is the part of the weight store's rate that is used: orders
-	// that are carried out late may bring loads together.
+	// loadRateFraction is the part of the weight store's rate that is used, since delayed
+	// orders may make loads begin together.
 	loadRateFraction = 0.9
 )
 
-// Options describe the duty.
+// Options configure a Former.
 type Options struct {
 	Follower *follower.Follower
 	Orders   garnetworks.GroupOrders
@@ -50,13 +48,12 @@
 	Bounds   garnetworks.SiteBounds
 	// FirstStart is set when the whole site starts for the first time.
 	FirstStart bool
-	// Moving returns the groups that gave an event to some node a moment ago; it may
-	// be nil.
+	// Progressing returns the groups that recently sent an event to some node; it may be nil.
 	Progressing func() garnetworks.Set[garnetworks.GroupID]
-	// Work returns the number of calls of each model that are or could be running at the
-	// site; it may be nil.
+	// Demand returns the number of calls of each model that are running or could be running
+	// at the site; it may be nil.
 	Demand func() map[garnetworks.ModelName]float64
-	// Recorder is told of orders and of what is believed of instances.
+	// Recorder receives the orders sent and the instances found unresponsive or responsive.
 	Recorder garnetworks.Recorder
 }
 
@@ -66,33 +63,33 @@
 	bounds   atomic.Pointer[garnetworks.SiteBounds]
 	started  time.Time
 	planners map[garnetworks.ServiceName]*Planner
-	// lost are the groups that have a dark instance, while the node holds the lease.
+	// lost are the groups with an unresponsive instance, while the node holds the lease.
 	lost atomic.Pointer[[]garnetworks.GroupID]
 	prober
 	orderResults chan orderResult
 	suspects     chan garnetworks.GroupID
 	changed      <-chan struct{}
-	// queue holds the newest plan's orders that wait to be sent.
+	// queue holds the newest plan's orders that were not sent yet.
 	queue       []queuedOrder
 	orderWindow congestionWindow
-	// stale says that something has changed since the last plan, and rested from when
-	// on the next one may be made.
+	// needsPlan says that something has changed since the last plan; nextPlanAt is the
+	// earliest time of the next one.
 	needsPlan  bool
 	nextPlanAt time.Time
-	// planned is the view that the newest plan was made from.
+	// plannedServers are the servers that the newest plan was made from.
 	plannedServers follower.Servers
 	loads          loadBudget
 	// sending counts the orders in flight.
 	sending sync.WaitGroup
 	term    uint32
-	// held is when this node took the lease.
+	// leaseSince is when this node took the lease.
 	leaseSince time.Time
-	// count is the number of registered servers, and grown when it last rose.
+	// serverCount is the number of registered servers, lastRegistration when it last rose.
 	serverCount      int
 	lastRegistration time.Time
 }
 
-// New returns the duty; it is called before the follower runs.
+// New returns a Former. It must be called before the follower runs.
 func New(options Options) *Former {
 	const bufferSize = 1024
 	f := &Former{
@@ -110,10 +107,10 @@
 	return f
 }
 
-// SetBounds takes the site's bounds.
+// SetBounds replaces the site's bounds.
 func (f *Former) SetBounds(bounds garnetworks.SiteBounds) { f.bounds.Store(&bounds) }
 
-// Suspect tells that the group seems to stand still. It never blocks.
+// Suspect reports that a group seems to make no progress. It never blocks.
 func (f *Former) Suspect(id garnetworks.GroupID) {
 	select {
 	case f.suspects <- id:
@@ -121,8 +118,8 @@
 	}
 }
 
-// Run forms groups until ctx ends. It returns once all orders have ended, so that
-// the lease may then be given up.
+// Run forms groups until ctx ends. It returns once all orders have ended, so that the
+// lease may be given up then.
 func (f *Former) Run(ctx context.Context) error {
 	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
@@ -157,7 +154,7 @@
 	}
 }
 
-// drain takes all answers that are there, so that one plan serves them.
+// drainResults handles all results that have arrived, so that one plan covers them.
 func (f *Former) drainResults() {
 	for {
 		select {
@@ -171,11 +168,10 @@
 	}
 }
 
-// replan makes a plan, and rests from planning for a while.
+// replan makes a plan and sets the earliest time of the next one.
 //
-// Failure: a plan was made for each answer to an order. At 880 engines one costs some
-// 20 ms of a small instance's processor, and thousands of answers in the first seconds
-// took all of it, so that the answers waited and looked like silence.
+// Failure: a plan was made for each response to an order. At hundreds of engines that took
+// the whole processor, so that responses were handled late and looked like missing ones.
 func (f *Former) replan() {
 	began := time.Now()
 	f.needsPlan = false
@@ -184,7 +180,7 @@
 	f.nextPlanAt = time.Now().Add(min(planInterval, max(minPlanPause, pauseFactor*took)))
 }
 
-// plan queues the orders that are due.
+// plan replaces the queue by the orders that are due.
 func (f *Former) plan() {
 	now := time.Now()
 	term := f.options.Lease.Term(now)
@@ -196,8 +192,8 @@
 		}
 	}
 	x := f.options.Follower.Index()
-	// Failure: a view from before the lease shows engines as free that the last
-	// holder has ordered into a group since. So a new holder reads the store first.
+	// Failure: a view from before the lease shows engines as free that the last holder has
+	// ordered into a group since. So a new holder reads the store first.
 	if term == 0 || f.options.Follower.ServersConfirmed().Before(f.leaseSince) || x == nil || !f.options.Follower.Ready() {
 		f.lost.Store(nil)
 		return
@@ -227,7 +223,7 @@
 	return nil
 }
 
-// noteLost finds the groups that have a dark instance and give no node any event.
+// findLostGroups records the groups with an unresponsive instance that send no events.
 func (f *Former) findLostGroups(servers follower.Servers) {
 	progressing := f.progressing()
 	lost := make(garnetworks.Set[garnetworks.GroupID])
--- a/former/life_test.go
+++ b/former/life_test.go
@@ -10,10 +10,8 @@
 	"github.com/garnetworks/garnetworks/former"
 )
 
-// Story: a member or the head of an open group crashes and starts again under its
-// identifier within a heartbeat, so that its entry never vanishes. The head goes on
-// accepting calls and nothing moves. The group was kept as long as some node still had
-// events of before, and its survivors were not formed anew until the head broke.
+// A member or the head of an open group restarts within a heartbeat, so that its entry never
+// vanishes. The group must be replaced even while events from before the crash still count.
 func TestGroupOfRestartedEngineIsReplaced(t *testing.T) {
 	for name, rank := range map[string]int{"head": 0, "member": 3} {
 		t.Run(name, func(t *testing.T) {
@@ -21,7 +19,7 @@
 			w.run(40 * time.Second)
 			e := w.member("large", rank)
 			group := e.Membership.Group
-			// Events of before the crash keep the group moving for a moment.
+			// Events from before the crash keep the group progressing for a moment.
 			w.progressing = garnetworks.NewSet(group)
 			e.restart()
 			w.refreshView()
@@ -39,9 +37,8 @@
 	}
 }
 
-// Story: five engines of a domain crash and are back under their identifiers within a
-// heartbeat, as after a short loss of power. Their entries of before counted as vanished,
-// the domain as cut off, and its lost groups were left alone for 2.3 s.
+// Engines of a domain that restart together must not look like entries hidden by a partition,
+// which would defer the dissolution of their groups.
 func TestSimultaneousRestartsAreNotAPartition(t *testing.T) {
 	w := newSimulation(1, 23)
 	w.run(settled)
@@ -57,7 +54,7 @@
 	w.run(500 * time.Millisecond)
 	checkRules(t, w)
 	if w.leaveOrders == 0 {
-		t.Error("no member was ordered to leave a group that has lost others for certain")
+		t.Error("no member was ordered to leave a group that has lost other members")
 	}
 	w.run(5 * time.Second)
 	if got := w.serving(); got["large"] < before["large"] {
@@ -65,8 +62,7 @@
 	}
 }
 
-// Story: an entry tells of a group in epoch 0. No other one has ended in that epoch, and
-// the group counted as lost.
+// A group in epoch 0 must not match the zero epoch of entries without a previous membership.
 func TestGroupInEpochZeroIsNotLost(t *testing.T) {
 	w := newSimulation(1, 11)
 	w.run(settled)
@@ -85,9 +81,8 @@
 	}
 }
 
-// Story: an engine takes the order to join a group, and crashes before the group opens.
-// What the earlier life had taken counted for the new one, which knows nothing of the
-// group: the head opened without a member, or the others waited for it for 20 s.
+// An engine accepts a join and restarts before the group opens. The join must not count for the
+// new incarnation, or the head opens without a member or the others wait in vain.
 func TestOrdersOfEarlierIncarnationAreIgnored(t *testing.T) {
 	cases := map[string]time.Duration{"right after its answer": 0, "while it joins": 100 * time.Millisecond}
 	for name, after := range cases {
@@ -116,7 +111,8 @@
 	}
 }
 
-// forming returns the first engine that is on its way into a group of several of the model.
+// forming returns the first engine of a group that is being formed for the model, other than
+// groups of a single spare.
 func (w *simulation) forming(model garnetworks.ModelName) *engine {
 	count := make(map[garnetworks.GroupID]int)
 	for _, e := range w.engines {
@@ -142,13 +138,11 @@
 	return false
 }
 
-// settled is the time after which a world's groups serve and its spares are prepared.
+// settled is the time after which groups serve and spares are prewarmed.
 const settled = 40 * time.Second
 
-// Story: an engine starts again and then takes a join to its old group that was sent
-// before the crash and is carried out late. By the entries the group was whole again,
-// and its head open: calls were sent to a group of which one member had never been
-// ready in this life.
+// A restarted engine carries out a delayed join to its old group, whose head is open. The group
+// must not count as complete: the member was never ready in this incarnation.
 func TestLateJoinOfEarlierIncarnationDoesNotCompleteGroup(t *testing.T) {
 	w := newSimulation(1, 11)
 	w.run(settled)
@@ -171,8 +165,8 @@
 	}
 }
 
-// Story: the same, seen by a holder of the lease that has just begun and knows nothing
-// of the earlier life. A member that joins while its head is open has started again.
+// The same for a new lease holder that has not seen the earlier incarnation: a member that is
+// joining while its head is open has restarted.
 func TestMemberJoiningAnOpenGroupHasRestarted(t *testing.T) {
 	w := newSimulation(1, 11)
 	w.run(settled)
@@ -188,10 +182,8 @@
 	}
 }
 
-// Story: an engine did not take a join and is left out for three seconds. It starts
-// again under its identifier within that time; the new life is as good as any other.
-// How long its return takes until it has an order is told beside that of an engine that
-// comes under a new identifier.
+// An instance that did not accept a join is excluded. Its next incarnation must get an order as
+// soon as an engine with a new identifier.
 func TestNewIncarnationIsUsedAsSoonAsANewEngine(t *testing.T) {
 	firstOrderDelay := func(inject func(*simulation, *engine) *engine) time.Duration {
 		w := newSimulation(1, 6) // one large group, no spare
@@ -223,14 +215,14 @@
 		w.engines["i-new"].Staged = e.Staged
 		return w.engines["i-new"]
 	})
-	t.Logf("first order of an engine that started again after %s, of a new one after %s", restarted, fresh)
+	t.Logf("first order of a restarted engine after %s, of a new one after %s", restarted, fresh)
 	if restarted > fresh {
-		t.Errorf("an engine that started again is used after %s, a new one after %s", restarted, fresh)
+		t.Errorf("a restarted engine is used after %s, a new one after %s", restarted, fresh)
 	}
 }
 
-// Story: another program writes an entry of no known service that names a real group
-// with a higher epoch. The group's members counted as those of an older one.
+// An entry of an unknown service names a real group with a higher epoch. The group's members
+// must not count as those of an older epoch.
 func TestEntriesOfOtherServicesAreIgnored(t *testing.T) {
 	w := newSimulation(1, 11)
 	w.run(settled)
--- a/former/loads.go
+++ b/former/loads.go
@@ -8,16 +8,16 @@
 	"github.com/garnetworks/garnetworks/follower"
 )
 
-// loadBudget counts the loads that may begin (rule O5): a token bucket whose
-// depth is what the site forgives in a window beyond the rate. It begins empty: an
-// earlier holder of the lease may just have spent its own.
+// loadBudget limits the loads that may begin (rule O5). It is a token bucket whose depth
+// is what the site's bounds allow within a window beyond the rate. It starts empty, since
+// an earlier lease holder may just have spent its own.
 type loadBudget struct {
 	rate, depth float64
 	tokens      float64
 	at          time.Time
 }
 
-// loadSlack is the number of loads that a window may hold beyond its rate.
+// loadSlack is the number of loads that a window may contain beyond its rate.
 const loadSlack = 3
 
 func (b *loadBudget) configure(profile *garnetworks.EngineProfile, bounds garnetworks.SiteBounds) {
@@ -34,7 +34,7 @@
 	return int(b.tokens)
 }
 
-// count takes the loads that an order begins.
+// spend takes a token if the order begins a load.
 func (b *loadBudget) spend(o *garnetworks.GroupOrder, servers follower.Servers) {
 	s, _ := serverOf(servers, o.Incarnation)
 	switch o.Kind {
--- a/former/loads_test.go
+++ b/former/loads_test.go
@@ -8,13 +8,12 @@
 	"github.com/garnetworks/garnetworks/follower"
 )
 
-// Story: a domain comes back and wants many loads at once, and the lease passes on
-// in the middle. Two holders in a row each spend a whole budget, and the weight
-// store gets more than the site allows in some window.
+// Loads begun by successive lease holders must stay within the site's limit in every window, so
+// a new holder must not start with a full budget.
 func TestLoadsStayUnderLimit(t *testing.T) {
 	profile := &garnetworks.EngineProfile{LoadsPerSecond: 5.5}
 	bounds := garnetworks.SiteBounds{LoadWindow: 5 * time.Second, LoadOverage: 1.1}
-	ceiling := profile.LoadsPerSecond*bounds.LoadWindow.Seconds()*bounds.LoadOverage + loadSlack
+	limit := profile.LoadsPerSecond*bounds.LoadWindow.Seconds()*bounds.LoadOverage + loadSlack
 	var begun []time.Time
 	now := time.Unix(0, 0)
 	for holder := range 4 {
@@ -35,8 +34,8 @@
 				in++
 			}
 		}
-		if float64(in) > ceiling {
-			t.Fatalf("%d loads begin within %s of %s, the ceiling is %.1f", in, bounds.LoadWindow, from, ceiling)
+		if float64(in) > limit {
+			t.Fatalf("%d loads begin within %s of %s, the limit is %.1f", in, bounds.LoadWindow, from, limit)
 		}
 	}
 	if len(begun) < 50 {
--- a/former/lost_test.go
+++ b/former/lost_test.go
@@ -7,9 +7,8 @@
 	"github.com/garnetworks/garnetworks/follower"
 )
 
-// Story: both instances of a group go dark. The holder of the lease finds it by its probes;
-// what it tells the other nodes is the group, unless some node just had an event from it,
-// or the dark instance is of an earlier life, or in no group.
+// Groups with unresponsive members are reported as lost, unless the group is progressing or the
+// unresponsive instance is of an earlier incarnation or in no group.
 func TestLeaseHolderReportsLostGroups(t *testing.T) {
 	server := func(id garnetworks.InstanceID, born int64, group garnetworks.GroupID) garnetworks.RegisteredServer {
 		s := garnetworks.RegisteredServer{ListedInstance: garnetworks.ListedInstance{ID: id}, StartMS: born}
@@ -27,6 +26,6 @@
 	}
 	f.findLostGroups(servers)
 	if got := f.Lost(); len(got) != 1 || got[0] != "gone" {
-		t.Errorf("lost are %v", got)
+		t.Errorf("lost groups are %v", got)
 	}
 }
--- a/former/observe.go
+++ b/former/observe.go
@@ -10,20 +10,20 @@
 	"github.com/garnetworks/garnetworks/follower"
 )
 
-// Group is a replica group as its members tell it.
+// Group is a replica group as its members report it.
 type Group struct {
 	ID      garnetworks.GroupID
 	Epoch   garnetworks.FencingToken
 	Service garnetworks.ServiceName
 	Model   garnetworks.ModelName
-	// Members are those that are registered now, by rank.
+	// Members are the registered members, sorted by rank.
 	Members []garnetworks.RegisteredServer
-	// Whole says that all ranks of the model's size are there, in one epoch.
+	// Complete says that all ranks of the model's group size are present in one epoch.
 	Complete bool
 	// Leaving says that a member is about to stop.
 	Leaving bool
-	// Lost says that a member has started again since it was ready, so that the group
-	// can't serve, whatever its head says.
+	// Lost says that a member has restarted since it was ready, so that the group can't
+	// serve whatever its head reports.
 	Lost bool
 }
 
@@ -35,15 +35,15 @@
 	return garnetworks.RegisteredServer{}, false
 }
 
-// Serves reports whether the group may get calls. It was opened when all members
-// were ready (rule O1). A member that is not listed now may only be cut off from the
-// store; if it is lost, the group stands still and is found by that.
+// Serves reports whether the group may get calls. It was opened when all members were ready
+// (rule O1). A member that is not listed may only be cut off from the store; if it is lost,
+// the group makes no progress and is detected by that.
 func (g *Group) Serves() bool {
 	h, ok := g.Head()
 	return ok && !g.Leaving && !g.Lost && h.Membership.State == garnetworks.MemberOpen
 }
 
-// AllIn reports whether each member has one of the states.
+// AllIn reports whether the group is complete and each member has one of the states.
 func (g *Group) AllIn(states ...garnetworks.MemberState) bool {
 	for i := range g.Members {
 		if !slices.Contains(states, g.Members[i].Membership.State) {
@@ -53,11 +53,11 @@
 	return g.Complete
 }
 
-// groupSeparator stands between the model and the epoch in a group's name.
+// groupSeparator separates the model from the epoch in a group's name.
 const groupSeparator = "."
 
-// GroupName returns the name of a group. It holds the model, so that the members'
-// words alone tell what a group that is still joining is for.
+// GroupName returns the name of a group. It contains the model, so that the model of a group
+// whose members are still joining is known from their reports alone.
 func GroupName(model garnetworks.ModelName, epoch garnetworks.FencingToken) garnetworks.GroupID {
 	return garnetworks.GroupID(string(model) + groupSeparator + strconv.FormatUint(uint64(epoch), 36))
 }
@@ -71,8 +71,8 @@
 	return garnetworks.ModelName(id[:at])
 }
 
-// Observe returns the groups that a service's servers tell of, sorted by name. What
-// servers of other services, or of none that is known, say of groups does not count.
+// Observe returns the groups that a service's servers report, sorted by name. Reports of
+// servers of other or unknown services are ignored.
 func Observe(servers follower.Servers, service garnetworks.ServiceName, sizes map[garnetworks.ModelName]int) []Group {
 	byName := make(map[garnetworks.GroupID]*Group)
 	ended := make(map[garnetworks.GroupID]garnetworks.FencingToken)
@@ -106,7 +106,7 @@
 	return groups
 }
 
-// finish sorts the members and judges them together.
+// finish removes members of older epochs, sorts the rest by rank and sets the group's flags.
 func (g *Group) finish(size int) {
 	g.Members = slices.DeleteFunc(g.Members, func(s garnetworks.RegisteredServer) bool {
 		return s.Membership.Epoch != g.Epoch
@@ -117,8 +117,8 @@
 	g.Complete = size > 0 && len(g.Members) == size
 	opened := len(g.Members) > 0 && g.Members[0].Membership.Rank == 0 && g.Members[0].Membership.State == garnetworks.MemberOpen
 	for i := range g.Members {
-		// All members were ready when the head opened (rule O1). One that joins after
-		// that has started again, and took a join that was carried out late.
+		// All members were ready when the head opened (rule O1). One that joins an open group
+		// has restarted and carried out a delayed join.
 		g.Lost = g.Lost || opened && g.Members[i].Membership.State == garnetworks.MemberJoining
 		if g.Members[i].Membership.Rank != i {
 			g.Complete = false
@@ -129,7 +129,7 @@
 	}
 }
 
-// Sizes returns the group sizes of all models.
+// Sizes returns the group size of each model.
 func Sizes(profile *garnetworks.EngineProfile) map[garnetworks.ModelName]int {
 	sizes := make(map[garnetworks.ModelName]int, len(profile.Models))
 	for _, m := range profile.Models {
--- a/former/orders.go
+++ b/former/orders.go
@@ -8,13 +8,13 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// sentOrder is the last order to an instance.
+// sentOrder is the last order other than a stage that was sent to an instance.
 type sentOrder struct {
 	order garnetworks.GroupOrder
-	// at is when it was sent.
+	// at is when it was last sent.
 	at       time.Time
 	attempts int
-	// taken says that the engine accepted it.
+	// accepted says that the engine accepted it.
 	accepted bool
 }
 
@@ -24,22 +24,19 @@
 	at    time.Time
 }
 
-// urgency is the place of an order among those that wait to be sent: what lets callers
-// be served goes before what tidies up, and that before what prepares for losses
-// (rule O8).
+// urgency is the priority of an order that waits to be sent, the most urgent first (rule O8).
 type urgency int
 
 const (
-	// urgentOpening lets a group serve that is ready now.
+	// urgentOpening lets a group serve that is ready.
 	urgentOpening urgency = iota
-	// urgentForming brings instances from a group that can't serve into one that will.
+	// urgentForming moves instances from a group that can't serve into one that will.
 	urgentForming
-	// urgentLacking loads what a group lacks.
+	// urgentMissing loads the models that a group lacks.
 	urgentMissing
-	// urgentTidying takes instances out of groups that were given up, and prepares
-	// spares.
+	// urgentCleanup takes instances out of abandoned groups and prewarms spares.
 	urgentCleanup
-	// urgentSpare loads models onto hosts that no group lacks now.
+	// urgentSpare loads models onto hosts for which no group is waiting.
 	urgentSpare
 )
 
@@ -48,8 +45,8 @@
 	urgency urgency
 }
 
-// byUrgency returns the plan's orders in the order of sending. Those of one group stay
-// together, so that it is ordered whole before the next one begins.
+// byUrgency returns the plan's orders in the order of sending. The sort is stable, so that
+// the orders of one group stay together.
 func (r *plan) byUrgency() []garnetworks.GroupOrder {
 	slices.SortStableFunc(r.orders, func(a, b urgentOrder) int { return cmp.Compare(a.urgency, b.urgency) })
 	orders := make([]garnetworks.GroupOrder, len(r.orders))
@@ -59,11 +56,11 @@
 	return orders
 }
 
-// Sent notes that an order of the newest plan is sent now, from when its time counts.
+// Sent records that an order of the newest plan is sent now.
 //
-// Failure: the times of orders counted from the plan. Where hundreds were due at once,
-// those at the end were sent again, and their instances left out for not having taken
-// them, before they had been sent at all.
+// Failure: the times of orders counted from the plan. Where hundreds were due at once, the
+// last ones were sent again, and their instances excluded for not accepting them, before they
+// had been sent at all.
 func (p *Planner) Sent(now time.Time, o garnetworks.GroupOrder) {
 	switch o.Kind {
 	case garnetworks.GroupStage:
@@ -83,7 +80,7 @@
 	return a.Kind == b.Kind && a.Group == b.Group && a.Model == b.Model
 }
 
-// Answered takes the engine's answer to an order.
+// Answered records the engine's response to an order.
 func (p *Planner) Answered(now time.Time, order garnetworks.GroupOrder, err error) {
 	s := p.sent[order.Incarnation]
 	if s != nil && s.order.Kind == order.Kind && s.order.Group == order.Group {
@@ -92,7 +89,7 @@
 	gone := garnetworks.IsKind(err, garnetworks.KindNotFound)
 	switch order.Kind {
 	case garnetworks.GroupLeave:
-		// A conflict says that the engine is not in the group any more.
+		// A conflict means that the engine is no longer in the group.
 		if err == nil || garnetworks.IsKind(err, garnetworks.KindConflict) {
 			p.left[order.Incarnation] = garnetworks.Membership{Group: order.Group, Epoch: order.Epoch}
 		}
@@ -103,8 +100,8 @@
 	}
 }
 
-// send adds an order unless the same one was sent a moment ago, or the plan has another
-// one for the instance.
+// send adds an order unless the same one was sent a moment ago, or the plan already has one
+// for the instance.
 func (r *plan) send(u urgency, o garnetworks.GroupOrder) {
 	if s := r.sent[o.Incarnation]; s != nil && sameOrder(&s.order, &o) && r.now.Sub(s.at) < r.resendAfter(s) || r.ordered.Has(o.Incarnation) {
 		return
@@ -113,9 +110,8 @@
 	r.add(u, o)
 }
 
-// again returns how long an order may go without effect before it is sent again. A head
-// that has taken the order to open says so by its entry after its own time only; without
-// this each group was ordered to open twice or more.
+// resendAfter returns how long an order may go without effect before it is sent again. A head
+// that has accepted an order to open reports it only after FormTime.
 func (r *plan) resendAfter(s *sentOrder) time.Duration {
 	if s.accepted && s.order.Kind == garnetworks.GroupOpen {
 		return r.Profile.FormTime + 2*resendInterval
--- a/former/partitions.go
+++ b/former/partitions.go
@@ -7,17 +7,16 @@
 	"github.com/garnetworks/garnetworks/follower"
 )
 
-// notePartitions finds the domains of which it is not sure what has been lost.
+// detectPartitions finds the domains whose entries may be missing because of a partition.
 //
-// Failure: an availability zone is cut off and its groups serve on. Its entries
-// vanish one after the other, and come back one after the other; a group of which
-// a part is listed looks like one that has lost members, and was dissolved the
-// moment its zone came back.
+// Failure: an availability zone is cut off and its groups keep serving. Its entries vanish and
+// return one after the other; a partly listed group looked like one that has lost members,
+// and was dissolved when the zone returned.
 func (r *plan) detectPartitions() {
 	vanished := make(map[garnetworks.DomainID]int)
 	for id, s := range r.lastServers {
-		// An instance that is listed under a later life has started again; its earlier
-		// one is no entry that a partition hides.
+		// An instance that is listed under a later incarnation has restarted; no partition
+		// hides its earlier entry.
 		if _, listed := r.Servers[id]; listed {
 			continue
 		}
@@ -54,14 +53,14 @@
 	}
 }
 
-// wait keeps a domain's groups from being dissolved for a while.
+// deferDissolution keeps a domain's groups from being dissolved for at least d.
 func (r *plan) deferDissolution(domain garnetworks.DomainID, d time.Duration) {
 	if until := r.now.Add(d); until.After(r.uncertainUntil[domain]) {
 		r.uncertainUntil[domain] = until
 	}
 }
 
-// recentlyGone counts the entries that vanished from a domain within massTime.
+// recentlyVanished counts the entries that vanished from a domain within partitionWindow.
 func (r *plan) recentlyVanished(domain garnetworks.DomainID) int {
 	n := 0
 	for id, at := range r.vanishedAt {
@@ -72,7 +71,8 @@
 	return n
 }
 
-// domains remembers the domains of servers, also of those that have vanished.
+// recordDomains records the domains of listed servers and drops those of servers that are
+// neither listed nor recently vanished.
 func (r *plan) recordDomains(servers follower.Servers) {
 	for _, s := range servers {
 		r.domainOf[s.Incarnation()] = s.Domain
--- a/former/planner.go
+++ b/former/planner.go
@@ -10,52 +10,52 @@
 	"github.com/garnetworks/garnetworks/follower"
 )
 
-// Times of the planner.
+// Times and limits of orders.
 const (
-	// orderAgain is how long an order may go unanswered before it is sent again.
-	// Engines answer within milliseconds and tell their state by the store within
-	// some tens of them; a repeated order changes nothing.
+	// resendInterval is how long an order may go unanswered before it is sent again. Engines
+	// respond and report their state within tens of milliseconds; repeated orders are
+	// idempotent.
 	resendInterval = 250 * time.Millisecond
-	// joinMargin is added to the time that a join should take before the group
-	// is given up: a store that is slow tells it late.
+	// joinMargin is added to the time that a join should take before the group is
+	// abandoned, since a slow store reports it late.
 	joinMargin = 4 * time.Second
-	// shunTime is how long an instance that did not take a join is left out.
+	// exclusionTime is how long an instance that did not accept a join is excluded.
 	exclusionTime = 3 * time.Second
-	// joinTries is the number of unanswered joins after which a member is shunned.
+	// maxJoinAttempts is the number of unanswered joins after which a member is excluded.
 	maxJoinAttempts = 6
 )
 
-// Times and numbers by which a partition is told from losses.
+// Parameters that distinguish a partition from losses.
 const (
-	// massCount entries that vanish from a domain within massTime are a partition or
-	// a dark domain rather than losses of single engines.
+	// partitionCount entries that vanish from a domain within partitionWindow indicate a
+	// partition or an unreachable domain rather than losses of single engines.
 	partitionCount  = 4
 	partitionWindow = 4 * time.Second
-	// returnTime is how long after a return the others' entries may take to be back;
-	// the platform says about two seconds.
+	// returnGrace is how long after the return of one entry the domain's other entries may
+	// take to return.
 	returnGrace = 2300 * time.Millisecond
-	// answerTime is the same for instances that answer probes again: each dark one is
-	// probed once in it.
+	// probeReturnGrace is the same for instances that answer probes again. It exceeds
+	// unresponsiveProbeInterval, so that each unresponsive one is probed within it.
 	probeReturnGrace = time.Second
 )
 
-// Input is what a plan is made from.
+// Input is the input of a plan.
 type Input struct {
 	Servers follower.Servers
 	Service garnetworks.ServiceName
 	Profile *garnetworks.EngineProfile
-	// Dark holds the instances that do not answer although their entries stand.
+	// Unresponsive holds the instances that don't answer probes although they are listed.
 	Unresponsive garnetworks.Set[garnetworks.Incarnation]
-	// Term is the lease's.
+	// Term is the lease's term.
 	Term uint32
-	// Moving holds the groups that gave an event to some node a moment ago.
+	// Progressing holds the groups that recently sent an event to some node.
 	Progressing garnetworks.Set[garnetworks.GroupID]
 	// Loads is the number of loads from the weight store that may begin now.
 	Loads int
-	// Work is the number of calls of each model that are or could be running, as observed;
-	// empty if nothing is known.
+	// Demand is the observed number of calls of each model that are running or could be
+	// running; empty if unknown.
 	Demand map[garnetworks.ModelName]float64
-	// Unhurried says that no call has come yet, so that loads hold nothing up.
+	// BeforeFirstCall says that no call has arrived yet, so that loads delay nobody.
 	BeforeFirstCall bool
 }
 
@@ -65,35 +65,35 @@
 	epoch   garnetworks.FencingToken
 	model   garnetworks.ModelName
 	members []garnetworks.Incarnation
-	// until is when it is given up.
+	// deadline is when the formation is abandoned.
 	deadline time.Time
-	// prepares says that the group is of one spare alone and never opens: it takes the
-	// model into the instance's memory, so that a later join takes no warm start.
+	// prewarms marks a group of a single spare that never opens: it loads the model into the
+	// instance's memory, so that a later join needs no warm start.
 	prewarms bool
 	// loading are the members that had to load the weights from the weight store.
 	loading []garnetworks.Incarnation
 }
 
-// Planner remembers what was ordered and not yet told by the engines. It is for
-// one goroutine.
+// Planner plans the orders of one service. It keeps what was ordered and not yet reported by
+// the engines. It is not safe for concurrent use.
 type Planner struct {
 	sequence   uint32
 	term       uint32
 	formations map[garnetworks.GroupID]*formation
 	sent       map[garnetworks.Incarnation]*sentOrder
-	// left holds, for an instance, the group and epoch that it has left by its own
-	// word (rule O2). The store tells it a little later.
+	// left holds the group and epoch that an instance last acknowledged to have left
+	// (rule O2). The store shows it a little later.
 	left map[garnetworks.Incarnation]garnetworks.Membership
-	// joined holds the last group that an instance was ordered into. The store
-	// tells of it a little later; until then the instance may be in it.
+	// joined holds the last group that an instance was ordered to join. The store shows it a
+	// little later; until then the instance may be in it.
 	joined   map[garnetworks.Incarnation]garnetworks.Membership
 	excluded map[garnetworks.Incarnation]time.Time
-	// prepared holds the model that a spare was prepared for.
+	// prewarmed holds the model that a spare was last prewarmed for.
 	prewarmed map[garnetworks.Incarnation]garnetworks.ModelName
-	// abandoned are the groups that were given up while they were formed.
+	// abandoned are the groups that were given up while they were being formed.
 	abandoned garnetworks.Set[garnetworks.GroupID]
-	// seen is the last view, gone when entries vanished from it, dark the instances
-	// that did not answer then.
+	// lastServers and lastUnresponsive are those of the last plan; vanishedAt holds when
+	// entries vanished.
 	lastServers follower.Servers
 	vanishedAt  map[garnetworks.Incarnation]time.Time
 	// domainOf holds the domains of the listed and the vanished servers.
@@ -101,10 +101,10 @@
 	lastUnresponsive garnetworks.Set[garnetworks.Incarnation]
 	// staged holds the last order to load a model onto each instance's host.
 	staged map[garnetworks.Incarnation]stagedLoad
-	// exchanges holds what each domain gives up a group for.
+	// reallocations holds the reallocation in progress in each domain.
 	reallocations map[garnetworks.DomainID]*reallocation
 	demand        demandTracker
-	// unsure holds the domains whose groups are not dissolved before a time.
+	// uncertainUntil holds the time until which a domain's groups are not dissolved.
 	uncertainUntil map[garnetworks.DomainID]time.Time
 }
 
@@ -133,21 +133,21 @@
 	now    time.Time
 	groups []Group
 	orders []urgentOrder
-	// ordered are the instances that this plan orders something, stages the models that
-	// it orders them to load.
+	// ordered are the instances that this plan has an order for; plannedStages are the models
+	// that it orders them to load onto their hosts; loadsLeft is the rest of the load budget.
 	ordered       garnetworks.Set[garnetworks.Incarnation]
 	plannedStages map[garnetworks.Incarnation]garnetworks.ModelName
 	loadsLeft     int
-	// unsettled are the domains in which answers to orders to leave are awaited.
+	// pendingLeaves are the domains in which responses to orders to leave are awaited.
 	pendingLeaves garnetworks.Set[garnetworks.DomainID]
 }
 
-// Plan returns the orders that are due, the most urgent ones first. Those that are sent
-// are told to Sent; the others are void once the next plan is made, which names them
-// again if they still matter.
+// Plan returns the orders that are due, the most urgent ones first. The caller reports each
+// one that it sends to Sent and drops the others when the next plan is made, which repeats
+// those that are still needed.
 func (p *Planner) Plan(now time.Time, in Input) []garnetworks.GroupOrder {
 	if in.Term != p.term {
-		// A new holding: what an earlier one ordered is read from the engines.
+		// A new term of the lease: the engines report what earlier holders ordered.
 		p.term, p.sequence = in.Term, 0
 		clear(p.formations)
 		clear(p.sent)
@@ -181,7 +181,7 @@
 	return s.Service == r.Service && s.State == garnetworks.ListedLive && !r.Unresponsive.Has(s.Incarnation()) && !r.now.Before(r.excluded[s.Incarnation()])
 }
 
-// forget drops what no longer matters, so that memory stays bounded.
+// forget drops state that is no longer needed, so that memory stays bounded.
 func (r *plan) forget() {
 	const keep = time.Minute
 	const most = 256
@@ -201,7 +201,7 @@
 	return slices.SortedFunc(maps.Keys(m), garnetworks.Incarnation.Compare)
 }
 
-// server returns the entry of a life; none if it is not listed, or a later life is.
+// server returns the entry of an incarnation; false if it is not listed or a later one is.
 func (r *plan) server(l garnetworks.Incarnation) (garnetworks.RegisteredServer, bool) {
 	return serverOf(r.Servers, l)
 }
@@ -225,7 +225,7 @@
 	})
 }
 
-// forgetAbandoned drops the groups that no instance names any more.
+// forgetAbandoned drops the abandoned groups that no instance reports any more.
 func (r *plan) forgetAbandoned() {
 	named := make(garnetworks.Set[garnetworks.GroupID])
 	for i := range r.groups {
--- a/former/planner_test.go
+++ b/former/planner_test.go
@@ -23,9 +23,8 @@
 	}
 }
 
-// Story: a member of a group is lost, and the spare that takes its place has the
-// weights on its host only: it starts warm while the whole group waits. A spare
-// that was prepared joins as fast as the survivors do.
+// A spare that holds the weights only on its host needs a warm start while its group waits. A
+// prewarmed one joins as fast as the remaining members.
 func TestPrewarmedSpareJoinsAtOnce(t *testing.T) {
 	w := newSimulation(1, 11)
 	w.run(40 * time.Second)
@@ -37,8 +36,8 @@
 	}
 }
 
-// Story: both spares of a domain held the large model. A lost member of a small
-// group was replaced by one of them, and the group waited 12 s for its load.
+// Spares must not all hold the same model, or a lost member of another model's group is replaced
+// only after a load.
 func TestEachModelHasASpare(t *testing.T) {
 	w := newSimulation(1, 11)
 	w.run(40 * time.Second)
@@ -50,8 +49,8 @@
 	}
 }
 
-// Story: a site starts. Its domains hold one large and one small group each and
-// two spares; other mixtures leave whole groups' worth of engines idle.
+// At the start of a site, each domain must form one large and one small group and two spares;
+// other mixtures leave more engines idle.
 func TestDomainsAreFilled(t *testing.T) {
 	w := newSimulation(6, 11)
 	w.run(30 * time.Second)
@@ -66,7 +65,7 @@
 	}
 }
 
-// member returns the member of a serving group of a model with a rank.
+// member returns the member with the given rank of a group of the model, or nil.
 func (w *simulation) member(model garnetworks.ModelName, rank int) *engine {
 	for _, domain := range slices.Sorted(maps.Keys(w.domains())) {
 		if e := w.memberOf(domain, model, rank); e != nil {
@@ -76,7 +75,7 @@
 	return nil
 }
 
-// memberOf returns the same of a domain.
+// memberOf returns the same within a domain.
 func (w *simulation) memberOf(domain garnetworks.DomainID, model garnetworks.ModelName, rank int) *engine {
 	for _, id := range slices.Sorted(maps.Keys(w.engines)) {
 		if e := w.engines[id]; e.Domain == domain && e.Model == model && e.Membership.Group != "" && e.Membership.Rank == rank && !e.dead {
@@ -94,23 +93,22 @@
 	return domains
 }
 
-// Story: a member of a group dies. The group can't serve, its other members hold
-// the weights, and a spare holds them on its host: a new group serves within two
-// seconds, not after a load of 16.
+// A group that lost a member is replaced by one with a spare that holds the weights, within a
+// warm start rather than a load.
 func TestLostMemberIsReplaced(t *testing.T) {
 	cases := map[string]struct {
 		rank   int
 		inject func(*engine)
 	}{
-		"member dies":          {1, func(e *engine) { e.dead = true }},
-		"head dies":            {0, func(e *engine) { e.dead = true }},
-		"member falls silent":  {2, func(e *engine) { e.unresponsive = true }},
-		"head falls silent":    {0, func(e *engine) { e.unresponsive = true }},
-		"member is cut off":    {3, func(e *engine) { e.partitioned = true }},
-		"member will stop":     {4, func(e *engine) { e.State = garnetworks.ListedLeaving }},
-		"head will stop":       {0, func(e *engine) { e.State = garnetworks.ListedLeaving }},
-		"member started anew":  {5, (*engine).restart},
-		"head broke by itself": {0, func(e *engine) { e.Membership.State = garnetworks.MemberBroken }},
+		"member dies":            {1, func(e *engine) { e.dead = true }},
+		"head dies":              {0, func(e *engine) { e.dead = true }},
+		"member is unresponsive": {2, func(e *engine) { e.unresponsive = true }},
+		"head is unresponsive":   {0, func(e *engine) { e.unresponsive = true }},
+		"member is cut off":      {3, func(e *engine) { e.partitioned = true }},
+		"member is leaving":      {4, func(e *engine) { e.State = garnetworks.ListedLeaving }},
+		"head is leaving":        {0, func(e *engine) { e.State = garnetworks.ListedLeaving }},
+		"member restarts":        {5, (*engine).restart},
+		"head is broken":         {0, func(e *engine) { e.Membership.State = garnetworks.MemberBroken }},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -127,9 +125,8 @@
 	}
 }
 
-// Story: a member of a small group is cut off from the store for five seconds. The
-// only spare has to load the small model for twelve seconds, and the other members
-// wait with it, though the member is back with the weights long before.
+// A member of a small group is cut off for some seconds while the only spare would need a load.
+// When it returns with the weights it must be used at once.
 func TestReturningMemberIsReused(t *testing.T) {
 	w := newSimulation(1, 10)
 	w.run(30 * time.Second)
@@ -149,9 +146,8 @@
 	}
 }
 
-// Story: engines are cut off from the store and from the holder of the lease, while
-// calls still reach them and get their events. Their groups were dissolved, and the
-// calls of all nodes with them.
+// Engines are cut off from the store and from the lease holder while their groups still send
+// events to other nodes. These groups must not be dissolved.
 func TestProgressingGroupIsKept(t *testing.T) {
 	w := newSimulation(1, 11)
 	w.run(30 * time.Second)
@@ -161,19 +157,18 @@
 	lost.partitioned, lost.unresponsive = true, true
 	w.run(5 * time.Second)
 	if w.leaveOrders != 0 {
-		t.Errorf("%d members were ordered to leave a group that serves", w.leaveOrders)
+		t.Errorf("%d members were ordered to leave a group that is serving", w.leaveOrders)
 	}
 	w.progressing = nil
 	w.run(3 * time.Second)
 	checkRules(t, w)
 	if got := w.serving(); got["large"] != 1 {
-		t.Errorf("serving %v after the group stood still", got)
+		t.Errorf("serving %v after the group stalled", got)
 	}
 }
 
-// Story: the head of a group stops without having said so: its entry is removed, and
-// it goes on answering the calls that it has. The other members were ordered to leave
-// at once, the head stood still, and its streams broke off in the middle.
+// The head's entry is removed without notice while it finishes its calls. Ordering the other
+// members to leave would interrupt its streams.
 func TestHeadThatLeavesUnannouncedFinishesItsCalls(t *testing.T) {
 	w := newSimulation(2, 11)
 	w.run(30 * time.Second)
@@ -183,7 +178,7 @@
 	w.leaveOrders = 0
 	w.run(2 * time.Second)
 	if w.leaveOrders != 0 {
-		t.Errorf("%d members were ordered to leave while the head gave events", w.leaveOrders)
+		t.Errorf("%d members were ordered to leave while the head sent events", w.leaveOrders)
 	}
 	w.progressing = nil
 	w.run(3 * time.Second)
@@ -193,9 +188,8 @@
 	}
 }
 
-// Story: an availability zone is cut off from the store, and its groups serve on.
-// When it is back, its engines still are in their groups; the holder of the lease
-// had taken the groups for gone and ordered the engines into others.
+// A zone is cut off from the store and its groups keep serving. After its return they must not
+// be dissolved.
 func TestGroupsOfReturnedZoneKeepServing(t *testing.T) {
 	w := newSimulation(2, 11)
 	w.run(60 * time.Second)
@@ -215,13 +209,12 @@
 		t.Errorf("serving %v after the return", got)
 	}
 	if w.orders != orders {
-		t.Errorf("%d orders were sent to groups that were whole", w.orders-orders)
+		t.Errorf("%d orders were sent to complete groups", w.orders-orders)
 	}
 }
 
-// Story: the same, but the zone's entries vanish and come back one after the other,
-// and its engines answer no probes meanwhile. Each time a part of a group is listed;
-// its members were ordered to leave as soon as one of them could be reached.
+// The same, but entries vanish and return one after the other and probes fail meanwhile, so
+// that groups are partly listed. Their members must not be ordered to leave.
 func TestGroupsOfGraduallyReturningZoneKeepServing(t *testing.T) {
 	w := newSimulation(2, 11)
 	w.run(30 * time.Second)
@@ -249,12 +242,12 @@
 		t.Errorf("serving %v after the return", got)
 	}
 	if w.leaveOrders != 0 {
-		t.Errorf("%d members were ordered to leave groups that were whole", w.leaveOrders)
+		t.Errorf("%d members were ordered to leave complete groups", w.leaveOrders)
 	}
 }
 
-// Story: the holder of the lease dies between a group's joins and its opening. The
-// next holder finds members that are ready in a group that nobody has opened.
+// The lease holder fails between a group's joins and its opening. The next one must open the
+// group.
 func TestNextLeaseHolderContinuesFormation(t *testing.T) {
 	w := newSimulation(1, 11)
 	for range 18 {
@@ -269,8 +262,8 @@
 	}
 }
 
-// Story: the answers of a broken group's members come one after the other. With
-// the first three a small group was formed, and the large one was never replaced.
+// The members of a broken group acknowledge one after the other. The first ones must not be
+// formed into a smaller group.
 func TestDomainWaitsForAllLeaveResponses(t *testing.T) {
 	w := newSimulation(1, 11)
 	w.run(30 * time.Second)
@@ -281,10 +274,8 @@
 	}
 }
 
-// Story: anything happens to engines, stores and holders in any order, views lag,
-// and orders come late. No engine is ordered into a second group without leaving
-// the first one, no group opens without all its members, and once the trouble is
-// over all domains are filled again.
+// With random faults of engines, stores and lease holders, lagging views and delayed orders,
+// rules O1 and O2 hold, and all domains are filled once the faults end.
 func TestAnyTroubleKeepsTheRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSimulation(2, 11)
@@ -325,7 +316,7 @@
 	return idle
 }
 
-// trouble strikes one engine, or the holder of the lease.
+// injectFault injects a random fault into one engine, or replaces the lease holder.
 func (w *simulation) injectFault(t *rapid.T, step int) {
 	ids := slices.Sorted(maps.Keys(w.engines))
 	id := rapid.SampledFrom(ids).Draw(t, "engine")
@@ -341,7 +332,7 @@
 	case 3:
 		e.Membership, e.Model, e.epoch = garnetworks.Membership{}, "", 0
 	case 4:
-		// A new holder reads the store anew before it acts.
+		// A new lease holder reads the store before it acts.
 		w.term++
 		w.refreshView()
 	case 5:
--- a/former/prober.go
+++ b/former/prober.go
@@ -11,45 +11,46 @@
 )
 
 const (
-	// probeTime bounds a probe. An engine that lives answers within some
-	// milliseconds, whatever its load.
+	// probeTimeout bounds a probe. A live engine responds within some milliseconds, whatever
+	// its load.
 	probeTimeout = 150 * time.Millisecond
-	// probeTries is the number of probes in a row without an answer after which
-	// an instance counts as dark.
+	// probeAttempts is the number of failed probes in a row after which an instance is
+	// unresponsive.
 	probeAttempts = 2
-	// darkProbeEvery is the time between two probes of a dark instance.
+	// unresponsiveProbeInterval is the time between two probes of an unresponsive instance.
 	unresponsiveProbeInterval = 700 * time.Millisecond
-	// suspectEvery bounds the probes that suspicions of one group cause.
+	// suspectInterval is the minimum time between two rounds of probes of a suspected group.
 	suspectInterval = 400 * time.Millisecond
-	// ownDelay is how late the end of a probe may be noticed before the probe says
-	// more of this node than of the engine. Timers of a node with time to spare fire
-	// within a few milliseconds.
+	// localDelay is how late a probe's timeout may be noticed before the delay is attributed
+	// to this node. Timers fire within a few milliseconds unless the node is overloaded.
 	localDelay = 20 * time.Millisecond
-	// mostLate bounds the probes in a row that are left out for this node's delay, so
-	// that a node that is always late finds losses all the same.
+	// maxLateProbes bounds the probes in a row that are discarded for this node's delay, so
+	// that a node that is always late detects losses too.
 	maxLateProbes = 3
-	// silenceWindow is the time in which silences are taken together, and doubtFor for
-	// how long many of them in several zones are presumed to be this node's own fault.
-	// Two windows are enough to be told by others that the groups give no events.
+	// localFaultWindow is the time over which failed probes are counted. localFaultHold is
+	// how long failures in several zones are presumed to be a local fault, which leaves time
+	// for other nodes to report that the groups send no events.
 	localFaultWindow = time.Second
 	localFaultHold   = 2 * time.Second
-	// silentMany silences of a zone within the window are more than single losses.
+	// zoneFailureCount is the number of failed probes of a zone within the window that
+	// indicates more than single losses.
 	zoneFailureCount = 4
 )
 
-// prober asks engines whether they live, and holds what it found.
+// prober probes engines and holds the results.
 type prober struct {
 	probeWindow congestionWindow
-	// waiting are the probes that wait for room in flight, the oldest first.
+	// probeQueue holds the probes that wait for the window, the oldest first.
 	probeQueue []pendingProbe
-	// dark instances do not answer.
+	// unresponsive instances failed their last probes.
 	unresponsive garnetworks.Set[garnetworks.Incarnation]
-	// doubted instances did not answer an order and are to be probed.
+	// unconfirmed instances must be probed: they did not answer an order, or their last probe
+	// was discarded.
 	unconfirmed garnetworks.Set[garnetworks.Incarnation]
 	misses      map[garnetworks.Incarnation]int
-	// late counts the probes in a row that this node's own delay spoilt.
+	// lateProbes counts the probes in a row that were discarded for this node's delay.
 	lateProbes map[garnetworks.Incarnation]int
-	// probing holds when a probe of each instance was asked for.
+	// lastProbe is when the last probe of each instance was queued.
 	lastProbe     map[garnetworks.Incarnation]time.Time
 	lastSuspected map[garnetworks.GroupID]time.Time
 	probeResults  chan probeResult
@@ -61,14 +62,14 @@
 	attempts int
 }
 
-// probed is the end of a probe.
+// probeResult is the result of a probe.
 type probeResult struct {
 	incarnation garnetworks.Incarnation
 	zone        garnetworks.ZoneID
 	err         error
-	// took is the time to the answer or to the end of the wait for it.
+	// took is the time to the response or to the timeout.
 	took time.Duration
-	// last says that no further try follows.
+	// last says that no further attempt follows.
 	last bool
 }
 
@@ -85,23 +86,23 @@
 	}
 }
 
-// silence tells one's own fault from that of others.
+// localFaultDetector distinguishes a fault of this node from faults of others.
 //
-// Load pattern: the node is cut off from the engines, or late itself. Then engines of
-// several zones are silent at once, most of those that are asked; a zone or a domain
-// that is lost leaves the other zones' engines as they were.
+// Load pattern: the node is cut off from the engines or overloaded. Then most probes of
+// several zones fail at once, whereas the loss of a zone or a domain leaves other zones as
+// they were.
 type localFaultDetector struct {
 	zones map[garnetworks.ZoneID]*zoneProbes
 	began time.Time
-	// since is when the present doubt began.
+	// suspectedSince is when the present suspicion began.
 	suspectedSince time.Time
 }
 
-// zoneProbes counts the instances of a zone that were probed in a window.
+// zoneProbes counts the failed and the answered probes of a zone in a window.
 type zoneProbes struct{ failed, responsive int }
 
-// note takes a probe's result, and reports whether its silence is presumed to be this
-// node's own fault.
+// observe records a probe's result, and reports whether its failure is presumed to be a local
+// fault.
 func (s *localFaultDetector) observe(now time.Time, zone garnetworks.ZoneID, failed bool) bool {
 	if s.zones == nil || now.Sub(s.began) > localFaultWindow {
 		s.zones, s.began = make(map[garnetworks.ZoneID]*zoneProbes), now
@@ -131,9 +132,9 @@
 	return now.Sub(s.suspectedSince) <= localFaultHold
 }
 
-// doubt notes that an instance did not answer an order. Only probes tell whether it
-// is dark: orders get lost, or are carried out late, at instances that serve well,
-// and a group that is given up for that is lost for nothing.
+// scheduleProbe has an instance probed before it may count as unresponsive. An unanswered order
+// is not enough: orders get lost or delayed at instances that serve well, and their groups
+// would be abandoned without need.
 func (f *Former) scheduleProbe(id garnetworks.Incarnation) {
 	if len(f.unconfirmed) < cap(f.probeResults) {
 		f.unconfirmed.Add(id)
@@ -151,14 +152,14 @@
 		return
 	}
 	if garnetworks.IsKind(p.err, garnetworks.KindNotFound) {
-		// Another life, or another engine, answers at the address: the one that was
-		// asked has ended, and a second probe would say the same.
+		// A later incarnation or another engine answers at the address: the probed one has
+		// ended, and a second probe would fail too.
 		f.misses[p.incarnation] = probeAttempts
 		f.recordMiss(p.incarnation)
 		return
 	}
-	// Failure: the node stands still for a moment, and finds the answer and the end of
-	// the wait for it at once. It took the engine for silent, and its group was given up.
+	// Failure: the node pauses and finds the response and the timeout at once. It took the
+	// engine for unresponsive, and its group was abandoned.
 	if p.took > probeTimeout+localDelay && f.lateProbes[p.incarnation] < maxLateProbes {
 		f.lateProbes[p.incarnation]++
 		f.scheduleProbe(p.incarnation)
@@ -171,14 +172,14 @@
 	f.recordMiss(p.incarnation)
 }
 
-// presumesOwnFault notes an instance's silence, and tells when a doubt begins.
+// suspectsLocalFault records a failed probe and emits an event when a suspicion begins.
 func (f *Former) suspectsLocalFault(now time.Time, p *probeResult) bool {
 	before := f.localFault.suspectedSince
 	isLocal := f.localFault.observe(now, p.zone, true)
 	if f.localFault.suspectedSince != before {
 		f.options.Recorder.Record(garnetworks.Event{
 			Kind: garnetworks.EventLocalFaultSuspected, Zone: p.zone, Instance: p.incarnation.Instance,
-			Detail: "most instances of several zones are silent at once; none counts as silent for " + localFaultHold.String(),
+			Detail: "most probes fail in several zones at once; a local fault is presumed for " + localFaultHold.String(),
 		})
 	}
 	return isLocal
@@ -201,17 +202,17 @@
 	}
 	f.unresponsive.Add(id)
 	f.needsPlan = true
-	f.options.Recorder.Record(garnetworks.Event{Kind: garnetworks.EventInstanceUnresponsive, Instance: id.Instance, Detail: fmt.Sprintf("%d probes in a row without an answer", f.misses[id])})
+	f.options.Recorder.Record(garnetworks.Event{Kind: garnetworks.EventInstanceUnresponsive, Instance: id.Instance, Detail: fmt.Sprintf("%d probes in a row failed", f.misses[id])})
 }
 
-// suspect probes the members of a group twice.
+// suspect probes the members of a group up to probeAttempts times each.
 func (f *Former) suspect(id garnetworks.GroupID) {
 	now := time.Now()
 	if f.options.Lease.Term(now) == 0 || now.Sub(f.lastSuspected[id]) < suspectInterval {
 		return
 	}
 	f.lastSuspected[id] = now
-	f.options.Recorder.Record(garnetworks.Event{Kind: garnetworks.EventGroupSuspected, Group: id, Detail: "no events for a while, or a refusal; its members are probed"})
+	f.options.Recorder.Record(garnetworks.Event{Kind: garnetworks.EventGroupSuspected, Group: id, Detail: "no recent events, or a refused call; its members are probed"})
 	for _, s := range f.options.Follower.Servers() {
 		if s.Membership.Group == id {
 			f.probe(s, probeAttempts)
@@ -219,8 +220,8 @@
 	}
 }
 
-// probe asks an instance up to tries times, until it answers. It returns false if the
-// last probe of it may still be under way.
+// probe queues up to attempts probes of an instance, which end when it responds. It returns
+// false if the last ones may still be running.
 func (f *Former) probe(s garnetworks.RegisteredServer, attempts int) bool {
 	if time.Since(f.lastProbe[s.Incarnation()]) < probeTimeout*time.Duration(attempts) {
 		return false
@@ -230,7 +231,7 @@
 	return true
 }
 
-// dispatchProbes sends the probes for which there is room in flight.
+// dispatchProbes starts the queued probes that the window allows.
 func (f *Former) dispatchProbes(ctx context.Context) {
 	for len(f.probeQueue) > 0 && f.probeWindow.available() > 0 {
 		next := f.probeQueue[0]
@@ -257,7 +258,7 @@
 	}
 }
 
-// probeDark asks dark instances whether they are back.
+// probeUnresponsive probes unresponsive instances to find those that have recovered.
 func (f *Former) probeUnresponsive(servers follower.Servers) {
 	for id := range f.unresponsive {
 		if s, ok := serverOf(servers, id); ok && time.Since(f.lastProbe[id]) >= unresponsiveProbeInterval {
@@ -266,7 +267,7 @@
 	}
 }
 
-// probeDoubted asks the instances that did not answer an order whether they live.
+// probeUnconfirmed probes the unconfirmed instances.
 func (f *Former) probeUnconfirmed(servers follower.Servers) {
 	for id := range f.unconfirmed {
 		if s, ok := serverOf(servers, id); !ok || f.probe(s, probeAttempts) {
@@ -275,13 +276,13 @@
 	}
 }
 
-// forget drops what is known of instances that are not registered any more.
+// forget drops the state of instances that are no longer registered.
 func (f *Former) forget(servers follower.Servers) {
 	gone := func(id garnetworks.Incarnation) bool { _, ok := serverOf(servers, id); return !ok }
 	maps.DeleteFunc(f.unresponsive, func(id garnetworks.Incarnation, _ struct{}) bool { return gone(id) })
 	maps.DeleteFunc(f.misses, func(id garnetworks.Incarnation, _ int) bool { return gone(id) })
 	maps.DeleteFunc(f.lateProbes, func(id garnetworks.Incarnation, _ int) bool { return gone(id) })
 	maps.DeleteFunc(f.lastProbe, func(id garnetworks.Incarnation, _ time.Time) bool { return gone(id) })
-	// Groups come and go; those asked about long ago matter no more.
+	// Groups come and go; suspicions of long ago are dropped.
 	maps.DeleteFunc(f.lastSuspected, func(_ garnetworks.GroupID, at time.Time) bool { return time.Since(at) > time.Minute })
 }
--- a/former/sender.go
+++ b/former/sender.go
@@ -11,18 +11,18 @@
 type queuedOrder struct {
 	service garnetworks.ServiceName
 	order   garnetworks.GroupOrder
-	// counts says that its load counts against the weight store's rate.
+	// metered says that its load counts against the weight store's rate.
 	metered bool
 }
 
-// answered is the end of an order.
+// orderResult is the result of an order.
 type orderResult struct {
 	queuedOrder
 	took time.Duration
 	err  error
 }
 
-// dispatch sends what is queued, as far as there is room in flight (rule O8).
+// dispatch sends the queued orders that the window allows (rule O8).
 func (f *Former) dispatch(ctx context.Context) {
 	for len(f.queue) > 0 && f.orderWindow.available() > 0 {
 		next := f.queue[0]
@@ -34,8 +34,8 @@
 	}
 }
 
-// send sends one order beside the others (rule O4). It returns false if the lease does
-// not allow any.
+// send sends one order in a goroutine of its own (rule O4). It returns false if the lease
+// does not allow any.
 func (f *Former) send(ctx context.Context, next queuedOrder) bool {
 	call, cancel, err := f.options.Lease.OrderContext(ctx)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return true
 }
 
-// take takes the end of an order.
+// handleOrderResult records the result of an order and decides whether a new plan is needed.
 func (f *Former) handleOrderResult(a orderResult) {
 	lost := garnetworks.IsKind(a.err, garnetworks.KindUnreachable, garnetworks.KindResponseLost)
 	f.orderWindow.done(time.Now(), a.took, !lost)
@@ -73,12 +73,12 @@
 		f.record(garnetworks.EventOrderRefused, &a.order, a.err)
 	}
 	if a.err != nil || a.order.Kind == garnetworks.GroupLeave {
-		// Other answers are followed by the engine's own word, which the plan waits for.
+		// Other responses are followed by the engine's own report, which triggers a plan.
 		f.needsPlan = true
 	}
 }
 
-// record tells what became of an order.
+// record emits an event for an order that was sent or refused.
 func (f *Former) record(kind garnetworks.EventKind, o *garnetworks.GroupOrder, err error) {
 	detail := string(o.Kind)
 	if o.Model != "" {
--- a/former/settled_test.go
+++ b/former/settled_test.go
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// Story: the 162 engines of a site register one after the other within 4.1 s of the
-// nodes' start. Groups were formed after 4.0 s, of domains that were not whole yet: 16
-// of the small model and 4 of the large one in place of 12 and 6, for the whole day.
+// The engines of a site register over several seconds. Groups formed before the last of them
+// use domains that are not complete, and the mixture of models stays wrong.
 func TestGroupsWaitForTheLastRegistration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const engines, all = 162, 4100 * time.Millisecond
@@ -26,8 +25,8 @@
 	})
 }
 
-// Story: engines that crash and start again register without end. The site still gets
-// groups before its first calls.
+// Engines that crash and restart keep registering. Groups must still be formed before the
+// first calls.
 func TestGroupsWaitNoLongerThanTheBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &Former{options: Options{FirstStart: true}, started: time.Now()}
--- a/former/spares.go
+++ b/former/spares.go
@@ -7,12 +7,11 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// stageLacking loads models onto the hosts of free instances that would be a group if
-// each of them held the model (rule O7).
+// stageMissing loads models onto the hosts of free instances that could form a group if each
+// of them held the model (rule O7).
 //
-// Failure: a group was ordered with members that had to load its model. Its other
-// members waited for 16 s, as free instances of no use to the groups of their domain
-// that lost a member meanwhile: up to 70 of 140 engines served nobody.
+// Failure: a group was ordered with members that had to load its model. Its other members
+// waited for the load and were not available to groups that lost a member meanwhile.
 func (r *plan) stageMissing() {
 	free := r.free()
 	counts := r.groupCounts()
@@ -23,7 +22,7 @@
 	}
 }
 
-// stageGroup loads what free instances lack for one group of the model.
+// stageGroup loads the models that free instances lack for one group of the model.
 func (r *plan) stageGroup(free []garnetworks.RegisteredServer, m *garnetworks.ModelProfile) {
 	if len(free) < m.GroupSize {
 		return
@@ -43,7 +42,7 @@
 	if missing > len(others) {
 		return
 	}
-	// Empty hosts first, then those that hold nothing else than the memory does.
+	// Empty hosts first, then those that hold only the model in memory.
 	slices.SortFunc(others, func(a, b garnetworks.RegisteredServer) int {
 		return cmp.Or(cmp.Compare(len(a.Staged), len(b.Staged)), compareBool(hostDuplicatesMemory(&b), hostDuplicatesMemory(&a)), cmp.Compare(a.ID, b.ID))
 	})
@@ -55,8 +54,8 @@
 	}
 }
 
-// stageSpares loads a model onto the hosts of free instances, so that they can
-// join in the time of a warm start.
+// stageSpares loads a model onto the hosts of free instances, so that they can join with a
+// warm start.
 func (r *plan) stageSpares() {
 	free := r.free()
 	for _, domain := range sortedKeys(free) {
@@ -89,8 +88,8 @@
 	}
 }
 
-// firstModel returns the model that a spare is for: the one in its memory, or that on
-// its host, or that which is being loaded.
+// spareModelOf returns the model that a spare is for: the one in its memory, on its host, or
+// being loaded.
 func (r *plan) spareModelOf(s *garnetworks.RegisteredServer) garnetworks.ModelName {
 	if len(s.Staged) > 0 {
 		return cmp.Or(s.Model, s.Staged[len(s.Staged)-1])
@@ -98,12 +97,12 @@
 	return cmp.Or(s.Model, r.stagingModel(s))
 }
 
-// spareModel returns the model that the next spare of a domain is for: the one with
-// the fewest spares, and of several the one with the largest share of the work.
+// nextSpareModel returns the model for the next spare of a domain: the one with the fewest
+// spares, and of several the one with the largest share of the work.
 //
-// Failure: spares were divided by the models' shares, so that two thirds of the work
-// got both spares of each domain, and each loss in a small group waited 12 s for a
-// load. A second loss of one model in a domain is rarer than a first one of another.
+// Failure: spares were divided by the models' shares, so that the larger model got all spares
+// of a domain and each loss in a small group waited for a load. A second loss of one model
+// in a domain is rarer than a first one of another.
 func (r *plan) nextSpareModel(held map[garnetworks.ModelName]int) *garnetworks.ModelProfile {
 	var best *garnetworks.ModelProfile
 	for i := range r.Profile.Models {
@@ -115,13 +114,8 @@
 	return best
 }
 
-// prepareSpares lets spares that hold a model on their host take it into memory, by
-// a group of their own that never opens.
-//
-// A lost member is found within 0.6 s; a spare that then begins a warm start keeps
-// its group away for 1.6 s more, a prepared one for 0.2 s. Median time from a loss
-// to the new group's first call, over 16 losses in two calm runs: 2.5 s without
-// prepared spares, 1.2 s with them.
+// prewarmSpares lets spares that hold a model on their host load it into memory, by a group of
+// their own that never opens, so that they replace a lost member without a warm start.
 func (r *plan) prewarmSpares() {
 	free := r.free()
 	for _, domain := range sortedKeys(free) {
--- a/former/work.go
+++ b/former/work.go
@@ -8,35 +8,33 @@
 )
 
 const (
-	// workMemory is the time over which observed work is averaged: waves of some seconds
-	// shall not close groups.
+	// averagingTime is the time constant of the average of the demand. Bursts of some seconds
+	// should not close groups.
 	averagingTime = 3 * time.Second
-	// easyUse and fullUse are the parts of the places of a model's groups that its calls
-	// would fill: up to the first one the stated shares hold, from the second one on the
-	// observed ones, and between them a mean of both. Groups beyond what the calls need are
-	// the reserve that the next loss asks for, and can't be had back as fast as they are
-	// given up.
+	// lowUtilization and highUtilization are calls per slot of a model's groups. Up to the
+	// first the configured shares apply, from the second the observed ones, and in between
+	// a mean of both. Groups beyond the demand are a reserve for the next loss and take
+	// longer to get back than to give up.
 	lowUtilization  = 0.7
 	highUtilization = 1.5
-	// statedGroups is the weight of the stated shares beside the observed work, as the work
-	// of so many groups of the mean size: they count while little comes.
+	// priorGroups is the weight of the configured shares in the observed ones, in groups of
+	// the mean size; it dominates while the demand is low.
 	priorGroups = 1
-	// shareChange is the factor by which a model's share must differ from the one in use
-	// for the observed shares to replace it: each change of a group costs its callers a few
-	// seconds of it.
+	// minShareChange is the factor by which a model's share must differ from the one in use
+	// before it is replaced, since each change of a group costs seconds of its capacity.
 	minShareChange = 1.3
 )
 
-// workload is the observed work of a service's models: the calls that they would keep
-// running if all were served.
+// demandTracker averages the demand of a service's models: the calls that would be running if
+// all were served.
 type demandTracker struct {
 	at    time.Time
 	calls map[garnetworks.ModelName]float64
-	// shares are those in use; none while the stated ones are.
+	// shares are those in use; nil while the configured ones are.
 	shares map[garnetworks.ModelName]float64
 }
 
-// take averages what is observed now, and changes the shares if they no longer fit.
+// update averages the observed demand and replaces the shares if they differ too much.
 func (w *demandTracker) update(now time.Time, profile *garnetworks.EngineProfile, observed map[garnetworks.ModelName]float64, groups map[garnetworks.ModelName]int) {
 	if len(observed) == 0 {
 		return
@@ -59,9 +57,8 @@
 
 // profile returns the profile with the shares in use.
 //
-// Load pattern: the stated shares are old. Half of the instances were in groups of the large
-// model, which gets 8 calls in 100; in a burst the small one's calls were turned away beside
-// 150 free places of the large one.
+// Load pattern: the configured shares are outdated. Too many instances were in groups of a
+// model with few calls, and a burst of calls of the other model was rejected.
 func (w *demandTracker) profile(configured *garnetworks.EngineProfile) *garnetworks.EngineProfile {
 	if w.shares == nil {
 		return configured
@@ -77,8 +74,8 @@
 	return &current
 }
 
-// fittingShares returns the stated shares where the models' calls find their places with
-// them, and goes over to the observed ones as they don't.
+// blendedShares returns the configured shares while the demand fits into the slots, and moves
+// to the observed ones as utilization rises.
 func blendedShares(profile *garnetworks.EngineProfile, calls map[garnetworks.ModelName]float64, groups map[garnetworks.ModelName]int) map[garnetworks.ModelName]float64 {
 	observed := observedShares(profile, calls)
 	if observed == nil {
@@ -107,9 +104,9 @@
 	return shares
 }
 
-// observedShares returns the models' shares by the calls that they keep running, and by the
-// stated shares as far as these count. A call takes a slot of a group, and so as many
-// instances as the group has; a model's share is that of the instances that its calls need.
+// observedShares returns the models' shares by the instances that their running calls need,
+// weighted with the configured shares. A call takes a slot of a group, and so as many
+// instances as the group has. It returns nil without demand or configured shares.
 func observedShares(profile *garnetworks.EngineProfile, calls map[garnetworks.ModelName]float64) map[garnetworks.ModelName]float64 {
 	configured, sizes, needs := 0.0, 0.0, 0.0
 	for i := range profile.Models {
@@ -130,7 +127,7 @@
 	return shares
 }
 
-// differ reports whether a model's share is another one than that in use.
+// sharesDiffer reports whether a model's share differs from the one in use by minShareChange.
 func sharesDiffer(shares map[garnetworks.ModelName]float64, current *garnetworks.EngineProfile) bool {
 	total := 0.0
 	for i := range current.Models {
--- a/former/world_test.go
+++ b/former/world_test.go
@@ -10,45 +10,45 @@
 	"github.com/garnetworks/garnetworks/former"
 )
 
-// engine is an engine of the world: what it holds, and what the store tells of it.
+// engine is a simulated engine: its state, and what the store says of it.
 type engine struct {
 	garnetworks.RegisteredServer
-	// readyAt is when a join is done.
+	// readyAt is when its join is complete.
 	readyAt time.Time
-	// staging is being loaded onto the host until stagedAt.
+	// staging is loaded onto the host at stagedAt.
 	staging  garnetworks.ModelName
 	stagedAt time.Time
-	// epoch is the highest taken in this life.
+	// epoch is the highest accepted by this incarnation.
 	epoch garnetworks.FencingToken
 	dead  bool
-	// dark engines get no orders; cut ones also have no entry in the store.
+	// Unresponsive engines get no orders; partitioned ones also have no entry in the store.
 	unresponsive, partitioned bool
 }
 
-// world is a site's engines, an oracle of the rules, and a planner.
+// simulation holds a site's engines and a planner, and checks the rules.
 type simulation struct {
 	now     time.Time
 	engines map[garnetworks.InstanceID]*engine
 	planner *former.Planner
-	// moving are the groups that give events.
+	// progressing are the groups that send events.
 	progressing garnetworks.Set[garnetworks.GroupID]
 	profile     *garnetworks.EngineProfile
 	term        uint32
-	// loadTime is the time of a load from the weight store after started+unhurried,
-	// when the first call comes; loads take a tenth of it before.
+	// loadTime is the time of a load from the weight store after started+firstCallDelay, when
+	// the first call arrives; before that loads take a tenth of it.
 	loadTime time.Duration
 	started  time.Time
-	// told is the view of the store, which may lag behind the engines.
+	// view is the store's view, which may lag behind the engines.
 	view follower.Servers
 	// ready holds the members that have ever been ready in each group.
 	ready map[garnetworks.GroupID]garnetworks.Set[garnetworks.InstanceID]
-	// faults are the rules that were broken.
+	// violations are the violations of rules found.
 	violations []string
 	orders     int
-	// left counts the orders to leave that were carried out, unfit those to open that
-	// did not fit the engine's state.
+	// leaveOrders counts the orders to leave that were carried out, invalidOpens the orders to
+	// open that did not match the engine's state.
 	leaveOrders, invalidOpens int
-	// waits counts the joins that had to wait for a load after the first call.
+	// joinsWithLoad counts the joins that needed a load after the first call.
 	joinsWithLoad int
 }
 
@@ -62,7 +62,7 @@
 	}
 }
 
-// unhurried is the time from the site's start to its first call.
+// firstCallDelay is the time from the site's start to its first call.
 const firstCallDelay = 9 * time.Second
 
 func (w *simulation) beforeFirstCall() bool { return w.now.Sub(w.started) < firstCallDelay }
@@ -96,7 +96,7 @@
 	w.engines[e.ID] = e
 }
 
-// tell brings the store's view up to date.
+// refreshView updates the store's view.
 func (w *simulation) refreshView() {
 	view := make(follower.Servers)
 	for id, e := range w.engines {
@@ -111,15 +111,15 @@
 	w.view = view
 }
 
-// startAgain starts an engine again under its identifier: it knows nothing of before,
-// and its host keeps what it holds.
+// restart restarts an engine under its identifier: it loses its state, and its host keeps its
+// models.
 func (e *engine) restart() {
 	e.StartMS++
 	e.Membership, e.Model, e.epoch = garnetworks.Membership{}, "", 0
 	e.staging = ""
 }
 
-// step lets time pass, finishes joins and runs the planner once.
+// step advances the time, completes loads and joins, and runs the planner once.
 func (w *simulation) step(d time.Duration) {
 	w.now = w.now.Add(d)
 	for _, e := range w.engines {
@@ -130,7 +130,7 @@
 			e.Membership.State = garnetworks.MemberReady
 			model := former.GroupModel(e.Membership.Group)
 			if e.Model != model && !slices.Contains(e.Staged, model) {
-				e.Staged = []garnetworks.ModelName{model} // a load leaves it on the host
+				e.Staged = []garnetworks.ModelName{model} // a load leaves the model on the host
 			}
 			e.Model = model
 			if w.ready[e.Membership.Group] == nil {
@@ -153,14 +153,14 @@
 	}
 }
 
-// carryOut does what an engine does with an order.
+// execute carries out an order as an engine does.
 func (w *simulation) execute(o garnetworks.GroupOrder) error {
 	e := w.engines[o.Incarnation.Instance]
 	switch {
 	case e == nil || e.dead:
 		return garnetworks.Errorf(garnetworks.KindNotFound, "no such engine")
 	case e.unresponsive || e.partitioned:
-		return garnetworks.Errorf(garnetworks.KindUnreachable, "dark")
+		return garnetworks.Errorf(garnetworks.KindUnreachable, "unresponsive")
 	}
 	same := e.Membership.Group == o.Group && e.Membership.Epoch == o.Epoch
 	switch o.Kind {
@@ -217,8 +217,8 @@
 	return nil
 }
 
-// checkOpen holds an order to open against rule O1: each member has been ready in the
-// group. One that was and is lost meanwhile can't be known of.
+// checkOpen checks an order to open against rule O1: each member has been ready in the group.
+// Members that were lost since are not visible to the planner.
 func (w *simulation) checkOpen(o garnetworks.GroupOrder) {
 	model := former.GroupModel(o.Group)
 	for _, p := range w.profile.Models {
@@ -232,7 +232,7 @@
 	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-// serving counts the groups of each model whose members all live.
+// serving counts the complete groups of each model that serve.
 func (w *simulation) serving() map[garnetworks.ModelName]int {
 	servers := make(follower.Servers)
 	for id, e := range w.engines {
@@ -249,7 +249,7 @@
 	return counts
 }
 
-// run lets the world go on for a while, with a view that is always up to date.
+// run advances the simulation by d, with a view that is always up to date.
 func (w *simulation) run(d time.Duration) {
 	const tick = 100 * time.Millisecond
 	for ; d > 0; d -= tick {
