--- a/controller/act.go
+++ b/controller/act.go
@@ -203,23 +203,23 @@
 // holder has taken over.
 func (p *deciding) observe() bool {
 	observation := grouper.Observation{
-		Now:     p.o.Now,
-		Fresh:   p.fresh,
-		Heard:   p.heard,
-		Leaving: garnetworks.NewSet[garnetworks.InstanceID](),
-		Ordered: map[garnetworks.InstanceID]time.Time{},
-		Asked:   map[garnetworks.InstanceID]time.Time{},
-		Bounds:  p.bounds(),
+		Now:         p.o.Now,
+		Fresh:       p.fresh,
+		LastStatus:  p.heard,
+		Leaving:     garnetworks.NewSet[garnetworks.InstanceID](),
+		PowerOnSent: map[garnetworks.InstanceID]time.Time{},
+		FormSent:    map[garnetworks.InstanceID]time.Time{},
+		Timeouts:    p.bounds(),
 	}
 	for _, d := range p.open {
 		for n := range d.Domain().Instances {
 			i := &d.Domain().Instances[n]
 			if s := p.orders[i.ID]; s != nil && s.kind == garnetworks.OrderForm && s.token == i.Token {
-				observation.Asked[i.ID] = s.first
+				observation.FormSent[i.ID] = s.first
 			}
 			// An order of an earlier decision tells nothing of this one's boot.
 			if s := p.power[i.ID]; s != nil && s.token == i.Token {
-				observation.Ordered[i.ID] = s.first
+				observation.PowerOnSent[i.ID] = s.first
 			}
 		}
 	}
@@ -238,7 +238,7 @@
 		}
 		for id := range p.gone {
 			if !listed.Has(id) && p.o.Term != 0 {
-				d.Gone(id, p.o.Now)
+				d.RemoveVanished(id, p.o.Now)
 			}
 		}
 		p.followManifest(d)
@@ -283,8 +283,8 @@
 	}
 }
 
-func (p *deciding) bounds() grouper.Bounds {
-	b := grouper.Bounds{Loss: p.Times.Loss, Form: p.Times.Form, Load: p.Times.Load, Boot: map[string]time.Duration{}}
+func (p *deciding) bounds() grouper.Timeouts {
+	b := grouper.Timeouts{Loss: p.Times.Loss, Form: p.Times.Form, Load: p.Times.Load, Boot: map[string]time.Duration{}}
 	if p.Manifest == nil {
 		return b
 	}
--- a/controller/plan.go
+++ b/controller/plan.go
@@ -39,7 +39,7 @@
 	})
 	p.planned = p.o.Now
 	p.changed = false
-	p.loads.LeastRate = p.storeShare() / leastShare
+	p.loads.MinRate = p.storeShare() / leastShare
 	for _, decision := range p.Plan.Decisions {
 		p.apply(decision)
 	}
--- a/controller/send.go
+++ b/controller/send.go
@@ -180,7 +180,7 @@
 func (s *ZoneState) proveOff(now time.Time, order garnetworks.PowerOrder) {
 	for _, d := range s.Domains {
 		a, err := grouper.Open(&d.Ahead, s.Term)
-		if err != nil || !a.ProveOff(order.Instance, order.Token) {
+		if err != nil || !a.ConfirmOff(order.Instance, order.Token) {
 			continue
 		}
 		d.Ahead = *a.Domain()
--- a/controller/state.go
+++ b/controller/state.go
@@ -94,7 +94,7 @@
 	Plan     placer.Output
 	planned  time.Time
 	changed  bool
-	loads    grouper.Loads
+	loads    grouper.LoadPlan
 
 	// direct are statuses that this controller read itself or that orders
 	// answered.
@@ -179,7 +179,7 @@
 	*s = ZoneState{Zone: s.Zone, Times: s.Times, Phase: PhaseStandby, Term: s.Term, gaveAway: gaveAway, direct: direct, sequence: s.sequence, writes: s.writes}
 	s.Domains = map[garnetworks.DomainID]*DomainState{}
 	s.Power.Key = PowerKey(s.Zone)
-	s.loads = grouper.Loads{
+	s.loads = grouper.LoadPlan{
 		Rates:    map[garnetworks.InstanceID]int64{},
 		Preloads: map[garnetworks.InstanceID]garnetworks.WeightID{},
 	}
--- a/grouper/aggregate.go
+++ b/grouper/aggregate.go
@@ -74,7 +74,7 @@
 }
 
 // issue returns the next token (D2).
-func (a *Aggregate) issue() garnetworks.FencingToken {
+func (a *Aggregate) nextToken() garnetworks.FencingToken {
 	a.domain.Sequence++
 	a.raise(Hard)
 	return garnetworks.NewFencingToken(a.domain.Term, a.domain.Sequence)
--- a/grouper/grouper_test.go
+++ b/grouper/grouper_test.go
@@ -39,15 +39,15 @@
 func name(n int) garnetworks.InstanceID { return garnetworks.InstanceID(fmt.Sprintf("i%02d", n)) }
 
 // admitted returns a domain of healthy, powered instances.
-func admitted(t testing.TB, size int, checks bool) *Aggregate {
+func newHealthyDomain(t testing.TB, size int, checks bool) *Aggregate {
 	a, err := Open(&garnetworks.FabricDomain{ID: "d", Zone: "z"}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for n := range size {
 		a.Register(listed(n), class(checks))
-		a.SeeRunning(name(n))
-		a.Learn(name(n), 1)
+		a.MarkRunning(name(n))
+		a.SetIncarnation(name(n), 1)
 		if err := a.Readmit(name(n), idle(a.Instance(name(n)))); err != nil {
 			t.Fatal(err)
 		}
@@ -72,7 +72,7 @@
 func TestTransitionsKeepTheInvariants(t *testing.T) {
 	steps, refused := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
-		domain := *admitted(t, 8, rapid.Bool().Draw(rt, "checks")).Domain()
+		domain := *newHealthyDomain(t, 8, rapid.Bool().Draw(rt, "checks")).Domain()
 		a, _ := Open(&domain, 1)
 		now := start
 		tokens := map[garnetworks.InstanceID]garnetworks.FencingToken{}
@@ -83,7 +83,7 @@
 			}
 			return rapid.SampledFrom(a.Domain().Groups).Draw(rt, "group").ID
 		}
-		try := func(do func() error) {
+		attempt := func(do func() error) {
 			before := Clone(a.Domain())
 			if do() == nil {
 				return
@@ -109,7 +109,7 @@
 			},
 			"form": func(rt *rapid.T) {
 				members := rapid.SliceOfN(rapid.Custom(pick), 0, 4).Draw(rt, "members")
-				try(func() error {
+				attempt(func() error {
 					_, err := a.Form(garnetworks.Group{Model: "m", Version: "v", Members: members}, now)
 					return err
 				})
@@ -133,21 +133,21 @@
 					rt.Fatal("a group serves without a member's confirmation")
 				}
 			},
-			"lose":     func(rt *rapid.T) { a.Lose(pick(rt), now, "test") },
-			"return":   func(rt *rapid.T) { a.Return(pick(rt), 2, now, "test") },
-			"readmit":  func(rt *rapid.T) { id := pick(rt); try(func() error { return a.Readmit(id, status(a, id)) }) },
+			"lose":     func(rt *rapid.T) { a.MarkLost(pick(rt), now, "test") },
+			"return":   func(rt *rapid.T) { a.MarkReturned(pick(rt), 2, now, "test") },
+			"readmit":  func(rt *rapid.T) { id := pick(rt); attempt(func() error { return a.Readmit(id, status(a, id)) }) },
 			"drain":    func(rt *rapid.T) { a.Drain(group(rt), now, time.Second, "test") },
 			"break":    func(rt *rapid.T) { a.Break(group(rt), now, "test") },
 			"dissolve": func(rt *rapid.T) { a.Dissolve(group(rt), "test") },
-			"on":       func(rt *rapid.T) { id := pick(rt); try(func() error { return a.PowerOn(id, "test") }) },
-			"off":      func(rt *rapid.T) { id := pick(rt); try(func() error { return a.PowerOff(id, "test") }) },
+			"on":       func(rt *rapid.T) { id := pick(rt); attempt(func() error { return a.PowerOn(id, "test") }) },
+			"off":      func(rt *rapid.T) { id := pick(rt); attempt(func() error { return a.PowerOff(id, "test") }) },
 			"prove": func(rt *rapid.T) {
 				if i := a.Instance(pick(rt)); i != nil {
-					a.ProveOff(i.ID, i.Token)
+					a.ConfirmOff(i.ID, i.Token)
 				}
 			},
-			"see":    func(rt *rapid.T) { a.SeeRunning(pick(rt)) },
-			"gone":   func(rt *rapid.T) { a.Gone(pick(rt), now) },
+			"see":    func(rt *rapid.T) { a.MarkRunning(pick(rt)) },
+			"gone":   func(rt *rapid.T) { a.RemoveVanished(pick(rt), now) },
 			"listed": func(rt *rapid.T) { a.Register(listed(rapid.IntRange(0, 8).Draw(rt, "row")), class(true)) },
 			"term": func(rt *rapid.T) {
 				next, err := Open(a.Domain(), a.Domain().Term+uint32(rapid.IntRange(0, 2).Draw(rt, "terms")))
@@ -173,7 +173,7 @@
 }
 
 // TestWhatIsRefused names the transitions that would break a rule.
-func TestWhatIsRefused(t *testing.T) {
+func TestInvalidTransitionsAreRefused(t *testing.T) {
 	form := func(a *Aggregate, members ...garnetworks.InstanceID) error {
 		_, err := a.Form(garnetworks.Group{Model: "m", Version: "v", Members: members}, start)
 		return err
@@ -191,18 +191,18 @@
 		"a member twice (D3)":       {func(a *Aggregate) error { return form(a, "i00", "i00") }, garnetworks.KindConflict},
 		"another domain's (D3)":     {func(a *Aggregate) error { return form(a, "i00", "x00") }, garnetworks.KindNotFound},
 		"a member of a group (D3)":  {func(a *Aggregate) error { _ = form(a, "i00", "i01"); return form(a, "i01", "i02") }, garnetworks.KindConflict},
-		"a lost member (D3)":        {func(a *Aggregate) error { a.Lose("i00", start, ""); return form(a, "i00") }, garnetworks.KindConflict},
-		"a returned member (D6)":    {func(a *Aggregate) error { a.Return("i00", 2, start, ""); return form(a, "i00") }, garnetworks.KindConflict},
+		"a lost member (D3)":        {func(a *Aggregate) error { a.MarkLost("i00", start, ""); return form(a, "i00") }, garnetworks.KindConflict},
+		"a returned member (D6)":    {func(a *Aggregate) error { a.MarkReturned("i00", 2, start, ""); return form(a, "i00") }, garnetworks.KindConflict},
 		"a member that is off (D3)": {func(a *Aggregate) error { _ = a.PowerOff("i00", ""); return form(a, "i00") }, garnetworks.KindConflict},
 		"power of a member (D8)":    {func(a *Aggregate) error { _ = form(a, "i00"); return a.PowerOff("i00", "") }, garnetworks.KindConflict},
 		"power on while it runs":    {func(a *Aggregate) error { return a.PowerOn("i00", "") }, garnetworks.KindConflict},
 		"forgetting what draws":     {func(a *Aggregate) error { return a.Deregister("i00") }, garnetworks.KindConflict},
 		"readmission unreleased": {func(a *Aggregate) error {
-			a.Return("i00", 2, start, "")
+			a.MarkReturned("i00", 2, start, "")
 			return a.Readmit("i00", garnetworks.EngineStatus{Incarnation: 2, Phase: garnetworks.EngineIdle})
 		}, garnetworks.KindConflict},
 		"readmission in a group": {func(a *Aggregate) error {
-			a.Return("i00", 2, start, "")
+			a.MarkReturned("i00", 2, start, "")
 			s := idle(a.Instance("i00"))
 			s.Group = "old"
 			return a.Readmit("i00", s)
@@ -213,10 +213,10 @@
 			a.Dissolve(id, "")
 			return form(a, "i00")
 		}, garnetworks.KindConflict},
-		"an old proof of power (D8)": {func(a *Aggregate) error { return oldProof(a) }, garnetworks.KindConflict},
+		"an old proof of power (D8)": {func(a *Aggregate) error { return staleOffConfirmation(a) }, garnetworks.KindConflict},
 	} {
 		t.Run(title, func(t *testing.T) {
-			if err := c.do(admitted(t, 4, false)); garnetworks.KindOf(err) != c.want {
+			if err := c.do(newHealthyDomain(t, 4, false)); garnetworks.KindOf(err) != c.want {
 				t.Errorf("got %v, want %s", err, c.want)
 			}
 		})
@@ -226,13 +226,13 @@
 // oldProof powers an instance off, on and off, and tries to prove the second
 // with the first one's answer: an order to power on may be on its way between
 // the two.
-func oldProof(a *Aggregate) error {
+func staleOffConfirmation(a *Aggregate) error {
 	_ = a.PowerOff("i00", "")
 	first := a.Instance("i00").Token
-	a.ProveOff("i00", first)
+	a.ConfirmOff("i00", first)
 	_ = a.PowerOn("i00", "")
 	_ = a.PowerOff("i00", "")
-	if a.ProveOff("i00", first) {
+	if a.ConfirmOff("i00", first) {
 		return nil
 	}
 	return garnetworks.Errorf(garnetworks.KindConflict, "refused")
@@ -242,7 +242,7 @@
 // out late, after the instance was powered off and proven so. Only a newer token on
 // the order to power off makes the switch refuse the late one (D8).
 func TestPowerOffOutranksPowerOn(t *testing.T) {
-	a := admitted(t, 1, true)
+	a := newHealthyDomain(t, 1, true)
 	var last garnetworks.FencingToken
 	for range 3 {
 		for _, do := range []func(garnetworks.InstanceID, string) error{a.PowerOff, a.PowerOn} {
@@ -254,8 +254,8 @@
 				t.Errorf("%s carries %s after %s", order.ID, order.Token, last)
 			}
 			last = order.Token
-			a.ProveOff("i00", last)
-			a.SeeRunning("i00")
+			a.ConfirmOff("i00", last)
+			a.MarkRunning("i00")
 			if order.On {
 				continue
 			}
@@ -267,7 +267,7 @@
 
 // TestEachMemberMustConfirmAll: a group is confirmed only by members that say the
 // same of group, token, model, version and incarnation, and are ready (G1).
-func TestEachMemberMustConfirmAll(t *testing.T) {
+func TestConfirmationComparesAllFields(t *testing.T) {
 	for title, change := range map[string]func(s *garnetworks.EngineStatus){
 		"group":       func(s *garnetworks.EngineStatus) { s.Group = "other" },
 		"token":       func(s *garnetworks.EngineStatus) { s.Token-- },
@@ -276,7 +276,7 @@
 		"incarnation": func(s *garnetworks.EngineStatus) { s.Incarnation++ },
 		"phase":       func(s *garnetworks.EngineStatus) { s.Phase = garnetworks.EngineLoading },
 	} {
-		a := admitted(t, 4, true)
+		a := newHealthyDomain(t, 4, true)
 		id, err := a.Form(garnetworks.Group{Model: "m", Version: "v", Members: []garnetworks.InstanceID{"i00", "i01", "i02"}}, start)
 		if err != nil {
 			t.Fatal(err)
@@ -302,7 +302,7 @@
 // obeyed another holder, and this one must stop; one of this term that the domain
 // never recorded makes the count go on above it; one that nobody can have issued
 // is a fault of that engine alone.
-func TestTokensThatEnginesName(t *testing.T) {
+func TestObserveChecksReportedTokens(t *testing.T) {
 	for title, c := range map[string]struct {
 		token      garnetworks.FencingToken
 		superseded bool
@@ -313,7 +313,7 @@
 		"higher":     {garnetworks.NewFencingToken(2, 1), true, false},
 		"impossible": {garnetworks.NewFencingToken(1<<31, 1), false, true},
 	} {
-		a := admitted(t, 2, true)
+		a := newHealthyDomain(t, 2, true)
 		s := idle(a.Instance("i00"))
 		s.Token = c.token
 		_, superseded := a.Observe(Observation{Now: start, Fresh: Statuses{"i00": s, "i01": idle(a.Instance("i01"))}})
@@ -321,7 +321,7 @@
 		if superseded != c.superseded || lost != c.lost {
 			t.Errorf("%s: superseded %t, lost %t", title, superseded, lost)
 		}
-		if next := a.issue(); !c.superseded && !c.lost && next <= c.token {
+		if next := a.nextToken(); !c.superseded && !c.lost && next <= c.token {
 			t.Errorf("%s: the next token is %s after %s", title, next, c.token)
 		}
 	}
@@ -330,7 +330,7 @@
 // TestLeavingMemberDrainsItsGroup: the list says that an instance is leaving; its
 // group takes no new call from that observation on (D9, rule G8).
 func TestLeavingMemberDrainsItsGroup(t *testing.T) {
-	a := admitted(t, 3, true)
+	a := newHealthyDomain(t, 3, true)
 	id, err := a.Form(garnetworks.Group{Model: "m", Version: "v", Members: []garnetworks.InstanceID{"i00", "i01"}}, start)
 	if err != nil {
 		t.Fatal(err)
@@ -339,7 +339,7 @@
 	for _, m := range a.Group(id).Members {
 		fresh[m] = ready(a.Instance(m), a.Group(id))
 	}
-	o := Observation{Now: start, Fresh: fresh, Bounds: Bounds{Drain: time.Minute}}
+	o := Observation{Now: start, Fresh: fresh, Timeouts: Timeouts{Drain: time.Minute}}
 	a.Observe(o)
 	if got := a.Group(id).State; got != garnetworks.GroupServing {
 		t.Fatalf("the group is %s", got)
@@ -353,9 +353,9 @@
 
 // TestDomainStaysUnderTheObjectSize prints what a domain weighs in the object
 // API; the whole fleet would fit one object, so a domain always does.
-func TestDomainStaysUnderTheObjectSize(t *testing.T) {
+func TestDomainFitsTheObjectSize(t *testing.T) {
 	for _, size := range []int{16, 75, 600} {
-		a := admitted(t, size, true)
+		a := newHealthyDomain(t, size, true)
 		for n := 0; n+4 <= size; n += 4 {
 			if _, err := a.Form(garnetworks.Group{
 				Model: "large-model-name", Version: "2026-11-30-release", Adapters: []garnetworks.AdapterName{"adapter-one", "adapter-two"},
@@ -365,7 +365,7 @@
 			}
 		}
 		for n := range size {
-			a.Hold(name(n), []garnetworks.WeightID{{Model: "large-model-name", Version: "2026-11-30-release"}, {Model: "large-model-name", Version: "2026-11-01-release"}})
+			a.SetWeights(name(n), []garnetworks.WeightID{{Model: "large-model-name", Version: "2026-11-30-release"}, {Model: "large-model-name", Version: "2026-11-01-release"}})
 		}
 		value, err := json.Marshal(a.Domain())
 		if err != nil {
--- a/grouper/groups.go
+++ b/grouper/groups.go
@@ -15,13 +15,13 @@
 	if len(spec.Members) == 0 {
 		return "", garnetworks.Errorf(garnetworks.KindConflict, "a group needs members")
 	}
-	if err := a.mayForm(spec.Members); err != nil {
+	if err := a.checkMembers(spec.Members); err != nil {
 		return "", err
 	}
 	if spec.Replaces != "" && a.Group(spec.Replaces) == nil {
 		spec.Replaces = ""
 	}
-	token := a.issue()
+	token := a.nextToken()
 	group := spec
 	group.ID = garnetworks.GroupID(fmt.Sprintf("%s-%d-%d", a.domain.ID, token.Term(), token.Sequence()))
 	group.Token = token
@@ -41,7 +41,7 @@
 	return group.ID, nil
 }
 
-func (a *Aggregate) mayForm(members []garnetworks.InstanceID) error {
+func (a *Aggregate) checkMembers(members []garnetworks.InstanceID) error {
 	seen := garnetworks.NewSet[garnetworks.InstanceID]()
 	class := ""
 	for _, m := range members {
@@ -83,7 +83,7 @@
 		}
 		return
 	}
-	if g.State == garnetworks.GroupForming && taken(g, fresh) {
+	if g.State == garnetworks.GroupForming && acceptedByAll(g, fresh) {
 		a.enter(g, garnetworks.GroupLoading, now)
 	}
 }
@@ -95,7 +95,7 @@
 }
 
 // taken reports whether every member says that it has taken the group's order.
-func taken(g *garnetworks.Group, fresh Statuses) bool {
+func acceptedByAll(g *garnetworks.Group, fresh Statuses) bool {
 	for _, m := range g.Members {
 		s, ok := fresh[m]
 		if !ok || s.Group != g.ID || s.Token != g.Token {
@@ -116,28 +116,28 @@
 }
 
 // Break notes that a group can't serve any more (D5).
-func (a *Aggregate) Break(id garnetworks.GroupID, now time.Time, why string) {
+func (a *Aggregate) Break(id garnetworks.GroupID, now time.Time, reason string) {
 	g := a.Group(id)
 	if g == nil || g.State == garnetworks.GroupBroken {
 		return
 	}
 	a.enter(g, garnetworks.GroupBroken, now)
 	a.raise(Hard)
-	a.record(garnetworks.EventGroupBroken, id, "", "%s", why)
+	a.record(garnetworks.EventGroupBroken, id, "", "%s", reason)
 	for _, m := range g.Members {
-		a.unsettle(a.Instance(m))
+		a.requireRelease(a.Instance(m))
 	}
 }
 
-func (a *Aggregate) breakOf(i *garnetworks.Instance, now time.Time, why string) {
+func (a *Aggregate) breakGroupOf(i *garnetworks.Instance, now time.Time, reason string) {
 	if i.Group != "" {
-		a.Break(i.Group, now, string(i.ID)+": "+why)
+		a.Break(i.Group, now, string(i.ID)+": "+reason)
 	}
 }
 
 // unsettle makes a member that ignores fencing tokens show that it has left its
 // group before it can join another one (D7).
-func (a *Aggregate) unsettle(i *garnetworks.Instance) {
+func (a *Aggregate) requireRelease(i *garnetworks.Instance) {
 	if i == nil || i.ChecksFencing || i.Condition != garnetworks.ConditionHealthy {
 		return
 	}
@@ -145,7 +145,7 @@
 }
 
 // Drain ends new calls to a group until its release.
-func (a *Aggregate) Drain(id garnetworks.GroupID, now time.Time, grace time.Duration, why string) {
+func (a *Aggregate) Drain(id garnetworks.GroupID, now time.Time, grace time.Duration, reason string) {
 	g := a.Group(id)
 	if g == nil || g.State == garnetworks.GroupBroken {
 		return
@@ -162,16 +162,16 @@
 	a.enter(g, garnetworks.GroupDraining, now)
 	a.raise(Hard)
 	g.DrainUntil = until
-	a.record(garnetworks.EventGroupDraining, id, "", "%s", why)
+	a.record(garnetworks.EventGroupDraining, id, "", "%s", reason)
 }
 
 // Dissolve frees the members of a group under a new token.
-func (a *Aggregate) Dissolve(id garnetworks.GroupID, why string) {
+func (a *Aggregate) Dissolve(id garnetworks.GroupID, reason string) {
 	g := a.Group(id)
 	if g == nil {
 		return
 	}
-	token := a.issue()
+	token := a.nextToken()
 	for _, m := range g.Members {
 		i := a.Instance(m)
 		if i == nil || i.Group != id {
@@ -179,7 +179,7 @@
 		}
 		i.Group = ""
 		i.Token = token
-		a.unsettle(i)
+		a.requireRelease(i)
 	}
 	a.domain.Groups = slices.DeleteFunc(a.domain.Groups, func(x garnetworks.Group) bool { return x.ID == id })
 	for n := range a.domain.Groups {
@@ -187,5 +187,5 @@
 			a.domain.Groups[n].Replaces = ""
 		}
 	}
-	a.record(garnetworks.EventGroupReleased, id, "", "%s", why)
+	a.record(garnetworks.EventGroupReleased, id, "", "%s", reason)
 }
--- a/grouper/instances.go
+++ b/grouper/instances.go
@@ -27,7 +27,7 @@
 		Power:         garnetworks.PowerUnknown,
 		Condition:     garnetworks.ConditionReturned,
 		ChecksFencing: class.ChecksFencing,
-		Token:         a.issue(),
+		Token:         a.nextToken(),
 	})
 }
 
@@ -54,31 +54,31 @@
 	return nil
 }
 
-// Lose notes that an instance no longer confirms, and breaks its group (D5).
-func (a *Aggregate) Lose(id garnetworks.InstanceID, now time.Time, why string) {
+// MarkLost notes that an instance no longer confirms, and breaks its group (D5).
+func (a *Aggregate) MarkLost(id garnetworks.InstanceID, now time.Time, reason string) {
 	i := a.Instance(id)
 	if i == nil || i.Condition == garnetworks.ConditionLost {
 		return
 	}
 	i.Condition = garnetworks.ConditionLost
 	a.raise(Hard)
-	a.record(garnetworks.EventMemberLost, i.Group, id, "%s", why)
-	a.breakOf(i, now, why)
+	a.record(garnetworks.EventMemberLost, i.Group, id, "%s", reason)
+	a.breakGroupOf(i, now, reason)
 }
 
-// Return notes that an instance that was lost, or that lost its state, is seen
+// MarkReturned notes that an instance that was lost, or that lost its state, is seen
 // again. It is refused until Readmit, under a new token (D6).
-func (a *Aggregate) Return(id garnetworks.InstanceID, incarnation uint64, now time.Time, why string) {
+func (a *Aggregate) MarkReturned(id garnetworks.InstanceID, incarnation uint64, now time.Time, reason string) {
 	i := a.Instance(id)
 	if i == nil {
 		return
 	}
-	a.breakOf(i, now, why)
+	a.breakGroupOf(i, now, reason)
 	i.Condition = garnetworks.ConditionReturned
 	i.Incarnation = incarnation
 	i.Weights = nil
-	i.Token = a.issue()
-	a.record(garnetworks.EventMemberReturned, "", id, "%s", why)
+	i.Token = a.nextToken()
+	a.record(garnetworks.EventMemberReturned, "", id, "%s", reason)
 }
 
 // Readmit makes an instance healthy that has confirmed its release (D6, D7).
@@ -110,9 +110,9 @@
 // still name the last order that they carried out.
 func releaseID(token garnetworks.FencingToken) string { return "release/" + token.String() }
 
-// Judge notes whether a powered, admitted instance is healthy, leaving or a
+// SetCondition notes whether a powered, admitted instance is healthy, leaving or a
 // straggler; it changes nothing for lost and returned ones.
-func (a *Aggregate) Judge(id garnetworks.InstanceID, condition garnetworks.Condition) {
+func (a *Aggregate) SetCondition(id garnetworks.InstanceID, condition garnetworks.Condition) {
 	i := a.Instance(id)
 	if i == nil || i.Condition == condition {
 		return
@@ -124,8 +124,8 @@
 	a.raise(Hard)
 }
 
-// Hold notes the weights that an instance says it holds.
-func (a *Aggregate) Hold(id garnetworks.InstanceID, weights []garnetworks.WeightID) {
+// SetWeights notes the weights that an instance says it holds.
+func (a *Aggregate) SetWeights(id garnetworks.InstanceID, weights []garnetworks.WeightID) {
 	i := a.Instance(id)
 	if i == nil || slices.Equal(i.Weights, weights) {
 		return
@@ -134,8 +134,8 @@
 	a.raise(Soft)
 }
 
-// Learn notes the incarnation of an instance that never told one before.
-func (a *Aggregate) Learn(id garnetworks.InstanceID, incarnation uint64) {
+// SetIncarnation notes the incarnation of an instance that never told one before.
+func (a *Aggregate) SetIncarnation(id garnetworks.InstanceID, incarnation uint64) {
 	i := a.Instance(id)
 	if i == nil || i.Incarnation == incarnation {
 		return
@@ -144,15 +144,15 @@
 	a.raise(Soft)
 }
 
-// Gone takes an instance out that the power switch does not know and the list
+// RemoveVanished takes an instance out that the power switch does not know and the list
 // does not name: there is no machine that could draw (D10). A group that held
 // it is broken first, so a second call is needed once the group is dissolved.
-func (a *Aggregate) Gone(id garnetworks.InstanceID, now time.Time) {
+func (a *Aggregate) RemoveVanished(id garnetworks.InstanceID, now time.Time) {
 	i := a.Instance(id)
 	if i == nil {
 		return
 	}
-	a.Lose(id, now, "the platform no longer has it")
+	a.MarkLost(id, now, "the platform no longer has it")
 	if i.Group != "" {
 		return
 	}
--- a/grouper/observe.go
+++ b/grouper/observe.go
@@ -7,8 +7,8 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Bounds are the times after which a missing sign is taken for a failure.
-type Bounds struct {
+// Timeouts are the times after which a missing sign is taken for a failure.
+type Timeouts struct {
 	// Loss is how long an instance may go without a confirmation before its
 	// group is broken. It is above garnetworks.ConfirmationBound: routers stop
 	// sending first, and a group that only missed some probes is not torn down.
@@ -28,25 +28,25 @@
 	Now time.Time
 	// Fresh are the statuses no older than garnetworks.ConfirmationBound.
 	Fresh Statuses
-	// Heard is when the newest status of an instance was asked for, or when the
+	// LastStatus is when the newest status of an instance was asked for, or when the
 	// controller began to listen if that is later, or when it last knew itself
 	// cut off.
-	Heard map[garnetworks.InstanceID]time.Time
+	LastStatus map[garnetworks.InstanceID]time.Time
 	// Leaving are the instances that the list or their engine calls leaving.
 	Leaving garnetworks.Set[garnetworks.InstanceID]
-	// Ordered is when this holder first sent the order that powers a starting
+	// PowerOnSent is when this holder first sent the order that powers a starting
 	// instance; absent before.
-	Ordered map[garnetworks.InstanceID]time.Time
-	// Asked is when this holder first sent an instance the order to form the group
+	PowerOnSent map[garnetworks.InstanceID]time.Time
+	// FormSent is when this holder first sent an instance the order to form the group
 	// that it is in; absent before.
-	Asked  map[garnetworks.InstanceID]time.Time
-	Bounds Bounds
+	FormSent map[garnetworks.InstanceID]time.Time
+	Timeouts Timeouts
 }
 
 // impossibleLead is how far above the writer's term a term can't be: terms grow by
 // one with each change of holder, and a restored lease record is not older than
 // this many changes.
-const impossibleLead = 1 << 20
+const maxTermLead = 1 << 20
 
 // Observe takes in what the instances say of themselves. It reports a status
 // that holds a token of a higher term than the writer's: another holder has
@@ -56,12 +56,12 @@
 		id := a.domain.Instances[n].ID
 		s, fresh := o.Fresh[id]
 		if !fresh {
-			a.observeSilence(id, o)
+			a.observeMissing(id, o)
 			continue
 		}
-		if s.Token.Term() > a.domain.Term+impossibleLead {
+		if s.Token.Term() > a.domain.Term+maxTermLead {
 			// Garbage from one engine must not push the zone's terms to their end.
-			a.Lose(id, o.Now, "names a token that nobody can have issued")
+			a.MarkLost(id, o.Now, "names a token that nobody can have issued")
 			continue
 		}
 		if !a.SkipSequence(s.Token) {
@@ -75,22 +75,22 @@
 	return 0, false
 }
 
-func (a *Aggregate) observeSilence(id garnetworks.InstanceID, o Observation) {
+func (a *Aggregate) observeMissing(id garnetworks.InstanceID, o Observation) {
 	i := a.Instance(id)
-	silence := o.Now.Sub(o.Heard[id])
+	elapsed := o.Now.Sub(o.LastStatus[id])
 	switch i.Power {
 	case garnetworks.PowerOn:
-		if silence > o.Bounds.Loss {
-			a.Lose(id, o.Now, "no confirmation for "+silence.Round(time.Second).String())
+		if elapsed > o.Timeouts.Loss {
+			a.MarkLost(id, o.Now, "no confirmation for "+elapsed.Round(time.Second).String())
 		}
 	case garnetworks.PowerStarting:
-		at, sent := o.Ordered[id]
-		if sent && o.Now.Sub(at) > o.Bounds.Boot[i.Class] {
-			a.Lose(id, o.Now, "did not answer after its boot time")
+		at, sent := o.PowerOnSent[id]
+		if sent && o.Now.Sub(at) > o.Timeouts.Boot[i.Class] {
+			a.MarkLost(id, o.Now, "did not answer after its boot time")
 		}
 	case garnetworks.PowerUnknown:
-		if silence > o.Bounds.Boot[i.Class] {
-			a.Lose(id, o.Now, "has not answered since it was listed")
+		if elapsed > o.Timeouts.Boot[i.Class] {
+			a.MarkLost(id, o.Now, "has not answered since it was listed")
 		}
 	}
 }
@@ -100,31 +100,31 @@
 	if i.Power == garnetworks.PowerStopping {
 		return
 	}
-	a.SeeRunning(id)
+	a.MarkRunning(id)
 	switch {
 	case i.Condition == garnetworks.ConditionLost:
-		a.Return(id, s.Incarnation, o.Now, "answers again")
+		a.MarkReturned(id, s.Incarnation, o.Now, "answers again")
 	case i.Incarnation == 0:
-		a.Learn(id, s.Incarnation)
+		a.SetIncarnation(id, s.Incarnation)
 	case i.Incarnation != s.Incarnation:
-		a.Return(id, s.Incarnation, o.Now, "restarted and lost its state")
-	case a.strayed(i, s):
-		a.Return(id, s.Incarnation, o.Now, "says that it belongs to "+place(s))
+		a.MarkReturned(id, s.Incarnation, o.Now, "restarted and lost its state")
+	case a.contradictsGroup(i, s):
+		a.MarkReturned(id, s.Incarnation, o.Now, "says that it belongs to "+describePlacement(s))
 	}
-	a.Hold(id, s.Weights)
+	a.SetWeights(id, s.Weights)
 	if i.Condition == garnetworks.ConditionReturned && i.Group == "" && released(i, s) {
 		_ = a.Readmit(id, s)
 	}
 	if s.Leaving || o.Leaving.Has(id) {
-		a.Judge(id, garnetworks.ConditionLeaving)
+		a.SetCondition(id, garnetworks.ConditionLeaving)
 	} else if i.Condition == garnetworks.ConditionLeaving {
-		a.Judge(id, garnetworks.ConditionHealthy)
+		a.SetCondition(id, garnetworks.ConditionHealthy)
 	}
 }
 
 // strayed reports whether a member of a group that had taken the group's order
 // now says otherwise.
-func (a *Aggregate) strayed(i *garnetworks.Instance, s garnetworks.EngineStatus) bool {
+func (a *Aggregate) contradictsGroup(i *garnetworks.Instance, s garnetworks.EngineStatus) bool {
 	g := a.Group(i.Group)
 	if g == nil {
 		return false
@@ -143,7 +143,7 @@
 	return false
 }
 
-func place(s garnetworks.EngineStatus) string {
+func describePlacement(s garnetworks.EngineStatus) string {
 	if s.Group == "" {
 		return "no group"
 	}
@@ -157,16 +157,16 @@
 	}
 	if a.hasLeaving(g) {
 		// Rule D9: the first sign of leaving ends new calls to the whole group.
-		a.Drain(id, o.Now, o.Bounds.Drain, "a member is leaving")
+		a.Drain(id, o.Now, o.Timeouts.Drain, "a member is leaving")
 	}
 	a.Advance(id, o.Fresh, o.Now)
 	switch {
 	case g.State == garnetworks.GroupForming:
-		a.blame(g, o)
-	case g.State == garnetworks.GroupLoading && o.Now.Sub(g.Since) > o.Bounds.Load:
+		a.returnLateMembers(g, o)
+	case g.State == garnetworks.GroupLoading && o.Now.Sub(g.Since) > o.Timeouts.Load:
 		a.Break(id, o.Now, "did not load in time")
 	}
-	a.settleReplaced(id, o)
+	a.drainReplaced(id, o)
 }
 
 func (a *Aggregate) hasLeaving(g *garnetworks.Group) bool {
@@ -178,19 +178,19 @@
 
 // blame refuses the members that have not taken the group's order in time, until
 // they show by a release that they take orders again.
-func (a *Aggregate) blame(g *garnetworks.Group, o Observation) {
+func (a *Aggregate) returnLateMembers(g *garnetworks.Group, o Observation) {
 	for _, m := range slices.Clone(g.Members) {
 		s, ok := o.Fresh[m]
-		at, asked := o.Asked[m]
-		late := asked && o.Now.Sub(at) > o.Bounds.Form
+		at, sent := o.FormSent[m]
+		late := sent && o.Now.Sub(at) > o.Timeouts.Form
 		if late && (!ok || s.Group != g.ID || s.Token != g.Token) {
-			a.Return(m, a.Instance(m).Incarnation, o.Now, "did not take the order to form "+string(g.ID))
+			a.MarkReturned(m, a.Instance(m).Incarnation, o.Now, "did not take the order to form "+string(g.ID))
 		}
 	}
 }
 
 // settleReplaced drains the group that a serving one replaces.
-func (a *Aggregate) settleReplaced(id garnetworks.GroupID, o Observation) {
+func (a *Aggregate) drainReplaced(id garnetworks.GroupID, o Observation) {
 	g := a.Group(id)
 	if g.State != garnetworks.GroupServing || g.Replaces == "" {
 		return
@@ -198,5 +198,5 @@
 	replaced := g.Replaces
 	g.Replaces = ""
 	a.raise(Hard)
-	a.Drain(replaced, o.Now, o.Bounds.Drain, "replaced by "+string(id))
+	a.Drain(replaced, o.Now, o.Timeouts.Drain, "replaced by "+string(id))
 }
--- a/grouper/orders.go
+++ b/grouper/orders.go
@@ -16,17 +16,17 @@
 	ChecksFencing bool
 }
 
-// Loads are the rates and the weights that the plan assigns to instances; an
+// LoadPlan are the rates and the weights that the plan assigns to instances; an
 // instance may be absent.
-type Loads struct {
+type LoadPlan struct {
 	// Rates are in bytes a second.
 	Rates map[garnetworks.InstanceID]int64
 	// Preloads are for instances in no group.
 	Preloads map[garnetworks.InstanceID]garnetworks.WeightID
-	// LeastRate holds back the order to form until the member's rate is at least
+	// MinRate holds back the order to form until the member's rate is at least
 	// this, or none is set: an engine may keep the rate with which it began to
 	// load.
-	LeastRate int64
+	MinRate int64
 }
 
 // Orders returns the orders that bring the engines from what they say to what
@@ -34,7 +34,7 @@
 // returned again until the engine's status shows its effect, always with the
 // same ID, and orders of earlier decisions are never returned again. Engines
 // that do not answer get none.
-func Orders(d *garnetworks.FabricDomain, fresh Statuses, loads Loads) []AddressedOrder {
+func Orders(d *garnetworks.FabricDomain, fresh Statuses, loads LoadPlan) []AddressedOrder {
 	var orders []AddressedOrder
 	for n := range d.Instances {
 		i := &d.Instances[n]
@@ -50,9 +50,9 @@
 	return orders
 }
 
-func orderFor(d *garnetworks.FabricDomain, i *garnetworks.Instance, s garnetworks.EngineStatus, loads Loads) (garnetworks.EngineOrder, bool) {
+func orderFor(d *garnetworks.FabricDomain, i *garnetworks.Instance, s garnetworks.EngineStatus, loads LoadPlan) (garnetworks.EngineOrder, bool) {
 	if i.Group == "" {
-		return freeOrder(i, s, loads)
+		return idleOrder(i, s, loads)
 	}
 	g := FindGroup(d, i.Group)
 	if g == nil {
@@ -67,7 +67,7 @@
 	return garnetworks.EngineOrder{}, false
 }
 
-func freeOrder(i *garnetworks.Instance, s garnetworks.EngineStatus, loads Loads) (garnetworks.EngineOrder, bool) {
+func idleOrder(i *garnetworks.Instance, s garnetworks.EngineStatus, loads LoadPlan) (garnetworks.EngineOrder, bool) {
 	if s.Group != "" || (i.Condition == garnetworks.ConditionReturned && !released(i, s)) {
 		return garnetworks.EngineOrder{
 			ID:    releaseID(i.Token),
@@ -92,7 +92,7 @@
 	}, s.LastOrder != id
 }
 
-func memberOrder(i *garnetworks.Instance, g *garnetworks.Group, s garnetworks.EngineStatus, loads Loads) (garnetworks.EngineOrder, bool) {
+func memberOrder(i *garnetworks.Instance, g *garnetworks.Group, s garnetworks.EngineStatus, loads LoadPlan) (garnetworks.EngineOrder, bool) {
 	rate := loads.Rates[i.ID]
 	form := garnetworks.EngineOrder{
 		ID:       fmt.Sprintf("form/%s/%d", g.ID, rate),
@@ -106,7 +106,7 @@
 		LoadRate: rate,
 	}
 	if s.Group != g.ID || s.Token != g.Token {
-		return form, rate == 0 || rate >= loads.LeastRate
+		return form, rate == 0 || rate >= loads.MinRate
 	}
 	if s.Phase == garnetworks.EngineLoading && rate > 0 && s.LastOrder != form.ID {
 		return form, true
@@ -165,12 +165,12 @@
 }
 
 func powerOrder(i *garnetworks.Instance, on bool) garnetworks.PowerOrder {
-	word := "off"
+	state := "off"
 	if on {
-		word = "on"
+		state = "on"
 	}
 	return garnetworks.PowerOrder{
-		ID:       fmt.Sprintf("power-%s/%s/%s", word, i.ID, i.Token),
+		ID:       fmt.Sprintf("power-%s/%s/%s", state, i.ID, i.Token),
 		Instance: i.ID,
 		On:       on,
 		Token:    i.Token,
--- a/grouper/power.go
+++ b/grouper/power.go
@@ -3,7 +3,7 @@
 import "github.com/garnetworks/garnetworks"
 
 // PowerOn decides to power an instance on; it counts as drawing from here on.
-func (a *Aggregate) PowerOn(id garnetworks.InstanceID, why string) error {
+func (a *Aggregate) PowerOn(id garnetworks.InstanceID, reason string) error {
 	i := a.Instance(id)
 	if i == nil {
 		return garnetworks.Errorf(garnetworks.KindNotFound, "no instance %s", id)
@@ -15,13 +15,13 @@
 	i.Condition = garnetworks.ConditionReturned
 	i.Incarnation = 0
 	i.Weights = nil
-	i.Token = a.issue()
-	a.record(garnetworks.EventPowerOn, "", id, "%s", why)
+	i.Token = a.nextToken()
+	a.record(garnetworks.EventPowerOn, "", id, "%s", reason)
 	return nil
 }
 
 // PowerOff decides to cut an instance's power (D8).
-func (a *Aggregate) PowerOff(id garnetworks.InstanceID, why string) error {
+func (a *Aggregate) PowerOff(id garnetworks.InstanceID, reason string) error {
 	i := a.Instance(id)
 	if i == nil {
 		return garnetworks.Errorf(garnetworks.KindNotFound, "no instance %s", id)
@@ -34,15 +34,15 @@
 	}
 	i.Power = garnetworks.PowerStopping
 	i.Condition = garnetworks.ConditionReturned
-	i.Token = a.issue()
-	a.record(garnetworks.EventPowerOff, "", id, "%s", why)
+	i.Token = a.nextToken()
+	a.record(garnetworks.EventPowerOff, "", id, "%s", reason)
 	return nil
 }
 
-// ProveOff notes that the power switch has acknowledged the power-off under
+// ConfirmOff notes that the power switch has acknowledged the power-off under
 // token and reads off since (D8). It reports false if the proof is not of the
 // newest decision.
-func (a *Aggregate) ProveOff(id garnetworks.InstanceID, token garnetworks.FencingToken) bool {
+func (a *Aggregate) ConfirmOff(id garnetworks.InstanceID, token garnetworks.FencingToken) bool {
 	i := a.Instance(id)
 	if i == nil || i.Power != garnetworks.PowerStopping || i.Token != token {
 		return false
@@ -54,9 +54,9 @@
 	return true
 }
 
-// SeeRunning notes that an instance answers: it is powered. An instance that
+// MarkRunning notes that an instance answers: it is powered. An instance that
 // was ordered off stays so until it is proven off.
-func (a *Aggregate) SeeRunning(id garnetworks.InstanceID) {
+func (a *Aggregate) MarkRunning(id garnetworks.InstanceID) {
 	i := a.Instance(id)
 	if i == nil || i.Power == garnetworks.PowerOn || i.Power == garnetworks.PowerStopping {
 		return
@@ -64,7 +64,7 @@
 	if i.Power == garnetworks.PowerOff {
 		// Somebody else powered it: it draws, whatever was proven.
 		i.Condition = garnetworks.ConditionReturned
-		i.Token = a.issue()
+		i.Token = a.nextToken()
 	}
 	i.Power = garnetworks.PowerOn
 	a.raise(Soft)
