--- a/controller/sim_test.go
+++ b/controller/sim_test.go
@@ -501,7 +501,7 @@
 	cut    bool
 	lose   int
 	busy   bool
-	memory granter.SiteMemory
+	memory granter.SiteState
 }
 
 func (t *simSite) tick() {
@@ -510,7 +510,7 @@
 		return
 	}
 	t.busy = true
-	in := granter.SiteInput{Now: s.now, Term: 1, Generation: s.manifest.Generation, Cap: s.manifest.Manifest.Site.PowerCap, Memory: t.memory, Powers: map[garnetworks.ZoneID]garnetworks.ZonePower{}}
+	in := granter.SiteInput{Now: s.now, Term: 1, Generation: s.manifest.Generation, Cap: s.manifest.Manifest.Site.PowerCap, State: t.memory, Powers: map[garnetworks.ZoneID]garnetworks.ZonePower{}}
 	for _, z := range s.manifest.Manifest.Site.Zones {
 		in.Zones = append(in.Zones, z.Name)
 	}
@@ -544,7 +544,7 @@
 				return
 			}
 		}
-		t.memory = out.Memory
+		t.memory = out.State
 	})
 }
 
--- a/controller/site.go
+++ b/controller/site.go
@@ -36,7 +36,7 @@
 type Site struct {
 	options SiteOptions
 	lease   *leaser.Lease
-	memory  granter.SiteMemory
+	memory  granter.SiteState
 	term    uint32
 }
 
@@ -104,7 +104,7 @@
 		return
 	}
 	if term != s.term {
-		s.term, s.memory = term, granter.SiteMemory{}
+		s.term, s.memory = term, granter.SiteState{}
 	}
 	ctx, cancel := context.WithTimeout(ctx, callBound)
 	defer cancel()
@@ -112,7 +112,7 @@
 	if err != nil {
 		return
 	}
-	in.Now, in.Term, in.Memory = time.Now(), term, s.memory
+	in.Now, in.Term, in.State = time.Now(), term, s.memory
 	in.Generation, in.Cap = manifest.Generation, manifest.Manifest.Site.PowerCap
 	for _, z := range manifest.Manifest.Site.Zones {
 		if !z.Excluded {
@@ -155,7 +155,7 @@
 
 func (s *Site) write(ctx context.Context, out granter.SiteOutput, after garnetworks.Revision) {
 	if !out.Changed {
-		s.memory = out.Memory
+		s.memory = out.State
 		return
 	}
 	out.Ledger.WriteID = ulid.Make().String()
@@ -166,7 +166,7 @@
 	if _, err := s.options.Objects.Put(ctx, LedgerKey, value, after); err != nil {
 		return
 	}
-	s.memory = out.Memory
+	s.memory = out.State
 	for _, event := range out.Events {
 		if s.options.Recorder != nil {
 			s.options.Recorder.Record(event)
--- a/granter/granter_test.go
+++ b/granter/granter_test.go
@@ -34,7 +34,7 @@
 	gen      garnetworks.Generation
 	ledger   garnetworks.PowerLedger
 	ledgerAt int
-	memory   garnetworks.Option[SiteMemory]
+	memory   garnetworks.Option[SiteState]
 	zones    []*zone
 	// read is a site plan under way: the ledger, then the statements.
 	read   *SiteInput
@@ -47,18 +47,18 @@
 	stated garnetworks.ZonePower
 	at     int
 	// known is the ledger that the holder read; own is what it knows is stated.
-	known garnetworks.Option[garnetworks.PowerLedger]
-	own   garnetworks.ZonePower
-	ownAt int
-	drawn garnetworks.Watts
-	limit garnetworks.Watts
-	term  uint32
-	needs []garnetworks.PowerNeed
+	known    garnetworks.Option[garnetworks.PowerLedger]
+	cached   garnetworks.ZonePower
+	cachedAt int
+	drawn    garnetworks.Watts
+	limit    garnetworks.Watts
+	term     uint32
+	needs    []garnetworks.PowerNeed
 	// peeked is a ledger that the next holder reads before it reads the statement.
-	peeked garnetworks.Option[garnetworks.PowerLedger]
+	earlyLedger garnetworks.Option[garnetworks.PowerLedger]
 	// pending is a statement that was decided and not written yet.
 	pending *garnetworks.ZonePower
-	acting  bool
+	active  bool
 }
 
 func newSite(cap garnetworks.Watts) *site {
@@ -97,7 +97,7 @@
 	if in == nil || len(in.Powers) == 0 {
 		return
 	}
-	in.Memory = s.memory.Value
+	in.State = s.memory.Value
 	out, err := PlanSite(*in)
 	if err != nil || s.readAt != s.ledgerAt {
 		return
@@ -118,7 +118,7 @@
 		s.ledgerAt++
 	}
 	if !lost {
-		s.memory = garnetworks.Some(out.Memory)
+		s.memory = garnetworks.Some(out.State)
 	}
 	s.check(rt)
 }
@@ -131,9 +131,9 @@
 
 // plan decides a statement; write stores it later.
 func (z *zone) plan() {
-	out := PlanZone(ZoneInput{Zone: z.id, Term: z.term, Stated: z.own, Ledger: z.known, Drawn: z.drawn, Needs: z.needs, Need: Total(z.needs)})
+	out := PlanZone(ZoneInput{Zone: z.id, Term: z.term, Stated: z.cached, Ledger: z.known, Drawn: z.drawn, Needs: z.needs, Need: Total(z.needs)})
 	z.limit = out.Limit
-	z.acting = true
+	z.active = true
 	if out.Changed {
 		z.pending = &out.Statement
 	}
@@ -144,11 +144,11 @@
 	if z.pending == nil {
 		return
 	}
-	if z.ownAt == z.at {
+	if z.cachedAt == z.at {
 		z.stated = *z.pending
 		z.at++
 		if !lost {
-			z.own, z.ownAt = z.stated, z.at
+			z.cached, z.cachedAt = z.stated, z.at
 		}
 	}
 	z.pending = nil
@@ -157,13 +157,13 @@
 // takeOver is a new holder, which reads and claims the statement.
 func (z *zone) takeOver() {
 	z.term++
-	z.acting = false
-	z.known, z.peeked = z.peeked, garnetworks.Option[garnetworks.PowerLedger]{}
+	z.active = false
+	z.known, z.earlyLedger = z.earlyLedger, garnetworks.Option[garnetworks.PowerLedger]{}
 	if z.at > 0 {
 		z.stated.Term = z.term
 		z.at++
 	}
-	z.own, z.ownAt, z.pending = z.stated, z.at, nil
+	z.cached, z.cachedAt, z.pending = z.stated, z.at, nil
 }
 
 func (s *site) check(rt *rapid.T) {
@@ -200,14 +200,14 @@
 			"zone-plan":   func(rt *rapid.T) { pick(rt).plan() },
 			"zone-write":  func(rt *rapid.T) { pick(rt).write(false) },
 			"zone-lost":   func(rt *rapid.T) { pick(rt).write(true) },
-			"zone-read":   func(rt *rapid.T) { z := pick(rt); z.own, z.ownAt = z.stated, z.at },
+			"zone-read":   func(rt *rapid.T) { z := pick(rt); z.cached, z.cachedAt = z.stated, z.at },
 			"peek": func(rt *rapid.T) {
 				if s.ledgerAt > 0 {
-					pick(rt).peeked = garnetworks.Some(s.ledger)
+					pick(rt).earlyLedger = garnetworks.Some(s.ledger)
 				}
 			},
 			"take-over": func(rt *rapid.T) { pick(rt).takeOver() },
-			"new-site":  func(*rapid.T) { s.memory = garnetworks.Option[SiteMemory]{}; s.read = nil },
+			"new-site":  func(*rapid.T) { s.memory = garnetworks.Option[SiteState]{}; s.read = nil },
 			"cap":       func(rt *rapid.T) { s.cap = garnetworks.Watts(rapid.IntRange(2, 12).Draw(rt, "cap")) * unit; s.gen++ },
 			"zone-turn": func(rt *rapid.T) {
 				z := pick(rt)
@@ -226,13 +226,13 @@
 			"zone-on-more": func(rt *rapid.T) { z := pick(rt); z.plan(); z.powerOn(); z.powerOn() },
 			"zone-off":     func(rt *rapid.T) { pick(rt).powerOff() },
 		})
-		s.settle(rt)
+		s.converge(rt)
 	})
 	t.Logf("%d steps", steps)
 }
 
 func (z *zone) powerOn() {
-	if z.acting && z.at > 0 && z.drawn+unit <= z.limit {
+	if z.active && z.at > 0 && z.drawn+unit <= z.limit {
 		z.drawn += unit
 	}
 }
@@ -243,7 +243,7 @@
 	}
 }
 
-func (s *site) settle(rt *rapid.T) {
+func (s *site) converge(rt *rapid.T) {
 	for range 300 {
 		s.now = s.now.Add(time.Second)
 		s.startPlan()
@@ -251,7 +251,7 @@
 		s.finishPlan(rt, false)
 		for _, z := range s.zones {
 			z.readLedger(s)
-			z.own, z.ownAt = z.stated, z.at
+			z.cached, z.cachedAt = z.stated, z.at
 			z.plan()
 			z.write(false)
 			for z.drawn > z.limit {
@@ -268,18 +268,18 @@
 	for _, z := range s.zones {
 		drawn += z.drawn
 	}
-	if drawn+unit <= s.cap && drawn < 21*unit && s.stuck() {
+	if drawn+unit <= s.cap && drawn < 21*unit && s.hasUnusedPower() {
 		rt.Fatalf("the zones draw %d W of %d W: %+v", drawn, s.cap, s.ledger)
 	}
 }
 
 // stuck reports whether a zone has less than its needs though power is left.
-func (s *site) stuck() bool {
-	var sum garnetworks.Watts
+func (s *site) hasUnusedPower() bool {
+	var total garnetworks.Watts
 	for _, g := range s.ledger.Grants {
-		sum += g.Granted
+		total += g.Granted
 	}
-	return sum+unit <= s.cap
+	return total+unit <= s.cap
 }
 
 // TestTargetsFollowPriority splits a cap that is too small for all needs.
@@ -316,7 +316,7 @@
 
 // TestWantedMovesAtMostOnceAMinute lets a need swing every second for an hour:
 // the grants must not follow each swing (W8).
-func TestWantedMovesAtMostOnceAMinute(t *testing.T) {
+func TestTargetsMoveAtMostOnceAMinute(t *testing.T) {
 	s := newSite(24 * unit)
 	for n := range 3600 {
 		s.now = s.now.Add(time.Second)
@@ -343,7 +343,7 @@
 
 // TestDeletedLedgerIsHeededAgain: somebody deletes the ledger's object. The next
 // one must be heeded by zones that have stated a later version.
-func TestDeletedLedgerIsHeededAgain(t *testing.T) {
+func TestRecreatedLedgerIsObeyed(t *testing.T) {
 	stated := garnetworks.ZonePower{Zone: "a", Limit: 40, Drawn: 40, SeenSequence: 77}
 	out, err := PlanSite(SiteInput{Term: 1, Generation: 1, Cap: 100, Zones: []garnetworks.ZoneID{"a"}, Powers: map[garnetworks.ZoneID]garnetworks.ZonePower{"a": stated}})
 	if err != nil {
@@ -357,7 +357,7 @@
 
 // TestOlderWritersAreRefused: a site controller that woke from a pause, or whose
 // node has yet to hear of the newest manifest, must not write (W7).
-func TestOlderWritersAreRefused(t *testing.T) {
+func TestStaleWritersAreRefused(t *testing.T) {
 	ledger := garnetworks.PowerLedger{Term: 4, Generation: 7}
 	for name, c := range map[string]struct {
 		term uint32
@@ -380,7 +380,7 @@
 // its statement makes the site give the same power away twice.
 func TestZoneObeysTheNewestLedgerOnly(t *testing.T) {
 	for name, c := range map[string]struct {
-		stated, drawn, granted, wanted garnetworks.Watts
+		stated, drawn, granted, target garnetworks.Watts
 		seen, sequence                 uint64
 		wantLimit, wantStated          garnetworks.Watts
 	}{
@@ -393,7 +393,7 @@
 		"granted, not yet shrunk":   {100, 80, 100, 80, 5, 6, 80, 80},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ledger := garnetworks.PowerLedger{Sequence: c.sequence, Grants: []garnetworks.ZoneGrant{{Zone: "a", Granted: c.granted, Target: c.wanted, TargetSequence: c.sequence}}}
+			ledger := garnetworks.PowerLedger{Sequence: c.sequence, Grants: []garnetworks.ZoneGrant{{Zone: "a", Granted: c.granted, Target: c.target, TargetSequence: c.sequence}}}
 			out := PlanZone(ZoneInput{
 				Zone: "a", Term: 1, Drawn: c.drawn, Ledger: garnetworks.Some(ledger),
 				Stated: garnetworks.ZonePower{Zone: "a", Term: 1, Limit: c.stated, Drawn: c.drawn, SeenSequence: c.seen},
--- a/granter/site.go
+++ b/granter/site.go
@@ -11,13 +11,13 @@
 
 // Defaults of the hysteresis (W8).
 const (
-	// MoveEvery is the shortest time between two changes of a zone's target.
-	MoveEvery = time.Minute
+	// MinMoveInterval is the shortest time between two changes of a zone's target.
+	MinMoveInterval = time.Minute
 	// restoredLead is how far a ledger that went back jumps ahead of what the zones
 	// have stated, since they may have read versions that they did not state.
-	restoredLead = 1000
+	sequenceGap = 1000
 	// minMoveShare is MinMove's share of the cap.
-	minMoveShare = 100
+	minMoveDivisor = 100
 )
 
 // SiteInput is what the site's controller knows.
@@ -34,14 +34,14 @@
 	Ledger garnetworks.PowerLedger
 	// Powers are the zones' newest statements, read after Ledger was.
 	Powers map[garnetworks.ZoneID]garnetworks.ZonePower
-	// Memory is what the last plan returned; empty for a new holder.
-	Memory SiteMemory
+	// State is what the last plan returned; empty for a new holder.
+	State SiteState
 }
 
-// SiteMemory is what one plan tells the next one.
-type SiteMemory struct {
-	// Moved is when a zone's target was last changed.
-	Moved map[garnetworks.ZoneID]time.Time
+// SiteState is what one plan tells the next one.
+type SiteState struct {
+	// LastMove is when a zone's target was last changed.
+	LastMove map[garnetworks.ZoneID]time.Time
 	// Generation and Zones are those of the last plan.
 	Generation garnetworks.Generation
 	Zones      int
@@ -55,7 +55,7 @@
 	// Excess is the power by which the cap is still exceeded, because zones have
 	// not confirmed yet.
 	Excess garnetworks.Watts
-	Memory SiteMemory
+	State  SiteState
 	Events []garnetworks.Event
 }
 
@@ -69,35 +69,35 @@
 		return SiteOutput{}, garnetworks.Errorf(garnetworks.KindStaleGeneration, "the power ledger holds generation %d, above %d", in.Ledger.Generation, in.Generation)
 	}
 	p := newSitePlan(in)
-	p.confirmShrinks()
-	p.moveTargets()
-	p.grow()
+	p.applyConfirmedShrinks()
+	p.updateTargets()
+	p.raiseGrants()
 	return p.output(), nil
 }
 
 // sitePlan is a plan in the course of being made.
 type sitePlan struct {
 	SiteInput
-	grants []garnetworks.ZoneGrant
-	next   uint64
-	events []garnetworks.Event
+	grants       []garnetworks.ZoneGrant
+	nextSequence uint64
+	events       []garnetworks.Event
 }
 
 func newSitePlan(in SiteInput) *sitePlan {
-	p := &sitePlan{SiteInput: in, grants: slices.Clone(in.Ledger.Grants), next: in.Ledger.Sequence + 1}
+	p := &sitePlan{SiteInput: in, grants: slices.Clone(in.Ledger.Grants), nextSequence: in.Ledger.Sequence + 1}
 	for _, power := range in.Powers {
 		// A ledger that was deleted or restored would count from behind what the
 		// zones have seen, and they would not heed it.
-		if power.SeenSequence >= p.next {
-			p.next = power.SeenSequence + restoredLead
+		if power.SeenSequence >= p.nextSequence {
+			p.nextSequence = power.SeenSequence + sequenceGap
 		}
 	}
-	p.Memory.Moved = maps.Clone(in.Memory.Moved)
+	p.State.LastMove = maps.Clone(in.State.LastMove)
 	for _, z := range in.Zones {
-		p.ensure(z)
+		p.ensureGrant(z)
 	}
 	for z := range in.Powers {
-		p.ensure(z)
+		p.ensureGrant(z)
 	}
 	slices.SortFunc(p.grants, func(a, b garnetworks.ZoneGrant) int { return cmp.Compare(a.Zone, b.Zone) })
 	return p
@@ -106,30 +106,30 @@
 // ensure gives a zone a row. A zone that was never granted anything and has
 // never stated its draw has none: nothing may be given away to it, and its
 // silence must not be taken for a draw of 0 later.
-func (p *sitePlan) ensure(z garnetworks.ZoneID) {
+func (p *sitePlan) ensureGrant(z garnetworks.ZoneID) {
 	has := slices.ContainsFunc(p.grants, func(g garnetworks.ZoneGrant) bool { return g.Zone == z })
 	if _, stated := p.Powers[z]; has || !stated {
 		return
 	}
-	p.grants = append(p.grants, garnetworks.ZoneGrant{Zone: z, TargetSequence: p.next})
+	p.grants = append(p.grants, garnetworks.ZoneGrant{Zone: z, TargetSequence: p.nextSequence})
 }
 
 // counted is what a zone counts with (W1).
-func (p *sitePlan) counted(g garnetworks.ZoneGrant) garnetworks.Watts {
+func (p *sitePlan) reserved(g garnetworks.ZoneGrant) garnetworks.Watts {
 	power := p.Powers[g.Zone]
 	return max(g.Granted, power.Limit, power.Drawn)
 }
 
-func (p *sitePlan) sum() garnetworks.Watts {
-	var sum garnetworks.Watts
+func (p *sitePlan) total() garnetworks.Watts {
+	var total garnetworks.Watts
 	for _, g := range p.grants {
-		sum += p.counted(g)
+		total += p.reserved(g)
 	}
-	return sum
+	return total
 }
 
 // confirmShrinks lowers the grants that zones have confirmed (W2).
-func (p *sitePlan) confirmShrinks() {
+func (p *sitePlan) applyConfirmedShrinks() {
 	for n := range p.grants {
 		g := &p.grants[n]
 		power, stated := p.Powers[g.Zone]
@@ -138,39 +138,39 @@
 		}
 		confirmed := max(g.Target, power.Limit, power.Drawn)
 		if confirmed < g.Granted {
-			p.note(g.Zone, "grant shrinks from %d W to %d W", g.Granted, confirmed)
+			p.recordChange(g.Zone, "grant shrinks from %d W to %d W", g.Granted, confirmed)
 			g.Granted = confirmed
 		}
 	}
 }
 
 // moveTargets sets what is wanted of each zone (W8).
-func (p *sitePlan) moveTargets() {
+func (p *sitePlan) updateTargets() {
 	targets := p.targets()
-	forced := p.Generation != p.Memory.Generation || len(p.grants) != p.Memory.Zones
-	if p.Memory.Moved == nil {
-		p.Memory.Moved = map[garnetworks.ZoneID]time.Time{}
+	forced := p.Generation != p.State.Generation || len(p.grants) != p.State.Zones
+	if p.State.LastMove == nil {
+		p.State.LastMove = map[garnetworks.ZoneID]time.Time{}
 	}
-	var over garnetworks.Watts
+	var totalTarget garnetworks.Watts
 	for _, g := range p.grants {
-		over += g.Target
+		totalTarget += g.Target
 	}
-	forced = forced || over > p.Cap
+	forced = forced || totalTarget > p.Cap
 	for n := range p.grants {
 		g := &p.grants[n]
-		if !p.mayMove(*g, targets[g.Zone], forced) {
+		if !p.shouldMove(*g, targets[g.Zone], forced) {
 			continue
 		}
-		p.note(g.Zone, "wanted moves from %d W to %d W", g.Target, targets[g.Zone])
+		p.recordChange(g.Zone, "wanted moves from %d W to %d W", g.Target, targets[g.Zone])
 		g.Target = targets[g.Zone]
-		g.TargetSequence = p.next
-		p.Memory.Moved[g.Zone] = p.Now
+		g.TargetSequence = p.nextSequence
+		p.State.LastMove[g.Zone] = p.Now
 	}
-	p.Memory.Generation = p.Generation
-	p.Memory.Zones = len(p.grants)
+	p.State.Generation = p.Generation
+	p.State.Zones = len(p.grants)
 }
 
-func (p *sitePlan) mayMove(g garnetworks.ZoneGrant, target garnetworks.Watts, forced bool) bool {
+func (p *sitePlan) shouldMove(g garnetworks.ZoneGrant, target garnetworks.Watts, forced bool) bool {
 	move := target - g.Target
 	if move == 0 {
 		return false
@@ -178,44 +178,44 @@
 	if forced {
 		return true
 	}
-	if max(move, -move) < p.Cap/minMoveShare {
+	if max(move, -move) < p.Cap/minMoveDivisor {
 		return false
 	}
-	last, moved := p.Memory.Moved[g.Zone]
-	return !moved || p.Now.Sub(last) >= MoveEvery
+	last, moved := p.State.LastMove[g.Zone]
+	return !moved || p.Now.Sub(last) >= MinMoveInterval
 }
 
 // grow raises grants towards what is wanted, as far as the cap allows (W1).
-func (p *sitePlan) grow() {
-	room := p.Cap - p.sum()
-	if p.unstated() {
-		room = 0
+func (p *sitePlan) raiseGrants() {
+	headroom := p.Cap - p.total()
+	if p.hasUnstatedZone() {
+		headroom = 0
 	}
 	for n := range p.grants {
 		g := &p.grants[n]
-		counted := p.counted(*g)
+		reserved := p.reserved(*g)
 		if g.Target <= g.Granted {
 			continue
 		}
 		// Up to counted the zone's draw is in the sum already.
-		granted := min(g.Target, counted+max(room, 0))
+		granted := min(g.Target, reserved+max(headroom, 0))
 		if granted <= g.Granted {
 			continue
 		}
-		room -= max(granted-counted, 0)
-		p.note(g.Zone, "grant grows from %d W to %d W", g.Granted, granted)
+		headroom -= max(granted-reserved, 0)
+		p.recordChange(g.Zone, "grant grows from %d W to %d W", g.Granted, granted)
 		g.Granted = granted
 	}
 }
 
 // unstated reports whether a zone has never said what it draws (W9).
-func (p *sitePlan) unstated() bool {
+func (p *sitePlan) hasUnstatedZone() bool {
 	return slices.ContainsFunc(p.Zones, func(z garnetworks.ZoneID) bool {
 		return !slices.ContainsFunc(p.grants, func(g garnetworks.ZoneGrant) bool { return g.Zone == z })
 	})
 }
 
-func (p *sitePlan) note(zone garnetworks.ZoneID, format string, from, to garnetworks.Watts) {
+func (p *sitePlan) recordChange(zone garnetworks.ZoneID, format string, from, to garnetworks.Watts) {
 	p.events = append(p.events, garnetworks.Event{
 		Kind: garnetworks.EventGrantChanged, Zone: zone, Generation: p.Generation,
 		Detail: sprintf(format, from, to),
@@ -223,12 +223,12 @@
 }
 
 func (p *sitePlan) output() SiteOutput {
-	sum := p.sum()
+	total := p.total()
 	ledger := garnetworks.PowerLedger{
-		Cap:        max(p.Cap, sum), // rule W6
+		Cap:        max(p.Cap, total), // rule W6
 		Grants:     p.grants,
 		Term:       p.Term,
-		Sequence:   p.next,
+		Sequence:   p.nextSequence,
 		Generation: p.Generation,
 	}
 	old := p.Ledger
@@ -236,5 +236,5 @@
 	if !changed {
 		ledger = old
 	}
-	return SiteOutput{Ledger: ledger, Changed: changed, Excess: max(sum-p.Cap, 0), Memory: p.Memory, Events: p.events}
+	return SiteOutput{Ledger: ledger, Changed: changed, Excess: max(total-p.Cap, 0), State: p.State, Events: p.events}
 }
--- a/granter/targets.go
+++ b/granter/targets.go
@@ -45,15 +45,15 @@
 
 // Total returns the power of all needs.
 func Total(needs []garnetworks.PowerNeed) garnetworks.Watts {
-	var sum garnetworks.Watts
+	var total garnetworks.Watts
 	for _, n := range needs {
-		sum += n.Watts * garnetworks.Watts(n.Groups)
+		total += n.Watts * garnetworks.Watts(n.Groups)
 	}
-	return sum
+	return total
 }
 
 // ask is one zone's need at one place in the order.
-type ask struct {
+type zoneNeed struct {
 	garnetworks.PowerNeed
 	zone garnetworks.ZoneID
 }
@@ -62,74 +62,74 @@
 // cap less what zones outside the plan's reach hold.
 func (p *sitePlan) targets() map[garnetworks.ZoneID]garnetworks.Watts {
 	targets := map[garnetworks.ZoneID]garnetworks.Watts{}
-	left := p.fill(targets, p.asks(), p.Cap)
-	p.share(targets, left)
+	remaining := p.allocateGroups(targets, p.zoneNeeds(), p.Cap)
+	p.shareRemainder(targets, remaining)
 	return targets
 }
 
-func (p *sitePlan) asks() []ask {
-	var asks []ask
+func (p *sitePlan) zoneNeeds() []zoneNeed {
+	var zoneNeeds []zoneNeed
 	for _, g := range p.grants {
 		for _, n := range p.Powers[g.Zone].Needs {
 			if n.Groups > 0 && n.Watts > 0 {
-				asks = append(asks, ask{n, g.Zone})
+				zoneNeeds = append(zoneNeeds, zoneNeed{n, g.Zone})
 			}
 		}
 	}
-	slices.SortStableFunc(asks, func(a, b ask) int { return compareNeeds(a.PowerNeed, b.PowerNeed) })
-	return asks
+	slices.SortStableFunc(zoneNeeds, func(a, b zoneNeed) int { return compareNeeds(a.PowerNeed, b.PowerNeed) })
+	return zoneNeeds
 }
 
 // fill gives out whole groups: within one place in the order, a group at a time
 // to each zone in turn, so that no zone's name decides.
-func (p *sitePlan) fill(targets map[garnetworks.ZoneID]garnetworks.Watts, asks []ask, left garnetworks.Watts) garnetworks.Watts {
-	for len(asks) > 0 {
+func (p *sitePlan) allocateGroups(targets map[garnetworks.ZoneID]garnetworks.Watts, zoneNeeds []zoneNeed, remaining garnetworks.Watts) garnetworks.Watts {
+	for len(zoneNeeds) > 0 {
 		n := 1
-		for n < len(asks) && compareNeeds(asks[n].PowerNeed, asks[0].PowerNeed) == 0 {
+		for n < len(zoneNeeds) && compareNeeds(zoneNeeds[n].PowerNeed, zoneNeeds[0].PowerNeed) == 0 {
 			n++
 		}
-		left = deal(targets, asks[:n], left)
-		asks = asks[n:]
+		remaining = allocateRoundRobin(targets, zoneNeeds[:n], remaining)
+		zoneNeeds = zoneNeeds[n:]
 	}
-	return left
+	return remaining
 }
 
-func deal(targets map[garnetworks.ZoneID]garnetworks.Watts, asks []ask, left garnetworks.Watts) garnetworks.Watts {
-	given := true
-	for given {
-		given = false
-		for n := range asks {
-			a := &asks[n]
-			if a.Groups == 0 || a.Watts > left {
+func allocateRoundRobin(targets map[garnetworks.ZoneID]garnetworks.Watts, zoneNeeds []zoneNeed, remaining garnetworks.Watts) garnetworks.Watts {
+	allocated := true
+	for allocated {
+		allocated = false
+		for n := range zoneNeeds {
+			need := &zoneNeeds[n]
+			if need.Groups == 0 || need.Watts > remaining {
 				continue
 			}
-			a.Groups--
-			left -= a.Watts
-			targets[a.zone] += a.Watts
-			given = true
+			need.Groups--
+			remaining -= need.Watts
+			targets[need.zone] += need.Watts
+			allocated = true
 		}
 	}
-	return left
+	return remaining
 }
 
 // share splits what no group needs: the room in which zones replace members and
 // keep spares. It goes by what each zone got, and evenly if none got anything.
-func (p *sitePlan) share(targets map[garnetworks.ZoneID]garnetworks.Watts, left garnetworks.Watts) {
-	if len(p.grants) == 0 || left <= 0 {
+func (p *sitePlan) shareRemainder(targets map[garnetworks.ZoneID]garnetworks.Watts, remaining garnetworks.Watts) {
+	if len(p.grants) == 0 || remaining <= 0 {
 		return
 	}
-	var sum garnetworks.Watts
+	var total garnetworks.Watts
 	for _, t := range targets {
-		sum += t
+		total += t
 	}
-	spare := left
+	spare := remaining
 	for _, g := range p.grants {
 		part := spare / garnetworks.Watts(len(p.grants))
-		if sum > 0 {
-			part = garnetworks.Watts(float64(spare) * float64(targets[g.Zone]) / float64(sum))
+		if total > 0 {
+			part = garnetworks.Watts(float64(spare) * float64(targets[g.Zone]) / float64(total))
 		}
-		part = min(part, left)
+		part = min(part, remaining)
 		targets[g.Zone] += part
-		left -= part
+		remaining -= part
 	}
 }
--- a/granter/zone.go
+++ b/granter/zone.go
@@ -50,17 +50,17 @@
 		if in.Stated.SeenSequence == 0 {
 			limit = in.Drawn
 		}
-		return ZoneOutput{Statement: next, Changed: worthWriting(in.Stated, next), Limit: limit, Granted: in.Stated.SeenSequence != 0}
+		return ZoneOutput{Statement: next, Changed: needsWrite(in.Stated, next), Limit: limit, Granted: in.Stated.SeenSequence != 0}
 	}
-	may := min(grant.Granted, grant.Target)
+	allowed := min(grant.Granted, grant.Target)
 	next.SeenSequence = in.Ledger.Value.Sequence
-	next.Limit = statedLimit(may, in.Stated.Limit, in.Drawn)
+	next.Limit = statedLimit(allowed, in.Stated.Limit, in.Drawn)
 	return ZoneOutput{
 		Statement: next,
-		Changed:   worthWriting(in.Stated, next) || in.Stated.SeenSequence < grant.TargetSequence,
+		Changed:   needsWrite(in.Stated, next) || in.Stated.SeenSequence < grant.TargetSequence,
 		// Rule W3: more than the stated limit is drawn only once it is stated; what
 		// is drawn already need not be shed for that.
-		Limit:   min(may, max(in.Stated.Limit, in.Drawn)),
+		Limit:   min(allowed, max(in.Stated.Limit, in.Drawn)),
 		Granted: true,
 	}
 }
@@ -81,11 +81,11 @@
 
 // statedLimit never confirms less than what is drawn (W4). On the way down it
 // moves in steps, so that each instance proven off does not cost a write.
-func statedLimit(may, stated, drawn garnetworks.Watts) garnetworks.Watts {
-	if drawn <= may {
-		return may
+func statedLimit(allowed, stated, drawn garnetworks.Watts) garnetworks.Watts {
+	if drawn <= allowed {
+		return allowed
 	}
-	if drawn >= stated || stated-drawn < stated/drawStep {
+	if drawn >= stated || stated-drawn < stated/stepDivisor {
 		return stated
 	}
 	return drawn
@@ -93,11 +93,11 @@
 
 // drawStep is the change of the draw or the need that is worth a write on its
 // own, as a share of the limit.
-const drawStep = 20
+const stepDivisor = 20
 
 // worthWriting keeps the statement's writes rare: a changed limit or confirmed
 // version is written at once, a changed draw or need only in steps.
-func worthWriting(old, next garnetworks.ZonePower) bool {
+func needsWrite(old, next garnetworks.ZonePower) bool {
 	if old.Term != next.Term || old.Limit != next.Limit || old.Zone != next.Zone {
 		return true
 	}
@@ -108,8 +108,8 @@
 	if !slices.Equal(old.Needs, next.Needs) {
 		return true
 	}
-	step := max(next.Limit, old.Drawn) / drawStep
-	return far(old.Drawn, next.Drawn, step) || far(old.Need, next.Need, step)
+	step := max(next.Limit, old.Drawn) / stepDivisor
+	return differsBy(old.Drawn, next.Drawn, step) || differsBy(old.Need, next.Need, step)
 }
 
-func far(a, b, step garnetworks.Watts) bool { return a != b && max(a-b, b-a) >= step }
+func differsBy(a, b, step garnetworks.Watts) bool { return a != b && max(a-b, b-a) >= step }
