--- a/grouper/aggregate.go
+++ b/grouper/aggregate.go
@@ -8,21 +8,20 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Urgency says how soon a change must be written.
+// Urgency is how soon a change must be written.
 type Urgency int
 
 const (
 	// Unchanged means that there is nothing to write.
 	Unchanged Urgency = iota
-	// Soft changes restate what instances themselves say (loading, serving,
-	// weights); a successor finds them out again, so they can wait for the next
-	// write.
+	// Soft changes repeat what instances report (loading, serving, weights). A new lease
+	// holder observes them again, so they can wait for the next write.
 	Soft
 	// Hard changes are decisions: they are written before any order is sent.
 	Hard
 )
 
-// Aggregate is a private copy of a fabric domain in the course of a decision.
+// Aggregate is a private copy of a fabric domain that a decision changes.
 type Aggregate struct {
 	domain  garnetworks.FabricDomain
 	urgency Urgency
@@ -43,7 +42,8 @@
 	return a, nil
 }
 
-// Clone returns a deep copy, so that no decision changes what another reads.
+// Clone returns a copy that shares neither instances nor groups with the domain. Slices within
+// these are shared; the package replaces them and never changes them in place.
 func Clone(domain *garnetworks.FabricDomain) garnetworks.FabricDomain {
 	d := *domain
 	d.Instances = slices.Clone(domain.Instances)
@@ -51,11 +51,11 @@
 	return d
 }
 
-// Domain returns the domain as decided so far. The caller must not change it
-// while it goes on using the aggregate.
+// Domain returns the domain with the changes made so far. The caller must not change it
+// while it uses the aggregate.
 func (a *Aggregate) Domain() *garnetworks.FabricDomain { return &a.domain }
 
-// Urgency returns how soon the result must be written.
+// Urgency returns how soon the domain must be written.
 func (a *Aggregate) Urgency() Urgency { return a.urgency }
 
 // Events returns the events of the transitions made.
@@ -73,16 +73,16 @@
 	})
 }
 
-// issue returns the next token (D2).
+// nextToken issues the next token (D2).
 func (a *Aggregate) nextToken() garnetworks.FencingToken {
 	a.domain.Sequence++
 	a.raise(Hard)
 	return garnetworks.NewFencingToken(a.domain.Term, a.domain.Sequence)
 }
 
-// SkipSequence makes the next token lie above token, which an engine has said
-// it holds though the domain never recorded it. It reports false if the token's
-// term is higher than the writer's: then another holder has taken over.
+// SkipSequence makes the next token greater than token, which an engine reports though the
+// domain never recorded it. It returns false if the token's term is higher than the writer's,
+// which means that another lease holder has taken over.
 func (a *Aggregate) SkipSequence(token garnetworks.FencingToken) bool {
 	if token.Term() > a.domain.Term {
 		return false
@@ -94,7 +94,7 @@
 	return true
 }
 
-// SetGeneration notes the manifest generation that decisions are made by.
+// SetGeneration records the manifest generation that decisions are based on.
 func (a *Aggregate) SetGeneration(generation garnetworks.Generation) {
 	if generation > a.domain.Generation {
 		a.domain.Generation = generation
@@ -102,17 +102,17 @@
 	}
 }
 
-// Instance returns the named instance, or nil.
+// Instance returns the instance with the given ID, or nil.
 func (a *Aggregate) Instance(id garnetworks.InstanceID) *garnetworks.Instance {
 	return FindInstance(&a.domain, id)
 }
 
-// Group returns the named group, or nil.
+// Group returns the group with the given ID, or nil.
 func (a *Aggregate) Group(id garnetworks.GroupID) *garnetworks.Group {
 	return FindGroup(&a.domain, id)
 }
 
-// FindInstance returns the named instance of the domain, or nil.
+// FindInstance returns the domain's instance with the given ID, or nil.
 func FindInstance(d *garnetworks.FabricDomain, id garnetworks.InstanceID) *garnetworks.Instance {
 	i, ok := slices.BinarySearchFunc(d.Instances, id, func(x garnetworks.Instance, id garnetworks.InstanceID) int {
 		return cmp.Compare(x.ID, id)
@@ -123,7 +123,7 @@
 	return &d.Instances[i]
 }
 
-// FindGroup returns the named group of the domain, or nil.
+// FindGroup returns the domain's group with the given ID, or nil.
 func FindGroup(d *garnetworks.FabricDomain, id garnetworks.GroupID) *garnetworks.Group {
 	i, ok := slices.BinarySearchFunc(d.Groups, id, func(x garnetworks.Group, id garnetworks.GroupID) int {
 		return cmp.Compare(x.ID, id)
--- a/grouper/check.go
+++ b/grouper/check.go
@@ -6,10 +6,10 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Statuses are the engines' own words that are fresh enough to count.
+// Statuses are the engines' reported statuses that are recent enough to count.
 type Statuses map[garnetworks.InstanceID]garnetworks.EngineStatus
 
-// Confirmed reports whether every member of the group confirms it (rule G1).
+// Confirmed reports whether every member confirms the group (rule G1).
 func Confirmed(d *garnetworks.FabricDomain, g *garnetworks.Group, fresh Statuses) bool {
 	for _, m := range g.Members {
 		if !Confirms(FindInstance(d, m), g, fresh) {
@@ -36,7 +36,7 @@
 		s.Incarnation == i.Incarnation
 }
 
-// Check reports the first invariant that the domain breaks.
+// Check returns an error for the first invariant that the domain violates.
 func Check(d *garnetworks.FabricDomain) error {
 	if err := checkOrder(d); err != nil {
 		return err
--- a/grouper/grouper_test.go
+++ b/grouper/grouper_test.go
@@ -38,7 +38,7 @@
 
 func name(n int) garnetworks.InstanceID { return garnetworks.InstanceID(fmt.Sprintf("i%02d", n)) }
 
-// admitted returns a domain of healthy, powered instances.
+// newHealthyDomain returns a domain of healthy, powered instances.
 func newHealthyDomain(t testing.TB, size int, checks bool) *Aggregate {
 	a, err := Open(&garnetworks.FabricDomain{ID: "d", Zone: "z"}, 1)
 	if err != nil {
@@ -66,9 +66,8 @@
 	}
 }
 
-// TestTransitionsKeepTheInvariants makes random transitions, sensible and not,
-// under growing terms, and checks after each that the domain's invariants hold,
-// that what was refused changed nothing, and that no token goes back.
+// TestTransitionsKeepTheInvariants makes random valid and invalid transitions under growing
+// terms. The invariants hold, refused transitions change nothing, and no token decreases.
 func TestTransitionsKeepTheInvariants(t *testing.T) {
 	steps, refused := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -102,7 +101,7 @@
 				}
 				for _, i := range a.Domain().Instances {
 					if i.Token < tokens[i.ID] {
-						rt.Fatalf("the token of %s went back from %s to %s", i.ID, tokens[i.ID], i.Token)
+						rt.Fatalf("the token of %s decreased from %s to %s", i.ID, tokens[i.ID], i.Token)
 					}
 					tokens[i.ID] = i.Token
 				}
@@ -172,7 +171,7 @@
 	return x.Power == y.Power && x.Condition == y.Condition && x.Group == y.Group && x.Token == y.Token
 }
 
-// TestWhatIsRefused names the transitions that would break a rule.
+// TestInvalidTransitionsAreRefused covers the transitions that would violate a rule.
 func TestInvalidTransitionsAreRefused(t *testing.T) {
 	form := func(a *Aggregate, members ...garnetworks.InstanceID) error {
 		_, err := a.Form(garnetworks.Group{Model: "m", Version: "v", Members: members}, start)
@@ -187,17 +186,17 @@
 			_, err := Open(a.Domain(), 8)
 			return err
 		}, garnetworks.KindStaleToken},
-		"no member (D3)":            {func(a *Aggregate) error { return form(a) }, garnetworks.KindConflict},
-		"a member twice (D3)":       {func(a *Aggregate) error { return form(a, "i00", "i00") }, garnetworks.KindConflict},
-		"another domain's (D3)":     {func(a *Aggregate) error { return form(a, "i00", "x00") }, garnetworks.KindNotFound},
-		"a member of a group (D3)":  {func(a *Aggregate) error { _ = form(a, "i00", "i01"); return form(a, "i01", "i02") }, garnetworks.KindConflict},
-		"a lost member (D3)":        {func(a *Aggregate) error { a.MarkLost("i00", start, ""); return form(a, "i00") }, garnetworks.KindConflict},
-		"a returned member (D6)":    {func(a *Aggregate) error { a.MarkReturned("i00", 2, start, ""); return form(a, "i00") }, garnetworks.KindConflict},
-		"a member that is off (D3)": {func(a *Aggregate) error { _ = a.PowerOff("i00", ""); return form(a, "i00") }, garnetworks.KindConflict},
-		"power of a member (D8)":    {func(a *Aggregate) error { _ = form(a, "i00"); return a.PowerOff("i00", "") }, garnetworks.KindConflict},
-		"power on while it runs":    {func(a *Aggregate) error { return a.PowerOn("i00", "") }, garnetworks.KindConflict},
-		"forgetting what draws":     {func(a *Aggregate) error { return a.Deregister("i00") }, garnetworks.KindConflict},
-		"readmission unreleased": {func(a *Aggregate) error {
+		"no member (D3)":                   {func(a *Aggregate) error { return form(a) }, garnetworks.KindConflict},
+		"a member twice (D3)":              {func(a *Aggregate) error { return form(a, "i00", "i00") }, garnetworks.KindConflict},
+		"another domain's (D3)":            {func(a *Aggregate) error { return form(a, "i00", "x00") }, garnetworks.KindNotFound},
+		"a member of a group (D3)":         {func(a *Aggregate) error { _ = form(a, "i00", "i01"); return form(a, "i01", "i02") }, garnetworks.KindConflict},
+		"a lost member (D3)":               {func(a *Aggregate) error { a.MarkLost("i00", start, ""); return form(a, "i00") }, garnetworks.KindConflict},
+		"a returned member (D6)":           {func(a *Aggregate) error { a.MarkReturned("i00", 2, start, ""); return form(a, "i00") }, garnetworks.KindConflict},
+		"a member that is off (D3)":        {func(a *Aggregate) error { _ = a.PowerOff("i00", ""); return form(a, "i00") }, garnetworks.KindConflict},
+		"power of a member (D8)":           {func(a *Aggregate) error { _ = form(a, "i00"); return a.PowerOff("i00", "") }, garnetworks.KindConflict},
+		"power on while it runs":           {func(a *Aggregate) error { return a.PowerOn("i00", "") }, garnetworks.KindConflict},
+		"deregistering a powered instance": {func(a *Aggregate) error { return a.Deregister("i00") }, garnetworks.KindConflict},
+		"readmission without a release": {func(a *Aggregate) error {
 			a.MarkReturned("i00", 2, start, "")
 			return a.Readmit("i00", garnetworks.EngineStatus{Incarnation: 2, Phase: garnetworks.EngineIdle})
 		}, garnetworks.KindConflict},
@@ -207,13 +206,13 @@
 			s.Group = "old"
 			return a.Readmit("i00", s)
 		}, garnetworks.KindConflict},
-		"an ignoring survivor (D7)": {func(a *Aggregate) error {
+		"a former member that ignores tokens (D7)": {func(a *Aggregate) error {
 			_ = form(a, "i00", "i01")
 			id := a.Domain().Groups[0].ID
 			a.Dissolve(id, "")
 			return form(a, "i00")
 		}, garnetworks.KindConflict},
-		"an old proof of power (D8)": {func(a *Aggregate) error { return staleOffConfirmation(a) }, garnetworks.KindConflict},
+		"a stale power-off confirmation (D8)": {func(a *Aggregate) error { return staleOffConfirmation(a) }, garnetworks.KindConflict},
 	} {
 		t.Run(title, func(t *testing.T) {
 			if err := c.do(newHealthyDomain(t, 4, false)); garnetworks.KindOf(err) != c.want {
@@ -223,9 +222,8 @@
 	}
 }
 
-// oldProof powers an instance off, on and off, and tries to prove the second
-// with the first one's answer: an order to power on may be on its way between
-// the two.
+// staleOffConfirmation powers an instance off, on and off, and confirms the second power-off
+// with the first one's token: the power-on may be carried out between the two.
 func staleOffConfirmation(a *Aggregate) error {
 	_ = a.PowerOff("i00", "")
 	first := a.Instance("i00").Token
@@ -238,9 +236,8 @@
 	return garnetworks.Errorf(garnetworks.KindConflict, "refused")
 }
 
-// TestPowerOffOutranksPowerOn: an order to power on loses its answer and is carried
-// out late, after the instance was powered off and proven so. Only a newer token on
-// the order to power off makes the switch refuse the late one (D8).
+// TestPowerOffOutranksPowerOn: a delayed power-on after a confirmed power-off must be refused by
+// the switch, so each power order needs a newer token than the last (D8).
 func TestPowerOffOutranksPowerOn(t *testing.T) {
 	a := newHealthyDomain(t, 1, true)
 	var last garnetworks.FencingToken
@@ -259,14 +256,14 @@
 			if order.On {
 				continue
 			}
-			// The proof was of this order; the instance is off again for the next one.
+			// The confirmation was of this order; the instance is off again for the next one.
 			a.Instance("i00").Power = garnetworks.PowerOff
 		}
 	}
 }
 
-// TestEachMemberMustConfirmAll: a group is confirmed only by members that say the
-// same of group, token, model, version and incarnation, and are ready (G1).
+// TestConfirmationComparesAllFields: a member confirms a group only if its status matches in
+// group, token, model, version and incarnation, and it is ready (G1).
 func TestConfirmationComparesAllFields(t *testing.T) {
 	for title, change := range map[string]func(s *garnetworks.EngineStatus){
 		"group":       func(s *garnetworks.EngineStatus) { s.Group = "other" },
@@ -287,7 +284,7 @@
 			fresh[m] = ready(a.Instance(m), g)
 		}
 		if !Confirmed(a.Domain(), g, fresh) {
-			t.Fatal("the group is not confirmed by all its members")
+			t.Fatal("the group is not confirmed although all its members confirm it")
 		}
 		s := fresh["i01"]
 		change(&s)
@@ -298,10 +295,8 @@
 	}
 }
 
-// TestTokensThatEnginesName: an engine that names a token of a higher term has
-// obeyed another holder, and this one must stop; one of this term that the domain
-// never recorded makes the count go on above it; one that nobody can have issued
-// is a fault of that engine alone.
+// TestObserveChecksReportedTokens: a higher term means that another lease holder took over, an
+// unrecorded token advances the sequence, and an impossible one marks only its engine as lost.
 func TestObserveChecksReportedTokens(t *testing.T) {
 	for title, c := range map[string]struct {
 		token      garnetworks.FencingToken
@@ -327,8 +322,8 @@
 	}
 }
 
-// TestLeavingMemberDrainsItsGroup: the list says that an instance is leaving; its
-// group takes no new call from that observation on (D9, rule G8).
+// TestLeavingMemberDrainsItsGroup: a group with an instance listed as leaving takes no new call
+// from that observation on (D9, rule G8).
 func TestLeavingMemberDrainsItsGroup(t *testing.T) {
 	a := newHealthyDomain(t, 3, true)
 	id, err := a.Form(garnetworks.Group{Model: "m", Version: "v", Members: []garnetworks.InstanceID{"i00", "i01"}}, start)
@@ -351,8 +346,8 @@
 	}
 }
 
-// TestDomainStaysUnderTheObjectSize prints what a domain weighs in the object
-// API; the whole fleet would fit one object, so a domain always does.
+// TestDomainFitsTheObjectSize: even a domain of a whole fleet must take at most half of the
+// object API's limit.
 func TestDomainFitsTheObjectSize(t *testing.T) {
 	for _, size := range []int{16, 75, 600} {
 		a := newHealthyDomain(t, size, true)
--- a/grouper/groups.go
+++ b/grouper/groups.go
@@ -9,11 +9,11 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Form decides a group under a new token (D3). The group's name holds the token
-// and so is never used twice.
+// Form creates a group under a new token (D3). The group's name contains the token and so is
+// never reused.
 func (a *Aggregate) Form(spec garnetworks.Group, now time.Time) (garnetworks.GroupID, error) {
 	if len(spec.Members) == 0 {
-		return "", garnetworks.Errorf(garnetworks.KindConflict, "a group needs members")
+		return "", garnetworks.Errorf(garnetworks.KindConflict, "a group needs at least one member")
 	}
 	if err := a.checkMembers(spec.Members); err != nil {
 		return "", err
@@ -50,13 +50,13 @@
 		case i == nil:
 			return garnetworks.Errorf(garnetworks.KindNotFound, "instance %s is not in domain %s", m, a.domain.ID)
 		case seen.Has(m):
-			return garnetworks.Errorf(garnetworks.KindConflict, "instance %s is named twice", m)
+			return garnetworks.Errorf(garnetworks.KindConflict, "instance %s is listed twice", m)
 		case i.Group != "":
 			return garnetworks.Errorf(garnetworks.KindConflict, "instance %s is in group %s", m, i.Group)
 		case i.Condition != garnetworks.ConditionHealthy:
 			return garnetworks.Errorf(garnetworks.KindConflict, "instance %s is %s", m, i.Condition)
 		case i.Power != garnetworks.PowerOn:
-			return garnetworks.Errorf(garnetworks.KindConflict, "instance %s is not powered but %s", m, i.Power)
+			return garnetworks.Errorf(garnetworks.KindConflict, "instance %s is not powered on: its power is %s", m, i.Power)
 		case class != "" && i.Class != class:
 			return garnetworks.Errorf(garnetworks.KindConflict, "instance %s is of class %s, not %s", m, i.Class, class)
 		}
@@ -66,8 +66,7 @@
 	return nil
 }
 
-// Advance notes that members load or serve (D4). Statuses are those that are
-// fresh enough to count.
+// Advance moves a group to loading or serving when its members' statuses show it (D4).
 func (a *Aggregate) Advance(id garnetworks.GroupID, fresh Statuses, now time.Time) {
 	g := a.Group(id)
 	if g == nil || (g.State != garnetworks.GroupForming && g.State != garnetworks.GroupLoading) {
@@ -76,8 +75,8 @@
 	if Confirmed(&a.domain, g, fresh) {
 		a.enter(g, garnetworks.GroupServing, now)
 		a.record(garnetworks.EventGroupServing, id, "", "%s@%s", g.Model, g.Version)
-		// A successor that does not know that the group serves would drain
-		// nothing, so the write can wait unless another group makes way for it.
+		// A new lease holder observes again that the group serves, so the write can wait
+		// unless the group replaces another one, which has to be drained.
 		if g.Replaces != "" {
 			a.raise(Hard)
 		}
@@ -94,7 +93,7 @@
 	a.raise(Soft)
 }
 
-// taken reports whether every member says that it has taken the group's order.
+// acceptedByAll reports whether every member reports that it accepted the group's order.
 func acceptedByAll(g *garnetworks.Group, fresh Statuses) bool {
 	for _, m := range g.Members {
 		s, ok := fresh[m]
@@ -105,7 +104,7 @@
 	return true
 }
 
-// SetAdapters changes the adapters that the group's members shall hold.
+// SetAdapters changes the adapters that the group's members should hold.
 func (a *Aggregate) SetAdapters(id garnetworks.GroupID, adapters []garnetworks.AdapterName) {
 	g := a.Group(id)
 	if g == nil || slices.Equal(g.Adapters, adapters) {
@@ -115,7 +114,7 @@
 	a.raise(Hard)
 }
 
-// Break notes that a group can't serve any more (D5).
+// Break marks a group as unable to serve (D5).
 func (a *Aggregate) Break(id garnetworks.GroupID, now time.Time, reason string) {
 	g := a.Group(id)
 	if g == nil || g.State == garnetworks.GroupBroken {
@@ -135,8 +134,8 @@
 	}
 }
 
-// unsettle makes a member that ignores fencing tokens show that it has left its
-// group before it can join another one (D7).
+// requireRelease makes a former member that ignores fencing tokens confirm its release before
+// it can join another group (D7).
 func (a *Aggregate) requireRelease(i *garnetworks.Instance) {
 	if i == nil || i.ChecksFencing || i.Condition != garnetworks.ConditionHealthy {
 		return
@@ -144,7 +143,7 @@
 	i.Condition = garnetworks.ConditionReturned
 }
 
-// Drain ends new calls to a group until its release.
+// Drain stops new calls to a group. The group may be dissolved at the latest after grace.
 func (a *Aggregate) Drain(id garnetworks.GroupID, now time.Time, grace time.Duration, reason string) {
 	g := a.Group(id)
 	if g == nil || g.State == garnetworks.GroupBroken {
@@ -152,7 +151,7 @@
 	}
 	until := now.Add(grace)
 	if g.State == garnetworks.GroupDraining {
-		// A shorter grace than before wins: power is needed sooner.
+		// The shorter grace wins, since the power may be needed sooner.
 		if until.Before(g.DrainUntil) {
 			g.DrainUntil = until
 			a.raise(Hard)
@@ -165,7 +164,7 @@
 	a.record(garnetworks.EventGroupDraining, id, "", "%s", reason)
 }
 
-// Dissolve frees the members of a group under a new token.
+// Dissolve removes a group and releases its members under a new token.
 func (a *Aggregate) Dissolve(id garnetworks.GroupID, reason string) {
 	g := a.Group(id)
 	if g == nil {
--- a/grouper/instances.go
+++ b/grouper/instances.go
@@ -8,9 +8,8 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Register takes a listed instance into the domain, or takes over what the list
-// newly says of it. A new one is not admitted yet (D6), and its power is not
-// known.
+// Register adds a listed instance to the domain, or updates what the list says of it. A new
+// instance is not admitted yet (D6), and its power state is unknown.
 func (a *Aggregate) Register(listed garnetworks.ListedInstance, class garnetworks.InstanceClass) {
 	if i := a.Instance(listed.ID); i != nil {
 		a.update(i, listed, class)
@@ -32,15 +31,15 @@
 }
 
 func (a *Aggregate) update(i *garnetworks.Instance, listed garnetworks.ListedInstance, class garnetworks.InstanceClass) {
-	// The draw counted for an instance falls only with its class; what the
-	// manifest says of the class is taken over at once.
+	// The draw counted for an instance changes only with its class or the manifest's figures
+	// for the class, both of which take effect at once.
 	if i.Address != listed.Address || i.Class != listed.Class || i.Watts != class.Watts || i.ChecksFencing != class.ChecksFencing {
 		i.Address, i.Class, i.Watts, i.ChecksFencing = listed.Address, listed.Class, class.Watts, class.ChecksFencing
 		a.raise(Hard)
 	}
 }
 
-// Deregister takes an instance out of the domain (D10).
+// Deregister removes an instance from the domain (D10).
 func (a *Aggregate) Deregister(id garnetworks.InstanceID) error {
 	i := a.Instance(id)
 	if i == nil {
@@ -54,7 +53,7 @@
 	return nil
 }
 
-// MarkLost notes that an instance no longer confirms, and breaks its group (D5).
+// MarkLost records that an instance no longer confirms, and breaks its group (D5).
 func (a *Aggregate) MarkLost(id garnetworks.InstanceID, now time.Time, reason string) {
 	i := a.Instance(id)
 	if i == nil || i.Condition == garnetworks.ConditionLost {
@@ -66,8 +65,8 @@
 	a.breakGroupOf(i, now, reason)
 }
 
-// MarkReturned notes that an instance that was lost, or that lost its state, is seen
-// again. It is refused until Readmit, under a new token (D6).
+// MarkReturned records that an instance that was lost, or that lost its state, responds again.
+// It joins no group until Readmit, under a new token (D6).
 func (a *Aggregate) MarkReturned(id garnetworks.InstanceID, incarnation uint64, now time.Time, reason string) {
 	i := a.Instance(id)
 	if i == nil {
@@ -81,7 +80,7 @@
 	a.record(garnetworks.EventMemberReturned, "", id, "%s", reason)
 }
 
-// Readmit makes an instance healthy that has confirmed its release (D6, D7).
+// Readmit marks an instance that has confirmed its release as healthy (D6, D7).
 func (a *Aggregate) Readmit(id garnetworks.InstanceID, status garnetworks.EngineStatus) error {
 	i := a.Instance(id)
 	if i == nil {
@@ -98,20 +97,20 @@
 	return nil
 }
 
-// released reports whether the status shows that the instance carried out the
-// release under its newest token and belongs to no group.
+// released reports whether the status shows that the instance carried out the release under
+// its newest token and belongs to no group.
 func released(i *garnetworks.Instance, s garnetworks.EngineStatus) bool {
 	carriedOut := s.Token == i.Token || s.LastOrder == releaseID(i.Token)
 	return s.Group == "" && carriedOut && s.Incarnation == i.Incarnation &&
 		(s.Phase == garnetworks.EngineIdle || s.Phase == garnetworks.EngineLoading)
 }
 
-// releaseID names a release; engines that name no token while they are idle
-// still name the last order that they carried out.
+// releaseID returns the ID of a release order. Engines that report no token while idle still
+// report the last order that they carried out.
 func releaseID(token garnetworks.FencingToken) string { return "release/" + token.String() }
 
-// SetCondition notes whether a powered, admitted instance is healthy, leaving or a
-// straggler; it changes nothing for lost and returned ones.
+// SetCondition marks an admitted instance as healthy, leaving or a straggler. It changes
+// nothing for lost and returned ones.
 func (a *Aggregate) SetCondition(id garnetworks.InstanceID, condition garnetworks.Condition) {
 	i := a.Instance(id)
 	if i == nil || i.Condition == condition {
@@ -124,7 +123,7 @@
 	a.raise(Hard)
 }
 
-// SetWeights notes the weights that an instance says it holds.
+// SetWeights records the weights that an instance reports.
 func (a *Aggregate) SetWeights(id garnetworks.InstanceID, weights []garnetworks.WeightID) {
 	i := a.Instance(id)
 	if i == nil || slices.Equal(i.Weights, weights) {
@@ -134,7 +133,7 @@
 	a.raise(Soft)
 }
 
-// SetIncarnation notes the incarnation of an instance that never told one before.
+// SetIncarnation records the first incarnation that an instance reports.
 func (a *Aggregate) SetIncarnation(id garnetworks.InstanceID, incarnation uint64) {
 	i := a.Instance(id)
 	if i == nil || i.Incarnation == incarnation {
@@ -144,15 +143,15 @@
 	a.raise(Soft)
 }
 
-// RemoveVanished takes an instance out that the power switch does not know and the list
-// does not name: there is no machine that could draw (D10). A group that held
-// it is broken first, so a second call is needed once the group is dissolved.
+// RemoveVanished removes an instance that neither the power switch nor the list knows: there
+// is no machine that could draw power (D10). If the instance is in a group, the group is only
+// broken, and a second call is needed once it is dissolved.
 func (a *Aggregate) RemoveVanished(id garnetworks.InstanceID, now time.Time) {
 	i := a.Instance(id)
 	if i == nil {
 		return
 	}
-	a.MarkLost(id, now, "the platform no longer has it")
+	a.MarkLost(id, now, "it no longer exists on the platform")
 	if i.Group != "" {
 		return
 	}
--- a/grouper/observe.go
+++ b/grouper/observe.go
@@ -7,50 +7,49 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Timeouts are the times after which a missing sign is taken for a failure.
+// Timeouts are the times after which a missing status or effect counts as a failure.
 type Timeouts struct {
-	// Loss is how long an instance may go without a confirmation before its
-	// group is broken. It is above garnetworks.ConfirmationBound: routers stop
-	// sending first, and a group that only missed some probes is not torn down.
+	// Loss is how long an instance may go without a confirmation before its group is broken.
+	// It exceeds garnetworks.ConfirmationBound: routers stop sending first, and a group that
+	// only missed some probes is not broken.
 	Loss time.Duration
-	// Boot is how long a class may take from power-on to the first answer.
+	// Boot is how long an instance of a class may take from power-on to its first status.
 	Boot map[string]time.Duration
-	// Form is how long a member may take to take an order.
+	// Form is how long a member may take to accept an order to form its group.
 	Form time.Duration
 	// Load is how long a group may load.
 	Load time.Duration
-	// Drain is the grace of a group with a leaving member.
+	// Drain is the grace of a group with a leaving member, or that is replaced.
 	Drain time.Duration
 }
 
-// Observation is what the controller sees of a domain's instances at once.
+// Observation is the controller's view of the instances at one time.
 type Observation struct {
 	Now time.Time
 	// Fresh are the statuses no older than garnetworks.ConfirmationBound.
 	Fresh Statuses
-	// LastStatus is when the newest status of an instance was asked for, or when the
-	// controller began to listen if that is later, or when it last knew itself
-	// cut off.
+	// LastStatus is when the newest status of an instance was requested. It is later if the
+	// controller began to listen, or was itself cut off, after that.
 	LastStatus map[garnetworks.InstanceID]time.Time
-	// Leaving are the instances that the list or their engine calls leaving.
+	// Leaving are the instances that the list reports as leaving.
 	Leaving garnetworks.Set[garnetworks.InstanceID]
-	// PowerOnSent is when this holder first sent the order that powers a starting
+	// PowerOnSent is when this lease holder first sent the order to power on a starting
 	// instance; absent before.
 	PowerOnSent map[garnetworks.InstanceID]time.Time
-	// FormSent is when this holder first sent an instance the order to form the group
-	// that it is in; absent before.
+	// FormSent is when this lease holder first sent an instance the order to form its group;
+	// absent before.
 	FormSent map[garnetworks.InstanceID]time.Time
 	Timeouts Timeouts
 }
 
-// impossibleLead is how far above the writer's term a term can't be: terms grow by
-// one with each change of holder, and a restored lease record is not older than
-// this many changes.
+// maxTermLead is how far a reported term may be above the writer's. Terms grow by one with
+// each change of the lease holder, and a restored lease record is at most this many changes
+// old.
 const maxTermLead = 1 << 20
 
-// Observe takes in what the instances say of themselves. It reports a status
-// that holds a token of a higher term than the writer's: another holder has
-// taken over, and the writer must stop.
+// Observe applies the instances' statuses to the domain. It returns a token of a higher term
+// than the writer's if a status reports one: another lease holder has taken over, and the
+// writer must stop.
 func (a *Aggregate) Observe(o Observation) (superseded garnetworks.FencingToken, ok bool) {
 	for n := range a.domain.Instances {
 		id := a.domain.Instances[n].ID
@@ -60,8 +59,8 @@
 			continue
 		}
 		if s.Token.Term() > a.domain.Term+maxTermLead {
-			// Garbage from one engine must not push the zone's terms to their end.
-			a.MarkLost(id, o.Now, "names a token that nobody can have issued")
+			// A corrupt token from one engine must not exhaust the zone's terms.
+			a.MarkLost(id, o.Now, "reported a token of an impossible term")
 			continue
 		}
 		if !a.SkipSequence(s.Token) {
@@ -103,13 +102,13 @@
 	a.MarkRunning(id)
 	switch {
 	case i.Condition == garnetworks.ConditionLost:
-		a.MarkReturned(id, s.Incarnation, o.Now, "answers again")
+		a.MarkReturned(id, s.Incarnation, o.Now, "responds again")
 	case i.Incarnation == 0:
 		a.SetIncarnation(id, s.Incarnation)
 	case i.Incarnation != s.Incarnation:
 		a.MarkReturned(id, s.Incarnation, o.Now, "restarted and lost its state")
 	case a.contradictsGroup(i, s):
-		a.MarkReturned(id, s.Incarnation, o.Now, "says that it belongs to "+describePlacement(s))
+		a.MarkReturned(id, s.Incarnation, o.Now, "reports membership in "+describePlacement(s))
 	}
 	a.SetWeights(id, s.Weights)
 	if i.Condition == garnetworks.ConditionReturned && i.Group == "" && released(i, s) {
@@ -122,8 +121,7 @@
 	}
 }
 
-// strayed reports whether a member of a group that had taken the group's order
-// now says otherwise.
+// contradictsGroup reports whether a member's status contradicts its group's state.
 func (a *Aggregate) contradictsGroup(i *garnetworks.Instance, s garnetworks.EngineStatus) bool {
 	g := a.Group(i.Group)
 	if g == nil {
@@ -132,8 +130,8 @@
 	elsewhere := s.Group != g.ID || s.Token != g.Token || s.Phase == garnetworks.EngineIdle
 	switch g.State {
 	case garnetworks.GroupLoading, garnetworks.GroupServing:
-		// A drain that an earlier holder ordered and never got written can't be
-		// taken back: the engines would refuse all calls for good.
+		// A drain that an earlier lease holder ordered but never wrote can't be undone: the
+		// engines would refuse all calls from then on.
 		return elsewhere || s.Phase == garnetworks.EngineDraining
 	case garnetworks.GroupDraining:
 		return elsewhere
@@ -156,7 +154,7 @@
 		return
 	}
 	if a.hasLeaving(g) {
-		// Rule D9: the first sign of leaving ends new calls to the whole group.
+		// Rule D9: the first sign of leaving stops new calls to the whole group.
 		a.Drain(id, o.Now, o.Timeouts.Drain, "a member is leaving")
 	}
 	a.Advance(id, o.Fresh, o.Now)
@@ -176,20 +174,20 @@
 	})
 }
 
-// blame refuses the members that have not taken the group's order in time, until
-// they show by a release that they take orders again.
+// returnLateMembers marks the members that have not accepted the group's order in time as
+// returned, until they confirm a release.
 func (a *Aggregate) returnLateMembers(g *garnetworks.Group, o Observation) {
 	for _, m := range slices.Clone(g.Members) {
 		s, ok := o.Fresh[m]
 		at, sent := o.FormSent[m]
 		late := sent && o.Now.Sub(at) > o.Timeouts.Form
 		if late && (!ok || s.Group != g.ID || s.Token != g.Token) {
-			a.MarkReturned(m, a.Instance(m).Incarnation, o.Now, "did not take the order to form "+string(g.ID))
+			a.MarkReturned(m, a.Instance(m).Incarnation, o.Now, "did not accept the order to form "+string(g.ID))
 		}
 	}
 }
 
-// settleReplaced drains the group that a serving one replaces.
+// drainReplaced drains the group that a serving one replaces.
 func (a *Aggregate) drainReplaced(id garnetworks.GroupID, o Observation) {
 	g := a.Group(id)
 	if g.State != garnetworks.GroupServing || g.Replaces == "" {
--- a/grouper/orders.go
+++ b/grouper/orders.go
@@ -7,7 +7,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// AddressedOrder is an order with the engine that it goes to.
+// AddressedOrder is an order with its destination.
 type AddressedOrder struct {
 	garnetworks.EngineOrder
 	Instance garnetworks.InstanceID
@@ -16,24 +16,22 @@
 	ChecksFencing bool
 }
 
-// LoadPlan are the rates and the weights that the plan assigns to instances; an
-// instance may be absent.
+// LoadPlan holds the load rates and preloads that the plan assigns to instances. An instance
+// may be absent.
 type LoadPlan struct {
-	// Rates are in bytes a second.
+	// Rates are in bytes per second.
 	Rates map[garnetworks.InstanceID]int64
 	// Preloads are for instances in no group.
 	Preloads map[garnetworks.InstanceID]garnetworks.WeightID
-	// MinRate holds back the order to form until the member's rate is at least
-	// this, or none is set: an engine may keep the rate with which it began to
-	// load.
+	// MinRate delays the order to form while the member's rate is set but lower, since an
+	// engine may keep the rate with which it began to load.
 	MinRate int64
 }
 
-// Orders returns the orders that bring the engines from what they say to what
-// the domain says. It is level-triggered: an order whose answer was lost is
-// returned again until the engine's status shows its effect, always with the
-// same ID, and orders of earlier decisions are never returned again. Engines
-// that do not answer get none.
+// Orders returns the orders that bring the engines from their reported state to the state of
+// the domain. It is level-triggered: an order whose response was lost is returned again with
+// the same ID until the engine's status shows its effect, and orders of earlier decisions are
+// never returned again. Engines without a fresh status get no orders.
 func Orders(d *garnetworks.FabricDomain, fresh Statuses, loads LoadPlan) []AddressedOrder {
 	var orders []AddressedOrder
 	for n := range d.Instances {
@@ -148,8 +146,8 @@
 	return true
 }
 
-// PowerOrders returns the power orders that are due: those of instances that
-// were decided on or off and do not show it yet.
+// PowerOrders returns the power orders that are due: those of instances whose decided power
+// state is not confirmed yet.
 func PowerOrders(d *garnetworks.FabricDomain) []garnetworks.PowerOrder {
 	var orders []garnetworks.PowerOrder
 	for n := range d.Instances {
@@ -177,7 +175,7 @@
 	}
 }
 
-// Drawn returns the pessimistic draw of the domain (rule G4).
+// Drawn returns the domain's power draw, counting every instance not proven off (rule G4).
 func Drawn(d *garnetworks.FabricDomain) garnetworks.Watts {
 	var sum garnetworks.Watts
 	for n := range d.Instances {
--- a/grouper/power.go
+++ b/grouper/power.go
@@ -2,7 +2,7 @@
 
 import "github.com/garnetworks/garnetworks"
 
-// PowerOn decides to power an instance on; it counts as drawing from here on.
+// PowerOn decides to power an instance on. From then on it counts as drawing power.
 func (a *Aggregate) PowerOn(id garnetworks.InstanceID, reason string) error {
 	i := a.Instance(id)
 	if i == nil {
@@ -20,7 +20,7 @@
 	return nil
 }
 
-// PowerOff decides to cut an instance's power (D8).
+// PowerOff decides to power an instance off (D8).
 func (a *Aggregate) PowerOff(id garnetworks.InstanceID, reason string) error {
 	i := a.Instance(id)
 	if i == nil {
@@ -39,9 +39,8 @@
 	return nil
 }
 
-// ConfirmOff notes that the power switch has acknowledged the power-off under
-// token and reads off since (D8). It reports false if the proof is not of the
-// newest decision.
+// ConfirmOff records that the power switch has acknowledged the power-off under token and has
+// read off since (D8). It returns false if the token is not of the newest decision.
 func (a *Aggregate) ConfirmOff(id garnetworks.InstanceID, token garnetworks.FencingToken) bool {
 	i := a.Instance(id)
 	if i == nil || i.Power != garnetworks.PowerStopping || i.Token != token {
@@ -54,15 +53,15 @@
 	return true
 }
 
-// MarkRunning notes that an instance answers: it is powered. An instance that
-// was ordered off stays so until it is proven off.
+// MarkRunning records that an instance responds and so is powered. An instance that is being
+// powered off keeps its state until that is confirmed.
 func (a *Aggregate) MarkRunning(id garnetworks.InstanceID) {
 	i := a.Instance(id)
 	if i == nil || i.Power == garnetworks.PowerOn || i.Power == garnetworks.PowerStopping {
 		return
 	}
 	if i.Power == garnetworks.PowerOff {
-		// Somebody else powered it: it draws, whatever was proven.
+		// Somebody else powered it on: it draws power whatever was confirmed.
 		i.Condition = garnetworks.ConditionReturned
 		i.Token = a.nextToken()
 	}
