--- a/granter/granter_test.go
+++ b/granter/granter_test.go
@@ -26,8 +26,8 @@
 
 const unit = 10
 
-// site is a ledger and three zones whose plans are made from what was read some
-// steps ago, in any order.
+// site simulates a ledger and three zones whose plans are based on reads that are some steps
+// old, in any order.
 type site struct {
 	now      time.Time
 	cap      garnetworks.Watts
@@ -36,7 +36,7 @@
 	ledgerAt int
 	memory   garnetworks.Option[SiteState]
 	zones    []*zone
-	// read is a site plan under way: the ledger, then the statements.
+	// read is the input of a site plan in progress: the ledger, then the statements.
 	read   *SiteInput
 	readAt int
 	moves  map[garnetworks.ZoneID]int
@@ -46,7 +46,7 @@
 	id     garnetworks.ZoneID
 	stated garnetworks.ZonePower
 	at     int
-	// known is the ledger that the holder read; own is what it knows is stated.
+	// known is the ledger that the lease holder has read; cached is the statement it knows.
 	known    garnetworks.Option[garnetworks.PowerLedger]
 	cached   garnetworks.ZonePower
 	cachedAt int
@@ -54,7 +54,7 @@
 	limit    garnetworks.Watts
 	term     uint32
 	needs    []garnetworks.PowerNeed
-	// peeked is a ledger that the next holder reads before it reads the statement.
+	// earlyLedger is a ledger that the next lease holder reads before the statement.
 	earlyLedger garnetworks.Option[garnetworks.PowerLedger]
 	// pending is a statement that was decided and not written yet.
 	pending *garnetworks.ZonePower
@@ -110,7 +110,7 @@
 				}
 			}
 		}
-		// The ledger's cap is above the manifest's only for what was drawn before.
+		// The ledger's cap may exceed the manifest's only for what was drawn before.
 		if len(s.ledger.Grants) == len(s.zones) && out.Ledger.Cap > max(in.Cap, s.ledger.Cap) {
 			rt.Fatalf("the ledger's cap rises from %d W to %d W above the manifest's %d W", s.ledger.Cap, out.Ledger.Cap, in.Cap)
 		}
@@ -154,7 +154,7 @@
 	z.pending = nil
 }
 
-// takeOver is a new holder, which reads and claims the statement.
+// takeOver replaces the lease holder; the new one reads the statement and writes its term to it.
 func (z *zone) takeOver() {
 	z.term++
 	z.active = false
@@ -179,11 +179,8 @@
 	}
 }
 
-// TestGrantsNeverExceedTheCap races a site's controller, whose reads are old,
-// against zones that power instances on and off within their limits, whose
-// writes get lost, whose holders change and whose ledgers are old, while the cap
-// and the needs change. After every step the true draw is at or under the cap of
-// the ledger, and at the end the cap of the manifest is reached.
+// TestGrantsNeverExceedTheCap races controllers with stale reads, lost writes and new lease holders.
+// The draw stays within the ledger's cap, which converges to the manifest's.
 func TestGrantsNeverExceedTheCap(t *testing.T) {
 	steps := 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -273,7 +270,7 @@
 	}
 }
 
-// stuck reports whether a zone has less than its needs though power is left.
+// hasUnusedPower reports whether the grants leave power for another instance.
 func (s *site) hasUnusedPower() bool {
 	var total garnetworks.Watts
 	for _, g := range s.ledger.Grants {
@@ -296,7 +293,7 @@
 		"minimum goes before priority":   {80, []garnetworks.PowerNeed{need(false, 9, 2)}, []garnetworks.PowerNeed{need(true, 1, 2)}, [2]garnetworks.Watts{0, 80}},
 		"priority decides":               {80, []garnetworks.PowerNeed{need(true, 2, 2)}, []garnetworks.PowerNeed{need(true, 1, 2)}, [2]garnetworks.Watts{80, 0}},
 		"equal needs take turns":         {120, []garnetworks.PowerNeed{need(true, 1, 4)}, []garnetworks.PowerNeed{need(true, 1, 4)}, [2]garnetworks.Watts{80, 40}},
-		"nobody needs any":               {100, nil, nil, [2]garnetworks.Watts{50, 50}},
+		"no zone needs any":              {100, nil, nil, [2]garnetworks.Watts{50, 50}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			out, err := PlanSite(SiteInput{
@@ -314,8 +311,8 @@
 	}
 }
 
-// TestWantedMovesAtMostOnceAMinute lets a need swing every second for an hour:
-// the grants must not follow each swing (W8).
+// TestTargetsMoveAtMostOnceAMinute changes a need every second for an hour. The targets must
+// not follow each change (W8).
 func TestTargetsMoveAtMostOnceAMinute(t *testing.T) {
 	s := newSite(24 * unit)
 	for n := range 3600 {
@@ -341,8 +338,8 @@
 	}
 }
 
-// TestDeletedLedgerIsHeededAgain: somebody deletes the ledger's object. The next
-// one must be heeded by zones that have stated a later version.
+// TestRecreatedLedgerIsObeyed: after the ledger's object was deleted, zones that have stated a
+// later version must obey its successor.
 func TestRecreatedLedgerIsObeyed(t *testing.T) {
 	stated := garnetworks.ZonePower{Zone: "a", Limit: 40, Drawn: 40, SeenSequence: 77}
 	out, err := PlanSite(SiteInput{Term: 1, Generation: 1, Cap: 100, Zones: []garnetworks.ZoneID{"a"}, Powers: map[garnetworks.ZoneID]garnetworks.ZonePower{"a": stated}})
@@ -355,8 +352,8 @@
 	}
 }
 
-// TestOlderWritersAreRefused: a site controller that woke from a pause, or whose
-// node has yet to hear of the newest manifest, must not write (W7).
+// TestStaleWritersAreRefused: a site controller with an older term or manifest generation must
+// not write (W7).
 func TestStaleWritersAreRefused(t *testing.T) {
 	ledger := garnetworks.PowerLedger{Term: 4, Generation: 7}
 	for name, c := range map[string]struct {
@@ -374,23 +371,21 @@
 	}
 }
 
-// TestZoneObeysTheNewestLedgerOnly holds W3 and W4 at the places where the racing
-// test needs thousands of runs to bring the failure about: a zone that draws more
-// than it has stated, confirms less than it draws, or follows a ledger older than
-// its statement makes the site give the same power away twice.
+// TestZoneObeysTheNewestLedgerOnly: a zone that draws more than it stated, confirms less than
+// it draws or follows an older ledger makes the site grant the same power twice (W3, W4).
 func TestZoneObeysTheNewestLedgerOnly(t *testing.T) {
 	for name, c := range map[string]struct {
 		stated, drawn, granted, target garnetworks.Watts
 		seen, sequence                 uint64
 		wantLimit, wantStated          garnetworks.Watts
 	}{
-		"older ledger":              {40, 40, 100, 100, 5, 4, 40, 40},
-		"raised, not yet stated":    {40, 20, 100, 100, 5, 6, 40, 100},
-		"raised above a found draw": {40, 60, 100, 100, 5, 6, 60, 100},
-		"lowered, still drawing":    {100, 90, 100, 50, 5, 6, 50, 90},
-		"lowered and shed":          {100, 50, 100, 50, 5, 6, 50, 50},
-		"lowered to what is stated": {80, 50, 100, 80, 5, 6, 80, 80},
-		"granted, not yet shrunk":   {100, 80, 100, 80, 5, 6, 80, 80},
+		"older ledger":                {40, 40, 100, 100, 5, 4, 40, 40},
+		"raised, not yet stated":      {40, 20, 100, 100, 5, 6, 40, 100},
+		"draw above the stated limit": {40, 60, 100, 100, 5, 6, 60, 100},
+		"lowered, still drawing":      {100, 90, 100, 50, 5, 6, 50, 90},
+		"lowered, draw reduced":       {100, 50, 100, 50, 5, 6, 50, 50},
+		"lowered to the stated limit": {80, 50, 100, 80, 5, 6, 80, 80},
+		"granted, not yet shrunk":     {100, 80, 100, 80, 5, 6, 80, 80},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ledger := garnetworks.PowerLedger{Sequence: c.sequence, Grants: []garnetworks.ZoneGrant{{Zone: "a", Granted: c.granted, Target: c.target, TargetSequence: c.sequence}}}
@@ -402,24 +397,24 @@
 				t.Errorf("limit %d W, stated %d W, want %d W and %d W", out.Limit, out.Statement.Limit, c.wantLimit, c.wantStated)
 			}
 			if c.sequence > c.seen && (!out.Changed || out.Statement.SeenSequence != c.sequence) {
-				t.Errorf("version %d is not confirmed: %+v", c.sequence, out)
+				t.Errorf("ledger version %d is not confirmed: %+v", c.sequence, out)
 			}
 		})
 	}
 }
 
-// TestGrantShrinksOnlyToWhatIsConfirmed holds W2: the zone's statement must name
-// the version that asked it to shrink, and its draw counts.
+// TestGrantShrinksOnlyToWhatIsConfirmed: the zone's statement must name the version that asked
+// it to shrink, and its draw counts (W2).
 func TestGrantShrinksOnlyToWhatIsConfirmed(t *testing.T) {
 	for name, c := range map[string]struct {
 		seen         uint64
 		limit, drawn garnetworks.Watts
 		want         garnetworks.Watts
 	}{
-		"ignorant of it":    {6, 30, 30, 100},
+		"version not seen":  {6, 30, 30, 100},
 		"still shrinking":   {7, 80, 80, 80},
 		"limit not lowered": {7, 100, 30, 100},
-		"found to draw":     {7, 50, 70, 70},
+		"draw above limit":  {7, 50, 70, 70},
 		"confirmed":         {7, 50, 40, 50},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/granter/site.go
+++ b/granter/site.go
@@ -9,21 +9,21 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Defaults of the hysteresis (W8).
+// Parameters of the targets' hysteresis (W8) and of restored ledgers.
 const (
 	// MinMoveInterval is the shortest time between two changes of a zone's target.
 	MinMoveInterval = time.Minute
-	// restoredLead is how far a ledger that went back jumps ahead of what the zones
-	// have stated, since they may have read versions that they did not state.
+	// sequenceGap is how far the sequence of a restored ledger is set above the versions that
+	// the zones have stated, since they may have read later ones.
 	sequenceGap = 1000
-	// minMoveShare is MinMove's share of the cap.
+	// minMoveDivisor: a target changes by at least the cap divided by it.
 	minMoveDivisor = 100
 )
 
-// SiteInput is what the site's controller knows.
+// SiteInput is the input of a plan of the site's controller.
 type SiteInput struct {
 	Now time.Time
-	// Term is the site lease's.
+	// Term is the term of the site's lease.
 	Term uint32
 	// Generation and Cap are the manifest's.
 	Generation garnetworks.Generation
@@ -32,13 +32,13 @@
 	Zones []garnetworks.ZoneID
 	// Ledger is the newest one read; zero if there is none.
 	Ledger garnetworks.PowerLedger
-	// Powers are the zones' newest statements, read after Ledger was.
+	// Powers are the zones' newest statements. They must be read after Ledger.
 	Powers map[garnetworks.ZoneID]garnetworks.ZonePower
-	// State is what the last plan returned; empty for a new holder.
+	// State is the one that the last plan returned; empty for a new lease holder.
 	State SiteState
 }
 
-// SiteState is what one plan tells the next one.
+// SiteState is what one plan passes to the next one.
 type SiteState struct {
 	// LastMove is when a zone's target was last changed.
 	LastMove map[garnetworks.ZoneID]time.Time
@@ -47,26 +47,25 @@
 	Zones      int
 }
 
-// SiteOutput is a decision about the ledger.
+// SiteOutput is a decision on the ledger.
 type SiteOutput struct {
-	// Ledger is to be written if Changed.
+	// Ledger must be written if Changed.
 	Ledger  garnetworks.PowerLedger
 	Changed bool
-	// Excess is the power by which the cap is still exceeded, because zones have
-	// not confirmed yet.
+	// Excess is the power above the cap that zones have not confirmed to have given up yet.
 	Excess garnetworks.Watts
 	State  SiteState
 	Events []garnetworks.Event
 }
 
-// PlanSite decides the next ledger. It returns KindStaleToken or
-// KindStaleGeneration if the ledger was written by a newer writer (W7).
+// PlanSite decides the next ledger. It returns an error of kind KindStaleToken or
+// KindStaleGeneration if a newer writer wrote the ledger (W7).
 func PlanSite(in SiteInput) (SiteOutput, error) {
 	if in.Ledger.Term > in.Term {
-		return SiteOutput{}, garnetworks.Errorf(garnetworks.KindStaleToken, "the power ledger holds term %d, above %d", in.Ledger.Term, in.Term)
+		return SiteOutput{}, garnetworks.Errorf(garnetworks.KindStaleToken, "the power ledger was written under term %d, later than term %d", in.Ledger.Term, in.Term)
 	}
 	if in.Ledger.Generation > in.Generation {
-		return SiteOutput{}, garnetworks.Errorf(garnetworks.KindStaleGeneration, "the power ledger holds generation %d, above %d", in.Ledger.Generation, in.Generation)
+		return SiteOutput{}, garnetworks.Errorf(garnetworks.KindStaleGeneration, "the power ledger was written under generation %d, later than generation %d", in.Ledger.Generation, in.Generation)
 	}
 	p := newSitePlan(in)
 	p.applyConfirmedShrinks()
@@ -75,7 +74,7 @@
 	return p.output(), nil
 }
 
-// sitePlan is a plan in the course of being made.
+// sitePlan is the state of one run of PlanSite.
 type sitePlan struct {
 	SiteInput
 	grants       []garnetworks.ZoneGrant
@@ -86,8 +85,8 @@
 func newSitePlan(in SiteInput) *sitePlan {
 	p := &sitePlan{SiteInput: in, grants: slices.Clone(in.Ledger.Grants), nextSequence: in.Ledger.Sequence + 1}
 	for _, power := range in.Powers {
-		// A ledger that was deleted or restored would count from behind what the
-		// zones have seen, and they would not heed it.
+		// The sequence of a deleted or restored ledger would be below the versions that the
+		// zones have seen, and they would ignore it.
 		if power.SeenSequence >= p.nextSequence {
 			p.nextSequence = power.SeenSequence + sequenceGap
 		}
@@ -103,9 +102,8 @@
 	return p
 }
 
-// ensure gives a zone a row. A zone that was never granted anything and has
-// never stated its draw has none: nothing may be given away to it, and its
-// silence must not be taken for a draw of 0 later.
+// ensureGrant adds a grant for a zone that has none. A zone that has never stated its draw gets
+// none: no power may be granted to it, and its draw must not be taken for 0.
 func (p *sitePlan) ensureGrant(z garnetworks.ZoneID) {
 	has := slices.ContainsFunc(p.grants, func(g garnetworks.ZoneGrant) bool { return g.Zone == z })
 	if _, stated := p.Powers[z]; has || !stated {
@@ -114,7 +112,7 @@
 	p.grants = append(p.grants, garnetworks.ZoneGrant{Zone: z, TargetSequence: p.nextSequence})
 }
 
-// counted is what a zone counts with (W1).
+// reserved is the power that a zone is counted with (W1).
 func (p *sitePlan) reserved(g garnetworks.ZoneGrant) garnetworks.Watts {
 	power := p.Powers[g.Zone]
 	return max(g.Granted, power.Limit, power.Drawn)
@@ -128,7 +126,7 @@
 	return total
 }
 
-// confirmShrinks lowers the grants that zones have confirmed (W2).
+// applyConfirmedShrinks lowers the grants whose reduction the zones have confirmed (W2).
 func (p *sitePlan) applyConfirmedShrinks() {
 	for n := range p.grants {
 		g := &p.grants[n]
@@ -144,7 +142,7 @@
 	}
 }
 
-// moveTargets sets what is wanted of each zone (W8).
+// updateTargets sets the zones' targets (W8).
 func (p *sitePlan) updateTargets() {
 	targets := p.targets()
 	forced := p.Generation != p.State.Generation || len(p.grants) != p.State.Zones
@@ -161,7 +159,7 @@
 		if !p.shouldMove(*g, targets[g.Zone], forced) {
 			continue
 		}
-		p.recordChange(g.Zone, "wanted moves from %d W to %d W", g.Target, targets[g.Zone])
+		p.recordChange(g.Zone, "target moves from %d W to %d W", g.Target, targets[g.Zone])
 		g.Target = targets[g.Zone]
 		g.TargetSequence = p.nextSequence
 		p.State.LastMove[g.Zone] = p.Now
@@ -185,7 +183,7 @@
 	return !moved || p.Now.Sub(last) >= MinMoveInterval
 }
 
-// grow raises grants towards what is wanted, as far as the cap allows (W1).
+// raiseGrants raises grants towards their targets as far as the cap allows (W1).
 func (p *sitePlan) raiseGrants() {
 	headroom := p.Cap - p.total()
 	if p.hasUnstatedZone() {
@@ -197,7 +195,7 @@
 		if g.Target <= g.Granted {
 			continue
 		}
-		// Up to counted the zone's draw is in the sum already.
+		// The total includes the zone's power up to reserved already.
 		granted := min(g.Target, reserved+max(headroom, 0))
 		if granted <= g.Granted {
 			continue
@@ -208,7 +206,7 @@
 	}
 }
 
-// unstated reports whether a zone has never said what it draws (W9).
+// hasUnstatedZone reports whether a zone has never stated its draw (W9).
 func (p *sitePlan) hasUnstatedZone() bool {
 	return slices.ContainsFunc(p.Zones, func(z garnetworks.ZoneID) bool {
 		return !slices.ContainsFunc(p.grants, func(g garnetworks.ZoneGrant) bool { return g.Zone == z })
--- a/granter/targets.go
+++ b/granter/targets.go
@@ -10,9 +10,9 @@
 
 func sprintf(format string, args ...any) string { return fmt.Sprintf(format, args...) }
 
-// Needs lists the power that the models need in a zone, the most important
-// first: the minimum groups in order of priority, then the others (W8). Models
-// whose class is unknown need none.
+// Needs returns the power that the models need in a zone, the most important first: the
+// minimum groups in order of priority, then the others (W8). Models of an unknown class
+// are omitted.
 func Needs(models []garnetworks.ModelSpec, classes []garnetworks.InstanceClass) []garnetworks.PowerNeed {
 	watts := map[string]garnetworks.Watts{}
 	for _, c := range classes {
@@ -52,14 +52,13 @@
 	return total
 }
 
-// ask is one zone's need at one place in the order.
+// zoneNeed is a need of one zone.
 type zoneNeed struct {
 	garnetworks.PowerNeed
 	zone garnetworks.ZoneID
 }
 
-// targets returns what each zone shall draw at most. The sum is at most the
-// cap less what zones outside the plan's reach hold.
+// targets returns the most that each zone should draw. The sum is at most the cap.
 func (p *sitePlan) targets() map[garnetworks.ZoneID]garnetworks.Watts {
 	targets := map[garnetworks.ZoneID]garnetworks.Watts{}
 	remaining := p.allocateGroups(targets, p.zoneNeeds(), p.Cap)
@@ -80,8 +79,9 @@
 	return zoneNeeds
 }
 
-// fill gives out whole groups: within one place in the order, a group at a time
-// to each zone in turn, so that no zone's name decides.
+// allocateGroups allocates the power of whole groups by descending importance, and returns
+// what remains. Equally important groups are allocated one at a time to each zone in turn,
+// so that no zone is preferred by its name.
 func (p *sitePlan) allocateGroups(targets map[garnetworks.ZoneID]garnetworks.Watts, zoneNeeds []zoneNeed, remaining garnetworks.Watts) garnetworks.Watts {
 	for len(zoneNeeds) > 0 {
 		n := 1
@@ -112,8 +112,8 @@
 	return remaining
 }
 
-// share splits what no group needs: the room in which zones replace members and
-// keep spares. It goes by what each zone got, and evenly if none got anything.
+// shareRemainder splits the power that no group needs, which zones use to replace members and
+// for spares. Each zone gets a part proportional to its target; if all are 0, equal parts.
 func (p *sitePlan) shareRemainder(targets map[garnetworks.ZoneID]garnetworks.Watts, remaining garnetworks.Watts) {
 	if len(p.grants) == 0 || remaining <= 0 {
 		return
--- a/granter/zone.go
+++ b/granter/zone.go
@@ -6,31 +6,31 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// ZoneInput is what a zone's controller knows of its power.
+// ZoneInput is the input of a plan of a zone's controller.
 type ZoneInput struct {
 	Zone garnetworks.ZoneID
 	Term uint32
-	// Stated is the statement that the object API holds, zero if none, as last
-	// read or written by this holder.
+	// Stated is the statement in the object API as last read or written by this lease holder;
+	// zero if there is none.
 	Stated garnetworks.ZonePower
-	// Ledger is the newest ledger that this holder has read; absent before the
-	// first one.
+	// Ledger is the newest ledger that this lease holder has read; absent before the first one.
 	Ledger garnetworks.Option[garnetworks.PowerLedger]
-	// Drawn is the pessimistic draw now, decisions not yet written included.
+	// Drawn is the power draw now, counting every instance not proven off and decisions that
+	// are not written yet.
 	Drawn garnetworks.Watts
 	Need  garnetworks.Watts
 	Needs []garnetworks.PowerNeed
 }
 
-// ZoneOutput is a decision about a zone's statement.
+// ZoneOutput is a decision on a zone's statement.
 type ZoneOutput struct {
-	// Statement is to be written if Changed.
+	// Statement must be written if Changed.
 	Statement garnetworks.ZonePower
 	Changed   bool
 	// Limit is what the zone may draw now, before Statement is written.
 	Limit garnetworks.Watts
-	// Granted is false for a zone that was never granted anything, which neither
-	// powers on nor off (W5).
+	// Granted is false for a zone that was never granted anything. It must not power
+	// instances on or off (W5).
 	Granted bool
 }
 
@@ -44,8 +44,8 @@
 	next.Drawn = in.Drawn
 	grant, granted := in.grant()
 	if !granted {
-		// Rule W5: nothing newer than the statement is known. A zone that was never
-		// granted anything draws what it was found to draw.
+		// Rule W5: the statement is the newest information. A zone that was never granted
+		// anything keeps the draw that it was found with.
 		limit := in.Stated.Limit
 		if in.Stated.SeenSequence == 0 {
 			limit = in.Drawn
@@ -58,15 +58,15 @@
 	return ZoneOutput{
 		Statement: next,
 		Changed:   needsWrite(in.Stated, next) || in.Stated.SeenSequence < grant.TargetSequence,
-		// Rule W3: more than the stated limit is drawn only once it is stated; what
-		// is drawn already need not be shed for that.
+		// Rule W3: the zone draws more than the stated limit only once the higher one is
+		// stated. What it draws already need not be given up for that.
 		Limit:   min(allowed, max(in.Stated.Limit, in.Drawn)),
 		Granted: true,
 	}
 }
 
-// grant returns the zone's row of a ledger that is as new as the statement. An
-// older one could raise the limit to what the zone has since given back (W3).
+// grant returns the zone's grant in a ledger at least as new as the statement. An older one
+// could raise the limit to what the zone has given back since (W3).
 func (in ZoneInput) grant() (garnetworks.ZoneGrant, bool) {
 	ledger, ok := in.Ledger.Get()
 	if !ok || ledger.Sequence < in.Stated.SeenSequence {
@@ -79,8 +79,8 @@
 	return ledger.Grants[n], true
 }
 
-// statedLimit never confirms less than what is drawn (W4). On the way down it
-// moves in steps, so that each instance proven off does not cost a write.
+// statedLimit returns the limit to state. It is never below the draw (W4). On the way down
+// it falls in steps, so that not every instance proven off costs a write.
 func statedLimit(allowed, stated, drawn garnetworks.Watts) garnetworks.Watts {
 	if drawn <= allowed {
 		return allowed
@@ -91,17 +91,17 @@
 	return drawn
 }
 
-// drawStep is the change of the draw or the need that is worth a write on its
-// own, as a share of the limit.
+// stepDivisor: a change of the draw or the need is written on its own if it is at least the
+// limit divided by it.
 const stepDivisor = 20
 
-// worthWriting keeps the statement's writes rare: a changed limit or confirmed
-// version is written at once, a changed draw or need only in steps.
+// needsWrite limits the writes of the statement: a changed limit or list of needs is written
+// at once, a changed draw or total need only in steps.
 func needsWrite(old, next garnetworks.ZonePower) bool {
 	if old.Term != next.Term || old.Limit != next.Limit || old.Zone != next.Zone {
 		return true
 	}
-	// More than what the site counts for the zone is told at once.
+	// A draw above what the site counts for the zone is stated at once.
 	if next.Drawn > max(old.Drawn, old.Limit) {
 		return true
 	}
