--- a/former/balance.go
+++ b/former/balance.go
@@ -14,11 +14,10 @@
 	// reallocationTimeout bounds the wait for a reallocation. The calls of a closed group
 	// end within their deadlines, the longest usual one being 8 s.
 	reallocationTimeout = 8 * time.Second
-	// reallocationDowntime is how long the groups that a reallocation closes are assumed
-	// to serve nobody: the rest of their calls and a warm start.
+	// reallocationDowntime is the time for which the capacity of the groups that a
+	// reallocation closes is assumed to be lost, until their calls end and a warm start.
 	reallocationDowntime = 4 * time.Second
-	// paybackTime is the time within which a reallocation that needs paysOff must recover its
-	// cost.
+	// paybackTime is the time within which paysOff requires a reallocation to recover its cost.
 	paybackTime = 20 * time.Second
 	// minReserve is the number of instances of a domain outside a model's groups that should
 	// hold the model, so that a lost member is replaced without a load even when the spares
--- a/former/flight.go
+++ b/former/flight.go
@@ -43,24 +43,24 @@
 func newCongestionWindow() congestionWindow { return congestionWindow{size: initialWindow} }
 
 // available returns how many more requests may be sent.
-func (f *congestionWindow) available() int { return int(f.size) - f.inFlight }
+func (w *congestionWindow) available() int { return int(w.size) - w.inFlight }
 
-func (f *congestionWindow) start() { f.inFlight++ }
+func (w *congestionWindow) start() { w.inFlight++ }
 
 // done records the end of a request: took is the time to its response, responded whether
 // there was one.
-func (f *congestionWindow) done(now time.Time, took time.Duration, responded bool) {
-	f.inFlight--
+func (w *congestionWindow) done(now time.Time, took time.Duration, responded bool) {
+	w.inFlight--
 	switch {
 	case !responded:
 	case took >= slowResponse:
-		f.leftSlowStart = true
-		if now.Sub(f.lastDecrease) > took {
-			f.size, f.lastDecrease = max(minWindow, f.size*decreaseFactor), now
+		w.leftSlowStart = true
+		if now.Sub(w.lastDecrease) > took {
+			w.size, w.lastDecrease = max(minWindow, w.size*decreaseFactor), now
 		}
-	case took <= fastResponse && f.leftSlowStart:
-		f.size = min(maxWindow, f.size+1/f.size)
+	case took <= fastResponse && w.leftSlowStart:
+		w.size = min(maxWindow, w.size+1/w.size)
 	case took <= fastResponse:
-		f.size = min(maxWindow, f.size+1)
+		w.size = min(maxWindow, w.size+1)
 	}
 }
--- a/former/flight_test.go
+++ b/former/flight_test.go
@@ -24,13 +24,13 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			f := newCongestionWindow()
+			w := newCongestionWindow()
 			now, free := time.Unix(0, 0), time.Unix(0, 0)
 			begun := make([]time.Time, 0, orders)
 			sent, late := 0, 0
 			for done := 0; done < orders; done++ {
-				for ; f.available() > 0 && sent < orders; sent++ {
-					f.start()
+				for ; w.available() > 0 && sent < orders; sent++ {
+					w.start()
 					begun = append(begun, now)
 				}
 				// The node handles the oldest order in flight next.
@@ -47,7 +47,7 @@
 				if took > bound {
 					late++
 				}
-				f.done(now, took, true)
+				w.done(now, took, true)
 			}
 			if late > c.late {
 				t.Errorf("%d of %d orders were late because of the node itself", late, orders)
@@ -55,7 +55,7 @@
 			if took := now.Sub(time.Unix(0, 0)); took > c.slowest {
 				t.Errorf("all orders took %s", took)
 			}
-			t.Logf("window %.0f, %d late, all within %s", f.size, late, now.Sub(time.Unix(0, 0)))
+			t.Logf("window %.0f, %d late, all within %s", w.size, late, now.Sub(time.Unix(0, 0)))
 		})
 	}
 }
@@ -63,13 +63,13 @@
 // Lost engines don't respond. A window that shrank with each of them would delay the orders to
 // all others during a loss.
 func TestUnresponsiveEnginesDoNotShrinkWindow(t *testing.T) {
-	f := newCongestionWindow()
+	w := newCongestionWindow()
 	for range 100 {
-		f.start()
-		f.done(time.Unix(0, 0), time.Second, false)
+		w.start()
+		w.done(time.Unix(0, 0), time.Second, false)
 	}
-	if f.size < initialWindow || f.inFlight != 0 {
-		t.Errorf("window %.0f, %d in flight", f.size, f.inFlight)
+	if w.size < initialWindow || w.inFlight != 0 {
+		t.Errorf("window %.0f, %d in flight", w.size, w.inFlight)
 	}
 }
 
@@ -100,20 +100,20 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			var s localFaultDetector
+			var d localFaultDetector
 			got := false
 			for i, p := range c.probes {
-				got = s.observe(time.Unix(0, int64(i)*int64(time.Millisecond)), p.zone, p.failed)
+				got = d.observe(time.Unix(0, int64(i)*int64(time.Millisecond)), p.zone, p.failed)
 			}
 			if got != c.want {
 				t.Errorf("local fault %t, want %t", got, c.want)
 			}
 		})
 	}
-	var s localFaultDetector
+	var d localFaultDetector
 	now := time.Unix(0, 0)
 	for i := range 40 {
-		isLocal := s.observe(now.Add(time.Duration(i)*100*time.Millisecond), garnetworks.ZoneID([]string{"a", "b"}[i%2]), true)
+		isLocal := d.observe(now.Add(time.Duration(i)*100*time.Millisecond), garnetworks.ZoneID([]string{"a", "b"}[i%2]), true)
 		if past := time.Duration(i) * 100 * time.Millisecond; isLocal && past > localFaultHold+2*localFaultWindow {
 			t.Errorf("failures are still presumed to be a local fault after %s", past)
 		}
--- a/former/formation.go
+++ b/former/formation.go
@@ -79,21 +79,21 @@
 		return false
 	}
 	first, _ := r.server(f.members[0])
-	joinable := len(f.members)
+	available := len(f.members)
 	for _, id := range f.loading {
 		if s, _ := r.server(id); s.Membership.Group != f.id || s.Membership.State == garnetworks.MemberJoining {
-			joinable--
+			available--
 		}
 	}
-	if joinable == len(f.members) {
+	if available == len(f.members) {
 		return false
 	}
 	for _, s := range r.free()[first.Domain] {
 		if readiness(&s, m) <= 1 {
-			joinable++
+			available++
 		}
 	}
-	return joinable >= m.GroupSize
+	return available >= m.GroupSize
 }
 
 // join orders an instance into the group that is being formed.
--- a/former/former.go
+++ b/former/former.go
@@ -53,7 +53,7 @@
 	// Demand returns the number of calls of each model that are running or could be running
 	// at the site; it may be nil.
 	Demand func() map[garnetworks.ModelName]float64
-	// Recorder receives the orders sent and the instances found unresponsive or responsive.
+	// Recorder receives events on orders, on probes and on suspected groups.
 	Recorder garnetworks.Recorder
 }
 
@@ -63,7 +63,8 @@
 	bounds   atomic.Pointer[garnetworks.SiteBounds]
 	started  time.Time
 	planners map[garnetworks.ServiceName]*Planner
-	// lost are the groups with an unresponsive instance, while the node holds the lease.
+	// lost are the groups with an unresponsive instance and no recent events; nil while
+	// this node makes no plans, as without the lease.
 	lost atomic.Pointer[[]garnetworks.GroupID]
 	prober
 	orderResults chan orderResult
--- a/former/prober.go
+++ b/former/prober.go
@@ -103,14 +103,14 @@
 
 // observe records a probe's result, and reports whether its failure is presumed to be a local
 // fault.
-func (s *localFaultDetector) observe(now time.Time, zone garnetworks.ZoneID, failed bool) bool {
-	if s.zones == nil || now.Sub(s.began) > localFaultWindow {
-		s.zones, s.began = make(map[garnetworks.ZoneID]*zoneProbes), now
+func (d *localFaultDetector) observe(now time.Time, zone garnetworks.ZoneID, failed bool) bool {
+	if d.zones == nil || now.Sub(d.began) > localFaultWindow {
+		d.zones, d.began = make(map[garnetworks.ZoneID]*zoneProbes), now
 	}
-	z := s.zones[zone]
+	z := d.zones[zone]
 	if z == nil {
 		z = &zoneProbes{}
-		s.zones[zone] = z
+		d.zones[zone] = z
 	}
 	if !failed {
 		z.responsive++
@@ -118,7 +118,7 @@
 	}
 	z.failed++
 	failedZones := 0
-	for _, z := range s.zones {
+	for _, z := range d.zones {
 		if z.failed >= zoneFailureCount && z.failed > z.responsive {
 			failedZones++
 		}
@@ -126,10 +126,10 @@
 	if failedZones < 2 {
 		return false
 	}
-	if now.Sub(s.suspectedSince) > localFaultHold+localFaultWindow {
-		s.suspectedSince = now
+	if now.Sub(d.suspectedSince) > localFaultHold+localFaultWindow {
+		d.suspectedSince = now
 	}
-	return now.Sub(s.suspectedSince) <= localFaultHold
+	return now.Sub(d.suspectedSince) <= localFaultHold
 }
 
 // scheduleProbe has an instance probed before it may count as unresponsive. An unanswered order
--- a/granter/granter_test.go
+++ b/granter/granter_test.go
@@ -179,8 +179,8 @@
 	}
 }
 
-// TestGrantsNeverExceedTheCap races controllers with stale reads, lost writes and new lease holders.
-// The draw stays within the ledger's cap, which converges to the manifest's.
+// TestGrantsNeverExceedTheCap races controllers with stale reads, lost writes and new lease
+// holders. The draw stays within the ledger's cap, which converges to the manifest's.
 func TestGrantsNeverExceedTheCap(t *testing.T) {
 	steps := 0
 	rapid.Check(t, func(rt *rapid.T) {
