--- a/former/lost_test.go
+++ b/former/lost_test.go
@@ -16,10 +16,12 @@
 		return s
 	}
 	servers := follower.Servers{
-		"a": server("a", 1, "gone"), "b": server("b", 1, "gone"), "c": server("c", 1, "moving"),
-		"d": server("d", 2, "again"), "e": server("e", 1, ""), "f": server("f", 1, "sound"),
+		"a": server("a", 1, "gone"), "b": server("b", 1, "gone"), "c": server("c", 1, "progressing"),
+		"d": server("d", 2, "restarted"), "e": server("e", 1, ""), "f": server("f", 1, "healthy"),
 	}
-	f := &Former{options: Options{Progressing: func() garnetworks.Set[garnetworks.GroupID] { return garnetworks.NewSet[garnetworks.GroupID]("moving") }}}
+	f := &Former{options: Options{Progressing: func() garnetworks.Set[garnetworks.GroupID] {
+		return garnetworks.NewSet[garnetworks.GroupID]("progressing")
+	}}}
 	f.unresponsive = make(garnetworks.Set[garnetworks.Incarnation])
 	for _, id := range []garnetworks.InstanceID{"a", "b", "c", "d", "e"} {
 		f.unresponsive.Add(garnetworks.Incarnation{Instance: id, StartMS: 1})
