--- a/former/dissolution.go
+++ b/former/dissolution.go
@@ -6,64 +6,63 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// followGroups looks after the groups that are not being formed.
-func (r *plan) followGroups() {
+// maintainGroups dissolves, closes, opens or adopts the groups that are not being formed.
+func (r *plan) maintainGroups() {
 	for i := range r.groups {
 		if g := &r.groups[i]; r.formations[g.ID] == nil {
-			r.followGroup(g)
+			r.maintainGroup(g)
 		}
 	}
 }
 
-func (r *plan) followGroup(g *Group) {
+func (r *plan) maintainGroup(g *Group) {
 	head, ok := g.Head()
 	switch {
 	case r.abandoned.Has(g.ID) || g.Lost || ok && head.Membership.State == garnetworks.MemberBroken:
 		r.dissolve(g)
-	case !g.Whole || r.hasDark(g):
-		// Failure: members are cut off from the store or from this node, or the head
-		// stops without having said so, and the group serves on. Taking it for lost
-		// would cut its calls off and cost the time of forming it anew. Where a member
-		// really is lost, nothing moves.
-		if !r.Moving.Has(g.ID) {
+	case !g.Complete || r.hasUnresponsive(g):
+		// Failure: members are cut off from the store or from this node, or the head stops
+		// without notice, and the group keeps serving. Dissolving it would end its calls. A
+		// group that has really lost a member makes no progress.
+		if !r.Progressing.Has(g.ID) {
 			r.dissolve(g)
 		}
-	case g.Leaving || r.exchanging(g.ID):
+	case g.Leaving || r.reallocating(g.ID):
 		r.closeGroup(g, head)
-	case !r.together(g):
+	case !r.noMemberLeft(g):
 		r.dissolve(g)
-	case g.AllIn(garnetworks.MemberReady): // rule O1: an earlier holder left it so.
+	case g.AllIn(garnetworks.MemberReady): // rule O1: an earlier lease holder left it unopened
 		r.send(urgentOpening, garnetworks.GroupOrder{Kind: garnetworks.GroupOpen, Incarnation: head.Incarnation(), Address: head.Address, Group: g.ID, Epoch: g.Epoch})
 	case head.Membership.State == garnetworks.MemberJoining || head.Membership.State == garnetworks.MemberReady:
 		r.adopt(g)
 	}
 }
 
-// together reports whether no member has left the group by its own word. Its entry
-// tells that later.
-func (r *plan) together(g *Group) bool {
+// noMemberLeft reports whether no member has acknowledged that it left the group. The
+// registered entries show that only later.
+func (r *plan) noMemberLeft(g *Group) bool {
 	return !slices.ContainsFunc(g.Members, func(s garnetworks.RegisteredServer) bool { return r.membership(&s).Group != g.ID })
 }
 
-func (r *plan) hasDark(g *Group) bool {
-	return slices.ContainsFunc(g.Members, func(s garnetworks.RegisteredServer) bool { return r.Dark.Has(s.Incarnation()) })
+func (r *plan) hasUnresponsive(g *Group) bool {
+	return slices.ContainsFunc(g.Members, func(s garnetworks.RegisteredServer) bool { return r.Unresponsive.Has(s.Incarnation()) })
 }
 
-// dissolve makes the members of a group that can't serve leave it. Each one says
-// itself that it has left before it is ordered into another group (rule O2): a
-// head that can't be reached may serve on behind a partition, and a member that
-// was taken away without its word would belong to two groups.
+// dissolve orders the members of a group that can't serve to leave it. Each one must
+// acknowledge that before it is ordered into another group (rule O2): a head behind a
+// partition may still serve, and a member that was reassigned without its acknowledgement
+// would belong to two groups.
 func (r *plan) dissolve(g *Group) {
 	for i := range g.Members {
 		m := &g.Members[i]
-		if r.now.Before(r.unsure[m.Domain]) {
+		if r.now.Before(r.uncertainUntil[m.Domain]) {
 			return
 		}
 		r.release(m, urgentForming)
 	}
 }
 
-// release makes an instance leave the group that it is or may be in.
+// release orders an instance to leave the group that it is or may be in.
 func (r *plan) release(s *garnetworks.RegisteredServer, u urgency) {
 	in := r.membership(s)
 	if in.Group == "" || !r.usable(s) || r.formations[in.Group] != nil {
@@ -72,12 +71,12 @@
 	r.send(u, garnetworks.GroupOrder{Kind: garnetworks.GroupLeave, Incarnation: s.Incarnation(), Address: s.Address, Group: in.Group, Epoch: in.Epoch})
 }
 
-// membership returns the group that the instance is in, as far as its entry or the
-// orders since tell; none if it has left it.
+// membership returns the group that the instance is in, by its entry or by the orders that it
+// was sent since; it is empty if the instance has left the group.
 //
-// Failure: an instance takes the order to join a group that is given up a moment
-// later. Its entry, which lags, shows no group; it would be ordered into a second
-// group without having left the first one.
+// Failure: an instance takes an order to join a group that is abandoned a moment later. Its
+// entry lags and shows no group, so that it would be ordered into a second group without
+// having left the first one.
 func (r *plan) membership(s *garnetworks.RegisteredServer) garnetworks.Membership {
 	in := s.Membership
 	if joined := r.joined[s.Incarnation()]; joined.Epoch > in.Epoch {
@@ -100,17 +99,17 @@
 	}
 }
 
-// releaseGivenUp makes instances leave the groups that they were ordered into and
-// that were given up before their entries told of them.
-func (r *plan) releaseGivenUp() {
-	for _, id := range sortedLives(r.joined) {
+// releaseAbandoned orders instances to leave groups that were abandoned before the instances'
+// entries showed them.
+func (r *plan) releaseAbandoned() {
+	for _, id := range sortedIncarnations(r.joined) {
 		s, ok := r.server(id)
 		if !ok {
 			delete(r.joined, id)
 			continue
 		}
 		if r.joined[id].Epoch > s.Membership.Epoch {
-			r.release(&s, urgentTidying)
+			r.release(&s, urgentCleanup)
 		}
 	}
 }
--- a/former/former.go
+++ b/former/former.go
@@ -13,36 +13,34 @@
 	"github.com/garnetworks/garnetworks/leaser"
 )
 
-// Times of the duty.
+// Times and rates of planning.
 const (
-	// planEvery is the longest time between two plans; changes and answers bring
-	// them forward.
-	planEvery = 200 * time.Millisecond
-	// planRest is the least time between two plans. It joins changes that come together,
-	// and is small beside the second that a repair takes.
-	planRest = 10 * time.Millisecond
-	// restFactor is the rest after a plan in parts of the time that the plan took, so that
-	// plans take a fifth of the node's processor at most.
-	restFactor = 4
-	// firstLoadTime is the time from the site's first start in which loads don't
-	// count against the weight store's rate, since no call has come yet.
-	firstLoadTime = 9 * time.Second
-	// settleTime is how long no further server may have registered before groups
-	// are formed at the site's first start, and settleMost bounds that wait.
+	// planInterval is the longest time between two plans; changes and responses trigger
+	// earlier ones.
+	planInterval = 200 * time.Millisecond
+	// minPlanPause is the shortest pause between two plans, which batches changes that arrive
+	// together.
+	minPlanPause = 10 * time.Millisecond
+	// pauseFactor is the pause after a plan as a multiple of the time that the plan took, up
+	// to planInterval. It keeps planning to about a fifth of the processor.
+	pauseFactor = 4
+	// unmeteredLoadTime is the time after the site's first start in which loads don't count
+	// against the weight store's rate, since no call has arrived yet.
+	unmeteredLoadTime = 9 * time.Second
+	// settleTime is how long no further server may have registered before groups are formed
+	// at the site's first start; maxSettleTime bounds that wait.
 	//
-	// Failure: servers register one after the other within some seconds. Groups
-	// formed of the first ones are all of the smallest model, and the others find
-	// no domain with enough instances left. 162 engines take 4.1 s; with settleMost,
-	// the load of the first groups (a tenth of the usual time) and their opening they
-	// serve 8 s after the start, before the first calls at 10 s or more.
-	settleTime = 350 * time.Millisecond
-	settleMost = 6 * time.Second
-	// loadRatePart is the part of the weight store's rate that is used: orders
-	// that are carried out late may bring loads together.
-	loadRatePart = 0.9
+	// Failure: servers register one after the other within some seconds. Groups formed of
+	// the first ones are all of the smallest model, and no domain has enough instances left
+	// for the others.
+	settleTime    = 350 * time.Millisecond
+	maxSettleTime = 6 * time.Second
+	// loadRateFraction is the part of the weight store's rate that is used, since delayed
+	// orders may make loads begin together.
+	loadRateFraction = 0.9
 )
 
-// Options describe the duty.
+// Options configure a Former.
 type Options struct {
 	Follower *follower.Follower
 	Orders   garnetworks.GroupOrders
@@ -50,13 +48,12 @@
 	Bounds   garnetworks.SiteBounds
 	// FirstStart is set when the whole site starts for the first time.
 	FirstStart bool
-	// Moving returns the groups that gave an event to some node a moment ago; it may
-	// be nil.
-	Moving func() garnetworks.Set[garnetworks.GroupID]
-	// Work returns the number of calls of each model that are or could be running at the
-	// site; it may be nil.
-	Work func() map[garnetworks.ModelName]float64
-	// Recorder is told of orders and of what is believed of instances.
+	// Progressing returns the groups that recently sent an event to some node; it may be nil.
+	Progressing func() garnetworks.Set[garnetworks.GroupID]
+	// Demand returns the number of calls of each model that are running or could be running
+	// at the site; it may be nil.
+	Demand func() map[garnetworks.ModelName]float64
+	// Recorder receives events on orders, on probes and on suspected groups.
 	Recorder garnetworks.Recorder
 }
 
@@ -66,54 +63,55 @@
 	bounds   atomic.Pointer[garnetworks.SiteBounds]
 	started  time.Time
 	planners map[garnetworks.ServiceName]*Planner
-	// lost are the groups that have a dark instance, while the node holds the lease.
+	// lost are the groups with an unresponsive instance and no recent events; nil while
+	// this node makes no plans, as without the lease.
 	lost atomic.Pointer[[]garnetworks.GroupID]
 	prober
-	answers  chan answered
-	suspects chan garnetworks.GroupID
-	changed  <-chan struct{}
-	// queue holds the newest plan's orders that wait to be sent.
+	orderResults chan orderResult
+	suspects     chan garnetworks.GroupID
+	changed      <-chan struct{}
+	// queue holds the newest plan's orders that were not sent yet.
 	queue       []queuedOrder
-	orderFlight flight
-	// stale says that something has changed since the last plan, and rested from when
-	// on the next one may be made.
-	stale  bool
-	rested time.Time
-	// planned is the view that the newest plan was made from.
-	planned follower.Servers
-	loads   loadBudget
+	orderWindow congestionWindow
+	// needsPlan says that something has changed since the last plan; nextPlanAt is the
+	// earliest time of the next one.
+	needsPlan  bool
+	nextPlanAt time.Time
+	// plannedServers are the servers that the newest plan was made from.
+	plannedServers follower.Servers
+	loads          loadBudget
 	// sending counts the orders in flight.
 	sending sync.WaitGroup
 	term    uint32
-	// held is when this node took the lease.
-	held time.Time
-	// count is the number of registered servers, and grown when it last rose.
-	count int
-	grown time.Time
+	// leaseSince is when this node took the lease.
+	leaseSince time.Time
+	// serverCount is the number of registered servers, lastRegistration when it last rose.
+	serverCount      int
+	lastRegistration time.Time
 }
 
-// New returns the duty; it is called before the follower runs.
+// New returns a Former. It must be called before the follower runs.
 func New(options Options) *Former {
-	const ring = 1024
+	const bufferSize = 1024
 	f := &Former{
-		options:  options,
-		started:  time.Now(),
-		planners: make(map[garnetworks.ServiceName]*Planner),
-		prober:   newProber(ring),
-		answers:  make(chan answered, ring),
-		suspects: make(chan garnetworks.GroupID, ring),
-		changed:  options.Follower.Changed(),
+		options:      options,
+		started:      time.Now(),
+		planners:     make(map[garnetworks.ServiceName]*Planner),
+		prober:       newProber(bufferSize),
+		orderResults: make(chan orderResult, bufferSize),
+		suspects:     make(chan garnetworks.GroupID, bufferSize),
+		changed:      options.Follower.Changed(),
 
-		orderFlight: newFlight(),
+		orderWindow: newCongestionWindow(),
 	}
 	f.bounds.Store(&options.Bounds)
 	return f
 }
 
-// SetBounds takes the site's bounds.
+// SetBounds replaces the site's bounds.
 func (f *Former) SetBounds(bounds garnetworks.SiteBounds) { f.bounds.Store(&bounds) }
 
-// Suspect tells that the group seems to stand still. It never blocks.
+// Suspect reports that a group seems to make no progress. It never blocks.
 func (f *Former) Suspect(id garnetworks.GroupID) {
 	select {
 	case f.suspects <- id:
@@ -121,84 +119,83 @@
 	}
 }
 
-// Run forms groups until ctx ends. It returns once all orders have ended, so that
-// the lease may then be given up.
+// Run forms groups until ctx ends. It returns once all orders have ended, so that the
+// lease may be given up then.
 func (f *Former) Run(ctx context.Context) error {
-	ticker := time.NewTicker(planEvery)
+	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
-	rest := time.NewTimer(0)
-	defer rest.Stop()
+	pause := time.NewTimer(0)
+	defer pause.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			f.sending.Wait()
 			return nil
 		case <-ticker.C:
-			f.stale = true
+			f.needsPlan = true
 		case <-f.changed:
-			f.stale = true
+			f.needsPlan = true
 		case <-f.options.Lease.Changed():
-			f.stale = true
-		case <-rest.C:
-		case a := <-f.answers:
-			f.take(a)
-		case p := <-f.results:
-			f.takeProbe(p)
+			f.needsPlan = true
+		case <-pause.C:
+		case a := <-f.orderResults:
+			f.handleOrderResult(a)
+		case p := <-f.probeResults:
+			f.handleProbeResult(p)
 		case id := <-f.suspects:
 			f.suspect(id)
 		}
-		f.drain()
-		if f.stale && !time.Now().Before(f.rested) {
+		f.drainResults()
+		if f.needsPlan && !time.Now().Before(f.nextPlanAt) {
 			f.replan()
-			rest.Reset(time.Until(f.rested))
+			pause.Reset(time.Until(f.nextPlanAt))
 		}
 		f.dispatch(ctx)
 		f.dispatchProbes(ctx)
 	}
 }
 
-// drain takes all answers that are there, so that one plan serves them.
-func (f *Former) drain() {
+// drainResults handles all results that have arrived, so that one plan covers them.
+func (f *Former) drainResults() {
 	for {
 		select {
-		case a := <-f.answers:
-			f.take(a)
-		case p := <-f.results:
-			f.takeProbe(p)
+		case a := <-f.orderResults:
+			f.handleOrderResult(a)
+		case p := <-f.probeResults:
+			f.handleProbeResult(p)
 		default:
 			return
 		}
 	}
 }
 
-// replan makes a plan, and rests from planning for a while.
+// replan makes a plan and sets the earliest time of the next one.
 //
-// Failure: a plan was made for each answer to an order. At 880 engines one costs some
-// 20 ms of a small instance's processor, and thousands of answers in the first seconds
-// took all of it, so that the answers waited and looked like silence.
+// Failure: a plan was made for each response to an order. At hundreds of engines that took
+// the whole processor, so that responses were handled late and looked like missing ones.
 func (f *Former) replan() {
 	began := time.Now()
-	f.stale = false
+	f.needsPlan = false
 	f.plan()
 	took := time.Since(began)
-	f.rested = time.Now().Add(min(planEvery, max(planRest, restFactor*took)))
+	f.nextPlanAt = time.Now().Add(min(planInterval, max(minPlanPause, pauseFactor*took)))
 }
 
-// plan queues the orders that are due.
+// plan replaces the queue by the orders that are due.
 func (f *Former) plan() {
 	now := time.Now()
 	term := f.options.Lease.Term(now)
 	f.queue = f.queue[:0]
 	if term != f.term {
-		f.term, f.held, f.loads = term, now, loadBudget{}
+		f.term, f.leaseSince, f.loads = term, now, loadBudget{}
 		if term != 0 {
 			f.options.Follower.RefreshServers()
 		}
 	}
 	x := f.options.Follower.Index()
-	// Failure: a view from before the lease shows engines as free that the last
-	// holder has ordered into a group since. So a new holder reads the store first.
-	if term == 0 || f.options.Follower.ServersConfirmed().Before(f.held) || x == nil || !f.options.Follower.Ready() {
+	// Failure: a view from before the lease shows engines as free that the last holder has
+	// ordered into a group since. So a new holder reads the store first.
+	if term == 0 || f.options.Follower.ServersConfirmed().Before(f.leaseSince) || x == nil || !f.options.Follower.Ready() {
 		f.lost.Store(nil)
 		return
 	}
@@ -207,11 +204,11 @@
 		f.lost.Store(nil)
 		return
 	}
-	f.planned = servers
+	f.plannedServers = servers
 	f.forget(servers)
-	f.noteLost(servers)
-	f.probeDark(servers)
-	f.probeDoubted(servers)
+	f.findLostGroups(servers)
+	f.probeUnresponsive(servers)
+	f.probeUnconfirmed(servers)
 	for i := range x.Services {
 		if profile, ok := x.Services[i].Engines.Get(); ok {
 			f.planService(now, term, servers, x.Services[i].Name, &profile)
@@ -227,12 +224,12 @@
 	return nil
 }
 
-// noteLost finds the groups that have a dark instance and give no node any event.
-func (f *Former) noteLost(servers follower.Servers) {
-	moving := f.moving()
+// findLostGroups records the groups with an unresponsive instance that send no events.
+func (f *Former) findLostGroups(servers follower.Servers) {
+	progressing := f.progressing()
 	lost := make(garnetworks.Set[garnetworks.GroupID])
-	for life := range f.dark {
-		if s, ok := serverOf(servers, life); ok && s.Membership.Group != "" && !moving.Has(s.Membership.Group) {
+	for incarnation := range f.unresponsive {
+		if s, ok := serverOf(servers, incarnation); ok && s.Membership.Group != "" && !progressing.Has(s.Membership.Group) {
 			lost.Add(s.Membership.Group)
 		}
 	}
@@ -242,14 +239,14 @@
 
 // settled reports whether the servers that start with the site have registered.
 func (f *Former) settled(now time.Time, count int) bool {
-	if count > f.count {
-		f.grown = now
+	if count > f.serverCount {
+		f.lastRegistration = now
 	}
-	f.count = count
-	if !f.options.FirstStart || now.Sub(f.started) > settleMost {
+	f.serverCount = count
+	if !f.options.FirstStart || now.Sub(f.started) > maxSettleTime {
 		return true
 	}
-	return count > 0 && now.Sub(f.grown) >= settleTime
+	return count > 0 && now.Sub(f.lastRegistration) >= settleTime
 }
 
 func (f *Former) planService(now time.Time, term uint32, servers follower.Servers, service garnetworks.ServiceName, profile *garnetworks.EngineProfile) {
@@ -259,30 +256,30 @@
 		f.planners[service] = p
 	}
 	f.loads.configure(profile, *f.bounds.Load())
-	loads := f.loads.left(now)
-	first := f.options.FirstStart && now.Sub(f.started) < firstLoadTime
+	loads := f.loads.available(now)
+	first := f.options.FirstStart && now.Sub(f.started) < unmeteredLoadTime
 	if first {
 		loads = len(servers)
 	}
 	orders := p.Plan(now, Input{
-		Servers: servers, Service: service, Profile: profile, Dark: f.dark,
-		Term: term, Loads: loads, Unhurried: first, Moving: f.moving(), Work: f.work(),
+		Servers: servers, Service: service, Profile: profile, Unresponsive: f.unresponsive,
+		Term: term, Loads: loads, BeforeFirstCall: first, Progressing: f.progressing(), Demand: f.demand(),
 	})
 	for _, o := range orders {
 		f.queue = append(f.queue, queuedOrder{service, o, !first})
 	}
 }
 
-func (f *Former) work() map[garnetworks.ModelName]float64 {
-	if f.options.Work == nil {
+func (f *Former) demand() map[garnetworks.ModelName]float64 {
+	if f.options.Demand == nil {
 		return nil
 	}
-	return f.options.Work()
+	return f.options.Demand()
 }
 
-func (f *Former) moving() garnetworks.Set[garnetworks.GroupID] {
-	if f.options.Moving == nil {
+func (f *Former) progressing() garnetworks.Set[garnetworks.GroupID] {
+	if f.options.Progressing == nil {
 		return nil
 	}
-	return f.options.Moving()
+	return f.options.Progressing()
 }
--- a/former/life_test.go
+++ b/former/life_test.go
@@ -10,28 +10,26 @@
 	"github.com/garnetworks/garnetworks/former"
 )
 
-// Story: a member or the head of an open group crashes and starts again under its
-// identifier within a heartbeat, so that its entry never vanishes. The head goes on
-// accepting calls and nothing moves. The group was kept as long as some node still had
-// events of before, and its survivors were not formed anew until the head broke.
-func TestGroupOfAnEngineThatStartedAgainIsReplaced(t *testing.T) {
+// A member or the head of an open group restarts within a heartbeat, so that its entry never
+// vanishes. The group must be replaced even while events from before the crash still count.
+func TestGroupOfRestartedEngineIsReplaced(t *testing.T) {
 	for name, rank := range map[string]int{"head": 0, "member": 3} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(1, 11)
+			w := newSimulation(1, 11)
 			w.run(40 * time.Second)
 			e := w.member("large", rank)
 			group := e.Membership.Group
-			// Events of before the crash keep the group moving for a moment.
-			w.moving = garnetworks.NewSet(group)
-			e.startAgain()
-			w.tell()
-			for _, g := range former.Observe(w.told, "llm", former.Sizes(w.profile)) {
+			// Events from before the crash keep the group progressing for a moment.
+			w.progressing = garnetworks.NewSet(group)
+			e.restart()
+			w.refreshView()
+			for _, g := range former.Observe(w.view, "llm", former.Sizes(w.profile)) {
 				if g.ID == group && g.Serves() {
 					t.Error("the group still counts as one that serves")
 				}
 			}
 			w.run(time.Second)
-			check(t, w)
+			checkRules(t, w)
 			if got := w.serving(); got["large"] != 1 {
 				t.Errorf("serving %v a second after the crash", got)
 			}
@@ -39,25 +37,24 @@
 	}
 }
 
-// Story: five engines of a domain crash and are back under their identifiers within a
-// heartbeat, as after a short loss of power. Their entries of before counted as vanished,
-// the domain as cut off, and its lost groups were left alone for 2.3 s.
-func TestEnginesThatStartAgainTogetherAreNoPartition(t *testing.T) {
-	w := newWorld(1, 23)
+// Engines of a domain that restart together must not look like entries hidden by a partition,
+// which would defer the dissolution of their groups.
+func TestSimultaneousRestartsAreNotAPartition(t *testing.T) {
+	w := newSimulation(1, 23)
 	w.run(settled)
 	before := w.serving()
-	struck := 0
+	restarted := 0
 	for _, id := range slices.Sorted(maps.Keys(w.engines)) {
-		if e := w.engines[id]; struck < 5 && e.Membership.Group != "" {
-			e.startAgain()
-			struck++
+		if e := w.engines[id]; restarted < 5 && e.Membership.Group != "" {
+			e.restart()
+			restarted++
 		}
 	}
-	w.left = 0
+	w.leaveOrders = 0
 	w.run(500 * time.Millisecond)
-	check(t, w)
-	if w.left == 0 {
-		t.Error("no member was ordered to leave a group that has lost others for certain")
+	checkRules(t, w)
+	if w.leaveOrders == 0 {
+		t.Error("no member was ordered to leave a group that has lost other members")
 	}
 	w.run(5 * time.Second)
 	if got := w.serving(); got["large"] < before["large"] {
@@ -65,34 +62,32 @@
 	}
 }
 
-// Story: an entry tells of a group in epoch 0. No other one has ended in that epoch, and
-// the group counted as lost.
+// A group in epoch 0 must not match the zero epoch of entries without a previous membership.
 func TestGroupInEpochZeroIsNotLost(t *testing.T) {
-	w := newWorld(1, 11)
+	w := newSimulation(1, 11)
 	w.run(settled)
-	w.tell()
+	w.refreshView()
 	group := w.member("large", 0).Membership.Group
-	for id, s := range w.told {
+	for id, s := range w.view {
 		if s.Membership.Group == group {
 			s.Membership.Epoch = 0
-			w.told[id] = s
+			w.view[id] = s
 		}
 	}
-	for _, g := range former.Observe(w.told, "llm", former.Sizes(w.profile)) {
+	for _, g := range former.Observe(w.view, "llm", former.Sizes(w.profile)) {
 		if g.ID == group && g.Lost {
 			t.Error("the group counts as lost")
 		}
 	}
 }
 
-// Story: an engine takes the order to join a group, and crashes before the group opens.
-// What the earlier life had taken counted for the new one, which knows nothing of the
-// group: the head opened without a member, or the others waited for it for 20 s.
-func TestOrdersOfAnEarlierLifeDoNotCount(t *testing.T) {
+// An engine accepts a join and restarts before the group opens. The join must not count for the
+// new incarnation, or the head opens without a member or the others wait in vain.
+func TestOrdersOfEarlierIncarnationAreIgnored(t *testing.T) {
 	cases := map[string]time.Duration{"right after its answer": 0, "while it joins": 100 * time.Millisecond}
 	for name, after := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(1, 11)
+			w := newSimulation(1, 11)
 			w.run(settled)
 			w.member("large", 2).dead = true
 			for range 30 {
@@ -106,9 +101,9 @@
 			if e == nil {
 				t.Fatal("no engine is on its way into a large group")
 			}
-			e.startAgain()
+			e.restart()
 			w.run(5 * time.Second)
-			check(t, w)
+			checkRules(t, w)
 			if got := w.serving(); got["large"] != 1 || got["small"] != 1 {
 				t.Errorf("serving %v five seconds after the crash", got)
 			}
@@ -116,16 +111,17 @@
 	}
 }
 
-// forming returns the first engine that is on its way into a group of several of the model.
-func (w *world) forming(model garnetworks.ModelName) *engine {
+// forming returns the first engine of a group that is being formed for the model, other than
+// groups of a single spare.
+func (w *simulation) forming(model garnetworks.ModelName) *engine {
 	count := make(map[garnetworks.GroupID]int)
 	for _, e := range w.engines {
 		count[e.Membership.Group]++
 	}
 	for _, id := range slices.Sorted(maps.Keys(w.engines)) {
 		e := w.engines[id]
-		moving := e.Membership.State == garnetworks.MemberJoining || e.Membership.State == garnetworks.MemberReady && e.Membership.Rank > 0
-		if moving && count[e.Membership.Group] > 1 && former.GroupModel(e.Membership.Group) == model && !w.open(e.Membership.Group) {
+		joining := e.Membership.State == garnetworks.MemberJoining || e.Membership.State == garnetworks.MemberReady && e.Membership.Rank > 0
+		if joining && count[e.Membership.Group] > 1 && former.GroupModel(e.Membership.Group) == model && !w.open(e.Membership.Group) {
 			return e
 		}
 	}
@@ -133,7 +129,7 @@
 }
 
 // open reports whether a group's head is open.
-func (w *world) open(id garnetworks.GroupID) bool {
+func (w *simulation) open(id garnetworks.GroupID) bool {
 	for _, e := range w.engines {
 		if e.Membership.Group == id && e.Membership.State == garnetworks.MemberOpen {
 			return true
@@ -142,44 +138,42 @@
 	return false
 }
 
-// settled is the time after which a world's groups serve and its spares are prepared.
+// settled is the time after which groups serve and spares are prewarmed.
 const settled = 40 * time.Second
 
-// Story: an engine starts again and then takes a join to its old group that was sent
-// before the crash and is carried out late. By the entries the group was whole again,
-// and its head open: calls were sent to a group of which one member had never been
-// ready in this life.
-func TestLateJoinOfAnEarlierLifeMakesNoGroupWhole(t *testing.T) {
-	w := newWorld(1, 11)
+// A restarted engine carries out a delayed join to its old group, whose head is open. The group
+// must not count as complete: the member was never ready in this incarnation.
+func TestLateJoinOfEarlierIncarnationDoesNotCompleteGroup(t *testing.T) {
+	w := newSimulation(1, 11)
 	w.run(settled)
 	e := w.member("large", 4)
 	before := e.Membership
-	e.startAgain()
+	e.restart()
 	w.run(100 * time.Millisecond)
 	e.Membership = before
 	e.Membership.State, e.readyAt = garnetworks.MemberJoining, w.now.Add(200*time.Millisecond)
-	w.tell()
-	for _, g := range former.Observe(w.told, "llm", former.Sizes(w.profile)) {
+	w.refreshView()
+	for _, g := range former.Observe(w.view, "llm", former.Sizes(w.profile)) {
 		if g.ID == before.Group && g.Serves() {
 			t.Error("the group counts as one that serves")
 		}
 	}
 	w.run(5 * time.Second)
-	check(t, w)
+	checkRules(t, w)
 	if got := w.serving(); got["large"] != 1 || e.Membership.Group == before.Group {
 		t.Errorf("serving %v, the engine is in %q", got, e.Membership.Group)
 	}
 }
 
-// Story: the same, seen by a holder of the lease that has just begun and knows nothing
-// of the earlier life. A member that joins while its head is open has started again.
-func TestMemberThatJoinsAnOpenGroupHasStartedAgain(t *testing.T) {
-	w := newWorld(1, 11)
+// The same for a new lease holder that has not seen the earlier incarnation: a member that is
+// joining while its head is open has restarted.
+func TestMemberJoiningAnOpenGroupHasRestarted(t *testing.T) {
+	w := newSimulation(1, 11)
 	w.run(settled)
 	e := w.member("large", 4)
 	group := e.Membership.Group
 	e.Membership.State, e.readyAt = garnetworks.MemberJoining, w.now.Add(time.Hour)
-	w.told, w.planner, w.term = nil, former.NewPlanner(), w.term+1
+	w.view, w.planner, w.term = nil, former.NewPlanner(), w.term+1
 	w.run(2 * time.Second)
 	for _, other := range w.engines {
 		if other.Membership.Group == group {
@@ -188,51 +182,49 @@
 	}
 }
 
-// Story: an engine did not take a join and is left out for three seconds. It starts
-// again under its identifier within that time; the new life is as good as any other.
-// How long its return takes until it has an order is told beside that of an engine that
-// comes under a new identifier.
-func TestNewLifeIsUsedAsSoonAsANewEngine(t *testing.T) {
-	first := func(strike func(*world, *engine) *engine) time.Duration {
-		w := newWorld(1, 6) // one large group, no spare
+// An instance that did not accept a join is excluded. Its next incarnation must get an order as
+// soon as an engine with a new identifier.
+func TestNewIncarnationIsUsedAsSoonAsANewEngine(t *testing.T) {
+	firstOrderDelay := func(inject func(*simulation, *engine) *engine) time.Duration {
+		w := newSimulation(1, 6) // one large group, no spare
 		w.run(settled)
 		e := w.member("large", 3)
-		e.dark = true
+		e.unresponsive = true
 		w.run(2 * time.Second)
-		e = strike(w, e)
+		e = inject(w, e)
 		began := w.now
 		const step = 50 * time.Millisecond
 		for range 200 {
-			w.tell()
+			w.refreshView()
 			w.step(step)
 			if e.Membership.Group != "" {
 				break
 			}
 		}
-		check(t, w)
+		checkRules(t, w)
 		return w.now.Sub(began)
 	}
-	again := first(func(_ *world, e *engine) *engine {
-		e.dark = false
-		e.startAgain()
+	restarted := firstOrderDelay(func(_ *simulation, e *engine) *engine {
+		e.unresponsive = false
+		e.restart()
 		return e
 	})
-	fresh := first(func(w *world, e *engine) *engine {
+	fresh := firstOrderDelay(func(w *simulation, e *engine) *engine {
 		e.dead = true
 		w.add("i-new", string(e.Domain))
 		w.engines["i-new"].Staged = e.Staged
 		return w.engines["i-new"]
 	})
-	t.Logf("first order of an engine that started again after %s, of a new one after %s", again, fresh)
-	if again > fresh {
-		t.Errorf("an engine that started again is used after %s, a new one after %s", again, fresh)
+	t.Logf("first order of a restarted engine after %s, of a new one after %s", restarted, fresh)
+	if restarted > fresh {
+		t.Errorf("a restarted engine is used after %s, a new one after %s", restarted, fresh)
 	}
 }
 
-// Story: another program writes an entry of no known service that names a real group
-// with a higher epoch. The group's members counted as those of an older one.
-func TestEntriesOfOtherServicesNameNoGroup(t *testing.T) {
-	w := newWorld(1, 11)
+// An entry of an unknown service names a real group with a higher epoch. The group's members
+// must not count as those of an older epoch.
+func TestEntriesOfOtherServicesAreIgnored(t *testing.T) {
+	w := newSimulation(1, 11)
 	w.run(settled)
 	member := w.member("large", 0).Membership
 	other := &engine{}
@@ -240,10 +232,10 @@
 	other.Membership = member
 	other.Membership.Epoch++
 	w.engines["x"] = other
-	w.left = 0
+	w.leaveOrders = 0
 	w.run(time.Second)
-	check(t, w)
-	if got := w.serving(); got["large"] != 1 || w.left != 0 {
-		t.Errorf("serving %v after %d orders to leave", got, w.left)
+	checkRules(t, w)
+	if got := w.serving(); got["large"] != 1 || w.leaveOrders != 0 {
+		t.Errorf("serving %v after %d orders to leave", got, w.leaveOrders)
 	}
 }
--- a/former/planner.go
+++ b/former/planner.go
@@ -10,53 +10,53 @@
 	"github.com/garnetworks/garnetworks/follower"
 )
 
-// Times of the planner.
+// Times and limits of orders.
 const (
-	// orderAgain is how long an order may go unanswered before it is sent again.
-	// Engines answer within milliseconds and tell their state by the store within
-	// some tens of them; a repeated order changes nothing.
-	orderAgain = 250 * time.Millisecond
-	// joinMargin is added to the time that a join should take before the group
-	// is given up: a store that is slow tells it late.
+	// resendInterval is how long an order may go unanswered before it is sent again. Engines
+	// respond and report their state within tens of milliseconds; repeated orders are
+	// idempotent.
+	resendInterval = 250 * time.Millisecond
+	// joinMargin is added to the time that a join should take before the group is
+	// abandoned, since a slow store reports it late.
 	joinMargin = 4 * time.Second
-	// shunTime is how long an instance that did not take a join is left out.
-	shunTime = 3 * time.Second
-	// joinTries is the number of unanswered joins after which a member is shunned.
-	joinTries = 6
+	// exclusionTime is how long an instance that did not accept a join is excluded.
+	exclusionTime = 3 * time.Second
+	// maxJoinAttempts is the number of unanswered joins after which a member is excluded.
+	maxJoinAttempts = 6
 )
 
-// Times and numbers by which a partition is told from losses.
+// Parameters that distinguish a partition from losses.
 const (
-	// massCount entries that vanish from a domain within massTime are a partition or
-	// a dark domain rather than losses of single engines.
-	massCount = 4
-	massTime  = 4 * time.Second
-	// returnTime is how long after a return the others' entries may take to be back;
-	// the platform says about two seconds.
-	returnTime = 2300 * time.Millisecond
-	// answerTime is the same for instances that answer probes again: each dark one is
-	// probed once in it.
-	answerTime = time.Second
+	// partitionCount entries that vanish from a domain within partitionWindow indicate a
+	// partition or an unreachable domain rather than losses of single engines.
+	partitionCount  = 4
+	partitionWindow = 4 * time.Second
+	// returnGrace is how long after the return of one entry the domain's other entries may
+	// take to return.
+	returnGrace = 2300 * time.Millisecond
+	// probeReturnGrace is the same for instances that answer probes again. It exceeds
+	// unresponsiveProbeInterval, so that each unresponsive one is probed within it.
+	probeReturnGrace = time.Second
 )
 
-// Input is what a plan is made from.
+// Input is the input of a plan.
 type Input struct {
 	Servers follower.Servers
 	Service garnetworks.ServiceName
 	Profile *garnetworks.EngineProfile
-	// Dark holds the instances that do not answer although their entries stand.
-	Dark garnetworks.Set[garnetworks.Incarnation]
-	// Term is the lease's.
+	// Unresponsive holds the instances that don't answer probes although they are listed.
+	Unresponsive garnetworks.Set[garnetworks.Incarnation]
+	// Term is the lease's term.
 	Term uint32
-	// Moving holds the groups that gave an event to some node a moment ago.
-	Moving garnetworks.Set[garnetworks.GroupID]
+	// Progressing holds the groups that recently sent an event to some node.
+	Progressing garnetworks.Set[garnetworks.GroupID]
 	// Loads is the number of loads from the weight store that may begin now.
 	Loads int
-	// Work is the number of calls of each model that are or could be running, as observed;
-	// empty if nothing is known.
-	Work map[garnetworks.ModelName]float64
-	// Unhurried says that no call has come yet, so that loads hold nothing up.
-	Unhurried bool
+	// Demand is the observed number of calls of each model that are running or could be
+	// running; empty if unknown.
+	Demand map[garnetworks.ModelName]float64
+	// BeforeFirstCall says that no call has arrived yet, so that loads delay nobody.
+	BeforeFirstCall bool
 }
 
 // formation is a group that was ordered and has not opened yet.
@@ -65,64 +65,64 @@
 	epoch   garnetworks.FencingToken
 	model   garnetworks.ModelName
 	members []garnetworks.Incarnation
-	// until is when it is given up.
-	until time.Time
-	// prepares says that the group is of one spare alone and never opens: it takes the
-	// model into the instance's memory, so that a later join takes no warm start.
-	prepares bool
+	// deadline is when the formation is abandoned.
+	deadline time.Time
+	// prewarms marks a group of a single spare that never opens: it loads the model into the
+	// instance's memory, so that a later join needs no warm start.
+	prewarms bool
 	// loading are the members that had to load the weights from the weight store.
 	loading []garnetworks.Incarnation
 }
 
-// Planner remembers what was ordered and not yet told by the engines. It is for
-// one goroutine.
+// Planner plans the orders of one service. It keeps what was ordered and not yet reported by
+// the engines. It is not safe for concurrent use.
 type Planner struct {
 	sequence   uint32
 	term       uint32
 	formations map[garnetworks.GroupID]*formation
 	sent       map[garnetworks.Incarnation]*sentOrder
-	// left holds, for an instance, the group and epoch that it has left by its own
-	// word (rule O2). The store tells it a little later.
+	// left holds the group and epoch that an instance last acknowledged to have left
+	// (rule O2). The store shows it a little later.
 	left map[garnetworks.Incarnation]garnetworks.Membership
-	// joined holds the last group that an instance was ordered into. The store
-	// tells of it a little later; until then the instance may be in it.
-	joined map[garnetworks.Incarnation]garnetworks.Membership
-	shun   map[garnetworks.Incarnation]time.Time
-	// prepared holds the model that a spare was prepared for.
-	prepared map[garnetworks.Incarnation]garnetworks.ModelName
-	// abandoned are the groups that were given up while they were formed.
+	// joined holds the last group that an instance was ordered to join. The store shows it a
+	// little later; until then the instance may be in it.
+	joined   map[garnetworks.Incarnation]garnetworks.Membership
+	excluded map[garnetworks.Incarnation]time.Time
+	// prewarmed holds the model that a spare was last prewarmed for.
+	prewarmed map[garnetworks.Incarnation]garnetworks.ModelName
+	// abandoned are the groups that were given up while they were being formed.
 	abandoned garnetworks.Set[garnetworks.GroupID]
-	// seen is the last view, gone when entries vanished from it, dark the instances
-	// that did not answer then.
-	seen follower.Servers
-	gone map[garnetworks.Incarnation]time.Time
+	// lastServers and lastUnresponsive are those of the last plan; vanishedAt holds when
+	// entries vanished.
+	lastServers follower.Servers
+	vanishedAt  map[garnetworks.Incarnation]time.Time
 	// domainOf holds the domains of the listed and the vanished servers.
-	domainOf map[garnetworks.Incarnation]garnetworks.DomainID
-	dark     garnetworks.Set[garnetworks.Incarnation]
+	domainOf         map[garnetworks.Incarnation]garnetworks.DomainID
+	lastUnresponsive garnetworks.Set[garnetworks.Incarnation]
 	// staged holds the last order to load a model onto each instance's host.
 	staged map[garnetworks.Incarnation]stagedLoad
-	// exchanges holds what each domain gives up a group for.
-	exchanges map[garnetworks.DomainID]*exchange
-	work      workload
-	// unsure holds the domains whose groups are not dissolved before a time.
-	unsure map[garnetworks.DomainID]time.Time
+	// reallocations holds the reallocation in progress in each domain.
+	reallocations map[garnetworks.DomainID]*reallocation
+	demand        demandTracker
+	// uncertainUntil holds the time until which a domain's groups are not dissolved.
+	uncertainUntil map[garnetworks.DomainID]time.Time
 }
 
 // NewPlanner returns a planner that has ordered nothing.
 func NewPlanner() *Planner {
 	return &Planner{
-		formations: make(map[garnetworks.GroupID]*formation),
-		sent:       make(map[garnetworks.Incarnation]*sentOrder),
-		left:       make(map[garnetworks.Incarnation]garnetworks.Membership),
-		joined:     make(map[garnetworks.Incarnation]garnetworks.Membership),
-		shun:       make(map[garnetworks.Incarnation]time.Time),
-		prepared:   make(map[garnetworks.Incarnation]garnetworks.ModelName),
-		abandoned:  make(garnetworks.Set[garnetworks.GroupID]),
-		staged:     make(map[garnetworks.Incarnation]stagedLoad),
-		exchanges:  make(map[garnetworks.DomainID]*exchange),
-		gone:       make(map[garnetworks.Incarnation]time.Time),
-		domainOf:   make(map[garnetworks.Incarnation]garnetworks.DomainID),
-		unsure:     make(map[garnetworks.DomainID]time.Time),
+		formations:     make(map[garnetworks.GroupID]*formation),
+		sent:           make(map[garnetworks.Incarnation]*sentOrder),
+		left:           make(map[garnetworks.Incarnation]garnetworks.Membership),
+		joined:         make(map[garnetworks.Incarnation]garnetworks.Membership),
+		excluded:       make(map[garnetworks.Incarnation]time.Time),
+		prewarmed:      make(map[garnetworks.Incarnation]garnetworks.ModelName),
+		abandoned:      make(garnetworks.Set[garnetworks.GroupID]),
+		staged:         make(map[garnetworks.Incarnation]stagedLoad),
+		reallocations:  make(map[garnetworks.DomainID]*reallocation),
+		vanishedAt:     make(map[garnetworks.Incarnation]time.Time),
+		domainOf:       make(map[garnetworks.Incarnation]garnetworks.DomainID),
+		uncertainUntil: make(map[garnetworks.DomainID]time.Time),
 	}
 }
 
@@ -133,55 +133,55 @@
 	now    time.Time
 	groups []Group
 	orders []urgentOrder
-	// ordered are the instances that this plan orders something, stages the models that
-	// it orders them to load.
-	ordered garnetworks.Set[garnetworks.Incarnation]
-	stages  map[garnetworks.Incarnation]garnetworks.ModelName
-	loads   int
-	// unsettled are the domains in which answers to orders to leave are awaited.
-	unsettled garnetworks.Set[garnetworks.DomainID]
+	// ordered are the instances that this plan has an order for; plannedStages are the models
+	// that it orders them to load onto their hosts; loadsLeft is the rest of the load budget.
+	ordered       garnetworks.Set[garnetworks.Incarnation]
+	plannedStages map[garnetworks.Incarnation]garnetworks.ModelName
+	loadsLeft     int
+	// pendingLeaves are the domains in which responses to orders to leave are awaited.
+	pendingLeaves garnetworks.Set[garnetworks.DomainID]
 }
 
-// Plan returns the orders that are due, the most urgent ones first. Those that are sent
-// are told to Sent; the others are void once the next plan is made, which names them
-// again if they still matter.
+// Plan returns the orders that are due, the most urgent ones first. The caller reports each
+// one that it sends to Sent and drops the others when the next plan is made, which repeats
+// those that are still needed.
 func (p *Planner) Plan(now time.Time, in Input) []garnetworks.GroupOrder {
 	if in.Term != p.term {
-		// A new holding: what an earlier one ordered is read from the engines.
+		// A new term of the lease: the engines report what earlier holders ordered.
 		p.term, p.sequence = in.Term, 0
 		clear(p.formations)
 		clear(p.sent)
 		clear(p.left)
 		clear(p.joined)
 		clear(p.staged)
-		clear(p.exchanges)
+		clear(p.reallocations)
 	}
 	r := &plan{
-		Planner: p, Input: in, now: now, loads: in.Loads,
-		ordered: make(garnetworks.Set[garnetworks.Incarnation]), stages: make(map[garnetworks.Incarnation]garnetworks.ModelName),
+		Planner: p, Input: in, now: now, loadsLeft: in.Loads,
+		ordered: make(garnetworks.Set[garnetworks.Incarnation]), plannedStages: make(map[garnetworks.Incarnation]garnetworks.ModelName),
 	}
-	r.notePartitions()
+	r.detectPartitions()
 	r.groups = Observe(in.Servers, in.Service, Sizes(in.Profile))
-	r.work.take(now, in.Profile, in.Work, r.counts())
-	r.Profile = r.work.profile(in.Profile)
-	r.followFormations()
-	r.followGroups()
-	r.releaseGivenUp()
-	r.noteUnsettled()
+	r.demand.update(now, in.Profile, in.Demand, r.groupCounts())
+	r.Profile = r.demand.profile(in.Profile)
+	r.advanceFormations()
+	r.maintainGroups()
+	r.releaseAbandoned()
+	r.findPendingLeaves()
 	r.formGroups()
-	r.stageLacking()
+	r.stageMissing()
 	r.stageSpares()
-	r.prepareSpares()
-	r.stageSecond()
+	r.prewarmSpares()
+	r.stageSecondModels()
 	r.forget()
 	return r.byUrgency()
 }
 
 func (r *plan) usable(s *garnetworks.RegisteredServer) bool {
-	return s.Service == r.Service && s.State == garnetworks.ListedLive && !r.Dark.Has(s.Incarnation()) && !r.now.Before(r.shun[s.Incarnation()])
+	return s.Service == r.Service && s.State == garnetworks.ListedLive && !r.Unresponsive.Has(s.Incarnation()) && !r.now.Before(r.excluded[s.Incarnation()])
 }
 
-// forget drops what no longer matters, so that memory stays bounded.
+// forget drops state that is no longer needed, so that memory stays bounded.
 func (r *plan) forget() {
 	const keep = time.Minute
 	const most = 256
@@ -190,18 +190,18 @@
 	}
 	maps.DeleteFunc(r.sent, func(l garnetworks.Incarnation, s *sentOrder) bool { return !r.listed(l) && r.now.Sub(s.at) > keep })
 	maps.DeleteFunc(r.staged, func(l garnetworks.Incarnation, _ stagedLoad) bool { return !r.listed(l) })
-	maps.DeleteFunc(r.prepared, func(l garnetworks.Incarnation, _ garnetworks.ModelName) bool { return !r.listed(l) })
+	maps.DeleteFunc(r.prewarmed, func(l garnetworks.Incarnation, _ garnetworks.ModelName) bool { return !r.listed(l) })
 	maps.DeleteFunc(r.left, func(l garnetworks.Incarnation, _ garnetworks.Membership) bool { return !r.listed(l) })
-	maps.DeleteFunc(r.shun, func(_ garnetworks.Incarnation, until time.Time) bool { return r.now.After(until) })
+	maps.DeleteFunc(r.excluded, func(_ garnetworks.Incarnation, until time.Time) bool { return r.now.After(until) })
 }
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-func sortedLives[V any](m map[garnetworks.Incarnation]V) []garnetworks.Incarnation {
+func sortedIncarnations[V any](m map[garnetworks.Incarnation]V) []garnetworks.Incarnation {
 	return slices.SortedFunc(maps.Keys(m), garnetworks.Incarnation.Compare)
 }
 
-// server returns the entry of a life; none if it is not listed, or a later life is.
+// server returns the entry of an incarnation; false if it is not listed or a later one is.
 func (r *plan) server(l garnetworks.Incarnation) (garnetworks.RegisteredServer, bool) {
 	return serverOf(r.Servers, l)
 }
@@ -219,13 +219,13 @@
 	return s, true
 }
 
-func without(servers, taken []garnetworks.RegisteredServer) []garnetworks.RegisteredServer {
+func without(servers, removed []garnetworks.RegisteredServer) []garnetworks.RegisteredServer {
 	return slices.DeleteFunc(slices.Clone(servers), func(s garnetworks.RegisteredServer) bool {
-		return slices.ContainsFunc(taken, func(t garnetworks.RegisteredServer) bool { return t.ID == s.ID })
+		return slices.ContainsFunc(removed, func(t garnetworks.RegisteredServer) bool { return t.ID == s.ID })
 	})
 }
 
-// forgetAbandoned drops the groups that no instance names any more.
+// forgetAbandoned drops the abandoned groups that no instance reports any more.
 func (r *plan) forgetAbandoned() {
 	named := make(garnetworks.Set[garnetworks.GroupID])
 	for i := range r.groups {
--- a/former/planner_test.go
+++ b/former/planner_test.go
@@ -12,50 +12,49 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-func check(t interface {
+func checkRules(t interface {
 	Helper()
 	Errorf(string, ...any)
-}, w *world,
+}, w *simulation,
 ) {
 	t.Helper()
-	for _, f := range w.faults {
+	for _, f := range w.violations {
 		t.Errorf("%s", f)
 	}
 }
 
-// Story: a member of a group is lost, and the spare that takes its place has the
-// weights on its host only: it starts warm while the whole group waits. A spare
-// that was prepared joins as fast as the survivors do.
-func TestPreparedSpareJoinsAtOnce(t *testing.T) {
-	w := newWorld(1, 11)
+// A spare that holds the weights only on its host needs a warm start while its group waits. A
+// prewarmed one joins as fast as the remaining members.
+func TestPrewarmedSpareJoinsAtOnce(t *testing.T) {
+	w := newSimulation(1, 11)
 	w.run(40 * time.Second)
 	w.member("large", 1).dead = true
 	w.run(800 * time.Millisecond)
-	check(t, w)
+	checkRules(t, w)
 	if got := w.serving(); got["large"] != 1 {
 		t.Errorf("serving %v 0.8 s after the loss", got)
 	}
 }
 
-// Story: both spares of a domain held the large model. A lost member of a small
-// group was replaced by one of them, and the group waited 12 s for its load.
+// Spares must not all hold the same model, or a lost member of another model's group is replaced
+// only after a load.
 func TestEachModelHasASpare(t *testing.T) {
-	w := newWorld(1, 11)
+	w := newSimulation(1, 11)
 	w.run(40 * time.Second)
 	w.member("small", 1).dead = true
 	w.run(800 * time.Millisecond)
-	check(t, w)
+	checkRules(t, w)
 	if got := w.serving(); got["small"] != 1 {
 		t.Errorf("serving %v 0.8 s after the loss", got)
 	}
 }
 
-// Story: a site starts. Its domains hold one large and one small group each and
-// two spares; other mixtures leave whole groups' worth of engines idle.
+// At the start of a site, each domain must form one large and one small group and two spares;
+// other mixtures leave more engines idle.
 func TestDomainsAreFilled(t *testing.T) {
-	w := newWorld(6, 11)
+	w := newSimulation(6, 11)
 	w.run(30 * time.Second)
-	check(t, w)
+	checkRules(t, w)
 	if got := w.serving(); got["large"] != 6 || got["small"] != 6 {
 		t.Errorf("serving %v, want 6 of each", got)
 	}
@@ -66,8 +65,8 @@
 	}
 }
 
-// member returns the member of a serving group of a model with a rank.
-func (w *world) member(model garnetworks.ModelName, rank int) *engine {
+// member returns the member with the given rank of a group of the model, or nil.
+func (w *simulation) member(model garnetworks.ModelName, rank int) *engine {
 	for _, domain := range slices.Sorted(maps.Keys(w.domains())) {
 		if e := w.memberOf(domain, model, rank); e != nil {
 			return e
@@ -76,8 +75,8 @@
 	return nil
 }
 
-// memberOf returns the same of a domain.
-func (w *world) memberOf(domain garnetworks.DomainID, model garnetworks.ModelName, rank int) *engine {
+// memberOf returns the same within a domain.
+func (w *simulation) memberOf(domain garnetworks.DomainID, model garnetworks.ModelName, rank int) *engine {
 	for _, id := range slices.Sorted(maps.Keys(w.engines)) {
 		if e := w.engines[id]; e.Domain == domain && e.Model == model && e.Membership.Group != "" && e.Membership.Rank == rank && !e.dead {
 			return e
@@ -86,7 +85,7 @@
 	return nil
 }
 
-func (w *world) domains() garnetworks.Set[garnetworks.DomainID] {
+func (w *simulation) domains() garnetworks.Set[garnetworks.DomainID] {
 	domains := make(garnetworks.Set[garnetworks.DomainID])
 	for _, e := range w.engines {
 		domains.Add(e.Domain)
@@ -94,32 +93,31 @@
 	return domains
 }
 
-// Story: a member of a group dies. The group can't serve, its other members hold
-// the weights, and a spare holds them on its host: a new group serves within two
-// seconds, not after a load of 16.
+// A group that lost a member is replaced by one with a spare that holds the weights, within a
+// warm start rather than a load.
 func TestLostMemberIsReplaced(t *testing.T) {
 	cases := map[string]struct {
 		rank   int
-		strike func(*engine)
+		inject func(*engine)
 	}{
-		"member dies":          {1, func(e *engine) { e.dead = true }},
-		"head dies":            {0, func(e *engine) { e.dead = true }},
-		"member falls silent":  {2, func(e *engine) { e.dark = true }},
-		"head falls silent":    {0, func(e *engine) { e.dark = true }},
-		"member is cut off":    {3, func(e *engine) { e.cut = true }},
-		"member will stop":     {4, func(e *engine) { e.State = garnetworks.ListedLeaving }},
-		"head will stop":       {0, func(e *engine) { e.State = garnetworks.ListedLeaving }},
-		"member started anew":  {5, (*engine).startAgain},
-		"head broke by itself": {0, func(e *engine) { e.Membership.State = garnetworks.MemberBroken }},
+		"member dies":            {1, func(e *engine) { e.dead = true }},
+		"head dies":              {0, func(e *engine) { e.dead = true }},
+		"member is unresponsive": {2, func(e *engine) { e.unresponsive = true }},
+		"head is unresponsive":   {0, func(e *engine) { e.unresponsive = true }},
+		"member is cut off":      {3, func(e *engine) { e.partitioned = true }},
+		"member is leaving":      {4, func(e *engine) { e.State = garnetworks.ListedLeaving }},
+		"head is leaving":        {0, func(e *engine) { e.State = garnetworks.ListedLeaving }},
+		"member restarts":        {5, (*engine).restart},
+		"head is broken":         {0, func(e *engine) { e.Membership.State = garnetworks.MemberBroken }},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(2, 11)
+			w := newSimulation(2, 11)
 			w.run(30 * time.Second)
 			before := w.serving()
-			c.strike(w.member("large", c.rank))
+			c.inject(w.member("large", c.rank))
 			w.run(3 * time.Second)
-			check(t, w)
+			checkRules(t, w)
 			if got := w.serving(); got["large"] != before["large"] {
 				t.Errorf("%d large groups serve, want %d", got["large"], before["large"])
 			}
@@ -127,11 +125,10 @@
 	}
 }
 
-// Story: a member of a small group is cut off from the store for five seconds. The
-// only spare has to load the small model for twelve seconds, and the other members
-// wait with it, though the member is back with the weights long before.
-func TestMemberThatReturnsIsTakenBack(t *testing.T) {
-	w := newWorld(1, 10)
+// A member of a small group is cut off for some seconds while the only spare would need a load.
+// When it returns with the weights it must be used at once.
+func TestReturningMemberIsReused(t *testing.T) {
+	w := newSimulation(1, 10)
 	w.run(30 * time.Second)
 	for _, e := range w.engines {
 		if e.Membership.Group == "" {
@@ -139,91 +136,87 @@
 		}
 	}
 	lost := w.member("small", 1)
-	lost.cut = true
+	lost.partitioned = true
 	w.run(5 * time.Second)
-	lost.cut = false
+	lost.partitioned = false
 	w.run(4 * time.Second)
-	check(t, w)
+	checkRules(t, w)
 	if got := w.serving(); got["small"] != 1 || got["large"] != 1 {
 		t.Errorf("serving %v four seconds after the return", got)
 	}
 }
 
-// Story: engines are cut off from the store and from the holder of the lease, while
-// calls still reach them and get their events. Their groups were dissolved, and the
-// calls of all nodes with them.
-func TestGroupThatGivesEventsIsKept(t *testing.T) {
-	w := newWorld(1, 11)
+// Engines are cut off from the store and from the lease holder while their groups still send
+// events to other nodes. These groups must not be dissolved.
+func TestProgressingGroupIsKept(t *testing.T) {
+	w := newSimulation(1, 11)
 	w.run(30 * time.Second)
 	lost := w.member("large", 2)
-	w.left = 0
-	w.moving = garnetworks.NewSet(lost.Membership.Group)
-	lost.cut, lost.dark = true, true
+	w.leaveOrders = 0
+	w.progressing = garnetworks.NewSet(lost.Membership.Group)
+	lost.partitioned, lost.unresponsive = true, true
 	w.run(5 * time.Second)
-	if w.left != 0 {
-		t.Errorf("%d members were ordered to leave a group that serves", w.left)
+	if w.leaveOrders != 0 {
+		t.Errorf("%d members were ordered to leave a group that is serving", w.leaveOrders)
 	}
-	w.moving = nil
+	w.progressing = nil
 	w.run(3 * time.Second)
-	check(t, w)
+	checkRules(t, w)
 	if got := w.serving(); got["large"] != 1 {
-		t.Errorf("serving %v after the group stood still", got)
+		t.Errorf("serving %v after the group stalled", got)
 	}
 }
 
-// Story: the head of a group stops without having said so: its entry is removed, and
-// it goes on answering the calls that it has. The other members were ordered to leave
-// at once, the head stood still, and its streams broke off in the middle.
+// The head's entry is removed without notice while it finishes its calls. Ordering the other
+// members to leave would interrupt its streams.
 func TestHeadThatLeavesUnannouncedFinishesItsCalls(t *testing.T) {
-	w := newWorld(2, 11)
+	w := newSimulation(2, 11)
 	w.run(30 * time.Second)
 	head := w.member("large", 0)
-	w.moving = garnetworks.NewSet(head.Membership.Group)
-	head.cut = true
-	w.left = 0
+	w.progressing = garnetworks.NewSet(head.Membership.Group)
+	head.partitioned = true
+	w.leaveOrders = 0
 	w.run(2 * time.Second)
-	if w.left != 0 {
-		t.Errorf("%d members were ordered to leave while the head gave events", w.left)
+	if w.leaveOrders != 0 {
+		t.Errorf("%d members were ordered to leave while the head sent events", w.leaveOrders)
 	}
-	w.moving = nil
+	w.progressing = nil
 	w.run(3 * time.Second)
-	check(t, w)
+	checkRules(t, w)
 	if got := w.serving(); got["large"] != 2 {
 		t.Errorf("serving %v after the head had ended", got)
 	}
 }
 
-// Story: an availability zone is cut off from the store, and its groups serve on.
-// When it is back, its engines still are in their groups; the holder of the lease
-// had taken the groups for gone and ordered the engines into others.
-func TestGroupsOfAReturnedZoneServeOn(t *testing.T) {
-	w := newWorld(2, 11)
+// A zone is cut off from the store and its groups keep serving. After its return they must not
+// be dissolved.
+func TestGroupsOfReturnedZoneKeepServing(t *testing.T) {
+	w := newSimulation(2, 11)
 	w.run(60 * time.Second)
 	for _, e := range w.engines {
 		if e.Domain == "d1" {
-			e.cut = true
+			e.partitioned = true
 		}
 	}
 	w.run(10 * time.Second)
 	for _, e := range w.engines {
-		e.cut = false
+		e.partitioned = false
 	}
 	orders := w.orders
 	w.run(5 * time.Second)
-	check(t, w)
+	checkRules(t, w)
 	if got := w.serving(); got["large"] != 2 || got["small"] != 2 {
 		t.Errorf("serving %v after the return", got)
 	}
 	if w.orders != orders {
-		t.Errorf("%d orders were sent to groups that were whole", w.orders-orders)
+		t.Errorf("%d orders were sent to complete groups", w.orders-orders)
 	}
 }
 
-// Story: the same, but the zone's entries vanish and come back one after the other,
-// and its engines answer no probes meanwhile. Each time a part of a group is listed;
-// its members were ordered to leave as soon as one of them could be reached.
-func TestGroupsOfAZoneThatReturnsInPartsServeOn(t *testing.T) {
-	w := newWorld(2, 11)
+// The same, but entries vanish and return one after the other and probes fail meanwhile, so
+// that groups are partly listed. Their members must not be ordered to leave.
+func TestGroupsOfGraduallyReturningZoneKeepServing(t *testing.T) {
+	w := newSimulation(2, 11)
 	w.run(30 * time.Second)
 	var zone []*engine
 	for _, id := range slices.Sorted(maps.Keys(w.engines)) {
@@ -237,42 +230,42 @@
 			w.run(gap)
 		}
 	}
-	w.left = 0
-	each(func(e *engine) { e.dark = true }, 0)
-	each(func(e *engine) { e.cut = true }, 100*time.Millisecond)
+	w.leaveOrders = 0
+	each(func(e *engine) { e.unresponsive = true }, 0)
+	each(func(e *engine) { e.partitioned = true }, 100*time.Millisecond)
 	w.run(5 * time.Second)
-	each(func(e *engine) { e.dark = false }, 100*time.Millisecond)
-	each(func(e *engine) { e.cut = false }, 100*time.Millisecond)
+	each(func(e *engine) { e.unresponsive = false }, 100*time.Millisecond)
+	each(func(e *engine) { e.partitioned = false }, 100*time.Millisecond)
 	w.run(5 * time.Second)
-	check(t, w)
+	checkRules(t, w)
 	if got := w.serving(); got["large"] != 2 || got["small"] != 2 {
 		t.Errorf("serving %v after the return", got)
 	}
-	if w.left != 0 {
-		t.Errorf("%d members were ordered to leave groups that were whole", w.left)
+	if w.leaveOrders != 0 {
+		t.Errorf("%d members were ordered to leave complete groups", w.leaveOrders)
 	}
 }
 
-// Story: the holder of the lease dies between a group's joins and its opening. The
-// next holder finds members that are ready in a group that nobody has opened.
-func TestNextHolderGoesOn(t *testing.T) {
-	w := newWorld(1, 11)
+// The lease holder fails between a group's joins and its opening. The next one must open the
+// group.
+func TestNextLeaseHolderContinuesFormation(t *testing.T) {
+	w := newSimulation(1, 11)
 	for range 18 {
-		w.tell()
+		w.refreshView()
 		w.step(time.Second)
 	}
 	w.term++
 	w.run(10 * time.Second)
-	check(t, w)
+	checkRules(t, w)
 	if got := w.serving(); got["large"] != 1 || got["small"] != 1 {
 		t.Errorf("serving %v", got)
 	}
 }
 
-// Story: the answers of a broken group's members come one after the other. With
-// the first three a small group was formed, and the large one was never replaced.
-func TestDomainWaitsForAllAnswers(t *testing.T) {
-	w := newWorld(1, 11)
+// The members of a broken group acknowledge one after the other. The first ones must not be
+// formed into a smaller group.
+func TestDomainWaitsForAllLeaveResponses(t *testing.T) {
+	w := newSimulation(1, 11)
 	w.run(30 * time.Second)
 	w.member("large", 1).dead = true
 	w.run(2500 * time.Millisecond)
@@ -281,26 +274,24 @@
 	}
 }
 
-// Story: anything happens to engines, stores and holders in any order, views lag,
-// and orders come late. No engine is ordered into a second group without leaving
-// the first one, no group opens without all its members, and once the trouble is
-// over all domains are filled again.
+// With random faults of engines, stores and lease holders, lagging views and delayed orders,
+// rules O1 and O2 hold, and all domains are filled once the faults end.
 func TestAnyTroubleKeepsTheRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(2, 11)
+		w := newSimulation(2, 11)
 		steps := rapid.IntRange(20, 120).Draw(t, "steps")
 		for i := range steps {
-			w.trouble(t, i)
+			w.injectFault(t, i)
 			if rapid.IntRange(0, 3).Draw(t, "view") > 0 {
-				w.tell()
+				w.refreshView()
 			}
 			w.step(time.Duration(rapid.IntRange(20, 2000).Draw(t, "ms")) * time.Millisecond)
 		}
 		for _, e := range w.engines {
-			e.dark, e.cut = false, false
+			e.unresponsive, e.partitioned = false, false
 		}
 		w.run(60 * time.Second)
-		check(t, w)
+		checkRules(t, w)
 		for _, domain := range []garnetworks.DomainID{"d0", "d1"} {
 			if idle := w.idle(domain); idle >= 3 {
 				t.Errorf("%d engines of %s are in no group that serves", idle, domain)
@@ -309,7 +300,7 @@
 	})
 }
 
-func (w *world) idle(domain garnetworks.DomainID) int {
+func (w *simulation) idle(domain garnetworks.DomainID) int {
 	open := make(map[garnetworks.GroupID]bool)
 	for _, e := range w.engines {
 		if !e.dead && e.Membership.Rank == 0 && e.Membership.State == garnetworks.MemberOpen {
@@ -325,8 +316,8 @@
 	return idle
 }
 
-// trouble strikes one engine, or the holder of the lease.
-func (w *world) trouble(t *rapid.T, step int) {
+// injectFault injects a random fault into one engine, or replaces the lease holder.
+func (w *simulation) injectFault(t *rapid.T, step int) {
 	ids := slices.Sorted(maps.Keys(w.engines))
 	id := rapid.SampledFrom(ids).Draw(t, "engine")
 	e := w.engines[id]
@@ -335,18 +326,18 @@
 		e.dead = true
 		w.add(fmt.Sprintf("n-%d", step), string(e.Domain))
 	case 1:
-		e.dark = !e.dark
+		e.unresponsive = !e.unresponsive
 	case 2:
-		e.cut = !e.cut
+		e.partitioned = !e.partitioned
 	case 3:
 		e.Membership, e.Model, e.epoch = garnetworks.Membership{}, "", 0
 	case 4:
-		// A new holder reads the store anew before it acts.
+		// A new lease holder reads the store before it acts.
 		w.term++
-		w.tell()
+		w.refreshView()
 	case 5:
 		e.State = garnetworks.ListedLeaving
 	case 6:
-		e.startAgain()
+		e.restart()
 	}
 }
--- a/former/prober.go
+++ b/former/prober.go
@@ -11,277 +11,278 @@
 )
 
 const (
-	// probeTime bounds a probe. An engine that lives answers within some
-	// milliseconds, whatever its load.
-	probeTime = 150 * time.Millisecond
-	// probeTries is the number of probes in a row without an answer after which
-	// an instance counts as dark.
-	probeTries = 2
-	// darkProbeEvery is the time between two probes of a dark instance.
-	darkProbeEvery = 700 * time.Millisecond
-	// suspectEvery bounds the probes that suspicions of one group cause.
-	suspectEvery = 400 * time.Millisecond
-	// ownDelay is how late the end of a probe may be noticed before the probe says
-	// more of this node than of the engine. Timers of a node with time to spare fire
-	// within a few milliseconds.
-	ownDelay = 20 * time.Millisecond
-	// mostLate bounds the probes in a row that are left out for this node's delay, so
-	// that a node that is always late finds losses all the same.
-	mostLate = 3
-	// silenceWindow is the time in which silences are taken together, and doubtFor for
-	// how long many of them in several zones are presumed to be this node's own fault.
-	// Two windows are enough to be told by others that the groups give no events.
-	silenceWindow = time.Second
-	doubtFor      = 2 * time.Second
-	// silentMany silences of a zone within the window are more than single losses.
-	silentMany = 4
+	// probeTimeout bounds a probe. A live engine responds within some milliseconds, whatever
+	// its load.
+	probeTimeout = 150 * time.Millisecond
+	// probeAttempts is the number of failed probes in a row after which an instance is
+	// unresponsive.
+	probeAttempts = 2
+	// unresponsiveProbeInterval is the time between two probes of an unresponsive instance.
+	unresponsiveProbeInterval = 700 * time.Millisecond
+	// suspectInterval is the minimum time between two rounds of probes of a suspected group.
+	suspectInterval = 400 * time.Millisecond
+	// localDelay is how late a probe's timeout may be noticed before the delay is attributed
+	// to this node. Timers fire within a few milliseconds unless the node is overloaded.
+	localDelay = 20 * time.Millisecond
+	// maxLateProbes bounds the probes in a row that are discarded for this node's delay, so
+	// that a node that is always late detects losses too.
+	maxLateProbes = 3
+	// localFaultWindow is the time over which failed probes are counted. localFaultHold is
+	// how long failures in several zones are presumed to be a local fault, which leaves time
+	// for other nodes to report that the groups send no events.
+	localFaultWindow = time.Second
+	localFaultHold   = 2 * time.Second
+	// zoneFailureCount is the number of failed probes of a zone within the window that
+	// indicates more than single losses.
+	zoneFailureCount = 4
 )
 
-// prober asks engines whether they live, and holds what it found.
+// prober probes engines and holds the results.
 type prober struct {
-	flight flight
-	// waiting are the probes that wait for room in flight, the oldest first.
-	waiting []pendingProbe
-	// dark instances do not answer.
-	dark garnetworks.Set[garnetworks.Incarnation]
-	// doubted instances did not answer an order and are to be probed.
-	doubted garnetworks.Set[garnetworks.Incarnation]
-	misses  map[garnetworks.Incarnation]int
-	// late counts the probes in a row that this node's own delay spoilt.
-	late map[garnetworks.Incarnation]int
-	// probing holds when a probe of each instance was asked for.
-	probing map[garnetworks.Incarnation]time.Time
-	asked   map[garnetworks.GroupID]time.Time
-	results chan probed
-	silence silence
+	probeWindow congestionWindow
+	// probeQueue holds the probes that wait for the window, the oldest first.
+	probeQueue []pendingProbe
+	// unresponsive instances failed their last probes.
+	unresponsive garnetworks.Set[garnetworks.Incarnation]
+	// unconfirmed instances must be probed: they did not answer an order, or their last probe
+	// was discarded.
+	unconfirmed garnetworks.Set[garnetworks.Incarnation]
+	misses      map[garnetworks.Incarnation]int
+	// lateProbes counts the probes in a row that were discarded for this node's delay.
+	lateProbes map[garnetworks.Incarnation]int
+	// lastProbe is when the last probe of each instance was queued.
+	lastProbe     map[garnetworks.Incarnation]time.Time
+	lastSuspected map[garnetworks.GroupID]time.Time
+	probeResults  chan probeResult
+	localFault    localFaultDetector
 }
 
 type pendingProbe struct {
-	server garnetworks.RegisteredServer
-	tries  int
+	server   garnetworks.RegisteredServer
+	attempts int
 }
 
-// probed is the end of a probe.
-type probed struct {
-	life garnetworks.Incarnation
-	zone garnetworks.ZoneID
-	err  error
-	// took is the time to the answer or to the end of the wait for it.
+// probeResult is the result of a probe.
+type probeResult struct {
+	incarnation garnetworks.Incarnation
+	zone        garnetworks.ZoneID
+	err         error
+	// took is the time to the response or to the timeout.
 	took time.Duration
-	// last says that no further try follows.
+	// last says that no further attempt follows.
 	last bool
 }
 
-func newProber(ring int) prober {
+func newProber(bufferSize int) prober {
 	return prober{
-		flight:  newFlight(),
-		dark:    make(garnetworks.Set[garnetworks.Incarnation]),
-		doubted: make(garnetworks.Set[garnetworks.Incarnation]),
-		misses:  make(map[garnetworks.Incarnation]int),
-		late:    make(map[garnetworks.Incarnation]int),
-		probing: make(map[garnetworks.Incarnation]time.Time),
-		asked:   make(map[garnetworks.GroupID]time.Time),
-		results: make(chan probed, ring),
+		probeWindow:   newCongestionWindow(),
+		unresponsive:  make(garnetworks.Set[garnetworks.Incarnation]),
+		unconfirmed:   make(garnetworks.Set[garnetworks.Incarnation]),
+		misses:        make(map[garnetworks.Incarnation]int),
+		lateProbes:    make(map[garnetworks.Incarnation]int),
+		lastProbe:     make(map[garnetworks.Incarnation]time.Time),
+		lastSuspected: make(map[garnetworks.GroupID]time.Time),
+		probeResults:  make(chan probeResult, bufferSize),
 	}
 }
 
-// silence tells one's own fault from that of others.
+// localFaultDetector distinguishes a fault of this node from faults of others.
 //
-// Load pattern: the node is cut off from the engines, or late itself. Then engines of
-// several zones are silent at once, most of those that are asked; a zone or a domain
-// that is lost leaves the other zones' engines as they were.
-type silence struct {
+// Load pattern: the node is cut off from the engines or overloaded. Then most probes of
+// several zones fail at once, whereas the loss of a zone or a domain leaves other zones as
+// they were.
+type localFaultDetector struct {
 	zones map[garnetworks.ZoneID]*zoneProbes
 	began time.Time
-	// since is when the present doubt began.
-	since time.Time
+	// suspectedSince is when the present suspicion began.
+	suspectedSince time.Time
 }
 
-// zoneProbes counts the instances of a zone that were probed in a window.
-type zoneProbes struct{ silent, well int }
+// zoneProbes counts the failed and the answered probes of a zone in a window.
+type zoneProbes struct{ failed, responsive int }
 
-// note takes a probe's result, and reports whether its silence is presumed to be this
-// node's own fault.
-func (s *silence) note(now time.Time, zone garnetworks.ZoneID, silent bool) bool {
-	if s.zones == nil || now.Sub(s.began) > silenceWindow {
-		s.zones, s.began = make(map[garnetworks.ZoneID]*zoneProbes), now
+// observe records a probe's result, and reports whether its failure is presumed to be a local
+// fault.
+func (d *localFaultDetector) observe(now time.Time, zone garnetworks.ZoneID, failed bool) bool {
+	if d.zones == nil || now.Sub(d.began) > localFaultWindow {
+		d.zones, d.began = make(map[garnetworks.ZoneID]*zoneProbes), now
 	}
-	z := s.zones[zone]
+	z := d.zones[zone]
 	if z == nil {
 		z = &zoneProbes{}
-		s.zones[zone] = z
+		d.zones[zone] = z
 	}
-	if !silent {
-		z.well++
+	if !failed {
+		z.responsive++
 		return false
 	}
-	z.silent++
-	bad := 0
-	for _, z := range s.zones {
-		if z.silent >= silentMany && z.silent > z.well {
-			bad++
+	z.failed++
+	failedZones := 0
+	for _, z := range d.zones {
+		if z.failed >= zoneFailureCount && z.failed > z.responsive {
+			failedZones++
 		}
 	}
-	if bad < 2 {
+	if failedZones < 2 {
 		return false
 	}
-	if now.Sub(s.since) > doubtFor+silenceWindow {
-		s.since = now
+	if now.Sub(d.suspectedSince) > localFaultHold+localFaultWindow {
+		d.suspectedSince = now
 	}
-	return now.Sub(s.since) <= doubtFor
+	return now.Sub(d.suspectedSince) <= localFaultHold
 }
 
-// doubt notes that an instance did not answer an order. Only probes tell whether it
-// is dark: orders get lost, or are carried out late, at instances that serve well,
-// and a group that is given up for that is lost for nothing.
-func (f *Former) doubt(id garnetworks.Incarnation) {
-	if len(f.doubted) < cap(f.results) {
-		f.doubted.Add(id)
+// scheduleProbe has an instance probed before it may count as unresponsive. An unanswered order
+// is not enough: orders get lost or delayed at instances that serve well, and their groups
+// would be abandoned without need.
+func (f *Former) scheduleProbe(id garnetworks.Incarnation) {
+	if len(f.unconfirmed) < cap(f.probeResults) {
+		f.unconfirmed.Add(id)
 	}
 }
 
-func (f *Former) takeProbe(p probed) {
+func (f *Former) handleProbeResult(p probeResult) {
 	now := time.Now()
 	if p.last {
-		f.flight.ended(now, p.took, p.err == nil)
+		f.probeWindow.done(now, p.took, p.err == nil)
 	}
 	if p.err == nil {
-		f.silence.note(now, p.zone, false)
-		f.alive(p.life)
+		f.localFault.observe(now, p.zone, false)
+		f.markResponsive(p.incarnation)
 		return
 	}
 	if garnetworks.IsKind(p.err, garnetworks.KindNotFound) {
-		// Another life, or another engine, answers at the address: the one that was
-		// asked has ended, and a second probe would say the same.
-		f.misses[p.life] = probeTries
-		f.miss(p.life)
+		// A later incarnation or another engine answers at the address: the probed one has
+		// ended, and a second probe would fail too.
+		f.misses[p.incarnation] = probeAttempts
+		f.recordMiss(p.incarnation)
 		return
 	}
-	// Failure: the node stands still for a moment, and finds the answer and the end of
-	// the wait for it at once. It took the engine for silent, and its group was given up.
-	if p.took > probeTime+ownDelay && f.late[p.life] < mostLate {
-		f.late[p.life]++
-		f.doubt(p.life)
+	// Failure: the node pauses and finds the response and the timeout at once. It took the
+	// engine for unresponsive, and its group was abandoned.
+	if p.took > probeTimeout+localDelay && f.lateProbes[p.incarnation] < maxLateProbes {
+		f.lateProbes[p.incarnation]++
+		f.scheduleProbe(p.incarnation)
 		return
 	}
-	if f.presumesOwnFault(now, &p) && !f.dark.Has(p.life) {
-		f.doubt(p.life)
+	if f.suspectsLocalFault(now, &p) && !f.unresponsive.Has(p.incarnation) {
+		f.scheduleProbe(p.incarnation)
 		return
 	}
-	f.miss(p.life)
+	f.recordMiss(p.incarnation)
 }
 
-// presumesOwnFault notes an instance's silence, and tells when a doubt begins.
-func (f *Former) presumesOwnFault(now time.Time, p *probed) bool {
-	before := f.silence.since
-	own := f.silence.note(now, p.zone, true)
-	if f.silence.since != before {
+// suspectsLocalFault records a failed probe and emits an event when a suspicion begins.
+func (f *Former) suspectsLocalFault(now time.Time, p *probeResult) bool {
+	before := f.localFault.suspectedSince
+	isLocal := f.localFault.observe(now, p.zone, true)
+	if f.localFault.suspectedSince != before {
 		f.options.Recorder.Record(garnetworks.Event{
-			Kind: garnetworks.EventLocalFaultSuspected, Zone: p.zone, Instance: p.life.Instance,
-			Detail: "most instances of several zones are silent at once; none counts as silent for " + doubtFor.String(),
+			Kind: garnetworks.EventLocalFaultSuspected, Zone: p.zone, Instance: p.incarnation.Instance,
+			Detail: "most probes fail in several zones at once; a local fault is presumed for " + localFaultHold.String(),
 		})
 	}
-	return own
+	return isLocal
 }
 
-func (f *Former) alive(id garnetworks.Incarnation) {
-	if f.dark.Has(id) {
-		f.stale = true
+func (f *Former) markResponsive(id garnetworks.Incarnation) {
+	if f.unresponsive.Has(id) {
+		f.needsPlan = true
 		f.options.Recorder.Record(garnetworks.Event{Kind: garnetworks.EventInstanceResponsive, Instance: id.Instance})
 	}
-	f.dark.Remove(id)
+	f.unresponsive.Remove(id)
 	delete(f.misses, id)
-	delete(f.late, id)
+	delete(f.lateProbes, id)
 }
 
-func (f *Former) miss(id garnetworks.Incarnation) {
+func (f *Former) recordMiss(id garnetworks.Incarnation) {
 	f.misses[id]++
-	if f.misses[id] < probeTries || f.dark.Has(id) {
+	if f.misses[id] < probeAttempts || f.unresponsive.Has(id) {
 		return
 	}
-	f.dark.Add(id)
-	f.stale = true
-	f.options.Recorder.Record(garnetworks.Event{Kind: garnetworks.EventInstanceUnresponsive, Instance: id.Instance, Detail: fmt.Sprintf("%d probes in a row without an answer", f.misses[id])})
+	f.unresponsive.Add(id)
+	f.needsPlan = true
+	f.options.Recorder.Record(garnetworks.Event{Kind: garnetworks.EventInstanceUnresponsive, Instance: id.Instance, Detail: fmt.Sprintf("%d probes in a row failed", f.misses[id])})
 }
 
-// suspect probes the members of a group twice.
+// suspect probes the members of a group up to probeAttempts times each.
 func (f *Former) suspect(id garnetworks.GroupID) {
 	now := time.Now()
-	if f.options.Lease.Term(now) == 0 || now.Sub(f.asked[id]) < suspectEvery {
+	if f.options.Lease.Term(now) == 0 || now.Sub(f.lastSuspected[id]) < suspectInterval {
 		return
 	}
-	f.asked[id] = now
-	f.options.Recorder.Record(garnetworks.Event{Kind: garnetworks.EventGroupSuspected, Group: id, Detail: "no events for a while, or a refusal; its members are probed"})
+	f.lastSuspected[id] = now
+	f.options.Recorder.Record(garnetworks.Event{Kind: garnetworks.EventGroupSuspected, Group: id, Detail: "no recent events, or a refused call; its members are probed"})
 	for _, s := range f.options.Follower.Servers() {
 		if s.Membership.Group == id {
-			f.probe(s, probeTries)
+			f.probe(s, probeAttempts)
 		}
 	}
 }
 
-// probe asks an instance up to tries times, until it answers. It returns false if the
-// last probe of it may still be under way.
-func (f *Former) probe(s garnetworks.RegisteredServer, tries int) bool {
-	if time.Since(f.probing[s.Incarnation()]) < probeTime*time.Duration(tries) {
+// probe queues up to attempts probes of an instance, which end when it responds. It returns
+// false if the last ones may still be running.
+func (f *Former) probe(s garnetworks.RegisteredServer, attempts int) bool {
+	if time.Since(f.lastProbe[s.Incarnation()]) < probeTimeout*time.Duration(attempts) {
 		return false
 	}
-	f.probing[s.Incarnation()] = time.Now()
-	f.waiting = append(f.waiting, pendingProbe{s, tries})
+	f.lastProbe[s.Incarnation()] = time.Now()
+	f.probeQueue = append(f.probeQueue, pendingProbe{s, attempts})
 	return true
 }
 
-// dispatchProbes sends the probes for which there is room in flight.
+// dispatchProbes starts the queued probes that the window allows.
 func (f *Former) dispatchProbes(ctx context.Context) {
-	for len(f.waiting) > 0 && f.flight.room() > 0 {
-		next := f.waiting[0]
-		f.waiting = f.waiting[1:]
-		f.flight.sent()
-		go f.ask(ctx, next.server, next.tries)
+	for len(f.probeQueue) > 0 && f.probeWindow.available() > 0 {
+		next := f.probeQueue[0]
+		f.probeQueue = f.probeQueue[1:]
+		f.probeWindow.start()
+		go f.runProbe(ctx, next.server, next.attempts)
 	}
 }
 
-func (f *Former) ask(ctx context.Context, s garnetworks.RegisteredServer, tries int) {
-	for n := range tries {
+func (f *Former) runProbe(ctx context.Context, s garnetworks.RegisteredServer, attempts int) {
+	for n := range attempts {
 		began := time.Now()
-		call, cancel := context.WithTimeout(ctx, probeTime)
+		call, cancel := context.WithTimeout(ctx, probeTimeout)
 		err := f.options.Orders.Probe(call, s.Address, s.Incarnation())
 		cancel()
 		if ctx.Err() != nil {
 			return
 		}
-		last := err == nil || n == tries-1
-		f.results <- probed{s.Incarnation(), s.Zone, err, time.Since(began), last}
+		last := err == nil || n == attempts-1
+		f.probeResults <- probeResult{s.Incarnation(), s.Zone, err, time.Since(began), last}
 		if last {
 			return
 		}
 	}
 }
 
-// probeDark asks dark instances whether they are back.
-func (f *Former) probeDark(servers follower.Servers) {
-	for id := range f.dark {
-		if s, ok := serverOf(servers, id); ok && time.Since(f.probing[id]) >= darkProbeEvery {
+// probeUnresponsive probes unresponsive instances to find those that have recovered.
+func (f *Former) probeUnresponsive(servers follower.Servers) {
+	for id := range f.unresponsive {
+		if s, ok := serverOf(servers, id); ok && time.Since(f.lastProbe[id]) >= unresponsiveProbeInterval {
 			f.probe(s, 1)
 		}
 	}
 }
 
-// probeDoubted asks the instances that did not answer an order whether they live.
-func (f *Former) probeDoubted(servers follower.Servers) {
-	for id := range f.doubted {
-		if s, ok := serverOf(servers, id); !ok || f.probe(s, probeTries) {
-			f.doubted.Remove(id)
+// probeUnconfirmed probes the unconfirmed instances.
+func (f *Former) probeUnconfirmed(servers follower.Servers) {
+	for id := range f.unconfirmed {
+		if s, ok := serverOf(servers, id); !ok || f.probe(s, probeAttempts) {
+			f.unconfirmed.Remove(id)
 		}
 	}
 }
 
-// forget drops what is known of instances that are not registered any more.
+// forget drops the state of instances that are no longer registered.
 func (f *Former) forget(servers follower.Servers) {
 	gone := func(id garnetworks.Incarnation) bool { _, ok := serverOf(servers, id); return !ok }
-	maps.DeleteFunc(f.dark, func(id garnetworks.Incarnation, _ struct{}) bool { return gone(id) })
+	maps.DeleteFunc(f.unresponsive, func(id garnetworks.Incarnation, _ struct{}) bool { return gone(id) })
 	maps.DeleteFunc(f.misses, func(id garnetworks.Incarnation, _ int) bool { return gone(id) })
-	maps.DeleteFunc(f.late, func(id garnetworks.Incarnation, _ int) bool { return gone(id) })
-	maps.DeleteFunc(f.probing, func(id garnetworks.Incarnation, _ time.Time) bool { return gone(id) })
-	// Groups come and go; those asked about long ago matter no more.
-	maps.DeleteFunc(f.asked, func(_ garnetworks.GroupID, at time.Time) bool { return time.Since(at) > time.Minute })
+	maps.DeleteFunc(f.lateProbes, func(id garnetworks.Incarnation, _ int) bool { return gone(id) })
+	maps.DeleteFunc(f.lastProbe, func(id garnetworks.Incarnation, _ time.Time) bool { return gone(id) })
+	// Groups come and go; suspicions of long ago are dropped.
+	maps.DeleteFunc(f.lastSuspected, func(_ garnetworks.GroupID, at time.Time) bool { return time.Since(at) > time.Minute })
 }
--- a/former/spares.go
+++ b/former/spares.go
@@ -7,23 +7,22 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// stageLacking loads models onto the hosts of free instances that would be a group if
-// each of them held the model (rule O7).
+// stageMissing loads models onto the hosts of free instances that could form a group if each
+// of them held the model (rule O7).
 //
-// Failure: a group was ordered with members that had to load its model. Its other
-// members waited for 16 s, as free instances of no use to the groups of their domain
-// that lost a member meanwhile: up to 70 of 140 engines served nobody.
-func (r *plan) stageLacking() {
+// Failure: a group was ordered with members that had to load its model. Its other members
+// waited for the load and were not available to groups that lost a member meanwhile.
+func (r *plan) stageMissing() {
 	free := r.free()
-	counts := r.counts()
+	counts := r.groupCounts()
 	for _, domain := range sortedKeys(free) {
-		for _, m := range r.byNeed(counts) {
+		for _, m := range r.modelsByNeed(counts) {
 			r.stageGroup(free[domain], m)
 		}
 	}
 }
 
-// stageGroup loads what free instances lack for one group of the model.
+// stageGroup loads the models that free instances lack for one group of the model.
 func (r *plan) stageGroup(free []garnetworks.RegisteredServer, m *garnetworks.ModelProfile) {
 	if len(free) < m.GroupSize {
 		return
@@ -33,42 +32,42 @@
 	for i := range free {
 		s := &free[i]
 		switch {
-		case readiness(s, m) <= 1 || r.staging(s) == m.Name:
+		case readiness(s, m) <= 1 || r.stagingModel(s) == m.Name:
 			ready++
-		case r.staging(s) == "":
+		case r.stagingModel(s) == "":
 			others = append(others, *s)
 		}
 	}
-	lacking := m.GroupSize - ready
-	if lacking > len(others) {
+	missing := m.GroupSize - ready
+	if missing > len(others) {
 		return
 	}
-	// Empty hosts first, then those that hold nothing else than the memory does.
+	// Empty hosts first, then those that hold only the model in memory.
 	slices.SortFunc(others, func(a, b garnetworks.RegisteredServer) int {
-		return cmp.Or(cmp.Compare(len(a.Staged), len(b.Staged)), compareBool(holdsTwice(&b), holdsTwice(&a)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(len(a.Staged), len(b.Staged)), compareBool(hostDuplicatesMemory(&b), hostDuplicatesMemory(&a)), cmp.Compare(a.ID, b.ID))
 	})
-	for i := range max(0, lacking) {
-		if r.loads <= 0 {
+	for i := range max(0, missing) {
+		if r.loadsLeft <= 0 {
 			return // rule O5
 		}
-		r.stage(urgentLacking, &others[i], m)
+		r.stage(urgentMissing, &others[i], m)
 	}
 }
 
-// stageSpares loads a model onto the hosts of free instances, so that they can
-// join in the time of a warm start.
+// stageSpares loads a model onto the hosts of free instances, so that they can join with a
+// warm start.
 func (r *plan) stageSpares() {
 	free := r.free()
 	for _, domain := range sortedKeys(free) {
-		r.stageDomain(free[domain])
+		r.stageDomainSpares(free[domain])
 	}
 }
 
-func (r *plan) stageDomain(spares []garnetworks.RegisteredServer) {
+func (r *plan) stageDomainSpares(spares []garnetworks.RegisteredServer) {
 	held := make(map[garnetworks.ModelName]int)
 	var empty []garnetworks.RegisteredServer
 	for _, s := range spares {
-		switch first := r.firstModel(&s); first {
+		switch first := r.spareModelOf(&s); first {
 		case "":
 			empty = append(empty, s)
 		default:
@@ -77,10 +76,10 @@
 	}
 	slices.SortFunc(empty, func(a, b garnetworks.RegisteredServer) int { return cmp.Compare(a.ID, b.ID) })
 	for _, s := range empty {
-		if r.loads <= 0 {
+		if r.loadsLeft <= 0 {
 			return // rule O5
 		}
-		m := r.spareModel(held)
+		m := r.nextSpareModel(held)
 		if m == nil {
 			return
 		}
@@ -89,22 +88,22 @@
 	}
 }
 
-// firstModel returns the model that a spare is for: the one in its memory, or that on
-// its host, or that which is being loaded.
-func (r *plan) firstModel(s *garnetworks.RegisteredServer) garnetworks.ModelName {
+// spareModelOf returns the model that a spare is for: the one in its memory, on its host, or
+// being loaded.
+func (r *plan) spareModelOf(s *garnetworks.RegisteredServer) garnetworks.ModelName {
 	if len(s.Staged) > 0 {
 		return cmp.Or(s.Model, s.Staged[len(s.Staged)-1])
 	}
-	return cmp.Or(s.Model, r.staging(s))
+	return cmp.Or(s.Model, r.stagingModel(s))
 }
 
-// spareModel returns the model that the next spare of a domain is for: the one with
-// the fewest spares, and of several the one with the largest share of the work.
+// nextSpareModel returns the model for the next spare of a domain: the one with the fewest
+// spares, and of several the one with the largest share of the work.
 //
-// Failure: spares were divided by the models' shares, so that two thirds of the work
-// got both spares of each domain, and each loss in a small group waited 12 s for a
-// load. A second loss of one model in a domain is rarer than a first one of another.
-func (r *plan) spareModel(held map[garnetworks.ModelName]int) *garnetworks.ModelProfile {
+// Failure: spares were divided by the models' shares, so that the larger model got all spares
+// of a domain and each loss in a small group waited for a load. A second loss of one model
+// in a domain is rarer than a first one of another.
+func (r *plan) nextSpareModel(held map[garnetworks.ModelName]int) *garnetworks.ModelProfile {
 	var best *garnetworks.ModelProfile
 	for i := range r.Profile.Models {
 		m := &r.Profile.Models[i]
@@ -115,38 +114,33 @@
 	return best
 }
 
-// prepareSpares lets spares that hold a model on their host take it into memory, by
-// a group of their own that never opens.
-//
-// A lost member is found within 0.6 s; a spare that then begins a warm start keeps
-// its group away for 1.6 s more, a prepared one for 0.2 s. Median time from a loss
-// to the new group's first call, over 16 losses in two calm runs: 2.5 s without
-// prepared spares, 1.2 s with them.
-func (r *plan) prepareSpares() {
+// prewarmSpares lets spares that hold a model on their host load it into memory, by a group of
+// their own that never opens, so that they replace a lost member without a warm start.
+func (r *plan) prewarmSpares() {
 	free := r.free()
 	for _, domain := range sortedKeys(free) {
-		if r.unsettled.Has(domain) || r.now.Before(r.unsure[domain]) {
+		if r.pendingLeaves.Has(domain) || r.now.Before(r.uncertainUntil[domain]) {
 			continue
 		}
 		for _, s := range free[domain] {
-			r.prepare(&s)
+			r.prewarm(&s)
 		}
 	}
 }
 
-func (r *plan) prepare(s *garnetworks.RegisteredServer) {
+func (r *plan) prewarm(s *garnetworks.RegisteredServer) {
 	if len(s.Staged) == 0 {
 		return
 	}
 	m := r.profile(s.Staged[len(s.Staged)-1])
-	if m == nil || s.Model != "" || r.prepared[s.Incarnation()] == m.Name {
+	if m == nil || s.Model != "" || r.prewarmed[s.Incarnation()] == m.Name {
 		return
 	}
 	r.sequence++
 	epoch := garnetworks.NewFencingToken(r.Term, r.sequence)
 	f := &formation{
 		id: GroupName(m.Name, epoch), epoch: epoch, model: m.Name, members: []garnetworks.Incarnation{s.Incarnation()},
-		until: r.now.Add(m.WarmLoadTime + joinMargin), prepares: true,
+		deadline: r.now.Add(m.WarmLoadTime + joinMargin), prewarms: true,
 	}
 	r.formations[f.id] = f
 	r.join(f, *s)
--- a/granter/granter_test.go
+++ b/granter/granter_test.go
@@ -26,17 +26,17 @@
 
 const unit = 10
 
-// site is a ledger and three zones whose plans are made from what was read some
-// steps ago, in any order.
+// site simulates a ledger and three zones whose plans are based on reads that are some steps
+// old, in any order.
 type site struct {
 	now      time.Time
 	cap      garnetworks.Watts
 	gen      garnetworks.Generation
 	ledger   garnetworks.PowerLedger
 	ledgerAt int
-	memory   garnetworks.Option[SiteMemory]
+	memory   garnetworks.Option[SiteState]
 	zones    []*zone
-	// read is a site plan under way: the ledger, then the statements.
+	// read is the input of a site plan in progress: the ledger, then the statements.
 	read   *SiteInput
 	readAt int
 	moves  map[garnetworks.ZoneID]int
@@ -46,19 +46,19 @@
 	id     garnetworks.ZoneID
 	stated garnetworks.ZonePower
 	at     int
-	// known is the ledger that the holder read; own is what it knows is stated.
-	known garnetworks.Option[garnetworks.PowerLedger]
-	own   garnetworks.ZonePower
-	ownAt int
-	drawn garnetworks.Watts
-	limit garnetworks.Watts
-	term  uint32
-	needs []garnetworks.PowerNeed
-	// peeked is a ledger that the next holder reads before it reads the statement.
-	peeked garnetworks.Option[garnetworks.PowerLedger]
+	// known is the ledger that the lease holder has read; cached is the statement it knows.
+	known    garnetworks.Option[garnetworks.PowerLedger]
+	cached   garnetworks.ZonePower
+	cachedAt int
+	drawn    garnetworks.Watts
+	limit    garnetworks.Watts
+	term     uint32
+	needs    []garnetworks.PowerNeed
+	// earlyLedger is a ledger that the next lease holder reads before the statement.
+	earlyLedger garnetworks.Option[garnetworks.PowerLedger]
 	// pending is a statement that was decided and not written yet.
 	pending *garnetworks.ZonePower
-	acting  bool
+	active  bool
 }
 
 func newSite(cap garnetworks.Watts) *site {
@@ -97,7 +97,7 @@
 	if in == nil || len(in.Powers) == 0 {
 		return
 	}
-	in.Memory = s.memory.Value
+	in.State = s.memory.Value
 	out, err := PlanSite(*in)
 	if err != nil || s.readAt != s.ledgerAt {
 		return
@@ -110,7 +110,7 @@
 				}
 			}
 		}
-		// The ledger's cap is above the manifest's only for what was drawn before.
+		// The ledger's cap may exceed the manifest's only for what was drawn before.
 		if len(s.ledger.Grants) == len(s.zones) && out.Ledger.Cap > max(in.Cap, s.ledger.Cap) {
 			rt.Fatalf("the ledger's cap rises from %d W to %d W above the manifest's %d W", s.ledger.Cap, out.Ledger.Cap, in.Cap)
 		}
@@ -118,7 +118,7 @@
 		s.ledgerAt++
 	}
 	if !lost {
-		s.memory = garnetworks.Some(out.Memory)
+		s.memory = garnetworks.Some(out.State)
 	}
 	s.check(rt)
 }
@@ -131,9 +131,9 @@
 
 // plan decides a statement; write stores it later.
 func (z *zone) plan() {
-	out := PlanZone(ZoneInput{Zone: z.id, Term: z.term, Stated: z.own, Ledger: z.known, Drawn: z.drawn, Needs: z.needs, Need: Total(z.needs)})
+	out := PlanZone(ZoneInput{Zone: z.id, Term: z.term, Stated: z.cached, Ledger: z.known, Drawn: z.drawn, Needs: z.needs, Need: Total(z.needs)})
 	z.limit = out.Limit
-	z.acting = true
+	z.active = true
 	if out.Changed {
 		z.pending = &out.Statement
 	}
@@ -144,26 +144,26 @@
 	if z.pending == nil {
 		return
 	}
-	if z.ownAt == z.at {
+	if z.cachedAt == z.at {
 		z.stated = *z.pending
 		z.at++
 		if !lost {
-			z.own, z.ownAt = z.stated, z.at
+			z.cached, z.cachedAt = z.stated, z.at
 		}
 	}
 	z.pending = nil
 }
 
-// takeOver is a new holder, which reads and claims the statement.
+// takeOver replaces the lease holder; the new one reads the statement and writes its term to it.
 func (z *zone) takeOver() {
 	z.term++
-	z.acting = false
-	z.known, z.peeked = z.peeked, garnetworks.Option[garnetworks.PowerLedger]{}
+	z.active = false
+	z.known, z.earlyLedger = z.earlyLedger, garnetworks.Option[garnetworks.PowerLedger]{}
 	if z.at > 0 {
 		z.stated.Term = z.term
 		z.at++
 	}
-	z.own, z.ownAt, z.pending = z.stated, z.at, nil
+	z.cached, z.cachedAt, z.pending = z.stated, z.at, nil
 }
 
 func (s *site) check(rt *rapid.T) {
@@ -179,11 +179,8 @@
 	}
 }
 
-// TestGrantsNeverExceedTheCap races a site's controller, whose reads are old,
-// against zones that power instances on and off within their limits, whose
-// writes get lost, whose holders change and whose ledgers are old, while the cap
-// and the needs change. After every step the true draw is at or under the cap of
-// the ledger, and at the end the cap of the manifest is reached.
+// TestGrantsNeverExceedTheCap races controllers with stale reads, lost writes and new lease
+// holders. The draw stays within the ledger's cap, which converges to the manifest's.
 func TestGrantsNeverExceedTheCap(t *testing.T) {
 	steps := 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -200,14 +197,14 @@
 			"zone-plan":   func(rt *rapid.T) { pick(rt).plan() },
 			"zone-write":  func(rt *rapid.T) { pick(rt).write(false) },
 			"zone-lost":   func(rt *rapid.T) { pick(rt).write(true) },
-			"zone-read":   func(rt *rapid.T) { z := pick(rt); z.own, z.ownAt = z.stated, z.at },
+			"zone-read":   func(rt *rapid.T) { z := pick(rt); z.cached, z.cachedAt = z.stated, z.at },
 			"peek": func(rt *rapid.T) {
 				if s.ledgerAt > 0 {
-					pick(rt).peeked = garnetworks.Some(s.ledger)
+					pick(rt).earlyLedger = garnetworks.Some(s.ledger)
 				}
 			},
 			"take-over": func(rt *rapid.T) { pick(rt).takeOver() },
-			"new-site":  func(*rapid.T) { s.memory = garnetworks.Option[SiteMemory]{}; s.read = nil },
+			"new-site":  func(*rapid.T) { s.memory = garnetworks.Option[SiteState]{}; s.read = nil },
 			"cap":       func(rt *rapid.T) { s.cap = garnetworks.Watts(rapid.IntRange(2, 12).Draw(rt, "cap")) * unit; s.gen++ },
 			"zone-turn": func(rt *rapid.T) {
 				z := pick(rt)
@@ -226,13 +223,13 @@
 			"zone-on-more": func(rt *rapid.T) { z := pick(rt); z.plan(); z.powerOn(); z.powerOn() },
 			"zone-off":     func(rt *rapid.T) { pick(rt).powerOff() },
 		})
-		s.settle(rt)
+		s.converge(rt)
 	})
 	t.Logf("%d steps", steps)
 }
 
 func (z *zone) powerOn() {
-	if z.acting && z.at > 0 && z.drawn+unit <= z.limit {
+	if z.active && z.at > 0 && z.drawn+unit <= z.limit {
 		z.drawn += unit
 	}
 }
@@ -243,7 +240,7 @@
 	}
 }
 
-func (s *site) settle(rt *rapid.T) {
+func (s *site) converge(rt *rapid.T) {
 	for range 300 {
 		s.now = s.now.Add(time.Second)
 		s.startPlan()
@@ -251,7 +248,7 @@
 		s.finishPlan(rt, false)
 		for _, z := range s.zones {
 			z.readLedger(s)
-			z.own, z.ownAt = z.stated, z.at
+			z.cached, z.cachedAt = z.stated, z.at
 			z.plan()
 			z.write(false)
 			for z.drawn > z.limit {
@@ -268,18 +265,18 @@
 	for _, z := range s.zones {
 		drawn += z.drawn
 	}
-	if drawn+unit <= s.cap && drawn < 21*unit && s.stuck() {
+	if drawn+unit <= s.cap && drawn < 21*unit && s.hasUnusedPower() {
 		rt.Fatalf("the zones draw %d W of %d W: %+v", drawn, s.cap, s.ledger)
 	}
 }
 
-// stuck reports whether a zone has less than its needs though power is left.
-func (s *site) stuck() bool {
-	var sum garnetworks.Watts
+// hasUnusedPower reports whether the grants leave power for another instance.
+func (s *site) hasUnusedPower() bool {
+	var total garnetworks.Watts
 	for _, g := range s.ledger.Grants {
-		sum += g.Granted
+		total += g.Granted
 	}
-	return sum+unit <= s.cap
+	return total+unit <= s.cap
 }
 
 // TestTargetsFollowPriority splits a cap that is too small for all needs.
@@ -296,7 +293,7 @@
 		"minimum goes before priority":   {80, []garnetworks.PowerNeed{need(false, 9, 2)}, []garnetworks.PowerNeed{need(true, 1, 2)}, [2]garnetworks.Watts{0, 80}},
 		"priority decides":               {80, []garnetworks.PowerNeed{need(true, 2, 2)}, []garnetworks.PowerNeed{need(true, 1, 2)}, [2]garnetworks.Watts{80, 0}},
 		"equal needs take turns":         {120, []garnetworks.PowerNeed{need(true, 1, 4)}, []garnetworks.PowerNeed{need(true, 1, 4)}, [2]garnetworks.Watts{80, 40}},
-		"nobody needs any":               {100, nil, nil, [2]garnetworks.Watts{50, 50}},
+		"no zone needs any":              {100, nil, nil, [2]garnetworks.Watts{50, 50}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			out, err := PlanSite(SiteInput{
@@ -314,9 +311,9 @@
 	}
 }
 
-// TestWantedMovesAtMostOnceAMinute lets a need swing every second for an hour:
-// the grants must not follow each swing (W8).
-func TestWantedMovesAtMostOnceAMinute(t *testing.T) {
+// TestTargetsMoveAtMostOnceAMinute changes a need every second for an hour. The targets must
+// not follow each change (W8).
+func TestTargetsMoveAtMostOnceAMinute(t *testing.T) {
 	s := newSite(24 * unit)
 	for n := range 3600 {
 		s.now = s.now.Add(time.Second)
@@ -341,9 +338,9 @@
 	}
 }
 
-// TestDeletedLedgerIsHeededAgain: somebody deletes the ledger's object. The next
-// one must be heeded by zones that have stated a later version.
-func TestDeletedLedgerIsHeededAgain(t *testing.T) {
+// TestRecreatedLedgerIsObeyed: after the ledger's object was deleted, zones that have stated a
+// later version must obey its successor.
+func TestRecreatedLedgerIsObeyed(t *testing.T) {
 	stated := garnetworks.ZonePower{Zone: "a", Limit: 40, Drawn: 40, SeenSequence: 77}
 	out, err := PlanSite(SiteInput{Term: 1, Generation: 1, Cap: 100, Zones: []garnetworks.ZoneID{"a"}, Powers: map[garnetworks.ZoneID]garnetworks.ZonePower{"a": stated}})
 	if err != nil {
@@ -355,9 +352,9 @@
 	}
 }
 
-// TestOlderWritersAreRefused: a site controller that woke from a pause, or whose
-// node has yet to hear of the newest manifest, must not write (W7).
-func TestOlderWritersAreRefused(t *testing.T) {
+// TestStaleWritersAreRefused: a site controller with an older term or manifest generation must
+// not write (W7).
+func TestStaleWritersAreRefused(t *testing.T) {
 	ledger := garnetworks.PowerLedger{Term: 4, Generation: 7}
 	for name, c := range map[string]struct {
 		term uint32
@@ -374,26 +371,24 @@
 	}
 }
 
-// TestZoneObeysTheNewestLedgerOnly holds W3 and W4 at the places where the racing
-// test needs thousands of runs to bring the failure about: a zone that draws more
-// than it has stated, confirms less than it draws, or follows a ledger older than
-// its statement makes the site give the same power away twice.
+// TestZoneObeysTheNewestLedgerOnly: a zone that draws more than it stated, confirms less than
+// it draws or follows an older ledger makes the site grant the same power twice (W3, W4).
 func TestZoneObeysTheNewestLedgerOnly(t *testing.T) {
 	for name, c := range map[string]struct {
-		stated, drawn, granted, wanted garnetworks.Watts
+		stated, drawn, granted, target garnetworks.Watts
 		seen, sequence                 uint64
 		wantLimit, wantStated          garnetworks.Watts
 	}{
-		"older ledger":              {40, 40, 100, 100, 5, 4, 40, 40},
-		"raised, not yet stated":    {40, 20, 100, 100, 5, 6, 40, 100},
-		"raised above a found draw": {40, 60, 100, 100, 5, 6, 60, 100},
-		"lowered, still drawing":    {100, 90, 100, 50, 5, 6, 50, 90},
-		"lowered and shed":          {100, 50, 100, 50, 5, 6, 50, 50},
-		"lowered to what is stated": {80, 50, 100, 80, 5, 6, 80, 80},
-		"granted, not yet shrunk":   {100, 80, 100, 80, 5, 6, 80, 80},
+		"older ledger":                {40, 40, 100, 100, 5, 4, 40, 40},
+		"raised, not yet stated":      {40, 20, 100, 100, 5, 6, 40, 100},
+		"draw above the stated limit": {40, 60, 100, 100, 5, 6, 60, 100},
+		"lowered, still drawing":      {100, 90, 100, 50, 5, 6, 50, 90},
+		"lowered, draw reduced":       {100, 50, 100, 50, 5, 6, 50, 50},
+		"lowered to the stated limit": {80, 50, 100, 80, 5, 6, 80, 80},
+		"granted, not yet shrunk":     {100, 80, 100, 80, 5, 6, 80, 80},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ledger := garnetworks.PowerLedger{Sequence: c.sequence, Grants: []garnetworks.ZoneGrant{{Zone: "a", Granted: c.granted, Target: c.wanted, TargetSequence: c.sequence}}}
+			ledger := garnetworks.PowerLedger{Sequence: c.sequence, Grants: []garnetworks.ZoneGrant{{Zone: "a", Granted: c.granted, Target: c.target, TargetSequence: c.sequence}}}
 			out := PlanZone(ZoneInput{
 				Zone: "a", Term: 1, Drawn: c.drawn, Ledger: garnetworks.Some(ledger),
 				Stated: garnetworks.ZonePower{Zone: "a", Term: 1, Limit: c.stated, Drawn: c.drawn, SeenSequence: c.seen},
@@ -402,24 +397,24 @@
 				t.Errorf("limit %d W, stated %d W, want %d W and %d W", out.Limit, out.Statement.Limit, c.wantLimit, c.wantStated)
 			}
 			if c.sequence > c.seen && (!out.Changed || out.Statement.SeenSequence != c.sequence) {
-				t.Errorf("version %d is not confirmed: %+v", c.sequence, out)
+				t.Errorf("ledger version %d is not confirmed: %+v", c.sequence, out)
 			}
 		})
 	}
 }
 
-// TestGrantShrinksOnlyToWhatIsConfirmed holds W2: the zone's statement must name
-// the version that asked it to shrink, and its draw counts.
+// TestGrantShrinksOnlyToWhatIsConfirmed: the zone's statement must name the version that asked
+// it to shrink, and its draw counts (W2).
 func TestGrantShrinksOnlyToWhatIsConfirmed(t *testing.T) {
 	for name, c := range map[string]struct {
 		seen         uint64
 		limit, drawn garnetworks.Watts
 		want         garnetworks.Watts
 	}{
-		"ignorant of it":    {6, 30, 30, 100},
+		"version not seen":  {6, 30, 30, 100},
 		"still shrinking":   {7, 80, 80, 80},
 		"limit not lowered": {7, 100, 30, 100},
-		"found to draw":     {7, 50, 70, 70},
+		"draw above limit":  {7, 50, 70, 70},
 		"confirmed":         {7, 50, 40, 50},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/granter/site.go
+++ b/granter/site.go
@@ -9,21 +9,21 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Defaults of the hysteresis (W8).
+// Parameters of the targets' hysteresis (W8) and of restored ledgers.
 const (
-	// MoveEvery is the shortest time between two changes of a zone's target.
-	MoveEvery = time.Minute
-	// restoredLead is how far a ledger that went back jumps ahead of what the zones
-	// have stated, since they may have read versions that they did not state.
-	restoredLead = 1000
-	// minMoveShare is MinMove's share of the cap.
-	minMoveShare = 100
+	// MinMoveInterval is the shortest time between two changes of a zone's target.
+	MinMoveInterval = time.Minute
+	// sequenceGap is how far the sequence of a restored ledger is set above the versions that
+	// the zones have stated, since they may have read later ones.
+	sequenceGap = 1000
+	// minMoveDivisor: a target changes by at least the cap divided by it.
+	minMoveDivisor = 100
 )
 
-// SiteInput is what the site's controller knows.
+// SiteInput is the input of a plan of the site's controller.
 type SiteInput struct {
 	Now time.Time
-	// Term is the site lease's.
+	// Term is the term of the site's lease.
 	Term uint32
 	// Generation and Cap are the manifest's.
 	Generation garnetworks.Generation
@@ -32,104 +32,102 @@
 	Zones []garnetworks.ZoneID
 	// Ledger is the newest one read; zero if there is none.
 	Ledger garnetworks.PowerLedger
-	// Powers are the zones' newest statements, read after Ledger was.
+	// Powers are the zones' newest statements. They must be read after Ledger.
 	Powers map[garnetworks.ZoneID]garnetworks.ZonePower
-	// Memory is what the last plan returned; empty for a new holder.
-	Memory SiteMemory
+	// State is the one that the last plan returned; empty for a new lease holder.
+	State SiteState
 }
 
-// SiteMemory is what one plan tells the next one.
-type SiteMemory struct {
-	// Moved is when a zone's target was last changed.
-	Moved map[garnetworks.ZoneID]time.Time
+// SiteState is what one plan passes to the next one.
+type SiteState struct {
+	// LastMove is when a zone's target was last changed.
+	LastMove map[garnetworks.ZoneID]time.Time
 	// Generation and Zones are those of the last plan.
 	Generation garnetworks.Generation
 	Zones      int
 }
 
-// SiteOutput is a decision about the ledger.
+// SiteOutput is a decision on the ledger.
 type SiteOutput struct {
-	// Ledger is to be written if Changed.
+	// Ledger must be written if Changed.
 	Ledger  garnetworks.PowerLedger
 	Changed bool
-	// Excess is the power by which the cap is still exceeded, because zones have
-	// not confirmed yet.
+	// Excess is the power above the cap that zones have not confirmed to have given up yet.
 	Excess garnetworks.Watts
-	Memory SiteMemory
+	State  SiteState
 	Events []garnetworks.Event
 }
 
-// PlanSite decides the next ledger. It returns KindStaleToken or
-// KindStaleGeneration if the ledger was written by a newer writer (W7).
+// PlanSite decides the next ledger. It returns an error of kind KindStaleToken or
+// KindStaleGeneration if a newer writer wrote the ledger (W7).
 func PlanSite(in SiteInput) (SiteOutput, error) {
 	if in.Ledger.Term > in.Term {
-		return SiteOutput{}, garnetworks.Errorf(garnetworks.KindStaleToken, "the power ledger holds term %d, above %d", in.Ledger.Term, in.Term)
+		return SiteOutput{}, garnetworks.Errorf(garnetworks.KindStaleToken, "the power ledger was written under term %d, later than term %d", in.Ledger.Term, in.Term)
 	}
 	if in.Ledger.Generation > in.Generation {
-		return SiteOutput{}, garnetworks.Errorf(garnetworks.KindStaleGeneration, "the power ledger holds generation %d, above %d", in.Ledger.Generation, in.Generation)
+		return SiteOutput{}, garnetworks.Errorf(garnetworks.KindStaleGeneration, "the power ledger was written under generation %d, later than generation %d", in.Ledger.Generation, in.Generation)
 	}
 	p := newSitePlan(in)
-	p.confirmShrinks()
-	p.moveTargets()
-	p.grow()
+	p.applyConfirmedShrinks()
+	p.updateTargets()
+	p.raiseGrants()
 	return p.output(), nil
 }
 
-// sitePlan is a plan in the course of being made.
+// sitePlan is the state of one run of PlanSite.
 type sitePlan struct {
 	SiteInput
-	grants []garnetworks.ZoneGrant
-	next   uint64
-	events []garnetworks.Event
+	grants       []garnetworks.ZoneGrant
+	nextSequence uint64
+	events       []garnetworks.Event
 }
 
 func newSitePlan(in SiteInput) *sitePlan {
-	p := &sitePlan{SiteInput: in, grants: slices.Clone(in.Ledger.Grants), next: in.Ledger.Sequence + 1}
+	p := &sitePlan{SiteInput: in, grants: slices.Clone(in.Ledger.Grants), nextSequence: in.Ledger.Sequence + 1}
 	for _, power := range in.Powers {
-		// A ledger that was deleted or restored would count from behind what the
-		// zones have seen, and they would not heed it.
-		if power.SeenSequence >= p.next {
-			p.next = power.SeenSequence + restoredLead
+		// The sequence of a deleted or restored ledger would be below the versions that the
+		// zones have seen, and they would ignore it.
+		if power.SeenSequence >= p.nextSequence {
+			p.nextSequence = power.SeenSequence + sequenceGap
 		}
 	}
-	p.Memory.Moved = maps.Clone(in.Memory.Moved)
+	p.State.LastMove = maps.Clone(in.State.LastMove)
 	for _, z := range in.Zones {
-		p.ensure(z)
+		p.ensureGrant(z)
 	}
 	for z := range in.Powers {
-		p.ensure(z)
+		p.ensureGrant(z)
 	}
 	slices.SortFunc(p.grants, func(a, b garnetworks.ZoneGrant) int { return cmp.Compare(a.Zone, b.Zone) })
 	return p
 }
 
-// ensure gives a zone a row. A zone that was never granted anything and has
-// never stated its draw has none: nothing may be given away to it, and its
-// silence must not be taken for a draw of 0 later.
-func (p *sitePlan) ensure(z garnetworks.ZoneID) {
+// ensureGrant adds a grant for a zone that has none. A zone that has never stated its draw gets
+// none: no power may be granted to it, and its draw must not be taken for 0.
+func (p *sitePlan) ensureGrant(z garnetworks.ZoneID) {
 	has := slices.ContainsFunc(p.grants, func(g garnetworks.ZoneGrant) bool { return g.Zone == z })
 	if _, stated := p.Powers[z]; has || !stated {
 		return
 	}
-	p.grants = append(p.grants, garnetworks.ZoneGrant{Zone: z, TargetSequence: p.next})
+	p.grants = append(p.grants, garnetworks.ZoneGrant{Zone: z, TargetSequence: p.nextSequence})
 }
 
-// counted is what a zone counts with (W1).
-func (p *sitePlan) counted(g garnetworks.ZoneGrant) garnetworks.Watts {
+// reserved is the power that a zone is counted with (W1).
+func (p *sitePlan) reserved(g garnetworks.ZoneGrant) garnetworks.Watts {
 	power := p.Powers[g.Zone]
 	return max(g.Granted, power.Limit, power.Drawn)
 }
 
-func (p *sitePlan) sum() garnetworks.Watts {
-	var sum garnetworks.Watts
+func (p *sitePlan) total() garnetworks.Watts {
+	var total garnetworks.Watts
 	for _, g := range p.grants {
-		sum += p.counted(g)
+		total += p.reserved(g)
 	}
-	return sum
+	return total
 }
 
-// confirmShrinks lowers the grants that zones have confirmed (W2).
-func (p *sitePlan) confirmShrinks() {
+// applyConfirmedShrinks lowers the grants whose reduction the zones have confirmed (W2).
+func (p *sitePlan) applyConfirmedShrinks() {
 	for n := range p.grants {
 		g := &p.grants[n]
 		power, stated := p.Powers[g.Zone]
@@ -138,39 +136,39 @@
 		}
 		confirmed := max(g.Target, power.Limit, power.Drawn)
 		if confirmed < g.Granted {
-			p.note(g.Zone, "grant shrinks from %d W to %d W", g.Granted, confirmed)
+			p.recordChange(g.Zone, "grant shrinks from %d W to %d W", g.Granted, confirmed)
 			g.Granted = confirmed
 		}
 	}
 }
 
-// moveTargets sets what is wanted of each zone (W8).
-func (p *sitePlan) moveTargets() {
+// updateTargets sets the zones' targets (W8).
+func (p *sitePlan) updateTargets() {
 	targets := p.targets()
-	forced := p.Generation != p.Memory.Generation || len(p.grants) != p.Memory.Zones
-	if p.Memory.Moved == nil {
-		p.Memory.Moved = map[garnetworks.ZoneID]time.Time{}
+	forced := p.Generation != p.State.Generation || len(p.grants) != p.State.Zones
+	if p.State.LastMove == nil {
+		p.State.LastMove = map[garnetworks.ZoneID]time.Time{}
 	}
-	var over garnetworks.Watts
+	var totalTarget garnetworks.Watts
 	for _, g := range p.grants {
-		over += g.Target
+		totalTarget += g.Target
 	}
-	forced = forced || over > p.Cap
+	forced = forced || totalTarget > p.Cap
 	for n := range p.grants {
 		g := &p.grants[n]
-		if !p.mayMove(*g, targets[g.Zone], forced) {
+		if !p.shouldMove(*g, targets[g.Zone], forced) {
 			continue
 		}
-		p.note(g.Zone, "wanted moves from %d W to %d W", g.Target, targets[g.Zone])
+		p.recordChange(g.Zone, "target moves from %d W to %d W", g.Target, targets[g.Zone])
 		g.Target = targets[g.Zone]
-		g.TargetSequence = p.next
-		p.Memory.Moved[g.Zone] = p.Now
+		g.TargetSequence = p.nextSequence
+		p.State.LastMove[g.Zone] = p.Now
 	}
-	p.Memory.Generation = p.Generation
-	p.Memory.Zones = len(p.grants)
+	p.State.Generation = p.Generation
+	p.State.Zones = len(p.grants)
 }
 
-func (p *sitePlan) mayMove(g garnetworks.ZoneGrant, target garnetworks.Watts, forced bool) bool {
+func (p *sitePlan) shouldMove(g garnetworks.ZoneGrant, target garnetworks.Watts, forced bool) bool {
 	move := target - g.Target
 	if move == 0 {
 		return false
@@ -178,44 +176,44 @@
 	if forced {
 		return true
 	}
-	if max(move, -move) < p.Cap/minMoveShare {
+	if max(move, -move) < p.Cap/minMoveDivisor {
 		return false
 	}
-	last, moved := p.Memory.Moved[g.Zone]
-	return !moved || p.Now.Sub(last) >= MoveEvery
+	last, moved := p.State.LastMove[g.Zone]
+	return !moved || p.Now.Sub(last) >= MinMoveInterval
 }
 
-// grow raises grants towards what is wanted, as far as the cap allows (W1).
-func (p *sitePlan) grow() {
-	room := p.Cap - p.sum()
-	if p.unstated() {
-		room = 0
+// raiseGrants raises grants towards their targets as far as the cap allows (W1).
+func (p *sitePlan) raiseGrants() {
+	headroom := p.Cap - p.total()
+	if p.hasUnstatedZone() {
+		headroom = 0
 	}
 	for n := range p.grants {
 		g := &p.grants[n]
-		counted := p.counted(*g)
+		reserved := p.reserved(*g)
 		if g.Target <= g.Granted {
 			continue
 		}
-		// Up to counted the zone's draw is in the sum already.
-		granted := min(g.Target, counted+max(room, 0))
+		// The total includes the zone's power up to reserved already.
+		granted := min(g.Target, reserved+max(headroom, 0))
 		if granted <= g.Granted {
 			continue
 		}
-		room -= max(granted-counted, 0)
-		p.note(g.Zone, "grant grows from %d W to %d W", g.Granted, granted)
+		headroom -= max(granted-reserved, 0)
+		p.recordChange(g.Zone, "grant grows from %d W to %d W", g.Granted, granted)
 		g.Granted = granted
 	}
 }
 
-// unstated reports whether a zone has never said what it draws (W9).
-func (p *sitePlan) unstated() bool {
+// hasUnstatedZone reports whether a zone has never stated its draw (W9).
+func (p *sitePlan) hasUnstatedZone() bool {
 	return slices.ContainsFunc(p.Zones, func(z garnetworks.ZoneID) bool {
 		return !slices.ContainsFunc(p.grants, func(g garnetworks.ZoneGrant) bool { return g.Zone == z })
 	})
 }
 
-func (p *sitePlan) note(zone garnetworks.ZoneID, format string, from, to garnetworks.Watts) {
+func (p *sitePlan) recordChange(zone garnetworks.ZoneID, format string, from, to garnetworks.Watts) {
 	p.events = append(p.events, garnetworks.Event{
 		Kind: garnetworks.EventGrantChanged, Zone: zone, Generation: p.Generation,
 		Detail: sprintf(format, from, to),
@@ -223,12 +221,12 @@
 }
 
 func (p *sitePlan) output() SiteOutput {
-	sum := p.sum()
+	total := p.total()
 	ledger := garnetworks.PowerLedger{
-		Cap:        max(p.Cap, sum), // rule W6
+		Cap:        max(p.Cap, total), // rule W6
 		Grants:     p.grants,
 		Term:       p.Term,
-		Sequence:   p.next,
+		Sequence:   p.nextSequence,
 		Generation: p.Generation,
 	}
 	old := p.Ledger
@@ -236,5 +234,5 @@
 	if !changed {
 		ledger = old
 	}
-	return SiteOutput{Ledger: ledger, Changed: changed, Excess: max(sum-p.Cap, 0), Memory: p.Memory, Events: p.events}
+	return SiteOutput{Ledger: ledger, Changed: changed, Excess: max(total-p.Cap, 0), State: p.State, Events: p.events}
 }
--- a/grouper/orders.go
+++ b/grouper/orders.go
@@ -7,7 +7,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// AddressedOrder is an order with the engine that it goes to.
+// AddressedOrder is an order with its destination.
 type AddressedOrder struct {
 	garnetworks.EngineOrder
 	Instance garnetworks.InstanceID
@@ -16,25 +16,23 @@
 	ChecksFencing bool
 }
 
-// Loads are the rates and the weights that the plan assigns to instances; an
-// instance may be absent.
-type Loads struct {
-	// Rates are in bytes a second.
+// LoadPlan holds the load rates and preloads that the plan assigns to instances. An instance
+// may be absent.
+type LoadPlan struct {
+	// Rates are in bytes per second.
 	Rates map[garnetworks.InstanceID]int64
 	// Preloads are for instances in no group.
 	Preloads map[garnetworks.InstanceID]garnetworks.WeightID
-	// LeastRate holds back the order to form until the member's rate is at least
-	// this, or none is set: an engine may keep the rate with which it began to
-	// load.
-	LeastRate int64
+	// MinRate delays the order to form while the member's rate is set but lower, since an
+	// engine may keep the rate with which it began to load.
+	MinRate int64
 }
 
-// Orders returns the orders that bring the engines from what they say to what
-// the domain says. It is level-triggered: an order whose answer was lost is
-// returned again until the engine's status shows its effect, always with the
-// same ID, and orders of earlier decisions are never returned again. Engines
-// that do not answer get none.
-func Orders(d *garnetworks.FabricDomain, fresh Statuses, loads Loads) []AddressedOrder {
+// Orders returns the orders that bring the engines from their reported state to the state of
+// the domain. It is level-triggered: an order whose response was lost is returned again with
+// the same ID until the engine's status shows its effect, and orders of earlier decisions are
+// never returned again. Engines without a fresh status get no orders.
+func Orders(d *garnetworks.FabricDomain, fresh Statuses, loads LoadPlan) []AddressedOrder {
 	var orders []AddressedOrder
 	for n := range d.Instances {
 		i := &d.Instances[n]
@@ -50,9 +48,9 @@
 	return orders
 }
 
-func orderFor(d *garnetworks.FabricDomain, i *garnetworks.Instance, s garnetworks.EngineStatus, loads Loads) (garnetworks.EngineOrder, bool) {
+func orderFor(d *garnetworks.FabricDomain, i *garnetworks.Instance, s garnetworks.EngineStatus, loads LoadPlan) (garnetworks.EngineOrder, bool) {
 	if i.Group == "" {
-		return freeOrder(i, s, loads)
+		return idleOrder(i, s, loads)
 	}
 	g := FindGroup(d, i.Group)
 	if g == nil {
@@ -67,7 +65,7 @@
 	return garnetworks.EngineOrder{}, false
 }
 
-func freeOrder(i *garnetworks.Instance, s garnetworks.EngineStatus, loads Loads) (garnetworks.EngineOrder, bool) {
+func idleOrder(i *garnetworks.Instance, s garnetworks.EngineStatus, loads LoadPlan) (garnetworks.EngineOrder, bool) {
 	if s.Group != "" || (i.Condition == garnetworks.ConditionReturned && !released(i, s)) {
 		return garnetworks.EngineOrder{
 			ID:    releaseID(i.Token),
@@ -92,7 +90,7 @@
 	}, s.LastOrder != id
 }
 
-func memberOrder(i *garnetworks.Instance, g *garnetworks.Group, s garnetworks.EngineStatus, loads Loads) (garnetworks.EngineOrder, bool) {
+func memberOrder(i *garnetworks.Instance, g *garnetworks.Group, s garnetworks.EngineStatus, loads LoadPlan) (garnetworks.EngineOrder, bool) {
 	rate := loads.Rates[i.ID]
 	form := garnetworks.EngineOrder{
 		ID:       fmt.Sprintf("form/%s/%d", g.ID, rate),
@@ -106,7 +104,7 @@
 		LoadRate: rate,
 	}
 	if s.Group != g.ID || s.Token != g.Token {
-		return form, rate == 0 || rate >= loads.LeastRate
+		return form, rate == 0 || rate >= loads.MinRate
 	}
 	if s.Phase == garnetworks.EngineLoading && rate > 0 && s.LastOrder != form.ID {
 		return form, true
@@ -148,8 +146,8 @@
 	return true
 }
 
-// PowerOrders returns the power orders that are due: those of instances that
-// were decided on or off and do not show it yet.
+// PowerOrders returns the power orders that are due: those of instances whose decided power
+// state is not confirmed yet.
 func PowerOrders(d *garnetworks.FabricDomain) []garnetworks.PowerOrder {
 	var orders []garnetworks.PowerOrder
 	for n := range d.Instances {
@@ -165,19 +163,19 @@
 }
 
 func powerOrder(i *garnetworks.Instance, on bool) garnetworks.PowerOrder {
-	word := "off"
+	state := "off"
 	if on {
-		word = "on"
+		state = "on"
 	}
 	return garnetworks.PowerOrder{
-		ID:       fmt.Sprintf("power-%s/%s/%s", word, i.ID, i.Token),
+		ID:       fmt.Sprintf("power-%s/%s/%s", state, i.ID, i.Token),
 		Instance: i.ID,
 		On:       on,
 		Token:    i.Token,
 	}
 }
 
-// Drawn returns the pessimistic draw of the domain (rule G4).
+// Drawn returns the domain's power draw, counting every instance not proven off (rule G4).
 func Drawn(d *garnetworks.FabricDomain) garnetworks.Watts {
 	var sum garnetworks.Watts
 	for n := range d.Instances {
