--- a/forwarder/hold_test.go
+++ b/forwarder/hold_test.go
@@ -43,7 +43,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := &crashing{}
 		quarantine := quarantiner.New(quarantiner.Options{
-			Prove: func(context.Context, garnetworks.Incarnation, bool) garnetworks.CrashState {
+			Probe: func(context.Context, garnetworks.Incarnation, bool) garnetworks.CrashState {
 				return garnetworks.CrashProven
 			},
 			Objects: nowhere{}, Reads: func() bool { return false },
@@ -64,8 +64,8 @@
 				t.Errorf("copy %d ended with %v", n, err)
 			}
 		}
-		if c.ended != quarantiner.MostEnds {
-			t.Errorf("%d engines ended, want %d", c.ended, quarantiner.MostEnds)
+		if c.ended != quarantiner.CrashThreshold {
+			t.Errorf("%d engines ended, want %d", c.ended, quarantiner.CrashThreshold)
 		}
 		if err := generate("sound"); garnetworks.IsKind(err, garnetworks.KindCallQuarantined) {
 			t.Errorf("a sound call ended with %v", err)
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -187,8 +187,8 @@
 		Work:   func() map[garnetworks.ModelName]float64 { return l.gateway.Work() },
 	})
 	l.quarantine = quarantiner.New(quarantiner.Options{
-		Prove: l.prove, Objects: objects, Reads: func() bool { return l.peers.exchanger.Reads() }, Recorder: events,
-		FirstRead: firstRead(site),
+		Probe: l.prove, Objects: objects, Reads: func() bool { return l.peers.exchanger.Reads() }, Recorder: events,
+		InitialReadDelay: firstRead(site),
 	})
 	l.gateway = gateway.New(gateway.Options{
 		Zone: site.Zone, Bounds: site.Bounds, Follower: l.follower, Reader: options.Calls, Passer: options.Passer,
--- a/launcher/prover.go
+++ b/launcher/prover.go
@@ -61,7 +61,7 @@
 			others = append(others, other)
 		}
 	}
-	return quarantiner.AnyAnswers(others, func(other garnetworks.RegisteredServer) bool {
+	return quarantiner.AnyReachable(others, func(other garnetworks.RegisteredServer) bool {
 		err := l.options.Orders.Probe(ctx, other.Address, other.Incarnation())
 		// A plain server answers that it has no such report.
 		return err == nil || garnetworks.IsKind(err, garnetworks.KindNotFound, garnetworks.KindInvalidRequest)
--- a/quarantiner/asker.go
+++ b/quarantiner/asker.go
@@ -11,54 +11,54 @@
 
 const (
 	// askEvery is how often lives that are in doubt are looked through.
-	askEvery = 100 * time.Millisecond
+	checkInterval = 100 * time.Millisecond
 	// askAgain is the time to the second question, and doubles with each. A host that does
 	// not answer is dark or cut off.
-	askAgain = 150 * time.Millisecond
+	probeBackoffMin = 150 * time.Millisecond
 	// longestAgain bounds that time.
-	longestAgain = 2 * time.Second
+	probeBackoffMax = 2 * time.Second
 	// mostAsked is the number of questions to a server whose entry is gone: nothing new is
 	// to be learnt of it before its entry, or that of its next life, is back.
-	mostAsked = 3
+	maxUnregisteredProbes = 3
 	// longestDoubt is how long after a call broke off the server's end is put down to it: a
 	// partition lasts seconds, and so does a start. One that ends later may have any cause.
-	longestDoubt = time.Minute
+	probeWindow = time.Minute
 	// mostAtOnce bounds the questions in flight.
-	mostAtOnce = 8
+	maxConcurrentProbes = 8
 	// forgetEvery is how often old records are looked for.
-	forgetEvery = 10 * time.Second
+	expiryInterval = 10 * time.Second
 )
 
 // ask finds out which of the lives have ended that matter (Z2).
-func (q *Quarantiner) ask(ctx context.Context) {
-	ticker, old := time.NewTicker(askEvery), time.NewTicker(forgetEvery)
+func (q *Quarantiner) runProbes(ctx context.Context) {
+	ticker, old := time.NewTicker(checkInterval), time.NewTicker(expiryInterval)
 	defer ticker.Stop()
 	defer old.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-q.asking:
+		case <-q.probeWake:
 		case <-ticker.C:
 		case <-old.C:
-			q.forget()
+			q.expire()
 		}
-		var questions sync.WaitGroup
-		for _, d := range q.doubts(time.Now()) {
-			questions.Go(func() {
+		var wg sync.WaitGroup
+		for _, d := range q.dueProbes(time.Now()) {
+			wg.Go(func() {
 				began := time.Now()
-				q.settle(began, d.life, q.options.Prove(ctx, d.life, d.ask))
+				q.applyResult(began, d.incarnation, q.options.Probe(ctx, d.incarnation, d.unregistered))
 			})
 		}
-		questions.Wait()
+		wg.Wait()
 	}
 }
 
 // doubt is a life of which it shall be found out whether it has ended.
-type doubt struct {
-	life garnetworks.Incarnation
+type dueProbe struct {
+	incarnation garnetworks.Incarnation
 	// ask says that the server shall be asked also if its entry is gone.
-	ask bool
+	unregistered bool
 }
 
 // doubts returns the lives that matter and are due: those under which a content broke off
@@ -69,72 +69,72 @@
 // servers beyond the cut were taken for ended, and a sound call that had met three of them
 // was held at all nodes. So a life that only refuses connections is asked again whenever
 // its entry is there; its answer releases the call.
-func (q *Quarantiner) doubts(now time.Time) []doubt {
+func (q *Quarantiner) dueProbes(now time.Time) []dueProbe {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	due := make(map[garnetworks.Incarnation]bool)
 	for _, r := range q.records {
-		if !r.seen || !r.lasting() {
+		if !r.observed || !r.retained() {
 			continue
 		}
-		for _, life := range r.lives(garnetworks.CrashSuspected) {
-			x := r.runs[life]
-			settled := x.state > garnetworks.CrashConnectionRefused || x.state == garnetworks.CrashSuspected && now.Sub(x.at) > longestDoubt
-			if settled || now.Sub(x.askedAt) < againAfter(x.asked) || len(due) == mostAtOnce {
+		for _, incarnation := range r.incarnations(garnetworks.CrashSuspected) {
+			x := r.runs[incarnation]
+			settled := x.state > garnetworks.CrashConnectionRefused || x.state == garnetworks.CrashSuspected && now.Sub(x.at) > probeWindow
+			if settled || now.Sub(x.probedAt) < probeBackoff(x.probes) || len(due) == maxConcurrentProbes {
 				continue
 			}
-			due[life] = due[life] || x.asked < mostAsked
-			x.asked++
-			x.askedAt = now
-			r.runs[life] = x
+			due[incarnation] = due[incarnation] || x.probes < maxUnregisteredProbes
+			x.probes++
+			x.probedAt = now
+			r.runs[incarnation] = x
 		}
 	}
-	var list []doubt
-	for life, ask := range due {
-		list = append(list, doubt{life, ask})
+	var list []dueProbe
+	for incarnation, unregistered := range due {
+		list = append(list, dueProbe{incarnation, unregistered})
 	}
 	return list
 }
 
 // againAfter is the time from a question to the next one.
-func againAfter(asked int) time.Duration {
+func probeBackoff(probes int) time.Duration {
 	const doublings = 5
-	return min(longestAgain, askAgain<<min(asked, doublings))
+	return min(probeBackoffMax, probeBackoffMin<<min(probes, doublings))
 }
 
 // settle takes what was found out of a life; an answer refutes what broke off before it
 // was asked for.
-func (q *Quarantiner) settle(began time.Time, life garnetworks.Incarnation, state garnetworks.CrashState) {
+func (q *Quarantiner) applyResult(began time.Time, incarnation garnetworks.Incarnation, state garnetworks.CrashState) {
 	if state == garnetworks.CrashSuspected {
 		return
 	}
 	now := time.Now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	news := false
+	updated := false
 	for content, r := range q.records {
-		x, ok := r.runs[life]
+		x, ok := r.runs[incarnation]
 		if !ok || state == garnetworks.CrashRefuted && x.at.After(began) {
 			continue
 		}
-		if r.join(life, x.at, state) {
-			q.learnt(now, content, r)
-			news = true
+		if r.add(incarnation, x.at, state) {
+			q.markChanged(now, content, r)
+			updated = true
 		}
 	}
-	if news {
-		q.judge(now)
+	if updated {
+		q.updateQuarantined(now)
 	}
 }
 
 // mostReached is the number of others that are asked whether a zone is reached; one or two
 // of them may have ended as well.
-const mostReached = 3
+const maxOthersTried = 3
 
-// AnyAnswers reports whether any of a few of the others beside a server answers.
+// AnyReachable reports whether any of a few of the others beside a server answers.
 //
 // Failure: a node is cut off from a zone in such a way that its connections there are
 // refused. It shows at all servers of the zone alike, and says nothing of any of them.
-func AnyAnswers[T any](others []T, answers func(T) bool) bool {
-	return slices.ContainsFunc(others[:min(len(others), mostReached)], answers)
+func AnyReachable[T any](others []T, reachable func(T) bool) bool {
+	return slices.ContainsFunc(others[:min(len(others), maxOthersTried)], reachable)
 }
--- a/quarantiner/asker_test.go
+++ b/quarantiner/asker_test.go
@@ -11,31 +11,31 @@
 )
 
 // world answers questions about lives.
-type world struct {
+type fakeProber struct {
 	mu     sync.Mutex
 	states map[garnetworks.Incarnation]garnetworks.CrashState
-	asked  int
+	probes int
 }
 
-func (w *world) prove(_ context.Context, l garnetworks.Incarnation, _ bool) garnetworks.CrashState {
+func (w *fakeProber) probe(_ context.Context, l garnetworks.Incarnation, _ bool) garnetworks.CrashState {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.asked++
+	w.probes++
 	return w.states[l]
 }
 
 // count returns the number of questions so far.
-func (w *world) count() int {
+func (w *fakeProber) count() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.asked
+	return w.probes
 }
 
-func (w *world) set(state garnetworks.CrashState, lives ...int) {
+func (w *fakeProber) set(state garnetworks.CrashState, incarnations ...int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, n := range lives {
-		w.states[life(n)] = state
+	for _, n := range incarnations {
+		w.states[incarnation(n)] = state
 	}
 }
 
@@ -45,51 +45,51 @@
 // soon after a cut counts, and what comes later does not.
 func TestEndsFoundOutAfterACut(t *testing.T) {
 	cases := map[string]struct {
-		play func(q *Quarantiner, w *world)
+		run  func(q *Quarantiner, w *fakeProber)
 		want bool
 	}{
-		"two ends fall into a cut": {func(q *Quarantiner, w *world) {
-			q.ReportInterrupted("x", life(1))
-			q.ReportInterrupted("x", life(2))
+		"two ends fall into a cut": {func(q *Quarantiner, w *fakeProber) {
+			q.ReportInterrupted("x", incarnation(1))
+			q.ReportInterrupted("x", incarnation(2))
 			time.Sleep(8 * time.Second)
 			w.set(garnetworks.CrashProven, 1, 2)
-			time.Sleep(2 * longestAgain)
+			time.Sleep(2 * probeBackoffMax)
 			w.set(garnetworks.CrashConnectionRefused, 3)
-			q.ReportInterrupted("x", life(3))
+			q.ReportInterrupted("x", incarnation(3))
 		}, true},
-		"servers that were cut off are replaced later": {func(q *Quarantiner, w *world) {
+		"servers that were cut off are replaced later": {func(q *Quarantiner, w *fakeProber) {
 			for n := range 3 {
-				q.ReportInterrupted("x", life(n))
+				q.ReportInterrupted("x", incarnation(n))
 			}
-			time.Sleep(longestDoubt + time.Second)
+			time.Sleep(probeWindow + time.Second)
 			w.set(garnetworks.CrashProven, 0, 1, 2)
 		}, false},
-		"refused by a part of a zone that is cut off, and back": {func(q *Quarantiner, w *world) {
+		"refused by a part of a zone that is cut off, and back": {func(q *Quarantiner, w *fakeProber) {
 			w.set(garnetworks.CrashConnectionRefused, 0, 1, 2)
 			for n := range 3 {
-				q.ReportInterrupted("x", life(n))
+				q.ReportInterrupted("x", incarnation(n))
 			}
-			time.Sleep(2 * longestDoubt)
+			time.Sleep(2 * probeWindow)
 			w.set(garnetworks.CrashRefuted, 0)
 		}, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := &world{states: make(map[garnetworks.Incarnation]garnetworks.CrashState)}
-				q := New(Options{Prove: w.prove})
+				w := &fakeProber{states: make(map[garnetworks.Incarnation]garnetworks.CrashState)}
+				q := New(Options{Probe: w.probe})
 				ctx, stop := context.WithCancel(t.Context())
 				defer synctest.Wait()
 				defer stop()
-				go q.ask(ctx)
-				c.play(q, w)
-				time.Sleep(2 * longestAgain)
-				if got := q.holds("x"); got != c.want {
+				go q.runProbes(ctx)
+				c.run(q, w)
+				time.Sleep(2 * probeBackoffMax)
+				if got := q.isQuarantined("x"); got != c.want {
 					t.Errorf("held: %t", got)
 				}
 				before := w.count()
 				time.Sleep(time.Minute)
-				if more := w.count() - before; more > 3*int(time.Minute/longestAgain) {
+				if more := w.count() - before; more > 3*int(time.Minute/probeBackoffMax) {
 					t.Errorf("%d questions in a minute", more)
 				}
 			})
--- a/quarantiner/blamer_test.go
+++ b/quarantiner/blamer_test.go
@@ -20,7 +20,7 @@
 }
 
 // ends returns the lives of the named engines, in order.
-func ends(names string) []garnetworks.Incarnation {
+func crashes(names string) []garnetworks.Incarnation {
 	var list []garnetworks.Incarnation
 	for _, n := range names {
 		list = append(list, garnetworks.Incarnation{Instance: garnetworks.InstanceID(n)})
@@ -34,8 +34,8 @@
 // three times, were refused with it and got no answer.
 func TestOnlyWhatExplainsTheEndsIsHeld(t *testing.T) {
 	cases := map[string]struct {
-		ends map[garnetworks.ContentDigest]string
-		want []garnetworks.ContentDigest
+		crashes map[garnetworks.ContentDigest]string
+		want    []garnetworks.ContentDigest
 	}{
 		"two ends are nobody's": {map[garnetworks.ContentDigest]string{"x": "ab"}, nil},
 		"three ends":            {map[garnetworks.ContentDigest]string{"x": "abc", "s": "ab"}, []garnetworks.ContentDigest{"x"}},
@@ -50,10 +50,10 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			var suspects []suspect
-			for content, names := range c.ends {
-				suspects = append(suspects, suspect{content, ends(names)})
+			for content, names := range c.crashes {
+				suspects = append(suspects, suspect{content, crashes(names)})
 			}
-			if got := blame(suspects); !slices.Equal(got, c.want) {
+			if got := findCulprits(suspects); !slices.Equal(got, c.want) {
 				t.Errorf("held are %v, want %v", got, c.want)
 			}
 		})
@@ -66,28 +66,28 @@
 func TestSoundCallsAreNotBlamed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		culprits := rapid.IntRange(1, 3).Draw(t, "culprits")
-		sound := make(map[garnetworks.ContentDigest]string)
+		harmless := make(map[garnetworks.ContentDigest]string)
 		var suspects []suspect
 		next := 'A'
 		for c := range culprits {
 			own := ""
-			for range rapid.IntRange(sharedEnds, 10).Draw(t, "ends") {
+			for range rapid.IntRange(sharedCrashThreshold, 10).Draw(t, "ends") {
 				own += string(next)
 				next++
 			}
-			suspects = append(suspects, suspect{garnetworks.ContentDigest(fmt.Sprint("culprit", c)), ends(own)})
+			suspects = append(suspects, suspect{garnetworks.ContentDigest(fmt.Sprint("culprit", c)), crashes(own)})
 			for _, name := range []garnetworks.ContentDigest{"s0", "s1", "s2", "s3"} {
-				beside := rapid.IntRange(0, MostEnds-len(sound[name])).Draw(t, "beside")
-				sound[name] += own[:beside]
+				beside := rapid.IntRange(0, CrashThreshold-len(harmless[name])).Draw(t, "beside")
+				harmless[name] += own[:beside]
 			}
 		}
-		for name, beside := range sound {
-			suspects = append(suspects, suspect{name, ends(beside)})
+		for name, beside := range harmless {
+			suspects = append(suspects, suspect{name, crashes(beside)})
 		}
-		held := garnetworks.NewSet(blame(suspects)...)
+		quarantined := garnetworks.NewSet(findCulprits(suspects)...)
 		for _, s := range suspects {
-			if _, isSound := sound[s.content]; held.Has(s.content) == isSound {
-				t.Fatalf("%s with %d ends: held is %t", s.content, len(s.ends), held.Has(s.content))
+			if _, isHarmless := harmless[s.content]; quarantined.Has(s.content) == isHarmless {
+				t.Fatalf("%s with %d ends: held is %t", s.content, len(s.crashes), quarantined.Has(s.content))
 			}
 		}
 	})
--- a/quarantiner/keeper.go
+++ b/quarantiner/keeper.go
@@ -27,20 +27,20 @@
 	// readMargin is how long past its wait the watch may take to answer.
 	readMargin = 700 * time.Millisecond
 	// callTime bounds other calls.
-	callTime = time.Second
+	callTimeout = time.Second
 	// readsEvery is how often a node that does not read looks whether it shall: nodes lose
 	// each other within a second, and have three to hear of what others know.
-	readsEvery = 200 * time.Millisecond
+	roleCheckInterval = 200 * time.Millisecond
 	// Retries wait between these bounds.
 	retryMin = 200 * time.Millisecond
 	retryMax = 2 * time.Second
 	// joinTime joins what is learnt of one end into one write: the ends under a call's two
 	// attempts, and the answers to the questions after them.
-	joinTime = 40 * time.Millisecond
+	batchDelay = 40 * time.Millisecond
 	// othersTime is how long a node that reads leaves a change to the node that saw it.
-	othersTime = 700 * time.Millisecond
+	takeoverDelay = 700 * time.Millisecond
 	// writeTries bounds the writes in a row that find the object changed.
-	writeTries = 4
+	maxWriteAttempts = 4
 )
 
 // storedObject is the object's value.
@@ -52,12 +52,12 @@
 	Content garnetworks.ContentDigest `json:"content"`
 	Runs    []storedRun               `json:"runs"`
 	// AnsweredMS is in Unix milliseconds, as are all times here; 0 if never.
-	AnsweredMS int64 `json:"answered-ms,omitempty"`
+	LastCompletedMS int64 `json:"answered-ms,omitempty"`
 }
 
 type storedRun struct {
 	Instance garnetworks.InstanceID `json:"instance"`
-	Born     int64                  `json:"born,omitempty"`
+	StartMS  int64                  `json:"born,omitempty"`
 	AtMS     int64                  `json:"at-ms"`
 	State    string                 `json:"state"`
 }
@@ -67,7 +67,7 @@
 	garnetworks.CrashSuspected: "suspected", garnetworks.CrashConnectionRefused: "refused", garnetworks.CrashRefuted: "refuted", garnetworks.CrashProven: "proven",
 }
 
-func stateOf(name string) (garnetworks.CrashState, bool) {
+func parseState(name string) (garnetworks.CrashState, bool) {
 	for state, n := range stateNames {
 		if n == name {
 			return state, true
@@ -83,10 +83,10 @@
 	for _, r := range records {
 		s := storedRecord{Content: r.Digest}
 		if r.LastCompletedAgeMS >= 0 {
-			s.AnsweredMS = at(r.LastCompletedAgeMS)
+			s.LastCompletedMS = at(r.LastCompletedAgeMS)
 		}
 		for _, x := range r.Runs {
-			s.Runs = append(s.Runs, storedRun{Instance: x.Instance, Born: x.StartMS, AtMS: at(x.AgeMS), State: stateNames[x.State]})
+			s.Runs = append(s.Runs, storedRun{Instance: x.Instance, StartMS: x.StartMS, AtMS: at(x.AgeMS), State: stateNames[x.State]})
 		}
 		object.Contents = append(object.Contents, s)
 	}
@@ -102,14 +102,14 @@
 	}
 	age := func(at int64) int64 { return max(0, now.UnixMilli()-at) }
 	var records []garnetworks.ContentRecord
-	for _, s := range object.Contents[:min(len(object.Contents), MostStored)] {
+	for _, s := range object.Contents[:min(len(object.Contents), MaxStored)] {
 		r := garnetworks.ContentRecord{Digest: s.Content, LastCompletedAgeMS: -1}
-		if s.AnsweredMS > 0 {
-			r.LastCompletedAgeMS = age(s.AnsweredMS)
+		if s.LastCompletedMS > 0 {
+			r.LastCompletedAgeMS = age(s.LastCompletedMS)
 		}
-		for _, x := range s.Runs[:min(len(s.Runs), MostRuns)] {
-			if state, ok := stateOf(x.State); ok {
-				r.Runs = append(r.Runs, garnetworks.InterruptedRun{Instance: x.Instance, StartMS: x.Born, AgeMS: age(x.AtMS), State: state})
+		for _, x := range s.Runs[:min(len(s.Runs), MaxRuns)] {
+			if state, ok := parseState(x.State); ok {
+				r.Runs = append(r.Runs, garnetworks.InterruptedRun{Instance: x.Instance, StartMS: x.StartMS, AgeMS: age(x.AtMS), State: state})
 			}
 		}
 		records = append(records, r)
@@ -118,25 +118,25 @@
 }
 
 // follow reads the object while the node reads for others.
-func (q *Quarantiner) follow(ctx context.Context) {
+func (q *Quarantiner) watchObject(ctx context.Context) {
 	var revision garnetworks.Revision
 	listed, failures := false, 0
-	wait(ctx, q.options.FirstRead)
+	sleep(ctx, q.options.InitialReadDelay)
 	for ctx.Err() == nil {
 		if !q.options.Reads() {
-			wait(ctx, readsEvery)
+			sleep(ctx, roleCheckInterval)
 			continue
 		}
 		objects, next, err := q.read(ctx, listed, revision)
 		switch {
 		case err == nil:
 			listed, revision, failures = true, next, 0
-			q.takeObjects(objects)
+			q.mergeObjects(objects)
 		case garnetworks.IsKind(err, garnetworks.KindCompacted) && listed:
 			listed = false
 		default:
 			failures++
-			wait(ctx, watcher.Backoff(failures, retryMin, retryMax, rand.Float64()))
+			sleep(ctx, watcher.Backoff(failures, retryMin, retryMax, rand.Float64()))
 		}
 	}
 }
@@ -145,7 +145,7 @@
 // returns the revision to go on from.
 func (q *Quarantiner) read(ctx context.Context, listed bool, after garnetworks.Revision) ([]garnetworks.Object, garnetworks.Revision, error) {
 	if !listed {
-		ctx, cancel := context.WithTimeout(ctx, callTime)
+		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		return q.options.Objects.List(ctx, objectPrefix)
 	}
@@ -154,10 +154,10 @@
 	return q.options.Objects.Watch(ctx, objectPrefix, after, q.options.ReadWait)
 }
 
-func (q *Quarantiner) takeObjects(objects []garnetworks.Object) {
+func (q *Quarantiner) mergeObjects(objects []garnetworks.Object) {
 	for _, o := range objects {
 		if o.Key == objectKey && !o.Deleted {
-			q.TakeObject(o.Value)
+			q.MergeObject(o.Value)
 			q.publish(o.Value, o.Revision)
 		}
 	}
@@ -169,60 +169,60 @@
 	}
 }
 
-// TakeObject joins what the object tells.
-func (q *Quarantiner) TakeObject(value []byte) {
+// MergeObject joins what the object tells.
+func (q *Quarantiner) MergeObject(value []byte) {
 	records, err := decode(time.Now(), value)
 	if err != nil {
 		// The next write replaces what another program wrote there.
 		q.mu.Lock()
 		defer q.mu.Unlock()
-		q.tell(garnetworks.EventObjectRefused, err.Error())
+		q.recordEvent(garnetworks.EventObjectRefused, err.Error())
 		clear(q.stored)
 		return
 	}
 	q.Merge(records)
-	stored := sumsOf(records)
+	stored := checksums(records)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.stored = stored
 }
 
 // sumsOf returns the sums of records as they were told.
-func sumsOf(records []garnetworks.ContentRecord) map[garnetworks.ContentDigest]uint64 {
+func checksums(records []garnetworks.ContentRecord) map[garnetworks.ContentDigest]uint64 {
 	sums := make(map[garnetworks.ContentDigest]uint64)
 	for i := range records {
-		sums[records[i].Digest] = sumOf(&records[i])
+		sums[records[i].Digest] = checksumOf(&records[i])
 	}
 	return sums
 }
 
-func sumOf(told *garnetworks.ContentRecord) uint64 {
+func checksumOf(reported *garnetworks.ContentRecord) uint64 {
 	r := record{runs: make(map[garnetworks.Incarnation]run)}
 	now := time.Now()
-	if told.LastCompletedAgeMS >= 0 {
-		r.answered = now.Add(-time.Duration(told.LastCompletedAgeMS) * time.Millisecond)
+	if reported.LastCompletedAgeMS >= 0 {
+		r.completed = now.Add(-time.Duration(reported.LastCompletedAgeMS) * time.Millisecond)
 	}
-	for i := range told.Runs {
-		x := &told.Runs[i]
-		r.join(x.Incarnation(), now.Add(-time.Duration(x.AgeMS)*time.Millisecond), x.State)
+	for i := range reported.Runs {
+		x := &reported.Runs[i]
+		r.add(x.Incarnation(), now.Add(-time.Duration(x.AgeMS)*time.Millisecond), x.State)
 	}
-	return r.sum(told.Digest)
+	return r.checksum(reported.Digest)
 }
 
 // store writes what this node saw, and what others saw and did not write.
-func (q *Quarantiner) store(ctx context.Context) {
-	ticker := time.NewTicker(othersTime)
+func (q *Quarantiner) runStore(ctx context.Context) {
+	ticker := time.NewTicker(takeoverDelay)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-q.storing:
-			wait(ctx, joinTime)
+		case <-q.storeWake:
+			sleep(ctx, batchDelay)
 		case <-ticker.C:
 		}
-		for range writeTries {
-			if !q.unstored() || !garnetworks.IsKind(q.write(ctx), garnetworks.KindConflict) {
+		for range maxWriteAttempts {
+			if !q.needsStore() || !garnetworks.IsKind(q.write(ctx), garnetworks.KindConflict) {
 				break
 			}
 		}
@@ -236,37 +236,37 @@
 // records were written one after the other by all nodes, a fifth of a day's calls to the
 // object API, though nothing was known but that a way was cut.
 func (q *Quarantiner) storable() []garnetworks.ContentDigest {
-	list := q.chosen(len(q.records), func(r *record) bool { return r.lasting() })
+	list := q.selectContents(len(q.records), func(r *record) bool { return r.retained() })
 	list = slices.DeleteFunc(list, func(content garnetworks.ContentDigest) bool {
 		_, has := q.stored[content]
-		return !has && len(q.records[content].lives(garnetworks.CrashConnectionRefused)) < StoredEnds
+		return !has && len(q.records[content].incarnations(garnetworks.CrashConnectionRefused)) < RetainThreshold
 	})
-	return list[:min(len(list), MostStored)]
+	return list[:min(len(list), MaxStored)]
 }
 
-func (q *Quarantiner) toStore() []garnetworks.ContentRecord {
+func (q *Quarantiner) recordsToStore() []garnetworks.ContentRecord {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.told(time.Now(), q.storable())
+	return q.reports(time.Now(), q.storable())
 }
 
 // unstored reports whether there is anything that this node is to write.
-func (q *Quarantiner) unstored() bool {
+func (q *Quarantiner) needsStore() bool {
 	now := time.Now()
 	reads := q.options.Reads()
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return slices.ContainsFunc(q.storable(), func(content garnetworks.ContentDigest) bool {
 		r := q.records[content]
-		mine := r.seen || reads && now.Sub(r.changed) > othersTime
-		return mine && q.stored[content] != r.sum(content)
+		responsible := r.observed || reads && now.Sub(r.changed) > takeoverDelay
+		return responsible && q.stored[content] != r.checksum(content)
 	})
 }
 
 // write joins the object with what the node knows. Its failure is told by the meter of the
 // object API, and made up for by the next look.
 func (q *Quarantiner) write(ctx context.Context) error {
-	call, cancel := context.WithTimeout(ctx, callTime)
+	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	object, err := q.options.Objects.Get(call, objectKey)
 	switch {
@@ -275,13 +275,13 @@
 	case err != nil:
 		return err
 	default:
-		q.TakeObject(object.Value)
+		q.MergeObject(object.Value)
 	}
-	if !q.unstored() {
+	if !q.needsStore() {
 		return nil
 	}
 	now := time.Now()
-	records := q.toStore()
+	records := q.recordsToStore()
 	value, err := encode(now, records)
 	if err != nil {
 		return err
@@ -291,14 +291,14 @@
 		return err
 	}
 	q.publish(value, revision)
-	stored := sumsOf(records)
+	stored := checksums(records)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	maps.Copy(q.stored, stored)
 	return nil
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/quarantiner/quarantiner.go
+++ b/quarantiner/quarantiner.go
@@ -18,34 +18,34 @@
 	// MostRecords bounds the contents that a node remembers; those with the fewest ends
 	// go first, the oldest of them before the others. An availability zone of 300 engines
 	// that goes dark leaves some 1,500 calls broken off, each of which takes 300 bytes.
-	MostRecords = 2048
+	MaxRecords = 2048
 	// MostStored bounds the contents in the object API, and so its value to 0.3 MB.
-	MostStored = 256
+	MaxStored = 256
 	// mostTold bounds the records in a message between nodes to 10 KB.
-	mostTold = 128
+	maxReported = 128
 	// recentTime is how long a change is told to other nodes: four of their exchanges, so
 	// that a few lost ones don't matter.
-	recentTime = 600 * time.Millisecond
+	recentPeriod = 600 * time.Millisecond
 	// proofTime is how long a call waits for a proof. The server's host refuses within
 	// milliseconds, and another node's question takes one exchange to be heard of.
-	proofTime = 300 * time.Millisecond
+	proofTimeout = 300 * time.Millisecond
 	// mostSound bounds the contents that a node knows to be sound. At 25 calls a second
 	// they are those of more than SoundTime.
-	mostSound = 2048
+	maxCompleted = 2048
 )
 
 // Options describe a quarantiner.
 type Options struct {
-	// Prove finds out whether a life has ended, by asking the server; if its entry is gone
+	// Probe finds out whether a life has ended, by asking the server; if its entry is gone
 	// only if ask is set. CrashSuspected means that it can't be told.
-	Prove func(ctx context.Context, life garnetworks.Incarnation, ask bool) garnetworks.CrashState
+	Probe func(ctx context.Context, incarnation garnetworks.Incarnation, unregistered bool) garnetworks.CrashState
 	// Objects is the object API itself.
 	Objects garnetworks.ObjectAPI
 	// Reads reports whether the node reads the object API for others, or reaches none.
 	Reads func() bool
-	// FirstRead is how long a node that starts leaves the object to others, of which it
+	// InitialReadDelay is how long a node that starts leaves the object to others, of which it
 	// hears meanwhile.
-	FirstRead time.Duration
+	InitialReadDelay time.Duration
 	// ReadWait is the longest wait of the watch; DefaultReadWait if it is 0.
 	ReadWait time.Duration
 	// Publish gets the object's value, with its revision, whenever the node has read or
@@ -60,43 +60,43 @@
 type Quarantiner struct {
 	options Options
 	// asking and storing wake the duties that ask after lives and write records.
-	asking, storing chan struct{}
+	probeWake, storeWake chan struct{}
 
 	mu      sync.Mutex
 	records map[garnetworks.ContentDigest]*record
 	// held tells until when contents are held.
-	held map[garnetworks.ContentDigest]time.Time
+	quarantined map[garnetworks.ContentDigest]time.Time
 	// sound tells when contents were last answered whole; order holds them by the time
 	// at which they were first.
-	sound map[garnetworks.ContentDigest]time.Time
-	order []garnetworks.ContentDigest
+	completed       map[garnetworks.ContentDigest]time.Time
+	completionOrder []garnetworks.ContentDigest
 	// stored are the sums of the records that the object API is known to have.
 	stored map[garnetworks.ContentDigest]uint64
 	// sum is what Sum returns, if summed; each message between nodes asks for it.
-	sum    uint64
-	summed bool
+	checksum      uint64
+	checksumValid bool
 	// news is closed, and made anew, whenever anything is learnt.
-	news chan struct{}
+	updated chan struct{}
 }
 
 // New returns a quarantiner that holds nothing.
 func New(options Options) *Quarantiner {
 	options.ReadWait = cmp.Or(options.ReadWait, DefaultReadWait)
 	return &Quarantiner{
-		options: options, asking: make(chan struct{}, 1), storing: make(chan struct{}, 1),
-		records: make(map[garnetworks.ContentDigest]*record), held: make(map[garnetworks.ContentDigest]time.Time),
-		sound: make(map[garnetworks.ContentDigest]time.Time), stored: make(map[garnetworks.ContentDigest]uint64),
-		news: make(chan struct{}),
+		options: options, probeWake: make(chan struct{}, 1), storeWake: make(chan struct{}, 1),
+		records: make(map[garnetworks.ContentDigest]*record), quarantined: make(map[garnetworks.ContentDigest]time.Time),
+		completed: make(map[garnetworks.ContentDigest]time.Time), stored: make(map[garnetworks.ContentDigest]uint64),
+		updated: make(chan struct{}),
 	}
 }
 
 // Run asks after servers, and reads and writes the object API, until ctx ends.
 func (q *Quarantiner) Run(ctx context.Context) error {
-	duties, ctx := errgroup.WithContext(ctx)
-	duties.Go(func() error { q.ask(ctx); return nil })
-	duties.Go(func() error { q.follow(ctx); return nil })
-	duties.Go(func() error { q.store(ctx); return nil })
-	return duties.Wait()
+	g, ctx := errgroup.WithContext(ctx)
+	g.Go(func() error { q.runProbes(ctx); return nil })
+	g.Go(func() error { q.watchObject(ctx); return nil })
+	g.Go(func() error { q.runStore(ctx); return nil })
+	return g.Wait()
 }
 
 // Quarantined implements garnetworks.Quarantine.
@@ -106,14 +106,14 @@
 // would hold it is due.
 func (q *Quarantiner) Quarantined(ctx context.Context, content garnetworks.ContentDigest) (time.Duration, bool) {
 	for {
-		left, open, news := q.look(time.Now(), content)
-		if left > 0 || open <= 0 {
-			return left, left > 0
+		remaining, proofDue, updated := q.status(time.Now(), content)
+		if remaining > 0 || proofDue <= 0 {
+			return remaining, remaining > 0
 		}
-		timer := time.NewTimer(open)
+		timer := time.NewTimer(proofDue)
 		select {
 		case <-ctx.Done():
-		case <-news:
+		case <-updated:
 		case <-timer.C:
 		}
 		timer.Stop()
@@ -125,26 +125,26 @@
 
 // look returns for how long the content is held, for how long the proof that would hold it
 // is due, and a channel that is closed when anything more is known.
-func (q *Quarantiner) look(now time.Time, content garnetworks.ContentDigest) (left, open time.Duration, news <-chan struct{}) {
+func (q *Quarantiner) status(now time.Time, content garnetworks.ContentDigest) (remaining, proofDue time.Duration, updated <-chan struct{}) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	left = q.held[content].Sub(now)
-	if r := q.records[content]; left <= 0 && r != nil && r.pending() {
-		open = r.last().Add(proofTime).Sub(now)
+	remaining = q.quarantined[content].Sub(now)
+	if r := q.records[content]; remaining <= 0 && r != nil && r.pending() {
+		proofDue = r.lastInterruption().Add(proofTimeout).Sub(now)
 	}
-	return left, open, q.news
+	return remaining, proofDue, q.updated
 }
 
 // ReportInterrupted implements garnetworks.Quarantine.
-func (q *Quarantiner) ReportInterrupted(content garnetworks.ContentDigest, life garnetworks.Incarnation) {
+func (q *Quarantiner) ReportInterrupted(content garnetworks.ContentDigest, incarnation garnetworks.Incarnation) {
 	now := time.Now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	r := q.record(content)
-	r.seen = true
-	if r.join(life, now, garnetworks.CrashSuspected) {
-		q.learnt(now, content, r)
-		q.judge(now)
+	r.observed = true
+	if r.add(incarnation, now, garnetworks.CrashSuspected) {
+		q.markChanged(now, content, r)
+		q.updateQuarantined(now)
 	}
 }
 
@@ -153,17 +153,17 @@
 	now := time.Now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if _, ok := q.sound[content]; !ok {
-		q.order = append(q.order, content)
+	if _, ok := q.completed[content]; !ok {
+		q.completionOrder = append(q.completionOrder, content)
 	}
-	q.sound[content] = now
-	if len(q.order) > mostSound {
-		delete(q.sound, q.order[0])
-		q.order = q.order[1:]
+	q.completed[content] = now
+	if len(q.completionOrder) > maxCompleted {
+		delete(q.completed, q.completionOrder[0])
+		q.completionOrder = q.completionOrder[1:]
 	}
 	if r := q.records[content]; r != nil {
-		q.learnt(now, content, r)
-		q.judge(now)
+		q.markChanged(now, content, r)
+		q.updateQuarantined(now)
 	}
 }
 
@@ -173,7 +173,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	n := 0
-	for _, until := range q.held {
+	for _, until := range q.quarantined {
 		if until.After(now) {
 			n++
 		}
@@ -185,7 +185,7 @@
 func (q *Quarantiner) record(content garnetworks.ContentDigest) *record {
 	r := q.records[content]
 	if r == nil {
-		q.makeRoom()
+		q.evict()
 		r = &record{runs: make(map[garnetworks.Incarnation]run)}
 		q.records[content] = r
 	}
@@ -193,8 +193,8 @@
 }
 
 // makeRoom forgets a record if there are as many as may be (Z7); q.mu is held.
-func (q *Quarantiner) makeRoom() {
-	if len(q.records) < MostRecords {
+func (q *Quarantiner) evict() {
+	if len(q.records) < MaxRecords {
 		return
 	}
 	least := slices.MinFunc(slices.Collect(maps.Keys(q.records)), func(a, b garnetworks.ContentDigest) int {
@@ -205,49 +205,49 @@
 }
 
 // learnt takes that something new is known of a content, before it is judged; q.mu is held.
-func (q *Quarantiner) learnt(now time.Time, content garnetworks.ContentDigest, r *record) {
-	if at := q.sound[content]; at.After(r.answered) && now.Sub(at) < SoundTime {
-		r.answered = at
+func (q *Quarantiner) markChanged(now time.Time, content garnetworks.ContentDigest, r *record) {
+	if at := q.completed[content]; at.After(r.completed) && now.Sub(at) < ExemptionPeriod {
+		r.completed = at
 	}
 	r.changed = now
-	if r.lasting() {
-		signal(q.asking)
-		signal(q.storing)
+	if r.retained() {
+		signal(q.probeWake)
+		signal(q.storeWake)
 	}
 }
 
 // judge decides anew what is held (Z3); q.mu is held.
-func (q *Quarantiner) judge(now time.Time) {
-	close(q.news)
-	q.news = make(chan struct{})
-	q.summed = false
+func (q *Quarantiner) updateQuarantined(now time.Time) {
+	close(q.updated)
+	q.updated = make(chan struct{})
+	q.checksumValid = false
 	var suspects []suspect
 	for content, r := range q.records {
-		if len(r.runs) < MostEnds {
+		if len(r.runs) < CrashThreshold {
 			continue
 		}
-		if ends := r.lives(garnetworks.CrashConnectionRefused); len(ends) >= MostEnds {
-			suspects = append(suspects, suspect{content, ends})
+		if crashes := r.incarnations(garnetworks.CrashConnectionRefused); len(crashes) >= CrashThreshold {
+			suspects = append(suspects, suspect{content, crashes})
 		}
 	}
-	held := make(map[garnetworks.ContentDigest]time.Time)
-	for _, content := range blame(suspects) {
+	quarantined := make(map[garnetworks.ContentDigest]time.Time)
+	for _, content := range findCulprits(suspects) {
 		r := q.records[content]
-		ends := r.lives(garnetworks.CrashConnectionRefused)
-		held[content] = r.last().Add(hold(len(ends)))
-		if held[content].After(now) && !q.held[content].Equal(held[content]) {
-			q.tell(garnetworks.EventCallQuarantined, fmt.Sprintf("content %s is held for %s: %d servers ended under it, among them %s", content, held[content].Sub(now).Round(time.Second), len(ends), ends[len(ends)-1].Instance))
+		crashes := r.incarnations(garnetworks.CrashConnectionRefused)
+		quarantined[content] = r.lastInterruption().Add(quarantineTime(len(crashes)))
+		if quarantined[content].After(now) && !q.quarantined[content].Equal(quarantined[content]) {
+			q.recordEvent(garnetworks.EventCallQuarantined, fmt.Sprintf("content %s is held for %s: %d servers ended under it, among them %s", content, quarantined[content].Sub(now).Round(time.Second), len(crashes), crashes[len(crashes)-1].Instance))
 		}
 	}
-	for content, until := range q.held {
-		if _, still := held[content]; !still && until.After(now) {
-			q.tell(garnetworks.EventCallReleased, fmt.Sprintf("content %s is no longer held: a server answered it, or another one explains the ends", content))
+	for content, until := range q.quarantined {
+		if _, still := quarantined[content]; !still && until.After(now) {
+			q.recordEvent(garnetworks.EventCallReleased, fmt.Sprintf("content %s is no longer held: a server answered it, or another one explains the ends", content))
 		}
 	}
-	q.held = held
+	q.quarantined = quarantined
 }
 
-func (q *Quarantiner) tell(kind garnetworks.EventKind, detail string) {
+func (q *Quarantiner) recordEvent(kind garnetworks.EventKind, detail string) {
 	if q.options.Recorder != nil {
 		q.options.Recorder.Record(garnetworks.Event{Kind: kind, Detail: detail})
 	}
@@ -258,46 +258,46 @@
 	now := time.Now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	news := false
+	updated := false
 	for i := range records {
-		news = q.merge(now, &records[i]) || news
+		updated = q.merge(now, &records[i]) || updated
 	}
-	if news {
-		q.judge(now)
+	if updated {
+		q.updateQuarantined(now)
 	}
 }
 
 // merge takes another node's record (Z5), and reports whether it tells anything new; q.mu
 // is held.
-func (q *Quarantiner) merge(now time.Time, told *garnetworks.ContentRecord) bool {
+func (q *Quarantiner) merge(now time.Time, reported *garnetworks.ContentRecord) bool {
 	age := func(ms int64) time.Time { return now.Add(-time.Duration(max(0, ms)) * time.Millisecond) }
-	news := false
-	r := q.records[told.Digest]
-	if r == nil && len(told.Runs) == 0 {
+	updated := false
+	r := q.records[reported.Digest]
+	if r == nil && len(reported.Runs) == 0 {
 		return false
 	}
 	if r == nil {
-		r = q.record(told.Digest)
+		r = q.record(reported.Digest)
 	}
-	for i := range told.Runs {
-		x := &told.Runs[i]
-		news = r.join(x.Incarnation(), age(x.AgeMS), x.State) || news
+	for i := range reported.Runs {
+		x := &reported.Runs[i]
+		updated = r.add(x.Incarnation(), age(x.AgeMS), x.State) || updated
 	}
 	// Ages grow on the way by some milliseconds, which is no news.
 	const margin = time.Second
-	if told.LastCompletedAgeMS >= 0 && age(told.LastCompletedAgeMS).Sub(r.answered) > margin {
-		r.answered = age(told.LastCompletedAgeMS)
-		news = true
+	if reported.LastCompletedAgeMS >= 0 && age(reported.LastCompletedAgeMS).Sub(r.completed) > margin {
+		r.completed = age(reported.LastCompletedAgeMS)
+		updated = true
 	}
-	if r.until().Before(now) {
-		delete(q.records, told.Digest)
-		q.summed = false
+	if r.expiresAt().Before(now) {
+		delete(q.records, reported.Digest)
+		q.checksumValid = false
 		return false
 	}
-	if news {
-		q.learnt(now, told.Digest, r)
+	if updated {
+		q.markChanged(now, reported.Digest, r)
 	}
-	return news
+	return updated
 }
 
 // Recent implements garnetworks.ContentRecordStore.
@@ -305,42 +305,42 @@
 	now := time.Now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.told(now, q.chosen(mostTold, func(r *record) bool { return now.Sub(r.changed) < recentTime }))
+	return q.reports(now, q.selectContents(maxReported, func(r *record) bool { return now.Sub(r.changed) < recentPeriod }))
 }
 
 // Retained implements garnetworks.ContentRecordStore.
 func (q *Quarantiner) Retained() []garnetworks.ContentRecord {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.told(time.Now(), q.lasting())
+	return q.reports(time.Now(), q.retained())
 }
 
 // lasting returns the contents whose records last; q.mu is held.
-func (q *Quarantiner) lasting() []garnetworks.ContentDigest {
-	return q.chosen(MostStored, (*record).lasting)
+func (q *Quarantiner) retained() []garnetworks.ContentDigest {
+	return q.selectContents(MaxStored, (*record).retained)
 }
 
 // chosen returns the contents of which something holds, those with the most runs first;
 // q.mu is held. The order is the same at all nodes that know the same, so that they leave
 // the same ones out.
-func (q *Quarantiner) chosen(most int, holds func(*record) bool) []garnetworks.ContentDigest {
+func (q *Quarantiner) selectContents(limit int, keep func(*record) bool) []garnetworks.ContentDigest {
 	var list []garnetworks.ContentDigest
 	for content, r := range q.records {
-		if holds(r) {
+		if keep(r) {
 			list = append(list, content)
 		}
 	}
 	slices.SortFunc(list, func(a, b garnetworks.ContentDigest) int {
 		return cmp.Or(cmp.Compare(len(q.records[b].runs), len(q.records[a].runs)), cmp.Compare(a, b))
 	})
-	return list[:min(len(list), most)]
+	return list[:min(len(list), limit)]
 }
 
 // told returns the records of contents; q.mu is held.
-func (q *Quarantiner) told(now time.Time, contents []garnetworks.ContentDigest) []garnetworks.ContentRecord {
+func (q *Quarantiner) reports(now time.Time, contents []garnetworks.ContentDigest) []garnetworks.ContentRecord {
 	var list []garnetworks.ContentRecord
 	for _, content := range contents {
-		list = append(list, q.records[content].tell(content, now))
+		list = append(list, q.records[content].report(content, now))
 	}
 	return list
 }
@@ -349,25 +349,25 @@
 func (q *Quarantiner) Checksum() uint64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if !q.summed {
-		q.sum, q.summed = 0, true
-		for _, content := range q.lasting() {
-			q.sum ^= q.records[content].sum(content)
+	if !q.checksumValid {
+		q.checksum, q.checksumValid = 0, true
+		for _, content := range q.retained() {
+			q.checksum ^= q.records[content].checksum(content)
 		}
 	}
-	return q.sum
+	return q.checksum
 }
 
 // forget drops what is no longer needed (Z7).
-func (q *Quarantiner) forget() {
+func (q *Quarantiner) expire() {
 	now := time.Now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	before := len(q.records)
-	maps.DeleteFunc(q.records, func(_ garnetworks.ContentDigest, r *record) bool { return r.until().Before(now) })
+	maps.DeleteFunc(q.records, func(_ garnetworks.ContentDigest, r *record) bool { return r.expiresAt().Before(now) })
 	maps.DeleteFunc(q.stored, func(content garnetworks.ContentDigest, _ uint64) bool { return q.records[content] == nil })
 	if len(q.records) != before {
-		q.judge(now)
+		q.updateQuarantined(now)
 	}
 }
 
--- a/quarantiner/quarantiner_test.go
+++ b/quarantiner/quarantiner_test.go
@@ -16,23 +16,23 @@
 )
 
 // newQuiet returns a quarantiner whose duties don't run.
-func newQuiet() *Quarantiner { return New(Options{}) }
+func newIdle() *Quarantiner { return New(Options{}) }
 
-func life(n int) garnetworks.Incarnation {
+func incarnation(n int) garnetworks.Incarnation {
 	return garnetworks.Incarnation{Instance: garnetworks.InstanceID(fmt.Sprint("i", n))}
 }
 
 // ended breaks a content off at some lives whose end is proven.
-func (q *Quarantiner) ended(content garnetworks.ContentDigest, lives ...int) {
-	for _, n := range lives {
-		q.ReportInterrupted(content, life(n))
-		q.settle(time.Now(), life(n), garnetworks.CrashProven)
+func (q *Quarantiner) reportCrashes(content garnetworks.ContentDigest, incarnations ...int) {
+	for _, n := range incarnations {
+		q.ReportInterrupted(content, incarnation(n))
+		q.applyResult(time.Now(), incarnation(n), garnetworks.CrashProven)
 	}
 }
 
-func (q *Quarantiner) holds(content garnetworks.ContentDigest) bool {
-	_, held := q.Quarantined(context.Background(), content)
-	return held
+func (q *Quarantiner) isQuarantined(content garnetworks.ContentDigest) bool {
+	_, quarantined := q.Quarantined(context.Background(), content)
+	return quarantined
 }
 
 // Story: many callers ask the same thing of a public page, and a domain goes dark: three
@@ -40,26 +40,26 @@
 // though engines answer it.
 func TestAnsweredContentIsSound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := newQuiet()
+		q := newIdle()
 		q.ReportCompleted("popular")
 		time.Sleep(time.Second)
-		q.ended("popular", 1, 2, 3, 4)
-		if q.holds("popular") {
+		q.reportCrashes("popular", 1, 2, 3, 4)
+		if q.isQuarantined("popular") {
 			t.Error("a content that was answered a moment ago is held")
 		}
-		other := newQuiet()
-		other.ended("popular", 5, 6, 7)
-		if !other.holds("popular") {
+		other := newIdle()
+		other.reportCrashes("popular", 5, 6, 7)
+		if !other.isQuarantined("popular") {
 			t.Fatal("three ends are not enough")
 		}
 		other.Merge(q.Recent())
-		if other.holds("popular") {
+		if other.isQuarantined("popular") {
 			t.Error("another node's word that it was answered does not count")
 		}
 		// It is not sound for good: what ends servers later is held.
-		time.Sleep(SoundTime + time.Second)
-		q.ended("popular", 8, 9, 10)
-		if !q.holds("popular") {
+		time.Sleep(ExemptionPeriod + time.Second)
+		q.reportCrashes("popular", 8, 9, 10)
+		if !q.isQuarantined("popular") {
 			t.Error("a content that was answered long ago is never held")
 		}
 	})
@@ -69,41 +69,41 @@
 // call was taken for what ended them.
 func TestLivesThatAnswerAreNotBlamed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := newQuiet()
+		q := newIdle()
 		for n := range 4 {
-			q.ReportInterrupted("x", life(n))
+			q.ReportInterrupted("x", incarnation(n))
 		}
 		began := time.Now()
 		for n := range 4 {
-			q.settle(began, life(n), garnetworks.CrashRefuted)
+			q.applyResult(began, incarnation(n), garnetworks.CrashRefuted)
 		}
-		if q.holds("x") {
+		if q.isQuarantined("x") {
 			t.Error("a content is held under which no server ended")
 		}
 		// A node that took them for ended hears of it, also by way of the object API.
-		later := newQuiet()
-		later.ended("x", 0, 1, 2)
+		later := newIdle()
+		later.reportCrashes("x", 0, 1, 2)
 		value, err := encode(time.Now(), q.Retained())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if later.TakeObject(value); !later.holds("x") {
+		if later.MergeObject(value); !later.isQuarantined("x") {
 			t.Error("what is proven by more than refused connections is withdrawn")
 		}
-		refused := newQuiet()
+		refused := newIdle()
 		for n := range 3 {
-			refused.ReportInterrupted("x", life(n))
-			refused.settle(time.Now(), life(n), garnetworks.CrashConnectionRefused)
+			refused.ReportInterrupted("x", incarnation(n))
+			refused.applyResult(time.Now(), incarnation(n), garnetworks.CrashConnectionRefused)
 		}
-		if refused.TakeObject(value); refused.holds("x") {
+		if refused.MergeObject(value); refused.isQuarantined("x") {
 			t.Error("a node goes on with what was refuted")
 		}
 		// An answer to a question from before the break proves nothing.
 		time.Sleep(time.Second)
-		q.ReportInterrupted("y", life(5))
-		q.ReportInterrupted("y", life(6))
-		q.settle(began, life(5), garnetworks.CrashRefuted)
-		if n := len(q.doubts(time.Now())); n != 2 {
+		q.ReportInterrupted("y", incarnation(5))
+		q.ReportInterrupted("y", incarnation(6))
+		q.applyResult(began, incarnation(5), garnetworks.CrashRefuted)
+		if n := len(q.dueProbes(time.Now())); n != 2 {
 			t.Errorf("%d lives are in doubt, want 2: an older answer refutes no later end", n)
 		}
 	})
@@ -116,29 +116,29 @@
 func TestRefusedConnectionsAreWithdrawnOnceTheServersAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var over atomic.Bool
-		node, other := newQuiet(), newQuiet()
-		node.options.Prove = func(context.Context, garnetworks.Incarnation, bool) garnetworks.CrashState {
+		node, other := newIdle(), newIdle()
+		node.options.Probe = func(context.Context, garnetworks.Incarnation, bool) garnetworks.CrashState {
 			if over.Load() {
 				return garnetworks.CrashRefuted
 			}
 			return garnetworks.CrashConnectionRefused
 		}
 		ctx, stop := context.WithCancel(t.Context())
-		go node.ask(ctx)
+		go node.runProbes(ctx)
 		for n := range 3 {
-			node.ReportInterrupted("sound", life(n))
+			node.ReportInterrupted("sound", incarnation(n))
 		}
 		time.Sleep(time.Second)
 		other.Merge(node.Retained())
 		over.Store(true)
-		time.Sleep(2 * longestAgain)
-		if node.holds("sound") {
+		time.Sleep(2 * probeBackoffMax)
+		if node.isQuarantined("sound") {
 			t.Error("the call is held though its servers answer")
 		}
 		if node.Checksum() == other.Checksum() {
 			t.Error("nodes that know different things tell the same sum")
 		}
-		if other.Merge(node.Retained()); other.holds("sound") {
+		if other.Merge(node.Retained()); other.isQuarantined("sound") {
 			t.Error("another node holds it")
 		}
 		stop()
@@ -150,17 +150,17 @@
 // was repeated at a fourth one.
 func TestCallWaitsForTheProofThatWouldHoldIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := newQuiet()
-		q.ended("x", 1, 2)
-		q.ReportInterrupted("x", life(3))
-		time.AfterFunc(5*time.Millisecond, func() { q.settle(time.Now(), life(3), garnetworks.CrashProven) })
-		if !q.holds("x") {
+		q := newIdle()
+		q.reportCrashes("x", 1, 2)
+		q.ReportInterrupted("x", incarnation(3))
+		time.AfterFunc(5*time.Millisecond, func() { q.applyResult(time.Now(), incarnation(3), garnetworks.CrashProven) })
+		if !q.isQuarantined("x") {
 			t.Error("the call goes on before the proof")
 		}
-		q.ended("y", 4, 5)
-		q.ReportInterrupted("y", life(6))
+		q.reportCrashes("y", 4, 5)
+		q.ReportInterrupted("y", incarnation(6))
 		began := time.Now()
-		if q.holds("y") || time.Since(began) > proofTime {
+		if q.isQuarantined("y") || time.Since(began) > proofTimeout {
 			t.Errorf("without a proof the call waits for %s, or for good", time.Since(began))
 		}
 	})
@@ -170,27 +170,27 @@
 // end up to LongestHold; what is not held is forgotten.
 func TestHoldsEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := newQuiet()
-		q.ended("x", 1, 2, 3)
-		for n, want := range []time.Duration{FirstHold, 2 * FirstHold, 4 * FirstHold} {
+		q := newIdle()
+		q.reportCrashes("x", 1, 2, 3)
+		for n, want := range []time.Duration{MinQuarantine, 2 * MinQuarantine, 4 * MinQuarantine} {
 			if left, _ := q.Quarantined(t.Context(), "x"); left != want {
 				t.Errorf("after %d ends it is held for %s, want %s", 3+n, left, want)
 			}
 			time.Sleep(want)
-			q.forget()
-			if q.holds("x") {
+			q.expire()
+			if q.isQuarantined("x") {
 				t.Error("a hold does not end")
 			}
-			q.ended("x", 4+n)
+			q.reportCrashes("x", 4+n)
 		}
 		for n := range 20 {
-			q.ended("x", 10+n)
+			q.reportCrashes("x", 10+n)
 		}
-		if left, _ := q.Quarantined(t.Context(), "x"); left != LongestHold {
-			t.Errorf("it is held for %s, want %s at most", left, LongestHold)
+		if left, _ := q.Quarantined(t.Context(), "x"); left != MaxQuarantine {
+			t.Errorf("it is held for %s, want %s at most", left, MaxQuarantine)
 		}
-		time.Sleep(2*LongestHold + time.Second)
-		q.forget()
+		time.Sleep(2*MaxQuarantine + time.Second)
+		q.expire()
 		if n := len(q.records); n != 0 {
 			t.Errorf("%d records are kept for good", n)
 		}
@@ -201,24 +201,24 @@
 // of the few that matter must not be lost among them, and memory is bounded.
 func TestRecordsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := newQuiet()
-		q.ended("x", 1, 2, 3)
-		for n := range 2 * MostRecords {
-			q.ReportInterrupted(garnetworks.ContentDigest(fmt.Sprint("c", n)), life(100+n%40))
+		q := newIdle()
+		q.reportCrashes("x", 1, 2, 3)
+		for n := range 2 * MaxRecords {
+			q.ReportInterrupted(garnetworks.ContentDigest(fmt.Sprint("c", n)), incarnation(100+n%40))
 		}
-		for n := range 2 * MostRuns {
-			q.ReportInterrupted("many", life(200+n))
+		for n := range 2 * MaxRuns {
+			q.ReportInterrupted("many", incarnation(200+n))
 		}
-		for n := range 3 * mostSound {
+		for n := range 3 * maxCompleted {
 			q.ReportCompleted(garnetworks.ContentDigest(fmt.Sprint("s", n)))
 		}
-		if len(q.records) > MostRecords || len(q.records["many"].runs) > MostRuns || len(q.sound) > mostSound || len(q.order) > mostSound {
-			t.Errorf("%d records, %d runs, %d sound contents", len(q.records), len(q.records["many"].runs), len(q.sound))
+		if len(q.records) > MaxRecords || len(q.records["many"].runs) > MaxRuns || len(q.completed) > maxCompleted || len(q.completionOrder) > maxCompleted {
+			t.Errorf("%d records, %d runs, %d sound contents", len(q.records), len(q.records["many"].runs), len(q.completed))
 		}
-		if !q.holds("x") {
+		if !q.isQuarantined("x") {
 			t.Error("a content that is held was forgotten")
 		}
-		if n := len(q.Recent()); n > mostTold {
+		if n := len(q.Recent()); n > maxReported {
 			t.Errorf("%d records in a message", n)
 		}
 	})
@@ -228,30 +228,30 @@
 // tell the same sum (rule Z5).
 func TestNodesThatHeardTheSameDecideTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var told []garnetworks.ContentRecord
+		var reported []garnetworks.ContentRecord
 		contents := []garnetworks.ContentDigest{"x", "y", "z"}
 		for range rapid.IntRange(1, 30).Draw(t, "records") {
 			r := garnetworks.ContentRecord{Digest: rapid.SampledFrom(contents).Draw(t, "content"), LastCompletedAgeMS: -1}
 			for range rapid.IntRange(1, 3).Draw(t, "runs") {
 				r.Runs = append(r.Runs, garnetworks.InterruptedRun{
-					Instance: life(rapid.IntRange(0, 6).Draw(t, "life")).Instance, AgeMS: 5,
+					Instance: incarnation(rapid.IntRange(0, 6).Draw(t, "life")).Instance, AgeMS: 5,
 					State: garnetworks.CrashState(rapid.IntRange(0, 3).Draw(t, "state")),
 				})
 			}
-			told = append(told, r)
+			reported = append(reported, r)
 		}
-		a, b, c := newQuiet(), newQuiet(), newQuiet()
-		a.Merge(told)
-		for _, r := range rapid.Permutation(told).Draw(t, "order") {
+		a, b, c := newIdle(), newIdle(), newIdle()
+		a.Merge(reported)
+		for _, r := range rapid.Permutation(reported).Draw(t, "order") {
 			b.Merge([]garnetworks.ContentRecord{r, r})
 		}
 		c.Merge(b.Retained())
-		heldBy := func(q *Quarantiner) []garnetworks.ContentDigest { return slices.Sorted(maps.Keys(q.held)) }
+		quarantinedBy := func(q *Quarantiner) []garnetworks.ContentDigest { return slices.Sorted(maps.Keys(q.quarantined)) }
 		if a.Checksum() != b.Checksum() || a.Checksum() != c.Checksum() {
 			t.Fatalf("sums %x, %x, %x", a.Checksum(), b.Checksum(), c.Checksum())
 		}
-		if !slices.Equal(heldBy(a), heldBy(b)) || !slices.Equal(heldBy(a), heldBy(c)) {
-			t.Fatalf("held are %v, %v, %v", heldBy(a), heldBy(b), heldBy(c))
+		if !slices.Equal(quarantinedBy(a), quarantinedBy(b)) || !slices.Equal(quarantinedBy(a), quarantinedBy(c)) {
+			t.Fatalf("held are %v, %v, %v", quarantinedBy(a), quarantinedBy(b), quarantinedBy(c))
 		}
 	})
 }
@@ -259,8 +259,8 @@
 // What is stored reads back as it was; what another program wrote there is refused or
 // bounded, and never ends the node.
 func FuzzDecode(f *testing.F) {
-	q := newQuiet()
-	q.ended("x", 1, 2, 3)
+	q := newIdle()
+	q.reportCrashes("x", 1, 2, 3)
 	value, err := encode(time.Now(), q.Retained())
 	if err != nil {
 		f.Fatal(err)
@@ -273,13 +273,13 @@
 		if err != nil {
 			return
 		}
-		if len(records) > MostStored {
+		if len(records) > MaxStored {
 			t.Errorf("%d records", len(records))
 		}
-		q := newQuiet()
+		q := newIdle()
 		q.Merge(records)
 		for _, r := range q.Retained() {
-			if len(r.Runs) > MostRuns {
+			if len(r.Runs) > MaxRuns {
 				t.Errorf("%d runs", len(r.Runs))
 			}
 			for _, x := range r.Runs {
--- a/quarantiner/site_test.go
+++ b/quarantiner/site_test.go
@@ -15,7 +15,7 @@
 )
 
 // heardTime is within what sites give all nodes to hear of a third end.
-const heardTime = 3 * time.Second
+const propagationTime = 3 * time.Second
 
 // site is nodes that exchange records and share an object API. Each server ends once.
 type site struct {
@@ -26,7 +26,7 @@
 	nodes map[string]*node
 	next  int
 	// probes counts the questions to servers, ended the servers that ended.
-	probes, ended int
+	probes, crashed int
 	// silent servers give no answer to questions.
 	silent bool
 }
@@ -36,20 +36,20 @@
 	exchanger *exchanger.Exchanger
 	info      garnetworks.NodeInfo
 	// part tells which nodes it reaches: those of the same one.
-	part int
+	partition int
 	// storeless nodes don't reach the object API.
-	storeless bool
-	stop      context.CancelFunc
+	noObjectAPI bool
+	stop        context.CancelFunc
 }
 
-func newSite(t *testing.T, zones, each int) *site {
+func newSite(t *testing.T, zones, perZone int) *site {
 	s := &site{t: t, objects: faker.NewObjects(faker.ObjectsOptions{}), nodes: make(map[string]*node)}
 	for z := range zones {
-		for range each {
+		for range perZone {
 			s.start(z)
 		}
 	}
-	time.Sleep(heardTime)
+	time.Sleep(propagationTime)
 	return s
 }
 
@@ -61,10 +61,10 @@
 	n := &node{info: garnetworks.NodeInfo{ID: garnetworks.NodeID(address), Address: address, Zone: garnetworks.ZoneID(fmt.Sprint(zone)), Region: "r"}}
 	s.mu.Unlock()
 	n.Quarantiner = quarantiner.New(quarantiner.Options{
-		Prove: s.prove, Objects: &view{s.objects, s, n}, Reads: func() bool { return n.exchanger.Reads() },
+		Probe: s.probe, Objects: &nodeObjects{s.objects, s, n}, Reads: func() bool { return n.exchanger.Reads() },
 	})
 	n.exchanger = exchanger.New(exchanger.Options{
-		Peers: caller{s, n}, Self: func() garnetworks.NodeInfo { return n.info }, Nodes: func() []garnetworks.NodeInfo { return s.others(n) },
+		Peers: peerCaller{s, n}, Self: func() garnetworks.NodeInfo { return n.info }, Nodes: func() []garnetworks.NodeInfo { return s.others(n) },
 		Load: func() garnetworks.LoadReport { return garnetworks.LoadReport{} }, Take: func(garnetworks.LoadReport, bool) {},
 		Suspect: func(garnetworks.GroupID) {}, Contents: n.Quarantiner,
 	})
@@ -112,10 +112,10 @@
 }
 
 // prove tells of each server that it has ended.
-func (s *site) prove(_ context.Context, _ garnetworks.Incarnation, ask bool) garnetworks.CrashState {
+func (s *site) probe(_ context.Context, _ garnetworks.Incarnation, unregistered bool) garnetworks.CrashState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !ask {
+	if !unregistered {
 		return garnetworks.CrashSuspected
 	}
 	s.probes++
@@ -127,33 +127,33 @@
 
 // crash sends the crashing call to a node, which repeats it once as a route allows, and
 // returns the number of servers that ended.
-func (s *site) crash(n *node, attempts int) (ended int) {
+func (s *site) crash(n *node, attempts int) (crashed int) {
 	for range attempts {
-		if _, held := n.Quarantined(s.t.Context(), "x"); held {
-			return ended
+		if _, quarantined := n.Quarantined(s.t.Context(), "x"); quarantined {
+			return crashed
 		}
 		s.mu.Lock()
 		s.next++
-		s.ended++
-		life := garnetworks.Incarnation{Instance: garnetworks.InstanceID(fmt.Sprint("i", s.next))}
+		s.crashed++
+		incarnation := garnetworks.Incarnation{Instance: garnetworks.InstanceID(fmt.Sprint("i", s.next))}
 		s.mu.Unlock()
-		ended++
-		n.ReportInterrupted("x", life)
+		crashed++
+		n.ReportInterrupted("x", incarnation)
 	}
-	return ended
+	return crashed
 }
 
 // caller is a node's way to the others.
-type caller struct {
+type peerCaller struct {
 	site *site
 	from *node
 }
 
 // Exchange implements garnetworks.ExchangeCaller.
-func (c caller) Exchange(ctx context.Context, address string, request *garnetworks.ExchangeRequest) (*garnetworks.ExchangeResponse, error) {
+func (c peerCaller) Exchange(ctx context.Context, address string, request *garnetworks.ExchangeRequest) (*garnetworks.ExchangeResponse, error) {
 	c.site.mu.Lock()
 	to := c.site.nodes[address]
-	cut := to == nil || to.part != c.from.part
+	cut := to == nil || to.partition != c.from.partition
 	c.site.mu.Unlock()
 	if cut {
 		<-ctx.Done()
@@ -163,43 +163,43 @@
 }
 
 // view is a node's way to the object API.
-type view struct {
+type nodeObjects struct {
 	*faker.Objects
 	site *site
 	node *node
 }
 
-func (v *view) cut() error {
+func (v *nodeObjects) cut() error {
 	v.site.mu.Lock()
 	defer v.site.mu.Unlock()
-	if v.node.storeless {
+	if v.node.noObjectAPI {
 		return garnetworks.Errorf(garnetworks.KindObjectAPIDown, "cut")
 	}
 	return nil
 }
 
-func (v *view) Get(ctx context.Context, key string) (garnetworks.Object, error) {
+func (v *nodeObjects) Get(ctx context.Context, key string) (garnetworks.Object, error) {
 	if err := v.cut(); err != nil {
 		return garnetworks.Object{}, err
 	}
 	return v.Objects.Get(ctx, key)
 }
 
-func (v *view) Put(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
+func (v *nodeObjects) Put(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
 	if err := v.cut(); err != nil {
 		return 0, err
 	}
 	return v.Objects.Put(ctx, key, value, after)
 }
 
-func (v *view) List(ctx context.Context, prefix string) ([]garnetworks.Object, garnetworks.Revision, error) {
+func (v *nodeObjects) List(ctx context.Context, prefix string) ([]garnetworks.Object, garnetworks.Revision, error) {
 	if err := v.cut(); err != nil {
 		return nil, 0, err
 	}
 	return v.Objects.List(ctx, prefix)
 }
 
-func (v *view) Watch(ctx context.Context, prefix string, after garnetworks.Revision, wait time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
+func (v *nodeObjects) Watch(ctx context.Context, prefix string, after garnetworks.Revision, wait time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
 	if err := v.cut(); err != nil {
 		return nil, 0, err
 	}
@@ -219,7 +219,7 @@
 // each must know within three seconds of the third end.
 func TestEachNodeKnowsWhatEndedServers(t *testing.T) {
 	const attempts = 2
-	sizes := map[string]struct{ zones, each int }{"six nodes, one cell": {3, 2}, "24 nodes, three cells": {3, 8}}
+	sizes := map[string]struct{ zones, perZone int }{"six nodes, one cell": {3, 2}, "24 nodes, three cells": {3, 8}}
 	cases := map[string]func(s *site){
 		"all in touch": func(s *site) {
 			s.crash(s.all()[0], attempts)
@@ -232,7 +232,7 @@
 		},
 		"all killed at once": func(s *site) {
 			s.crash(s.all()[0], attempts)
-			time.Sleep(heardTime)
+			time.Sleep(propagationTime)
 			s.crash(s.all()[1], attempts)
 			time.Sleep(time.Second)
 			for _, n := range s.all() {
@@ -253,46 +253,46 @@
 		},
 		"the node that saw it is killed at once": func(s *site) {
 			s.crash(s.all()[0], attempts)
-			time.Sleep(heardTime)
+			time.Sleep(propagationTime)
 			s.crash(s.all()[2], 1)
 			time.Sleep(exchanger.Interval * 2)
 			s.kill(s.all()[2])
 		},
 		"nodes cut off from the others, in touch with the object API": func(s *site) {
 			for i, n := range s.all() {
-				s.set(n, func(n *node) { n.part = i % 3 })
+				s.set(n, func(n *node) { n.partition = i % 3 })
 			}
-			time.Sleep(heardTime)
+			time.Sleep(propagationTime)
 			s.crash(s.all()[0], attempts)
 			time.Sleep(time.Second)
 			s.crash(s.all()[1], attempts)
 		},
 		"cut off from all while it happened": func(s *site) {
 			last := s.all()[len(s.all())-1]
-			s.set(last, func(n *node) { n.part, n.storeless = 9, true })
-			time.Sleep(heardTime)
+			s.set(last, func(n *node) { n.partition, n.noObjectAPI = 9, true })
+			time.Sleep(propagationTime)
 			s.crash(s.all()[0], attempts)
 			time.Sleep(time.Second)
 			s.crash(s.all()[1], attempts)
 			time.Sleep(time.Minute)
-			s.set(last, func(n *node) { n.part, n.storeless = 0, false })
+			s.set(last, func(n *node) { n.partition, n.noObjectAPI = 0, false })
 		},
 		"cut off from the others while it happened, the object API away": func(s *site) {
 			s.objects.SetFaults(faker.FaultPlan{Down: true})
 			last := s.all()[len(s.all())-1]
-			s.set(last, func(n *node) { n.part = 9 })
-			time.Sleep(heardTime)
+			s.set(last, func(n *node) { n.partition = 9 })
+			time.Sleep(propagationTime)
 			s.crash(s.all()[0], attempts)
 			s.crash(s.all()[0], attempts)
 			time.Sleep(time.Minute)
-			s.set(last, func(n *node) { n.part = 0 })
+			s.set(last, func(n *node) { n.partition = 0 })
 		},
 		"who saw it does not reach the object API": func(s *site) {
 			first := s.all()[0]
-			s.set(first, func(n *node) { n.storeless = true })
+			s.set(first, func(n *node) { n.noObjectAPI = true })
 			s.crash(first, attempts)
 			s.crash(first, attempts)
-			time.Sleep(heardTime)
+			time.Sleep(propagationTime)
 			for _, n := range s.all() {
 				s.kill(n)
 				s.start(0)
@@ -304,7 +304,7 @@
 			s.crash(s.all()[0], attempts)
 			time.Sleep(10 * time.Second)
 			s.objects.SetFaults(faker.FaultPlan{})
-			time.Sleep(heardTime)
+			time.Sleep(propagationTime)
 			for _, n := range s.all() {
 				s.kill(n)
 				s.start(0)
@@ -314,7 +314,7 @@
 			s.objects.SetFaults(faker.FaultPlan{LoseAnswers: 3, Methods: []string{faker.MethodPut}})
 			s.crash(s.all()[0], attempts)
 			s.crash(s.all()[0], attempts)
-			time.Sleep(heardTime)
+			time.Sleep(propagationTime)
 			for _, n := range s.all() {
 				s.kill(n)
 				s.start(0)
@@ -326,7 +326,7 @@
 			}
 			s.crash(s.all()[0], attempts)
 			s.crash(s.all()[0], attempts)
-			time.Sleep(heardTime)
+			time.Sleep(propagationTime)
 			for _, n := range s.all() {
 				s.kill(n)
 				s.start(0)
@@ -334,21 +334,21 @@
 		},
 	}
 	for size, z := range sizes {
-		for name, play := range cases {
+		for name, run := range cases {
 			t.Run(size+"/"+name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					s := newSite(t, z.zones, z.each)
-					play(s)
-					time.Sleep(heardTime)
-					ended, more := s.ended, 0
+					s := newSite(t, z.zones, z.perZone)
+					run(s)
+					time.Sleep(propagationTime)
+					crashed, more := s.crashed, 0
 					for range 3 {
 						for _, n := range s.all() {
 							more += s.crash(n, attempts)
 							time.Sleep(50 * time.Millisecond)
 						}
 					}
-					if ended < quarantiner.MostEnds || more > 0 {
-						t.Errorf("%d servers more ended after %d, want none after %d", more, ended, quarantiner.MostEnds)
+					if crashed < quarantiner.CrashThreshold || more > 0 {
+						t.Errorf("%d servers more ended after %d, want none after %d", more, crashed, quarantiner.CrashThreshold)
 					}
 					if s.probes > 40 {
 						t.Errorf("%d questions to servers", s.probes)
--- a/runner/held_test.go
+++ b/runner/held_test.go
@@ -53,8 +53,8 @@
 				t.Errorf("a sound call at node %s got %+v", id, a)
 			}
 		}
-		if n := ended(); n > quarantiner.MostEnds {
-			t.Errorf("%d engines ended, want %d", n, quarantiner.MostEnds)
+		if n := ended(); n > quarantiner.CrashThreshold {
+			t.Errorf("%d engines ended, want %d", n, quarantiner.CrashThreshold)
 		}
 	})
 }
--- a/runner/join.go
+++ b/runner/join.go
@@ -103,7 +103,7 @@
 
 func (r *Runner) joinCalls(options Options) {
 	r.quarantine = quarantiner.New(quarantiner.Options{
-		Prove: r.prove, Objects: r.platform.Objects, Recorder: r.events,
+		Probe: r.prove, Objects: r.platform.Objects, Recorder: r.events,
 		Reads: r.committer.Watches, ReadWait: watcher.DefaultWait,
 		Publish: func(value []byte, revision garnetworks.Revision) {
 			r.publish(garnetworks.Update{Topic: garnetworks.TopicQuarantinedCalls, Version: garnetworks.UpdateVersion{Sequence: uint64(revision)}, Body: value})
@@ -150,7 +150,7 @@
 	case committer.Topics(u.Topic):
 		r.committer.OnUpdate(u)
 	case u.Topic == garnetworks.TopicQuarantinedCalls:
-		r.quarantine.TakeObject(u.Body)
+		r.quarantine.MergeObject(u.Body)
 	case r.views.take(u):
 	case r.reports.take(u):
 	default:
--- a/runner/prover.go
+++ b/runner/prover.go
@@ -105,7 +105,7 @@
 		}
 	}
 	others = slices.DeleteFunc(others, func(address string) bool { return address == not })
-	return quarantiner.AnyAnswers(others, func(address string) bool { return dial(ctx, address) == nil })
+	return quarantiner.AnyReachable(others, func(address string) bool { return dial(ctx, address) == nil })
 }
 
 // dial opens a connection and closes it again.
