--- a/quarantiner/asker.go
+++ b/quarantiner/asker.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// askEvery is how often lives that are in doubt are looked through.
+	// checkInterval is the time between two looks for incarnations to probe.
 	checkInterval = 100 * time.Millisecond
-	// askAgain is the time to the second question, and doubles with each. A host that does
-	// not answer is dark or cut off.
+	// probeBackoffMin is the base of the time between probes, which doubles with each probe.
+	// A host that does not answer is down or partitioned.
 	probeBackoffMin = 150 * time.Millisecond
-	// longestAgain bounds that time.
+	// probeBackoffMax bounds that time.
 	probeBackoffMax = 2 * time.Second
-	// mostAsked is the number of questions to a server whose entry is gone: nothing new is
-	// to be learnt of it before its entry, or that of its next life, is back.
+	// maxUnregisteredProbes bounds the probes of a server that is no longer registered: they
+	// yield nothing new until it, or its next incarnation, is registered again.
 	maxUnregisteredProbes = 3
-	// longestDoubt is how long after a call broke off the server's end is put down to it: a
-	// partition lasts seconds, and so does a start. One that ends later may have any cause.
+	// probeWindow is how long after an interrupted call a crash of the server is attributed
+	// to it. A crash found later may have any cause.
 	probeWindow = time.Minute
-	// mostAtOnce bounds the questions in flight.
+	// maxConcurrentProbes bounds the probes in flight.
 	maxConcurrentProbes = 8
-	// forgetEvery is how often old records are looked for.
+	// expiryInterval is the time between two removals of expired records.
 	expiryInterval = 10 * time.Second
 )
 
-// ask finds out which of the lives have ended that matter (Z2).
+// runProbes probes the servers whose crash is neither proven nor refuted (Z2).
 func (q *Quarantiner) runProbes(ctx context.Context) {
 	ticker, old := time.NewTicker(checkInterval), time.NewTicker(expiryInterval)
 	defer ticker.Stop()
@@ -54,21 +54,20 @@
 	}
 }
 
-// doubt is a life of which it shall be found out whether it has ended.
+// dueProbe is an incarnation to be probed.
 type dueProbe struct {
 	incarnation garnetworks.Incarnation
-	// ask says that the server shall be asked also if its entry is gone.
+	// unregistered allows a probe of a server that is no longer registered.
 	unregistered bool
 }
 
-// doubts returns the lives that matter and are due: those under which a content broke off
-// that has others, of contents that this node saw. So a loss costs no question, since the
-// calls that it breaks off have one life each.
+// dueProbes returns the incarnations that are due for a probe: those of contents that this
+// node saw interrupted and that have RetainThreshold runs or more. The loss of one server
+// thus causes no probes, since the calls that it interrupts have one run each.
 //
-// Failure: a zone is cut off in such a way that its nodes' connections are refused. The
-// servers beyond the cut were taken for ended, and a sound call that had met three of them
-// was held at all nodes. So a life that only refuses connections is asked again whenever
-// its entry is there; its answer releases the call.
+// Refused connections alone are probed again while the server is registered: a partition
+// can cause them, and a harmless call that met three such servers would otherwise stay
+// quarantined at all nodes.
 func (q *Quarantiner) dueProbes(now time.Time) []dueProbe {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -96,14 +95,14 @@
 	return list
 }
 
-// againAfter is the time from a question to the next one.
+// probeBackoff returns the time from one probe to the next, by the number of probes so far.
 func probeBackoff(probes int) time.Duration {
 	const doublings = 5
 	return min(probeBackoffMax, probeBackoffMin<<min(probes, doublings))
 }
 
-// settle takes what was found out of a life; an answer refutes what broke off before it
-// was asked for.
+// applyResult records the result of a probe that began at the given time. A refutation
+// covers only calls that were interrupted before the probe began.
 func (q *Quarantiner) applyResult(began time.Time, incarnation garnetworks.Incarnation, state garnetworks.CrashState) {
 	if state == garnetworks.CrashSuspected {
 		return
@@ -127,14 +126,14 @@
 	}
 }
 
-// mostReached is the number of others that are asked whether a zone is reached; one or two
-// of them may have ended as well.
+// maxOthersTried bounds the other servers that are tried to learn whether a zone is reachable;
+// one or two of them may have crashed as well.
 const maxOthersTried = 3
 
-// AnyReachable reports whether any of a few of the others beside a server answers.
+// AnyReachable reports whether any of the first few other servers is reachable.
 //
-// Failure: a node is cut off from a zone in such a way that its connections there are
-// refused. It shows at all servers of the zone alike, and says nothing of any of them.
+// A partition can make a node's connections to a zone be refused. All servers of the zone
+// are affected alike, so that a refused connection says nothing of a single server.
 func AnyReachable[T any](others []T, reachable func(T) bool) bool {
 	return slices.ContainsFunc(others[:min(len(others), maxOthersTried)], reachable)
 }
--- a/quarantiner/asker_test.go
+++ b/quarantiner/asker_test.go
@@ -10,7 +10,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// world answers questions about lives.
+// fakeProber answers probes with preset states.
 type fakeProber struct {
 	mu     sync.Mutex
 	states map[garnetworks.Incarnation]garnetworks.CrashState
@@ -24,7 +24,7 @@
 	return w.states[l]
 }
 
-// count returns the number of questions so far.
+// count returns the number of probes so far.
 func (w *fakeProber) count() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -39,16 +39,14 @@
 	}
 }
 
-// Story: a call ends two servers, and their zone is cut off before anybody has asked after
-// them; a third one ends elsewhere. Or a sound call breaks off at three servers when their
-// zone is cut off, and all of them are replaced as planned minutes later. What is found out
-// soon after a cut counts, and what comes later does not.
-func TestEndsFoundOutAfterACut(t *testing.T) {
+// Only crashes that are found within probeWindow of the interruption count; otherwise a
+// planned restart after a partition would be attributed to the calls it interrupted.
+func TestCrashesFoundAfterPartition(t *testing.T) {
 	cases := map[string]struct {
 		run  func(q *Quarantiner, w *fakeProber)
 		want bool
 	}{
-		"two ends fall into a cut": {func(q *Quarantiner, w *fakeProber) {
+		"two crashes are found late, within the window": {func(q *Quarantiner, w *fakeProber) {
 			q.ReportInterrupted("x", incarnation(1))
 			q.ReportInterrupted("x", incarnation(2))
 			time.Sleep(8 * time.Second)
@@ -57,14 +55,14 @@
 			w.set(garnetworks.CrashConnectionRefused, 3)
 			q.ReportInterrupted("x", incarnation(3))
 		}, true},
-		"servers that were cut off are replaced later": {func(q *Quarantiner, w *fakeProber) {
+		"partitioned servers are replaced after the window": {func(q *Quarantiner, w *fakeProber) {
 			for n := range 3 {
 				q.ReportInterrupted("x", incarnation(n))
 			}
 			time.Sleep(probeWindow + time.Second)
 			w.set(garnetworks.CrashProven, 0, 1, 2)
 		}, false},
-		"refused by a part of a zone that is cut off, and back": {func(q *Quarantiner, w *fakeProber) {
+		"connections refused during a partition, then answered": {func(q *Quarantiner, w *fakeProber) {
 			w.set(garnetworks.CrashConnectionRefused, 0, 1, 2)
 			for n := range 3 {
 				q.ReportInterrupted("x", incarnation(n))
@@ -85,12 +83,12 @@
 				c.run(q, w)
 				time.Sleep(2 * probeBackoffMax)
 				if got := q.isQuarantined("x"); got != c.want {
-					t.Errorf("held: %t", got)
+					t.Errorf("quarantined = %t", got)
 				}
 				before := w.count()
 				time.Sleep(time.Minute)
 				if more := w.count() - before; more > 3*int(time.Minute/probeBackoffMax) {
-					t.Errorf("%d questions in a minute", more)
+					t.Errorf("%d probes in a minute", more)
 				}
 			})
 		})
--- a/quarantiner/blamer.go
+++ b/quarantiner/blamer.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// CrashThreshold is the number of servers after whose end a content is held (Z3). One or two
-	// may end under any call: its second attempt can meet the call that ended the first.
+	// CrashThreshold is the number of crashes that quarantine a content (Z3). One or two may
+	// happen during any call: a retry can meet the call that crashed the first server.
 	CrashThreshold = 3
-	// sharedEnds is the same where several contents have exactly the same ends. Two calls
-	// that were placed together three times by chance are hardly so a fourth time, and a
-	// caller who sends two such calls side by side is found all the same.
+	// sharedCrashThreshold applies where several contents have exactly the same crashes. Two
+	// calls that shared three servers by chance will hardly share a fourth; two calls that both
+	// crash servers and are always sent together are still found.
 	sharedCrashThreshold = CrashThreshold + 1
 )
 
-// suspect is a content with the lives that ended under it, in order and each once.
+// suspect is a content with the incarnations that crashed during it, sorted and distinct.
 type suspect struct {
 	content garnetworks.ContentDigest
 	crashes []garnetworks.Incarnation
 }
 
-// blame returns the contents that are held (Z3). It takes the content first that most
-// lives ended under, and leaves what that explains out of the others' counts: a sound call
-// that was beside it, also twice or three times, is not blamed for the same ends.
+// findCulprits returns the contents to quarantine (Z3). It repeatedly takes the content with
+// the most crashes and leaves its crashes out of the counts of the others, so that a harmless
+// call that shared servers with it is not blamed for the same crashes.
 func findCulprits(suspects []suspect) []garnetworks.ContentDigest {
 	var culprits []garnetworks.ContentDigest
 	attributed := make(garnetworks.Set[garnetworks.Incarnation])
@@ -45,8 +45,8 @@
 	}
 }
 
-// unexplained returns the suspects with the ends that are not explained, if they are
-// enough.
+// unattributed returns the suspects with the crashes that are not attributed yet, leaving
+// out suspects with fewer than CrashThreshold.
 func unattributed(suspects []suspect, attributed garnetworks.Set[garnetworks.Incarnation]) []suspect {
 	var rest []suspect
 	for _, s := range suspects {
@@ -58,8 +58,8 @@
 	return rest
 }
 
-// worstOf returns the suspect with the most ends, or all of them that have the same ends.
-// Those that share too few to be told apart are left to the next ones.
+// topSuspects returns the suspect with the most crashes, or all suspects that share exactly
+// these crashes. Groups that share too few crashes to be told apart are skipped.
 func topSuspects(suspects []suspect) []suspect {
 	slices.SortFunc(suspects, func(a, b suspect) int {
 		if d := len(b.crashes) - len(a.crashes); d != 0 {
--- a/quarantiner/blamer_test.go
+++ b/quarantiner/blamer_test.go
@@ -19,7 +19,7 @@
 	os.Exit(m.Run())
 }
 
-// ends returns the lives of the named engines, in order.
+// ends returns the incarnations of the named engines, sorted.
 func crashes(names string) []garnetworks.Incarnation {
 	var list []garnetworks.Incarnation
 	for _, n := range names {
@@ -29,23 +29,22 @@
 	return list
 }
 
-// Story: an engine ends, and all its calls with it, the one that ended it and the sound
-// ones beside it. Sound calls that went on at the same engines as that one, also twice or
-// three times, were refused with it and got no answer.
-func TestOnlyWhatExplainsTheEndsIsHeld(t *testing.T) {
+// A crash interrupts all calls of the engine. Harmless calls that shared engines with the
+// culprit two or three times must not be quarantined with it.
+func TestFindCulprits(t *testing.T) {
 	cases := map[string]struct {
 		crashes map[garnetworks.ContentDigest]string
 		want    []garnetworks.ContentDigest
 	}{
-		"two ends are nobody's": {map[garnetworks.ContentDigest]string{"x": "ab"}, nil},
-		"three ends":            {map[garnetworks.ContentDigest]string{"x": "abc", "s": "ab"}, []garnetworks.ContentDigest{"x"}},
-		"a sound call beside each of its four ends":    {map[garnetworks.ContentDigest]string{"x": "abcd", "s": "bcd"}, []garnetworks.ContentDigest{"x"}},
-		"two calls with the same three ends":           {map[garnetworks.ContentDigest]string{"x": "abc", "s": "abc"}, nil},
-		"two calls with the same four ends":            {map[garnetworks.ContentDigest]string{"x": "abcd", "y": "abcd"}, []garnetworks.ContentDigest{"x", "y"}},
-		"two calls, three ends each":                   {map[garnetworks.ContentDigest]string{"x": "abc", "y": "def"}, []garnetworks.ContentDigest{"x", "y"}},
-		"two calls that shared an end":                 {map[garnetworks.ContentDigest]string{"x": "abcd", "y": "def", "s": "ad"}, []garnetworks.ContentDigest{"x"}},
-		"two calls that shared an end, one more":       {map[garnetworks.ContentDigest]string{"x": "abcd", "y": "defgh"}, []garnetworks.ContentDigest{"y", "x"}},
-		"a pair that can't be told apart hides no one": {map[garnetworks.ContentDigest]string{"x": "abc", "s": "abc", "y": "def"}, []garnetworks.ContentDigest{"y"}},
+		"two crashes are not enough":                        {map[garnetworks.ContentDigest]string{"x": "ab"}, nil},
+		"three crashes":                                     {map[garnetworks.ContentDigest]string{"x": "abc", "s": "ab"}, []garnetworks.ContentDigest{"x"}},
+		"a harmless call shares three of four crashes":      {map[garnetworks.ContentDigest]string{"x": "abcd", "s": "bcd"}, []garnetworks.ContentDigest{"x"}},
+		"two calls with the same three crashes":             {map[garnetworks.ContentDigest]string{"x": "abc", "s": "abc"}, nil},
+		"two calls with the same four crashes":              {map[garnetworks.ContentDigest]string{"x": "abcd", "y": "abcd"}, []garnetworks.ContentDigest{"x", "y"}},
+		"two calls, three crashes each":                     {map[garnetworks.ContentDigest]string{"x": "abc", "y": "def"}, []garnetworks.ContentDigest{"x", "y"}},
+		"two calls that share a crash":                      {map[garnetworks.ContentDigest]string{"x": "abcd", "y": "def", "s": "ad"}, []garnetworks.ContentDigest{"x"}},
+		"two calls that share a crash, five crashes in one": {map[garnetworks.ContentDigest]string{"x": "abcd", "y": "defgh"}, []garnetworks.ContentDigest{"y", "x"}},
+		"an ambiguous pair does not hide another culprit":   {map[garnetworks.ContentDigest]string{"x": "abc", "s": "abc", "y": "def"}, []garnetworks.ContentDigest{"y"}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -54,16 +53,15 @@
 				suspects = append(suspects, suspect{content, crashes(names)})
 			}
 			if got := findCulprits(suspects); !slices.Equal(got, c.want) {
-				t.Errorf("held are %v, want %v", got, c.want)
+				t.Errorf("findCulprits() = %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// Sound calls are never held while each end has its culprit and no sound call was beside
-// more than three ends, as many as a client's own attempts come to; and each culprit with
-// more than three ends of its own is held.
-func TestSoundCallsAreNotBlamed(t *testing.T) {
+// Harmless calls that shared at most CrashThreshold crashes with each culprit are never
+// quarantined, and each culprit with more crashes of its own always is.
+func TestHarmlessCallsAreNotQuarantined(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		culprits := rapid.IntRange(1, 3).Draw(t, "culprits")
 		harmless := make(map[garnetworks.ContentDigest]string)
@@ -87,7 +85,7 @@
 		quarantined := garnetworks.NewSet(findCulprits(suspects)...)
 		for _, s := range suspects {
 			if _, isHarmless := harmless[s.content]; quarantined.Has(s.content) == isHarmless {
-				t.Fatalf("%s with %d ends: held is %t", s.content, len(s.crashes), quarantined.Has(s.content))
+				t.Fatalf("%s with %d crashes: quarantined = %t", s.content, len(s.crashes), quarantined.Has(s.content))
 			}
 		}
 	})
--- a/quarantiner/keeper.go
+++ b/quarantiner/keeper.go
@@ -12,38 +12,38 @@
 	"github.com/garnetworks/garnetworks/watcher"
 )
 
-// The object with the records that last (Z6).
+// Key of the object that stores the retained records (Z6).
 const (
 	objectPrefix = "quarantines/"
 	objectKey    = objectPrefix + "calls"
 )
 
-// Times of reading and writing it.
+// Times and bounds for reading and writing the object.
 const (
-	// DefaultReadWait is the longest wait of the watch where one node reads for a cell. A
-	// change ends it at once, and a path that has gone silent is found after it; nodes in
-	// touch hear of records from each other long before.
+	// DefaultReadWait is the longest wait of one watch request when one node reads for its
+	// cell. A change ends the wait at once, and a dead connection is noticed after it; nodes
+	// that reach each other exchange records long before.
 	DefaultReadWait = 8 * time.Second
-	// readMargin is how long past its wait the watch may take to answer.
+	// readMargin is how long past its wait a watch request may take to answer.
 	readMargin = 700 * time.Millisecond
-	// callTime bounds other calls.
+	// callTimeout bounds other requests to the object API.
 	callTimeout = time.Second
-	// readsEvery is how often a node that does not read looks whether it shall: nodes lose
-	// each other within a second, and have three to hear of what others know.
+	// roleCheckInterval is how often a node that does not read checks whether it should. It
+	// must be well below the three seconds in which a node has to learn what others know.
 	roleCheckInterval = 200 * time.Millisecond
-	// Retries wait between these bounds.
+	// Retries back off between these bounds.
 	retryMin = 200 * time.Millisecond
 	retryMax = 2 * time.Second
-	// joinTime joins what is learnt of one end into one write: the ends under a call's two
-	// attempts, and the answers to the questions after them.
+	// batchDelay batches the reports of one crash into one write: those of a call's two
+	// attempts, and the probe results that follow.
 	batchDelay = 40 * time.Millisecond
-	// othersTime is how long a node that reads leaves a change to the node that saw it.
+	// takeoverDelay is how long a node that reads leaves a change to the node that saw it.
 	takeoverDelay = 700 * time.Millisecond
-	// writeTries bounds the writes in a row that find the object changed.
+	// maxWriteAttempts bounds the consecutive writes that conflict.
 	maxWriteAttempts = 4
 )
 
-// storedObject is the object's value.
+// storedObject is the value of the object.
 type storedObject struct {
 	Contents []storedRecord `json:"contents"`
 }
@@ -51,7 +51,7 @@
 type storedRecord struct {
 	Content garnetworks.ContentDigest `json:"content"`
 	Runs    []storedRun               `json:"runs"`
-	// AnsweredMS is in Unix milliseconds, as are all times here; 0 if never.
+	// LastCompletedMS is in Unix milliseconds, as are all times here; 0 if never.
 	LastCompletedMS int64 `json:"answered-ms,omitempty"`
 }
 
@@ -62,7 +62,7 @@
 	State    string                 `json:"state"`
 }
 
-// stateNames are the states as they are stored.
+// stateNames are the stored names of the states.
 var stateNames = map[garnetworks.CrashState]string{
 	garnetworks.CrashSuspected: "suspected", garnetworks.CrashConnectionRefused: "refused", garnetworks.CrashRefuted: "refuted", garnetworks.CrashProven: "proven",
 }
@@ -76,7 +76,7 @@
 	return 0, false
 }
 
-// encode returns the object's value.
+// encode returns the value of the object.
 func encode(now time.Time, records []garnetworks.ContentRecord) ([]byte, error) {
 	var object storedObject
 	at := func(age int64) int64 { return now.UnixMilli() - age }
@@ -93,12 +93,12 @@
 	return json.Marshal(object)
 }
 
-// decode reads the object's value. Clocks of nodes differ by seconds, holds take minutes;
-// a time that lies ahead counts as now.
+// decode reads the value of the object. A time in the future counts as now: the clocks of
+// nodes differ by seconds, while quarantines last minutes.
 func decode(now time.Time, value []byte) ([]garnetworks.ContentRecord, error) {
 	var object storedObject
 	if err := json.Unmarshal(value, &object); err != nil {
-		return nil, garnetworks.WrapError(garnetworks.KindInvalidRequest, err, "the records of held calls can't be decoded")
+		return nil, garnetworks.WrapError(garnetworks.KindInvalidRequest, err, "the records of quarantined calls can't be decoded")
 	}
 	age := func(at int64) int64 { return max(0, now.UnixMilli()-at) }
 	var records []garnetworks.ContentRecord
@@ -117,7 +117,7 @@
 	return records, nil
 }
 
-// follow reads the object while the node reads for others.
+// watchObject reads the object while the node reads for others.
 func (q *Quarantiner) watchObject(ctx context.Context) {
 	var revision garnetworks.Revision
 	listed, failures := false, 0
@@ -141,8 +141,8 @@
 	}
 }
 
-// read lists the object, or once it is listed waits for its change after a revision, and
-// returns the revision to go on from.
+// read lists the object, or once it is listed waits for a change after a revision. It
+// returns the revision to continue from.
 func (q *Quarantiner) read(ctx context.Context, listed bool, after garnetworks.Revision) ([]garnetworks.Object, garnetworks.Revision, error) {
 	if !listed {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -169,11 +169,11 @@
 	}
 }
 
-// MergeObject joins what the object tells.
+// MergeObject merges a value of the object into the node's records.
 func (q *Quarantiner) MergeObject(value []byte) {
 	records, err := decode(time.Now(), value)
 	if err != nil {
-		// The next write replaces what another program wrote there.
+		// The next write replaces the value that can't be decoded.
 		q.mu.Lock()
 		defer q.mu.Unlock()
 		q.recordEvent(garnetworks.EventObjectRefused, err.Error())
@@ -187,7 +187,7 @@
 	q.stored = stored
 }
 
-// sumsOf returns the sums of records as they were told.
+// checksums returns the checksum of each record.
 func checksums(records []garnetworks.ContentRecord) map[garnetworks.ContentDigest]uint64 {
 	sums := make(map[garnetworks.ContentDigest]uint64)
 	for i := range records {
@@ -209,7 +209,7 @@
 	return r.checksum(reported.Digest)
 }
 
-// store writes what this node saw, and what others saw and did not write.
+// runStore writes changes that this node saw, and those of others that were left unwritten.
 func (q *Quarantiner) runStore(ctx context.Context) {
 	ticker := time.NewTicker(takeoverDelay)
 	defer ticker.Stop()
@@ -229,12 +229,10 @@
 	}
 }
 
-// storable returns the contents whose records belong into the object (Z6): those under
-// which servers were found to have ended, and those that it has.
-//
-// Load pattern: a zone is cut off, and hundreds of sound calls break off twice there. Their
-// records were written one after the other by all nodes, a fifth of a day's calls to the
-// object API, though nothing was known but that a way was cut.
+// storable returns the contents whose records belong in the object (Z6): those with enough
+// confirmed crashes, and those already stored. Suspected crashes alone are not stored: a
+// partition interrupts hundreds of harmless calls twice, and writing them all would load
+// the object API for nothing.
 func (q *Quarantiner) storable() []garnetworks.ContentDigest {
 	list := q.selectContents(len(q.records), func(r *record) bool { return r.retained() })
 	list = slices.DeleteFunc(list, func(content garnetworks.ContentDigest) bool {
@@ -250,7 +248,7 @@
 	return q.reports(time.Now(), q.storable())
 }
 
-// unstored reports whether there is anything that this node is to write.
+// needsStore reports whether there is anything for this node to write.
 func (q *Quarantiner) needsStore() bool {
 	now := time.Now()
 	reads := q.options.Reads()
@@ -263,8 +261,8 @@
 	})
 }
 
-// write joins the object with what the node knows. Its failure is told by the meter of the
-// object API, and made up for by the next look.
+// write merges the object with the node's records and writes it if that changes it. Errors
+// are counted by the meter of the object API, and the next check retries.
 func (q *Quarantiner) write(ctx context.Context) error {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/quarantiner/quarantiner.go
+++ b/quarantiner/quarantiner.go
@@ -15,71 +15,72 @@
 )
 
 const (
-	// MostRecords bounds the contents that a node remembers; those with the fewest ends
-	// go first, the oldest of them before the others. An availability zone of 300 engines
-	// that goes dark leaves some 1,500 calls broken off, each of which takes 300 bytes.
+	// MaxRecords bounds the contents that a node remembers; those with the fewest runs are
+	// evicted first, the oldest of them before the others. It leaves room for the calls that
+	// the outage of an availability zone interrupts, at about 300 bytes each.
 	MaxRecords = 2048
-	// MostStored bounds the contents in the object API, and so its value to 0.3 MB.
+	// MaxStored bounds the contents in the object API, and so the object to 0.3 MB.
 	MaxStored = 256
-	// mostTold bounds the records in a message between nodes to 10 KB.
+	// maxReported bounds the records in a message between nodes to 10 KB.
 	maxReported = 128
-	// recentTime is how long a change is told to other nodes: four of their exchanges, so
+	// recentPeriod is how long a change is sent to other nodes: four of their exchanges, so
 	// that a few lost ones don't matter.
 	recentPeriod = 600 * time.Millisecond
-	// proofTime is how long a call waits for a proof. The server's host refuses within
-	// milliseconds, and another node's question takes one exchange to be heard of.
+	// proofTimeout is how long a call waits for a proof. The server's host refuses connections
+	// within milliseconds, and the result of another node's probe takes one exchange to arrive.
 	proofTimeout = 300 * time.Millisecond
-	// mostSound bounds the contents that a node knows to be sound. At 25 calls a second
-	// they are those of more than SoundTime.
+	// maxCompleted bounds the contents that a node remembers as completed. It covers more
+	// than ExemptionPeriod at 25 calls per second.
 	maxCompleted = 2048
 )
 
-// Options describe a quarantiner.
+// Options configure a quarantiner.
 type Options struct {
-	// Probe finds out whether a life has ended, by asking the server; if its entry is gone
-	// only if ask is set. CrashSuspected means that it can't be told.
+	// Probe finds out whether an incarnation has crashed, by contacting the server. A server
+	// that is no longer registered is contacted only if unregistered is set. CrashSuspected
+	// means that the result is inconclusive.
 	Probe func(ctx context.Context, incarnation garnetworks.Incarnation, unregistered bool) garnetworks.CrashState
-	// Objects is the object API itself.
+	// Objects is the object API itself, not a cache.
 	Objects garnetworks.ObjectAPI
-	// Reads reports whether the node reads the object API for others, or reaches none.
+	// Reads reports whether the node reads the object API for others, or reaches no other node.
 	Reads func() bool
-	// InitialReadDelay is how long a node that starts leaves the object to others, of which it
-	// hears meanwhile.
+	// InitialReadDelay is how long a node that starts leaves reading the object to others,
+	// from which it learns the content meanwhile.
 	InitialReadDelay time.Duration
-	// ReadWait is the longest wait of the watch; DefaultReadWait if it is 0.
+	// ReadWait is the longest wait of one watch request; DefaultReadWait if it is 0.
 	ReadWait time.Duration
-	// Publish gets the object's value, with its revision, whenever the node has read or
-	// written it, to spread it to others that take it by TakeObject; it may be nil.
+	// Publish receives the object's value and revision whenever the node has read or written
+	// it, to pass it to nodes that merge it with MergeObject; it may be nil.
 	Publish func(value []byte, revision garnetworks.Revision)
-	// Recorder is told which contents are held and which are no longer; it may be nil.
+	// Recorder receives an event when a content is quarantined or released; it may be nil.
 	Recorder garnetworks.Recorder
 }
 
-// Quarantiner knows which contents are held. It implements garnetworks.Quarantine and
-// garnetworks.ContentRecordStore, and is safe for concurrent use.
+// Quarantiner decides which contents are quarantined. It implements garnetworks.Quarantine
+// and garnetworks.ContentRecordStore, and is safe for concurrent use.
 type Quarantiner struct {
 	options Options
-	// asking and storing wake the duties that ask after lives and write records.
+	// probeWake and storeWake wake the goroutines that probe servers and write records.
 	probeWake, storeWake chan struct{}
 
 	mu      sync.Mutex
 	records map[garnetworks.ContentDigest]*record
-	// held tells until when contents are held.
+	// quarantined maps contents to the end of their quarantine, which may have passed.
 	quarantined map[garnetworks.ContentDigest]time.Time
-	// sound tells when contents were last answered whole; order holds them by the time
-	// at which they were first.
+	// completed maps contents to their last completion; completionOrder holds them in the
+	// order in which they were first added.
 	completed       map[garnetworks.ContentDigest]time.Time
 	completionOrder []garnetworks.ContentDigest
-	// stored are the sums of the records that the object API is known to have.
+	// stored are the checksums of the records that the object API is known to hold.
 	stored map[garnetworks.ContentDigest]uint64
-	// sum is what Sum returns, if summed; each message between nodes asks for it.
+	// checksum is what Checksum returns if checksumValid; each exchange asks for it.
 	checksum      uint64
 	checksumValid bool
-	// news is closed, and made anew, whenever anything is learnt.
+	// updated is closed and replaced whenever a record changes.
 	updated chan struct{}
 }
 
-// New returns a quarantiner that holds nothing.
+// New returns a quarantiner without records.
 func New(options Options) *Quarantiner {
 	options.ReadWait = cmp.Or(options.ReadWait, DefaultReadWait)
 	return &Quarantiner{
@@ -90,7 +91,7 @@
 	}
 }
 
-// Run asks after servers, and reads and writes the object API, until ctx ends.
+// Run probes servers, and reads and writes the object API, until ctx ends.
 func (q *Quarantiner) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { q.runProbes(ctx); return nil })
@@ -101,9 +102,8 @@
 
 // Quarantined implements garnetworks.Quarantine.
 //
-// Failure: the third server ends, and the call is repeated at a fourth one in the
-// milliseconds in which the third one's end is proven. So it waits while the proof that
-// would hold it is due.
+// It waits while a proof that would quarantine the content is due. Otherwise the call would
+// be retried at a fourth server in the milliseconds before the third crash is proven.
 func (q *Quarantiner) Quarantined(ctx context.Context, content garnetworks.ContentDigest) (time.Duration, bool) {
 	for {
 		remaining, proofDue, updated := q.status(time.Now(), content)
@@ -123,8 +123,8 @@
 	}
 }
 
-// look returns for how long the content is held, for how long the proof that would hold it
-// is due, and a channel that is closed when anything more is known.
+// status returns for how long the content is still quarantined, for how long a proof that
+// would quarantine it may still come, and a channel that is closed on the next change.
 func (q *Quarantiner) status(now time.Time, content garnetworks.ContentDigest) (remaining, proofDue time.Duration, updated <-chan struct{}) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -167,7 +167,7 @@
 	}
 }
 
-// Count returns the number of contents that are held.
+// Count returns the number of quarantined contents.
 func (q *Quarantiner) Count() int {
 	now := time.Now()
 	q.mu.Lock()
@@ -181,7 +181,7 @@
 	return n
 }
 
-// record returns a content's record, and makes one if there is none; q.mu is held.
+// record returns a content's record, creating it if there is none; q.mu is held.
 func (q *Quarantiner) record(content garnetworks.ContentDigest) *record {
 	r := q.records[content]
 	if r == nil {
@@ -192,7 +192,7 @@
 	return r
 }
 
-// makeRoom forgets a record if there are as many as may be (Z7); q.mu is held.
+// evict removes one record if there are MaxRecords (Z7); q.mu is held.
 func (q *Quarantiner) evict() {
 	if len(q.records) < MaxRecords {
 		return
@@ -204,7 +204,7 @@
 	delete(q.records, least)
 }
 
-// learnt takes that something new is known of a content, before it is judged; q.mu is held.
+// markChanged notes that a record changed, before updateQuarantined; q.mu is held.
 func (q *Quarantiner) markChanged(now time.Time, content garnetworks.ContentDigest, r *record) {
 	if at := q.completed[content]; at.After(r.completed) && now.Sub(at) < ExemptionPeriod {
 		r.completed = at
@@ -216,7 +216,7 @@
 	}
 }
 
-// judge decides anew what is held (Z3); q.mu is held.
+// updateQuarantined recomputes the quarantined contents (Z3); q.mu is held.
 func (q *Quarantiner) updateQuarantined(now time.Time) {
 	close(q.updated)
 	q.updated = make(chan struct{})
@@ -236,12 +236,12 @@
 		crashes := r.incarnations(garnetworks.CrashConnectionRefused)
 		quarantined[content] = r.lastInterruption().Add(quarantineTime(len(crashes)))
 		if quarantined[content].After(now) && !q.quarantined[content].Equal(quarantined[content]) {
-			q.recordEvent(garnetworks.EventCallQuarantined, fmt.Sprintf("content %s is held for %s: %d servers ended under it, among them %s", content, quarantined[content].Sub(now).Round(time.Second), len(crashes), crashes[len(crashes)-1].Instance))
+			q.recordEvent(garnetworks.EventCallQuarantined, fmt.Sprintf("content %s is quarantined for %s: %d servers crashed during calls with it, among them %s", content, quarantined[content].Sub(now).Round(time.Second), len(crashes), crashes[len(crashes)-1].Instance))
 		}
 	}
 	for content, until := range q.quarantined {
 		if _, still := quarantined[content]; !still && until.After(now) {
-			q.recordEvent(garnetworks.EventCallReleased, fmt.Sprintf("content %s is no longer held: a server answered it, or another one explains the ends", content))
+			q.recordEvent(garnetworks.EventCallReleased, fmt.Sprintf("content %s is no longer quarantined: a server completed it, or the crashes are refuted or attributed to another one", content))
 		}
 	}
 	q.quarantined = quarantined
@@ -267,7 +267,7 @@
 	}
 }
 
-// merge takes another node's record (Z5), and reports whether it tells anything new; q.mu
+// merge merges another node's record (Z5), and reports whether it changed anything; q.mu
 // is held.
 func (q *Quarantiner) merge(now time.Time, reported *garnetworks.ContentRecord) bool {
 	age := func(ms int64) time.Time { return now.Add(-time.Duration(max(0, ms)) * time.Millisecond) }
@@ -283,7 +283,7 @@
 		x := &reported.Runs[i]
 		updated = r.add(x.Incarnation(), age(x.AgeMS), x.State) || updated
 	}
-	// Ages grow on the way by some milliseconds, which is no news.
+	// Ages differ by milliseconds of transmission, which is not a change.
 	const margin = time.Second
 	if reported.LastCompletedAgeMS >= 0 && age(reported.LastCompletedAgeMS).Sub(r.completed) > margin {
 		r.completed = age(reported.LastCompletedAgeMS)
@@ -315,14 +315,14 @@
 	return q.reports(time.Now(), q.retained())
 }
 
-// lasting returns the contents whose records last; q.mu is held.
+// retained returns the contents whose records are retained; q.mu is held.
 func (q *Quarantiner) retained() []garnetworks.ContentDigest {
 	return q.selectContents(MaxStored, (*record).retained)
 }
 
-// chosen returns the contents of which something holds, those with the most runs first;
-// q.mu is held. The order is the same at all nodes that know the same, so that they leave
-// the same ones out.
+// selectContents returns at most limit contents whose records satisfy keep, those with the
+// most runs first; q.mu is held. The order is the same at all nodes with the same records,
+// so that they omit the same ones.
 func (q *Quarantiner) selectContents(limit int, keep func(*record) bool) []garnetworks.ContentDigest {
 	var list []garnetworks.ContentDigest
 	for content, r := range q.records {
@@ -336,7 +336,7 @@
 	return list[:min(len(list), limit)]
 }
 
-// told returns the records of contents; q.mu is held.
+// reports returns the records of contents as sent to other nodes; q.mu is held.
 func (q *Quarantiner) reports(now time.Time, contents []garnetworks.ContentDigest) []garnetworks.ContentRecord {
 	var list []garnetworks.ContentRecord
 	for _, content := range contents {
@@ -358,7 +358,7 @@
 	return q.checksum
 }
 
-// forget drops what is no longer needed (Z7).
+// expire removes records that have expired (Z7).
 func (q *Quarantiner) expire() {
 	now := time.Now()
 	q.mu.Lock()
--- a/quarantiner/quarantiner_test.go
+++ b/quarantiner/quarantiner_test.go
@@ -15,14 +15,14 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// newQuiet returns a quarantiner whose duties don't run.
+// newIdle returns a quarantiner whose goroutines don't run.
 func newIdle() *Quarantiner { return New(Options{}) }
 
 func incarnation(n int) garnetworks.Incarnation {
 	return garnetworks.Incarnation{Instance: garnetworks.InstanceID(fmt.Sprint("i", n))}
 }
 
-// ended breaks a content off at some lives whose end is proven.
+// reportCrashes reports interruptions at some incarnations and proves their crashes.
 func (q *Quarantiner) reportCrashes(content garnetworks.ContentDigest, incarnations ...int) {
 	for _, n := range incarnations {
 		q.ReportInterrupted(content, incarnation(n))
@@ -35,39 +35,37 @@
 	return quarantined
 }
 
-// Story: many callers ask the same thing of a public page, and a domain goes dark: three
-// engines end at once under that call. It was held for minutes, and its callers refused,
-// though engines answer it.
-func TestAnsweredContentIsSound(t *testing.T) {
+// An outage that crashes three engines at once must not quarantine a popular content that
+// engines answer.
+func TestCompletedContentIsExempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newIdle()
 		q.ReportCompleted("popular")
 		time.Sleep(time.Second)
 		q.reportCrashes("popular", 1, 2, 3, 4)
 		if q.isQuarantined("popular") {
-			t.Error("a content that was answered a moment ago is held")
+			t.Error("a content that was just completed is quarantined")
 		}
 		other := newIdle()
 		other.reportCrashes("popular", 5, 6, 7)
 		if !other.isQuarantined("popular") {
-			t.Fatal("three ends are not enough")
+			t.Fatal("three crashes do not quarantine a content")
 		}
 		other.Merge(q.Recent())
 		if other.isQuarantined("popular") {
-			t.Error("another node's word that it was answered does not count")
+			t.Error("another node's report of a completion has no effect")
 		}
-		// It is not sound for good: what ends servers later is held.
+		// The exemption ends: later crashes quarantine the content.
 		time.Sleep(ExemptionPeriod + time.Second)
 		q.reportCrashes("popular", 8, 9, 10)
 		if !q.isQuarantined("popular") {
-			t.Error("a content that was answered long ago is never held")
+			t.Error("a content that was completed long ago is never quarantined")
 		}
 	})
 }
 
-// Story: connections break off at three engines that live on, by the network's fault. The
-// call was taken for what ended them.
-func TestLivesThatAnswerAreNotBlamed(t *testing.T) {
+// Connections that the network interrupts must not count as crashes: the engines still run.
+func TestRefutedCrashesDoNotCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newIdle()
 		for n := range 4 {
@@ -78,9 +76,9 @@
 			q.applyResult(began, incarnation(n), garnetworks.CrashRefuted)
 		}
 		if q.isQuarantined("x") {
-			t.Error("a content is held under which no server ended")
+			t.Error("a content is quarantined without a crash")
 		}
-		// A node that took them for ended hears of it, also by way of the object API.
+		// A node that counted them as crashes learns of the refutation, also through the object API.
 		later := newIdle()
 		later.reportCrashes("x", 0, 1, 2)
 		value, err := encode(time.Now(), q.Retained())
@@ -88,7 +86,7 @@
 			t.Fatal(err)
 		}
 		if later.MergeObject(value); !later.isQuarantined("x") {
-			t.Error("what is proven by more than refused connections is withdrawn")
+			t.Error("a proven crash is withdrawn by a refutation")
 		}
 		refused := newIdle()
 		for n := range 3 {
@@ -96,24 +94,22 @@
 			refused.applyResult(time.Now(), incarnation(n), garnetworks.CrashConnectionRefused)
 		}
 		if refused.MergeObject(value); refused.isQuarantined("x") {
-			t.Error("a node goes on with what was refuted")
+			t.Error("a node keeps counting refuted crashes")
 		}
-		// An answer to a question from before the break proves nothing.
+		// A probe that began before the interruption refutes nothing.
 		time.Sleep(time.Second)
 		q.ReportInterrupted("y", incarnation(5))
 		q.ReportInterrupted("y", incarnation(6))
 		q.applyResult(began, incarnation(5), garnetworks.CrashRefuted)
 		if n := len(q.dueProbes(time.Now())); n != 2 {
-			t.Errorf("%d lives are in doubt, want 2: an older answer refutes no later end", n)
+			t.Errorf("%d probes are due, want 2: an earlier answer does not refute a later crash", n)
 		}
 	})
 }
 
-// Story: a zone is cut off, and its node's connections to three engines in others are reset
-// and then refused. A sound call that met them was held for ten minutes at all nodes, though
-// they answered again when the cut was over ("call-held" at six nodes, "connection reset by
-// peer" in each of its attempts).
-func TestRefusedConnectionsAreWithdrawnOnceTheServersAnswer(t *testing.T) {
+// A partition resets and then refuses connections. The quarantine of a harmless call must
+// end at all nodes once its servers answer again.
+func TestAnswersRefuteRefusedConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var over atomic.Bool
 		node, other := newIdle(), newIdle()
@@ -133,53 +129,52 @@
 		over.Store(true)
 		time.Sleep(2 * probeBackoffMax)
 		if node.isQuarantined("sound") {
-			t.Error("the call is held though its servers answer")
+			t.Error("the call is quarantined although its servers answer")
 		}
 		if node.Checksum() == other.Checksum() {
-			t.Error("nodes that know different things tell the same sum")
+			t.Error("nodes with different records have the same checksum")
 		}
 		if other.Merge(node.Retained()); other.isQuarantined("sound") {
-			t.Error("another node holds it")
+			t.Error("another node quarantines it")
 		}
 		stop()
 		synctest.Wait()
 	})
 }
 
-// Story: the third engine has ended, and its end is proven 5 ms later. In between the call
-// was repeated at a fourth one.
-func TestCallWaitsForTheProofThatWouldHoldIt(t *testing.T) {
+// A call must not be retried at a fourth engine while the third crash is being proven.
+func TestQuarantinedWaitsForProof(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newIdle()
 		q.reportCrashes("x", 1, 2)
 		q.ReportInterrupted("x", incarnation(3))
 		time.AfterFunc(5*time.Millisecond, func() { q.applyResult(time.Now(), incarnation(3), garnetworks.CrashProven) })
 		if !q.isQuarantined("x") {
-			t.Error("the call goes on before the proof")
+			t.Error("the call is not quarantined before the proof")
 		}
 		q.reportCrashes("y", 4, 5)
 		q.ReportInterrupted("y", incarnation(6))
 		began := time.Now()
 		if q.isQuarantined("y") || time.Since(began) > proofTimeout {
-			t.Errorf("without a proof the call waits for %s, or for good", time.Since(began))
+			t.Errorf("without a proof the call waited %s, or was quarantined", time.Since(began))
 		}
 	})
 }
 
-// A hold ends, so that a mended server gets the call again, and doubles with each further
-// end up to LongestHold; what is not held is forgotten.
-func TestHoldsEnd(t *testing.T) {
+// A quarantine expires, so that a repaired server gets the call again, and doubles with each
+// further crash up to MaxQuarantine; other records expire.
+func TestQuarantineExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newIdle()
 		q.reportCrashes("x", 1, 2, 3)
 		for n, want := range []time.Duration{MinQuarantine, 2 * MinQuarantine, 4 * MinQuarantine} {
 			if left, _ := q.Quarantined(t.Context(), "x"); left != want {
-				t.Errorf("after %d ends it is held for %s, want %s", 3+n, left, want)
+				t.Errorf("after %d crashes it is quarantined for %s, want %s", 3+n, left, want)
 			}
 			time.Sleep(want)
 			q.expire()
 			if q.isQuarantined("x") {
-				t.Error("a hold does not end")
+				t.Error("a quarantine does not end")
 			}
 			q.reportCrashes("x", 4+n)
 		}
@@ -187,18 +182,18 @@
 			q.reportCrashes("x", 10+n)
 		}
 		if left, _ := q.Quarantined(t.Context(), "x"); left != MaxQuarantine {
-			t.Errorf("it is held for %s, want %s at most", left, MaxQuarantine)
+			t.Errorf("it is quarantined for %s, want %s at most", left, MaxQuarantine)
 		}
 		time.Sleep(2*MaxQuarantine + time.Second)
 		q.expire()
 		if n := len(q.records); n != 0 {
-			t.Errorf("%d records are kept for good", n)
+			t.Errorf("%d records never expire", n)
 		}
 	})
 }
 
-// Story: a zone goes dark with 40 groups, and thousands of calls break off. What is known
-// of the few that matter must not be lost among them, and memory is bounded.
+// The outage of a zone interrupts thousands of calls. Memory stays bounded, and the records
+// of quarantined contents are not evicted for them.
 func TestRecordsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newIdle()
@@ -213,10 +208,10 @@
 			q.ReportCompleted(garnetworks.ContentDigest(fmt.Sprint("s", n)))
 		}
 		if len(q.records) > MaxRecords || len(q.records["many"].runs) > MaxRuns || len(q.completed) > maxCompleted || len(q.completionOrder) > maxCompleted {
-			t.Errorf("%d records, %d runs, %d sound contents", len(q.records), len(q.records["many"].runs), len(q.completed))
+			t.Errorf("%d records, %d runs, %d completed contents", len(q.records), len(q.records["many"].runs), len(q.completed))
 		}
 		if !q.isQuarantined("x") {
-			t.Error("a content that is held was forgotten")
+			t.Error("a quarantined content was evicted")
 		}
 		if n := len(q.Recent()); n > maxReported {
 			t.Errorf("%d records in a message", n)
@@ -224,9 +219,9 @@
 	})
 }
 
-// Nodes that heard the same, in any order, twice or by way of others, hold the same and
-// tell the same sum (rule Z5).
-func TestNodesThatHeardTheSameDecideTheSame(t *testing.T) {
+// Nodes that merged the same reports, in any order, repeatedly or through others, quarantine
+// the same contents and have the same checksum (rule Z5).
+func TestMergeOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var reported []garnetworks.ContentRecord
 		contents := []garnetworks.ContentDigest{"x", "y", "z"}
@@ -248,16 +243,15 @@
 		c.Merge(b.Retained())
 		quarantinedBy := func(q *Quarantiner) []garnetworks.ContentDigest { return slices.Sorted(maps.Keys(q.quarantined)) }
 		if a.Checksum() != b.Checksum() || a.Checksum() != c.Checksum() {
-			t.Fatalf("sums %x, %x, %x", a.Checksum(), b.Checksum(), c.Checksum())
+			t.Fatalf("checksums %x, %x, %x", a.Checksum(), b.Checksum(), c.Checksum())
 		}
 		if !slices.Equal(quarantinedBy(a), quarantinedBy(b)) || !slices.Equal(quarantinedBy(a), quarantinedBy(c)) {
-			t.Fatalf("held are %v, %v, %v", quarantinedBy(a), quarantinedBy(b), quarantinedBy(c))
+			t.Fatalf("quarantined are %v, %v, %v", quarantinedBy(a), quarantinedBy(b), quarantinedBy(c))
 		}
 	})
 }
 
-// What is stored reads back as it was; what another program wrote there is refused or
-// bounded, and never ends the node.
+// Decoding a stored value never panics, and its result is bounded.
 func FuzzDecode(f *testing.F) {
 	q := newIdle()
 	q.reportCrashes("x", 1, 2, 3)
--- a/quarantiner/record.go
+++ b/quarantiner/record.go
@@ -11,45 +11,45 @@
 )
 
 const (
-	// MostRuns bounds the lives that are kept of a content; the newest are.
+	// MaxRuns bounds the runs that are kept of a content; the oldest are evicted.
 	MaxRuns = 16
-	// SoundTime is how long a content counts as sound after it was answered (Z4). It is
-	// above the time in which copies of a popular call come again, and bounds for how
-	// long one that has become harmful, say by another model version, is not found.
+	// ExemptionPeriod is how long a content is exempt after it was completed (Z4). It exceeds
+	// the time between copies of a popular call, and bounds how long a content that has become
+	// harmful, for example by a new model version, goes undetected.
 	ExemptionPeriod = time.Minute
-	// StoredEnds is the number of lives from which a content's record lasts (Z6). A node
-	// that knows of fewer lets at most two more servers end.
+	// RetainThreshold is the number of runs from which a content's record is retained (Z6). A
+	// node that knows of fewer lets at most two more servers crash.
 	RetainThreshold = 2
-	// memory is how long a content is remembered that is not held.
+	// recordTTL is how long a content is remembered that is not quarantined.
 	recordTTL = 10 * time.Minute
-	// FirstHold is how long a content is held after MostEnds ends. An operator is told
-	// within a minute, and needs some to mend or take back a model version.
+	// MinQuarantine is the quarantine after CrashThreshold crashes. It leaves an operator time
+	// to repair or roll back a model version.
 	MinQuarantine = 10 * time.Minute
-	// LongestHold bounds a hold: a content that ends a server twice a day harms nobody.
+	// MaxQuarantine bounds a quarantine: a content that crashes a server twice a day does no harm.
 	MaxQuarantine = 12 * time.Hour
 )
 
-// run is a life under which the content broke off.
+// run is an incarnation at which a call with the content was interrupted.
 type run struct {
 	at    time.Time
 	state garnetworks.CrashState
-	// asked is the number of times that the life was asked after, last at askedAt.
+	// probes is the number of times the incarnation was probed, the last at probedAt.
 	probes   int
 	probedAt time.Time
 }
 
-// record is what is known of a content (Z5).
+// record is what a node knows of a content (Z5).
 type record struct {
 	runs map[garnetworks.Incarnation]run
-	// answered is when a server last answered such a call whole; zero if never.
+	// completed is when a server last completed such a call; zero if never.
 	completed time.Time
-	// changed is when anything of it was learnt last.
+	// changed is when the record last changed.
 	changed time.Time
-	// seen says that this node saw the content break off.
+	// observed says that this node itself saw a call with the content interrupted.
 	observed bool
 }
 
-// join takes a run, and reports whether that tells anything new.
+// add adds or updates a run, and reports whether that changed the record.
 func (r *record) add(incarnation garnetworks.Incarnation, at time.Time, state garnetworks.CrashState) bool {
 	old, known := r.runs[incarnation]
 	switch {
@@ -78,13 +78,13 @@
 	delete(r.runs, oldest)
 }
 
-// counts reports whether a run may be the content's doing (Z4).
+// attributable reports whether a run may be caused by the content (Z4).
 func (r *record) attributable(x run) bool {
 	return x.state != garnetworks.CrashRefuted && (r.completed.IsZero() || x.at.Sub(r.completed) > ExemptionPeriod)
 }
 
-// lives returns the lives of the runs that may be the content's doing and that are known
-// as well as least, in order.
+// incarnations returns the incarnations of the attributable runs whose state is at least
+// minState, sorted.
 func (r *record) incarnations(minState garnetworks.CrashState) []garnetworks.Incarnation {
 	var list []garnetworks.Incarnation
 	for l, x := range r.runs {
@@ -96,13 +96,14 @@
 	return list
 }
 
-// pending reports whether the content would be held if the lives in doubt had ended.
+// pending reports whether the content would be quarantined if all suspected crashes were
+// confirmed.
 func (r *record) pending() bool {
 	all := len(r.incarnations(garnetworks.CrashSuspected))
 	return all >= CrashThreshold && len(r.incarnations(garnetworks.CrashConnectionRefused)) < all
 }
 
-// last is when the content last broke off.
+// lastInterruption is when the content was last interrupted.
 func (r *record) lastInterruption() time.Time {
 	var last time.Time
 	for _, x := range r.runs {
@@ -113,14 +114,14 @@
 	return last
 }
 
-// hold is how long a content is held after its last end (Z7).
+// quarantineTime is the length of the quarantine from the last interruption (Z7).
 func quarantineTime(crashes int) time.Duration {
 	const doublings = 10
 	return min(MaxQuarantine, MinQuarantine<<min(max(crashes-CrashThreshold, 0), doublings))
 }
 
-// until is when the record may be forgotten. That of a content that was held outlives the
-// hold, so that its next end is not taken for its first one.
+// expiresAt is when the record may be removed. The record of a quarantined content outlives
+// the quarantine, so that the next crash extends it.
 func (r *record) expiresAt() time.Time {
 	if crashes := len(r.incarnations(garnetworks.CrashConnectionRefused)); crashes >= CrashThreshold {
 		return r.lastInterruption().Add(2 * quarantineTime(crashes))
@@ -128,16 +129,15 @@
 	return r.lastInterruption().Add(recordTTL)
 }
 
-// lasting reports whether the record is kept in the object API (Z6). What was refuted or
-// answered since lasts as well: nodes that read it there must not go on with what was taken
-// for an end before.
+// retained reports whether the record is kept in the object API (Z6). That includes refuted
+// and completed runs: nodes that read them there must not keep counting the earlier crash.
 func (r *record) retained() bool { return len(r.runs) >= RetainThreshold }
 
-// sum is a digest of what the record tells, without times: they differ between nodes by
-// the way of the messages.
+// checksum is a digest of the record without its times, which differ between nodes by the
+// transmission time of messages.
 func (r *record) checksum(content garnetworks.ContentDigest) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(content)) // a hash takes all bytes
+	_, _ = h.Write([]byte(content)) // hash.Hash never returns an error
 	for _, l := range slices.SortedFunc(maps.Keys(r.runs), garnetworks.Incarnation.Compare) {
 		text := strconv.AppendInt([]byte(l.Instance), l.StartMS, 10)
 		text = strconv.AppendBool(text, r.attributable(r.runs[l]))
@@ -146,7 +146,7 @@
 	return h.Sum64()
 }
 
-// tell returns the record as other nodes get it.
+// report returns the record as sent to other nodes.
 func (r *record) report(content garnetworks.ContentDigest, now time.Time) garnetworks.ContentRecord {
 	rec := garnetworks.ContentRecord{Digest: content, LastCompletedAgeMS: -1}
 	if !r.completed.IsZero() {
--- a/quarantiner/site_test.go
+++ b/quarantiner/site_test.go
@@ -14,10 +14,11 @@
 	"github.com/garnetworks/garnetworks/quarantiner"
 )
 
-// heardTime is within what sites give all nodes to hear of a third end.
+// propagationTime bounds the time in which all nodes must learn of a third crash.
 const propagationTime = 3 * time.Second
 
-// site is nodes that exchange records and share an object API. Each server ends once.
+// site is a set of nodes that exchange records and share an object API. Each server crashes
+// at most once.
 type site struct {
 	t       *testing.T
 	objects *faker.Objects
@@ -25,9 +26,9 @@
 	mu    sync.Mutex
 	nodes map[string]*node
 	next  int
-	// probes counts the questions to servers, ended the servers that ended.
+	// probes counts probes of servers, crashed the servers that crashed.
 	probes, crashed int
-	// silent servers give no answer to questions.
+	// silent servers don't answer probes.
 	silent bool
 }
 
@@ -35,9 +36,9 @@
 	*quarantiner.Quarantiner
 	exchanger *exchanger.Exchanger
 	info      garnetworks.NodeInfo
-	// part tells which nodes it reaches: those of the same one.
+	// partition is the network partition of the node; it reaches only nodes in the same one.
 	partition int
-	// storeless nodes don't reach the object API.
+	// noObjectAPI nodes don't reach the object API.
 	noObjectAPI bool
 	stop        context.CancelFunc
 }
@@ -53,7 +54,7 @@
 	return s
 }
 
-// start starts a node with nothing.
+// start starts a node without records.
 func (s *site) start(zone int) *node {
 	s.mu.Lock()
 	s.next++
@@ -76,7 +77,7 @@
 	return n
 }
 
-// kill ends a node with all that it knows.
+// kill stops a node, losing its records.
 func (s *site) kill(n *node) {
 	n.stop()
 	s.mu.Lock()
@@ -111,7 +112,7 @@
 	return list
 }
 
-// prove tells of each server that it has ended.
+// probe reports each server as crashed, unless it is silent.
 func (s *site) probe(_ context.Context, _ garnetworks.Incarnation, unregistered bool) garnetworks.CrashState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,8 +126,8 @@
 	return garnetworks.CrashProven
 }
 
-// crash sends the crashing call to a node, which repeats it once as a route allows, and
-// returns the number of servers that ended.
+// crash sends the crashing call to a node, which makes up to the given number of attempts,
+// and returns the number of servers that crashed.
 func (s *site) crash(n *node, attempts int) (crashed int) {
 	for range attempts {
 		if _, quarantined := n.Quarantined(s.t.Context(), "x"); quarantined {
@@ -143,7 +144,7 @@
 	return crashed
 }
 
-// caller is a node's way to the others.
+// peerCaller is a node's connection to the other nodes.
 type peerCaller struct {
 	site *site
 	from *node
@@ -162,7 +163,7 @@
 	return to.exchanger.Exchange(ctx, request)
 }
 
-// view is a node's way to the object API.
+// nodeObjects is a node's connection to the object API.
 type nodeObjects struct {
 	*faker.Objects
 	site *site
@@ -206,22 +207,20 @@
 	return v.Objects.Watch(ctx, prefix, after, wait)
 }
 
-// set changes a node.
+// set changes a node under the lock.
 func (s *site) set(n *node, change func(*node)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(n)
 }
 
-// Story: engines end under a call at one node, and its copies come at all the others,
-// which were cut off meanwhile, started since, or have only the object API in common with
-// the first one. Each node on its own ended engines; together they ended dozens. In touch,
-// each must know within three seconds of the third end.
-func TestEachNodeKnowsWhatEndedServers(t *testing.T) {
+// Every node must stop a crashing call within three seconds of the third crash, also when it
+// was partitioned, started later, or shares only the object API with the nodes that saw it.
+func TestQuarantineReachesAllNodes(t *testing.T) {
 	const attempts = 2
 	sizes := map[string]struct{ zones, perZone int }{"six nodes, one cell": {3, 2}, "24 nodes, three cells": {3, 8}}
 	cases := map[string]func(s *site){
-		"all in touch": func(s *site) {
+		"all connected": func(s *site) {
 			s.crash(s.all()[0], attempts)
 			s.crash(s.all()[1], attempts)
 		},
@@ -251,14 +250,14 @@
 				time.Sleep(time.Second)
 			}
 		},
-		"the node that saw it is killed at once": func(s *site) {
+		"the node that saw it is killed right after": func(s *site) {
 			s.crash(s.all()[0], attempts)
 			time.Sleep(propagationTime)
 			s.crash(s.all()[2], 1)
 			time.Sleep(exchanger.Interval * 2)
 			s.kill(s.all()[2])
 		},
-		"nodes cut off from the others, in touch with the object API": func(s *site) {
+		"nodes partitioned from each other, but not from the object API": func(s *site) {
 			for i, n := range s.all() {
 				s.set(n, func(n *node) { n.partition = i % 3 })
 			}
@@ -267,7 +266,7 @@
 			time.Sleep(time.Second)
 			s.crash(s.all()[1], attempts)
 		},
-		"cut off from all while it happened": func(s *site) {
+		"partitioned from all while it happened": func(s *site) {
 			last := s.all()[len(s.all())-1]
 			s.set(last, func(n *node) { n.partition, n.noObjectAPI = 9, true })
 			time.Sleep(propagationTime)
@@ -277,7 +276,7 @@
 			time.Sleep(time.Minute)
 			s.set(last, func(n *node) { n.partition, n.noObjectAPI = 0, false })
 		},
-		"cut off from the others while it happened, the object API away": func(s *site) {
+		"partitioned from the others while it happened, the object API unavailable": func(s *site) {
 			s.objects.SetFaults(faker.FaultPlan{Down: true})
 			last := s.all()[len(s.all())-1]
 			s.set(last, func(n *node) { n.partition = 9 })
@@ -287,7 +286,7 @@
 			time.Sleep(time.Minute)
 			s.set(last, func(n *node) { n.partition = 0 })
 		},
-		"who saw it does not reach the object API": func(s *site) {
+		"the node that saw it does not reach the object API": func(s *site) {
 			first := s.all()[0]
 			s.set(first, func(n *node) { n.noObjectAPI = true })
 			s.crash(first, attempts)
@@ -298,7 +297,7 @@
 				s.start(0)
 			}
 		},
-		"the object API is away": func(s *site) {
+		"the object API is unavailable": func(s *site) {
 			s.objects.SetFaults(faker.FaultPlan{Down: true})
 			s.crash(s.all()[0], attempts)
 			s.crash(s.all()[0], attempts)
@@ -310,7 +309,7 @@
 				s.start(0)
 			}
 		},
-		"the object API loses answers": func(s *site) {
+		"responses of the object API are lost": func(s *site) {
 			s.objects.SetFaults(faker.FaultPlan{LoseAnswers: 3, Methods: []string{faker.MethodPut}})
 			s.crash(s.all()[0], attempts)
 			s.crash(s.all()[0], attempts)
@@ -320,7 +319,7 @@
 				s.start(0)
 			}
 		},
-		"another program wrote there": func(s *site) {
+		"the stored object can't be decoded": func(s *site) {
 			if _, err := s.objects.Put(s.t.Context(), "quarantines/calls", []byte("\xff{"), 0); err != nil {
 				s.t.Error(err)
 			}
@@ -348,10 +347,10 @@
 						}
 					}
 					if crashed < quarantiner.CrashThreshold || more > 0 {
-						t.Errorf("%d servers more ended after %d, want none after %d", more, crashed, quarantiner.CrashThreshold)
+						t.Errorf("%d servers more crashed after %d, want none after %d", more, crashed, quarantiner.CrashThreshold)
 					}
 					if s.probes > 40 {
-						t.Errorf("%d questions to servers", s.probes)
+						t.Errorf("%d probes of servers", s.probes)
 					}
 					s.close()
 				})
@@ -360,10 +359,9 @@
 	}
 }
 
-// Story: two domains are lost one after the other, and hundreds of sound calls are broken
-// off twice. More of them than the object API keeps must not be written again and again,
-// nor sent to and fro, by nodes that each find some of them missing there.
-func TestMoreThanIsKeptCostsNoMoreAtRest(t *testing.T) {
+// When more contents are interrupted than the object API keeps, nodes must not write or
+// exchange them again and again.
+func TestExcessRecordsAreNotRewritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 3, 8)
 		for i, n := range s.all() {
@@ -377,21 +375,20 @@
 		before := s.objects.Counts()
 		time.Sleep(time.Minute)
 		if puts := s.objects.Counts()[faker.MethodPut] - before[faker.MethodPut]; puts > 0 {
-			t.Errorf("%d writes in a minute at rest", puts)
+			t.Errorf("%d writes in an idle minute", puts)
 		}
 		for _, n := range s.all() {
 			if n.Checksum() != s.all()[0].Checksum() {
-				t.Errorf("%s does not know what others know", n.info.ID)
+				t.Errorf("%s has other records than the first node", n.info.ID)
 			}
 		}
 		s.close()
 	})
 }
 
-// Story: a zone is cut off, and sound calls of all nodes break off twice, at servers of
-// which nothing can be found out. Their records filled the object API: 650 reads and 160
-// writes in ten seconds of a day of 88 nodes. What is only suspected is not written.
-func TestWhatIsOnlySuspectedIsNotWritten(t *testing.T) {
+// A partition interrupts many harmless calls twice; suspected crashes must not load the
+// object API.
+func TestSuspectedCrashesAreNotStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 3, 8)
 		s.silent = true
@@ -413,9 +410,9 @@
 	})
 }
 
-// At rest, what is kept costs one call in eight seconds for each cell, whatever the number
-// of its nodes, and no message more.
-func TestRestCostsLittle(t *testing.T) {
+// An idle site costs one watch of the object API in eight seconds for each cell, whatever
+// the number of its nodes, and no other request.
+func TestIdleSiteMakesFewRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 3, 8)
 		s.crash(s.all()[0], 2)
