--- a/admitter/admitter.go
+++ b/admitter/admitter.go
@@ -104,8 +104,8 @@
 
 // await returns once the call has its verdict.
 func (a *Admitter) await(ctx context.Context, w *waiter) {
-	look := time.NewTicker(reviewInterval)
-	defer look.Stop()
+	poll := time.NewTicker(reviewInterval)
+	defer poll.Stop()
 	for {
 		select {
 		case <-w.decided:
@@ -113,8 +113,8 @@
 		case <-ctx.Done():
 			a.leave(w)
 			return
-		case <-look.C:
-			a.update(func(now time.Time, g *gate) { g.look(now, w) })
+		case <-poll.C:
+			a.update(func(now time.Time, g *gate) { g.poll(now, w) })
 		}
 	}
 }
--- a/admitter/admitter_test.go
+++ b/admitter/admitter_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestCancelledCallLeavesNothing(t *testing.T) {
+func TestCancelledCallReleasesSlot(t *testing.T) {
 	// A caller hangs up while its call waits. If its place stayed taken, the node
 	// would lose a slot with each such caller until it served nobody.
 	synctest.Test(t, func(t *testing.T) {
@@ -86,8 +86,8 @@
 		if waited := time.Since(begin); waited > 550*time.Millisecond {
 			t.Errorf("refused after %v, want well before the deadline", waited)
 		}
-		if e := err.(*garnetworks.Error); e.RetryAfter < shortestOverload {
-			t.Errorf("got Retry-After %v, want %v at least", e.RetryAfter, shortestOverload)
+		if e := err.(*garnetworks.Error); e.RetryAfter < minOverloadRetry {
+			t.Errorf("got Retry-After %v, want %v at least", e.RetryAfter, minOverloadRetry)
 		}
 	})
 }
@@ -99,7 +99,7 @@
 	g := newGate(Options{Node: "n1"})
 	g.setManifest(testStart, testManifest())
 	g.setCapacity(testStart, []garnetworks.ModelCapacity{{Model: "m", Slots: 1}})
-	g.pools["m"].hold = 0.1
+	g.pools["m"].slotTime = 0.1
 	ask := func(by time.Duration) *waiter {
 		return g.arrive(testStart, garnetworks.AdmitRequest{
 			Workspace: "top", Model: "m", Priority: 2, Tokens: 1, Received: testStart, FirstTokenBy: testStart.Add(by),
--- a/admitter/bucket.go
+++ b/admitter/bucket.go
@@ -28,8 +28,8 @@
 }
 
 func (b *bucket) fill(now time.Time) {
-	if passed := now.Sub(b.at).Seconds(); passed > 0 {
-		b.level = min(b.depth, b.level+passed*b.rate)
+	if elapsed := now.Sub(b.at).Seconds(); elapsed > 0 {
+		b.level = min(b.depth, b.level+elapsed*b.rate)
 		b.at = now
 	}
 }
@@ -41,7 +41,7 @@
 		return 0
 	}
 	if b.rate <= 0 {
-		return longestRetry
+		return maxRetryAfter
 	}
 	return seconds((need - b.level) / b.rate)
 }
@@ -65,17 +65,17 @@
 }
 
 func (m *meter) rate(now time.Time) float64 {
-	passed := now.Sub(m.at)
-	if passed <= 0 || m.value == 0 {
+	elapsed := now.Sub(m.at)
+	if elapsed <= 0 || m.value == 0 {
 		return m.value
 	}
-	return m.value * math.Exp(-passed.Seconds()/m.window.Seconds())
+	return m.value * math.Exp(-elapsed.Seconds()/m.window.Seconds())
 }
 
 // seconds converts with an upper bound, so that no division runs over.
 func seconds(s float64) time.Duration {
-	if s > longestRetry.Seconds() {
-		return longestRetry
+	if s > maxRetryAfter.Seconds() {
+		return maxRetryAfter
 	}
 	return time.Duration(s * float64(time.Second))
 }
--- a/admitter/gate.go
+++ b/admitter/gate.go
@@ -28,7 +28,7 @@
 	// nodes is the number of nodes on the rosters, this one included.
 	nodes int
 	// slots is the node's part of the serving capacity.
-	slots float64
+	slotShare float64
 	// tableAt is when the table in force was received; zero if none is.
 	tableAt time.Time
 	stopped bool
@@ -58,7 +58,7 @@
 		workspaces: map[garnetworks.WorkspaceName]*workspace{},
 		pools:      map[garnetworks.ModelName]*pool{},
 		nodes:      1,
-		slots:      1,
+		slotShare:  1,
 	}
 }
 
@@ -73,7 +73,7 @@
 			w.share = g.equal()
 		}
 		w.spec = spec
-		w.settle(now)
+		w.applyPending(now)
 		w.apply(now)
 		kept[spec.Name] = w
 	}
@@ -111,17 +111,17 @@
 func (g *gate) setNodes(now time.Time, nodes int) {
 	g.nodes = max(1, nodes)
 	if g.tableAt.IsZero() {
-		g.useEqual(now)
+		g.useEqualShares(now)
 	}
 }
 
 // useEqual falls back to equal shares (A3).
-func (g *gate) useEqual(now time.Time) {
+func (g *gate) useEqualShares(now time.Time) {
 	for _, w := range g.workspaces {
-		w.spare = false
+		w.relaxed = false
 		w.forceShare(now, g.equal())
 	}
-	g.setSlots(now, g.equal())
+	g.setSlotShare(now, g.equal())
 }
 
 // setShares takes the node's row of a table (A2).
@@ -129,36 +129,36 @@
 	g.tableAt = now
 	for _, s := range row.Workspaces {
 		if w := g.workspaces[s.Workspace]; w != nil {
-			w.spare = s.Use < SpareUse
+			w.relaxed = s.Utilization < RelaxedUtilization
 			w.setShare(now, s.Share)
 			w.apply(now)
 		}
 	}
-	g.setSlots(now, row.Slots)
+	g.setSlotShare(now, row.Slots)
 }
 
-func (g *gate) setSlots(now time.Time, part float64) {
-	g.slots = part
+func (g *gate) setSlotShare(now time.Time, slotShare float64) {
+	g.slotShare = slotShare
 	for _, p := range g.pools {
-		p.setCapacity(now, p.capacity, part)
+		p.setCapacity(now, p.capacity, slotShare)
 		g.dispatch(now, p)
 	}
 }
 
 // expire ends a table that is too old (A3).
-func (g *gate) expire(now time.Time) {
+func (g *gate) expireTable(now time.Time) {
 	if g.tableAt.IsZero() || now.Sub(g.tableAt) <= ShareBound {
 		return
 	}
 	g.tableAt = time.Time{}
-	g.useEqual(now)
+	g.useEqualShares(now)
 }
 
 // setCapacity takes the capacity of all models; models that are left out have
 // none.
 func (g *gate) setCapacity(now time.Time, capacities []garnetworks.ModelCapacity) {
 	for name, p := range g.pools {
-		p.setCapacity(now, capacityOf(name, capacities), g.slots)
+		p.setCapacity(now, capacityOf(name, capacities), g.slotShare)
 		g.dispatch(now, p)
 	}
 }
@@ -178,18 +178,18 @@
 
 // arrive decides on a call: it is let in, waits, or is refused.
 func (g *gate) arrive(now time.Time, request garnetworks.AdmitRequest) *waiter {
-	g.expire(now)
+	g.expireTable(now)
 	w := &waiter{request: request}
 	if err := g.admissible(now, w); err != nil {
 		return g.refuse(w, err)
 	}
-	w.workspace.enter(now, request.Tokens)
+	w.workspace.charge(now, request.Tokens)
 	if w.pool == nil {
 		w.state = admitted
 		g.counts.Admitted++
 		return w
 	}
-	g.place(now, w)
+	g.schedule(now, w)
 	return w
 }
 
@@ -200,14 +200,14 @@
 	}
 	r := &w.request
 	if !r.FirstTokenBy.IsZero() && !now.Before(r.FirstTokenBy) {
-		return g.late(shortestOverload)
+		return g.lateError(minOverloadRetry)
 	}
 	w.workspace = g.workspaces[r.Workspace]
 	if w.workspace == nil {
 		return garnetworks.Errorf(garnetworks.KindForbidden, "workspace %s is not in the manifest", r.Workspace)
 	}
-	w.workspace.askedRequests.add(now, 1)
-	w.workspace.askedTokens.add(now, float64(r.Tokens))
+	w.workspace.requestRate.add(now, 1)
+	w.workspace.tokenRate.add(now, float64(r.Tokens))
 	if r.Model != anyModel || r.Tokens > 0 {
 		w.pool = g.pools[r.Model]
 		if w.pool == nil {
@@ -215,39 +215,39 @@
 		}
 	}
 	if wait := w.workspace.refusal(now, r.Tokens); wait > 0 {
-		return g.retry(garnetworks.KindOverLimit, wait, "workspace %s is over its limit at this node", r.Workspace)
+		return g.retryError(garnetworks.KindOverLimit, wait, "workspace %s is over its limit at this node", r.Workspace)
 	}
 	return nil
 }
 
 // place gives the call a slot or a place in the queue, or refuses it.
-func (g *gate) place(now time.Time, w *waiter) {
+func (g *gate) schedule(now time.Time, w *waiter) {
 	p := w.pool
 	w.class = p.class(w.request.Priority)
 	w.flow = w.class.flow(w.request.Workspace)
 	w.class.tag(w)
-	w.class.asked.add(now, 1)
-	w.flow.asked.add(now, 1)
-	if p.first(w.class) && p.free(now, w) {
-		w.class.virtual = max(w.class.virtual, w.start)
-		p.enter(now, w)
+	w.class.arrivals.add(now, 1)
+	w.flow.arrivals.add(now, 1)
+	if p.noneAhead(w.class) && p.slotAvailable(now, w) {
+		w.class.virtualTime = max(w.class.virtualTime, w.start)
+		p.acquire(now, w)
 		w.state = admitted
 		g.counts.Admitted++
 		return
 	}
-	p.short = true
+	p.saturated = true
 	wait := p.wait(now, w.class, p.ahead(w))
-	if p.late(now, w, wait) {
-		g.reject(now, w, g.late(wait))
+	if p.missesDeadline(now, w, wait) {
+		g.reject(now, w, g.lateError(wait))
 		return
 	}
 	if p.waiting >= g.options.MaxWaiting {
 		v := p.victim(w)
 		if v == nil {
-			g.reject(now, w, g.full(wait))
+			g.reject(now, w, g.fullError(wait))
 			return
 		}
-		g.shed(now, v, g.full(p.wait(now, v.class, p.ahead(v))))
+		g.shed(now, v, g.fullError(p.wait(now, v.class, p.ahead(v))))
 	}
 	w.decided = make(chan struct{})
 	w.class.push(w)
@@ -255,23 +255,23 @@
 	g.review(now, p, true)
 }
 
-func (g *gate) late(wait time.Duration) error {
-	return g.retry(garnetworks.KindDeadlineUnreachable, max(wait, shortestOverload), "the first token can't come in time")
+func (g *gate) lateError(wait time.Duration) error {
+	return g.retryError(garnetworks.KindDeadlineUnreachable, max(wait, minOverloadRetry), "the first token can't come in time")
 }
 
-func (g *gate) full(wait time.Duration) error {
-	return g.retry(garnetworks.KindOverloaded, max(wait, shortestOverload), "the queue is full")
+func (g *gate) fullError(wait time.Duration) error {
+	return g.retryError(garnetworks.KindOverloaded, max(wait, minOverloadRetry), "the queue is full")
 }
 
 // retry makes a refusal with the time after which to come back, a little later
 // for some callers than for others: those refused in the same moment would else
 // all come back in the same moment.
-func (g *gate) retry(kind garnetworks.Kind, after time.Duration, format string, args ...any) error {
+func (g *gate) retryError(kind garnetworks.Kind, after time.Duration, format string, args ...any) error {
 	err := garnetworks.Errorf(kind, format, args...).(*garnetworks.Error)
-	after = min(max(after, shortestRetry), longestRetry)
+	after = min(max(after, minRetryAfter), maxRetryAfter)
 	g.refusals++
-	part := float64(g.refusals*retryStride%retryParts) / retryParts
-	err.RetryAfter = after + time.Duration(retrySpread*part*float64(after))
+	step := float64(g.refusals*jitterStride%jitterSteps) / jitterSteps
+	err.RetryAfter = after + time.Duration(retryJitter*step*float64(after))
 	return err
 }
 
@@ -286,7 +286,7 @@
 // reject ends a tagged call that was never queued.
 func (g *gate) reject(now time.Time, w *waiter, err error) {
 	w.flow.finish -= w.cost()
-	w.workspace.undo(now, w.request.Tokens)
+	w.workspace.refund(now, w.request.Tokens)
 	g.refuse(w, err)
 }
 
@@ -294,7 +294,7 @@
 func (g *gate) shed(now time.Time, w *waiter, err error) {
 	w.class.remove(w)
 	w.pool.waiting--
-	w.workspace.undo(now, w.request.Tokens)
+	w.workspace.refund(now, w.request.Tokens)
 	g.refuse(w, err)
 	g.decided = append(g.decided, w)
 }
@@ -316,16 +316,16 @@
 func (g *gate) dispatch(now time.Time, p *pool) {
 	for p.waiting > 0 {
 		w := p.next()
-		if !p.free(now, w) {
+		if !p.slotAvailable(now, w) {
 			return
 		}
-		if p.late(now, w, 0) {
-			g.shed(now, w, g.late(p.wait(now, w.class, 0)))
+		if p.missesDeadline(now, w, 0) {
+			g.shed(now, w, g.lateError(p.wait(now, w.class, 0)))
 			continue
 		}
-		w.class.serve(w)
+		w.class.dequeue(w)
 		p.waiting--
-		p.enter(now, w)
+		p.acquire(now, w)
 		w.state = admitted
 		g.counts.Admitted++
 		g.decided = append(g.decided, w)
@@ -342,8 +342,8 @@
 	ahead := 0
 	for _, w := range p.ordered() {
 		wait := p.wait(now, w.class, ahead)
-		if p.late(now, w, wait) {
-			g.shed(now, w, g.late(wait))
+		if p.missesDeadline(now, w, wait) {
+			g.shed(now, w, g.lateError(wait))
 			continue
 		}
 		ahead++
@@ -352,8 +352,8 @@
 
 // look serves and reviews a waiting call's queue. Room that was left for others
 // falls to the waiting calls with time, without any call that ends.
-func (g *gate) look(now time.Time, w *waiter) {
-	g.expire(now)
+func (g *gate) poll(now time.Time, w *waiter) {
+	g.expireTable(now)
 	if w.state == waiting {
 		g.dispatch(now, w.pool)
 		g.review(now, w.pool, false)
@@ -368,7 +368,7 @@
 	}
 	w.class.remove(w)
 	w.pool.waiting--
-	w.workspace.undo(now, w.request.Tokens)
+	w.workspace.refund(now, w.request.Tokens)
 	g.refuse(w, garnetworks.Errorf(garnetworks.KindCancelled, "the caller cancelled the call while it waited"))
 	return true
 }
@@ -379,11 +379,11 @@
 		return
 	}
 	w.state = finished
-	w.workspace.leave(now, w.request.Tokens, tokens)
+	w.workspace.finish(now, w.request.Tokens, tokens)
 	if w.pool == nil {
 		return
 	}
-	w.pool.leave(now, w)
+	w.pool.release(now, w)
 	g.dispatch(now, w.pool)
 	g.review(now, w.pool, false)
 }
@@ -399,7 +399,7 @@
 	slices.SortFunc(all, func(a, b garnetworks.Demand) int { return cmp.Compare(a.Workspace, b.Workspace) })
 	kept := all[:0]
 	for i, d := range all {
-		if i == 0 || d.InFlight > 0 || d.RequestsPerSecond > leastDemand {
+		if i == 0 || d.InFlight > 0 || d.RequestsPerSecond > minReportedRate {
 			kept = append(kept, d)
 		}
 	}
@@ -407,4 +407,4 @@
 }
 
 // leastDemand is the rate below which a workspace is not reported.
-const leastDemand = 0.001
+const minReportedRate = 0.001
--- a/admitter/overload_test.go
+++ b/admitter/overload_test.go
@@ -23,10 +23,10 @@
 	loadWarmUp  = 40 * time.Second
 	loadLength  = 100 * time.Second
 	// loadGoal is the users' goal for the first token.
-	loadGoal = 840 * time.Millisecond
+	loadDeadline = 840 * time.Millisecond
 	// loadFull is the calls a second at which the engines are full: prefill
 	// allows 16.7 for each group, slots about 12 at 150 tokens a call.
-	loadFull = 12.0 * loadGroups
+	loadCapacity = 12.0 * loadGroups
 )
 
 // loadWorkspace is a workspace's part of the offered calls.
@@ -34,15 +34,15 @@
 	spec garnetworks.WorkspaceSpec
 	// part is the offered load as a part of the full rate; burst multiplies it
 	// by the run's load, the others' stay as they are.
-	part  float64
-	burst bool
+	fraction float64
+	burst    bool
 }
 
 var loadWorkspaces = []loadWorkspace{
-	{spec: garnetworks.WorkspaceSpec{Name: "top", Priority: 10}, part: 0.2},
-	{spec: garnetworks.WorkspaceSpec{Name: "small", Priority: 5}, part: 0.05},
-	{spec: garnetworks.WorkspaceSpec{Name: "large", Priority: 5}, part: 0.5, burst: true},
-	{spec: garnetworks.WorkspaceSpec{Name: "batch", Priority: 1}, part: 0.25, burst: true},
+	{spec: garnetworks.WorkspaceSpec{Name: "top", Priority: 10}, fraction: 0.2},
+	{spec: garnetworks.WorkspaceSpec{Name: "small", Priority: 5}, fraction: 0.05},
+	{spec: garnetworks.WorkspaceSpec{Name: "large", Priority: 5}, fraction: 0.5, burst: true},
+	{spec: garnetworks.WorkspaceSpec{Name: "batch", Priority: 1}, fraction: 0.25, burst: true},
 }
 
 type loadCall struct {
@@ -56,7 +56,7 @@
 	first     time.Time
 	output    int
 	// backs counts how often the caller came back.
-	backs int
+	retries int
 }
 
 type loadEngine struct {
@@ -87,7 +87,7 @@
 	manifest *garnetworks.Manifest
 	// comeBack lets refused callers send the call again when they are told to, at
 	// most so many times.
-	comeBack int
+	maxRetries int
 }
 
 type loadEvent struct {
@@ -145,8 +145,8 @@
 		r.routers = append(r.routers, router.New(router.Options{Node: id, Zone: "z1"}))
 	}
 	r.report()
-	r.upkeep()
-	r.look()
+	r.updateCapacity()
+	r.poll()
 	for i := range loadWorkspaces {
 		r.at(r.now, func() { r.arrive(i) })
 	}
@@ -158,7 +158,7 @@
 	return r.counts
 }
 
-func (r *loadRun) over() bool { return r.now.Sub(testStart) > loadLength }
+func (r *loadRun) finished() bool { return r.now.Sub(testStart) > loadLength }
 
 // report hands all nodes the engines' loads, one second old.
 func (r *loadRun) report() {
@@ -172,7 +172,7 @@
 	for _, n := range r.routers {
 		n.SetView(r.now, view)
 	}
-	if !r.over() {
+	if !r.finished() {
 		r.at(r.now.Add(time.Second), r.report)
 	}
 }
@@ -183,38 +183,38 @@
 	return garnetworks.EngineLoad{Running: e.running, Waiting: len(e.waiting), Capacity: loadSlots, At: now}
 }
 
-func (r *loadRun) upkeep() {
+func (r *loadRun) updateCapacity() {
 	for i, g := range r.gates {
 		g.setCapacity(r.now, r.routers[i].Capacities(r.now))
-		r.verdicts(i)
+		r.applyDecisions(i)
 	}
-	if !r.over() {
-		r.at(r.now.Add(time.Second), r.upkeep)
+	if !r.finished() {
+		r.at(r.now.Add(time.Second), r.updateCapacity)
 	}
 }
 
 // look does what each waiting call does in the adapter.
-func (r *loadRun) look() {
+func (r *loadRun) poll() {
 	for i, g := range r.gates {
 		for _, p := range g.pools {
 			g.dispatch(r.now, p)
 			g.review(r.now, p, false)
 		}
-		r.verdicts(i)
+		r.applyDecisions(i)
 	}
-	if !r.over() {
-		r.at(r.now.Add(reviewInterval), r.look)
+	if !r.finished() {
+		r.at(r.now.Add(reviewInterval), r.poll)
 	}
 }
 
 func (r *loadRun) arrive(workspace int) {
 	w := loadWorkspaces[workspace]
-	rate := w.part * loadFull
+	rate := w.fraction * loadCapacity
 	if w.burst {
 		// Steady workspaces keep their parts; the others make up the load.
-		rate = (r.load - 0.25) * w.part / 0.75 * loadFull
+		rate = (r.load - 0.25) * w.fraction / 0.75 * loadCapacity
 	}
-	if r.over() {
+	if r.finished() {
 		return
 	}
 	r.at(r.now.Add(time.Duration(r.random.ExpFloat64()/rate*float64(time.Second))), func() { r.arrive(workspace) })
@@ -222,10 +222,10 @@
 }
 
 // send brings a call to a random node.
-func (r *loadRun) send(workspace, backs int) {
+func (r *loadRun) send(workspace, retries int) {
 	w := loadWorkspaces[workspace]
 	node := r.random.IntN(len(r.gates))
-	c := &loadCall{workspace: workspace, node: node, backs: backs, arrived: r.now, output: 50 + r.random.IntN(200)}
+	c := &loadCall{workspace: workspace, node: node, retries: retries, arrived: r.now, output: 50 + r.random.IntN(200)}
 	c.request = garnetworks.CallRequest{Workspace: w.spec.Name, Model: "m", Priority: w.spec.Priority}
 	if r.counted(c) {
 		r.counts[workspace].offered++
@@ -236,7 +236,7 @@
 	}
 	c.waiter = r.gates[node].arrive(r.now, garnetworks.AdmitRequest{
 		Workspace: w.spec.Name, Model: "m", Priority: w.spec.Priority, Tokens: 1000,
-		Received: r.now, FirstTokenBy: r.now.Add(loadGoal),
+		Received: r.now, FirstTokenBy: r.now.Add(loadDeadline),
 	})
 	switch c.waiter.state {
 	case admitted:
@@ -247,7 +247,7 @@
 		r.waiters[c.waiter] = c
 		r.queued++
 	}
-	r.verdicts(node)
+	r.applyDecisions(node)
 }
 
 func (r *loadRun) counted(c *loadCall) bool {
@@ -255,9 +255,9 @@
 }
 
 func (r *loadRun) refused(c *loadCall) {
-	if c.waiter != nil && c.backs < r.comeBack && !r.over() {
+	if c.waiter != nil && c.retries < r.maxRetries && !r.finished() {
 		after := c.waiter.err.(*garnetworks.Error).RetryAfter
-		r.at(r.now.Add(after), func() { r.send(c.workspace, c.backs+1) })
+		r.at(r.now.Add(after), func() { r.send(c.workspace, c.retries+1) })
 	}
 	if r.counted(c) {
 		r.counts[c.workspace].refused++
@@ -266,7 +266,7 @@
 }
 
 // verdicts carries out what a gate has decided on waiting calls.
-func (r *loadRun) verdicts(node int) {
+func (r *loadRun) applyDecisions(node int) {
 	g := r.gates[node]
 	decided := g.decided
 	g.decided = nil
@@ -316,7 +316,7 @@
 	c.first = e.prefillFree.Add(loadStep)
 	r.at(c.first, func() {
 		if r.counted(c) {
-			if c.first.Sub(c.arrived) <= loadGoal {
+			if c.first.Sub(c.arrived) <= loadDeadline {
 				r.counts[c.workspace].good++
 			} else {
 				r.counts[c.workspace].late++
@@ -357,7 +357,7 @@
 	r.routers[node].AttemptFinished(r.now, &c.request, groupID(c.group), result)
 	if c.waiter != nil {
 		r.gates[node].done(r.now, c.waiter, 1000)
-		r.verdicts(node)
+		r.applyDecisions(node)
 	}
 }
 
@@ -367,7 +367,7 @@
 	for _, c := range counts {
 		good += c.good
 	}
-	return float64(good) / ((loadLength - loadWarmUp - 10*time.Second).Seconds() * loadFull)
+	return float64(good) / ((loadLength - loadWarmUp - 10*time.Second).Seconds() * loadCapacity)
 }
 
 func logLoad(t *testing.T, load float64, admit bool, counts []loadCount) {
@@ -418,7 +418,7 @@
 	}
 }
 
-func TestCutOffZoneServesItsEngines(t *testing.T) {
+func TestPartitionedZoneUsesItsEngines(t *testing.T) {
 	// A zone is cut off with a third of the nodes. Each goes on with its equal
 	// share of the slots, counted over all nodes, although the others can't reach
 	// the zone's engines; callers in the zone were refused beside idle engines.
@@ -432,7 +432,7 @@
 	}
 }
 
-func TestReunionDoesNotFloodEngines(t *testing.T) {
+func TestHealedPartitionDoesNotOverloadEngines(t *testing.T) {
 	// A cut-off zone's node has grown to three times its part of the slots. The
 	// cut ends, and it sees all groups again. If its limit grew threefold with
 	// them, it would fill the engines of the other zones in a moment.
@@ -441,10 +441,10 @@
 	g.setNodes(now, 6)
 	g.setManifest(now, &garnetworks.Manifest{Models: []garnetworks.ModelSpec{{Name: "m"}}})
 	p := g.pools["m"]
-	set := func(slots int, use float64) {
+	set := func(slots int, utilization float64) {
 		now = now.Add(time.Second)
-		p.short = true
-		g.setCapacity(now, []garnetworks.ModelCapacity{{Model: "m", Slots: slots, InUse: use * float64(slots)}})
+		p.saturated = true
+		g.setCapacity(now, []garnetworks.ModelCapacity{{Model: "m", Slots: slots, InUse: utilization * float64(slots)}})
 	}
 	for range 60 {
 		set(400, 0.4)
@@ -459,7 +459,7 @@
 	}
 }
 
-func TestCallersThatComeBack(t *testing.T) {
+func TestRetryingCallers(t *testing.T) {
 	// Refused callers send their calls again when they are told to, up to three
 	// times. At one and a half times the full rate that makes up to three times the
 	// calls; it must not take slots from calls that are served.
@@ -468,7 +468,7 @@
 	}
 	once := (&loadRun{load: 1.5, admit: true}).run(6, 6)
 	logLoad(t, 1.5, true, once)
-	again := (&loadRun{load: 1.5, admit: true, comeBack: 3}).run(6, 6)
+	again := (&loadRun{load: 1.5, admit: true, maxRetries: 3}).run(6, 6)
 	logLoad(t, 1.5, true, again)
 	if goodput(again) < 0.95*goodput(once) {
 		t.Errorf("got goodput %.3f, want 95%% of %.3f", goodput(again), goodput(once))
--- a/admitter/pool.go
+++ b/admitter/pool.go
@@ -11,9 +11,9 @@
 const (
 	// defaultHold is the time that a call is taken to hold its slot before any
 	// call has been measured.
-	defaultHold = 5 * time.Second
+	defaultSlotTime = 5 * time.Second
 	// holdWeight is the weight of one call in the moving average.
-	holdWeight = 0.1
+	slotTimeWeight = 0.1
 	// defaultFirstToken is the time to the first token before the node has
 	// measured it.
 	defaultFirstToken = 200 * time.Millisecond
@@ -25,10 +25,10 @@
 	// roomStep times the free part is the step up while much is free: the nodes
 	// of a cut-off zone hold a part of all slots, though no other node can reach
 	// the engines there.
-	roomStep                = 0.3
-	shrinkStep, growStep    = 0.97, 0.03
-	leastFactor, mostFactor = 0.3, 4.0
-	queueingUse, roomUse    = 1.0, 0.97
+	idleGrowStep         = 0.3
+	shrinkStep, growStep = 0.97, 0.03
+	minFactor, maxFactor = 0.3, 4.0
+	shrinkUse, growUse   = 1.0, 0.97
 	// slowFirstToken is the usual time to the first token from which the engines
 	// are short of prefill, however many slots are free; half of what is
 	// promised, so that most calls still keep the promise.
@@ -40,16 +40,16 @@
 	// reserveDeviations is how far above the mean number of calls of higher
 	// priorities room is left for them, in standard deviations.
 	reserveDeviations = 2.5
-	leastRate         = 0.05
+	minRateFraction   = 0.05
 	classWindow       = 10 * time.Second
 	defaultMaxWaiting = 256
 	// retrySpread is the part by which times to come back differ; retryParts and
 	// retryStride walk through the differences.
-	retrySpread              = 0.25
-	retryParts               = 64
-	retryStride              = 37
-	shortestOverload         = time.Second
-	noCapacitySlots  float64 = 1
+	retryJitter              = 0.25
+	jitterSteps              = 64
+	jitterStride             = 37
+	minOverloadRetry         = time.Second
+	minSlotLimit     float64 = 1
 )
 
 // pool holds a model's slots at the node and the calls that wait for them.
@@ -59,10 +59,10 @@
 	// factor adapts the node's part (A6).
 	factor float64
 	// part is the node's part of the slots, before adaptation.
-	part    float64
-	adapted time.Time
+	nodeSlots float64
+	adaptedAt time.Time
 	// short is set when a call found no slot since the last step.
-	short bool
+	saturated bool
 	// limit is the number of calls that the node lets run; at least 1, so that
 	// the router can say why a model is not served.
 	limit   float64
@@ -71,7 +71,7 @@
 	// base, for the mean age.
 	startSum float64
 	base     time.Time
-	hold     float64
+	slotTime float64
 	// classes are sorted by descending priority; they come from the manifest's
 	// priorities.
 	classes  []*class
@@ -80,7 +80,7 @@
 }
 
 func newPool(now time.Time, model garnetworks.ModelName) *pool {
-	return &pool{model: model, factor: 1, limit: noCapacitySlots, base: now, hold: defaultHold.Seconds()}
+	return &pool{model: model, factor: 1, limit: minSlotLimit, base: now, slotTime: defaultSlotTime.Seconds()}
 }
 
 // class returns the class of a priority.
@@ -90,7 +90,7 @@
 		c := &class{
 			priority: priority,
 			flows:    map[garnetworks.WorkspaceName]*flow{},
-			asked:    meter{window: classWindow},
+			arrivals: meter{window: classWindow},
 		}
 		p.classes = slices.Insert(p.classes, i, c)
 	}
@@ -99,35 +99,35 @@
 
 // setCapacity takes the model's capacity and the node's part of it, and adapts
 // the factor (A6).
-func (p *pool) setCapacity(now time.Time, capacity garnetworks.ModelCapacity, part float64) {
+func (p *pool) setCapacity(now time.Time, capacity garnetworks.ModelCapacity, share float64) {
 	p.capacity = capacity
-	if capacity.Slots > 0 && now.Sub(p.adapted) >= adaptInterval {
-		p.adapted = now
+	if capacity.Slots > 0 && now.Sub(p.adaptedAt) >= adaptInterval {
+		p.adaptedAt = now
 		p.adapt(capacity.InUse/float64(capacity.Slots), capacity.FirstToken)
-		p.short = false
+		p.saturated = false
 	}
-	whole := part * float64(capacity.Slots)
-	if p.factor > 1 && whole > p.part && p.part > 0 {
+	slots := share * float64(capacity.Slots)
+	if p.factor > 1 && slots > p.nodeSlots && p.nodeSlots > 0 {
 		// Other nodes reach these groups again, or there are more of them: what was
 		// taken beyond the own part must not grow along with it.
-		p.factor = max(1, p.factor*p.part/whole)
+		p.factor = max(1, p.factor*p.nodeSlots/slots)
 	}
-	p.part = whole
-	p.limit = max(noCapacitySlots, p.factor*whole)
+	p.nodeSlots = slots
+	p.limit = max(minSlotLimit, p.factor*slots)
 }
 
 // adapt takes one step. Engines show that they are short of something by calls
 // that wait for a slot, or by first tokens that come late.
-func (p *pool) adapt(use float64, firstToken time.Duration) {
-	if use > queueingUse || firstToken > slowFirstToken {
-		p.factor = max(leastFactor, p.factor*shrinkStep)
+func (p *pool) adapt(utilization float64, firstToken time.Duration) {
+	if utilization > shrinkUse || firstToken > slowFirstToken {
+		p.factor = max(minFactor, p.factor*shrinkStep)
 		return
 	}
-	if use > roomUse || firstToken > fastFirstToken {
+	if utilization > growUse || firstToken > fastFirstToken {
 		return
 	}
-	if p.short {
-		p.factor = min(mostFactor, p.factor+max(growStep, roomStep*(roomUse-use)))
+	if p.saturated {
+		p.factor = min(maxFactor, p.factor+max(growStep, idleGrowStep*(growUse-utilization)))
 	} else if p.factor < 1 {
 		p.factor = min(1, p.factor+growStep)
 	}
@@ -138,45 +138,45 @@
 // own asks for more than an equal part: a node with few slots has one come free
 // every few hundred milliseconds only, too late for a call that finds all of
 // them taken (A7).
-func (p *pool) free(now time.Time, w *waiter) bool {
+func (p *pool) slotAvailable(now time.Time, w *waiter) bool {
 	if p.running == 0 {
 		return true
 	}
-	above := p.above(now, w.class)
-	reserve := above.reserve(p.limit)
-	equal := max(0, p.limit-above.mean) / float64(max(1, w.class.active()))
-	if w.flow.mean(now, p.hold) > equal {
-		below := expected{}
+	higherPriority := p.higherPriority(now, w.class)
+	reserve := higherPriority.reserve(p.limit)
+	equal := max(0, p.limit-higherPriority.mean) / float64(max(1, w.class.active()))
+	if w.flow.mean(now, p.slotTime) > equal {
+		below := expectedLoad{}
 		for _, f := range w.class.flows {
-			if mean := f.mean(now, p.hold); f != w.flow && mean <= equal {
+			if mean := f.mean(now, p.slotTime); f != w.flow && mean <= equal {
 				below.add(mean, f.running)
 			}
 		}
-		reserve += below.reserve(p.limit - above.mean)
+		reserve += below.reserve(p.limit - higherPriority.mean)
 	}
 	return float64(p.running)+1 <= p.limit-reserve
 }
 
 // above sums the classes of higher priority.
-func (p *pool) above(now time.Time, c *class) expected {
-	e := expected{}
+func (p *pool) higherPriority(now time.Time, c *class) expectedLoad {
+	e := expectedLoad{}
 	for _, higher := range p.classes {
 		if higher.priority <= c.priority {
 			break
 		}
-		e.add(higher.asked.rate(now)*p.hold, higher.running)
+		e.add(higher.arrivals.rate(now)*p.slotTime, higher.running)
 	}
 	return e
 }
 
 // expected is the number of calls that some classes or workspaces will have in
 // flight, and that they have.
-type expected struct {
+type expectedLoad struct {
 	mean    float64
 	running int
 }
 
-func (e *expected) add(mean float64, running int) {
+func (e *expectedLoad) add(mean float64, running int) {
 	e.mean += mean
 	e.running += running
 }
@@ -184,14 +184,14 @@
 // reserve returns the slots to be left free of a number of slots. The room for
 // chance is at most half of what the mean leaves: with few slots, lower
 // priorities would else never be served, however idle the higher ones are.
-func (e *expected) reserve(slots float64) float64 {
+func (e *expectedLoad) reserve(slots float64) float64 {
 	chance := min(reserveDeviations*math.Sqrt(e.mean), max(0, slots-e.mean)/2)
 	return max(0, e.mean+chance-float64(e.running))
 }
 
 // first reports whether no call waits that a new one of the class would have to
 // let pass.
-func (p *pool) first(c *class) bool {
+func (p *pool) noneAhead(c *class) bool {
 	for _, other := range p.classes {
 		if other.priority >= c.priority && other.waiting > 0 {
 			return false
@@ -201,7 +201,7 @@
 }
 
 // enter gives a slot to a call.
-func (p *pool) enter(now time.Time, w *waiter) {
+func (p *pool) acquire(now time.Time, w *waiter) {
 	p.running++
 	p.startSum += now.Sub(p.base).Seconds()
 	w.entered = now
@@ -210,7 +210,7 @@
 }
 
 // leave takes the slot back.
-func (p *pool) leave(now time.Time, w *waiter) {
+func (p *pool) release(now time.Time, w *waiter) {
 	p.running--
 	w.class.running--
 	w.flow.running--
@@ -218,34 +218,34 @@
 	if p.running == 0 {
 		p.startSum = 0
 	}
-	p.hold += holdWeight * (now.Sub(w.entered).Seconds() - p.hold)
+	p.slotTime += slotTimeWeight * (now.Sub(w.entered).Seconds() - p.slotTime)
 }
 
 // rate returns the slots that come free in a second while all are taken. If
 // calls stop ending, their age grows above the measured time and the rate falls,
 // before a single one has ended (A9).
-func (p *pool) rate(now time.Time) float64 {
-	hold := max(p.hold, 0.01)
+func (p *pool) slotRate(now time.Time) float64 {
+	slotTime := max(p.slotTime, 0.01)
 	if p.running > 0 {
 		age := now.Sub(p.base).Seconds() - p.startSum/float64(p.running)
-		hold = max(hold, age)
+		slotTime = max(slotTime, age)
 	}
-	return p.limit / hold
+	return p.limit / slotTime
 }
 
 // wait estimates how long a call waits that has ahead calls before it in a
 // class.
 func (p *pool) wait(now time.Time, c *class, ahead int) time.Duration {
-	rate := p.rate(now)
-	left := rate
+	slotRate := p.slotRate(now)
+	remaining := slotRate
 	for _, higher := range p.classes {
 		if higher.priority <= c.priority {
 			break
 		}
-		left -= higher.asked.rate(now)
+		remaining -= higher.arrivals.rate(now)
 	}
-	left = max(left, leastRate*rate)
-	return seconds(float64(ahead+1) / left)
+	remaining = max(remaining, minRateFraction*slotRate)
+	return seconds(float64(ahead+1) / remaining)
 }
 
 // ahead counts the calls that would be served before a tagged call.
@@ -261,7 +261,7 @@
 		}
 		for _, f := range c.flows {
 			for _, other := range f.queue {
-				if !before(other, w) {
+				if !servedBefore(other, w) {
 					break
 				}
 				n++
@@ -281,15 +281,15 @@
 
 // late reports whether a call that waits for the given time misses its first
 // token.
-func (p *pool) late(now time.Time, w *waiter, wait time.Duration) bool {
+func (p *pool) missesDeadline(now time.Time, w *waiter, wait time.Duration) bool {
 	by := w.request.FirstTokenBy
 	if by.IsZero() {
 		return false
 	}
 	// A measured time above the whole allowance must not refuse each call that
 	// waits: with half of it assumed, the engines get the chance to do better.
-	first := min(firstTokenMargin*p.firstToken(), by.Sub(w.request.Received)/2)
-	return now.Add(wait + first).After(by)
+	firstToken := min(firstTokenMargin*p.firstToken(), by.Sub(w.request.Received)/2)
+	return now.Add(wait + firstToken).After(by)
 }
 
 // prune forgets priorities and workspaces that no call waits for; the manifest
@@ -309,7 +309,7 @@
 func (p *pool) next() *waiter {
 	for _, c := range p.classes {
 		if c.waiting > 0 {
-			return c.first()
+			return c.head()
 		}
 	}
 	return nil
@@ -326,7 +326,7 @@
 		if c.waiting == 0 {
 			continue
 		}
-		v := c.longest()
+		v := c.evictionCandidate()
 		if c.priority == w.class.priority && len(v.flow.queue) <= len(w.flow.queue)+1 {
 			return nil
 		}
@@ -344,10 +344,10 @@
 			all = append(all, f.queue...)
 		}
 		slices.SortFunc(all[from:], func(a, b *waiter) int {
-			if before(a, b) {
+			if servedBefore(a, b) {
 				return -1
 			}
-			if before(b, a) {
+			if servedBefore(b, a) {
 				return 1
 			}
 			return 0
--- a/admitter/queue.go
+++ b/admitter/queue.go
@@ -44,25 +44,25 @@
 	queue   []*waiter
 	running int
 	// asked measures the calls that asked for a slot.
-	asked meter
+	arrivals meter
 }
 
 // class holds the calls of one priority.
 type class struct {
 	priority int
 	// virtual is the start tag of the last call let in; it never decreases.
-	virtual float64
-	flows   map[garnetworks.WorkspaceName]*flow
-	waiting int
-	running int
+	virtualTime float64
+	flows       map[garnetworks.WorkspaceName]*flow
+	waiting     int
+	running     int
 	// asked measures the calls that asked for a slot.
-	asked meter
+	arrivals meter
 }
 
 func (c *class) flow(name garnetworks.WorkspaceName) *flow {
 	f := c.flows[name]
 	if f == nil {
-		f = &flow{asked: meter{window: classWindow}}
+		f = &flow{arrivals: meter{window: classWindow}}
 		c.flows[name] = f
 	}
 	return f
@@ -70,7 +70,7 @@
 
 // mean returns the calls that the workspace would have in flight if all that
 // it asks for were let in.
-func (f *flow) mean(now time.Time, hold float64) float64 { return f.asked.rate(now) * hold }
+func (f *flow) mean(now time.Time, slotTime float64) float64 { return f.arrivals.rate(now) * slotTime }
 
 // active returns the number of workspaces that have calls waiting or running.
 func (c *class) active() int {
@@ -85,7 +85,7 @@
 
 // tag gives a call its tags, as the last of its flow.
 func (c *class) tag(w *waiter) {
-	w.start = max(c.virtual, w.flow.finish)
+	w.start = max(c.virtualTime, w.flow.finish)
 	w.flow.finish = w.start + w.cost()
 }
 
@@ -97,17 +97,17 @@
 
 // first returns the call to be served next, or nil. Equal tags are ordered by
 // name, so that the same calls are served in the same order each time.
-func (c *class) first() *waiter {
+func (c *class) head() *waiter {
 	var best *waiter
 	for _, f := range c.flows {
-		if len(f.queue) > 0 && (best == nil || before(f.queue[0], best)) {
+		if len(f.queue) > 0 && (best == nil || servedBefore(f.queue[0], best)) {
 			best = f.queue[0]
 		}
 	}
 	return best
 }
 
-func before(a, b *waiter) bool {
+func servedBefore(a, b *waiter) bool {
 	if a.start != b.start {
 		return a.start < b.start
 	}
@@ -115,10 +115,10 @@
 }
 
 // serve takes a call that is first in its flow out and moves virtual time on.
-func (c *class) serve(w *waiter) {
+func (c *class) dequeue(w *waiter) {
 	w.flow.queue = w.flow.queue[1:]
 	c.waiting--
-	c.virtual = max(c.virtual, w.start)
+	c.virtualTime = max(c.virtualTime, w.start)
 }
 
 // remove takes a call out that will not be served, and moves those behind it
@@ -132,13 +132,13 @@
 	f.queue = slices.Delete(f.queue, i, i+1)
 	c.waiting--
 	for _, later := range f.queue[i:] {
-		later.start = max(c.virtual, later.start-w.cost())
+		later.start = max(c.virtualTime, later.start-w.cost())
 	}
 	f.finish -= w.cost()
 }
 
 // longest returns the last call of the flow that holds the most calls, or nil.
-func (c *class) longest() *waiter {
+func (c *class) evictionCandidate() *waiter {
 	var best *flow
 	for _, f := range c.flows {
 		if len(f.queue) == 0 {
--- a/admitter/shares.go
+++ b/admitter/shares.go
@@ -14,22 +14,22 @@
 	ShareBound = 15 * time.Second
 	// SettleTime is how long a risen share waits (A2). It is above the time in
 	// which a table reaches all nodes that can be reached.
-	SettleTime = 2 * time.Second
+	IncreaseDelay = 2 * time.Second
 	// equalPart is the part of the limit that is divided equally at least, and
 	// sparePart that of what the site does not ask for (A1).
-	equalPart = 0.1
-	sparePart = 0.5
+	minEqualFraction    = 0.1
+	unusedEqualFraction = 0.5
 	// chanceCalls is the number of calls of a node at which half of what could
 	// follow demand does.
-	chanceCalls = 2
+	halfDemandCalls = 2
 )
 
 // NodeDemand is what one node asks for.
 type NodeDemand struct {
 	Node garnetworks.NodeID `json:"node"`
-	// Silent nodes are on the rosters, but have not been heard of within
+	// Unresponsive nodes are on the rosters, but have not been heard of within
 	// ShareBound; they are taken to use the equal share (A3).
-	Silent bool `json:"silent,omitempty"`
+	Unresponsive bool `json:"silent,omitempty"`
 	// Demands of a silent node are not looked at.
 	Demands []garnetworks.Demand `json:"demands,omitempty"`
 }
@@ -54,8 +54,8 @@
 type WorkspaceShare struct {
 	Workspace garnetworks.WorkspaceName `json:"workspace"`
 	Share     float64                   `json:"share"`
-	// Use is the site's demand as a part of the limit that is nearest to it.
-	Use float64 `json:"use"`
+	// Utilization is the site's demand as a part of the limit that is nearest to it.
+	Utilization float64 `json:"use"`
 }
 
 // Node returns a node's row.
@@ -79,16 +79,16 @@
 	for i, n := range nodes {
 		table.Nodes[i].Node = n.Node
 	}
-	slots := divide(nodes, follow(nodes, nil, 1), func(n *NodeDemand) float64 { return busy(n.Demands) })
+	slots := divide(nodes, demandFraction(nodes, nil, 1), func(n *NodeDemand) float64 { return tokenDemand(n.Demands) })
 	for i := range nodes {
 		table.Nodes[i].Slots = slots[i]
 	}
 	for _, w := range sortedSpecs(workspaces) {
-		use := siteUse(w, nodes)
-		part := divide(nodes, follow(nodes, &w, use), func(n *NodeDemand) float64 { return wish(w, n.Demands) })
+		utilization := siteUtilization(w, nodes)
+		part := divide(nodes, demandFraction(nodes, &w, utilization), func(n *NodeDemand) float64 { return workspaceDemand(w, n.Demands) })
 		for i := range nodes {
 			row := &table.Nodes[i]
-			row.Workspaces = append(row.Workspaces, WorkspaceShare{w.Name, part[i], use})
+			row.Workspaces = append(row.Workspaces, WorkspaceShare{w.Name, part[i], utilization})
 		}
 	}
 	return table
@@ -103,52 +103,52 @@
 // follow returns the part of a limit that follows demand (A1). The fewer calls
 // a node has seen, the more of its demand is chance: shares that follow a few
 // calls would refuse the next ones at the nodes that had none.
-func follow(nodes []NodeDemand, w *garnetworks.WorkspaceSpec, use float64) float64 {
-	calls, heard := 0.0, 0.0
+func demandFraction(nodes []NodeDemand, w *garnetworks.WorkspaceSpec, utilization float64) float64 {
+	calls, responsive := 0.0, 0.0
 	for i := range nodes {
-		if nodes[i].Silent {
+		if nodes[i].Unresponsive {
 			continue
 		}
-		heard++
+		responsive++
 		for _, d := range nodes[i].Demands {
 			if w == nil || d.Workspace == w.Name {
 				calls += max(0, d.RequestsPerSecond) * demandWindow.Seconds()
 			}
 		}
 	}
-	if heard == 0 {
+	if responsive == 0 {
 		return 0
 	}
-	mean := calls / heard
-	most := 1 - max(equalPart, sparePart*(1-use))
-	return most * mean / (mean + chanceCalls)
+	mean := calls / responsive
+	maxFraction := 1 - max(minEqualFraction, unusedEqualFraction*(1-utilization))
+	return maxFraction * mean / (mean + halfDemandCalls)
 }
 
 // divide returns each node's part of 1: the equal part for silent nodes, and
 // the rest, as far as follow says, by demand among the others.
-func divide(nodes []NodeDemand, follow float64, demand func(*NodeDemand) float64) []float64 {
+func divide(nodes []NodeDemand, demandFraction float64, demand func(*NodeDemand) float64) []float64 {
 	parts := make([]float64, len(nodes))
 	if len(nodes) == 0 {
 		return parts
 	}
 	equal := 1 / float64(len(nodes))
-	left, sum, heard := 1.0, 0.0, 0
+	remaining, sum, responsive := 1.0, 0.0, 0
 	for i := range nodes {
-		if nodes[i].Silent {
+		if nodes[i].Unresponsive {
 			parts[i] = equal
-			left -= equal
+			remaining -= equal
 			continue
 		}
-		heard++
+		responsive++
 		sum += demand(&nodes[i])
 	}
 	for i := range nodes {
-		if nodes[i].Silent {
+		if nodes[i].Unresponsive {
 			continue
 		}
-		parts[i] = left / float64(heard)
+		parts[i] = remaining / float64(responsive)
 		if sum > 0 {
-			parts[i] = (1-follow)*parts[i] + follow*left*demand(&nodes[i])/sum
+			parts[i] = (1-demandFraction)*parts[i] + demandFraction*remaining*demand(&nodes[i])/sum
 		}
 	}
 	return parts
@@ -156,12 +156,12 @@
 
 // siteUse returns the site's demand as a part of the nearest limit. Silent nodes
 // are taken to use what is reserved for them.
-func siteUse(w garnetworks.WorkspaceSpec, nodes []NodeDemand) float64 {
+func siteUtilization(w garnetworks.WorkspaceSpec, nodes []NodeDemand) float64 {
 	sum := garnetworks.Demand{}
-	silent := 0
+	unresponsive := 0
 	for i := range nodes {
-		if nodes[i].Silent {
-			silent++
+		if nodes[i].Unresponsive {
+			unresponsive++
 			continue
 		}
 		for _, d := range nodes[i].Demands {
@@ -173,30 +173,30 @@
 			sum.InFlight += max(0, d.InFlight)
 		}
 	}
-	heard := max(
-		part(sum.RequestsPerSecond, w.Limits.RequestsPerSecond),
-		part(sum.TokensPerSecond, w.Limits.TokensPerSecond),
-		part(float64(sum.InFlight), float64(w.Limits.Concurrency)),
+	utilization := max(
+		fraction(sum.RequestsPerSecond, w.Limits.RequestsPerSecond),
+		fraction(sum.TokensPerSecond, w.Limits.TokensPerSecond),
+		fraction(float64(sum.InFlight), float64(w.Limits.Concurrency)),
 	)
-	return heard + float64(silent)/float64(max(1, len(nodes)))
+	return utilization + float64(unresponsive)/float64(max(1, len(nodes)))
 }
 
 // wish adds up a node's demand for one workspace, each kind as a part of its
 // limit.
-func wish(w garnetworks.WorkspaceSpec, demands []garnetworks.Demand) float64 {
+func workspaceDemand(w garnetworks.WorkspaceSpec, demands []garnetworks.Demand) float64 {
 	sum := 0.0
 	for _, d := range demands {
 		if d.Workspace != w.Name {
 			continue
 		}
-		sum += part(d.RequestsPerSecond, w.Limits.RequestsPerSecond)
-		sum += part(d.TokensPerSecond, w.Limits.TokensPerSecond)
-		sum += part(float64(d.InFlight), float64(w.Limits.Concurrency))
+		sum += fraction(d.RequestsPerSecond, w.Limits.RequestsPerSecond)
+		sum += fraction(d.TokensPerSecond, w.Limits.TokensPerSecond)
+		sum += fraction(float64(d.InFlight), float64(w.Limits.Concurrency))
 	}
 	return sum
 }
 
-func part(value, limit float64) float64 {
+func fraction(value, limit float64) float64 {
 	if limit <= 0 || value <= 0 {
 		return 0
 	}
@@ -204,7 +204,7 @@
 }
 
 // busy adds up the tokens that a node is asked for over all workspaces.
-func busy(demands []garnetworks.Demand) float64 {
+func tokenDemand(demands []garnetworks.Demand) float64 {
 	sum := 0.0
 	for _, d := range demands {
 		sum += max(0, d.TokensPerSecond)
--- a/admitter/shares_test.go
+++ b/admitter/shares_test.go
@@ -22,7 +22,7 @@
 		}
 		var nodes []NodeDemand
 		for i := range rapid.IntRange(1, 40).Draw(t, "nodes") {
-			n := NodeDemand{Node: garnetworks.NodeID(fmt.Sprintf("n%d", i)), Silent: rapid.IntRange(0, 4).Draw(t, "silent") == 0}
+			n := NodeDemand{Node: garnetworks.NodeID(fmt.Sprintf("n%d", i)), Unresponsive: rapid.IntRange(0, 4).Draw(t, "silent") == 0}
 			for _, s := range specs {
 				n.Demands = append(n.Demands, garnetworks.Demand{
 					Workspace:         s.Name,
@@ -46,7 +46,7 @@
 				if w.Share <= 0 {
 					t.Fatalf("%s has no share of %s", n.Node, w.Workspace)
 				}
-				if equal := 1 / float64(len(nodes)); n.Silent && math.Abs(w.Share-equal) > 1e-9 {
+				if equal := 1 / float64(len(nodes)); n.Unresponsive && math.Abs(w.Share-equal) > 1e-9 {
 					t.Fatalf("silent node %s has share %g, want %g", n.Node, w.Share, equal)
 				}
 				sums[w.Workspace] += w.Share
@@ -70,9 +70,9 @@
 	// the other half after a minute.
 	skew bool
 	// cut takes a third of the nodes out of the exchange after half a minute.
-	cut bool
+	partitioned bool
 	// flood multiplies the load by 15 after a minute.
-	flood bool
+	surge bool
 }
 
 const (
@@ -88,10 +88,10 @@
 	admitted, refused float64
 	// second and ten are the most calls in any window of that length over what
 	// the limit allows in it.
-	second, ten float64
+	max1s, max10s float64
 	// over is the highest excess over limit x (T + BurstTime) in any window that
 	// begins with a call, in calls for each node.
-	over float64
+	excess float64
 }
 
 func (s shareRun) run() shareResult {
@@ -106,16 +106,16 @@
 	}
 	var times []time.Duration
 	calls := 0
-	next := shareExchange
+	nextExchange := shareExchange
 	for at := time.Duration(0); at < shareLength; {
 		load := s.load
-		if s.flood && at > time.Minute {
+		if s.surge && at > time.Minute {
 			load *= 15
 		}
 		at += time.Duration(random.ExpFloat64() / (load * shareLimit) * float64(time.Second))
-		for next <= at {
-			s.exchange(gates, next)
-			next += shareExchange
+		for nextExchange <= at {
+			s.exchange(gates, nextExchange)
+			nextExchange += shareExchange
 		}
 		calls++
 		g := gates[s.node(random, at)]
@@ -144,12 +144,12 @@
 func (s shareRun) exchange(gates []*gate, at time.Duration) {
 	var nodes []NodeDemand
 	for i, g := range gates {
-		silent := s.cut && at >= 30*time.Second+ShareBound && i < s.nodes/3
-		nodes = append(nodes, NodeDemand{Node: g.options.Node, Silent: silent, Demands: g.demands(testStart.Add(at))})
+		unresponsive := s.partitioned && at >= 30*time.Second+ShareBound && i < s.nodes/3
+		nodes = append(nodes, NodeDemand{Node: g.options.Node, Unresponsive: unresponsive, Demands: g.demands(testStart.Add(at))})
 	}
 	table := Shares([]garnetworks.WorkspaceSpec{gates[0].workspaces["w"].spec}, nodes)
 	for i, g := range gates {
-		if s.cut && at >= 30*time.Second && i < s.nodes/3 {
+		if s.partitioned && at >= 30*time.Second && i < s.nodes/3 {
 			continue
 		}
 		row, _ := table.Node(g.options.Node)
@@ -172,16 +172,16 @@
 		}
 		return float64(best) / (shareLimit * window.Seconds())
 	}
-	r.second, r.ten = most(time.Second), most(10*time.Second)
+	r.max1s, r.max10s = most(time.Second), most(10*time.Second)
 	// The highest excess over all windows is the highest rise of calls let in
 	// less calls allowed, above its lowest value before.
 	lowest := math.Inf(1)
 	for i, at := range times {
 		level := float64(i) - shareLimit*at.Seconds()
 		lowest = min(lowest, level)
-		r.over = max(r.over, level+1-lowest-shareLimit*BurstTime.Seconds())
+		r.excess = max(r.excess, level+1-lowest-shareLimit*BurstTime.Seconds())
 	}
-	r.over /= float64(s.nodes)
+	r.excess /= float64(s.nodes)
 	return r
 }
 
@@ -195,9 +195,9 @@
 		"even, over":         {load: 3},
 		"skewed":             {load: 0.8, skew: true},
 		"skewed, over":       {load: 3, skew: true},
-		"cut off, over":      {load: 3, cut: true},
-		"cut off and skewed": {load: 3, cut: true, skew: true},
-		"quiet, then flood":  {load: 0.2, flood: true},
+		"cut off, over":      {load: 3, partitioned: true},
+		"cut off and skewed": {load: 3, partitioned: true, skew: true},
+		"quiet, then flood":  {load: 0.2, surge: true},
 	}
 	names := make([]string, 0, len(tests))
 	for name := range tests {
@@ -210,13 +210,13 @@
 			s := tests[name]
 			s.nodes = nodes
 			r := s.run()
-			t.Logf("%-20s %5d %8.3f %7.1f%% %9.2f %9.2f %12.2f", name, nodes, r.admitted, 100*r.refused, r.second, r.ten, r.over)
+			t.Logf("%-20s %5d %8.3f %7.1f%% %9.2f %9.2f %12.2f", name, nodes, r.admitted, 100*r.refused, r.max1s, r.max10s, r.excess)
 			most := float64(BurstCalls)
-			if s.load < SpareUse {
-				most = SpareCalls
+			if s.load < RelaxedUtilization {
+				most = RelaxedBurstCalls
 			}
-			if r.over > most {
-				t.Errorf("%s at %d nodes: %.2f calls for each node above the limit, want at most %.0f", name, nodes, r.over, most)
+			if r.excess > most {
+				t.Errorf("%s at %d nodes: %.2f calls for each node above the limit, want at most %.0f", name, nodes, r.excess, most)
 			}
 			if s.load > 1 && r.admitted < 0.75 {
 				t.Errorf("%s at %d nodes: only %.3f of the limit was let in", name, nodes, r.admitted)
@@ -231,7 +231,7 @@
 	// if a cut-off node kept its last share, the site would be over its limit once
 	// the share was given to others.
 	table := func(share float64) NodeShare {
-		return NodeShare{Node: "n1", Slots: share, Workspaces: []WorkspaceShare{{Workspace: "w", Share: share, Use: 1}}}
+		return NodeShare{Node: "n1", Slots: share, Workspaces: []WorkspaceShare{{Workspace: "w", Share: share, Utilization: 1}}}
 	}
 	type step struct {
 		after time.Duration
@@ -240,10 +240,10 @@
 	}
 	tests := map[string][]step{
 		"falls at once":                        {{0, 0.2, 0.2}},
-		"rises after the settle time":          {{0, 0.8, 0.25}, {SettleTime - 1, 0, 0.25}, {1, 0, 0.8}},
-		"a fall ends a rise that waits":        {{0, 0.8, 0.25}, {time.Second, 0.1, 0.1}, {SettleTime, 0, 0.1}},
+		"rises after the settle time":          {{0, 0.8, 0.25}, {IncreaseDelay - 1, 0, 0.25}, {1, 0, 0.8}},
+		"a fall ends a rise that waits":        {{0, 0.8, 0.25}, {time.Second, 0.1, 0.1}, {IncreaseDelay, 0, 0.1}},
 		"a rise that waits can shrink":         {{0, 0.8, 0.25}, {time.Second, 0.4, 0.25}, {time.Second, 0, 0.4}},
-		"cut off, it falls to the equal share": {{0, 0.8, 0.25}, {SettleTime, 0, 0.8}, {ShareBound, 0, 0.25}},
+		"cut off, it falls to the equal share": {{0, 0.8, 0.25}, {IncreaseDelay, 0, 0.8}, {ShareBound, 0, 0.25}},
 		"cut off, it rises to the equal share": {{0, 0.1, 0.1}, {ShareBound + 1, 0, 0.25}},
 	}
 	for name, steps := range tests {
--- a/admitter/state_test.go
+++ b/admitter/state_test.go
@@ -36,43 +36,43 @@
 // charge checks and charges a call that was let in or waits (A4). Calls enter
 // without debt and pay in full.
 func (l *ledger) charge(t *rapid.T, share float64, s garnetworks.WorkspaceSpec, tokens int) {
-	most := l.earnedTokens + share*s.Limits.TokensPerSecond
-	if s.Limits.TokensPerSecond > 0 && tokens > 0 && float64(l.chargedTokens) > most+1e-6 {
-		t.Fatalf("%s: a call was taken after %d tokens, want at most %.2f", s.Name, l.chargedTokens, most)
+	limit := l.earnedTokens + share*s.Limits.TokensPerSecond
+	if s.Limits.TokensPerSecond > 0 && tokens > 0 && float64(l.chargedTokens) > limit+1e-6 {
+		t.Fatalf("%s: a call was taken after %d tokens, want at most %.2f", s.Name, l.chargedTokens, limit)
 	}
 	l.chargedRequests++
 	l.chargedTokens += tokens
-	most = l.earnedRequests + max(BurstCalls, share*s.Limits.RequestsPerSecond)
-	if s.Limits.RequestsPerSecond > 0 && float64(l.chargedRequests) > most+1e-6 {
-		t.Fatalf("%s: %d requests were taken, want at most %.2f", s.Name, l.chargedRequests, most)
+	limit = l.earnedRequests + max(BurstCalls, share*s.Limits.RequestsPerSecond)
+	if s.Limits.RequestsPerSecond > 0 && float64(l.chargedRequests) > limit+1e-6 {
+		t.Fatalf("%s: %d requests were taken, want at most %.2f", s.Name, l.chargedRequests, limit)
 	}
 }
 
 // undo takes a charge back.
-func (l *ledger) undo(tokens int) {
+func (l *ledger) refund(tokens int) {
 	l.chargedRequests--
 	l.chargedTokens -= tokens
 }
 
 // gateMachine drives a gate and checks it against the rules.
 type gateMachine struct {
-	gate    *gate
-	now     time.Time
-	share   float64
-	maxWait int
-	specs   []garnetworks.WorkspaceSpec
-	ledgers map[garnetworks.WorkspaceName]*ledger
+	gate       *gate
+	now        time.Time
+	share      float64
+	maxWaiting int
+	specs      []garnetworks.WorkspaceSpec
+	ledgers    map[garnetworks.WorkspaceName]*ledger
 	// tooLate is a call that was let in after its first token was due.
 	tooLate *waiter
 	// waiting and running are the calls by their last verdict.
 	waiting, running []*waiter
-	verdicts         map[*waiter]int
+	decisions        map[*waiter]int
 }
 
 func newGateMachine() *gateMachine {
 	m := &gateMachine{
-		now: testStart, share: 0.5, maxWait: 4,
-		ledgers: map[garnetworks.WorkspaceName]*ledger{}, verdicts: map[*waiter]int{},
+		now: testStart, share: 0.5, maxWaiting: 4,
+		ledgers: map[garnetworks.WorkspaceName]*ledger{}, decisions: map[*waiter]int{},
 	}
 	limits := []garnetworks.LimitsSpec{
 		{RequestsPerSecond: 8, TokensPerSecond: 20_000, Concurrency: 12},
@@ -85,7 +85,7 @@
 		})
 		m.ledgers[m.specs[i].Name] = &ledger{}
 	}
-	m.gate = newGate(Options{Node: "n1", MaxWaiting: m.maxWait})
+	m.gate = newGate(Options{Node: "n1", MaxWaiting: m.maxWaiting})
 	m.gate.setNodes(m.now, 2)
 	m.gate.setManifest(m.now, &garnetworks.Manifest{Models: []garnetworks.ModelSpec{{Name: "m"}}, Workspaces: m.specs})
 	m.capacity(3)
@@ -102,7 +102,7 @@
 	decided := m.gate.decided
 	m.gate.decided = nil
 	for _, w := range decided {
-		m.verdicts[w]++
+		m.decisions[w]++
 		m.waiting = slices.DeleteFunc(m.waiting, func(x *waiter) bool { return x == w })
 		if w.state == admitted {
 			m.enter(w)
@@ -110,7 +110,7 @@
 				m.tooLate = w
 			}
 		} else {
-			m.ledgers[w.request.Workspace].undo(w.request.Tokens)
+			m.ledgers[w.request.Workspace].refund(w.request.Tokens)
 		}
 	}
 }
@@ -121,12 +121,12 @@
 }
 
 func (m *gateMachine) advance(t *rapid.T) {
-	passed := time.Duration(rapid.IntRange(1, 800).Draw(t, "ms")) * time.Millisecond
-	m.now = m.now.Add(passed)
+	elapsed := time.Duration(rapid.IntRange(1, 800).Draw(t, "ms")) * time.Millisecond
+	m.now = m.now.Add(elapsed)
 	for _, s := range m.specs {
 		l := m.ledgers[s.Name]
-		l.earnedRequests += m.share * s.Limits.RequestsPerSecond * passed.Seconds()
-		l.earnedTokens += m.share * s.Limits.TokensPerSecond * passed.Seconds()
+		l.earnedRequests += m.share * s.Limits.RequestsPerSecond * elapsed.Seconds()
+		l.earnedTokens += m.share * s.Limits.TokensPerSecond * elapsed.Seconds()
 	}
 }
 
@@ -155,10 +155,10 @@
 	case waiting:
 		m.waiting = append(m.waiting, w)
 	case admitted:
-		m.verdicts[w]++
+		m.decisions[w]++
 		m.enter(w)
 	case refused:
-		m.verdicts[w]++
+		m.decisions[w]++
 		m.checkRefusal(t, w)
 	}
 	m.collect()
@@ -201,19 +201,19 @@
 	if !m.gate.cancel(m.now, w) {
 		t.Fatal("a waiting call could not be cancelled")
 	}
-	m.verdicts[w]++
-	m.ledgers[w.request.Workspace].undo(w.request.Tokens)
+	m.decisions[w]++
+	m.ledgers[w.request.Workspace].refund(w.request.Tokens)
 	m.waiting = slices.Delete(m.waiting, i, i+1)
 	m.collect()
 }
 
-func (m *gateMachine) look(t *rapid.T) {
+func (m *gateMachine) poll(t *rapid.T) {
 	if len(m.waiting) == 0 {
 		return
 	}
-	m.gate.look(m.now, rapid.SampledFrom(m.waiting).Draw(t, "call"))
+	m.gate.poll(m.now, rapid.SampledFrom(m.waiting).Draw(t, "call"))
 	m.collect()
-	if p := m.gate.pools["m"]; p.waiting > 0 && p.free(m.now, p.next()) {
+	if p := m.gate.pools["m"]; p.waiting > 0 && p.slotAvailable(m.now, p.next()) {
 		t.Fatal("a call waits although a slot is free for it")
 	}
 }
@@ -225,15 +225,15 @@
 		t.Fatalf("a call of %s was let in after its first token was due", m.tooLate.request.Workspace)
 	}
 	p := m.gate.pools["m"]
-	if p.waiting != len(m.waiting) || p.waiting > m.maxWait {
-		t.Fatalf("%d calls wait, want %d, at most %d", p.waiting, len(m.waiting), m.maxWait)
+	if p.waiting != len(m.waiting) || p.waiting > m.maxWaiting {
+		t.Fatalf("%d calls wait, want %d, at most %d", p.waiting, len(m.waiting), m.maxWaiting)
 	}
 	for _, w := range m.waiting {
-		if w.state != waiting || m.verdicts[w] != 0 {
-			t.Fatalf("a call that waits has state %v and %d verdicts", w.state, m.verdicts[w])
+		if w.state != waiting || m.decisions[w] != 0 {
+			t.Fatalf("a call that waits has state %v and %d verdicts", w.state, m.decisions[w])
 		}
 	}
-	for w, n := range m.verdicts {
+	for w, n := range m.decisions {
 		if n != 1 {
 			t.Fatalf("a call of %s got %d verdicts", w.request.Workspace, n)
 		}
@@ -256,18 +256,18 @@
 // checkLimits holds the calls in flight against the bound of A5.
 func (m *gateMachine) checkLimits(t *rapid.T, s garnetworks.WorkspaceSpec) {
 	l, w := m.ledgers[s.Name], m.gate.workspaces[s.Name]
-	most := int(math.Ceil(max(1, m.share*float64(s.Limits.Concurrency))))
-	if l.inFlight > most {
-		t.Fatalf("%s: %d calls in flight, want at most %d", s.Name, l.inFlight, most)
+	limit := int(math.Ceil(max(1, m.share*float64(s.Limits.Concurrency))))
+	if l.inFlight > limit {
+		t.Fatalf("%s: %d calls in flight, want at most %d", s.Name, l.inFlight, limit)
 	}
-	waits := 0
+	waiting := 0
 	for _, x := range m.waiting {
 		if x.request.Workspace == s.Name {
-			waits++
+			waiting++
 		}
 	}
-	if w.inFlight != l.inFlight+waits {
-		t.Fatalf("%s: the gate counts %d calls, want %d running and %d waiting", s.Name, w.inFlight, l.inFlight, waits)
+	if w.inFlight != l.inFlight+waiting {
+		t.Fatalf("%s: the gate counts %d calls, want %d running and %d waiting", s.Name, w.inFlight, l.inFlight, waiting)
 	}
 }
 
@@ -308,7 +308,7 @@
 		m := newGateMachine()
 		t.Repeat(map[string]func(*rapid.T){
 			"advance": m.advance, "arrive": m.arrive, "arrive-again": m.arrive, "arrive-more": m.arrive,
-			"done": m.done, "cancel": m.cancel, "look": m.look, "resize": m.resize, "": m.check,
+			"done": m.done, "cancel": m.cancel, "look": m.poll, "resize": m.resize, "": m.check,
 		})
 		m.drain(t)
 	})
--- a/admitter/workspace.go
+++ b/admitter/workspace.go
@@ -17,33 +17,33 @@
 	BurstCalls = 3
 	// SpareCalls is the same while the site as a whole stays below SpareUse of the
 	// limit: what one node lets in by chance, another does not (A4).
-	SpareCalls = 10
+	RelaxedBurstCalls = 10
 	// SpareTime is the time for which tokens gather then.
-	SpareTime = 20 * time.Second
+	RelaxedBurstTime = 20 * time.Second
 	// spareDeviations is how far above its part of the concurrency limit a node
 	// may go then, in standard deviations of chance (A5).
-	spareDeviations = 2
+	relaxedDeviations = 2
 	// SpareUse is the demand, as a part of the limit, up to which nodes need not
 	// be strict.
-	SpareUse = 0.9
+	RelaxedUtilization = 0.9
 	// creditTime is how much call time a node with less than one call's share
 	// gathers (A5).
-	creditTime = 20 * time.Second
+	maxCreditTime = 20 * time.Second
 	// demandWindow is the time over which demand is averaged.
 	demandWindow = 5 * time.Second
 
-	shortestRetry = 100 * time.Millisecond
-	longestRetry  = time.Minute
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = time.Minute
 )
 
 // workspace holds one workspace's limits at the node.
 type workspace struct {
 	spec garnetworks.WorkspaceSpec
 	// share is in force; next takes its place at nextAt (A2).
-	share, next float64
-	nextAt      time.Time
+	share, pending float64
+	pendingAt      time.Time
 	// spare says that the site's demand is well below the limit.
-	spare    bool
+	relaxed  bool
 	requests bucket
 	tokens   bucket
 	// credit is the call time that the node has earned, in seconds (A5).
@@ -51,49 +51,49 @@
 	creditAt time.Time
 	inFlight int
 	// askedRequests and askedTokens measure demand, refused calls included.
-	askedRequests, askedTokens meter
+	requestRate, tokenRate meter
 }
 
 func newWorkspace() *workspace {
 	return &workspace{
-		askedRequests: meter{window: demandWindow},
-		askedTokens:   meter{window: demandWindow},
+		requestRate: meter{window: demandWindow},
+		tokenRate:   meter{window: demandWindow},
 	}
 }
 
 // setShare takes a new share: a lower one at once, a higher one later (A2).
 func (w *workspace) setShare(now time.Time, share float64) {
-	w.settle(now)
+	w.applyPending(now)
 	if share <= w.share {
 		w.share = share
-		w.nextAt = time.Time{}
+		w.pendingAt = time.Time{}
 		w.apply(now)
 		return
 	}
-	if w.nextAt.IsZero() {
-		w.nextAt = now.Add(SettleTime)
-		w.next = share
+	if w.pendingAt.IsZero() {
+		w.pendingAt = now.Add(IncreaseDelay)
+		w.pending = share
 		return
 	}
 	// A rise that waits already is lowered at once; raised, it waits anew only
 	// for what was added, so take the lower of both until the next table.
-	w.next = min(w.next, share)
+	w.pending = min(w.pending, share)
 }
 
 // forceShare sets the share that needs no settling.
 func (w *workspace) forceShare(now time.Time, share float64) {
 	w.share = share
-	w.nextAt = time.Time{}
+	w.pendingAt = time.Time{}
 	w.apply(now)
 }
 
 // settle puts a share that has waited in force.
-func (w *workspace) settle(now time.Time) {
-	if w.nextAt.IsZero() || now.Before(w.nextAt) {
+func (w *workspace) applyPending(now time.Time) {
+	if w.pendingAt.IsZero() || now.Before(w.pendingAt) {
 		return
 	}
-	w.share = w.next
-	w.nextAt = time.Time{}
+	w.share = w.pending
+	w.pendingAt = time.Time{}
 	w.apply(now)
 }
 
@@ -102,26 +102,26 @@
 	l := w.spec.Limits
 	rate := w.share * l.RequestsPerSecond
 	calls := float64(BurstCalls)
-	if w.spare {
-		calls = SpareCalls
+	if w.relaxed {
+		calls = RelaxedBurstCalls
 	}
 	w.requests.set(now, rate, max(calls, rate*BurstTime.Seconds()))
-	gather := BurstTime
-	if w.spare {
-		gather = SpareTime
+	burst := BurstTime
+	if w.relaxed {
+		burst = RelaxedBurstTime
 	}
 	rate = w.share * l.TokensPerSecond
-	w.tokens.set(now, rate, rate*gather.Seconds())
-	w.credit.set(now, min(1, w.calls()), creditTime.Seconds())
+	w.tokens.set(now, rate, rate*burst.Seconds())
+	w.credit.set(now, min(1, w.concurrencyShare()), maxCreditTime.Seconds())
 }
 
 // calls returns the node's part of the concurrency limit.
-func (w *workspace) calls() float64 { return w.share * float64(w.spec.Limits.Concurrency) }
+func (w *workspace) concurrencyShare() float64 { return w.share * float64(w.spec.Limits.Concurrency) }
 
 // refusal returns how long the limits keep a call of the given tokens out; 0
 // if they let it in.
 func (w *workspace) refusal(now time.Time, tokens int) time.Duration {
-	w.settle(now)
+	w.applyPending(now)
 	l := w.spec.Limits
 	wait := time.Duration(0)
 	if l.RequestsPerSecond > 0 {
@@ -140,16 +140,16 @@
 
 // concurrency returns how long the concurrency limit keeps a call out (A5).
 func (w *workspace) concurrency(now time.Time) time.Duration {
-	w.drain(now)
-	calls := w.calls()
-	most := max(1, calls)
-	if w.spare {
-		most += spareDeviations * math.Sqrt(calls)
+	w.chargeInFlight(now)
+	concurrencyShare := w.concurrencyShare()
+	limit := max(1, concurrencyShare)
+	if w.relaxed {
+		limit += relaxedDeviations * math.Sqrt(concurrencyShare)
 	}
-	if w.inFlight >= int(math.Ceil(most)) {
+	if w.inFlight >= int(math.Ceil(limit)) {
 		return time.Second
 	}
-	if calls < 1 {
+	if concurrencyShare < 1 {
 		return w.credit.wait(now, 0)
 	}
 	return 0
@@ -157,37 +157,37 @@
 
 // drain pays for the calls in flight since the last look. A share of one call
 // or more is held by the number in flight alone.
-func (w *workspace) drain(now time.Time) {
-	if w.calls() >= 1 {
+func (w *workspace) chargeInFlight(now time.Time) {
+	if w.concurrencyShare() >= 1 {
 		w.credit.level = max(0, w.credit.level)
 		w.creditAt = now
 		return
 	}
-	if passed := now.Sub(w.creditAt).Seconds(); passed > 0 && !w.creditAt.IsZero() {
-		w.credit.take(now, passed*float64(w.inFlight))
+	if elapsed := now.Sub(w.creditAt).Seconds(); elapsed > 0 && !w.creditAt.IsZero() {
+		w.credit.take(now, elapsed*float64(w.inFlight))
 	}
 	w.creditAt = now
 }
 
 // enter charges a call.
-func (w *workspace) enter(now time.Time, tokens int) {
-	w.drain(now)
+func (w *workspace) charge(now time.Time, tokens int) {
+	w.chargeInFlight(now)
 	w.requests.take(now, 1)
 	w.tokens.take(now, float64(tokens))
 	w.inFlight++
 }
 
 // undo takes back the charge of a call that did not run (A10).
-func (w *workspace) undo(now time.Time, tokens int) {
-	w.drain(now)
+func (w *workspace) refund(now time.Time, tokens int) {
+	w.chargeInFlight(now)
 	w.requests.take(now, -1)
 	w.tokens.take(now, -float64(tokens))
 	w.inFlight--
 }
 
 // leave ends a call that used other tokens than were charged.
-func (w *workspace) leave(now time.Time, charged, used int) {
-	w.drain(now)
+func (w *workspace) finish(now time.Time, charged, used int) {
+	w.chargeInFlight(now)
 	w.tokens.take(now, float64(used-charged))
 	w.inFlight--
 }
@@ -196,8 +196,8 @@
 func (w *workspace) demand(now time.Time) garnetworks.Demand {
 	return garnetworks.Demand{
 		Workspace:         w.spec.Name,
-		RequestsPerSecond: w.askedRequests.rate(now),
-		TokensPerSecond:   w.askedTokens.rate(now),
+		RequestsPerSecond: w.requestRate.rate(now),
+		TokensPerSecond:   w.tokenRate.rate(now),
 		InFlight:          w.inFlight,
 	}
 }
--- a/sharer/sharer.go
+++ b/sharer/sharer.go
@@ -153,11 +153,11 @@
 func (k *Keeper) demand(now time.Time, n *garnetworks.NodeInfo, parts map[garnetworks.ZoneID][]garnetworks.Demand) admitter.NodeDemand {
 	if n.Zone != k.zone {
 		part, heard := parts[n.Zone]
-		return admitter.NodeDemand{Node: n.ID, Silent: !heard, Demands: part}
+		return admitter.NodeDemand{Node: n.ID, Unresponsive: !heard, Demands: part}
 	}
 	w, heard := k.own[n.ID]
 	heard = heard && now.Sub(w.at) <= admitter.ShareBound // S3
-	return admitter.NodeDemand{Node: n.ID, Silent: !heard, Demands: w.what}
+	return admitter.NodeDemand{Node: n.ID, Unresponsive: !heard, Demands: w.what}
 }
 
 // divide returns one of n equal parts of the demands. The calls in flight are
