--- a/admitter/admitter.go
+++ b/admitter/admitter.go
@@ -8,8 +8,8 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Admitter holds workspaces to their limits and the node to its capacity. It
-// is safe for concurrent use.
+// Admitter enforces the limits of workspaces and the capacity of the node. It is
+// safe for concurrent use.
 type Admitter struct {
 	mu   sync.Mutex
 	gate *gate
@@ -21,7 +21,7 @@
 // SetManifest.
 func New(options Options) *Admitter { return &Admitter{gate: newGate(options)} }
 
-// update changes the gate and hands out the verdicts that come of it.
+// update changes the gate and wakes the waiting calls that were decided.
 func (a *Admitter) update(change func(now time.Time, g *gate)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -33,20 +33,20 @@
 	a.gate.decided = a.gate.decided[:0]
 }
 
-// SetManifest takes the workspaces, limits and models in force.
+// SetManifest applies the workspaces, limits and models of a manifest.
 func (a *Admitter) SetManifest(m *garnetworks.Manifest) {
 	a.update(func(now time.Time, g *gate) { g.setManifest(now, m) })
 }
 
-// SetNodes takes the number of entry nodes on the rosters of all zones, whether
-// they can be reached or not, this one included: the equal share of a node that
-// is cut off counts on the others to do the same (A3).
+// SetNodes sets the number of entry nodes on the rosters of all zones, reachable or
+// not, this one included: the equal share of a partitioned node is safe only if all
+// nodes count alike (A3).
 func (a *Admitter) SetNodes(nodes int) {
 	a.update(func(now time.Time, g *gate) { g.setNodes(now, nodes) })
 }
 
-// SetShares takes a table from Shares. A table without this node is ignored:
-// its maker does not know the node yet.
+// SetShares applies a table from Shares. A table without this node is ignored: the
+// node that computed it does not know this one yet.
 func (a *Admitter) SetShares(table ShareTable) {
 	row, ok := table.Node(a.gate.options.Node)
 	if !ok {
@@ -55,24 +55,24 @@
 	a.update(func(now time.Time, g *gate) { g.setShares(now, row) })
 }
 
-// SetCapacity takes the capacity behind all models, about once a second.
+// SetCapacity sets the capacity of all models, about once a second.
 func (a *Admitter) SetCapacity(capacities []garnetworks.ModelCapacity) {
 	a.update(func(now time.Time, g *gate) { g.setCapacity(now, capacities) })
 }
 
-// Stop refuses new calls. Calls that wait keep their places.
+// Stop refuses new calls. Waiting calls stay queued.
 func (a *Admitter) Stop() {
 	a.update(func(_ time.Time, g *gate) { g.stopped = true })
 }
 
-// Demands returns what the node asks for, to be exchanged with other nodes.
+// Demands returns the node's demand, to be exchanged with other nodes.
 func (a *Admitter) Demands() []garnetworks.Demand {
 	var all []garnetworks.Demand
 	a.update(func(now time.Time, g *gate) { all = g.demands(now) })
 	return all
 }
 
-// Counts returns the verdicts since the start.
+// Counts returns the decisions since the start.
 func (a *Admitter) Counts() Counts {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -84,7 +84,7 @@
 	return counts
 }
 
-// Admit lets a call in, makes it wait or refuses it; see garnetworks.Admitter.
+// Admit admits a call, queues it or refuses it; see garnetworks.Admitter.
 func (a *Admitter) Admit(ctx context.Context, request garnetworks.AdmitRequest) (garnetworks.Ticket, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, garnetworks.WrapError(garnetworks.KindCancelled, err, "the caller had gone")
@@ -102,7 +102,7 @@
 	return &ticket{admitter: a, waiter: w}, nil
 }
 
-// await returns once the call has its verdict.
+// await returns once the call is decided.
 func (a *Admitter) await(ctx context.Context, w *waiter) {
 	poll := time.NewTicker(reviewInterval)
 	defer poll.Stop()
@@ -119,8 +119,8 @@
 	}
 }
 
-// leave cancels a waiting call. A call that was let in at the same moment gives
-// its slot back, since its caller has gone.
+// leave cancels a waiting call. A call that was admitted at the same moment releases
+// its slot, since its caller has gone.
 func (a *Admitter) leave(w *waiter) {
 	a.update(func(now time.Time, g *gate) {
 		if g.cancel(now, w) || w.state == refused {
@@ -138,7 +138,7 @@
 	waiter   *waiter
 }
 
-// Done gives the slot back; a second call does nothing.
+// Done releases the slot; a second call does nothing.
 func (t *ticket) Done(tokens int) {
 	t.admitter.update(func(now time.Time, g *gate) { g.done(now, t.waiter, tokens) })
 }
--- a/admitter/admitter_test.go
+++ b/admitter/admitter_test.go
@@ -29,8 +29,7 @@
 }
 
 func TestCancelledCallReleasesSlot(t *testing.T) {
-	// A caller hangs up while its call waits. If its place stayed taken, the node
-	// would lose a slot with each such caller until it served nobody.
+	// A slot that stays taken after its caller cancelled would be lost for good.
 	synctest.Test(t, func(t *testing.T) {
 		a := New(Options{Node: "n1"})
 		a.SetManifest(testManifest())
@@ -55,10 +54,8 @@
 }
 
 func TestStalledEnginesRefuseWaitingCalls(t *testing.T) {
-	// Engines answer within 100 ms, then hang. A call that waits could be held
-	// until its deadline, since no call ends that would show the stall; it must be
-	// refused as soon as the age of the running calls does, with time left for the
-	// caller to turn elsewhere.
+	// Engines that hang end no calls; the age of the running calls must refuse waiting
+	// ones, with time left for the caller to try elsewhere.
 	synctest.Test(t, func(t *testing.T) {
 		a := New(Options{Node: "n1"})
 		a.SetManifest(testManifest())
@@ -93,9 +90,8 @@
 }
 
 func TestLateCallGetsNoSlot(t *testing.T) {
-	// The node was paused for two seconds. A call that waited meanwhile must not
-	// take the slot that came free: its caller has given it up, and another call
-	// could still have used the slot in time.
+	// A slot must not go to a waiting call that has missed its deadline while the node was
+	// paused: another call could still use it in time.
 	g := newGate(Options{Node: "n1"})
 	g.setManifest(testStart, testManifest())
 	g.setCapacity(testStart, []garnetworks.ModelCapacity{{Model: "m", Slots: 1}})
@@ -113,8 +109,7 @@
 }
 
 func TestIdleNodeReports(t *testing.T) {
-	// Half of the nodes get no calls. Without a report they count as silent, and
-	// half of each limit is kept for them.
+	// An idle node that reports nothing counts as unresponsive, and its share is reserved.
 	g := newGate(Options{Node: "n1"})
 	g.setManifest(testStart, testManifest())
 	if d := g.demands(testStart); len(d) != 1 || d[0].RequestsPerSecond != 0 {
--- a/admitter/bucket.go
+++ b/admitter/bucket.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// bucket is a token bucket that may be in debt: a call is let in while there is
-// something left, and pays in full.
+// bucket is a token bucket that may go into debt: a call is admitted while the level
+// is high enough, and is charged in full.
 type bucket struct {
-	// rate is the refill for each second, depth the most that gathers.
+	// rate is the refill per second, depth the maximum level.
 	rate, depth float64
 	level       float64
 	at          time.Time
 }
 
-// set changes rate and depth. The first time, the bucket starts with one unit or
-// with what one BurstTime brings, so that a restart gains next to nothing.
+// set changes rate and depth. A new bucket starts with one unit or one BurstTime of
+// refill, so that a restart gains next to nothing.
 func (b *bucket) set(now time.Time, rate, depth float64) {
 	if b.at.IsZero() {
 		b.level = min(depth, max(1, rate*BurstTime.Seconds()))
@@ -46,13 +46,13 @@
 	return seconds((need - b.level) / b.rate)
 }
 
-// take pays n, or gives it back if n is below 0.
+// take takes n from the level, or returns it if n is below 0.
 func (b *bucket) take(now time.Time, n float64) {
 	b.fill(now)
 	b.level = min(b.depth, b.level-n)
 }
 
-// meter is a rate that forgets over window.
+// meter is a rate with exponential decay over window.
 type meter struct {
 	window time.Duration
 	value  float64
@@ -72,7 +72,7 @@
 	return m.value * math.Exp(-elapsed.Seconds()/m.window.Seconds())
 }
 
-// seconds converts with an upper bound, so that no division runs over.
+// seconds converts seconds to a duration, capped to avoid overflow.
 func seconds(s float64) time.Duration {
 	if s > maxRetryAfter.Seconds() {
 		return maxRetryAfter
--- a/admitter/doc.go
+++ b/admitter/doc.go
@@ -1,44 +1,43 @@
-// Package admitter decides at an entry node whether a call is let in: under
-// its workspace's limits, which hold for the whole site, and under the node's
-// part of the serving capacity. It asks nobody on the path of a call.
-//
-// The rules:
+// Package admitter decides at an entry node whether a call is admitted: under its
+// workspace's limits, which apply to the whole site, and under the node's share of
+// the serving capacity. The decision is local; a call waits for no other node.
 //
 //	A1   A workspace's limit is divided into shares, one for each node. Shares
-//	     follow the demand that nodes exchange now and then, as far as it is more
-//	     than chance, and every node keeps a part of the equal share, so that the
-//	     first call after a pause is let in.
-//	A2   The shares of one table sum to 1 at most. A share that falls counts at
-//	     once, a share that rises after SettleTime, when the nodes whose share
-//	     fell have heard of it.
-//	A3   A node whose table is older than ShareBound (it is cut off) uses the
-//	     equal share among the known nodes; whoever computes tables goes on
-//	     reserving that much for a node that is silent.
-//	A4   Requests and tokens are counted by token buckets. In any time T the site
-//	     lets in at most limit x (T + BurstTime) and, for each node, BurstCalls
-//	     requests or one call's tokens. While the table says that the site asks
-//	     for less than SpareUse of the limit, nodes need not be strict with what
-//	     comes by chance: they gather SpareCalls, or tokens for SpareTime.
+//	     follow the demand that nodes exchange periodically, as far as it is
+//	     statistically significant, and every node keeps a part of the equal
+//	     share, so that the first call after an idle time is admitted.
+//	A2   The shares of one table sum to 1 at most. A decreased share applies at
+//	     once, an increased share after IncreaseDelay, when the nodes whose share
+//	     decreased have received the table.
+//	A3   A node whose table is older than ShareBound (it is partitioned) uses the
+//	     equal share among the known nodes; whoever computes tables keeps
+//	     reserving that much for an unresponsive node.
+//	A4   Requests and tokens are limited by token buckets. In any time T the site
+//	     admits at most limit x (T + BurstTime) and, for each node, BurstCalls
+//	     requests or one call's tokens. While the table says that the site's
+//	     demand is below RelaxedUtilization of the limit, random bursts at a node
+//	     are tolerated: the buckets hold RelaxedBurstCalls, or tokens for
+//	     RelaxedBurstTime.
 //	A5   Concurrency is a number of calls in flight for each node, rounded up, and
-//	     more by chance under the same condition. A node whose share is below one
-//	     call earns the time of one call at the rate of its share, so that the
-//	     mean over the site stays at the limit.
-//	A6   Calls to a model share the node's slots: its part of what the model's
+//	     with a margin for random bursts under the same condition. A node whose
+//	     share is below one call earns call time at the rate of its share, so that
+//	     the mean over the site stays at the limit.
+//	A6   Calls to a model share the node's slots: its share of what the model's
 //	     groups batch. It shrinks while calls queue in the engines or first
-//	     tokens come late, and grows while there is room and the node is short.
+//	     tokens are slow, and grows while slots are free and calls found none.
 //	A7   Waiting calls are served by priority, within a priority by start-time
-//	     fair queueing over workspaces, weighed by tokens: a workspace waits for
+//	     fair queueing over workspaces, weighted by tokens: a workspace waits for
 //	     one call of each other workspace, not for their queues. Slots that higher
-//	     priorities are expected to need are left free, and so are those of
-//	     smaller workspaces by one that asks for more than an equal part.
+//	     priorities are expected to need are reserved, and so are those of smaller
+//	     workspaces against one that asks for more than an equal share.
 //	A8   The queue is bounded. A call that finds it full replaces the last call
 //	     of the largest workspace of the lowest priority, or is refused.
-//	A9   A call that can't have its first token in time, by the work before it and
-//	     the rate at which slots come free, is refused at once, on arrival or as
-//	     soon as that is known, with the time after which to come back.
-//	A10  Each call that asks gets exactly one verdict. A call that was refused or
-//	     cancelled while it waited leaves nothing behind.
+//	A9   A call that can't get its first token in time, given the calls ahead of
+//	     it and the rate at which slots are released, is refused on arrival or as
+//	     soon as that is known, with the time after which to retry.
+//	A10  Each call gets exactly one decision. A call that was refused or cancelled
+//	     while it waited is refunded completely.
 //
-// State is bounded: workspaces and models come from the manifest, the queue has
-// a length.
+// All state is bounded: workspaces and models come from the manifest, and the queue
+// has a maximum length.
 package admitter
--- a/admitter/gate.go
+++ b/admitter/gate.go
@@ -8,44 +8,44 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// anyModel is the pool of calls that use tokens and do not name their model;
-// they share the capacity of all models.
+// anyModel is the pool of calls that use tokens and don't name their model; they
+// share the capacity of all models.
 const anyModel garnetworks.ModelName = ""
 
-// Options describe the node that admits.
+// Options configure an admitter.
 type Options struct {
 	Node garnetworks.NodeID
 	// MaxWaiting bounds the waiting calls of one model; 0 means 256.
 	MaxWaiting int
 }
 
-// gate is the state behind decisions. It does no I/O and no locking; verdicts
-// on waiting calls are left in decided.
+// gate holds the state of an Admitter and makes its decisions. It does no I/O and no
+// locking; waiting calls that were decided are appended to decided.
 type gate struct {
 	options    Options
 	workspaces map[garnetworks.WorkspaceName]*workspace
 	pools      map[garnetworks.ModelName]*pool
 	// nodes is the number of nodes on the rosters, this one included.
 	nodes int
-	// slots is the node's part of the serving capacity.
+	// slotShare is the node's share of the serving capacity, 0 to 1.
 	slotShare float64
-	// tableAt is when the table in force was received; zero if none is.
+	// tableAt is when the share table in use was received; zero if none is.
 	tableAt time.Time
 	stopped bool
 	decided []*waiter
 	counts  Counts
-	// refusals spread the times to come back.
+	// refusals counts refusals, to vary their RetryAfter.
 	refusals uint64
 }
 
-// Counts are the verdicts since the start.
+// Counts are the numbers of decisions since the start.
 type Counts struct {
 	Admitted   uint64
 	OverLimit  uint64
 	Overloaded uint64
 	Deadline   uint64
 	Cancelled  uint64
-	// Waiting and Running are the numbers now.
+	// Waiting and Running are current numbers.
 	Waiting, Running int
 }
 
@@ -62,8 +62,8 @@
 	}
 }
 
-// setManifest takes workspaces, limits and models. Calls in flight keep the
-// state that they were charged to.
+// setManifest applies workspaces, limits and models. Calls in flight stay charged to
+// the workspace and pool they were admitted with.
 func (g *gate) setManifest(now time.Time, m *garnetworks.Manifest) {
 	kept := make(map[garnetworks.WorkspaceName]*workspace, len(m.Workspaces))
 	for _, spec := range m.Workspaces {
@@ -99,7 +99,7 @@
 	g.pools = pools
 }
 
-// refuseAll ends the calls that wait for a model that is no longer served.
+// refuseAll refuses the waiting calls of a model that is no longer served.
 func (g *gate) refuseAll(now time.Time, p *pool) {
 	for _, w := range p.ordered() {
 		g.shed(now, w, garnetworks.Errorf(garnetworks.KindOverloaded, "the model is no longer served"))
@@ -115,7 +115,7 @@
 	}
 }
 
-// useEqual falls back to equal shares (A3).
+// useEqualShares falls back to equal shares (A3).
 func (g *gate) useEqualShares(now time.Time) {
 	for _, w := range g.workspaces {
 		w.relaxed = false
@@ -124,7 +124,7 @@
 	g.setSlotShare(now, g.equal())
 }
 
-// setShares takes the node's row of a table (A2).
+// setShares applies the node's row of a table (A2).
 func (g *gate) setShares(now time.Time, row NodeShare) {
 	g.tableAt = now
 	for _, s := range row.Workspaces {
@@ -145,7 +145,7 @@
 	}
 }
 
-// expire ends a table that is too old (A3).
+// expireTable drops a table that is too old (A3).
 func (g *gate) expireTable(now time.Time) {
 	if g.tableAt.IsZero() || now.Sub(g.tableAt) <= ShareBound {
 		return
@@ -154,8 +154,7 @@
 	g.useEqualShares(now)
 }
 
-// setCapacity takes the capacity of all models; models that are left out have
-// none.
+// setCapacity sets the capacity of all models; models that are missing have none.
 func (g *gate) setCapacity(now time.Time, capacities []garnetworks.ModelCapacity) {
 	for name, p := range g.pools {
 		p.setCapacity(now, capacityOf(name, capacities), g.slotShare)
@@ -176,7 +175,7 @@
 	return sum
 }
 
-// arrive decides on a call: it is let in, waits, or is refused.
+// arrive decides on a new call: it is admitted, queued or refused.
 func (g *gate) arrive(now time.Time, request garnetworks.AdmitRequest) *waiter {
 	g.expireTable(now)
 	w := &waiter{request: request}
@@ -220,7 +219,7 @@
 	return nil
 }
 
-// place gives the call a slot or a place in the queue, or refuses it.
+// schedule gives the call a slot, queues it or refuses it.
 func (g *gate) schedule(now time.Time, w *waiter) {
 	p := w.pool
 	w.class = p.class(w.request.Priority)
@@ -263,9 +262,8 @@
 	return g.retryError(garnetworks.KindOverloaded, max(wait, minOverloadRetry), "the queue is full")
 }
 
-// retry makes a refusal with the time after which to come back, a little later
-// for some callers than for others: those refused in the same moment would else
-// all come back in the same moment.
+// retryError returns a refusal with the time after which to retry. The time varies
+// between callers, so that those refused at the same moment don't all retry at once.
 func (g *gate) retryError(kind garnetworks.Kind, after time.Duration, format string, args ...any) error {
 	err := garnetworks.Errorf(kind, format, args...).(*garnetworks.Error)
 	after = min(max(after, minRetryAfter), maxRetryAfter)
@@ -275,7 +273,7 @@
 	return err
 }
 
-// refuse ends a call that was charged nothing.
+// refuse refuses a call that was not charged.
 func (g *gate) refuse(w *waiter, err error) *waiter {
 	w.state = refused
 	w.err = err
@@ -283,14 +281,14 @@
 	return w
 }
 
-// reject ends a tagged call that was never queued.
+// reject refuses a tagged call that was not queued.
 func (g *gate) reject(now time.Time, w *waiter, err error) {
 	w.flow.finish -= w.cost()
 	w.workspace.refund(now, w.request.Tokens)
 	g.refuse(w, err)
 }
 
-// shed ends a waiting call with an error (A10).
+// shed refuses a queued call (A10).
 func (g *gate) shed(now time.Time, w *waiter, err error) {
 	w.class.remove(w)
 	w.pool.waiting--
@@ -312,7 +310,7 @@
 	}
 }
 
-// dispatch fills free slots (A7).
+// dispatch gives free slots to waiting calls (A7).
 func (g *gate) dispatch(now time.Time, p *pool) {
 	for p.waiting > 0 {
 		w := p.next()
@@ -332,8 +330,8 @@
 	}
 }
 
-// review refuses the waiting calls that can't make it any more (A9): calls of
-// higher priority came in before them, or slots come free more slowly.
+// review refuses the waiting calls that can no longer meet their deadline (A9): calls
+// of higher priority came in ahead of them, or slots are released more slowly.
 func (g *gate) review(now time.Time, p *pool, force bool) {
 	if p.waiting == 0 || !force && now.Sub(p.reviewed) < reviewInterval {
 		return
@@ -350,8 +348,8 @@
 	}
 }
 
-// look serves and reviews a waiting call's queue. Room that was left for others
-// falls to the waiting calls with time, without any call that ends.
+// poll dispatches and reviews a waiting call's queue. Slots reserved for other calls
+// become available to waiting ones over time, without any call ending.
 func (g *gate) poll(now time.Time, w *waiter) {
 	g.expireTable(now)
 	if w.state == waiting {
@@ -360,8 +358,7 @@
 	}
 }
 
-// cancel ends a call whose caller has gone. It returns false if the call has a
-// verdict already.
+// cancel cancels a waiting call. It returns false if the call was decided already.
 func (g *gate) cancel(now time.Time, w *waiter) bool {
 	if w.state != waiting {
 		return false
@@ -388,9 +385,9 @@
 	g.review(now, w.pool, false)
 }
 
-// demands returns the node's demand, sorted by workspace. Workspaces without
-// demand are left out but for the first: a node that reported nothing would
-// count as silent, and its equal share be kept from those that need it (A3).
+// demands returns the node's demand, sorted by workspace. Workspaces without demand
+// are omitted except for the first: a node that reported nothing would count as
+// unresponsive, and its equal share would be reserved for it (A3).
 func (g *gate) demands(now time.Time) []garnetworks.Demand {
 	all := make([]garnetworks.Demand, 0, len(g.workspaces))
 	for _, w := range g.workspaces {
@@ -406,5 +403,6 @@
 	return kept
 }
 
-// leastDemand is the rate below which a workspace is not reported.
+// minReportedRate is the rate, in requests per second, below which a workspace is not
+// reported.
 const minReportedRate = 0.001
--- a/admitter/overload_test.go
+++ b/admitter/overload_test.go
@@ -13,7 +13,7 @@
 
 var testStart = time.Unix(1_800_000_000, 0)
 
-// The stand-in engines batch loadSlots calls, and prefill one after another.
+// The simulated engines batch loadSlots calls, and prefill one after another.
 const (
 	loadGroups  = 18
 	loadSlots   = 64
@@ -22,18 +22,18 @@
 	loadQueue   = 256
 	loadWarmUp  = 40 * time.Second
 	loadLength  = 100 * time.Second
-	// loadGoal is the users' goal for the first token.
+	// loadDeadline is the users' deadline for the first token.
 	loadDeadline = 840 * time.Millisecond
-	// loadFull is the calls a second at which the engines are full: prefill
-	// allows 16.7 for each group, slots about 12 at 150 tokens a call.
+	// loadCapacity is the number of calls per second that saturates the engines:
+	// prefill allows 16.7 for each group, slots about 12 at 150 tokens a call.
 	loadCapacity = 12.0 * loadGroups
 )
 
-// loadWorkspace is a workspace's part of the offered calls.
+// loadWorkspace is a workspace's fraction of the offered calls.
 type loadWorkspace struct {
 	spec garnetworks.WorkspaceSpec
-	// part is the offered load as a part of the full rate; burst multiplies it
-	// by the run's load, the others' stay as they are.
+	// fraction is the offered load as a fraction of loadCapacity; burst scales it by
+	// the run's load, the others stay constant.
 	fraction float64
 	burst    bool
 }
@@ -55,7 +55,7 @@
 	started   time.Time
 	first     time.Time
 	output    int
-	// backs counts how often the caller came back.
+	// retries counts how often the caller has retried.
 	retries int
 }
 
@@ -85,8 +85,7 @@
 	waiters  map[*waiter]*loadCall
 	queued   int
 	manifest *garnetworks.Manifest
-	// comeBack lets refused callers send the call again when they are told to, at
-	// most so many times.
+	// maxRetries is how often callers retry a refused call after its RetryAfter.
 	maxRetries int
 }
 
@@ -122,8 +121,8 @@
 	return (&loadRun{load: load, admit: admit}).run(nodes, nodes)
 }
 
-// run runs the load at some nodes of those on the rosters; the others can reach
-// neither them nor the engines.
+// run simulates the load at some of the nodes on the rosters; the others can reach
+// neither these nodes nor the engines.
 func (r *loadRun) run(nodes, known int) []loadCount {
 	r.now = testStart
 	r.random = rand.New(rand.NewPCG(3, 3))
@@ -160,7 +159,7 @@
 
 func (r *loadRun) finished() bool { return r.now.Sub(testStart) > loadLength }
 
-// report hands all nodes the engines' loads, one second old.
+// report sends the engines' loads to all nodes once a second.
 func (r *loadRun) report() {
 	view := garnetworks.ZoneView{Zone: "z1"}
 	for i, e := range r.engines {
@@ -193,7 +192,7 @@
 	}
 }
 
-// look does what each waiting call does in the adapter.
+// poll does what the adapter does for each waiting call.
 func (r *loadRun) poll() {
 	for i, g := range r.gates {
 		for _, p := range g.pools {
@@ -211,7 +210,7 @@
 	w := loadWorkspaces[workspace]
 	rate := w.fraction * loadCapacity
 	if w.burst {
-		// Steady workspaces keep their parts; the others make up the load.
+		// Steady workspaces keep their fractions; the others make up the load.
 		rate = (r.load - 0.25) * w.fraction / 0.75 * loadCapacity
 	}
 	if r.finished() {
@@ -221,7 +220,7 @@
 	r.send(workspace, 0)
 }
 
-// send brings a call to a random node.
+// send sends a call to a random node.
 func (r *loadRun) send(workspace, retries int) {
 	w := loadWorkspaces[workspace]
 	node := r.random.IntN(len(r.gates))
@@ -265,7 +264,7 @@
 	}
 }
 
-// verdicts carries out what a gate has decided on waiting calls.
+// applyDecisions applies a gate's decisions on waiting calls.
 func (r *loadRun) applyDecisions(node int) {
 	g := r.gates[node]
 	decided := g.decided
@@ -331,7 +330,7 @@
 	})
 }
 
-// serveEngine begins the waiting call of the highest priority.
+// serveEngine starts the waiting call of the highest priority.
 func (r *loadRun) serveEngine(e *loadEngine) {
 	if len(e.waiting) == 0 {
 		return
@@ -361,7 +360,7 @@
 	}
 }
 
-// goodput returns the part of the full rate that got its first token in time.
+// goodput returns the fraction of loadCapacity that got its first token in time.
 func goodput(counts []loadCount) float64 {
 	good := 0
 	for _, c := range counts {
@@ -371,7 +370,7 @@
 }
 
 func logLoad(t *testing.T, load float64, admit bool, counts []loadCount) {
-	t.Logf("load %.2f, admission %v: goodput %.3f of the full rate", load, admit, goodput(counts))
+	t.Logf("load %.2f, admission %v: goodput %.3f of the capacity", load, admit, goodput(counts))
 	for i, c := range counts {
 		t.Logf("    %-6s offered %5d  in time %5.1f%%  late %5.1f%%  refused %5.1f%%  longest wait of a refused call %v",
 			loadWorkspaces[i].spec.Name, c.offered, percent(c.good, c.offered), percent(c.late, c.offered),
@@ -382,12 +381,10 @@
 func percent(n, of int) float64 { return 100 * float64(n) / float64(max(1, of)) }
 
 func TestOverload(t *testing.T) {
-	// Before a publication twice as many calls come in as the engines take.
-	// Without admission every call waits in the engines until it is too late;
-	// with it, calls of the lowest priority are refused at once, and a large
-	// workspace does not push a small one of the same priority aside.
+	// At twice the capacity, admission keeps goodput near its peak, protects the highest
+	// priority, and keeps a large workspace from starving a small one.
 	if testing.Short() {
-		t.Skip("a measurement")
+		t.Skip("a load simulation")
 	}
 	for _, nodes := range []int{6, 40} {
 		t.Run(fmt.Sprintf("nodes=%d", nodes), func(t *testing.T) {
@@ -419,23 +416,21 @@
 }
 
 func TestPartitionedZoneUsesItsEngines(t *testing.T) {
-	// A zone is cut off with a third of the nodes. Each goes on with its equal
-	// share of the slots, counted over all nodes, although the others can't reach
-	// the zone's engines; callers in the zone were refused beside idle engines.
+	// The nodes of a partitioned zone must grow beyond their equal share of the slots:
+	// no other node can use the zone's engines.
 	if testing.Short() {
-		t.Skip("a measurement")
+		t.Skip("a load simulation")
 	}
 	counts := (&loadRun{load: 1, admit: true}).run(2, 6)
 	logLoad(t, 1, true, counts)
 	if got := goodput(counts); got < 0.85 {
-		t.Errorf("got goodput %.3f, want 0.85 of the full rate", got)
+		t.Errorf("got goodput %.3f, want 0.85 of the capacity", got)
 	}
 }
 
 func TestHealedPartitionDoesNotOverloadEngines(t *testing.T) {
-	// A cut-off zone's node has grown to three times its part of the slots. The
-	// cut ends, and it sees all groups again. If its limit grew threefold with
-	// them, it would fill the engines of the other zones in a moment.
+	// A node that grew its limit while partitioned must not multiply it when it sees all
+	// groups again: that would overload the engines of the other zones.
 	now := testStart
 	g := newGate(Options{Node: "n1"})
 	g.setNodes(now, 6)
@@ -450,21 +445,20 @@
 		set(400, 0.4)
 	}
 	if p.limit < 200 {
-		t.Fatalf("got limit %.0f while cut off beside idle engines, want 200 at least", p.limit)
+		t.Fatalf("got limit %.0f while partitioned with idle engines, want 200 at least", p.limit)
 	}
 	before := p.limit
 	set(1200, 0.98)
 	if p.limit > before {
-		t.Errorf("got limit %.0f after the cut, want %.0f at most", p.limit, before)
+		t.Errorf("got limit %.0f after the partition, want %.0f at most", p.limit, before)
 	}
 }
 
 func TestRetryingCallers(t *testing.T) {
-	// Refused callers send their calls again when they are told to, up to three
-	// times. At one and a half times the full rate that makes up to three times the
-	// calls; it must not take slots from calls that are served.
+	// Callers that retry as told multiply the offered calls; that must not take slots from
+	// calls that are served.
 	if testing.Short() {
-		t.Skip("a measurement")
+		t.Skip("a load simulation")
 	}
 	once := (&loadRun{load: 1.5, admit: true}).run(6, 6)
 	logLoad(t, 1.5, true, once)
--- a/admitter/pool.go
+++ b/admitter/pool.go
@@ -9,42 +9,41 @@
 )
 
 const (
-	// defaultHold is the time that a call is taken to hold its slot before any
-	// call has been measured.
+	// defaultSlotTime is the assumed time that a call occupies its slot until calls
+	// have been measured.
 	defaultSlotTime = 5 * time.Second
-	// holdWeight is the weight of one call in the moving average.
+	// slotTimeWeight is the weight of one call in the moving average.
 	slotTimeWeight = 0.1
-	// defaultFirstToken is the time to the first token before the node has
-	// measured it.
+	// defaultFirstToken is the assumed time to the first token until it is measured.
 	defaultFirstToken = 200 * time.Millisecond
-	// reviewInterval is the time between two looks at the waiting calls (A9).
+	// reviewInterval is the minimum time between two reviews of the waiting calls (A9).
 	reviewInterval = 25 * time.Millisecond
-	// adaptInterval is the least time between two steps of the slot limit.
+	// adaptInterval is the minimum time between two steps of the slot limit.
 	adaptInterval = 500 * time.Millisecond
-	// Steps and bounds of the slot limit, as factors of the node's part (A6).
-	// roomStep times the free part is the step up while much is free: the nodes
-	// of a cut-off zone hold a part of all slots, though no other node can reach
-	// the engines there.
+	// Steps and bounds of the slot limit, as factors of the node's share (A6).
+	// idleGrowStep times the free part of the slots is the step while many are free:
+	// the nodes of a partitioned zone have a share of all slots, although no other
+	// node can reach the engines there.
 	idleGrowStep         = 0.3
 	shrinkStep, growStep = 0.97, 0.03
 	minFactor, maxFactor = 0.3, 4.0
 	shrinkUse, growUse   = 1.0, 0.97
-	// slowFirstToken is the usual time to the first token from which the engines
-	// are short of prefill, however many slots are free; half of what is
-	// promised, so that most calls still keep the promise.
+	// slowFirstToken is the time to the first token at which the engines are short
+	// of prefill, however many slots are free. It is half of the promised time, so
+	// that most calls still meet it.
 	slowFirstToken = 420 * time.Millisecond
 	fastFirstToken = 300 * time.Millisecond
-	// firstTokenMargin covers calls whose first token takes longer than usual. A
-	// call that is let in and comes too late has cost a slot for nothing.
+	// firstTokenMargin covers calls whose first token is slower than usual. A call
+	// that is admitted and late has wasted a slot.
 	firstTokenMargin = 2
-	// reserveDeviations is how far above the mean number of calls of higher
-	// priorities room is left for them, in standard deviations.
+	// reserveDeviations is the number of standard deviations above the expected
+	// number of calls of higher priority for which slots are reserved.
 	reserveDeviations = 2.5
 	minRateFraction   = 0.05
 	classWindow       = 10 * time.Second
 	defaultMaxWaiting = 256
-	// retrySpread is the part by which times to come back differ; retryParts and
-	// retryStride walk through the differences.
+	// retryJitter is the largest relative increase of RetryAfter; jitterSteps and
+	// jitterStride spread consecutive refusals over it.
 	retryJitter              = 0.25
 	jitterSteps              = 64
 	jitterStride             = 37
@@ -56,24 +55,23 @@
 type pool struct {
 	model    garnetworks.ModelName
 	capacity garnetworks.ModelCapacity
-	// factor adapts the node's part (A6).
+	// factor adapts the node's share (A6).
 	factor float64
-	// part is the node's part of the slots, before adaptation.
+	// nodeSlots is the node's share of the slots, before adaptation.
 	nodeSlots float64
 	adaptedAt time.Time
-	// short is set when a call found no slot since the last step.
+	// saturated is set when a call found no slot since the last step.
 	saturated bool
-	// limit is the number of calls that the node lets run; at least 1, so that
+	// limit is the number of calls that the node runs at once; at least 1, so that
 	// the router can say why a model is not served.
 	limit   float64
 	running int
-	// startSum is the sum of the entry times of running calls, in seconds since
+	// startSum is the sum of the start times of running calls, in seconds since
 	// base, for the mean age.
 	startSum float64
 	base     time.Time
 	slotTime float64
-	// classes are sorted by descending priority; they come from the manifest's
-	// priorities.
+	// classes are sorted by descending priority.
 	classes  []*class
 	waiting  int
 	reviewed time.Time
@@ -83,7 +81,7 @@
 	return &pool{model: model, factor: 1, limit: minSlotLimit, base: now, slotTime: defaultSlotTime.Seconds()}
 }
 
-// class returns the class of a priority.
+// class returns the class of a priority, creating it if needed.
 func (p *pool) class(priority int) *class {
 	i, ok := slices.BinarySearchFunc(p.classes, priority, func(c *class, want int) int { return want - c.priority })
 	if !ok {
@@ -97,8 +95,8 @@
 	return p.classes[i]
 }
 
-// setCapacity takes the model's capacity and the node's part of it, and adapts
-// the factor (A6).
+// setCapacity sets the model's capacity and the node's share of it, and adapts the
+// factor (A6).
 func (p *pool) setCapacity(now time.Time, capacity garnetworks.ModelCapacity, share float64) {
 	p.capacity = capacity
 	if capacity.Slots > 0 && now.Sub(p.adaptedAt) >= adaptInterval {
@@ -108,16 +106,16 @@
 	}
 	slots := share * float64(capacity.Slots)
 	if p.factor > 1 && slots > p.nodeSlots && p.nodeSlots > 0 {
-		// Other nodes reach these groups again, or there are more of them: what was
-		// taken beyond the own part must not grow along with it.
+		// Other nodes reach these groups again, or groups were added: what was taken
+		// beyond the node's own share must not grow in proportion.
 		p.factor = max(1, p.factor*p.nodeSlots/slots)
 	}
 	p.nodeSlots = slots
 	p.limit = max(minSlotLimit, p.factor*slots)
 }
 
-// adapt takes one step. Engines show that they are short of something by calls
-// that wait for a slot, or by first tokens that come late.
+// adapt makes one step of the factor. Engines are overloaded when calls wait for a
+// slot or first tokens are slow.
 func (p *pool) adapt(utilization float64, firstToken time.Duration) {
 	if utilization > shrinkUse || firstToken > slowFirstToken {
 		p.factor = max(minFactor, p.factor*shrinkStep)
@@ -133,11 +131,10 @@
 	}
 }
 
-// free reports whether a call may have a slot. It leaves room for the calls
-// that are to be expected of higher classes, and of smaller workspaces if its
-// own asks for more than an equal part: a node with few slots has one come free
-// every few hundred milliseconds only, too late for a call that finds all of
-// them taken (A7).
+// slotAvailable reports whether a call may take a slot. It reserves slots for expected
+// calls of higher classes, and for smaller workspaces if the call's own asks for more
+// than an equal share: with few slots the next release comes too late for a call that
+// finds all of them taken (A7).
 func (p *pool) slotAvailable(now time.Time, w *waiter) bool {
 	if p.running == 0 {
 		return true
@@ -157,7 +154,7 @@
 	return float64(p.running)+1 <= p.limit-reserve
 }
 
-// above sums the classes of higher priority.
+// higherPriority sums the expected load of the classes of higher priority.
 func (p *pool) higherPriority(now time.Time, c *class) expectedLoad {
 	e := expectedLoad{}
 	for _, higher := range p.classes {
@@ -169,8 +166,8 @@
 	return e
 }
 
-// expected is the number of calls that some classes or workspaces will have in
-// flight, and that they have.
+// expectedLoad is the expected and the current number of calls in flight of some
+// classes or workspaces.
 type expectedLoad struct {
 	mean    float64
 	running int
@@ -181,16 +178,15 @@
 	e.running += running
 }
 
-// reserve returns the slots to be left free of a number of slots. The room for
-// chance is at most half of what the mean leaves: with few slots, lower
-// priorities would else never be served, however idle the higher ones are.
+// reserve returns how many of a number of slots to reserve. The margin for variance is
+// at most half of what the mean leaves: otherwise, with few slots, lower priorities
+// would never be served, however idle the higher ones are.
 func (e *expectedLoad) reserve(slots float64) float64 {
-	chance := min(reserveDeviations*math.Sqrt(e.mean), max(0, slots-e.mean)/2)
-	return max(0, e.mean+chance-float64(e.running))
+	margin := min(reserveDeviations*math.Sqrt(e.mean), max(0, slots-e.mean)/2)
+	return max(0, e.mean+margin-float64(e.running))
 }
 
-// first reports whether no call waits that a new one of the class would have to
-// let pass.
+// noneAhead reports whether no waiting call goes before a new one of the class.
 func (p *pool) noneAhead(c *class) bool {
 	for _, other := range p.classes {
 		if other.priority >= c.priority && other.waiting > 0 {
@@ -200,7 +196,7 @@
 	return true
 }
 
-// enter gives a slot to a call.
+// acquire gives a slot to a call.
 func (p *pool) acquire(now time.Time, w *waiter) {
 	p.running++
 	p.startSum += now.Sub(p.base).Seconds()
@@ -209,7 +205,7 @@
 	w.flow.running++
 }
 
-// leave takes the slot back.
+// release takes the slot of a call back and updates the mean slot time.
 func (p *pool) release(now time.Time, w *waiter) {
 	p.running--
 	w.class.running--
@@ -221,9 +217,9 @@
 	p.slotTime += slotTimeWeight * (now.Sub(w.entered).Seconds() - p.slotTime)
 }
 
-// rate returns the slots that come free in a second while all are taken. If
-// calls stop ending, their age grows above the measured time and the rate falls,
-// before a single one has ended (A9).
+// slotRate returns the slots released per second while all are taken. If calls stop
+// ending, their age exceeds the measured slot time and the rate falls, before a single
+// one has ended (A9).
 func (p *pool) slotRate(now time.Time) float64 {
 	slotTime := max(p.slotTime, 0.01)
 	if p.running > 0 {
@@ -233,8 +229,8 @@
 	return p.limit / slotTime
 }
 
-// wait estimates how long a call waits that has ahead calls before it in a
-// class.
+// wait estimates how long a call waits with the given number of calls ahead of it in
+// a class.
 func (p *pool) wait(now time.Time, c *class, ahead int) time.Duration {
 	slotRate := p.slotRate(now)
 	remaining := slotRate
@@ -271,7 +267,7 @@
 	return n
 }
 
-// firstToken returns the usual time to the first token once a call runs.
+// firstToken returns the usual time from the start of a call to its first token.
 func (p *pool) firstToken() time.Duration {
 	if p.capacity.FirstToken > 0 {
 		return p.capacity.FirstToken
@@ -279,21 +275,21 @@
 	return defaultFirstToken
 }
 
-// late reports whether a call that waits for the given time misses its first
-// token.
+// missesDeadline reports whether a call that waits for the given time misses its
+// deadline for the first token.
 func (p *pool) missesDeadline(now time.Time, w *waiter, wait time.Duration) bool {
 	by := w.request.FirstTokenBy
 	if by.IsZero() {
 		return false
 	}
-	// A measured time above the whole allowance must not refuse each call that
-	// waits: with half of it assumed, the engines get the chance to do better.
+	// A measured time above the whole allowance must not refuse every waiting call:
+	// capped at half, it lets some calls through, so that the measurement can improve.
 	firstToken := min(firstTokenMargin*p.firstToken(), by.Sub(w.request.Received)/2)
 	return now.Add(wait + firstToken).After(by)
 }
 
-// prune forgets priorities and workspaces that no call waits for; the manifest
-// names others now.
+// prune removes priorities and workspaces without calls; the manifest may no longer
+// contain them.
 func (p *pool) prune() {
 	p.classes = slices.DeleteFunc(p.classes, func(c *class) bool { return c.waiting == 0 && c.running == 0 })
 	for _, c := range p.classes {
@@ -315,8 +311,7 @@
 	return nil
 }
 
-// victim returns the call that a newcomer may replace in a full queue, or nil
-// (A8).
+// victim returns the call that a new call may replace in a full queue, or nil (A8).
 func (p *pool) victim(w *waiter) *waiter {
 	for i := len(p.classes) - 1; i >= 0; i-- {
 		c := p.classes[i]
--- a/admitter/queue.go
+++ b/admitter/queue.go
@@ -7,7 +7,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// waiter is a call that waits or has its verdict.
+// waiter is a call that waits or has been decided.
 type waiter struct {
 	request   garnetworks.AdmitRequest
 	workspace *workspace
@@ -16,12 +16,12 @@
 	flow      *flow
 	// start is the call's start tag in fair queueing (A7).
 	start float64
-	// entered is when the call was let in.
+	// entered is when the call was given its slot.
 	entered time.Time
 	state   waitState
-	// err is the verdict of a refused call.
+	// err is the error of a refused call.
 	err error
-	// decided is closed with the verdict; nil for calls that never waited.
+	// decided is closed with the decision; nil for calls that never waited.
 	decided chan struct{}
 }
 
@@ -39,23 +39,23 @@
 
 // flow is one workspace's queue within a class.
 type flow struct {
-	// finish is the finish tag of the last call that was queued or let in.
+	// finish is the finish tag of the last call that was queued or admitted.
 	finish  float64
 	queue   []*waiter
 	running int
-	// asked measures the calls that asked for a slot.
+	// arrivals measures the calls that asked for a slot.
 	arrivals meter
 }
 
 // class holds the calls of one priority.
 type class struct {
 	priority int
-	// virtual is the start tag of the last call let in; it never decreases.
+	// virtualTime is the start tag of the last call admitted; it never decreases.
 	virtualTime float64
 	flows       map[garnetworks.WorkspaceName]*flow
 	waiting     int
 	running     int
-	// asked measures the calls that asked for a slot.
+	// arrivals measures the calls that asked for a slot.
 	arrivals meter
 }
 
@@ -68,8 +68,8 @@
 	return f
 }
 
-// mean returns the calls that the workspace would have in flight if all that
-// it asks for were let in.
+// mean returns the expected number of the workspace's calls in flight if all of its
+// calls were admitted.
 func (f *flow) mean(now time.Time, slotTime float64) float64 { return f.arrivals.rate(now) * slotTime }
 
 // active returns the number of workspaces that have calls waiting or running.
@@ -83,7 +83,7 @@
 	return n
 }
 
-// tag gives a call its tags, as the last of its flow.
+// tag assigns start and finish tags to a call, as the last of its flow.
 func (c *class) tag(w *waiter) {
 	w.start = max(c.virtualTime, w.flow.finish)
 	w.flow.finish = w.start + w.cost()
@@ -95,8 +95,8 @@
 	c.waiting++
 }
 
-// first returns the call to be served next, or nil. Equal tags are ordered by
-// name, so that the same calls are served in the same order each time.
+// head returns the call to be served next, or nil. Equal tags are ordered by workspace
+// name, so that the order is deterministic.
 func (c *class) head() *waiter {
 	var best *waiter
 	for _, f := range c.flows {
@@ -114,15 +114,15 @@
 	return a.request.Workspace < b.request.Workspace
 }
 
-// serve takes a call that is first in its flow out and moves virtual time on.
+// dequeue removes a call that is first in its flow and advances virtual time.
 func (c *class) dequeue(w *waiter) {
 	w.flow.queue = w.flow.queue[1:]
 	c.waiting--
 	c.virtualTime = max(c.virtualTime, w.start)
 }
 
-// remove takes a call out that will not be served, and moves those behind it
-// forward, as if it had never come (A10).
+// remove removes a call that will not be served, and moves the later calls of its flow
+// forward, as if it had never arrived (A10).
 func (c *class) remove(w *waiter) {
 	f := w.flow
 	i := slices.Index(f.queue, w)
@@ -137,7 +137,7 @@
 	f.finish -= w.cost()
 }
 
-// longest returns the last call of the flow that holds the most calls, or nil.
+// evictionCandidate returns the last call of the longest flow, or nil.
 func (c *class) evictionCandidate() *waiter {
 	var best *flow
 	for _, f := range c.flows {
--- a/admitter/shares.go
+++ b/admitter/shares.go
@@ -8,29 +8,29 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Bounds of the division of limits.
+// Parameters of the division of limits.
 const (
 	// ShareBound is the age at which a table no longer counts (A3).
 	ShareBound = 15 * time.Second
-	// SettleTime is how long a risen share waits (A2). It is above the time in
-	// which a table reaches all nodes that can be reached.
+	// IncreaseDelay is how long an increased share is delayed (A2). It exceeds the time
+	// in which a table reaches all reachable nodes.
 	IncreaseDelay = 2 * time.Second
-	// equalPart is the part of the limit that is divided equally at least, and
-	// sparePart that of what the site does not ask for (A1).
+	// minEqualFraction is the least fraction of the limit that is divided equally, and
+	// unusedEqualFraction that of the part that the site does not use (A1).
 	minEqualFraction    = 0.1
 	unusedEqualFraction = 0.5
-	// chanceCalls is the number of calls of a node at which half of what could
-	// follow demand does.
+	// halfDemandCalls is the number of calls per node at which half of the fraction
+	// that may follow demand does.
 	halfDemandCalls = 2
 )
 
-// NodeDemand is what one node asks for.
+// NodeDemand is the demand of one node.
 type NodeDemand struct {
 	Node garnetworks.NodeID `json:"node"`
-	// Unresponsive nodes are on the rosters, but have not been heard of within
-	// ShareBound; they are taken to use the equal share (A3).
+	// Unresponsive nodes are on the rosters, but have not been heard from within
+	// ShareBound; they are assumed to use the equal share (A3).
 	Unresponsive bool `json:"silent,omitempty"`
-	// Demands of a silent node are not looked at.
+	// Demands of an unresponsive node are ignored.
 	Demands []garnetworks.Demand `json:"demands,omitempty"`
 }
 
@@ -40,21 +40,22 @@
 	Nodes []NodeShare `json:"nodes"`
 }
 
-// NodeShare is one node's part.
+// NodeShare is one node's row of a table.
 type NodeShare struct {
 	Node garnetworks.NodeID `json:"node"`
-	// Slots is the node's part of the serving capacity, 0 to 1.
+	// Slots is the node's share of the serving capacity, 0 to 1.
 	Slots float64 `json:"slots"`
-	// Workspaces are sorted by name; each workspace's shares sum to 1 at most
-	// over the nodes.
+	// Workspaces are sorted by name; each workspace's shares sum to 1 at most over
+	// the nodes.
 	Workspaces []WorkspaceShare `json:"workspaces,omitempty"`
 }
 
-// WorkspaceShare is one node's part of a workspace's limits.
+// WorkspaceShare is one node's share of a workspace's limits.
 type WorkspaceShare struct {
 	Workspace garnetworks.WorkspaceName `json:"workspace"`
 	Share     float64                   `json:"share"`
-	// Utilization is the site's demand as a part of the limit that is nearest to it.
+	// Utilization is the site's demand over the limit that it is closest to, plus the
+	// part reserved for unresponsive nodes.
 	Utilization float64 `json:"use"`
 }
 
@@ -69,9 +70,9 @@
 	return t.Nodes[i], true
 }
 
-// Shares divides the limits of the workspaces among all nodes on the rosters
-// (A1, A3). It is a pure function of its arguments, so that each node that
-// knows the same demands computes the same table.
+// Shares divides the limits of the workspaces among all nodes on the rosters (A1, A3).
+// It is a pure function, so that all nodes with the same demands compute the same
+// table.
 func Shares(workspaces []garnetworks.WorkspaceSpec, nodes []NodeDemand) ShareTable {
 	nodes = slices.Clone(nodes)
 	slices.SortFunc(nodes, func(a, b NodeDemand) int { return cmp.Compare(a.Node, b.Node) })
@@ -85,10 +86,10 @@
 	}
 	for _, w := range sortedSpecs(workspaces) {
 		utilization := siteUtilization(w, nodes)
-		part := divide(nodes, demandFraction(nodes, &w, utilization), func(n *NodeDemand) float64 { return workspaceDemand(w, n.Demands) })
+		share := divide(nodes, demandFraction(nodes, &w, utilization), func(n *NodeDemand) float64 { return workspaceDemand(w, n.Demands) })
 		for i := range nodes {
 			row := &table.Nodes[i]
-			row.Workspaces = append(row.Workspaces, WorkspaceShare{w.Name, part[i], utilization})
+			row.Workspaces = append(row.Workspaces, WorkspaceShare{w.Name, share[i], utilization})
 		}
 	}
 	return table
@@ -100,9 +101,9 @@
 	return sorted
 }
 
-// follow returns the part of a limit that follows demand (A1). The fewer calls
-// a node has seen, the more of its demand is chance: shares that follow a few
-// calls would refuse the next ones at the nodes that had none.
+// demandFraction returns the fraction of a limit that is divided by demand (A1). The
+// fewer calls the nodes have seen, the more of their demand is random: shares that
+// follow a few calls would refuse the next ones at the nodes that had none.
 func demandFraction(nodes []NodeDemand, w *garnetworks.WorkspaceSpec, utilization float64) float64 {
 	calls, responsive := 0.0, 0.0
 	for i := range nodes {
@@ -124,8 +125,8 @@
 	return maxFraction * mean / (mean + halfDemandCalls)
 }
 
-// divide returns each node's part of 1: the equal part for silent nodes, and
-// the rest, as far as follow says, by demand among the others.
+// divide returns each node's share of 1: the equal share for unresponsive nodes; the
+// rest is divided among the others, demandFraction of it by demand.
 func divide(nodes []NodeDemand, demandFraction float64, demand func(*NodeDemand) float64) []float64 {
 	parts := make([]float64, len(nodes))
 	if len(nodes) == 0 {
@@ -154,8 +155,8 @@
 	return parts
 }
 
-// siteUse returns the site's demand as a part of the nearest limit. Silent nodes
-// are taken to use what is reserved for them.
+// siteUtilization returns the site's demand over the limit that it is closest to.
+// Unresponsive nodes are assumed to use what is reserved for them.
 func siteUtilization(w garnetworks.WorkspaceSpec, nodes []NodeDemand) float64 {
 	sum := garnetworks.Demand{}
 	unresponsive := 0
@@ -181,8 +182,8 @@
 	return utilization + float64(unresponsive)/float64(max(1, len(nodes)))
 }
 
-// wish adds up a node's demand for one workspace, each kind as a part of its
-// limit.
+// workspaceDemand returns the sum of a node's demands for one workspace, each as a
+// fraction of its limit.
 func workspaceDemand(w garnetworks.WorkspaceSpec, demands []garnetworks.Demand) float64 {
 	sum := 0.0
 	for _, d := range demands {
@@ -203,7 +204,7 @@
 	return value / limit
 }
 
-// busy adds up the tokens that a node is asked for over all workspaces.
+// tokenDemand returns the sum of a node's token demand over all workspaces.
 func tokenDemand(demands []garnetworks.Demand) float64 {
 	sum := 0.0
 	for _, d := range demands {
--- a/admitter/shares_test.go
+++ b/admitter/shares_test.go
@@ -47,7 +47,7 @@
 					t.Fatalf("%s has no share of %s", n.Node, w.Workspace)
 				}
 				if equal := 1 / float64(len(nodes)); n.Unresponsive && math.Abs(w.Share-equal) > 1e-9 {
-					t.Fatalf("silent node %s has share %g, want %g", n.Node, w.Share, equal)
+					t.Fatalf("unresponsive node %s has share %g, want %g", n.Node, w.Share, equal)
 				}
 				sums[w.Workspace] += w.Share
 			}
@@ -60,18 +60,18 @@
 	})
 }
 
-// shareRun sends calls of one workspace through many nodes that exchange their
-// demand every few seconds.
+// shareRun sends calls of one workspace through many nodes that exchange their demand
+// every few seconds.
 type shareRun struct {
 	nodes int
 	// load is the offered rate over the limit.
 	load float64
-	// skew sends nine tenths of the calls to the first half of the nodes, and to
-	// the other half after a minute.
+	// skew sends nine tenths of the calls to the first half of the nodes, and after a
+	// minute to the other half.
 	skew bool
-	// cut takes a third of the nodes out of the exchange after half a minute.
+	// partitioned removes a third of the nodes from the exchange after half a minute.
 	partitioned bool
-	// flood multiplies the load by 15 after a minute.
+	// surge multiplies the load by 15 after a minute.
 	surge bool
 }
 
@@ -81,15 +81,15 @@
 	shareLength   = 2 * time.Minute
 )
 
-// shareResult holds what the site let in.
+// shareResult holds what the site admitted.
 type shareResult struct {
-	// admitted is the admitted over the allowed rate, refused the refused part
+	// admitted is the admitted over the allowed rate, refused the refused fraction
 	// of the calls.
 	admitted, refused float64
-	// second and ten are the most calls in any window of that length over what
-	// the limit allows in it.
+	// max1s and max10s are the most calls in any window of that length over what the
+	// limit allows in it.
 	max1s, max10s float64
-	// over is the highest excess over limit x (T + BurstTime) in any window that
+	// excess is the highest excess over limit x (T + BurstTime) in any window that
 	// begins with a call, in calls for each node.
 	excess float64
 }
@@ -139,8 +139,7 @@
 	return half + random.IntN(s.nodes-half)
 }
 
-// exchange hands the table to the nodes that can be reached, up to a second
-// late.
+// exchange passes the table to the reachable nodes, up to a second late.
 func (s shareRun) exchange(gates []*gate, at time.Duration) {
 	var nodes []NodeDemand
 	for i, g := range gates {
@@ -173,8 +172,8 @@
 		return float64(best) / (shareLimit * window.Seconds())
 	}
 	r.max1s, r.max10s = most(time.Second), most(10*time.Second)
-	// The highest excess over all windows is the highest rise of calls let in
-	// less calls allowed, above its lowest value before.
+	// The highest excess over all windows is the highest rise of admitted minus
+	// allowed calls above its lowest value before.
 	lowest := math.Inf(1)
 	for i, at := range times {
 		level := float64(i) - shareLimit*at.Seconds()
@@ -186,25 +185,23 @@
 }
 
 func TestLimitsOverManyNodes(t *testing.T) {
-	// A workspace sends more than its limit through all nodes. Each counts for
-	// itself; together they must not let in more than A4 says, also while demand
-	// moves from some nodes to others and while some are cut off. Below its limit
-	// the workspace must not be refused much.
+	// Nodes that limit independently must together stay within A4, also while demand moves
+	// or nodes are partitioned, and must refuse little below the limit.
 	tests := map[string]shareRun{
-		"even":               {load: 0.8},
-		"even, over":         {load: 3},
-		"skewed":             {load: 0.8, skew: true},
-		"skewed, over":       {load: 3, skew: true},
-		"cut off, over":      {load: 3, partitioned: true},
-		"cut off and skewed": {load: 3, partitioned: true, skew: true},
-		"quiet, then flood":  {load: 0.2, surge: true},
+		"even":                   {load: 0.8},
+		"even, over":             {load: 3},
+		"skewed":                 {load: 0.8, skew: true},
+		"skewed, over":           {load: 3, skew: true},
+		"partitioned, over":      {load: 3, partitioned: true},
+		"partitioned and skewed": {load: 3, partitioned: true, skew: true},
+		"idle, then surge":       {load: 0.2, surge: true},
 	}
 	names := make([]string, 0, len(tests))
 	for name := range tests {
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	t.Logf("%-20s %5s %8s %8s %9s %9s %12s", "case", "nodes", "admitted", "refused", "most/1 s", "most/10 s", "over by node")
+	t.Logf("%-20s %5s %8s %8s %9s %9s %12s", "case", "nodes", "admitted", "refused", "max/1 s", "max/10 s", "node excess")
 	for _, name := range names {
 		for _, nodes := range []int{6, 40, 330} {
 			s := tests[name]
@@ -219,17 +216,15 @@
 				t.Errorf("%s at %d nodes: %.2f calls for each node above the limit, want at most %.0f", name, nodes, r.excess, most)
 			}
 			if s.load > 1 && r.admitted < 0.75 {
-				t.Errorf("%s at %d nodes: only %.3f of the limit was let in", name, nodes, r.admitted)
+				t.Errorf("%s at %d nodes: only %.3f of the limit was admitted", name, nodes, r.admitted)
 			}
 		}
 	}
 }
 
 func TestShareInForce(t *testing.T) {
-	// Demand moves between nodes, or a node is cut off. If a share that rose
-	// counted before the other node heard that its own fell, both would spend it;
-	// if a cut-off node kept its last share, the site would be over its limit once
-	// the share was given to others.
+	// An increase must wait until other nodes have decreased, and a partitioned node must
+	// give up its last share; otherwise the site exceeds its limit.
 	table := func(share float64) NodeShare {
 		return NodeShare{Node: "n1", Slots: share, Workspaces: []WorkspaceShare{{Workspace: "w", Share: share, Utilization: 1}}}
 	}
@@ -239,12 +234,12 @@
 		want  float64
 	}
 	tests := map[string][]step{
-		"falls at once":                        {{0, 0.2, 0.2}},
-		"rises after the settle time":          {{0, 0.8, 0.25}, {IncreaseDelay - 1, 0, 0.25}, {1, 0, 0.8}},
-		"a fall ends a rise that waits":        {{0, 0.8, 0.25}, {time.Second, 0.1, 0.1}, {IncreaseDelay, 0, 0.1}},
-		"a rise that waits can shrink":         {{0, 0.8, 0.25}, {time.Second, 0.4, 0.25}, {time.Second, 0, 0.4}},
-		"cut off, it falls to the equal share": {{0, 0.8, 0.25}, {IncreaseDelay, 0, 0.8}, {ShareBound, 0, 0.25}},
-		"cut off, it rises to the equal share": {{0, 0.1, 0.1}, {ShareBound + 1, 0, 0.25}},
+		"decreases at once":                            {{0, 0.2, 0.2}},
+		"increases after the delay":                    {{0, 0.8, 0.25}, {IncreaseDelay - 1, 0, 0.25}, {1, 0, 0.8}},
+		"a decrease cancels a pending increase":        {{0, 0.8, 0.25}, {time.Second, 0.1, 0.1}, {IncreaseDelay, 0, 0.1}},
+		"a pending increase can shrink":                {{0, 0.8, 0.25}, {time.Second, 0.4, 0.25}, {time.Second, 0, 0.4}},
+		"partitioned, it decreases to the equal share": {{0, 0.8, 0.25}, {IncreaseDelay, 0, 0.8}, {ShareBound, 0, 0.25}},
+		"partitioned, it increases to the equal share": {{0, 0.1, 0.1}, {ShareBound + 1, 0, 0.25}},
 	}
 	for name, steps := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/admitter/state_test.go
+++ b/admitter/state_test.go
@@ -25,16 +25,16 @@
 	os.Exit(m.Run())
 }
 
-// ledger is the oracle's account of one workspace: what the limits allow at
-// the most, and what was charged for calls that run, wait or have run.
+// ledger is the oracle's account of one workspace: the most that the limits allow,
+// and what was charged for calls that run, wait or have run.
 type ledger struct {
 	earnedRequests, earnedTokens   float64
 	chargedRequests, chargedTokens int
 	inFlight                       int
 }
 
-// charge checks and charges a call that was let in or waits (A4). Calls enter
-// without debt and pay in full.
+// charge checks and charges a call that was admitted or waits (A4). Calls are admitted
+// without debt and charged in full.
 func (l *ledger) charge(t *rapid.T, share float64, s garnetworks.WorkspaceSpec, tokens int) {
 	limit := l.earnedTokens + share*s.Limits.TokensPerSecond
 	if s.Limits.TokensPerSecond > 0 && tokens > 0 && float64(l.chargedTokens) > limit+1e-6 {
@@ -48,7 +48,7 @@
 	}
 }
 
-// undo takes a charge back.
+// refund refunds a charge.
 func (l *ledger) refund(tokens int) {
 	l.chargedRequests--
 	l.chargedTokens -= tokens
@@ -62,9 +62,9 @@
 	maxWaiting int
 	specs      []garnetworks.WorkspaceSpec
 	ledgers    map[garnetworks.WorkspaceName]*ledger
-	// tooLate is a call that was let in after its first token was due.
+	// tooLate is a call that was admitted after its first token was due.
 	tooLate *waiter
-	// waiting and running are the calls by their last verdict.
+	// waiting and running are the calls by their last decision.
 	waiting, running []*waiter
 	decisions        map[*waiter]int
 }
@@ -97,7 +97,7 @@
 	m.collect()
 }
 
-// collect takes the verdicts on calls that waited.
+// collect processes the decisions on calls that waited.
 func (m *gateMachine) collect() {
 	decided := m.gate.decided
 	m.gate.decided = nil
@@ -169,7 +169,7 @@
 		t.Fatalf("refused with %v", w.err)
 	}
 	if e := w.err.(*garnetworks.Error); e.Kind != garnetworks.KindShuttingDown && e.RetryAfter <= 0 {
-		t.Fatalf("refused without a time to come back: %v", w.err)
+		t.Fatalf("refused without RetryAfter: %v", w.err)
 	}
 }
 
@@ -222,7 +222,7 @@
 
 func (m *gateMachine) check(t *rapid.T) {
 	if m.tooLate != nil {
-		t.Fatalf("a call of %s was let in after its first token was due", m.tooLate.request.Workspace)
+		t.Fatalf("a call of %s was admitted after its first token was due", m.tooLate.request.Workspace)
 	}
 	p := m.gate.pools["m"]
 	if p.waiting != len(m.waiting) || p.waiting > m.maxWaiting {
@@ -230,12 +230,12 @@
 	}
 	for _, w := range m.waiting {
 		if w.state != waiting || m.decisions[w] != 0 {
-			t.Fatalf("a call that waits has state %v and %d verdicts", w.state, m.decisions[w])
+			t.Fatalf("a call that waits has state %v and %d decisions", w.state, m.decisions[w])
 		}
 	}
 	for w, n := range m.decisions {
 		if n != 1 {
-			t.Fatalf("a call of %s got %d verdicts", w.request.Workspace, n)
+			t.Fatalf("a call of %s got %d decisions", w.request.Workspace, n)
 		}
 	}
 	if first := p.next(); first != nil {
@@ -253,7 +253,7 @@
 	}
 }
 
-// checkLimits holds the calls in flight against the bound of A5.
+// checkLimits checks the calls in flight against the bound of A5.
 func (m *gateMachine) checkLimits(t *rapid.T, s garnetworks.WorkspaceSpec) {
 	l, w := m.ledgers[s.Name], m.gate.workspaces[s.Name]
 	limit := int(math.Ceil(max(1, m.share*float64(s.Limits.Concurrency))))
@@ -271,7 +271,7 @@
 	}
 }
 
-// drain ends all calls, after which nothing may be left.
+// drain ends all calls and checks that no state is left.
 func (m *gateMachine) drain(t *rapid.T) {
 	for len(m.running)+len(m.waiting) > 0 {
 		if len(m.running) > 0 {
@@ -315,9 +315,8 @@
 }
 
 func TestSmallWorkspaceIsNotStarved(t *testing.T) {
-	// A large workspace has filled the queue, after a pause in which the small one
-	// was served. The small one's call must wait for one of the large one's
-	// calls, not for all of them; the pause earns the large one nothing.
+	// A large workspace's queue delays a small one by one call, not by the whole queue;
+	// idle time earns the large one nothing.
 	rapid.Check(t, func(t *rapid.T) {
 		g := newGate(Options{Node: "n1", MaxWaiting: 64})
 		g.setManifest(testStart, testManifest())
--- a/admitter/workspace.go
+++ b/admitter/workspace.go
@@ -7,27 +7,27 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Bounds of the limits at one node.
+// Parameters of the limits at one node.
 const (
-	// BurstTime is the time for which a bucket gathers (A4).
+	// BurstTime is the time for which a bucket accumulates (A4).
 	BurstTime = time.Second
-	// BurstCalls is the number of requests that a bucket gathers at least (A4).
-	// With fewer, a node with a small share refuses calls that come in at random
-	// although the site is below the limit.
+	// BurstCalls is the minimum depth of the request bucket (A4). With fewer, a node
+	// with a small share refuses randomly arriving calls although the site is below
+	// the limit.
 	BurstCalls = 3
-	// SpareCalls is the same while the site as a whole stays below SpareUse of the
-	// limit: what one node lets in by chance, another does not (A4).
+	// RelaxedBurstCalls replaces it while the site's demand is below
+	// RelaxedUtilization of the limit: bursts at different nodes even out (A4).
 	RelaxedBurstCalls = 10
-	// SpareTime is the time for which tokens gather then.
+	// RelaxedBurstTime replaces BurstTime for tokens under the same condition.
 	RelaxedBurstTime = 20 * time.Second
-	// spareDeviations is how far above its part of the concurrency limit a node
-	// may go then, in standard deviations of chance (A5).
+	// relaxedDeviations is how far a node may then exceed its share of the concurrency
+	// limit, in standard deviations of random arrivals (A5).
 	relaxedDeviations = 2
-	// SpareUse is the demand, as a part of the limit, up to which nodes need not
-	// be strict.
+	// RelaxedUtilization is the demand, as a fraction of the limit, below which limits
+	// are relaxed.
 	RelaxedUtilization = 0.9
-	// creditTime is how much call time a node with less than one call's share
-	// gathers (A5).
+	// maxCreditTime is how much call time a node whose share is below one call
+	// accumulates (A5).
 	maxCreditTime = 20 * time.Second
 	// demandWindow is the time over which demand is averaged.
 	demandWindow = 5 * time.Second
@@ -39,10 +39,10 @@
 // workspace holds one workspace's limits at the node.
 type workspace struct {
 	spec garnetworks.WorkspaceSpec
-	// share is in force; next takes its place at nextAt (A2).
+	// share applies now; pending replaces it at pendingAt (A2).
 	share, pending float64
 	pendingAt      time.Time
-	// spare says that the site's demand is well below the limit.
+	// relaxed says that the site's demand is below RelaxedUtilization.
 	relaxed  bool
 	requests bucket
 	tokens   bucket
@@ -50,7 +50,7 @@
 	credit   bucket
 	creditAt time.Time
 	inFlight int
-	// askedRequests and askedTokens measure demand, refused calls included.
+	// requestRate and tokenRate measure demand, refused calls included.
 	requestRate, tokenRate meter
 }
 
@@ -61,7 +61,7 @@
 	}
 }
 
-// setShare takes a new share: a lower one at once, a higher one later (A2).
+// setShare sets a new share: a lower one at once, a higher one delayed (A2).
 func (w *workspace) setShare(now time.Time, share float64) {
 	w.applyPending(now)
 	if share <= w.share {
@@ -75,19 +75,19 @@
 		w.pending = share
 		return
 	}
-	// A rise that waits already is lowered at once; raised, it waits anew only
-	// for what was added, so take the lower of both until the next table.
+	// A pending increase is lowered at once. Raising it would need a new delay for
+	// the difference, so the lower of both applies until the next table.
 	w.pending = min(w.pending, share)
 }
 
-// forceShare sets the share that needs no settling.
+// forceShare sets a share without a delay.
 func (w *workspace) forceShare(now time.Time, share float64) {
 	w.share = share
 	w.pendingAt = time.Time{}
 	w.apply(now)
 }
 
-// settle puts a share that has waited in force.
+// applyPending applies a pending share that is due.
 func (w *workspace) applyPending(now time.Time) {
 	if w.pendingAt.IsZero() || now.Before(w.pendingAt) {
 		return
@@ -115,11 +115,11 @@
 	w.credit.set(now, min(1, w.concurrencyShare()), maxCreditTime.Seconds())
 }
 
-// calls returns the node's part of the concurrency limit.
+// concurrencyShare returns the node's share of the concurrency limit, in calls.
 func (w *workspace) concurrencyShare() float64 { return w.share * float64(w.spec.Limits.Concurrency) }
 
-// refusal returns how long the limits keep a call of the given tokens out; 0
-// if they let it in.
+// refusal returns how long the limits refuse a call with the given tokens; 0 if they
+// admit it.
 func (w *workspace) refusal(now time.Time, tokens int) time.Duration {
 	w.applyPending(now)
 	l := w.spec.Limits
@@ -128,8 +128,8 @@
 		wait = max(wait, w.requests.wait(now, 1))
 	}
 	if l.TokensPerSecond > 0 && tokens > 0 {
-		// Without debt the call is let in, and pays in full; asking for the whole
-		// price would keep large calls out of small shares for good.
+		// Without debt the call is admitted and charged in full; requiring all of its
+		// tokens would refuse large calls at small shares forever.
 		wait = max(wait, w.tokens.wait(now, 0))
 	}
 	if l.Concurrency > 0 {
@@ -138,7 +138,7 @@
 	return wait
 }
 
-// concurrency returns how long the concurrency limit keeps a call out (A5).
+// concurrency returns how long the concurrency limit refuses a call (A5).
 func (w *workspace) concurrency(now time.Time) time.Duration {
 	w.chargeInFlight(now)
 	concurrencyShare := w.concurrencyShare()
@@ -155,8 +155,8 @@
 	return 0
 }
 
-// drain pays for the calls in flight since the last look. A share of one call
-// or more is held by the number in flight alone.
+// chargeInFlight charges the credit for the calls in flight since the last charge. A
+// share of one call or more is limited by the number in flight alone.
 func (w *workspace) chargeInFlight(now time.Time) {
 	if w.concurrencyShare() >= 1 {
 		w.credit.level = max(0, w.credit.level)
@@ -169,7 +169,7 @@
 	w.creditAt = now
 }
 
-// enter charges a call.
+// charge charges a call.
 func (w *workspace) charge(now time.Time, tokens int) {
 	w.chargeInFlight(now)
 	w.requests.take(now, 1)
@@ -177,7 +177,7 @@
 	w.inFlight++
 }
 
-// undo takes back the charge of a call that did not run (A10).
+// refund refunds the charge of a call that did not run (A10).
 func (w *workspace) refund(now time.Time, tokens int) {
 	w.chargeInFlight(now)
 	w.requests.take(now, -1)
@@ -185,14 +185,14 @@
 	w.inFlight--
 }
 
-// leave ends a call that used other tokens than were charged.
+// finish ends a call, correcting the charge to the tokens used.
 func (w *workspace) finish(now time.Time, charged, used int) {
 	w.chargeInFlight(now)
 	w.tokens.take(now, float64(used-charged))
 	w.inFlight--
 }
 
-// demand returns what the node asks for.
+// demand returns the node's demand.
 func (w *workspace) demand(now time.Time) garnetworks.Demand {
 	return garnetworks.Demand{
 		Workspace:         w.spec.Name,
