--- a/admitter/doc.go
+++ b/admitter/doc.go
@@ -3,8 +3,8 @@
 // the serving capacity. The decision is local; a call waits for no other node.
 //
 //	A1   A workspace's limit is divided into shares, one for each node. Shares
-//	     follow the demand that nodes exchange periodically, as far as it is
-//	     statistically significant, and every node keeps a part of the equal
+//	     follow the demand that nodes exchange periodically, the more so the
+//	     more calls that demand counts, and every node keeps a part of the equal
 //	     share, so that the first call after an idle time is admitted.
 //	A2   The shares of one table sum to 1 at most. A decreased share applies at
 //	     once, an increased share after IncreaseDelay, when the nodes whose share
--- a/admitter/pool.go
+++ b/admitter/pool.go
@@ -71,7 +71,7 @@
 	startSum float64
 	base     time.Time
 	slotTime float64
-	// classes are sorted by descending priority.
+	// classes are sorted by descending priority; the manifest bounds their number.
 	classes  []*class
 	waiting  int
 	reviewed time.Time
