--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -174,13 +174,13 @@
 func (f *Forwarder) RetriesLeft() int {
 	f.budgetMu.Lock()
 	defer f.budgetMu.Unlock()
-	return f.budget.Left(time.Now())
+	return f.budget.Available(time.Now())
 }
 
 func (f *Forwarder) countCall() {
 	f.budgetMu.Lock()
 	defer f.budgetMu.Unlock()
-	f.budget.Called(time.Now())
+	f.budget.RecordCall(time.Now())
 }
 
 func (f *Forwarder) takeRetry() bool {
--- a/forwarder/model.go
+++ b/forwarder/model.go
@@ -171,7 +171,7 @@
 			return nil
 		}
 		delivered := m.transcript.tokens > 0
-		verdict := m.history.Failed(retrier.Failure{Phase: m.last.phase, Refusal: m.last.refusal, Delivered: delivered})
+		verdict := m.history.RecordFailure(retrier.Failure{Phase: m.last.phase, Refusal: m.last.refusal, Delivered: delivered})
 		if ctx.Err() != nil || m.last.cause == errSlowCaller || !verdict.Retry || !m.mayRetry(ctx, verdict) {
 			return m.giveUp(ctx, m.last.cause)
 		}
@@ -186,7 +186,7 @@
 // Failure: the loss of a zone breaks a share of all streams at one moment. They
 // must not all be resumed at once, and need not be given up either: each waits
 // for its turn in the budget, within a bound.
-func (m *modelCall) mayRetry(ctx context.Context, verdict retrier.Verdict) bool {
+func (m *modelCall) mayRetry(ctx context.Context, verdict retrier.Decision) bool {
 	if verdict.Free {
 		return true
 	}
--- a/forwarder/service.go
+++ b/forwarder/service.go
@@ -295,7 +295,7 @@
 		if s.last == nil {
 			return answer, nil
 		}
-		verdict := s.history.Failed(retrier.Failure{Phase: s.last.phase, Refusal: s.last.refusal})
+		verdict := s.history.RecordFailure(retrier.Failure{Phase: s.last.phase, Refusal: s.last.refusal})
 		if ctx.Err() != nil {
 			return garnetworks.ServiceResponse{}, s.stopped(ctx)
 		}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -344,7 +344,7 @@
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.window(now, service).Called(now)
+	g.window(now, service).RecordCall(now)
 }
 
 // ServeHTTP serves one call.
--- a/gateway/guard.go
+++ b/gateway/guard.go
@@ -142,7 +142,7 @@
 // held.
 func (s *stream) reserve(now time.Time, work scheduler.Work) bool {
 	retries := s.window(now, s.service.Name)
-	if retries.Left(now) < 1 {
+	if retries.Available(now) < 1 {
 		return false
 	}
 	group, ok := s.scheduler.Elsewhere(now, work)
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -88,7 +88,7 @@
 			free++
 			continue
 		}
-		verdict := history.Failed(retrier.Failure{Phase: failure.Phase})
+		verdict := history.RecordFailure(retrier.Failure{Phase: failure.Phase})
 		if x.ctx.Err() != nil || !verdict.Retry || !granted && !x.mayRetry(x.service.Name) {
 			x.giveUp(history.MayHaveRun, garnetworks.KindBackendRefused, failure)
 			return
--- a/retrier/budget.go
+++ b/retrier/budget.go
@@ -6,9 +6,9 @@
 type BudgetLimits struct {
 	// Fraction is the number of retries that each call adds; 0 to 1.
 	Fraction float64
-	// Floor is the number of retries that each second adds, so that a node with
+	// MinPerSecond is the number of retries that each second adds, so that a node with
 	// few calls can retry at all.
-	Floor float64
+	MinPerSecond float64
 	// Burst is the most that can be saved up; at least 1.
 	Burst float64
 }
@@ -17,7 +17,7 @@
 // a second and 200 streams in flight: the loss of one zone of eight breaks
 // about 25 streams at once, which Burst and two seconds of refill carry.
 func DefaultBudgetLimits() BudgetLimits {
-	return BudgetLimits{Fraction: 0.2, Floor: 1, Burst: 16}
+	return BudgetLimits{Fraction: 0.2, MinPerSecond: 1, Burst: 16}
 }
 
 // Budget counts what is left of a node's retries. It is a value for one
@@ -33,8 +33,8 @@
 	return &Budget{limits: limits, balance: limits.Burst, at: now}
 }
 
-// Called counts one call, not an attempt.
-func (b *Budget) Called(now time.Time) {
+// RecordCall counts one call, not an attempt.
+func (b *Budget) RecordCall(now time.Time) {
 	b.refill(now)
 	b.add(b.limits.Fraction)
 }
@@ -49,8 +49,8 @@
 	return true
 }
 
-// Left returns the number of retries that could be taken at once.
-func (b *Budget) Left(now time.Time) int {
+// Available returns the number of retries that could be taken at once.
+func (b *Budget) Available(now time.Time) int {
 	b.refill(now)
 	return int(b.balance)
 }
@@ -62,7 +62,7 @@
 	if elapsed <= 0 {
 		return
 	}
-	b.add(elapsed.Seconds() * b.limits.Floor)
+	b.add(elapsed.Seconds() * b.limits.MinPerSecond)
 	b.at = now
 }
 
--- a/retrier/retrier.go
+++ b/retrier/retrier.go
@@ -76,24 +76,24 @@
 }
 
 const (
-	reasonConnect      = "no byte of the call was sent, so no server can have begun it"
-	reasonRefused      = "the server answered, by contract, that it did not begin the call"
-	reasonWriteAgain   = "the server may have begun the call; running it twice does no harm"
-	reasonWriteOnce    = "some bytes were sent, so the server may have begun the call"
-	reasonWriteKeyed   = "some bytes were sent under the claim; the claim ends as unknown"
-	reasonWaitAgain    = "the server may be running the call; running it twice does no harm"
-	reasonWaitOnce     = "the call was sent whole, so the server may have run it"
-	reasonWaitKeyed    = "the call was sent whole under the claim; the claim ends as unknown"
-	reasonHeadersAgain = "the server ran the call, wholly or in part; running it twice does no harm"
-	reasonHeadersOnce  = "the server began its answer, so it ran the call, wholly or in part"
-	reasonHeadersKeyed = "the server began its answer under the claim; the claim ends as unknown"
-	reasonBodyAgain    = "the answer is not whole and is dropped; running the call twice does no harm"
-	reasonBodyOnce     = "the server ran the call, but its answer is not whole"
-	reasonBodyKeyed    = "the server ran the call, but there is no whole answer to record"
-	reasonCrossedAgain = "the answer was another call's and is dropped; what became of this call is not known"
-	reasonCrossedOnce  = "the answer was another call's; this call may have run all the same"
-	reasonCrossedKeyed = "the answer was another call's and must not be recorded; this call may have run"
-	reasonDone         = "the whole answer came"
+	reasonConnect                 = "no byte of the call was sent, so no server can have begun it"
+	reasonRefused                 = "the server answered, by contract, that it did not begin the call"
+	reasonWriteRepeatable         = "the server may have begun the call; running it twice does no harm"
+	reasonWriteNotRepeatable      = "some bytes were sent, so the server may have begun the call"
+	reasonWriteKeyed              = "some bytes were sent under the claim; the claim ends as unknown"
+	reasonWaitRepeatable          = "the server may be running the call; running it twice does no harm"
+	reasonWaitNotRepeatable       = "the call was sent whole, so the server may have run it"
+	reasonWaitKeyed               = "the call was sent whole under the claim; the claim ends as unknown"
+	reasonHeadersRepeatable       = "the server ran the call, wholly or in part; running it twice does no harm"
+	reasonHeadersNotRepeatable    = "the server began its answer, so it ran the call, wholly or in part"
+	reasonHeadersKeyed            = "the server began its answer under the claim; the claim ends as unknown"
+	reasonBodyRepeatable          = "the answer is not whole and is dropped; running the call twice does no harm"
+	reasonBodyNotRepeatable       = "the server ran the call, but its answer is not whole"
+	reasonBodyKeyed               = "the server ran the call, but there is no whole answer to record"
+	reasonMismatchedRepeatable    = "the answer was another call's and is dropped; what became of this call is not known"
+	reasonMismatchedNotRepeatable = "the answer was another call's; this call may have run all the same"
+	reasonMismatchedKeyed         = "the answer was another call's and must not be recorded; this call may have run"
+	reasonDone                    = "the whole answer came"
 )
 
 // table is rule R1.
@@ -102,29 +102,29 @@
 	{garnetworks.PhaseConnect, NotRepeatable, true, garnetworks.OutcomeNotRun, reasonConnect},
 	{garnetworks.PhaseConnect, Keyed, true, garnetworks.OutcomeNotRun, reasonConnect},
 
-	{garnetworks.PhaseWrite, Repeatable, true, garnetworks.OutcomeUnknown, reasonWriteAgain},
-	{garnetworks.PhaseWrite, NotRepeatable, false, garnetworks.OutcomeUnknown, reasonWriteOnce},
+	{garnetworks.PhaseWrite, Repeatable, true, garnetworks.OutcomeUnknown, reasonWriteRepeatable},
+	{garnetworks.PhaseWrite, NotRepeatable, false, garnetworks.OutcomeUnknown, reasonWriteNotRepeatable},
 	{garnetworks.PhaseWrite, Keyed, false, garnetworks.OutcomeUnknown, reasonWriteKeyed},
 
-	{garnetworks.PhaseWait, Repeatable, true, garnetworks.OutcomeUnknown, reasonWaitAgain},
-	{garnetworks.PhaseWait, NotRepeatable, false, garnetworks.OutcomeUnknown, reasonWaitOnce},
+	{garnetworks.PhaseWait, Repeatable, true, garnetworks.OutcomeUnknown, reasonWaitRepeatable},
+	{garnetworks.PhaseWait, NotRepeatable, false, garnetworks.OutcomeUnknown, reasonWaitNotRepeatable},
 	{garnetworks.PhaseWait, Keyed, false, garnetworks.OutcomeUnknown, reasonWaitKeyed},
 
 	{garnetworks.PhaseRefused, Repeatable, true, garnetworks.OutcomeNotRun, reasonRefused},
 	{garnetworks.PhaseRefused, NotRepeatable, true, garnetworks.OutcomeNotRun, reasonRefused},
 	{garnetworks.PhaseRefused, Keyed, true, garnetworks.OutcomeNotRun, reasonRefused},
 
-	{garnetworks.PhaseHeaders, Repeatable, true, garnetworks.OutcomeUnknown, reasonHeadersAgain},
-	{garnetworks.PhaseHeaders, NotRepeatable, false, garnetworks.OutcomeUnknown, reasonHeadersOnce},
+	{garnetworks.PhaseHeaders, Repeatable, true, garnetworks.OutcomeUnknown, reasonHeadersRepeatable},
+	{garnetworks.PhaseHeaders, NotRepeatable, false, garnetworks.OutcomeUnknown, reasonHeadersNotRepeatable},
 	{garnetworks.PhaseHeaders, Keyed, false, garnetworks.OutcomeUnknown, reasonHeadersKeyed},
 
-	{garnetworks.PhaseBody, Repeatable, true, garnetworks.OutcomeUnknown, reasonBodyAgain},
-	{garnetworks.PhaseBody, NotRepeatable, false, garnetworks.OutcomeUnknown, reasonBodyOnce},
+	{garnetworks.PhaseBody, Repeatable, true, garnetworks.OutcomeUnknown, reasonBodyRepeatable},
+	{garnetworks.PhaseBody, NotRepeatable, false, garnetworks.OutcomeUnknown, reasonBodyNotRepeatable},
 	{garnetworks.PhaseBody, Keyed, false, garnetworks.OutcomeUnknown, reasonBodyKeyed},
 
-	{garnetworks.PhaseMismatched, Repeatable, true, garnetworks.OutcomeUnknown, reasonCrossedAgain},
-	{garnetworks.PhaseMismatched, NotRepeatable, false, garnetworks.OutcomeUnknown, reasonCrossedOnce},
-	{garnetworks.PhaseMismatched, Keyed, false, garnetworks.OutcomeUnknown, reasonCrossedKeyed},
+	{garnetworks.PhaseMismatched, Repeatable, true, garnetworks.OutcomeUnknown, reasonMismatchedRepeatable},
+	{garnetworks.PhaseMismatched, NotRepeatable, false, garnetworks.OutcomeUnknown, reasonMismatchedNotRepeatable},
+	{garnetworks.PhaseMismatched, Keyed, false, garnetworks.OutcomeUnknown, reasonMismatchedKeyed},
 
 	{garnetworks.PhaseDone, Repeatable, false, garnetworks.OutcomeCompleted, reasonDone},
 	{garnetworks.PhaseDone, NotRepeatable, false, garnetworks.OutcomeCompleted, reasonDone},
@@ -150,8 +150,8 @@
 	}
 }
 
-// Verdict is the decision after an attempt.
-type Verdict struct {
+// Decision is the decision after an attempt.
+type Decision struct {
 	// Retry permits another attempt, if deadline and budget allow one.
 	Retry bool
 	// Resume says that the next attempt goes on after the delivered tokens.
@@ -200,8 +200,8 @@
 	return false
 }
 
-// Failed takes the end of an attempt that failed.
-func (h *History) Failed(f Failure) Verdict {
+// RecordFailure takes the end of an attempt that failed.
+func (h *History) RecordFailure(f Failure) Decision {
 	cell := Lookup(f.Phase, h.Repeatability)
 	h.Attempts++
 	// Failure: the first attempt breaks off while waiting and may be running,
@@ -212,9 +212,9 @@
 	}
 	// What may have run in any attempt is not sent again, even if the last one
 	// proves that it did not run this time (rule R2).
-	once := h.Repeatability != Repeatable && h.MayHaveRun
-	return Verdict{
-		Retry:   cell.Retry && !once && h.Attempts < h.MaxAttempts,
+	mustNotRepeat := h.Repeatability != Repeatable && h.MayHaveRun
+	return Decision{
+		Retry:   cell.Retry && !mustNotRepeat && h.Attempts < h.MaxAttempts,
 		Resume:  f.Delivered, // rule R4
 		Free:    f.free(),
 		Outcome: h.Outcome(),
--- a/retrier/retrier_test.go
+++ b/retrier/retrier_test.go
@@ -27,7 +27,7 @@
 // A dispatcher's parts note is doubled, or a note that was written is reported
 // as "not run" and written again by hand. Both begin with one wrong cell of the
 // failure table, so each cell is written down here a second time.
-func TestEveryCell(t *testing.T) {
+func TestFailureTable(t *testing.T) {
 	type cell struct {
 		retry   bool
 		outcome garnetworks.Outcome
@@ -59,34 +59,34 @@
 }
 
 // freeRefusals are the reasons of one server alone.
-var freeRefusals = []garnetworks.Kind{garnetworks.KindNotReady, garnetworks.KindStaleToken, garnetworks.KindShuttingDown}
+var serverSpecificRefusals = []garnetworks.Kind{garnetworks.KindNotReady, garnetworks.KindStaleToken, garnetworks.KindShuttingDown}
 
 // A call breaks off while the first server works on it; the second attempt
 // finds no server. Told "not run" because of the last attempt, the caller would
 // run it again although the first server has run it.
-func TestOneDoubtfulAttemptIsKept(t *testing.T) {
+func TestUnknownOutcomeIsRemembered(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := History{
 			Repeatability: rapid.SampledFrom(Repeatabilities()).Draw(t, "repeatability"),
 			MaxAttempts:   rapid.IntRange(1, 5).Draw(t, "max"),
 		}
-		doubtful := false
+		anyMayHaveRun := false
 		for {
 			phase := rapid.SampledFrom(Phases()[:len(Phases())-1]).Draw(t, "phase")
 			delivered := rapid.Bool().Draw(t, "delivered")
 			mayHaveRun := delivered || (phase != garnetworks.PhaseConnect && phase != garnetworks.PhaseRefused)
-			doubtful = doubtful || mayHaveRun
-			kinds := append(slices.Clone(freeRefusals), garnetworks.KindOverloaded, garnetworks.KindInternal, "")
+			anyMayHaveRun = anyMayHaveRun || mayHaveRun
+			kinds := append(slices.Clone(serverSpecificRefusals), garnetworks.KindOverloaded, garnetworks.KindInternal, "")
 			refusal := rapid.SampledFrom(kinds).Draw(t, "refusal")
-			v := h.Failed(Failure{Phase: phase, Refusal: refusal, Delivered: delivered})
-			if (v.Outcome == notRun) == doubtful {
-				t.Fatalf("outcome %s, doubtful %t", v.Outcome, doubtful)
+			v := h.RecordFailure(Failure{Phase: phase, Refusal: refusal, Delivered: delivered})
+			if (v.Outcome == notRun) == anyMayHaveRun {
+				t.Fatalf("outcome %s, doubtful %t", v.Outcome, anyMayHaveRun)
 			}
-			if v.Retry && doubtful && h.Repeatability != Repeatable {
+			if v.Retry && anyMayHaveRun && h.Repeatability != Repeatable {
 				t.Fatalf("a %s call is sent again after phase %s", h.Repeatability, phase)
 			}
-			ownReason := phase == garnetworks.PhaseRefused && slices.Contains(freeRefusals, refusal)
-			if v.Free != (phase == garnetworks.PhaseConnect || ownReason) {
+			serverSpecific := phase == garnetworks.PhaseRefused && slices.Contains(serverSpecificRefusals, refusal)
+			if v.Free != (phase == garnetworks.PhaseConnect || serverSpecific) {
 				t.Fatalf("a retry after phase %s, refusal %q: free %t", phase, refusal, v.Free)
 			}
 			if v.Resume != delivered {
@@ -108,9 +108,9 @@
 func TestBudgetBoundsRetriesInEachInterval(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := BudgetLimits{
-			Fraction: rapid.Float64Range(0, 1).Draw(t, "fraction"),
-			Floor:    rapid.Float64Range(0, 5).Draw(t, "floor"),
-			Burst:    rapid.Float64Range(1, 50).Draw(t, "burst"),
+			Fraction:     rapid.Float64Range(0, 1).Draw(t, "fraction"),
+			MinPerSecond: rapid.Float64Range(0, 5).Draw(t, "floor"),
+			Burst:        rapid.Float64Range(1, 50).Draw(t, "burst"),
 		}
 		start := time.Unix(1000, 0)
 		now := start
@@ -127,7 +127,7 @@
 			}
 			s := step{at: now, calls: rapid.IntRange(0, 20).Draw(t, "calls")}
 			for range s.calls {
-				b.Called(now)
+				b.RecordCall(now)
 			}
 			for range rapid.IntRange(0, 40).Draw(t, "wanted") {
 				if b.Take(now) {
@@ -143,7 +143,7 @@
 			for _, s := range steps[i:] {
 				calls += s.calls
 				retries += s.retries
-				bound := limits.Burst + limits.Fraction*float64(calls) + limits.Floor*s.at.Sub(steps[i].at).Seconds()
+				bound := limits.Burst + limits.Fraction*float64(calls) + limits.MinPerSecond*s.at.Sub(steps[i].at).Seconds()
 				if float64(retries) > bound+1e-6 {
 					t.Fatalf("%d retries, bound %.2f", retries, bound)
 				}
--- a/retrier/window.go
+++ b/retrier/window.go
@@ -13,7 +13,7 @@
 }
 
 // windowParts is the number of parts that a span is counted in.
-const windowParts = 20
+const windowBuckets = 20
 
 // Window counts the retries of the last span against its calls (rule R7). It is for
 // one goroutine or for use under a lock.
@@ -26,15 +26,15 @@
 	limits WindowLimits
 	// counts holds the parts of the span and one more, of which the oldest counts
 	// for retries and not for calls: it lies in the span in part only.
-	counts [windowParts + 1]struct{ calls, retries int }
+	counts [windowBuckets + 1]struct{ calls, retries int }
 	// begun is when the newest part began; it is counts[newest].
-	begun  time.Time
-	newest int
+	bucketStart time.Time
+	newest      int
 }
 
 // NewWindow returns a window without calls.
 func NewWindow(limits WindowLimits, now time.Time) *Window {
-	return &Window{limits: limits, begun: now}
+	return &Window{limits: limits, bucketStart: now}
 }
 
 // SetLimits changes the limits; what was counted stays.
@@ -43,28 +43,28 @@
 // times a second. A window that is made anew each time bounds nothing.
 func (w *Window) SetLimits(limits WindowLimits) {
 	if limits.Span != w.limits.Span {
-		*w = Window{limits: limits, begun: w.begun}
+		*w = Window{limits: limits, bucketStart: w.bucketStart}
 	}
 	w.limits = limits
 }
 
-// Called counts one call, not an attempt.
-func (w *Window) Called(now time.Time) {
+// RecordCall counts one call, not an attempt.
+func (w *Window) RecordCall(now time.Time) {
 	w.advance(now)
 	w.counts[w.newest].calls++
 }
 
 // Take takes one retry, or reports that the span has had its part.
 func (w *Window) Take(now time.Time) bool {
-	if w.Left(now) < 1 {
+	if w.Available(now) < 1 {
 		return false
 	}
 	w.counts[w.newest].retries++
 	return true
 }
 
-// Left returns the number of retries that could be taken at once.
-func (w *Window) Left(now time.Time) int {
+// Available returns the number of retries that could be taken at once.
+func (w *Window) Available(now time.Time) int {
 	w.advance(now)
 	calls, retries := 0, 0
 	oldest := (w.newest + 1) % len(w.counts)
@@ -82,18 +82,18 @@
 // clock before they take the lock, so times come slightly out of order; an older one
 // changes nothing.
 func (w *Window) advance(now time.Time) {
-	part := w.limits.Span / windowParts
-	if part <= 0 {
+	bucketSpan := w.limits.Span / windowBuckets
+	if bucketSpan <= 0 {
 		return
 	}
 	for range len(w.counts) {
-		if now.Sub(w.begun) < part {
+		if now.Sub(w.bucketStart) < bucketSpan {
 			return
 		}
-		w.begun = w.begun.Add(part)
+		w.bucketStart = w.bucketStart.Add(bucketSpan)
 		w.newest = (w.newest + 1) % len(w.counts)
 		clear(w.counts[w.newest : w.newest+1])
 	}
 	// All parts are empty now; a pause of any length is skipped.
-	w.begun = now
+	w.bucketStart = now
 }
--- a/retrier/window_test.go
+++ b/retrier/window_test.go
@@ -13,13 +13,13 @@
 // seconds with sixty calls each. A budget that had saved up six retries let six of
 // the streams go on elsewhere and broke the others off, while the site had used none
 // of the hundreds of retries that those seconds allowed.
-func TestStreamsOfALostGroupAllGoOn(t *testing.T) {
+func TestWindowAllowsBurstAfterGroupLoss(t *testing.T) {
 	const callsPerSecond, streams = 60, 20
 	now := time.Unix(1000, 0)
 	w := NewWindow(WindowLimits{Span: span, Fraction: 0.12, Slack: 13}, now)
 	for range 10 * callsPerSecond {
 		now = now.Add(time.Second / callsPerSecond)
-		w.Called(now)
+		w.RecordCall(now)
 	}
 	for i := range streams {
 		if !w.Take(now) {
@@ -49,7 +49,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
 			s := step{at: now, calls: rapid.IntRange(0, 20).Draw(t, "calls")}
 			for range s.calls {
-				w.Called(now)
+				w.RecordCall(now)
 			}
 			for range rapid.IntRange(0, 40).Draw(t, "wanted") {
 				if w.Take(now) {
@@ -57,7 +57,7 @@
 				}
 			}
 			// A clock reading taken before another goroutine's, used after it.
-			w.Called(now.Add(-time.Hour))
+			w.RecordCall(now.Add(-time.Hour))
 			s.calls++
 			steps = append(steps, s)
 		}
@@ -81,7 +81,7 @@
 
 // Story: nodes come and go, and each time a node learns of it, it has all its retries
 // again: a failing service gets retries without end.
-func TestChangedLimitsRefillNothing(t *testing.T) {
+func TestSetLimitsDoesNotRefill(t *testing.T) {
 	now := time.Unix(0, 0)
 	w := NewWindow(WindowLimits{Span: span, Slack: 10}, now)
 	for w.Take(now) {
@@ -95,15 +95,15 @@
 }
 
 // A pause longer than the span leaves nothing of what was before it.
-func TestWindowForgets(t *testing.T) {
+func TestWindowExpires(t *testing.T) {
 	now := time.Unix(0, 0)
 	w := NewWindow(WindowLimits{Span: span, Fraction: 1}, now)
 	for range 10 {
-		w.Called(now)
+		w.RecordCall(now)
 	}
 	for pause, left := range map[time.Duration]int{0: 10, span / 2: 10, span: 0, time.Hour: 0} {
 		v := *w
-		if got := v.Left(now.Add(pause)); got != left {
+		if got := v.Available(now.Add(pause)); got != left {
 			t.Errorf("%d retries are left after %s, want %d", got, pause, left)
 		}
 	}
