--- a/retrier/budget.go
+++ b/retrier/budget.go
@@ -2,26 +2,25 @@
 
 import "time"
 
-// BudgetLimits are the bounds of a node's retries (rule R5).
+// BudgetLimits configure a node's retry budget (rule R5).
 type BudgetLimits struct {
-	// Fraction is the number of retries that each call adds; 0 to 1.
+	// Fraction is the number of retries that each call adds to the budget; 0 to 1.
 	Fraction float64
 	// MinPerSecond is the number of retries that each second adds, so that a node with
 	// few calls can retry at all.
 	MinPerSecond float64
-	// Burst is the most that can be saved up; at least 1.
+	// Burst is the maximum balance; at least 1.
 	Burst float64
 }
 
-// DefaultBudgetLimits suit a node of the design size, which sees about 15 calls
-// a second and 200 streams in flight: the loss of one zone of eight breaks
-// about 25 streams at once, which Burst and two seconds of refill carry.
+// DefaultBudgetLimits returns limits for a node with about 15 calls per second and 200
+// concurrent streams: Burst and two seconds of refill cover the loss of one zone of
+// eight, which interrupts about 25 streams at once.
 func DefaultBudgetLimits() BudgetLimits {
 	return BudgetLimits{Fraction: 0.2, MinPerSecond: 1, Burst: 16}
 }
 
-// Budget counts what is left of a node's retries. It is a value for one
-// goroutine or for use under a lock.
+// Budget is a token bucket of a node's retries. It is not safe for concurrent use.
 type Budget struct {
 	limits  BudgetLimits
 	balance float64
@@ -39,7 +38,7 @@
 	b.add(b.limits.Fraction)
 }
 
-// Take takes one retry, or reports that the budget is spent.
+// Take takes one retry, and reports whether the budget allowed it.
 func (b *Budget) Take(now time.Time) bool {
 	b.refill(now)
 	if b.balance < 1 {
@@ -57,8 +56,8 @@
 
 func (b *Budget) refill(now time.Time) {
 	elapsed := now.Sub(b.at)
-	// Callers on several goroutines read the clock before they take the lock, so
-	// times come slightly out of order; an older one must not add time twice.
+	// Goroutines read the clock before they take the lock, so times may be slightly out
+	// of order; an older one must not add its time twice.
 	if elapsed <= 0 {
 		return
 	}
--- a/retrier/retrier.go
+++ b/retrier/retrier.go
@@ -1,49 +1,49 @@
-// Package retrier decides what becomes of a call whose attempt failed: whether
-// another attempt may be made, what may be said of the call if none is made,
-// and whether the node can afford another attempt. It is pure: it does no I/O
-// and takes the time as an argument.
+// Package retrier decides how to handle a failed attempt at a call: whether another
+// attempt may be made, what outcome may be reported if none is made, and whether the
+// node's budget allows another attempt. It is pure: it does no I/O and takes the time
+// as an argument.
 //
-//	R1  The table of phase and repeatability decides; it has a row for each
-//	    cell and no default that permits anything.
+//	R1  The table of phase and repeatability decides; it has a cell for each
+//	    combination and no default that permits anything.
 //	R2  A call that may not be repeated is sent again only if it is proven that
 //	    no backend server began it (rule G6): no byte was sent, or the server
 //	    refused it by contract.
-//	R3  What is said of a call covers all of its attempts: one attempt that may
+//	R3  The outcome of a call covers all of its attempts: one attempt that may
 //	    have run makes the whole call "unknown", whatever the last attempt
 //	    proves (rule G5).
 //	R4  A stream of which tokens were delivered is resumed after the last
-//	    delivered token, never begun again.
-//	R5  Retries of a node never exceed Fraction of its calls, plus Floor a
+//	    delivered token, never restarted.
+//	R5  Retries of a node never exceed Fraction of its calls, plus MinPerSecond a
 //	    second, plus Burst; so the loss of a zone can't multiply the load of the
-//	    zones that are left.
+//	    remaining zones.
 //	R6  After an attempt that put no load on a server, the next one is free: no
-//	    server was reached, or one refused because this server can't take the
-//	    call now (it is not ready, it leaves, the token is stale). A refusal for
-//	    load, or for no stated reason, is not free: the next server is probably
-//	    as busy. MaxAttempts bounds what is free all the same.
-//	R7  Where a site's bound is told for a span of time, the retries of a node in a
-//	    span that ends with one of them never exceed Fraction of its calls in that
-//	    span plus Slack; so the nodes together keep the bound, however the calls are
-//	    divided among them.
+//	    server was reached, or the server refused for a reason of its own (it is
+//	    not ready, it is leaving, the token is stale). A refusal for overload, or
+//	    without a reason, is not free: the next server is probably as busy.
+//	    MaxAttempts bounds free retries as well.
+//	R7  Where a site's bound is given for a span of time, the retries of a node in
+//	    a span that ends with one of them never exceed Fraction of its calls in
+//	    that span plus Slack; so the nodes together keep the bound, however the
+//	    calls are divided among them.
 package retrier
 
 import "github.com/garnetworks/garnetworks"
 
-// Repeatability says what a second execution of a call would do.
+// Repeatability says whether a call may be executed twice.
 type Repeatability string
 
 const (
-	// Repeatable calls do no harm when they run twice: calls to models, and the
-	// calls of plain services that the manifest marks so.
+	// Repeatable calls may run twice without harm: calls to models, and calls to plain
+	// services that the manifest marks as repeatable.
 	Repeatable Repeatability = "repeatable"
-	// NotRepeatable calls may run once at most for each receipt.
+	// NotRepeatable calls may run at most once for each receipt.
 	NotRepeatable Repeatability = "not-repeatable"
-	// Keyed calls may not be repeated and carry an idempotency key, under which
-	// they are claimed; they may run once at most over all receipts.
+	// Keyed calls may not be repeated and carry an idempotency key, under which they
+	// are claimed; they may run at most once over all receipts.
 	Keyed Repeatability = "keyed"
 )
 
-// Repeatabilities lists all values in the table's order.
+// Repeatabilities lists all values in the order of the table.
 func Repeatabilities() []Repeatability {
 	return []Repeatability{Repeatable, NotRepeatable, Keyed}
 }
@@ -66,12 +66,12 @@
 type Cell struct {
 	Phase         garnetworks.CallPhase
 	Repeatability Repeatability
-	// Retry says that the call may be sent to another backend server.
+	// Retry permits sending the call to another backend server.
 	Retry bool
-	// Outcome is what this attempt allows to be said of the call if no other
+	// Outcome is what may be reported, as far as this attempt goes, if no other
 	// attempt is made.
 	Outcome garnetworks.Outcome
-	// Reason is one sentence for logs and for the operators' page.
+	// Reason explains the cell in one sentence.
 	Reason string
 }
 
@@ -96,7 +96,7 @@
 	reasonDone                    = "the whole answer came"
 )
 
-// table is rule R1.
+// table is the failure table (rule R1).
 var table = []Cell{
 	{garnetworks.PhaseConnect, Repeatable, true, garnetworks.OutcomeNotRun, reasonConnect},
 	{garnetworks.PhaseConnect, NotRepeatable, true, garnetworks.OutcomeNotRun, reasonConnect},
@@ -134,8 +134,8 @@
 // Table returns the failure table, one cell for each phase and repeatability.
 func Table() []Cell { return append([]Cell(nil), table...) }
 
-// Lookup returns the table's cell. A pair that the table does not know is never
-// retried and never called "not run".
+// Lookup returns the cell of a pair. A pair that is not in the table is never retried
+// and never reported as "not run".
 func Lookup(phase garnetworks.CallPhase, repeatability Repeatability) Cell {
 	for _, c := range table {
 		if c.Phase == phase && c.Repeatability == repeatability {
@@ -150,44 +150,44 @@
 	}
 }
 
-// Decision is the decision after an attempt.
+// Decision is the decision after a failed attempt.
 type Decision struct {
 	// Retry permits another attempt, if deadline and budget allow one.
 	Retry bool
-	// Resume says that the next attempt goes on after the delivered tokens.
+	// Resume says that the next attempt continues after the delivered tokens.
 	Resume bool
 	// Free says that a retry takes nothing from the budget (rule R6).
 	Free bool
-	// Outcome is what may be said of the whole call if no attempt follows.
+	// Outcome is what may be reported of the whole call if no attempt follows.
 	Outcome garnetworks.Outcome
 	Reason  string
 }
 
-// History is what the attempts of one call have shown so far. The zero value
-// with Repeatability set is a call without attempts.
+// History accumulates the results of one call's attempts. The zero value with
+// Repeatability and MaxAttempts set is a call without attempts.
 type History struct {
 	Repeatability Repeatability
 	// Attempts counts the attempts that ended.
 	Attempts int
 	// MaxAttempts bounds Attempts; above 0.
 	MaxAttempts int
-	// MayHaveRun says that an attempt ended without proof that the call was not
-	// begun. It never goes back to false.
+	// MayHaveRun says that an attempt ended without proof that the call was not begun.
+	// It is never reset.
 	MayHaveRun bool
 }
 
-// Failure is how an attempt failed.
+// Failure describes how an attempt failed.
 type Failure struct {
 	Phase garnetworks.CallPhase
-	// Refusal is the kind that the server gave with PhaseRefused; it means nothing
-	// with other phases.
+	// Refusal is the kind that the server gave with PhaseRefused; it is ignored in other
+	// phases.
 	Refusal garnetworks.Kind
-	// Delivered says that tokens of the call were delivered to the caller before or
-	// during the attempt.
+	// Delivered says that tokens of the call were delivered to the caller before or during
+	// the attempt.
 	Delivered bool
 }
 
-// free is rule R6.
+// free reports whether a retry is free (rule R6).
 func (f Failure) free() bool {
 	switch f.Phase {
 	case garnetworks.PhaseConnect:
@@ -200,18 +200,17 @@
 	return false
 }
 
-// RecordFailure takes the end of an attempt that failed.
+// RecordFailure records a failed attempt and decides what follows.
 func (h *History) RecordFailure(f Failure) Decision {
 	cell := Lookup(f.Phase, h.Repeatability)
 	h.Attempts++
-	// Failure: the first attempt breaks off while waiting and may be running,
-	// the second one finds no server. The last attempt alone would say "not run"
-	// of a call that ran. The history keeps the doubt (rule R3).
+	// An earlier attempt may still be running when the last one proves that it did not
+	// run; the last one alone would report "not run" (rule R3).
 	if cell.Outcome != garnetworks.OutcomeNotRun || f.Delivered {
 		h.MayHaveRun = true
 	}
-	// What may have run in any attempt is not sent again, even if the last one
-	// proves that it did not run this time (rule R2).
+	// A call that may have run in any attempt is not sent again, even if the last attempt
+	// is proven not to have run (rule R2).
 	mustNotRepeat := h.Repeatability != Repeatable && h.MayHaveRun
 	return Decision{
 		Retry:   cell.Retry && !mustNotRepeat && h.Attempts < h.MaxAttempts,
@@ -222,7 +221,7 @@
 	}
 }
 
-// Outcome is what may be said of the call if it ends now without an answer.
+// Outcome is what may be reported of the call if it ends now without an answer.
 func (h *History) Outcome() garnetworks.Outcome {
 	if h.MayHaveRun {
 		return garnetworks.OutcomeUnknown
--- a/retrier/retrier_test.go
+++ b/retrier/retrier_test.go
@@ -24,9 +24,8 @@
 	unknown   = garnetworks.OutcomeUnknown
 )
 
-// A dispatcher's parts note is doubled, or a note that was written is reported
-// as "not run" and written again by hand. Both begin with one wrong cell of the
-// failure table, so each cell is written down here a second time.
+// A wrong cell of the failure table duplicates calls or misreports calls that ran as
+// "not run", so each cell is listed here independently.
 func TestFailureTable(t *testing.T) {
 	type cell struct {
 		retry   bool
@@ -41,7 +40,7 @@
 		"body":    {"repeatable": {true, unknown}, "not-repeatable": {false, unknown}, "keyed": {false, unknown}},
 		"crossed": {"repeatable": {true, unknown}, "not-repeatable": {false, unknown}, "keyed": {false, unknown}},
 		"done":    {"repeatable": {false, completed}, "not-repeatable": {false, completed}, "keyed": {false, completed}},
-		// A phase that an adapter of another program makes up.
+		// A phase that is not in the table.
 		"resting": {"repeatable": {false, unknown}, "not-repeatable": {false, unknown}, "keyed": {false, unknown}},
 	}
 	for phase, row := range want {
@@ -58,12 +57,11 @@
 	}
 }
 
-// freeRefusals are the reasons of one server alone.
+// serverSpecificRefusals are the reasons that concern one server alone.
 var serverSpecificRefusals = []garnetworks.Kind{garnetworks.KindNotReady, garnetworks.KindStaleToken, garnetworks.KindShuttingDown}
 
-// A call breaks off while the first server works on it; the second attempt
-// finds no server. Told "not run" because of the last attempt, the caller would
-// run it again although the first server has run it.
+// An attempt that may have run must not be forgotten when a later attempt did not run:
+// the caller would run the call twice.
 func TestUnknownOutcomeIsRemembered(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := History{
@@ -80,7 +78,7 @@
 			refusal := rapid.SampledFrom(kinds).Draw(t, "refusal")
 			v := h.RecordFailure(Failure{Phase: phase, Refusal: refusal, Delivered: delivered})
 			if (v.Outcome == notRun) == anyMayHaveRun {
-				t.Fatalf("outcome %s, doubtful %t", v.Outcome, anyMayHaveRun)
+				t.Fatalf("outcome %s, an attempt may have run: %t", v.Outcome, anyMayHaveRun)
 			}
 			if v.Retry && anyMayHaveRun && h.Repeatability != Repeatable {
 				t.Fatalf("a %s call is sent again after phase %s", h.Repeatability, phase)
@@ -102,9 +100,8 @@
 	})
 }
 
-// A zone goes dark and a share of all calls fails at once, then all that is sent
-// there. The retries must stay within the stated fraction of the calls in each
-// interval, or the zones that are left go down as well.
+// When a zone fails, retries must stay within the bound in each interval, or they overload
+// the remaining zones.
 func TestBudgetBoundsRetriesInEachInterval(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := BudgetLimits{
@@ -134,7 +131,7 @@
 					s.retries++
 				}
 			}
-			// A clock reading taken before another goroutine's, used after it.
+			// A clock reading from before another goroutine's, used after it.
 			b.Take(now.Add(-time.Hour))
 			steps = append(steps, s)
 		}
--- a/retrier/window.go
+++ b/retrier/window.go
@@ -2,32 +2,30 @@
 
 import "time"
 
-// WindowLimits are the bounds of a node's retries in any span of a length.
+// WindowLimits configure a node's retries in a sliding window.
 type WindowLimits struct {
-	// Span is the length.
+	// Span is the length of the window.
 	Span time.Duration
-	// Fraction is the number of retries that each call of the span allows; 0 to 1.
+	// Fraction is the number of retries that each call in the window allows; 0 to 1.
 	Fraction float64
-	// Slack is the number of retries that a span allows without any call.
+	// Slack is the number of retries that the window allows without any call.
 	Slack float64
 }
 
-// windowParts is the number of parts that a span is counted in.
+// windowBuckets is the number of buckets that a span is divided into.
 const windowBuckets = 20
 
-// Window counts the retries of the last span against its calls (rule R7). It is for
-// one goroutine or for use under a lock.
+// Window limits the retries of the last span by its calls (rule R7). It is not safe for
+// concurrent use.
 //
-// Where a site's bound is told for a span, it fits the load pattern of a lost group
-// better than a Budget: some twenty streams have to go on elsewhere within half a
-// second, after many seconds in which none had to. A Budget that keeps the same
-// bound saves up a small part of what those seconds allowed.
+// Unlike a Budget with the same bound, it lets a burst use all that the span allows: the
+// loss of a group makes many streams retry at once after seconds without any retry.
 type Window struct {
 	limits WindowLimits
-	// counts holds the parts of the span and one more, of which the oldest counts
-	// for retries and not for calls: it lies in the span in part only.
+	// counts holds the buckets of the span and one more, the oldest, which lies in the
+	// span in part only and counts for retries but not for calls.
 	counts [windowBuckets + 1]struct{ calls, retries int }
-	// begun is when the newest part began; it is counts[newest].
+	// bucketStart is when the newest bucket began; it is counts[newest].
 	bucketStart time.Time
 	newest      int
 }
@@ -37,10 +35,9 @@
 	return &Window{limits: limits, bucketStart: now}
 }
 
-// SetLimits changes the limits; what was counted stays.
-//
-// Failure: the number of nodes that share a site's retries is told anew several
-// times a second. A window that is made anew each time bounds nothing.
+// SetLimits changes the limits and keeps the counts unless the span changes. Limits change
+// several times a second with the number of nodes; resetting the window each time would
+// allow unlimited retries.
 func (w *Window) SetLimits(limits WindowLimits) {
 	if limits.Span != w.limits.Span {
 		*w = Window{limits: limits, bucketStart: w.bucketStart}
@@ -54,7 +51,7 @@
 	w.counts[w.newest].calls++
 }
 
-// Take takes one retry, or reports that the span has had its part.
+// Take takes one retry, and reports whether the window allowed it.
 func (w *Window) Take(now time.Time) bool {
 	if w.Available(now) < 1 {
 		return false
@@ -78,9 +75,8 @@
 	return max(0, int(allowed)-retries)
 }
 
-// advance begins the parts that are due. Callers on several goroutines read the
-// clock before they take the lock, so times come slightly out of order; an older one
-// changes nothing.
+// advance begins the buckets that are due. Goroutines read the clock before they take the
+// lock, so times may be slightly out of order; an older one changes nothing.
 func (w *Window) advance(now time.Time) {
 	bucketSpan := w.limits.Span / windowBuckets
 	if bucketSpan <= 0 {
@@ -94,6 +90,6 @@
 		w.newest = (w.newest + 1) % len(w.counts)
 		clear(w.counts[w.newest : w.newest+1])
 	}
-	// All parts are empty now; a pause of any length is skipped.
+	// All buckets are empty now; the rest of a long idle time is skipped.
 	w.bucketStart = now
 }
--- a/retrier/window_test.go
+++ b/retrier/window_test.go
@@ -9,10 +9,8 @@
 
 const span = 10 * time.Second
 
-// Story: a group of which a node has twenty streams stands still, after ten calm
-// seconds with sixty calls each. A budget that had saved up six retries let six of
-// the streams go on elsewhere and broke the others off, while the site had used none
-// of the hundreds of retries that those seconds allowed.
+// The loss of a group makes all of a node's streams of it retry at once; the window must
+// allow what the calls of the span permit.
 func TestWindowAllowsBurstAfterGroupLoss(t *testing.T) {
 	const callsPerSecond, streams = 60, 20
 	now := time.Unix(1000, 0)
@@ -23,14 +21,13 @@
 	}
 	for i := range streams {
 		if !w.Take(now) {
-			t.Fatalf("only %d streams may go on", i)
+			t.Fatalf("only %d streams may be resumed", i)
 		}
 	}
 }
 
-// Story: a service fails for a while, and every call of it is sent again. The
-// retries in any span must stay within what the site allows, or the servers that are
-// left go down as well.
+// When a service fails, retries in any span must stay within the bound, or they overload
+// the remaining servers.
 func TestWindowBoundsRetriesInEachSpan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := WindowLimits{
@@ -56,7 +53,7 @@
 					s.retries++
 				}
 			}
-			// A clock reading taken before another goroutine's, used after it.
+			// A clock reading from before another goroutine's, used after it.
 			w.RecordCall(now.Add(-time.Hour))
 			s.calls++
 			steps = append(steps, s)
@@ -79,8 +76,7 @@
 	})
 }
 
-// Story: nodes come and go, and each time a node learns of it, it has all its retries
-// again: a failing service gets retries without end.
+// Limits that change with the number of nodes must not refill a window.
 func TestSetLimitsDoesNotRefill(t *testing.T) {
 	now := time.Unix(0, 0)
 	w := NewWindow(WindowLimits{Span: span, Slack: 10}, now)
@@ -94,7 +90,7 @@
 	}
 }
 
-// A pause longer than the span leaves nothing of what was before it.
+// Calls older than the span allow no retries.
 func TestWindowExpires(t *testing.T) {
 	now := time.Unix(0, 0)
 	w := NewWindow(WindowLimits{Span: span, Fraction: 1}, now)
