--- a/retrier/window.go
+++ b/retrier/window.go
@@ -25,7 +25,7 @@
 	// counts holds the buckets of the span and one more, the oldest, which lies in the
 	// span in part only and counts for retries but not for calls.
 	counts [windowBuckets + 1]struct{ calls, retries int }
-	// bucketStart is when the newest bucket began; it is counts[newest].
+	// bucketStart is when the newest bucket, counts[newest], began.
 	bucketStart time.Time
 	newest      int
 }
