--- a/drainer/drainer.go
+++ b/drainer/drainer.go
@@ -27,15 +27,15 @@
 )
 
 // Sign says where it comes from that a server is leaving.
-type Sign string
+type Source string
 
 // The signs, and SignNone for a server that may get new work.
 const (
-	SignNone       Sign = ""
-	SignOwnWord    Sign = "own-word"
-	SignList       Sign = "list"
-	SignOperator   Sign = "operator"
-	SignController Sign = "controller"
+	SourceNone       Source = ""
+	SourceSelf       Source = "own-word"
+	SourceList       Source = "list"
+	SourceOperator   Source = "operator"
+	SourceController Source = "controller"
 )
 
 // Options are the bounds of the rules. Zero fields take their default.
@@ -43,62 +43,62 @@
 	// ListLag is how long replicas of the instance list may differ.
 	ListLag time.Duration
 	// Forget is how long a server that nobody names is remembered.
-	Forget time.Duration
+	Retention time.Duration
 }
 
 // Defaults of Options.
 const (
-	DefaultListLag = 30 * time.Second
-	DefaultForget  = 10 * time.Minute
+	DefaultListLag   = 30 * time.Second
+	DefaultRetention = 10 * time.Minute
 )
 
-// Judgement is what is known of one server.
-type Judgement struct {
+// Status is what is known of one server.
+type Status struct {
 	// Sign is the first sign that still holds, or SignNone.
-	Sign Sign
+	Source Source
 	// Since is when it came.
 	Since time.Time
 }
 
 // Leaving reports whether the server may get no new work.
-func (j Judgement) Leaving() bool { return j.Sign != SignNone }
+func (s Status) Leaving() bool { return s.Source != SourceNone }
 
 // server is what the signs say of one server.
 type server struct {
 	// incarnation is the highest one seen.
 	incarnation uint64
-	own         mark
-	list        mark
-	controller  mark
+	self        signal
+	list        signal
+	controller  signal
 	// ownIncarnation is the one in which the server said that it leaves, and
 	// listIncarnation the one known when the list first said so.
-	ownIncarnation  uint64
+	selfIncarnation uint64
 	listIncarnation uint64
 	// listLive is since when the list says "live" without a break; zero while it
 	// says "leaving".
-	listLive time.Time
+	listLiveSince time.Time
 	// zone is the server's, for the operators' word on whole zones.
 	zone garnetworks.ZoneID
 	// named is when anybody last named the server.
-	named time.Time
+	lastSeen time.Time
 }
 
 // mark is one sign.
-type mark struct {
+type signal struct {
 	set   bool
 	since time.Time
 }
 
-func (m *mark) put(now time.Time) {
+func (m *signal) raise(now time.Time) {
 	if !m.set {
-		*m = mark{set: true, since: now}
+		*m = signal{set: true, since: now}
 	}
 }
 
-func (m *mark) clear() { *m = mark{} }
+func (m *signal) clear() { *m = signal{} }
 
-// Operators is the operators' word, which comes with a manifest.
-type Operators struct {
+// OperatorDrains is the operators' word, which comes with a manifest.
+type OperatorDrains struct {
 	Generation garnetworks.Generation
 	Instances  garnetworks.Set[garnetworks.InstanceID]
 	Zones      garnetworks.Set[garnetworks.ZoneID]
@@ -106,13 +106,13 @@
 
 // Drainer joins signs. It is for one goroutine; Snapshot gives what others read.
 type Drainer struct {
-	options   Options
-	servers   map[garnetworks.InstanceID]*server
-	groups    map[garnetworks.GroupID]time.Time
-	operators Operators
+	options        Options
+	servers        map[garnetworks.InstanceID]*server
+	groups         map[garnetworks.GroupID]time.Time
+	operatorDrains OperatorDrains
 	// operatorsAt is when the operators' word came.
-	operatorsAt time.Time
-	versions    map[garnetworks.ZoneID]garnetworks.UpdateVersion
+	operatorDrainsAt time.Time
+	versions         map[garnetworks.ZoneID]garnetworks.UpdateVersion
 }
 
 // New returns a Drainer that knows of no server.
@@ -120,8 +120,8 @@
 	if options.ListLag == 0 {
 		options.ListLag = DefaultListLag
 	}
-	if options.Forget == 0 {
-		options.Forget = DefaultForget
+	if options.Retention == 0 {
+		options.Retention = DefaultRetention
 	}
 	return &Drainer{
 		options:  options,
@@ -137,29 +137,29 @@
 		s = &server{}
 		d.servers[id] = s
 	}
-	s.named = now
+	s.lastSeen = now
 	return s
 }
 
-// List takes rows of the instance list.
-func (d *Drainer) List(now time.Time, rows []garnetworks.ListedInstance) {
+// ObserveList takes rows of the instance list.
+func (d *Drainer) ObserveList(now time.Time, rows []garnetworks.ListedInstance) {
 	for i := range rows {
 		s := d.server(now, rows[i].ID)
 		s.zone = rows[i].Zone
 		if rows[i].State == garnetworks.ListedLeaving {
-			s.listedLeaving(now)
+			s.markListedLeaving(now)
 			continue
 		}
-		s.listedLive(now, d.options.ListLag)
+		s.markListedLive(now, d.options.ListLag)
 	}
 }
 
-func (s *server) listedLeaving(now time.Time) {
+func (s *server) markListedLeaving(now time.Time) {
 	if !s.list.set {
 		s.listIncarnation = s.incarnation
 	}
-	s.list.put(now)
-	s.listLive = time.Time{}
+	s.list.raise(now)
+	s.listLiveSince = time.Time{}
 }
 
 // listedLive keeps rule D3.
@@ -167,54 +167,54 @@
 // Failure: one replica of the list says "leaving", the next answer comes from a
 // replica that lags and says "live". Taken at its word, the server would get
 // calls again in the seconds before it stops.
-func (s *server) listedLive(now time.Time, lag time.Duration) {
-	if s.listLive.IsZero() {
-		s.listLive = now
+func (s *server) markListedLive(now time.Time, lag time.Duration) {
+	if s.listLiveSince.IsZero() {
+		s.listLiveSince = now
 	}
-	startedAnew := s.incarnation > s.listIncarnation && s.listIncarnation > 0
-	settled := now.Sub(s.listLive) >= lag
-	if startedAnew || settled {
+	restarted := s.incarnation > s.listIncarnation && s.listIncarnation > 0
+	stable := now.Sub(s.listLiveSince) >= lag
+	if restarted || stable {
 		s.list.clear()
 	}
 }
 
-// OwnWord takes a server's status (rule D2).
-func (d *Drainer) OwnWord(now time.Time, status *garnetworks.EngineStatus) {
+// ObserveStatus takes a server's status (rule D2).
+func (d *Drainer) ObserveStatus(now time.Time, status *garnetworks.EngineStatus) {
 	s := d.server(now, status.Instance)
 	if status.Incarnation < s.incarnation {
 		return
 	}
 	s.incarnation = status.Incarnation
-	if s.own.set && s.incarnation > s.ownIncarnation {
-		s.own.clear()
+	if s.self.set && s.incarnation > s.selfIncarnation {
+		s.self.clear()
 	}
 	// An engine in EngineDraining drains its group by a controller's order and
 	// serves another one afterwards; that is no word of its own.
 	if status.Leaving {
-		s.own.put(now)
-		s.ownIncarnation = s.incarnation
+		s.self.raise(now)
+		s.selfIncarnation = s.incarnation
 	}
 }
 
-// Refused takes a server's refusal of a call because it is leaving: its own word
+// ObserveRefusal takes a server's refusal of a call because it is leaving: its own word
 // in the incarnation that is known.
-func (d *Drainer) Refused(now time.Time, instance garnetworks.InstanceID) {
+func (d *Drainer) ObserveRefusal(now time.Time, instance garnetworks.InstanceID) {
 	s := d.server(now, instance)
-	s.own.put(now)
-	s.ownIncarnation = s.incarnation
+	s.self.raise(now)
+	s.selfIncarnation = s.incarnation
 }
 
-// Operators takes the operators' word (rule D4).
-func (d *Drainer) Operators(now time.Time, operators Operators) {
-	if operators.Generation < d.operators.Generation {
+// SetOperatorDrains takes the operators' word (rule D4).
+func (d *Drainer) SetOperatorDrains(now time.Time, operatorDrains OperatorDrains) {
+	if operatorDrains.Generation < d.operatorDrains.Generation {
 		return
 	}
-	d.operators = operators
-	d.operatorsAt = now
+	d.operatorDrains = operatorDrains
+	d.operatorDrainsAt = now
 }
 
-// Controller takes the view of a zone's controller (rules D4 and D5).
-func (d *Drainer) Controller(now time.Time, version garnetworks.UpdateVersion, view *garnetworks.ZoneView) {
+// ObserveView takes the view of a zone's controller (rules D4 and D5).
+func (d *Drainer) ObserveView(now time.Time, version garnetworks.UpdateVersion, view *garnetworks.ZoneView) {
 	if version.Less(d.versions[view.Zone]) {
 		return
 	}
@@ -223,7 +223,7 @@
 		s := d.server(now, view.Servers[i].Instance)
 		s.zone = view.Zone
 		if view.Servers[i].Leaving {
-			s.controller.put(now)
+			s.controller.raise(now)
 			continue
 		}
 		s.controller.clear()
@@ -243,42 +243,42 @@
 	}
 }
 
-// Judge returns what is known of a server. A server that nobody has named may
+// Status returns what is known of a server. A server that nobody has named may
 // get new work: whoever routes to it knows it from a controller.
-func (d *Drainer) Judge(id garnetworks.InstanceID) Judgement {
+func (d *Drainer) Status(id garnetworks.InstanceID) Status {
 	s := d.servers[id]
 	if s == nil {
-		return d.operatorsOn(id, "")
+		return d.operatorStatus(id, "")
 	}
-	first := d.operatorsOn(id, s.zone) // the earliest sign counts (rule D1)
-	for _, sign := range []struct {
-		Sign
-		mark
-	}{{SignOwnWord, s.own}, {SignList, s.list}, {SignController, s.controller}} {
-		if sign.set && (!first.Leaving() || sign.since.Before(first.Since)) {
-			first = Judgement{Sign: sign.Sign, Since: sign.since}
+	first := d.operatorStatus(id, s.zone) // the earliest sign counts (rule D1)
+	for _, src := range []struct {
+		Source
+		signal
+	}{{SourceSelf, s.self}, {SourceList, s.list}, {SourceController, s.controller}} {
+		if src.set && (!first.Leaving() || src.since.Before(first.Since)) {
+			first = Status{Source: src.Source, Since: src.since}
 		}
 	}
 	return first
 }
 
-func (d *Drainer) operatorsOn(id garnetworks.InstanceID, zone garnetworks.ZoneID) Judgement {
-	if d.operators.Instances.Has(id) || (zone != "" && d.operators.Zones.Has(zone)) {
-		return Judgement{Sign: SignOperator, Since: d.operatorsAt}
+func (d *Drainer) operatorStatus(id garnetworks.InstanceID, zone garnetworks.ZoneID) Status {
+	if d.operatorDrains.Instances.Has(id) || (zone != "" && d.operatorDrains.Zones.Has(zone)) {
+		return Status{Source: SourceOperator, Since: d.operatorDrainsAt}
 	}
-	return Judgement{}
+	return Status{}
 }
 
 // Expire forgets what nobody has named for long (rule D6). It bounds the memory
 // of a node that sees instances come and go for weeks.
 func (d *Drainer) Expire(now time.Time) {
 	for id, s := range d.servers {
-		if now.Sub(s.named) > d.options.Forget {
+		if now.Sub(s.lastSeen) > d.options.Retention {
 			delete(d.servers, id)
 		}
 	}
-	for id, named := range d.groups {
-		if now.Sub(named) > d.options.Forget {
+	for id, lastSeen := range d.groups {
+		if now.Sub(lastSeen) > d.options.Retention {
 			delete(d.groups, id)
 		}
 	}
@@ -288,16 +288,16 @@
 // by several goroutines.
 func (d *Drainer) Snapshot() *Snapshot {
 	s := &Snapshot{
-		leaving:  map[garnetworks.InstanceID]Judgement{},
+		leaving:  map[garnetworks.InstanceID]Status{},
 		draining: make(garnetworks.Set[garnetworks.GroupID], len(d.groups)),
 	}
 	for id := range d.servers {
-		if j := d.Judge(id); j.Leaving() {
+		if j := d.Status(id); j.Leaving() {
 			s.leaving[id] = j
 		}
 	}
-	for id := range d.operators.Instances {
-		if j := d.Judge(id); j.Leaving() {
+	for id := range d.operatorDrains.Instances {
+		if j := d.Status(id); j.Leaving() {
 			s.leaving[id] = j
 		}
 	}
@@ -309,49 +309,49 @@
 
 // Snapshot is what the signs said at one moment.
 type Snapshot struct {
-	leaving  map[garnetworks.InstanceID]Judgement
+	leaving  map[garnetworks.InstanceID]Status
 	draining garnetworks.Set[garnetworks.GroupID]
 }
 
 // Leaving returns the judgement of every server that may get no new work.
-func (s *Snapshot) Leaving() map[garnetworks.InstanceID]Judgement { return s.leaving }
+func (s *Snapshot) Leaving() map[garnetworks.InstanceID]Status { return s.leaving }
 
-// Server reports whether the server may get new work.
-func (s *Snapshot) Server(id garnetworks.InstanceID) bool {
+// ServerEligible reports whether the server may get new work.
+func (s *Snapshot) ServerEligible(id garnetworks.InstanceID) bool {
 	_, leaving := s.leaving[id]
 	return !leaving
 }
 
-// Group reports whether the group may get new work (rule D5).
-func (s *Snapshot) Group(group *garnetworks.GroupView) bool {
+// GroupEligible reports whether the group may get new work (rule D5).
+func (s *Snapshot) GroupEligible(group *garnetworks.GroupView) bool {
 	if group.State != garnetworks.GroupServing || s.draining.Has(group.ID) {
 		return false
 	}
 	for _, m := range group.Members {
-		if !s.Server(m) {
+		if !s.ServerEligible(m) {
 			return false
 		}
 	}
 	return true
 }
 
-// Mark returns the view with all signs in it, for a router: servers that are
+// Apply returns the view with all signs in it, for a router: servers that are
 // leaving say so, and groups that may get no new work are draining. The given
 // view is not changed.
-func (s *Snapshot) Mark(view *garnetworks.ZoneView) garnetworks.ZoneView {
-	marked := *view
-	marked.Servers = append([]garnetworks.ServerView(nil), view.Servers...)
-	for i := range marked.Servers {
-		if !s.Server(marked.Servers[i].Instance) {
-			marked.Servers[i].Leaving = true
+func (s *Snapshot) Apply(view *garnetworks.ZoneView) garnetworks.ZoneView {
+	applied := *view
+	applied.Servers = append([]garnetworks.ServerView(nil), view.Servers...)
+	for i := range applied.Servers {
+		if !s.ServerEligible(applied.Servers[i].Instance) {
+			applied.Servers[i].Leaving = true
 		}
 	}
-	marked.Groups = append([]garnetworks.GroupView(nil), view.Groups...)
-	for i := range marked.Groups {
-		g := &marked.Groups[i]
-		if g.State == garnetworks.GroupServing && !s.Group(g) {
+	applied.Groups = append([]garnetworks.GroupView(nil), view.Groups...)
+	for i := range applied.Groups {
+		g := &applied.Groups[i]
+		if g.State == garnetworks.GroupServing && !s.GroupEligible(g) {
 			g.State = garnetworks.GroupDraining
 		}
 	}
-	return marked
+	return applied
 }
--- a/drainer/drainer_test.go
+++ b/drainer/drainer_test.go
@@ -21,15 +21,15 @@
 
 func at(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
 
-func row(state garnetworks.ListedState) []garnetworks.ListedInstance {
+func listed(state garnetworks.ListedState) []garnetworks.ListedInstance {
 	return []garnetworks.ListedInstance{{ID: "e1", Zone: "z1", State: state}}
 }
 
-func word(incarnation uint64, leaving bool) *garnetworks.EngineStatus {
+func engineStatus(incarnation uint64, leaving bool) *garnetworks.EngineStatus {
 	return &garnetworks.EngineStatus{Instance: "e1", Incarnation: incarnation, Leaving: leaving}
 }
 
-func view(state garnetworks.GroupState, leaving bool) *garnetworks.ZoneView {
+func zoneView(state garnetworks.GroupState, leaving bool) *garnetworks.ZoneView {
 	return &garnetworks.ZoneView{
 		Zone:    "z1",
 		Groups:  []garnetworks.GroupView{{ID: "g1", State: state, Members: []garnetworks.InstanceID{"e0", "e1"}}},
@@ -37,112 +37,112 @@
 	}
 }
 
-func sequence(n uint64) garnetworks.UpdateVersion { return garnetworks.UpdateVersion{Sequence: n} }
+func version(n uint64) garnetworks.UpdateVersion { return garnetworks.UpdateVersion{Sequence: n} }
 
 // A tech's call is sent to a server that is stopped a second later, because one
 // of the sources that say so lags behind the others. Each case is an order of
 // words, with the sign that must hold at its end.
-func TestOrdersOfSigns(t *testing.T) {
+func TestSourceOrder(t *testing.T) {
 	tests := map[string]struct {
 		run  func(d *Drainer)
-		want Sign
+		want Source
 	}{
-		"nobody says anything": {func(d *Drainer) { d.List(at(0), row("live")) }, SignNone},
-		"the list alone":       {func(d *Drainer) { d.List(at(0), row("leaving")) }, SignList},
+		"nobody says anything": {func(d *Drainer) { d.ObserveList(at(0), listed("live")) }, SourceNone},
+		"the list alone":       {func(d *Drainer) { d.ObserveList(at(0), listed("leaving")) }, SourceList},
 		"a stale list does not take back the server's own word": {func(d *Drainer) {
-			d.OwnWord(at(0), word(3, true))
+			d.ObserveStatus(at(0), engineStatus(3, true))
 			for i := range 100 {
-				d.List(at(i), row("live"))
+				d.ObserveList(at(i), listed("live"))
 			}
-		}, SignOwnWord},
+		}, SourceSelf},
 		"a late answer of the same incarnation does not either": {func(d *Drainer) {
-			d.OwnWord(at(0), word(3, true))
-			d.OwnWord(at(1), word(3, false))
-			d.OwnWord(at(2), word(2, false))
-		}, SignOwnWord},
+			d.ObserveStatus(at(0), engineStatus(3, true))
+			d.ObserveStatus(at(1), engineStatus(3, false))
+			d.ObserveStatus(at(2), engineStatus(2, false))
+		}, SourceSelf},
 		"a new incarnation takes the word back": {func(d *Drainer) {
-			d.OwnWord(at(0), word(3, true))
-			d.OwnWord(at(1), word(4, false))
-		}, SignNone},
+			d.ObserveStatus(at(0), engineStatus(3, true))
+			d.ObserveStatus(at(1), engineStatus(4, false))
+		}, SourceNone},
 		"the old incarnation's word comes after the new one's": {func(d *Drainer) {
-			d.OwnWord(at(0), word(4, false))
-			d.OwnWord(at(1), word(3, true))
-		}, SignNone},
+			d.ObserveStatus(at(0), engineStatus(4, false))
+			d.ObserveStatus(at(1), engineStatus(3, true))
+		}, SourceNone},
 		"one lagging replica of the list says live": {func(d *Drainer) {
-			d.List(at(0), row("leaving"))
-			d.List(at(1), row("live"))
-		}, SignList},
+			d.ObserveList(at(0), listed("leaving"))
+			d.ObserveList(at(1), listed("live"))
+		}, SourceList},
 		"replicas of the list disagree for long": {func(d *Drainer) {
 			for i := range 100 {
-				d.List(at(2*i), row("live"))
-				d.List(at(2*i+1), row("leaving"))
+				d.ObserveList(at(2*i), listed("live"))
+				d.ObserveList(at(2*i+1), listed("leaving"))
 			}
-			d.List(at(200), row("live"))
-		}, SignList},
+			d.ObserveList(at(200), listed("live"))
+		}, SourceList},
 		"the list settles on live": {func(d *Drainer) {
-			d.List(at(0), row("leaving"))
-			d.List(at(1), row("live"))
-			d.List(at(31), row("live"))
-		}, SignNone},
+			d.ObserveList(at(0), listed("leaving"))
+			d.ObserveList(at(1), listed("live"))
+			d.ObserveList(at(31), listed("live"))
+		}, SourceNone},
 		"the server started anew and the list knows": {func(d *Drainer) {
-			d.OwnWord(at(0), word(3, false))
-			d.List(at(1), row("leaving"))
-			d.OwnWord(at(2), word(4, false))
-			d.List(at(3), row("live"))
-		}, SignNone},
+			d.ObserveStatus(at(0), engineStatus(3, false))
+			d.ObserveList(at(1), listed("leaving"))
+			d.ObserveStatus(at(2), engineStatus(4, false))
+			d.ObserveList(at(3), listed("live"))
+		}, SourceNone},
 		"the server started anew and the list does not know": {func(d *Drainer) {
-			d.OwnWord(at(0), word(3, false))
-			d.List(at(1), row("leaving"))
-			d.OwnWord(at(2), word(4, false))
-		}, SignList},
+			d.ObserveStatus(at(0), engineStatus(3, false))
+			d.ObserveList(at(1), listed("leaving"))
+			d.ObserveStatus(at(2), engineStatus(4, false))
+		}, SourceList},
 		"the row is missing": {func(d *Drainer) {
-			d.List(at(0), row("leaving"))
-			d.List(at(60), nil)
-		}, SignList},
-		"the server refuses a call": {func(d *Drainer) { d.Refused(at(0), "e1") }, SignOwnWord},
+			d.ObserveList(at(0), listed("leaving"))
+			d.ObserveList(at(60), nil)
+		}, SourceList},
+		"the server refuses a call": {func(d *Drainer) { d.ObserveRefusal(at(0), "e1") }, SourceSelf},
 		"the operators name it": {func(d *Drainer) {
-			d.Operators(at(0), Operators{Generation: 2, Instances: garnetworks.NewSet[garnetworks.InstanceID]("e1")})
-			d.Operators(at(1), Operators{Generation: 1})
-		}, SignOperator},
+			d.SetOperatorDrains(at(0), OperatorDrains{Generation: 2, Instances: garnetworks.NewSet[garnetworks.InstanceID]("e1")})
+			d.SetOperatorDrains(at(1), OperatorDrains{Generation: 1})
+		}, SourceOperator},
 		"the operators name its zone": {func(d *Drainer) {
-			d.List(at(0), row("live"))
-			d.Operators(at(0), Operators{Generation: 2, Zones: garnetworks.NewSet[garnetworks.ZoneID]("z1")})
-		}, SignOperator},
+			d.ObserveList(at(0), listed("live"))
+			d.SetOperatorDrains(at(0), OperatorDrains{Generation: 2, Zones: garnetworks.NewSet[garnetworks.ZoneID]("z1")})
+		}, SourceOperator},
 		"an old view comes late": {func(d *Drainer) {
-			d.Controller(at(0), sequence(2), view(garnetworks.GroupServing, true))
-			d.Controller(at(1), sequence(1), view(garnetworks.GroupServing, false))
-		}, SignController},
+			d.ObserveView(at(0), version(2), zoneView(garnetworks.GroupServing, true))
+			d.ObserveView(at(1), version(1), zoneView(garnetworks.GroupServing, false))
+		}, SourceController},
 		"the controller takes its word back": {func(d *Drainer) {
-			d.Controller(at(0), sequence(1), view(garnetworks.GroupServing, true))
-			d.Controller(at(1), sequence(2), view(garnetworks.GroupServing, false))
-		}, SignNone},
+			d.ObserveView(at(0), version(1), zoneView(garnetworks.GroupServing, true))
+			d.ObserveView(at(1), version(2), zoneView(garnetworks.GroupServing, false))
+		}, SourceNone},
 		"the first of several signs is named": {func(d *Drainer) {
-			d.List(at(0), row("leaving"))
-			d.OwnWord(at(1), word(1, true))
-		}, SignList},
+			d.ObserveList(at(0), listed("leaving"))
+			d.ObserveStatus(at(1), engineStatus(1, true))
+		}, SourceList},
 		"a drain of its group is no sign of the server": {func(d *Drainer) {
-			status := word(1, false)
+			status := engineStatus(1, false)
 			status.Phase = garnetworks.EngineDraining
-			d.OwnWord(at(0), status)
-		}, SignNone},
+			d.ObserveStatus(at(0), status)
+		}, SourceNone},
 		"remembered while somebody names it": {func(d *Drainer) {
-			d.OwnWord(at(0), word(1, true))
-			d.List(at(3600), row("live"))
+			d.ObserveStatus(at(0), engineStatus(1, true))
+			d.ObserveList(at(3600), listed("live"))
 			d.Expire(at(3601))
-		}, SignOwnWord},
+		}, SourceSelf},
 		"forgotten once nobody does": {func(d *Drainer) {
-			d.OwnWord(at(0), word(1, true))
+			d.ObserveStatus(at(0), engineStatus(1, true))
 			d.Expire(at(3600))
-		}, SignNone},
+		}, SourceNone},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			d := New(Options{})
 			tt.run(d)
-			if got := d.Judge("e1").Sign; got != tt.want {
+			if got := d.Status("e1").Source; got != tt.want {
 				t.Errorf("sign %q, want %q", got, tt.want)
 			}
-			if got := d.Snapshot().Server("e1"); got != (tt.want == SignNone) {
+			if got := d.Snapshot().ServerEligible("e1"); got != (tt.want == SourceNone) {
 				t.Errorf("may get work: %t", got)
 			}
 		})
@@ -151,27 +151,27 @@
 
 // A group of two serves while one of its members has said that it stops, or is
 // called serving again by a controller that has not heard of its drain.
-func TestGroups(t *testing.T) {
+func TestGroupEligibility(t *testing.T) {
 	d := New(Options{})
-	serving := view(garnetworks.GroupServing, false)
-	d.Controller(at(0), sequence(1), serving)
-	if marked := d.Snapshot().Mark(serving); marked.Groups[0].State != garnetworks.GroupServing {
-		t.Fatalf("a healthy group is %s", marked.Groups[0].State)
+	serving := zoneView(garnetworks.GroupServing, false)
+	d.ObserveView(at(0), version(1), serving)
+	if applied := d.Snapshot().Apply(serving); applied.Groups[0].State != garnetworks.GroupServing {
+		t.Fatalf("a healthy group is %s", applied.Groups[0].State)
 	}
-	d.OwnWord(at(1), word(1, true))
-	marked := d.Snapshot().Mark(serving)
-	if marked.Groups[0].State != garnetworks.GroupDraining || !marked.Servers[0].Leaving {
-		t.Errorf("with a leaving member: %+v", marked)
+	d.ObserveStatus(at(1), engineStatus(1, true))
+	applied := d.Snapshot().Apply(serving)
+	if applied.Groups[0].State != garnetworks.GroupDraining || !applied.Servers[0].Leaving {
+		t.Errorf("with a leaving member: %+v", applied)
 	}
 	if serving.Groups[0].State != garnetworks.GroupServing {
 		t.Error("Mark changed the given view")
 	}
 	d = New(Options{})
-	d.Controller(at(0), sequence(1), view(garnetworks.GroupDraining, false))
-	d.Controller(at(1), sequence(2), serving)
-	d.Controller(at(3600), sequence(3), serving)
+	d.ObserveView(at(0), version(1), zoneView(garnetworks.GroupDraining, false))
+	d.ObserveView(at(1), version(2), serving)
+	d.ObserveView(at(3600), version(3), serving)
 	d.Expire(at(3601))
-	if d.Snapshot().Group(&serving.Groups[0]) {
+	if d.Snapshot().GroupEligible(&serving.Groups[0]) {
 		t.Error("a group that drained serves again under its name")
 	}
 }
@@ -179,11 +179,11 @@
 // Signs come in any order, late and repeated. Whatever else is said, a server
 // whose last word in its newest incarnation was "leaving" gets no work, and
 // neither does one that the newest list answer calls leaving.
-func TestNoSignIsOutvoted(t *testing.T) {
+func TestNoSourceIsOverruled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := New(Options{})
 		now := start
-		var newest, said uint64
+		var newest, leavingIncarnation uint64
 		listLeaving, operator := false, false
 		var generation garnetworks.Generation
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
@@ -195,16 +195,16 @@
 				if listLeaving {
 					state = garnetworks.ListedLeaving
 				}
-				d.List(now, row(state))
+				d.ObserveList(now, listed(state))
 			case 1:
-				w := word(uint64(rapid.IntRange(1, 6).Draw(t, "incarnation")), rapid.Bool().Draw(t, "leaving"))
-				d.OwnWord(now, w)
+				w := engineStatus(uint64(rapid.IntRange(1, 6).Draw(t, "incarnation")), rapid.Bool().Draw(t, "leaving"))
+				d.ObserveStatus(now, w)
 				if w.Leaving && w.Incarnation >= newest {
-					said = w.Incarnation
+					leavingIncarnation = w.Incarnation
 				}
 				newest = max(newest, w.Incarnation)
 			case 2:
-				o := Operators{Generation: garnetworks.Generation(rapid.IntRange(1, 9).Draw(t, "generation"))}
+				o := OperatorDrains{Generation: garnetworks.Generation(rapid.IntRange(1, 9).Draw(t, "generation"))}
 				leaving := rapid.Bool().Draw(t, "leaving")
 				if leaving {
 					o.Instances = garnetworks.NewSet[garnetworks.InstanceID]("e1")
@@ -212,15 +212,15 @@
 				if o.Generation >= generation {
 					generation, operator = o.Generation, leaving
 				}
-				d.Operators(now, o)
+				d.SetOperatorDrains(now, o)
 			case 3:
-				d.Controller(now, sequence(1), view(garnetworks.GroupServing, false))
+				d.ObserveView(now, version(1), zoneView(garnetworks.GroupServing, false))
 			case 4:
 				d.Expire(now)
 			}
-			must := listLeaving || operator || (said > 0 && said == newest)
-			if must && d.Snapshot().Server("e1") {
-				t.Fatalf("a leaving server gets work: list %t, operator %t, own word in %d of %d", listLeaving, operator, said, newest)
+			drained := listLeaving || operator || (leavingIncarnation > 0 && leavingIncarnation == newest)
+			if drained && d.Snapshot().ServerEligible("e1") {
+				t.Fatalf("a leaving server gets work: list %t, operator %t, own word in %d of %d", listLeaving, operator, leavingIncarnation, newest)
 			}
 		}
 	})
--- a/runner/views.go
+++ b/runner/views.go
@@ -57,7 +57,7 @@
 		return true
 	}
 	if j, ok := joined.Get(); ok {
-		v.r.signs.Update(func(d *drainer.Drainer) { d.Controller(time.Now(), j.Version, &j.View) })
+		v.r.signs.Update(func(d *drainer.Drainer) { d.ObserveView(time.Now(), j.Version, &j.View) })
 		v.route(j)
 		v.r.meter.View(j.View)
 		v.setTargets(j.View)
@@ -68,7 +68,7 @@
 // route hands a view to the router with all signs of leaving servers in it
 // (rule G8).
 func (v *views) route(j pulser.Joined) {
-	v.r.router.SetView(j.At, v.r.signs.Snapshot().Mark(&j.View))
+	v.r.router.SetView(j.At, v.r.signs.Snapshot().Apply(&j.View))
 }
 
 // takeOwnWords looks for engines of the own zone that say that they are leaving;
@@ -82,7 +82,7 @@
 	var words []garnetworks.EngineStatus
 	for _, e := range joined.View.Engines {
 		status, _, heard := v.r.prober.Table().Status(e.Instance)
-		if heard && status.Leaving == known.Server(e.Instance) {
+		if heard && status.Leaving == known.ServerEligible(e.Instance) {
 			words = append(words, status)
 		}
 	}
@@ -91,7 +91,7 @@
 	}
 	v.r.signs.Update(func(d *drainer.Drainer) {
 		for i := range words {
-			d.OwnWord(now, &words[i])
+			d.ObserveStatus(now, &words[i])
 		}
 	})
 	v.route(joined)
@@ -274,7 +274,7 @@
 		l.mu.Lock()
 		l.rows = rows
 		l.mu.Unlock()
-		l.signs.Update(func(d *drainer.Drainer) { d.List(time.Now(), rows) })
+		l.signs.Update(func(d *drainer.Drainer) { d.ObserveList(time.Now(), rows) })
 	}
 	return rows, err
 }
