--- a/drainer/drainer.go
+++ b/drainer/drainer.go
@@ -1,23 +1,23 @@
-// Package drainer joins the signs that a backend server is leaving, and says
-// which servers and groups may get new work. It is pure: it does no I/O and
+// Package drainer combines the sources that report a backend server as leaving, and
+// decides which servers and groups may get new work. It is pure: it does no I/O and
 // takes the time as an argument.
 //
-//	D1  The first sign counts at once, whichever it is (rule G8): the instance
-//	    list, the server's own word, the operators' manifest, the zone's
-//	    controller. No sign is outvoted by others that lag behind it.
-//	D2  A server's own word holds for its incarnation. Only a later incarnation
-//	    takes it back: neither the list, nor a late answer of the same
-//	    incarnation, nor one of an earlier incarnation.
-//	D3  The list lags and its replicas differ. Its word is taken back when it
-//	    says "live" again and either the server has started anew since, or the
-//	    list has said nothing else for ListLag. A row that is missing says
-//	    nothing.
-//	D4  Of the operators' and the controllers' words the newest version counts;
-//	    older versions that come late are dropped (rule G10).
+//	D1  The first signal counts at once, whatever its source (rule G8): the
+//	    instance list, the server itself, the operators' manifest or the zone's
+//	    controller. No source is overruled by others that lag behind it.
+//	D2  A server's own report holds for its incarnation. Only a later incarnation
+//	    clears it: neither the list, nor a late answer of the same incarnation,
+//	    nor one of an earlier incarnation.
+//	D3  The list lags and its replicas differ. Its signal is cleared when it
+//	    says "live" again and either the server has restarted since, or the
+//	    list has said nothing else for ListLag. A missing row says nothing.
+//	D4  Of the operators' and the controllers' reports the newest version counts;
+//	    older versions that arrive late are dropped (rule G10).
 //	D5  A group gets no new work if one of its members is leaving, or if its
-//	    controller has said once that it drains: a group that drained is formed
-//	    again under a new name only.
-//	D6  What is forgotten is only what nobody has named for Forget.
+//	    controller has ever reported it as draining or broken: such a group is
+//	    formed again under a new name only.
+//	D6  Servers and groups are forgotten once no source has reported them for
+//	    Retention.
 package drainer
 
 import (
@@ -26,10 +26,10 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Sign says where it comes from that a server is leaving.
+// Source is a source that reports servers as leaving.
 type Source string
 
-// The signs, and SignNone for a server that may get new work.
+// The sources, and SourceNone for a server that may get new work.
 const (
 	SourceNone       Source = ""
 	SourceSelf       Source = "own-word"
@@ -38,11 +38,11 @@
 	SourceController Source = "controller"
 )
 
-// Options are the bounds of the rules. Zero fields take their default.
+// Options configure a Drainer. Zero fields take their default.
 type Options struct {
 	// ListLag is how long replicas of the instance list may differ.
 	ListLag time.Duration
-	// Forget is how long a server that nobody names is remembered.
+	// Retention is how long a server is remembered that no source reports.
 	Retention time.Duration
 }
 
@@ -52,38 +52,38 @@
 	DefaultRetention = 10 * time.Minute
 )
 
-// Status is what is known of one server.
+// Status says whether a server is leaving.
 type Status struct {
-	// Sign is the first sign that still holds, or SignNone.
+	// Source is that of the earliest signal that is set, or SourceNone.
 	Source Source
-	// Since is when it came.
+	// Since is when that signal was raised.
 	Since time.Time
 }
 
 // Leaving reports whether the server may get no new work.
 func (s Status) Leaving() bool { return s.Source != SourceNone }
 
-// server is what the signs say of one server.
+// server holds the signals of one server.
 type server struct {
 	// incarnation is the highest one seen.
 	incarnation uint64
 	self        signal
 	list        signal
 	controller  signal
-	// ownIncarnation is the one in which the server said that it leaves, and
+	// selfIncarnation is the one in which the server reported that it leaves, and
 	// listIncarnation the one known when the list first said so.
 	selfIncarnation uint64
 	listIncarnation uint64
-	// listLive is since when the list says "live" without a break; zero while it
-	// says "leaving".
+	// listLiveSince is since when the list has said only "live"; zero while it says
+	// "leaving".
 	listLiveSince time.Time
-	// zone is the server's, for the operators' word on whole zones.
+	// zone is the server's zone, for operator drains of whole zones.
 	zone garnetworks.ZoneID
-	// named is when anybody last named the server.
+	// lastSeen is when any source last reported the server.
 	lastSeen time.Time
 }
 
-// mark is one sign.
+// signal is one source's report that a server is leaving.
 type signal struct {
 	set   bool
 	since time.Time
@@ -97,25 +97,25 @@
 
 func (m *signal) clear() { *m = signal{} }
 
-// OperatorDrains is the operators' word, which comes with a manifest.
+// OperatorDrains are the instances and zones that a manifest drains.
 type OperatorDrains struct {
 	Generation garnetworks.Generation
 	Instances  garnetworks.Set[garnetworks.InstanceID]
 	Zones      garnetworks.Set[garnetworks.ZoneID]
 }
 
-// Drainer joins signs. It is for one goroutine; Snapshot gives what others read.
+// Drainer combines signals. It is not safe for concurrent use; see Shared.
 type Drainer struct {
 	options        Options
 	servers        map[garnetworks.InstanceID]*server
 	groups         map[garnetworks.GroupID]time.Time
 	operatorDrains OperatorDrains
-	// operatorsAt is when the operators' word came.
+	// operatorDrainsAt is when operatorDrains was set.
 	operatorDrainsAt time.Time
 	versions         map[garnetworks.ZoneID]garnetworks.UpdateVersion
 }
 
-// New returns a Drainer that knows of no server.
+// New returns a Drainer without servers.
 func New(options Options) *Drainer {
 	if options.ListLag == 0 {
 		options.ListLag = DefaultListLag
@@ -141,7 +141,7 @@
 	return s
 }
 
-// ObserveList takes rows of the instance list.
+// ObserveList processes rows of the instance list.
 func (d *Drainer) ObserveList(now time.Time, rows []garnetworks.ListedInstance) {
 	for i := range rows {
 		s := d.server(now, rows[i].ID)
@@ -162,11 +162,10 @@
 	s.listLiveSince = time.Time{}
 }
 
-// listedLive keeps rule D3.
+// markListedLive keeps rule D3.
 //
-// Failure: one replica of the list says "leaving", the next answer comes from a
-// replica that lags and says "live". Taken at its word, the server would get
-// calls again in the seconds before it stops.
+// A lagging replica of the list may say "live" after another one said "leaving"; taken
+// at once, it would give the server new calls just before it stops.
 func (s *server) markListedLive(now time.Time, lag time.Duration) {
 	if s.listLiveSince.IsZero() {
 		s.listLiveSince = now
@@ -178,7 +177,7 @@
 	}
 }
 
-// ObserveStatus takes a server's status (rule D2).
+// ObserveStatus processes a server's status (rule D2).
 func (d *Drainer) ObserveStatus(now time.Time, status *garnetworks.EngineStatus) {
 	s := d.server(now, status.Instance)
 	if status.Incarnation < s.incarnation {
@@ -188,23 +187,23 @@
 	if s.self.set && s.incarnation > s.selfIncarnation {
 		s.self.clear()
 	}
-	// An engine in EngineDraining drains its group by a controller's order and
-	// serves another one afterwards; that is no word of its own.
+	// An engine in EngineDraining drains its group by a controller's order and serves
+	// another one afterwards; the engine itself is not leaving.
 	if status.Leaving {
 		s.self.raise(now)
 		s.selfIncarnation = s.incarnation
 	}
 }
 
-// ObserveRefusal takes a server's refusal of a call because it is leaving: its own word
-// in the incarnation that is known.
+// ObserveRefusal processes a server's refusal of a call because it is leaving. It counts
+// as the server's own report in the known incarnation.
 func (d *Drainer) ObserveRefusal(now time.Time, instance garnetworks.InstanceID) {
 	s := d.server(now, instance)
 	s.self.raise(now)
 	s.selfIncarnation = s.incarnation
 }
 
-// SetOperatorDrains takes the operators' word (rule D4).
+// SetOperatorDrains sets the drains of a manifest (rule D4).
 func (d *Drainer) SetOperatorDrains(now time.Time, operatorDrains OperatorDrains) {
 	if operatorDrains.Generation < d.operatorDrains.Generation {
 		return
@@ -213,7 +212,7 @@
 	d.operatorDrainsAt = now
 }
 
-// ObserveView takes the view of a zone's controller (rules D4 and D5).
+// ObserveView processes the view of a zone's controller (rules D4 and D5).
 func (d *Drainer) ObserveView(now time.Time, version garnetworks.UpdateVersion, view *garnetworks.ZoneView) {
 	if version.Less(d.versions[view.Zone]) {
 		return
@@ -243,14 +242,14 @@
 	}
 }
 
-// Status returns what is known of a server. A server that nobody has named may
-// get new work: whoever routes to it knows it from a controller.
+// Status returns the status of a server. An unknown server may get new work: whoever
+// routes to it knows it from a controller.
 func (d *Drainer) Status(id garnetworks.InstanceID) Status {
 	s := d.servers[id]
 	if s == nil {
 		return d.operatorStatus(id, "")
 	}
-	first := d.operatorStatus(id, s.zone) // the earliest sign counts (rule D1)
+	first := d.operatorStatus(id, s.zone) // the earliest signal counts (rule D1)
 	for _, src := range []struct {
 		Source
 		signal
@@ -269,8 +268,8 @@
 	return Status{}
 }
 
-// Expire forgets what nobody has named for long (rule D6). It bounds the memory
-// of a node that sees instances come and go for weeks.
+// Expire forgets servers and groups that no source has reported for Retention (rule D6),
+// which bounds memory while instances come and go.
 func (d *Drainer) Expire(now time.Time) {
 	for id, s := range d.servers {
 		if now.Sub(s.lastSeen) > d.options.Retention {
@@ -284,8 +283,7 @@
 	}
 }
 
-// Snapshot returns what the signs say now. It is never changed and may be read
-// by several goroutines.
+// Snapshot returns the current state. It is immutable and may be read concurrently.
 func (d *Drainer) Snapshot() *Snapshot {
 	s := &Snapshot{
 		leaving:  map[garnetworks.InstanceID]Status{},
@@ -307,13 +305,13 @@
 	return s
 }
 
-// Snapshot is what the signs said at one moment.
+// Snapshot is the state of a Drainer at one moment.
 type Snapshot struct {
 	leaving  map[garnetworks.InstanceID]Status
 	draining garnetworks.Set[garnetworks.GroupID]
 }
 
-// Leaving returns the judgement of every server that may get no new work.
+// Leaving returns the status of every server that may get no new work.
 func (s *Snapshot) Leaving() map[garnetworks.InstanceID]Status { return s.leaving }
 
 // ServerEligible reports whether the server may get new work.
@@ -335,9 +333,9 @@
 	return true
 }
 
-// Apply returns the view with all signs in it, for a router: servers that are
-// leaving say so, and groups that may get no new work are draining. The given
-// view is not changed.
+// Apply returns a copy of the view for a router, in which leaving servers are marked as
+// leaving, and serving groups that may get no new work as draining. The given view is not
+// changed.
 func (s *Snapshot) Apply(view *garnetworks.ZoneView) garnetworks.ZoneView {
 	applied := *view
 	applied.Servers = append([]garnetworks.ServerView(nil), view.Servers...)
--- a/drainer/drainer_test.go
+++ b/drainer/drainer_test.go
@@ -39,32 +39,31 @@
 
 func version(n uint64) garnetworks.UpdateVersion { return garnetworks.UpdateVersion{Sequence: n} }
 
-// A tech's call is sent to a server that is stopped a second later, because one
-// of the sources that say so lags behind the others. Each case is an order of
-// words, with the sign that must hold at its end.
+// A source that lags behind another must not send work to a leaving server. Each case is a
+// sequence of reports, with the source that must hold at its end.
 func TestSourceOrder(t *testing.T) {
 	tests := map[string]struct {
 		run  func(d *Drainer)
 		want Source
 	}{
-		"nobody says anything": {func(d *Drainer) { d.ObserveList(at(0), listed("live")) }, SourceNone},
-		"the list alone":       {func(d *Drainer) { d.ObserveList(at(0), listed("leaving")) }, SourceList},
-		"a stale list does not take back the server's own word": {func(d *Drainer) {
+		"no source says leaving": {func(d *Drainer) { d.ObserveList(at(0), listed("live")) }, SourceNone},
+		"the list alone":         {func(d *Drainer) { d.ObserveList(at(0), listed("leaving")) }, SourceList},
+		"a stale list does not clear the server's own report": {func(d *Drainer) {
 			d.ObserveStatus(at(0), engineStatus(3, true))
 			for i := range 100 {
 				d.ObserveList(at(i), listed("live"))
 			}
 		}, SourceSelf},
-		"a late answer of the same incarnation does not either": {func(d *Drainer) {
+		"a late answer of the same incarnation does not clear it": {func(d *Drainer) {
 			d.ObserveStatus(at(0), engineStatus(3, true))
 			d.ObserveStatus(at(1), engineStatus(3, false))
 			d.ObserveStatus(at(2), engineStatus(2, false))
 		}, SourceSelf},
-		"a new incarnation takes the word back": {func(d *Drainer) {
+		"a new incarnation clears the report": {func(d *Drainer) {
 			d.ObserveStatus(at(0), engineStatus(3, true))
 			d.ObserveStatus(at(1), engineStatus(4, false))
 		}, SourceNone},
-		"the old incarnation's word comes after the new one's": {func(d *Drainer) {
+		"the old incarnation's report comes after the new one's": {func(d *Drainer) {
 			d.ObserveStatus(at(0), engineStatus(4, false))
 			d.ObserveStatus(at(1), engineStatus(3, true))
 		}, SourceNone},
@@ -84,13 +83,13 @@
 			d.ObserveList(at(1), listed("live"))
 			d.ObserveList(at(31), listed("live"))
 		}, SourceNone},
-		"the server started anew and the list knows": {func(d *Drainer) {
+		"the server restarted and the list says live": {func(d *Drainer) {
 			d.ObserveStatus(at(0), engineStatus(3, false))
 			d.ObserveList(at(1), listed("leaving"))
 			d.ObserveStatus(at(2), engineStatus(4, false))
 			d.ObserveList(at(3), listed("live"))
 		}, SourceNone},
-		"the server started anew and the list does not know": {func(d *Drainer) {
+		"the server restarted and the list does not say live": {func(d *Drainer) {
 			d.ObserveStatus(at(0), engineStatus(3, false))
 			d.ObserveList(at(1), listed("leaving"))
 			d.ObserveStatus(at(2), engineStatus(4, false))
@@ -100,37 +99,37 @@
 			d.ObserveList(at(60), nil)
 		}, SourceList},
 		"the server refuses a call": {func(d *Drainer) { d.ObserveRefusal(at(0), "e1") }, SourceSelf},
-		"the operators name it": {func(d *Drainer) {
+		"the operators drain it": {func(d *Drainer) {
 			d.SetOperatorDrains(at(0), OperatorDrains{Generation: 2, Instances: garnetworks.NewSet[garnetworks.InstanceID]("e1")})
 			d.SetOperatorDrains(at(1), OperatorDrains{Generation: 1})
 		}, SourceOperator},
-		"the operators name its zone": {func(d *Drainer) {
+		"the operators drain its zone": {func(d *Drainer) {
 			d.ObserveList(at(0), listed("live"))
 			d.SetOperatorDrains(at(0), OperatorDrains{Generation: 2, Zones: garnetworks.NewSet[garnetworks.ZoneID]("z1")})
 		}, SourceOperator},
-		"an old view comes late": {func(d *Drainer) {
+		"an old view arrives late": {func(d *Drainer) {
 			d.ObserveView(at(0), version(2), zoneView(garnetworks.GroupServing, true))
 			d.ObserveView(at(1), version(1), zoneView(garnetworks.GroupServing, false))
 		}, SourceController},
-		"the controller takes its word back": {func(d *Drainer) {
+		"the controller clears its report": {func(d *Drainer) {
 			d.ObserveView(at(0), version(1), zoneView(garnetworks.GroupServing, true))
 			d.ObserveView(at(1), version(2), zoneView(garnetworks.GroupServing, false))
 		}, SourceNone},
-		"the first of several signs is named": {func(d *Drainer) {
+		"the earliest of several sources is returned": {func(d *Drainer) {
 			d.ObserveList(at(0), listed("leaving"))
 			d.ObserveStatus(at(1), engineStatus(1, true))
 		}, SourceList},
-		"a drain of its group is no sign of the server": {func(d *Drainer) {
+		"a drain of its group does not mark the server": {func(d *Drainer) {
 			status := engineStatus(1, false)
 			status.Phase = garnetworks.EngineDraining
 			d.ObserveStatus(at(0), status)
 		}, SourceNone},
-		"remembered while somebody names it": {func(d *Drainer) {
+		"remembered while a source reports it": {func(d *Drainer) {
 			d.ObserveStatus(at(0), engineStatus(1, true))
 			d.ObserveList(at(3600), listed("live"))
 			d.Expire(at(3601))
 		}, SourceSelf},
-		"forgotten once nobody does": {func(d *Drainer) {
+		"forgotten once no source does": {func(d *Drainer) {
 			d.ObserveStatus(at(0), engineStatus(1, true))
 			d.Expire(at(3600))
 		}, SourceNone},
@@ -140,17 +139,17 @@
 			d := New(Options{})
 			tt.run(d)
 			if got := d.Status("e1").Source; got != tt.want {
-				t.Errorf("sign %q, want %q", got, tt.want)
+				t.Errorf("source %q, want %q", got, tt.want)
 			}
 			if got := d.Snapshot().ServerEligible("e1"); got != (tt.want == SourceNone) {
-				t.Errorf("may get work: %t", got)
+				t.Errorf("eligible = %t", got)
 			}
 		})
 	}
 }
 
-// A group of two serves while one of its members has said that it stops, or is
-// called serving again by a controller that has not heard of its drain.
+// A group must not get work while a member is leaving, nor when a controller reports a
+// drained group as serving again.
 func TestGroupEligibility(t *testing.T) {
 	d := New(Options{})
 	serving := zoneView(garnetworks.GroupServing, false)
@@ -164,7 +163,7 @@
 		t.Errorf("with a leaving member: %+v", applied)
 	}
 	if serving.Groups[0].State != garnetworks.GroupServing {
-		t.Error("Mark changed the given view")
+		t.Error("Apply changed the given view")
 	}
 	d = New(Options{})
 	d.ObserveView(at(0), version(1), zoneView(garnetworks.GroupDraining, false))
@@ -172,13 +171,12 @@
 	d.ObserveView(at(3600), version(3), serving)
 	d.Expire(at(3601))
 	if d.Snapshot().GroupEligible(&serving.Groups[0]) {
-		t.Error("a group that drained serves again under its name")
+		t.Error("a drained group is eligible again")
 	}
 }
 
-// Signs come in any order, late and repeated. Whatever else is said, a server
-// whose last word in its newest incarnation was "leaving" gets no work, and
-// neither does one that the newest list answer calls leaving.
+// Whatever other sources report, a server gets no work while the latest report of its newest
+// incarnation or of the list says leaving.
 func TestNoSourceIsOverruled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := New(Options{})
@@ -220,7 +218,7 @@
 			}
 			drained := listLeaving || operator || (leavingIncarnation > 0 && leavingIncarnation == newest)
 			if drained && d.Snapshot().ServerEligible("e1") {
-				t.Fatalf("a leaving server gets work: list %t, operator %t, own word in %d of %d", listLeaving, operator, leavingIncarnation, newest)
+				t.Fatalf("a leaving server gets work: list %t, operator %t, own report in %d of %d", listLeaving, operator, leavingIncarnation, newest)
 			}
 		}
 	})
--- a/drainer/shared.go
+++ b/drainer/shared.go
@@ -5,23 +5,23 @@
 	"sync/atomic"
 )
 
-// Shared is a Drainer for several goroutines: those that bring signs change it
-// one at a time, and those that route read its newest snapshot without a lock.
+// Shared is a Drainer that is safe for concurrent use: updates are serialized, and readers
+// get the latest snapshot without a lock.
 type Shared struct {
 	mu       sync.Mutex
 	drainer  *Drainer
 	snapshot atomic.Pointer[Snapshot]
 }
 
-// NewShared returns a Shared that knows of no server.
+// NewShared returns a Shared without servers.
 func NewShared(options Options) *Shared {
 	s := &Shared{drainer: New(options)}
 	s.snapshot.Store(s.drainer.Snapshot())
 	return s
 }
 
-// Update lets change bring signs, and publishes what they say before it returns.
-// All signs of one answer belong in one call: each makes a snapshot.
+// Update calls change with the Drainer, and publishes a snapshot before it returns. All
+// reports of one answer belong in one call, since each call builds a snapshot.
 func (s *Shared) Update(change func(d *Drainer)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,5 +29,5 @@
 	s.snapshot.Store(s.drainer.Snapshot())
 }
 
-// Snapshot returns what the signs say now.
+// Snapshot returns the latest snapshot.
 func (s *Shared) Snapshot() *Snapshot { return s.snapshot.Load() }
