--- a/estimator/estimator.go
+++ b/estimator/estimator.go
@@ -19,11 +19,11 @@
 	resamples = 10_000
 	// tail is the part of the comparisons in which the truth lies beyond each end of the
 	// interval.
-	tail = 0.025
-	// LeastPairs is the number of pairs below which no interval is given: the ends
+	tailProbability = 0.025
+	// MinPairs is the number of pairs below which no interval is given: the ends
 	// would be those of the differences themselves. A commit's three pairs with itself
 	// agreed in sign on 2 of 12 days.
-	LeastPairs = 6
+	MinPairs = 6
 )
 
 // Estimate is the mean of paired differences.
@@ -47,7 +47,7 @@
 	}
 	e.Old, e.New = stat.Mean(before, nil), stat.Mean(after, nil)
 	e.Difference = e.New - e.Old
-	if e.Pairs < LeastPairs {
+	if e.Pairs < MinPairs {
 		return e
 	}
 	differences := make([]float64, e.Pairs)
@@ -68,24 +68,24 @@
 	source := rand.NewPCG(1, 2)
 	index := sampleuv.IIDer{Dist: uniformIndex{rand.New(source), len(values)}}
 	means := make([]float64, resamples)
-	drawn := make([]float64, len(values))
+	sample := make([]float64, len(values))
 	for i := range means {
-		index.Sample(drawn)
-		for j, at := range drawn {
-			drawn[j] = values[int(at)]
+		index.Sample(sample)
+		for j, k := range sample {
+			sample[j] = values[int(k)]
 		}
-		means[i] = stat.Mean(drawn, nil)
+		means[i] = stat.Mean(sample, nil)
 	}
 	slices.Sort(means)
-	end := expandedTail(len(values))
-	return stat.Quantile(end, stat.Empirical, means, nil), stat.Quantile(1-end, stat.Empirical, means, nil)
+	tailFraction := expandedTail(len(values))
+	return stat.Quantile(tailFraction, stat.Empirical, means, nil), stat.Quantile(1-tailFraction, stat.Empirical, means, nil)
 }
 
 // expandedTail is the part of the resamples beyond each end for n values.
 func expandedTail(n int) float64 {
-	students := distuv.StudentsT{Sigma: 1, Nu: float64(n - 1)}
-	wider := math.Sqrt(float64(n)/float64(n-1)) * students.Quantile(tail)
-	return distuv.UnitNormal.CDF(wider)
+	studentT := distuv.StudentsT{Sigma: 1, Nu: float64(n - 1)}
+	expandedQuantile := math.Sqrt(float64(n)/float64(n-1)) * studentT.Quantile(tailProbability)
+	return distuv.UnitNormal.CDF(expandedQuantile)
 }
 
 // uniformIndex draws indices below n.
@@ -98,7 +98,7 @@
 func (u uniformIndex) Rand() float64 { return float64(u.random.IntN(u.n)) }
 
 // holdsZero reports whether the interval leaves the sign open.
-func (e *Estimate) holdsZero() bool {
+func (e *Estimate) containsZero() bool {
 	return e.Low == nil || *e.Low <= 0 && *e.High >= 0
 }
 
@@ -115,7 +115,7 @@
 	switch {
 	case e.Low == nil:
 		return "too few pairs"
-	case e.holdsZero():
+	case e.containsZero():
 		return "not told apart"
 	case e.Difference > 0:
 		return "new is better"
--- a/estimator/estimator_test.go
+++ b/estimator/estimator_test.go
@@ -11,26 +11,26 @@
 // that helps is dropped, since it was too wide. Over many comparisons whose true
 // difference is known, the interval must hold it about 95 times in 100, with few pairs
 // as with many.
-func TestIntervalHoldsTheTruth(t *testing.T) {
-	const comparisons, truth, spread = 400, 0.01, 0.05
-	cases := map[string]int{"least pairs": estimator.LeastPairs, "eight": 8, "twenty": 20}
+func TestIntervalCoverage(t *testing.T) {
+	const comparisons, trueDifference, stdDev = 400, 0.01, 0.05
+	cases := map[string]int{"least pairs": estimator.MinPairs, "eight": 8, "twenty": 20}
 	for name, pairs := range cases {
 		t.Run(name, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(3, 4))
-			held := 0
+			covered := 0
 			for range comparisons {
 				before, after := make([]float64, pairs), make([]float64, pairs)
 				for i := range before {
 					before[i] = 0.7 + 0.1*random.NormFloat64()
-					after[i] = before[i] + truth + spread*random.NormFloat64()
+					after[i] = before[i] + trueDifference + stdDev*random.NormFloat64()
 				}
 				e := estimator.New(before, after)
-				if *e.Low <= truth && truth <= *e.High {
-					held++
+				if *e.Low <= trueDifference && trueDifference <= *e.High {
+					covered++
 				}
 			}
-			if share := float64(held) / comparisons; share < 0.92 || share > 0.98 {
-				t.Errorf("the interval held the truth in %.3f of the comparisons", share)
+			if coverage := float64(covered) / comparisons; coverage < 0.92 || coverage > 0.98 {
+				t.Errorf("the interval held the truth in %.3f of the comparisons", coverage)
 			}
 		})
 	}
@@ -53,7 +53,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			e := estimator.New(c.before, c.after)
-			if off := e.Difference - c.difference; off > 1e-9 || off < -1e-9 {
+			if deviation := e.Difference - c.difference; deviation > 1e-9 || deviation < -1e-9 {
 				t.Errorf("the difference is %g", e.Difference)
 			}
 			if (e.Low != nil) != c.interval || e.Verdict() != c.verdict {
