--- a/estimator/estimator.go
+++ b/estimator/estimator.go
@@ -1,5 +1,5 @@
-// Package estimator tells from paired measurements which of two versions is better. It is
-// pure, and its random draws repeat.
+// Package estimator estimates from paired measurements which of two versions is better. It
+// does no I/O, and its random numbers are seeded, so that results are reproducible.
 package estimator
 
 import (
@@ -14,32 +14,31 @@
 )
 
 const (
-	// resamples is the number of bootstrap samples; with 10,000 the interval's ends
-	// move by less than a hundredth of its width from one set of samples to another.
+	// resamples is the number of bootstrap samples. It is large enough that the bounds of
+	// the interval hardly depend on the seed.
 	resamples = 10_000
-	// tail is the part of the comparisons in which the truth lies beyond each end of the
-	// interval.
+	// tailProbability is the probability that the true mean lies beyond one given bound of
+	// the confidence interval.
 	tailProbability = 0.025
-	// MinPairs is the number of pairs below which no interval is given: the ends
-	// would be those of the differences themselves. A commit's three pairs with itself
-	// agreed in sign on 2 of 12 days.
+	// MinPairs is the number of pairs below which no interval is given: its bounds would
+	// be little more than the smallest and largest differences.
 	MinPairs = 6
 )
 
-// Estimate is the mean of paired differences.
+// Estimate is the mean of paired differences with its confidence interval.
 type Estimate struct {
 	Pairs int     `json:"pairs"`
 	Old   float64 `json:"old"`
 	New   float64 `json:"new"`
-	// Difference is the mean of new less old.
+	// Difference is the mean of new minus old.
 	Difference float64 `json:"difference"`
-	// Low and High are the ends of its confidence interval; both absent with fewer
-	// than LeastPairs pairs.
+	// Low and High are the bounds of the confidence interval; both are nil with fewer than
+	// MinPairs pairs.
 	Low  *float64 `json:"low,omitempty"`
 	High *float64 `json:"high,omitempty"`
 }
 
-// New estimates the difference of values that are paired by their index.
+// New estimates the difference of values that are paired by index.
 func New(before, after []float64) Estimate {
 	e := Estimate{Pairs: len(before)}
 	if e.Pairs == 0 {
@@ -60,10 +59,9 @@
 }
 
 // bootstrap returns the expanded percentile interval of the mean of values. A plain
-// percentile interval of few values is too narrow, since their spread is taken about
-// their own mean and is itself a guess; so the ends are taken further out, as far as
-// Student's distribution is wider than the normal one. Its source is fixed, so that the
-// same plays give the same figures.
+// percentile interval of few values is too narrow, since their variance is estimated from
+// the same values; so the percentiles are moved outwards by the ratio of Student's
+// distribution to the normal one. The seed is fixed, so that results are reproducible.
 func bootstrap(values []float64) (low, high float64) {
 	source := rand.NewPCG(1, 2)
 	index := sampleuv.IIDer{Dist: uniformIndex{rand.New(source), len(values)}}
@@ -81,28 +79,28 @@
 	return stat.Quantile(tailFraction, stat.Empirical, means, nil), stat.Quantile(1-tailFraction, stat.Empirical, means, nil)
 }
 
-// expandedTail is the part of the resamples beyond each end for n values.
+// expandedTail returns the fraction of the resamples beyond each bound for n values.
 func expandedTail(n int) float64 {
 	studentT := distuv.StudentsT{Sigma: 1, Nu: float64(n - 1)}
 	expandedQuantile := math.Sqrt(float64(n)/float64(n-1)) * studentT.Quantile(tailProbability)
 	return distuv.UnitNormal.CDF(expandedQuantile)
 }
 
-// uniformIndex draws indices below n.
+// uniformIndex draws indices below n uniformly.
 type uniformIndex struct {
 	random *rand.Rand
 	n      int
 }
 
-// Rand implements the source of independent draws.
+// Rand returns a random index; it implements distuv.Rander.
 func (u uniformIndex) Rand() float64 { return float64(u.random.IntN(u.n)) }
 
-// holdsZero reports whether the interval leaves the sign open.
+// containsZero reports whether the interval contains zero or is missing.
 func (e *Estimate) containsZero() bool {
 	return e.Low == nil || *e.Low <= 0 && *e.High >= 0
 }
 
-// Interval is the confidence interval as text.
+// Interval formats the confidence interval.
 func (e *Estimate) Interval(digits int) string {
 	if e.Low == nil {
 		return "-"
@@ -110,7 +108,7 @@
 	return fmt.Sprintf("%+.*f to %+.*f", digits, *e.Low, digits, *e.High)
 }
 
-// Verdict says which version is better, if the pairs tell.
+// Verdict says which version is better, if the interval excludes zero.
 func (e *Estimate) Verdict() string {
 	switch {
 	case e.Low == nil:
--- a/estimator/estimator_test.go
+++ b/estimator/estimator_test.go
@@ -7,13 +7,11 @@
 	"github.com/garnetworks/garnetworks/estimator"
 )
 
-// Story: a change that does nothing is kept, since its interval was too narrow, or one
-// that helps is dropped, since it was too wide. Over many comparisons whose true
-// difference is known, the interval must hold it about 95 times in 100, with few pairs
-// as with many.
+// The interval must cover the known true difference in about 95 of 100 comparisons, with
+// few pairs as with many; a wrong width keeps useless changes or drops useful ones.
 func TestIntervalCoverage(t *testing.T) {
 	const comparisons, trueDifference, stdDev = 400, 0.01, 0.05
-	cases := map[string]int{"least pairs": estimator.MinPairs, "eight": 8, "twenty": 20}
+	cases := map[string]int{"minimum": estimator.MinPairs, "eight": 8, "twenty": 20}
 	for name, pairs := range cases {
 		t.Run(name, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(3, 4))
@@ -30,7 +28,7 @@
 				}
 			}
 			if coverage := float64(covered) / comparisons; coverage < 0.92 || coverage > 0.98 {
-				t.Errorf("the interval held the truth in %.3f of the comparisons", coverage)
+				t.Errorf("the interval covered the true difference in %.3f of the comparisons", coverage)
 			}
 		})
 	}
@@ -43,12 +41,12 @@
 		interval      bool
 		verdict       string
 	}{
-		"none":                       {nil, nil, 0, false, "too few pairs"},
-		"one pair":                   {[]float64{1}, []float64{2}, 1, false, "too few pairs"},
-		"same difference everywhere": {[]float64{1, 2, 3, 4, 5, 6}, []float64{2, 3, 4, 5, 6, 7}, 1, true, "new is better"},
-		"no difference":              {[]float64{1, 2, 3, 4, 5, 6}, []float64{1, 2, 3, 4, 5, 6}, 0, true, "not told apart"},
-		"pairs move far, together":   {[]float64{1, 9, 4, 7, 2, 6}, []float64{0.9, 8.8, 3.9, 6.9, 1.9, 5.9}, -0.7 / 6, true, "old is better"},
-		"five pairs":                 {[]float64{1, 2, 3, 4, 5}, []float64{2, 3, 4, 5, 6}, 1, false, "too few pairs"},
+		"none":                        {nil, nil, 0, false, "too few pairs"},
+		"one pair":                    {[]float64{1}, []float64{2}, 1, false, "too few pairs"},
+		"same difference everywhere":  {[]float64{1, 2, 3, 4, 5, 6}, []float64{2, 3, 4, 5, 6, 7}, 1, true, "new is better"},
+		"no difference":               {[]float64{1, 2, 3, 4, 5, 6}, []float64{1, 2, 3, 4, 5, 6}, 0, true, "not told apart"},
+		"pairs vary widely, together": {[]float64{1, 9, 4, 7, 2, 6}, []float64{0.9, 8.8, 3.9, 6.9, 1.9, 5.9}, -0.7 / 6, true, "old is better"},
+		"five pairs":                  {[]float64{1, 2, 3, 4, 5}, []float64{2, 3, 4, 5, 6}, 1, false, "too few pairs"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
