--- a/quarantiner/asker.go
+++ b/quarantiner/asker.go
@@ -31,16 +31,16 @@
 
 // runProbes probes the servers whose crash is neither proven nor refuted (Z2).
 func (q *Quarantiner) runProbes(ctx context.Context) {
-	ticker, old := time.NewTicker(checkInterval), time.NewTicker(expiryInterval)
+	ticker, expiry := time.NewTicker(checkInterval), time.NewTicker(expiryInterval)
 	defer ticker.Stop()
-	defer old.Stop()
+	defer expiry.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-q.probeWake:
 		case <-ticker.C:
-		case <-old.C:
+		case <-expiry.C:
 			q.expire()
 		}
 		var wg sync.WaitGroup
--- a/quarantiner/asker_test.go
+++ b/quarantiner/asker_test.go
@@ -17,25 +17,25 @@
 	probes int
 }
 
-func (w *fakeProber) probe(_ context.Context, l garnetworks.Incarnation, _ bool) garnetworks.CrashState {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.probes++
-	return w.states[l]
+func (p *fakeProber) probe(_ context.Context, id garnetworks.Incarnation, _ bool) garnetworks.CrashState {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.probes++
+	return p.states[id]
 }
 
 // count returns the number of probes so far.
-func (w *fakeProber) count() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.probes
+func (p *fakeProber) count() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.probes
 }
 
-func (w *fakeProber) set(state garnetworks.CrashState, incarnations ...int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (p *fakeProber) set(state garnetworks.CrashState, incarnations ...int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for _, n := range incarnations {
-		w.states[incarnation(n)] = state
+		p.states[incarnation(n)] = state
 	}
 }
 
@@ -43,51 +43,51 @@
 // planned restart after a partition would be attributed to the calls it interrupted.
 func TestCrashesFoundAfterPartition(t *testing.T) {
 	cases := map[string]struct {
-		run  func(q *Quarantiner, w *fakeProber)
+		run  func(q *Quarantiner, p *fakeProber)
 		want bool
 	}{
-		"two crashes are found late, within the window": {func(q *Quarantiner, w *fakeProber) {
+		"two crashes are found late, within the window": {func(q *Quarantiner, p *fakeProber) {
 			q.ReportInterrupted("x", incarnation(1))
 			q.ReportInterrupted("x", incarnation(2))
 			time.Sleep(8 * time.Second)
-			w.set(garnetworks.CrashProven, 1, 2)
+			p.set(garnetworks.CrashProven, 1, 2)
 			time.Sleep(2 * probeBackoffMax)
-			w.set(garnetworks.CrashConnectionRefused, 3)
+			p.set(garnetworks.CrashConnectionRefused, 3)
 			q.ReportInterrupted("x", incarnation(3))
 		}, true},
-		"partitioned servers are replaced after the window": {func(q *Quarantiner, w *fakeProber) {
+		"partitioned servers are replaced after the window": {func(q *Quarantiner, p *fakeProber) {
 			for n := range 3 {
 				q.ReportInterrupted("x", incarnation(n))
 			}
 			time.Sleep(probeWindow + time.Second)
-			w.set(garnetworks.CrashProven, 0, 1, 2)
+			p.set(garnetworks.CrashProven, 0, 1, 2)
 		}, false},
-		"connections refused during a partition, then answered": {func(q *Quarantiner, w *fakeProber) {
-			w.set(garnetworks.CrashConnectionRefused, 0, 1, 2)
+		"connections refused during a partition, then answered": {func(q *Quarantiner, p *fakeProber) {
+			p.set(garnetworks.CrashConnectionRefused, 0, 1, 2)
 			for n := range 3 {
 				q.ReportInterrupted("x", incarnation(n))
 			}
 			time.Sleep(2 * probeWindow)
-			w.set(garnetworks.CrashRefuted, 0)
+			p.set(garnetworks.CrashRefuted, 0)
 		}, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := &fakeProber{states: make(map[garnetworks.Incarnation]garnetworks.CrashState)}
-				q := New(Options{Probe: w.probe})
+				p := &fakeProber{states: make(map[garnetworks.Incarnation]garnetworks.CrashState)}
+				q := New(Options{Probe: p.probe})
 				ctx, stop := context.WithCancel(t.Context())
 				defer synctest.Wait()
 				defer stop()
 				go q.runProbes(ctx)
-				c.run(q, w)
+				c.run(q, p)
 				time.Sleep(2 * probeBackoffMax)
 				if got := q.isQuarantined("x"); got != c.want {
 					t.Errorf("quarantined = %t", got)
 				}
-				before := w.count()
+				before := p.count()
 				time.Sleep(time.Minute)
-				if more := w.count() - before; more > 3*int(time.Minute/probeBackoffMax) {
+				if more := p.count() - before; more > 3*int(time.Minute/probeBackoffMax) {
 					t.Errorf("%d probes in a minute", more)
 				}
 			})
--- a/quarantiner/blamer.go
+++ b/quarantiner/blamer.go
@@ -38,8 +38,8 @@
 		}
 		for _, s := range top {
 			culprits = append(culprits, s.content)
-			for _, l := range s.crashes {
-				attributed.Add(l)
+			for _, id := range s.crashes {
+				attributed.Add(id)
 			}
 		}
 	}
--- a/quarantiner/blamer_test.go
+++ b/quarantiner/blamer_test.go
@@ -75,12 +75,12 @@
 			}
 			suspects = append(suspects, suspect{garnetworks.ContentDigest(fmt.Sprint("culprit", c)), crashes(own)})
 			for _, name := range []garnetworks.ContentDigest{"s0", "s1", "s2", "s3"} {
-				beside := rapid.IntRange(0, CrashThreshold-len(harmless[name])).Draw(t, "beside")
-				harmless[name] += own[:beside]
+				shared := rapid.IntRange(0, CrashThreshold-len(harmless[name])).Draw(t, "beside")
+				harmless[name] += own[:shared]
 			}
 		}
-		for name, beside := range harmless {
-			suspects = append(suspects, suspect{name, crashes(beside)})
+		for name, shared := range harmless {
+			suspects = append(suspects, suspect{name, crashes(shared)})
 		}
 		quarantined := garnetworks.NewSet(findCulprits(suspects)...)
 		for _, s := range suspects {
--- a/quarantiner/quarantiner_test.go
+++ b/quarantiner/quarantiner_test.go
@@ -168,8 +168,8 @@
 		q := newIdle()
 		q.reportCrashes("x", 1, 2, 3)
 		for n, want := range []time.Duration{MinQuarantine, 2 * MinQuarantine, 4 * MinQuarantine} {
-			if left, _ := q.Quarantined(t.Context(), "x"); left != want {
-				t.Errorf("after %d crashes it is quarantined for %s, want %s", 3+n, left, want)
+			if remaining, _ := q.Quarantined(t.Context(), "x"); remaining != want {
+				t.Errorf("after %d crashes it is quarantined for %s, want %s", 3+n, remaining, want)
 			}
 			time.Sleep(want)
 			q.expire()
@@ -181,8 +181,8 @@
 		for n := range 20 {
 			q.reportCrashes("x", 10+n)
 		}
-		if left, _ := q.Quarantined(t.Context(), "x"); left != MaxQuarantine {
-			t.Errorf("it is quarantined for %s, want %s at most", left, MaxQuarantine)
+		if remaining, _ := q.Quarantined(t.Context(), "x"); remaining != MaxQuarantine {
+			t.Errorf("it is quarantined for %s, want %s at most", remaining, MaxQuarantine)
 		}
 		time.Sleep(2*MaxQuarantine + time.Second)
 		q.expire()
--- a/quarantiner/record.go
+++ b/quarantiner/record.go
@@ -70,9 +70,9 @@
 		return
 	}
 	var oldest garnetworks.Incarnation
-	for l, x := range r.runs {
+	for id, x := range r.runs {
 		if o, ok := r.runs[oldest]; !ok || x.at.Before(o.at) {
-			oldest = l
+			oldest = id
 		}
 	}
 	delete(r.runs, oldest)
@@ -87,9 +87,9 @@
 // minState, sorted.
 func (r *record) incarnations(minState garnetworks.CrashState) []garnetworks.Incarnation {
 	var list []garnetworks.Incarnation
-	for l, x := range r.runs {
+	for id, x := range r.runs {
 		if x.state >= minState && r.attributable(x) {
-			list = append(list, l)
+			list = append(list, id)
 		}
 	}
 	slices.SortFunc(list, garnetworks.Incarnation.Compare)
@@ -138,10 +138,10 @@
 func (r *record) checksum(content garnetworks.ContentDigest) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(content)) // hash.Hash never returns an error
-	for _, l := range slices.SortedFunc(maps.Keys(r.runs), garnetworks.Incarnation.Compare) {
-		text := strconv.AppendInt([]byte(l.Instance), l.StartMS, 10)
-		text = strconv.AppendBool(text, r.attributable(r.runs[l]))
-		_, _ = h.Write(append(text, byte(r.runs[l].state)))
+	for _, id := range slices.SortedFunc(maps.Keys(r.runs), garnetworks.Incarnation.Compare) {
+		text := strconv.AppendInt([]byte(id.Instance), id.StartMS, 10)
+		text = strconv.AppendBool(text, r.attributable(r.runs[id]))
+		_, _ = h.Write(append(text, byte(r.runs[id].state)))
 	}
 	return h.Sum64()
 }
@@ -152,8 +152,8 @@
 	if !r.completed.IsZero() {
 		rec.LastCompletedAgeMS = max(0, now.Sub(r.completed).Milliseconds())
 	}
-	for l, x := range r.runs {
-		rec.Runs = append(rec.Runs, garnetworks.InterruptedRun{Instance: l.Instance, StartMS: l.StartMS, AgeMS: max(0, now.Sub(x.at).Milliseconds()), State: x.state})
+	for id, x := range r.runs {
+		rec.Runs = append(rec.Runs, garnetworks.InterruptedRun{Instance: id.Instance, StartMS: id.StartMS, AgeMS: max(0, now.Sub(x.at).Milliseconds()), State: x.state})
 	}
 	slices.SortFunc(rec.Runs, func(a, b garnetworks.InterruptedRun) int { return a.Incarnation().Compare(b.Incarnation()) })
 	return rec
