--- a/quarantiner/asker.go
+++ b/quarantiner/asker.go
@@ -29,7 +29,8 @@
 	expiryInterval = 10 * time.Second
 )
 
-// runProbes probes the servers whose crash is neither proven nor refuted (Z2).
+// runProbes probes the servers whose crash is neither proven nor refuted (Z2), and removes
+// expired records.
 func (q *Quarantiner) runProbes(ctx context.Context) {
 	ticker, expiry := time.NewTicker(checkInterval), time.NewTicker(expiryInterval)
 	defer ticker.Stop()
--- a/quarantiner/blamer_test.go
+++ b/quarantiner/blamer_test.go
@@ -19,7 +19,7 @@
 	os.Exit(m.Run())
 }
 
-// ends returns the incarnations of the named engines, sorted.
+// crashes returns the incarnations of the named engines, sorted.
 func crashes(names string) []garnetworks.Incarnation {
 	var list []garnetworks.Incarnation
 	for _, n := range names {
@@ -59,7 +59,7 @@
 	}
 }
 
-// Harmless calls that shared at most CrashThreshold crashes with each culprit are never
+// Harmless calls that shared at most CrashThreshold crashes with culprits are never
 // quarantined, and each culprit with more crashes of its own always is.
 func TestHarmlessCallsAreNotQuarantined(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/quarantiner/keeper.go
+++ b/quarantiner/keeper.go
@@ -261,7 +261,7 @@
 	})
 }
 
-// write merges the object with the node's records and writes it if that changes it. Errors
+// write merges the object into the node's records and writes them back if needed. Errors
 // are counted by the meter of the object API, and the next check retries.
 func (q *Quarantiner) write(ctx context.Context) error {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
--- a/quarantiner/quarantiner.go
+++ b/quarantiner/quarantiner.go
@@ -26,8 +26,9 @@
 	// recentPeriod is how long a change is sent to other nodes: four of their exchanges, so
 	// that a few lost ones don't matter.
 	recentPeriod = 600 * time.Millisecond
-	// proofTimeout is how long a call waits for a proof. The server's host refuses connections
-	// within milliseconds, and the result of another node's probe takes one exchange to arrive.
+	// proofTimeout is how long after the last interruption a call waits for a proof.
+	// The server's host refuses connections within milliseconds, and the result of another
+	// node's probe takes one exchange to arrive.
 	proofTimeout = 300 * time.Millisecond
 	// maxCompleted bounds the contents that a node remembers as completed. It covers more
 	// than ExemptionPeriod at 25 calls per second.
--- a/quarantiner/quarantiner_test.go
+++ b/quarantiner/quarantiner_test.go
@@ -150,7 +150,7 @@
 		q.ReportInterrupted("x", incarnation(3))
 		time.AfterFunc(5*time.Millisecond, func() { q.applyResult(time.Now(), incarnation(3), garnetworks.CrashProven) })
 		if !q.isQuarantined("x") {
-			t.Error("the call is not quarantined before the proof")
+			t.Error("the call is allowed before the proof")
 		}
 		q.reportCrashes("y", 4, 5)
 		q.ReportInterrupted("y", incarnation(6))
--- a/quarantiner/record.go
+++ b/quarantiner/record.go
@@ -129,15 +129,16 @@
 	return r.lastInterruption().Add(recordTTL)
 }
 
-// retained reports whether the record is kept in the object API (Z6). That includes refuted
-// and completed runs: nodes that read them there must not keep counting the earlier crash.
+// retained reports whether the record belongs to Retained and may be stored in the object API
+// (Z6). Refuted runs and those before a completion count too: other nodes must learn of them
+// to stop counting the crashes.
 func (r *record) retained() bool { return len(r.runs) >= RetainThreshold }
 
 // checksum is a digest of the record without its times, which differ between nodes by the
 // transmission time of messages.
 func (r *record) checksum(content garnetworks.ContentDigest) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(content)) // hash.Hash never returns an error
+	_, _ = h.Write([]byte(content)) // Write of a hash.Hash never fails
 	for _, id := range slices.SortedFunc(maps.Keys(r.runs), garnetworks.Incarnation.Compare) {
 		text := strconv.AppendInt([]byte(id.Instance), id.StartMS, 10)
 		text = strconv.AppendBool(text, r.attributable(r.runs[id]))
