--- a/admitter/gate.go
+++ b/admitter/gate.go
@@ -70,7 +70,7 @@
 		w := g.workspaces[spec.Name]
 		if w == nil {
 			w = newWorkspace()
-			w.share = g.equal()
+			w.share = g.equalShare()
 		}
 		w.spec = spec
 		w.applyPending(now)
@@ -106,7 +106,7 @@
 	}
 }
 
-func (g *gate) equal() float64 { return 1 / float64(max(1, g.nodes)) }
+func (g *gate) equalShare() float64 { return 1 / float64(max(1, g.nodes)) }
 
 func (g *gate) setNodes(now time.Time, nodes int) {
 	g.nodes = max(1, nodes)
@@ -119,9 +119,9 @@
 func (g *gate) useEqualShares(now time.Time) {
 	for _, w := range g.workspaces {
 		w.relaxed = false
-		w.forceShare(now, g.equal())
+		w.forceShare(now, g.equalShare())
 	}
-	g.setSlotShare(now, g.equal())
+	g.setSlotShare(now, g.equalShare())
 }
 
 // setShares applies the node's row of a table (A2).
--- a/admitter/pool.go
+++ b/admitter/pool.go
@@ -139,17 +139,17 @@
 	if p.running == 0 {
 		return true
 	}
-	higherPriority := p.higherPriority(now, w.class)
-	reserve := higherPriority.reserve(p.limit)
-	equal := max(0, p.limit-higherPriority.mean) / float64(max(1, w.class.active()))
+	higher := p.higherPriority(now, w.class)
+	reserve := higher.reserve(p.limit)
+	equal := max(0, p.limit-higher.mean) / float64(max(1, w.class.active()))
 	if w.flow.mean(now, p.slotTime) > equal {
-		below := expectedLoad{}
+		smaller := expectedLoad{}
 		for _, f := range w.class.flows {
 			if mean := f.mean(now, p.slotTime); f != w.flow && mean <= equal {
-				below.add(mean, f.running)
+				smaller.add(mean, f.running)
 			}
 		}
-		reserve += below.reserve(p.limit - higherPriority.mean)
+		reserve += smaller.reserve(p.limit - higher.mean)
 	}
 	return float64(p.running)+1 <= p.limit-reserve
 }
@@ -200,7 +200,7 @@
 func (p *pool) acquire(now time.Time, w *waiter) {
 	p.running++
 	p.startSum += now.Sub(p.base).Seconds()
-	w.entered = now
+	w.startedAt = now
 	w.class.running++
 	w.flow.running++
 }
@@ -210,11 +210,11 @@
 	p.running--
 	w.class.running--
 	w.flow.running--
-	p.startSum -= w.entered.Sub(p.base).Seconds()
+	p.startSum -= w.startedAt.Sub(p.base).Seconds()
 	if p.running == 0 {
 		p.startSum = 0
 	}
-	p.slotTime += slotTimeWeight * (now.Sub(w.entered).Seconds() - p.slotTime)
+	p.slotTime += slotTimeWeight * (now.Sub(w.startedAt).Seconds() - p.slotTime)
 }
 
 // slotRate returns the slots released per second while all are taken. If calls stop
--- a/admitter/queue.go
+++ b/admitter/queue.go
@@ -17,8 +17,8 @@
 	// start is the call's start tag in fair queueing (A7).
 	start float64
 	// entered is when the call was given its slot.
-	entered time.Time
-	state   waitState
+	startedAt time.Time
+	state     waitState
 	// err is the error of a refused call.
 	err error
 	// decided is closed with the decision; nil for calls that never waited.
--- a/drainer/drainer.go
+++ b/drainer/drainer.go
@@ -89,13 +89,13 @@
 	since time.Time
 }
 
-func (m *signal) raise(now time.Time) {
-	if !m.set {
-		*m = signal{set: true, since: now}
+func (s *signal) raise(now time.Time) {
+	if !s.set {
+		*s = signal{set: true, since: now}
 	}
 }
 
-func (m *signal) clear() { *m = signal{} }
+func (s *signal) clear() { *s = signal{} }
 
 // OperatorDrains are the instances and zones that a manifest drains.
 type OperatorDrains struct {
--- a/drainer/drainer_test.go
+++ b/drainer/drainer_test.go
@@ -195,12 +195,12 @@
 				}
 				d.ObserveList(now, listed(state))
 			case 1:
-				w := engineStatus(uint64(rapid.IntRange(1, 6).Draw(t, "incarnation")), rapid.Bool().Draw(t, "leaving"))
-				d.ObserveStatus(now, w)
-				if w.Leaving && w.Incarnation >= newest {
-					leavingIncarnation = w.Incarnation
+				status := engineStatus(uint64(rapid.IntRange(1, 6).Draw(t, "incarnation")), rapid.Bool().Draw(t, "leaving"))
+				d.ObserveStatus(now, status)
+				if status.Leaving && status.Incarnation >= newest {
+					leavingIncarnation = status.Incarnation
 				}
-				newest = max(newest, w.Incarnation)
+				newest = max(newest, status.Incarnation)
 			case 2:
 				o := OperatorDrains{Generation: garnetworks.Generation(rapid.IntRange(1, 9).Draw(t, "generation"))}
 				leaving := rapid.Bool().Draw(t, "leaving")
