--- a/admitter/doc.go
+++ b/admitter/doc.go
@@ -24,7 +24,8 @@
 //	     the mean over the site stays at the limit.
 //	A6   Calls to a model share the node's slots: its share of what the model's
 //	     groups batch. It shrinks while calls queue in the engines or first
-//	     tokens are slow, and grows while slots are free and calls found none.
+//	     tokens are slow, and grows while engines have free slots and calls at the
+//	     node find none.
 //	A7   Waiting calls are served by priority, within a priority by start-time
 //	     fair queueing over workspaces, weighted by tokens: a workspace waits for
 //	     one call of each other workspace, not for their queues. Slots that higher
--- a/admitter/pool.go
+++ b/admitter/pool.go
@@ -283,7 +283,7 @@
 		return false
 	}
 	// A measured time above the whole allowance must not refuse every waiting call:
-	// capped at half, it lets some calls through, so that the measurement can improve.
+	// capped at half the allowance, it lets some through, so that it can improve.
 	firstToken := min(firstTokenMargin*p.firstToken(), by.Sub(w.request.Received)/2)
 	return now.Add(wait + firstToken).After(by)
 }
--- a/admitter/queue.go
+++ b/admitter/queue.go
@@ -16,7 +16,7 @@
 	flow      *flow
 	// start is the call's start tag in fair queueing (A7).
 	start float64
-	// entered is when the call was given its slot.
+	// startedAt is when the call was given its slot.
 	startedAt time.Time
 	state     waitState
 	// err is the error of a refused call.
--- a/admitter/shares.go
+++ b/admitter/shares.go
@@ -15,12 +15,12 @@
 	// IncreaseDelay is how long an increased share is delayed (A2). It exceeds the time
 	// in which a table reaches all reachable nodes.
 	IncreaseDelay = 2 * time.Second
-	// minEqualFraction is the least fraction of the limit that is divided equally, and
-	// unusedEqualFraction that of the part that the site does not use (A1).
+	// At least minEqualFraction of the limit is divided equally, and at least
+	// unusedEqualFraction of the part that the site does not use (A1).
 	minEqualFraction    = 0.1
 	unusedEqualFraction = 0.5
-	// halfDemandCalls is the number of calls per node at which half of the fraction
-	// that may follow demand does.
+	// halfDemandCalls is the mean number of calls per node at which the demand fraction
+	// reaches half of its maximum.
 	halfDemandCalls = 2
 )
 
--- a/admitter/workspace.go
+++ b/admitter/workspace.go
@@ -15,7 +15,7 @@
 	// with a small share refuses randomly arriving calls although the site is below
 	// the limit.
 	BurstCalls = 3
-	// RelaxedBurstCalls replaces it while the site's demand is below
+	// RelaxedBurstCalls replaces BurstCalls while the site's demand is below
 	// RelaxedUtilization of the limit: bursts at different nodes even out (A4).
 	RelaxedBurstCalls = 10
 	// RelaxedBurstTime replaces BurstTime for tokens under the same condition.
--- a/drainer/drainer.go
+++ b/drainer/drainer.go
@@ -203,7 +203,8 @@
 	s.selfIncarnation = s.incarnation
 }
 
-// SetOperatorDrains sets the drains of a manifest (rule D4).
+// SetOperatorDrains sets the drains of a manifest, unless those of a newer one are set
+// (rule D4).
 func (d *Drainer) SetOperatorDrains(now time.Time, operatorDrains OperatorDrains) {
 	if operatorDrains.Generation < d.operatorDrains.Generation {
 		return
