--- a/drainer/drainer.go
+++ b/drainer/drainer.go
@@ -291,13 +291,13 @@
 		draining: make(garnetworks.Set[garnetworks.GroupID], len(d.groups)),
 	}
 	for id := range d.servers {
-		if j := d.Status(id); j.Leaving() {
-			s.leaving[id] = j
+		if status := d.Status(id); status.Leaving() {
+			s.leaving[id] = status
 		}
 	}
 	for id := range d.operatorDrains.Instances {
-		if j := d.Status(id); j.Leaving() {
-			s.leaving[id] = j
+		if status := d.Status(id); status.Leaving() {
+			s.leaving[id] = status
 		}
 	}
 	for id := range d.groups {
