--- a/admitter/bucket.go
+++ b/admitter/bucket.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// bucket is a token bucket that may be in debt: a call is let in while there is
-// something left, and pays in full.
+// bucket is a token bucket that may go into debt: a call is admitted while the level
+// is high enough, and is charged in full.
 type bucket struct {
-	// rate is the refill for each second, depth the most that gathers.
+	// rate is the refill per second, depth the maximum level.
 	rate, depth float64
 	level       float64
 	at          time.Time
 }
 
-// set changes rate and depth. The first time, the bucket starts with one unit or
-// with what one BurstTime brings, so that a restart gains next to nothing.
+// set changes rate and depth. A new bucket starts with one unit or one BurstTime of
+// refill, so that a restart gains next to nothing.
 func (b *bucket) set(now time.Time, rate, depth float64) {
 	if b.at.IsZero() {
 		b.level = min(depth, max(1, rate*BurstTime.Seconds()))
@@ -28,8 +28,8 @@
 }
 
 func (b *bucket) fill(now time.Time) {
-	if passed := now.Sub(b.at).Seconds(); passed > 0 {
-		b.level = min(b.depth, b.level+passed*b.rate)
+	if elapsed := now.Sub(b.at).Seconds(); elapsed > 0 {
+		b.level = min(b.depth, b.level+elapsed*b.rate)
 		b.at = now
 	}
 }
@@ -41,18 +41,18 @@
 		return 0
 	}
 	if b.rate <= 0 {
-		return longestRetry
+		return maxRetryAfter
 	}
 	return seconds((need - b.level) / b.rate)
 }
 
-// take pays n, or gives it back if n is below 0.
+// take takes n from the level, or returns it if n is below 0.
 func (b *bucket) take(now time.Time, n float64) {
 	b.fill(now)
 	b.level = min(b.depth, b.level-n)
 }
 
-// meter is a rate that forgets over window.
+// meter is a rate with exponential decay over window.
 type meter struct {
 	window time.Duration
 	value  float64
@@ -65,17 +65,17 @@
 }
 
 func (m *meter) rate(now time.Time) float64 {
-	passed := now.Sub(m.at)
-	if passed <= 0 || m.value == 0 {
+	elapsed := now.Sub(m.at)
+	if elapsed <= 0 || m.value == 0 {
 		return m.value
 	}
-	return m.value * math.Exp(-passed.Seconds()/m.window.Seconds())
+	return m.value * math.Exp(-elapsed.Seconds()/m.window.Seconds())
 }
 
-// seconds converts with an upper bound, so that no division runs over.
+// seconds converts seconds to a duration, capped to avoid overflow.
 func seconds(s float64) time.Duration {
-	if s > longestRetry.Seconds() {
-		return longestRetry
+	if s > maxRetryAfter.Seconds() {
+		return maxRetryAfter
 	}
 	return time.Duration(s * float64(time.Second))
 }
--- a/admitter/gate.go
+++ b/admitter/gate.go
@@ -8,44 +8,44 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// anyModel is the pool of calls that use tokens and do not name their model;
-// they share the capacity of all models.
+// anyModel is the pool of calls that use tokens and don't name their model; they
+// share the capacity of all models.
 const anyModel garnetworks.ModelName = ""
 
-// Options describe the node that admits.
+// Options configure an admitter.
 type Options struct {
 	Node garnetworks.NodeID
 	// MaxWaiting bounds the waiting calls of one model; 0 means 256.
 	MaxWaiting int
 }
 
-// gate is the state behind decisions. It does no I/O and no locking; verdicts
-// on waiting calls are left in decided.
+// gate holds the state of an Admitter and makes its decisions. It does no I/O and no
+// locking; waiting calls that were decided are appended to decided.
 type gate struct {
 	options    Options
 	workspaces map[garnetworks.WorkspaceName]*workspace
 	pools      map[garnetworks.ModelName]*pool
 	// nodes is the number of nodes on the rosters, this one included.
 	nodes int
-	// slots is the node's part of the serving capacity.
-	slots float64
-	// tableAt is when the table in force was received; zero if none is.
+	// slotShare is the node's share of the serving capacity, 0 to 1.
+	slotShare float64
+	// tableAt is when the share table in use was received; zero if none is.
 	tableAt time.Time
 	stopped bool
 	decided []*waiter
 	counts  Counts
-	// refusals spread the times to come back.
+	// refusals counts refusals, to vary their RetryAfter.
 	refusals uint64
 }
 
-// Counts are the verdicts since the start.
+// Counts are the numbers of decisions since the start.
 type Counts struct {
 	Admitted   uint64
 	OverLimit  uint64
 	Overloaded uint64
 	Deadline   uint64
 	Cancelled  uint64
-	// Waiting and Running are the numbers now.
+	// Waiting and Running are current numbers.
 	Waiting, Running int
 }
 
@@ -58,22 +58,22 @@
 		workspaces: map[garnetworks.WorkspaceName]*workspace{},
 		pools:      map[garnetworks.ModelName]*pool{},
 		nodes:      1,
-		slots:      1,
+		slotShare:  1,
 	}
 }
 
-// setManifest takes workspaces, limits and models. Calls in flight keep the
-// state that they were charged to.
+// setManifest applies workspaces, limits and models. Calls in flight stay charged to
+// the workspace and pool they were admitted with.
 func (g *gate) setManifest(now time.Time, m *garnetworks.Manifest) {
 	kept := make(map[garnetworks.WorkspaceName]*workspace, len(m.Workspaces))
 	for _, spec := range m.Workspaces {
 		w := g.workspaces[spec.Name]
 		if w == nil {
 			w = newWorkspace()
-			w.share = g.equal()
+			w.share = g.equalShare()
 		}
 		w.spec = spec
-		w.settle(now)
+		w.applyPending(now)
 		w.apply(now)
 		kept[spec.Name] = w
 	}
@@ -99,66 +99,65 @@
 	g.pools = pools
 }
 
-// refuseAll ends the calls that wait for a model that is no longer served.
+// refuseAll refuses the waiting calls of a model that is no longer served.
 func (g *gate) refuseAll(now time.Time, p *pool) {
 	for _, w := range p.ordered() {
 		g.shed(now, w, garnetworks.Errorf(garnetworks.KindOverloaded, "the model is no longer served"))
 	}
 }
 
-func (g *gate) equal() float64 { return 1 / float64(max(1, g.nodes)) }
+func (g *gate) equalShare() float64 { return 1 / float64(max(1, g.nodes)) }
 
 func (g *gate) setNodes(now time.Time, nodes int) {
 	g.nodes = max(1, nodes)
 	if g.tableAt.IsZero() {
-		g.useEqual(now)
+		g.useEqualShares(now)
 	}
 }
 
-// useEqual falls back to equal shares (A3).
-func (g *gate) useEqual(now time.Time) {
+// useEqualShares falls back to equal shares (A3).
+func (g *gate) useEqualShares(now time.Time) {
 	for _, w := range g.workspaces {
-		w.spare = false
-		w.forceShare(now, g.equal())
+		w.relaxed = false
+		w.forceShare(now, g.equalShare())
 	}
-	g.setSlots(now, g.equal())
+	g.setSlotShare(now, g.equalShare())
 }
 
-// setShares takes the node's row of a table (A2).
+// setShares applies the node's row of a table (A2).
 func (g *gate) setShares(now time.Time, row NodeShare) {
 	g.tableAt = now
 	for _, s := range row.Workspaces {
 		if w := g.workspaces[s.Workspace]; w != nil {
-			w.spare = s.Use < SpareUse
+			w.relaxed = s.Utilization < RelaxedUtilization
 			w.setShare(now, s.Share)
 			w.apply(now)
 		}
 	}
-	g.setSlots(now, row.Slots)
+	g.setSlotShare(now, row.Slots)
 }
 
-func (g *gate) setSlots(now time.Time, part float64) {
-	g.slots = part
+func (g *gate) setSlotShare(now time.Time, slotShare float64) {
+	g.slotShare = slotShare
 	for _, p := range g.pools {
-		p.setCapacity(now, p.capacity, part)
+		p.setCapacity(now, p.capacity, slotShare)
 		g.dispatch(now, p)
 	}
 }
 
-// expire ends a table that is too old (A3).
-func (g *gate) expire(now time.Time) {
+// expireTable drops a table that is too old (A3).
+func (g *gate) expireTable(now time.Time) {
 	if g.tableAt.IsZero() || now.Sub(g.tableAt) <= ShareBound {
 		return
 	}
 	g.tableAt = time.Time{}
-	g.useEqual(now)
+	g.useEqualShares(now)
 }
 
-// setCapacity takes the capacity of all models; models that are left out have
-// none.
+// setCapacity sets the capacity of all models; models that are missing have none.
 func (g *gate) setCapacity(now time.Time, capacities []garnetworks.ModelCapacity) {
 	for name, p := range g.pools {
-		p.setCapacity(now, capacityOf(name, capacities), g.slots)
+		p.setCapacity(now, capacityOf(name, capacities), g.slotShare)
 		g.dispatch(now, p)
 	}
 }
@@ -176,20 +175,20 @@
 	return sum
 }
 
-// arrive decides on a call: it is let in, waits, or is refused.
+// arrive decides on a new call: it is admitted, queued or refused.
 func (g *gate) arrive(now time.Time, request garnetworks.AdmitRequest) *waiter {
-	g.expire(now)
+	g.expireTable(now)
 	w := &waiter{request: request}
 	if err := g.admissible(now, w); err != nil {
 		return g.refuse(w, err)
 	}
-	w.workspace.enter(now, request.Tokens)
+	w.workspace.charge(now, request.Tokens)
 	if w.pool == nil {
 		w.state = admitted
 		g.counts.Admitted++
 		return w
 	}
-	g.place(now, w)
+	g.schedule(now, w)
 	return w
 }
 
@@ -200,14 +199,14 @@
 	}
 	r := &w.request
 	if !r.FirstTokenBy.IsZero() && !now.Before(r.FirstTokenBy) {
-		return g.late(shortestOverload)
+		return g.lateError(minOverloadRetry)
 	}
 	w.workspace = g.workspaces[r.Workspace]
 	if w.workspace == nil {
 		return garnetworks.Errorf(garnetworks.KindForbidden, "workspace %s is not in the manifest", r.Workspace)
 	}
-	w.workspace.askedRequests.add(now, 1)
-	w.workspace.askedTokens.add(now, float64(r.Tokens))
+	w.workspace.requestRate.add(now, 1)
+	w.workspace.tokenRate.add(now, float64(r.Tokens))
 	if r.Model != anyModel || r.Tokens > 0 {
 		w.pool = g.pools[r.Model]
 		if w.pool == nil {
@@ -215,39 +214,39 @@
 		}
 	}
 	if wait := w.workspace.refusal(now, r.Tokens); wait > 0 {
-		return g.retry(garnetworks.KindOverLimit, wait, "workspace %s is over its limit at this node", r.Workspace)
+		return g.retryError(garnetworks.KindOverLimit, wait, "workspace %s is over its limit at this node", r.Workspace)
 	}
 	return nil
 }
 
-// place gives the call a slot or a place in the queue, or refuses it.
-func (g *gate) place(now time.Time, w *waiter) {
+// schedule gives the call a slot, queues it or refuses it.
+func (g *gate) schedule(now time.Time, w *waiter) {
 	p := w.pool
 	w.class = p.class(w.request.Priority)
 	w.flow = w.class.flow(w.request.Workspace)
 	w.class.tag(w)
-	w.class.asked.add(now, 1)
-	w.flow.asked.add(now, 1)
-	if p.first(w.class) && p.free(now, w) {
-		w.class.virtual = max(w.class.virtual, w.start)
-		p.enter(now, w)
+	w.class.arrivals.add(now, 1)
+	w.flow.arrivals.add(now, 1)
+	if p.noneAhead(w.class) && p.slotAvailable(now, w) {
+		w.class.virtualTime = max(w.class.virtualTime, w.start)
+		p.acquire(now, w)
 		w.state = admitted
 		g.counts.Admitted++
 		return
 	}
-	p.short = true
+	p.saturated = true
 	wait := p.wait(now, w.class, p.ahead(w))
-	if p.late(now, w, wait) {
-		g.reject(now, w, g.late(wait))
+	if p.missesDeadline(now, w, wait) {
+		g.reject(now, w, g.lateError(wait))
 		return
 	}
 	if p.waiting >= g.options.MaxWaiting {
 		v := p.victim(w)
 		if v == nil {
-			g.reject(now, w, g.full(wait))
+			g.reject(now, w, g.fullError(wait))
 			return
 		}
-		g.shed(now, v, g.full(p.wait(now, v.class, p.ahead(v))))
+		g.shed(now, v, g.fullError(p.wait(now, v.class, p.ahead(v))))
 	}
 	w.decided = make(chan struct{})
 	w.class.push(w)
@@ -255,27 +254,26 @@
 	g.review(now, p, true)
 }
 
-func (g *gate) late(wait time.Duration) error {
-	return g.retry(garnetworks.KindDeadlineUnreachable, max(wait, shortestOverload), "the first token can't come in time")
+func (g *gate) lateError(wait time.Duration) error {
+	return g.retryError(garnetworks.KindDeadlineUnreachable, max(wait, minOverloadRetry), "the first token can't come in time")
 }
 
-func (g *gate) full(wait time.Duration) error {
-	return g.retry(garnetworks.KindOverloaded, max(wait, shortestOverload), "the queue is full")
+func (g *gate) fullError(wait time.Duration) error {
+	return g.retryError(garnetworks.KindOverloaded, max(wait, minOverloadRetry), "the queue is full")
 }
 
-// retry makes a refusal with the time after which to come back, a little later
-// for some callers than for others: those refused in the same moment would else
-// all come back in the same moment.
-func (g *gate) retry(kind garnetworks.Kind, after time.Duration, format string, args ...any) error {
+// retryError returns a refusal with the time after which to retry. The time varies
+// between callers, so that those refused at the same moment don't all retry at once.
+func (g *gate) retryError(kind garnetworks.Kind, after time.Duration, format string, args ...any) error {
 	err := garnetworks.Errorf(kind, format, args...).(*garnetworks.Error)
-	after = min(max(after, shortestRetry), longestRetry)
+	after = min(max(after, minRetryAfter), maxRetryAfter)
 	g.refusals++
-	part := float64(g.refusals*retryStride%retryParts) / retryParts
-	err.RetryAfter = after + time.Duration(retrySpread*part*float64(after))
+	step := float64(g.refusals*jitterStride%jitterSteps) / jitterSteps
+	err.RetryAfter = after + time.Duration(retryJitter*step*float64(after))
 	return err
 }
 
-// refuse ends a call that was charged nothing.
+// refuse refuses a call that was not charged.
 func (g *gate) refuse(w *waiter, err error) *waiter {
 	w.state = refused
 	w.err = err
@@ -283,18 +281,18 @@
 	return w
 }
 
-// reject ends a tagged call that was never queued.
+// reject refuses a tagged call that was not queued.
 func (g *gate) reject(now time.Time, w *waiter, err error) {
 	w.flow.finish -= w.cost()
-	w.workspace.undo(now, w.request.Tokens)
+	w.workspace.refund(now, w.request.Tokens)
 	g.refuse(w, err)
 }
 
-// shed ends a waiting call with an error (A10).
+// shed refuses a queued call (A10).
 func (g *gate) shed(now time.Time, w *waiter, err error) {
 	w.class.remove(w)
 	w.pool.waiting--
-	w.workspace.undo(now, w.request.Tokens)
+	w.workspace.refund(now, w.request.Tokens)
 	g.refuse(w, err)
 	g.decided = append(g.decided, w)
 }
@@ -312,28 +310,28 @@
 	}
 }
 
-// dispatch fills free slots (A7).
+// dispatch gives free slots to waiting calls (A7).
 func (g *gate) dispatch(now time.Time, p *pool) {
 	for p.waiting > 0 {
 		w := p.next()
-		if !p.free(now, w) {
+		if !p.slotAvailable(now, w) {
 			return
 		}
-		if p.late(now, w, 0) {
-			g.shed(now, w, g.late(p.wait(now, w.class, 0)))
+		if p.missesDeadline(now, w, 0) {
+			g.shed(now, w, g.lateError(p.wait(now, w.class, 0)))
 			continue
 		}
-		w.class.serve(w)
+		w.class.dequeue(w)
 		p.waiting--
-		p.enter(now, w)
+		p.acquire(now, w)
 		w.state = admitted
 		g.counts.Admitted++
 		g.decided = append(g.decided, w)
 	}
 }
 
-// review refuses the waiting calls that can't make it any more (A9): calls of
-// higher priority came in before them, or slots come free more slowly.
+// review refuses the waiting calls that can no longer meet their deadline (A9): calls
+// of higher priority came in ahead of them, or slots are released more slowly.
 func (g *gate) review(now time.Time, p *pool, force bool) {
 	if p.waiting == 0 || !force && now.Sub(p.reviewed) < reviewInterval {
 		return
@@ -342,33 +340,32 @@
 	ahead := 0
 	for _, w := range p.ordered() {
 		wait := p.wait(now, w.class, ahead)
-		if p.late(now, w, wait) {
-			g.shed(now, w, g.late(wait))
+		if p.missesDeadline(now, w, wait) {
+			g.shed(now, w, g.lateError(wait))
 			continue
 		}
 		ahead++
 	}
 }
 
-// look serves and reviews a waiting call's queue. Room that was left for others
-// falls to the waiting calls with time, without any call that ends.
-func (g *gate) look(now time.Time, w *waiter) {
-	g.expire(now)
+// poll dispatches and reviews a waiting call's queue. Slots reserved for other calls
+// become available to waiting ones over time, without any call ending.
+func (g *gate) poll(now time.Time, w *waiter) {
+	g.expireTable(now)
 	if w.state == waiting {
 		g.dispatch(now, w.pool)
 		g.review(now, w.pool, false)
 	}
 }
 
-// cancel ends a call whose caller has gone. It returns false if the call has a
-// verdict already.
+// cancel cancels a waiting call. It returns false if the call was decided already.
 func (g *gate) cancel(now time.Time, w *waiter) bool {
 	if w.state != waiting {
 		return false
 	}
 	w.class.remove(w)
 	w.pool.waiting--
-	w.workspace.undo(now, w.request.Tokens)
+	w.workspace.refund(now, w.request.Tokens)
 	g.refuse(w, garnetworks.Errorf(garnetworks.KindCancelled, "the caller cancelled the call while it waited"))
 	return true
 }
@@ -379,18 +376,18 @@
 		return
 	}
 	w.state = finished
-	w.workspace.leave(now, w.request.Tokens, tokens)
+	w.workspace.finish(now, w.request.Tokens, tokens)
 	if w.pool == nil {
 		return
 	}
-	w.pool.leave(now, w)
+	w.pool.release(now, w)
 	g.dispatch(now, w.pool)
 	g.review(now, w.pool, false)
 }
 
-// demands returns the node's demand, sorted by workspace. Workspaces without
-// demand are left out but for the first: a node that reported nothing would
-// count as silent, and its equal share be kept from those that need it (A3).
+// demands returns the node's demand, sorted by workspace. Workspaces without demand
+// are omitted except for the first: a node that reported nothing would count as
+// unresponsive, and its equal share would be reserved for it (A3).
 func (g *gate) demands(now time.Time) []garnetworks.Demand {
 	all := make([]garnetworks.Demand, 0, len(g.workspaces))
 	for _, w := range g.workspaces {
@@ -399,12 +396,13 @@
 	slices.SortFunc(all, func(a, b garnetworks.Demand) int { return cmp.Compare(a.Workspace, b.Workspace) })
 	kept := all[:0]
 	for i, d := range all {
-		if i == 0 || d.InFlight > 0 || d.RequestsPerSecond > leastDemand {
+		if i == 0 || d.InFlight > 0 || d.RequestsPerSecond > minReportedRate {
 			kept = append(kept, d)
 		}
 	}
 	return kept
 }
 
-// leastDemand is the rate below which a workspace is not reported.
-const leastDemand = 0.001
+// minReportedRate is the rate, in requests per second, below which a workspace is not
+// reported.
+const minReportedRate = 0.001
--- a/admitter/overload_test.go
+++ b/admitter/overload_test.go
@@ -13,7 +13,7 @@
 
 var testStart = time.Unix(1_800_000_000, 0)
 
-// The stand-in engines batch loadSlots calls, and prefill one after another.
+// The simulated engines batch loadSlots calls, and prefill one after another.
 const (
 	loadGroups  = 18
 	loadSlots   = 64
@@ -22,27 +22,27 @@
 	loadQueue   = 256
 	loadWarmUp  = 40 * time.Second
 	loadLength  = 100 * time.Second
-	// loadGoal is the users' goal for the first token.
-	loadGoal = 840 * time.Millisecond
-	// loadFull is the calls a second at which the engines are full: prefill
-	// allows 16.7 for each group, slots about 12 at 150 tokens a call.
-	loadFull = 12.0 * loadGroups
+	// loadDeadline is the users' deadline for the first token.
+	loadDeadline = 840 * time.Millisecond
+	// loadCapacity is the number of calls per second that saturates the engines:
+	// prefill allows 16.7 for each group, slots about 12 at 150 tokens a call.
+	loadCapacity = 12.0 * loadGroups
 )
 
-// loadWorkspace is a workspace's part of the offered calls.
+// loadWorkspace is a workspace's fraction of the offered calls.
 type loadWorkspace struct {
 	spec garnetworks.WorkspaceSpec
-	// part is the offered load as a part of the full rate; burst multiplies it
-	// by the run's load, the others' stay as they are.
-	part  float64
-	burst bool
+	// fraction is the offered load as a fraction of loadCapacity; burst scales it by
+	// the run's load, the others stay constant.
+	fraction float64
+	burst    bool
 }
 
 var loadWorkspaces = []loadWorkspace{
-	{spec: garnetworks.WorkspaceSpec{Name: "top", Priority: 10}, part: 0.2},
-	{spec: garnetworks.WorkspaceSpec{Name: "small", Priority: 5}, part: 0.05},
-	{spec: garnetworks.WorkspaceSpec{Name: "large", Priority: 5}, part: 0.5, burst: true},
-	{spec: garnetworks.WorkspaceSpec{Name: "batch", Priority: 1}, part: 0.25, burst: true},
+	{spec: garnetworks.WorkspaceSpec{Name: "top", Priority: 10}, fraction: 0.2},
+	{spec: garnetworks.WorkspaceSpec{Name: "small", Priority: 5}, fraction: 0.05},
+	{spec: garnetworks.WorkspaceSpec{Name: "large", Priority: 5}, fraction: 0.5, burst: true},
+	{spec: garnetworks.WorkspaceSpec{Name: "batch", Priority: 1}, fraction: 0.25, burst: true},
 }
 
 type loadCall struct {
@@ -55,8 +55,8 @@
 	started   time.Time
 	first     time.Time
 	output    int
-	// backs counts how often the caller came back.
-	backs int
+	// retries counts how often the caller has retried.
+	retries int
 }
 
 type loadEngine struct {
@@ -85,9 +85,8 @@
 	waiters  map[*waiter]*loadCall
 	queued   int
 	manifest *garnetworks.Manifest
-	// comeBack lets refused callers send the call again when they are told to, at
-	// most so many times.
-	comeBack int
+	// maxRetries is how often callers retry a refused call after its RetryAfter.
+	maxRetries int
 }
 
 type loadEvent struct {
@@ -122,8 +121,8 @@
 	return (&loadRun{load: load, admit: admit}).run(nodes, nodes)
 }
 
-// run runs the load at some nodes of those on the rosters; the others can reach
-// neither them nor the engines.
+// run simulates the load at some of the nodes on the rosters; the others can reach
+// neither these nodes nor the engines.
 func (r *loadRun) run(nodes, known int) []loadCount {
 	r.now = testStart
 	r.random = rand.New(rand.NewPCG(3, 3))
@@ -145,8 +144,8 @@
 		r.routers = append(r.routers, router.New(router.Options{Node: id, Zone: "z1"}))
 	}
 	r.report()
-	r.upkeep()
-	r.look()
+	r.updateCapacity()
+	r.poll()
 	for i := range loadWorkspaces {
 		r.at(r.now, func() { r.arrive(i) })
 	}
@@ -158,9 +157,9 @@
 	return r.counts
 }
 
-func (r *loadRun) over() bool { return r.now.Sub(testStart) > loadLength }
+func (r *loadRun) finished() bool { return r.now.Sub(testStart) > loadLength }
 
-// report hands all nodes the engines' loads, one second old.
+// report sends the engines' loads to all nodes once a second.
 func (r *loadRun) report() {
 	view := garnetworks.ZoneView{Zone: "z1"}
 	for i, e := range r.engines {
@@ -172,7 +171,7 @@
 	for _, n := range r.routers {
 		n.SetView(r.now, view)
 	}
-	if !r.over() {
+	if !r.finished() {
 		r.at(r.now.Add(time.Second), r.report)
 	}
 }
@@ -183,49 +182,49 @@
 	return garnetworks.EngineLoad{Running: e.running, Waiting: len(e.waiting), Capacity: loadSlots, At: now}
 }
 
-func (r *loadRun) upkeep() {
+func (r *loadRun) updateCapacity() {
 	for i, g := range r.gates {
 		g.setCapacity(r.now, r.routers[i].Capacities(r.now))
-		r.verdicts(i)
+		r.applyDecisions(i)
 	}
-	if !r.over() {
-		r.at(r.now.Add(time.Second), r.upkeep)
+	if !r.finished() {
+		r.at(r.now.Add(time.Second), r.updateCapacity)
 	}
 }
 
-// look does what each waiting call does in the adapter.
-func (r *loadRun) look() {
+// poll does what the adapter does for each waiting call.
+func (r *loadRun) poll() {
 	for i, g := range r.gates {
 		for _, p := range g.pools {
 			g.dispatch(r.now, p)
 			g.review(r.now, p, false)
 		}
-		r.verdicts(i)
+		r.applyDecisions(i)
 	}
-	if !r.over() {
-		r.at(r.now.Add(reviewInterval), r.look)
+	if !r.finished() {
+		r.at(r.now.Add(reviewInterval), r.poll)
 	}
 }
 
 func (r *loadRun) arrive(workspace int) {
 	w := loadWorkspaces[workspace]
-	rate := w.part * loadFull
+	rate := w.fraction * loadCapacity
 	if w.burst {
-		// Steady workspaces keep their parts; the others make up the load.
-		rate = (r.load - 0.25) * w.part / 0.75 * loadFull
+		// Steady workspaces keep their fractions; the others make up the load.
+		rate = (r.load - 0.25) * w.fraction / 0.75 * loadCapacity
 	}
-	if r.over() {
+	if r.finished() {
 		return
 	}
 	r.at(r.now.Add(time.Duration(r.random.ExpFloat64()/rate*float64(time.Second))), func() { r.arrive(workspace) })
 	r.send(workspace, 0)
 }
 
-// send brings a call to a random node.
-func (r *loadRun) send(workspace, backs int) {
+// send sends a call to a random node.
+func (r *loadRun) send(workspace, retries int) {
 	w := loadWorkspaces[workspace]
 	node := r.random.IntN(len(r.gates))
-	c := &loadCall{workspace: workspace, node: node, backs: backs, arrived: r.now, output: 50 + r.random.IntN(200)}
+	c := &loadCall{workspace: workspace, node: node, retries: retries, arrived: r.now, output: 50 + r.random.IntN(200)}
 	c.request = garnetworks.CallRequest{Workspace: w.spec.Name, Model: "m", Priority: w.spec.Priority}
 	if r.counted(c) {
 		r.counts[workspace].offered++
@@ -236,7 +235,7 @@
 	}
 	c.waiter = r.gates[node].arrive(r.now, garnetworks.AdmitRequest{
 		Workspace: w.spec.Name, Model: "m", Priority: w.spec.Priority, Tokens: 1000,
-		Received: r.now, FirstTokenBy: r.now.Add(loadGoal),
+		Received: r.now, FirstTokenBy: r.now.Add(loadDeadline),
 	})
 	switch c.waiter.state {
 	case admitted:
@@ -247,7 +246,7 @@
 		r.waiters[c.waiter] = c
 		r.queued++
 	}
-	r.verdicts(node)
+	r.applyDecisions(node)
 }
 
 func (r *loadRun) counted(c *loadCall) bool {
@@ -255,9 +254,9 @@
 }
 
 func (r *loadRun) refused(c *loadCall) {
-	if c.waiter != nil && c.backs < r.comeBack && !r.over() {
+	if c.waiter != nil && c.retries < r.maxRetries && !r.finished() {
 		after := c.waiter.err.(*garnetworks.Error).RetryAfter
-		r.at(r.now.Add(after), func() { r.send(c.workspace, c.backs+1) })
+		r.at(r.now.Add(after), func() { r.send(c.workspace, c.retries+1) })
 	}
 	if r.counted(c) {
 		r.counts[c.workspace].refused++
@@ -265,8 +264,8 @@
 	}
 }
 
-// verdicts carries out what a gate has decided on waiting calls.
-func (r *loadRun) verdicts(node int) {
+// applyDecisions applies a gate's decisions on waiting calls.
+func (r *loadRun) applyDecisions(node int) {
 	g := r.gates[node]
 	decided := g.decided
 	g.decided = nil
@@ -316,7 +315,7 @@
 	c.first = e.prefillFree.Add(loadStep)
 	r.at(c.first, func() {
 		if r.counted(c) {
-			if c.first.Sub(c.arrived) <= loadGoal {
+			if c.first.Sub(c.arrived) <= loadDeadline {
 				r.counts[c.workspace].good++
 			} else {
 				r.counts[c.workspace].late++
@@ -331,7 +330,7 @@
 	})
 }
 
-// serveEngine begins the waiting call of the highest priority.
+// serveEngine starts the waiting call of the highest priority.
 func (r *loadRun) serveEngine(e *loadEngine) {
 	if len(e.waiting) == 0 {
 		return
@@ -357,21 +356,21 @@
 	r.routers[node].AttemptFinished(r.now, &c.request, groupID(c.group), result)
 	if c.waiter != nil {
 		r.gates[node].done(r.now, c.waiter, 1000)
-		r.verdicts(node)
+		r.applyDecisions(node)
 	}
 }
 
-// goodput returns the part of the full rate that got its first token in time.
+// goodput returns the fraction of loadCapacity that got its first token in time.
 func goodput(counts []loadCount) float64 {
 	good := 0
 	for _, c := range counts {
 		good += c.good
 	}
-	return float64(good) / ((loadLength - loadWarmUp - 10*time.Second).Seconds() * loadFull)
+	return float64(good) / ((loadLength - loadWarmUp - 10*time.Second).Seconds() * loadCapacity)
 }
 
 func logLoad(t *testing.T, load float64, admit bool, counts []loadCount) {
-	t.Logf("load %.2f, admission %v: goodput %.3f of the full rate", load, admit, goodput(counts))
+	t.Logf("load %.2f, admission %v: goodput %.3f of the capacity", load, admit, goodput(counts))
 	for i, c := range counts {
 		t.Logf("    %-6s offered %5d  in time %5.1f%%  late %5.1f%%  refused %5.1f%%  longest wait of a refused call %v",
 			loadWorkspaces[i].spec.Name, c.offered, percent(c.good, c.offered), percent(c.late, c.offered),
@@ -382,12 +381,10 @@
 func percent(n, of int) float64 { return 100 * float64(n) / float64(max(1, of)) }
 
 func TestOverload(t *testing.T) {
-	// Before a publication twice as many calls come in as the engines take.
-	// Without admission every call waits in the engines until it is too late;
-	// with it, calls of the lowest priority are refused at once, and a large
-	// workspace does not push a small one of the same priority aside.
+	// At twice the capacity, admission keeps goodput near its peak, protects the highest
+	// priority, and keeps a large workspace from starving a small one.
 	if testing.Short() {
-		t.Skip("a measurement")
+		t.Skip("a load simulation")
 	}
 	for _, nodes := range []int{6, 40} {
 		t.Run(fmt.Sprintf("nodes=%d", nodes), func(t *testing.T) {
@@ -418,57 +415,54 @@
 	}
 }
 
-func TestCutOffZoneServesItsEngines(t *testing.T) {
-	// A zone is cut off with a third of the nodes. Each goes on with its equal
-	// share of the slots, counted over all nodes, although the others can't reach
-	// the zone's engines; callers in the zone were refused beside idle engines.
+func TestPartitionedZoneUsesItsEngines(t *testing.T) {
+	// The nodes of a partitioned zone must grow beyond their equal share of the slots:
+	// no other node can use the zone's engines.
 	if testing.Short() {
-		t.Skip("a measurement")
+		t.Skip("a load simulation")
 	}
 	counts := (&loadRun{load: 1, admit: true}).run(2, 6)
 	logLoad(t, 1, true, counts)
 	if got := goodput(counts); got < 0.85 {
-		t.Errorf("got goodput %.3f, want 0.85 of the full rate", got)
+		t.Errorf("got goodput %.3f, want 0.85 of the capacity", got)
 	}
 }
 
-func TestReunionDoesNotFloodEngines(t *testing.T) {
-	// A cut-off zone's node has grown to three times its part of the slots. The
-	// cut ends, and it sees all groups again. If its limit grew threefold with
-	// them, it would fill the engines of the other zones in a moment.
+func TestHealedPartitionDoesNotOverloadEngines(t *testing.T) {
+	// A node that grew its limit while partitioned must not multiply it when it sees all
+	// groups again: that would overload the engines of the other zones.
 	now := testStart
 	g := newGate(Options{Node: "n1"})
 	g.setNodes(now, 6)
 	g.setManifest(now, &garnetworks.Manifest{Models: []garnetworks.ModelSpec{{Name: "m"}}})
 	p := g.pools["m"]
-	set := func(slots int, use float64) {
+	set := func(slots int, utilization float64) {
 		now = now.Add(time.Second)
-		p.short = true
-		g.setCapacity(now, []garnetworks.ModelCapacity{{Model: "m", Slots: slots, InUse: use * float64(slots)}})
+		p.saturated = true
+		g.setCapacity(now, []garnetworks.ModelCapacity{{Model: "m", Slots: slots, InUse: utilization * float64(slots)}})
 	}
 	for range 60 {
 		set(400, 0.4)
 	}
 	if p.limit < 200 {
-		t.Fatalf("got limit %.0f while cut off beside idle engines, want 200 at least", p.limit)
+		t.Fatalf("got limit %.0f while partitioned with idle engines, want 200 at least", p.limit)
 	}
 	before := p.limit
 	set(1200, 0.98)
 	if p.limit > before {
-		t.Errorf("got limit %.0f after the cut, want %.0f at most", p.limit, before)
+		t.Errorf("got limit %.0f after the partition, want %.0f at most", p.limit, before)
 	}
 }
 
-func TestCallersThatComeBack(t *testing.T) {
-	// Refused callers send their calls again when they are told to, up to three
-	// times. At one and a half times the full rate that makes up to three times the
-	// calls; it must not take slots from calls that are served.
+func TestRetryingCallers(t *testing.T) {
+	// Callers that retry as told multiply the offered calls; that must not take slots from
+	// calls that are served.
 	if testing.Short() {
-		t.Skip("a measurement")
+		t.Skip("a load simulation")
 	}
 	once := (&loadRun{load: 1.5, admit: true}).run(6, 6)
 	logLoad(t, 1.5, true, once)
-	again := (&loadRun{load: 1.5, admit: true, comeBack: 3}).run(6, 6)
+	again := (&loadRun{load: 1.5, admit: true, maxRetries: 3}).run(6, 6)
 	logLoad(t, 1.5, true, again)
 	if goodput(again) < 0.95*goodput(once) {
 		t.Errorf("got goodput %.3f, want 95%% of %.3f", goodput(again), goodput(once))
--- a/admitter/queue.go
+++ b/admitter/queue.go
@@ -7,7 +7,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// waiter is a call that waits or has its verdict.
+// waiter is a call that waits or has been decided.
 type waiter struct {
 	request   garnetworks.AdmitRequest
 	workspace *workspace
@@ -16,12 +16,12 @@
 	flow      *flow
 	// start is the call's start tag in fair queueing (A7).
 	start float64
-	// entered is when the call was let in.
-	entered time.Time
-	state   waitState
-	// err is the verdict of a refused call.
+	// startedAt is when the call was given its slot.
+	startedAt time.Time
+	state     waitState
+	// err is the error of a refused call.
 	err error
-	// decided is closed with the verdict; nil for calls that never waited.
+	// decided is closed with the decision; nil for calls that never waited.
 	decided chan struct{}
 }
 
@@ -39,38 +39,38 @@
 
 // flow is one workspace's queue within a class.
 type flow struct {
-	// finish is the finish tag of the last call that was queued or let in.
+	// finish is the finish tag of the last call that was queued or admitted.
 	finish  float64
 	queue   []*waiter
 	running int
-	// asked measures the calls that asked for a slot.
-	asked meter
+	// arrivals measures the calls that asked for a slot.
+	arrivals meter
 }
 
 // class holds the calls of one priority.
 type class struct {
 	priority int
-	// virtual is the start tag of the last call let in; it never decreases.
-	virtual float64
-	flows   map[garnetworks.WorkspaceName]*flow
-	waiting int
-	running int
-	// asked measures the calls that asked for a slot.
-	asked meter
+	// virtualTime is the start tag of the last call admitted; it never decreases.
+	virtualTime float64
+	flows       map[garnetworks.WorkspaceName]*flow
+	waiting     int
+	running     int
+	// arrivals measures the calls that asked for a slot.
+	arrivals meter
 }
 
 func (c *class) flow(name garnetworks.WorkspaceName) *flow {
 	f := c.flows[name]
 	if f == nil {
-		f = &flow{asked: meter{window: classWindow}}
+		f = &flow{arrivals: meter{window: classWindow}}
 		c.flows[name] = f
 	}
 	return f
 }
 
-// mean returns the calls that the workspace would have in flight if all that
-// it asks for were let in.
-func (f *flow) mean(now time.Time, hold float64) float64 { return f.asked.rate(now) * hold }
+// mean returns the expected number of the workspace's calls in flight if all of its
+// calls were admitted.
+func (f *flow) mean(now time.Time, slotTime float64) float64 { return f.arrivals.rate(now) * slotTime }
 
 // active returns the number of workspaces that have calls waiting or running.
 func (c *class) active() int {
@@ -83,9 +83,9 @@
 	return n
 }
 
-// tag gives a call its tags, as the last of its flow.
+// tag assigns start and finish tags to a call, as the last of its flow.
 func (c *class) tag(w *waiter) {
-	w.start = max(c.virtual, w.flow.finish)
+	w.start = max(c.virtualTime, w.flow.finish)
 	w.flow.finish = w.start + w.cost()
 }
 
@@ -95,34 +95,34 @@
 	c.waiting++
 }
 
-// first returns the call to be served next, or nil. Equal tags are ordered by
-// name, so that the same calls are served in the same order each time.
-func (c *class) first() *waiter {
+// head returns the call to be served next, or nil. Equal tags are ordered by workspace
+// name, so that the order is deterministic.
+func (c *class) head() *waiter {
 	var best *waiter
 	for _, f := range c.flows {
-		if len(f.queue) > 0 && (best == nil || before(f.queue[0], best)) {
+		if len(f.queue) > 0 && (best == nil || servedBefore(f.queue[0], best)) {
 			best = f.queue[0]
 		}
 	}
 	return best
 }
 
-func before(a, b *waiter) bool {
+func servedBefore(a, b *waiter) bool {
 	if a.start != b.start {
 		return a.start < b.start
 	}
 	return a.request.Workspace < b.request.Workspace
 }
 
-// serve takes a call that is first in its flow out and moves virtual time on.
-func (c *class) serve(w *waiter) {
+// dequeue removes a call that is first in its flow and advances virtual time.
+func (c *class) dequeue(w *waiter) {
 	w.flow.queue = w.flow.queue[1:]
 	c.waiting--
-	c.virtual = max(c.virtual, w.start)
+	c.virtualTime = max(c.virtualTime, w.start)
 }
 
-// remove takes a call out that will not be served, and moves those behind it
-// forward, as if it had never come (A10).
+// remove removes a call that will not be served, and moves the later calls of its flow
+// forward, as if it had never arrived (A10).
 func (c *class) remove(w *waiter) {
 	f := w.flow
 	i := slices.Index(f.queue, w)
@@ -132,13 +132,13 @@
 	f.queue = slices.Delete(f.queue, i, i+1)
 	c.waiting--
 	for _, later := range f.queue[i:] {
-		later.start = max(c.virtual, later.start-w.cost())
+		later.start = max(c.virtualTime, later.start-w.cost())
 	}
 	f.finish -= w.cost()
 }
 
-// longest returns the last call of the flow that holds the most calls, or nil.
-func (c *class) longest() *waiter {
+// evictionCandidate returns the last call of the longest flow, or nil.
+func (c *class) evictionCandidate() *waiter {
 	var best *flow
 	for _, f := range c.flows {
 		if len(f.queue) == 0 {
--- a/quarantiner/asker_test.go
+++ b/quarantiner/asker_test.go
@@ -10,87 +10,85 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// world answers questions about lives.
-type world struct {
+// fakeProber answers probes with preset states.
+type fakeProber struct {
 	mu     sync.Mutex
 	states map[garnetworks.Incarnation]garnetworks.CrashState
-	asked  int
+	probes int
 }
 
-func (w *world) prove(_ context.Context, l garnetworks.Incarnation, _ bool) garnetworks.CrashState {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.asked++
-	return w.states[l]
+func (p *fakeProber) probe(_ context.Context, id garnetworks.Incarnation, _ bool) garnetworks.CrashState {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.probes++
+	return p.states[id]
 }
 
-// count returns the number of questions so far.
-func (w *world) count() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.asked
+// count returns the number of probes so far.
+func (p *fakeProber) count() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.probes
 }
 
-func (w *world) set(state garnetworks.CrashState, lives ...int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, n := range lives {
-		w.states[life(n)] = state
+func (p *fakeProber) set(state garnetworks.CrashState, incarnations ...int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, n := range incarnations {
+		p.states[incarnation(n)] = state
 	}
 }
 
-// Story: a call ends two servers, and their zone is cut off before anybody has asked after
-// them; a third one ends elsewhere. Or a sound call breaks off at three servers when their
-// zone is cut off, and all of them are replaced as planned minutes later. What is found out
-// soon after a cut counts, and what comes later does not.
-func TestEndsFoundOutAfterACut(t *testing.T) {
+// Only crashes that are found within probeWindow of the interruption count; otherwise a
+// planned restart after a partition would be attributed to the calls it interrupted.
+func TestCrashesFoundAfterPartition(t *testing.T) {
 	cases := map[string]struct {
-		play func(q *Quarantiner, w *world)
+		run  func(q *Quarantiner, p *fakeProber)
 		want bool
 	}{
-		"two ends fall into a cut": {func(q *Quarantiner, w *world) {
-			q.ReportInterrupted("x", life(1))
-			q.ReportInterrupted("x", life(2))
+		"two crashes are found late, within the window": {func(q *Quarantiner, p *fakeProber) {
+			q.ReportInterrupted("x", incarnation(1))
+			q.ReportInterrupted("x", incarnation(2))
 			time.Sleep(8 * time.Second)
-			w.set(garnetworks.CrashProven, 1, 2)
-			time.Sleep(2 * longestAgain)
-			w.set(garnetworks.CrashConnectionRefused, 3)
-			q.ReportInterrupted("x", life(3))
+			p.set(garnetworks.CrashProven, 1, 2)
+			time.Sleep(2 * probeBackoffMax)
+			p.set(garnetworks.CrashConnectionRefused, 3)
+			q.ReportInterrupted("x", incarnation(3))
 		}, true},
-		"servers that were cut off are replaced later": {func(q *Quarantiner, w *world) {
+		"partitioned servers are replaced after the window": {func(q *Quarantiner, p *fakeProber) {
 			for n := range 3 {
-				q.ReportInterrupted("x", life(n))
+				q.ReportInterrupted("x", incarnation(n))
 			}
-			time.Sleep(longestDoubt + time.Second)
-			w.set(garnetworks.CrashProven, 0, 1, 2)
+			time.Sleep(probeWindow + time.Second)
+			p.set(garnetworks.CrashProven, 0, 1, 2)
 		}, false},
-		"refused by a part of a zone that is cut off, and back": {func(q *Quarantiner, w *world) {
-			w.set(garnetworks.CrashConnectionRefused, 0, 1, 2)
+		"connections refused during a partition, then answered": {func(q *Quarantiner, p *fakeProber) {
+			p.set(garnetworks.CrashConnectionRefused, 0, 1, 2)
 			for n := range 3 {
-				q.ReportInterrupted("x", life(n))
+				q.ReportInterrupted("x", incarnation(n))
 			}
-			time.Sleep(2 * longestDoubt)
-			w.set(garnetworks.CrashRefuted, 0)
+			time.Sleep(2 * probeWindow)
+			p.set(garnetworks.CrashRefuted, 0)
 		}, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := &world{states: make(map[garnetworks.Incarnation]garnetworks.CrashState)}
-				q := New(Options{Prove: w.prove})
+				p := &fakeProber{states: make(map[garnetworks.Incarnation]garnetworks.CrashState)}
+				q := New(Options{Probe: p.probe})
 				ctx, stop := context.WithCancel(t.Context())
 				defer synctest.Wait()
 				defer stop()
-				go q.ask(ctx)
-				c.play(q, w)
-				time.Sleep(2 * longestAgain)
-				if got := q.holds("x"); got != c.want {
-					t.Errorf("held: %t", got)
+				go q.runProbes(ctx)
+				c.run(q, p)
+				time.Sleep(2 * probeBackoffMax)
+				if got := q.isQuarantined("x"); got != c.want {
+					t.Errorf("quarantined = %t", got)
 				}
-				before := w.count()
+				before := p.count()
 				time.Sleep(time.Minute)
-				if more := w.count() - before; more > 3*int(time.Minute/longestAgain) {
-					t.Errorf("%d questions in a minute", more)
+				if more := p.count() - before; more > 3*int(time.Minute/probeBackoffMax) {
+					t.Errorf("%d probes in a minute", more)
 				}
 			})
 		})
--- a/quarantiner/blamer_test.go
+++ b/quarantiner/blamer_test.go
@@ -19,8 +19,8 @@
 	os.Exit(m.Run())
 }
 
-// ends returns the lives of the named engines, in order.
-func ends(names string) []garnetworks.Incarnation {
+// crashes returns the incarnations of the named engines, sorted.
+func crashes(names string) []garnetworks.Incarnation {
 	var list []garnetworks.Incarnation
 	for _, n := range names {
 		list = append(list, garnetworks.Incarnation{Instance: garnetworks.InstanceID(n)})
@@ -29,65 +29,63 @@
 	return list
 }
 
-// Story: an engine ends, and all its calls with it, the one that ended it and the sound
-// ones beside it. Sound calls that went on at the same engines as that one, also twice or
-// three times, were refused with it and got no answer.
-func TestOnlyWhatExplainsTheEndsIsHeld(t *testing.T) {
+// A crash interrupts all calls of the engine. Harmless calls that shared engines with the
+// culprit two or three times must not be quarantined with it.
+func TestFindCulprits(t *testing.T) {
 	cases := map[string]struct {
-		ends map[garnetworks.ContentDigest]string
-		want []garnetworks.ContentDigest
+		crashes map[garnetworks.ContentDigest]string
+		want    []garnetworks.ContentDigest
 	}{
-		"two ends are nobody's": {map[garnetworks.ContentDigest]string{"x": "ab"}, nil},
-		"three ends":            {map[garnetworks.ContentDigest]string{"x": "abc", "s": "ab"}, []garnetworks.ContentDigest{"x"}},
-		"a sound call beside each of its four ends":    {map[garnetworks.ContentDigest]string{"x": "abcd", "s": "bcd"}, []garnetworks.ContentDigest{"x"}},
-		"two calls with the same three ends":           {map[garnetworks.ContentDigest]string{"x": "abc", "s": "abc"}, nil},
-		"two calls with the same four ends":            {map[garnetworks.ContentDigest]string{"x": "abcd", "y": "abcd"}, []garnetworks.ContentDigest{"x", "y"}},
-		"two calls, three ends each":                   {map[garnetworks.ContentDigest]string{"x": "abc", "y": "def"}, []garnetworks.ContentDigest{"x", "y"}},
-		"two calls that shared an end":                 {map[garnetworks.ContentDigest]string{"x": "abcd", "y": "def", "s": "ad"}, []garnetworks.ContentDigest{"x"}},
-		"two calls that shared an end, one more":       {map[garnetworks.ContentDigest]string{"x": "abcd", "y": "defgh"}, []garnetworks.ContentDigest{"y", "x"}},
-		"a pair that can't be told apart hides no one": {map[garnetworks.ContentDigest]string{"x": "abc", "s": "abc", "y": "def"}, []garnetworks.ContentDigest{"y"}},
+		"two crashes are not enough":                        {map[garnetworks.ContentDigest]string{"x": "ab"}, nil},
+		"three crashes":                                     {map[garnetworks.ContentDigest]string{"x": "abc", "s": "ab"}, []garnetworks.ContentDigest{"x"}},
+		"a harmless call shares three of four crashes":      {map[garnetworks.ContentDigest]string{"x": "abcd", "s": "bcd"}, []garnetworks.ContentDigest{"x"}},
+		"two calls with the same three crashes":             {map[garnetworks.ContentDigest]string{"x": "abc", "s": "abc"}, nil},
+		"two calls with the same four crashes":              {map[garnetworks.ContentDigest]string{"x": "abcd", "y": "abcd"}, []garnetworks.ContentDigest{"x", "y"}},
+		"two calls, three crashes each":                     {map[garnetworks.ContentDigest]string{"x": "abc", "y": "def"}, []garnetworks.ContentDigest{"x", "y"}},
+		"two calls that share a crash":                      {map[garnetworks.ContentDigest]string{"x": "abcd", "y": "def", "s": "ad"}, []garnetworks.ContentDigest{"x"}},
+		"two calls that share a crash, five crashes in one": {map[garnetworks.ContentDigest]string{"x": "abcd", "y": "defgh"}, []garnetworks.ContentDigest{"y", "x"}},
+		"an ambiguous pair does not hide another culprit":   {map[garnetworks.ContentDigest]string{"x": "abc", "s": "abc", "y": "def"}, []garnetworks.ContentDigest{"y"}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			var suspects []suspect
-			for content, names := range c.ends {
-				suspects = append(suspects, suspect{content, ends(names)})
+			for content, names := range c.crashes {
+				suspects = append(suspects, suspect{content, crashes(names)})
 			}
-			if got := blame(suspects); !slices.Equal(got, c.want) {
-				t.Errorf("held are %v, want %v", got, c.want)
+			if got := findCulprits(suspects); !slices.Equal(got, c.want) {
+				t.Errorf("findCulprits() = %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// Sound calls are never held while each end has its culprit and no sound call was beside
-// more than three ends, as many as a client's own attempts come to; and each culprit with
-// more than three ends of its own is held.
-func TestSoundCallsAreNotBlamed(t *testing.T) {
+// Harmless calls that shared at most CrashThreshold crashes with culprits are never
+// quarantined, and each culprit with more crashes of its own always is.
+func TestHarmlessCallsAreNotQuarantined(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		culprits := rapid.IntRange(1, 3).Draw(t, "culprits")
-		sound := make(map[garnetworks.ContentDigest]string)
+		harmless := make(map[garnetworks.ContentDigest]string)
 		var suspects []suspect
 		next := 'A'
 		for c := range culprits {
 			own := ""
-			for range rapid.IntRange(sharedEnds, 10).Draw(t, "ends") {
+			for range rapid.IntRange(sharedCrashThreshold, 10).Draw(t, "ends") {
 				own += string(next)
 				next++
 			}
-			suspects = append(suspects, suspect{garnetworks.ContentDigest(fmt.Sprint("culprit", c)), ends(own)})
+			suspects = append(suspects, suspect{garnetworks.ContentDigest(fmt.Sprint("culprit", c)), crashes(own)})
 			for _, name := range []garnetworks.ContentDigest{"s0", "s1", "s2", "s3"} {
-				beside := rapid.IntRange(0, MostEnds-len(sound[name])).Draw(t, "beside")
-				sound[name] += own[:beside]
+				shared := rapid.IntRange(0, CrashThreshold-len(harmless[name])).Draw(t, "beside")
+				harmless[name] += own[:shared]
 			}
 		}
-		for name, beside := range sound {
-			suspects = append(suspects, suspect{name, ends(beside)})
+		for name, shared := range harmless {
+			suspects = append(suspects, suspect{name, crashes(shared)})
 		}
-		held := garnetworks.NewSet(blame(suspects)...)
+		quarantined := garnetworks.NewSet(findCulprits(suspects)...)
 		for _, s := range suspects {
-			if _, isSound := sound[s.content]; held.Has(s.content) == isSound {
-				t.Fatalf("%s with %d ends: held is %t", s.content, len(s.ends), held.Has(s.content))
+			if _, isHarmless := harmless[s.content]; quarantined.Has(s.content) == isHarmless {
+				t.Fatalf("%s with %d crashes: quarantined = %t", s.content, len(s.crashes), quarantined.Has(s.content))
 			}
 		}
 	})
--- a/quarantiner/quarantiner_test.go
+++ b/quarantiner/quarantiner_test.go
@@ -15,252 +15,246 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// newQuiet returns a quarantiner whose duties don't run.
-func newQuiet() *Quarantiner { return New(Options{}) }
+// newIdle returns a quarantiner whose goroutines don't run.
+func newIdle() *Quarantiner { return New(Options{}) }
 
-func life(n int) garnetworks.Incarnation {
+func incarnation(n int) garnetworks.Incarnation {
 	return garnetworks.Incarnation{Instance: garnetworks.InstanceID(fmt.Sprint("i", n))}
 }
 
-// ended breaks a content off at some lives whose end is proven.
-func (q *Quarantiner) ended(content garnetworks.ContentDigest, lives ...int) {
-	for _, n := range lives {
-		q.ReportInterrupted(content, life(n))
-		q.settle(time.Now(), life(n), garnetworks.CrashProven)
+// reportCrashes reports interruptions at some incarnations and proves their crashes.
+func (q *Quarantiner) reportCrashes(content garnetworks.ContentDigest, incarnations ...int) {
+	for _, n := range incarnations {
+		q.ReportInterrupted(content, incarnation(n))
+		q.applyResult(time.Now(), incarnation(n), garnetworks.CrashProven)
 	}
 }
 
-func (q *Quarantiner) holds(content garnetworks.ContentDigest) bool {
-	_, held := q.Quarantined(context.Background(), content)
-	return held
+func (q *Quarantiner) isQuarantined(content garnetworks.ContentDigest) bool {
+	_, quarantined := q.Quarantined(context.Background(), content)
+	return quarantined
 }
 
-// Story: many callers ask the same thing of a public page, and a domain goes dark: three
-// engines end at once under that call. It was held for minutes, and its callers refused,
-// though engines answer it.
-func TestAnsweredContentIsSound(t *testing.T) {
+// An outage that crashes three engines at once must not quarantine a popular content that
+// engines answer.
+func TestCompletedContentIsExempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := newQuiet()
+		q := newIdle()
 		q.ReportCompleted("popular")
 		time.Sleep(time.Second)
-		q.ended("popular", 1, 2, 3, 4)
-		if q.holds("popular") {
-			t.Error("a content that was answered a moment ago is held")
+		q.reportCrashes("popular", 1, 2, 3, 4)
+		if q.isQuarantined("popular") {
+			t.Error("a content that was just completed is quarantined")
 		}
-		other := newQuiet()
-		other.ended("popular", 5, 6, 7)
-		if !other.holds("popular") {
-			t.Fatal("three ends are not enough")
+		other := newIdle()
+		other.reportCrashes("popular", 5, 6, 7)
+		if !other.isQuarantined("popular") {
+			t.Fatal("three crashes do not quarantine a content")
 		}
 		other.Merge(q.Recent())
-		if other.holds("popular") {
-			t.Error("another node's word that it was answered does not count")
+		if other.isQuarantined("popular") {
+			t.Error("another node's report of a completion has no effect")
 		}
-		// It is not sound for good: what ends servers later is held.
-		time.Sleep(SoundTime + time.Second)
-		q.ended("popular", 8, 9, 10)
-		if !q.holds("popular") {
-			t.Error("a content that was answered long ago is never held")
+		// The exemption ends: later crashes quarantine the content.
+		time.Sleep(ExemptionPeriod + time.Second)
+		q.reportCrashes("popular", 8, 9, 10)
+		if !q.isQuarantined("popular") {
+			t.Error("a content that was completed long ago is never quarantined")
 		}
 	})
 }
 
-// Story: connections break off at three engines that live on, by the network's fault. The
-// call was taken for what ended them.
-func TestLivesThatAnswerAreNotBlamed(t *testing.T) {
+// Connections that the network interrupts must not count as crashes: the engines still run.
+func TestRefutedCrashesDoNotCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := newQuiet()
+		q := newIdle()
 		for n := range 4 {
-			q.ReportInterrupted("x", life(n))
+			q.ReportInterrupted("x", incarnation(n))
 		}
 		began := time.Now()
 		for n := range 4 {
-			q.settle(began, life(n), garnetworks.CrashRefuted)
+			q.applyResult(began, incarnation(n), garnetworks.CrashRefuted)
 		}
-		if q.holds("x") {
-			t.Error("a content is held under which no server ended")
+		if q.isQuarantined("x") {
+			t.Error("a content is quarantined without a crash")
 		}
-		// A node that took them for ended hears of it, also by way of the object API.
-		later := newQuiet()
-		later.ended("x", 0, 1, 2)
+		// A node that counted them as crashes learns of the refutation, also through the object API.
+		later := newIdle()
+		later.reportCrashes("x", 0, 1, 2)
 		value, err := encode(time.Now(), q.Retained())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if later.TakeObject(value); !later.holds("x") {
-			t.Error("what is proven by more than refused connections is withdrawn")
+		if later.MergeObject(value); !later.isQuarantined("x") {
+			t.Error("a proven crash is withdrawn by a refutation")
 		}
-		refused := newQuiet()
+		refused := newIdle()
 		for n := range 3 {
-			refused.ReportInterrupted("x", life(n))
-			refused.settle(time.Now(), life(n), garnetworks.CrashConnectionRefused)
+			refused.ReportInterrupted("x", incarnation(n))
+			refused.applyResult(time.Now(), incarnation(n), garnetworks.CrashConnectionRefused)
 		}
-		if refused.TakeObject(value); refused.holds("x") {
-			t.Error("a node goes on with what was refuted")
+		if refused.MergeObject(value); refused.isQuarantined("x") {
+			t.Error("a node keeps counting refuted crashes")
 		}
-		// An answer to a question from before the break proves nothing.
+		// A probe that began before the interruption refutes nothing.
 		time.Sleep(time.Second)
-		q.ReportInterrupted("y", life(5))
-		q.ReportInterrupted("y", life(6))
-		q.settle(began, life(5), garnetworks.CrashRefuted)
-		if n := len(q.doubts(time.Now())); n != 2 {
-			t.Errorf("%d lives are in doubt, want 2: an older answer refutes no later end", n)
+		q.ReportInterrupted("y", incarnation(5))
+		q.ReportInterrupted("y", incarnation(6))
+		q.applyResult(began, incarnation(5), garnetworks.CrashRefuted)
+		if n := len(q.dueProbes(time.Now())); n != 2 {
+			t.Errorf("%d probes are due, want 2: an earlier answer does not refute a later crash", n)
 		}
 	})
 }
 
-// Story: a zone is cut off, and its node's connections to three engines in others are reset
-// and then refused. A sound call that met them was held for ten minutes at all nodes, though
-// they answered again when the cut was over ("call-held" at six nodes, "connection reset by
-// peer" in each of its attempts).
-func TestRefusedConnectionsAreWithdrawnOnceTheServersAnswer(t *testing.T) {
+// A partition resets and then refuses connections. The quarantine of a harmless call must
+// end at all nodes once its servers answer again.
+func TestAnswersRefuteRefusedConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var over atomic.Bool
-		node, other := newQuiet(), newQuiet()
-		node.options.Prove = func(context.Context, garnetworks.Incarnation, bool) garnetworks.CrashState {
+		node, other := newIdle(), newIdle()
+		node.options.Probe = func(context.Context, garnetworks.Incarnation, bool) garnetworks.CrashState {
 			if over.Load() {
 				return garnetworks.CrashRefuted
 			}
 			return garnetworks.CrashConnectionRefused
 		}
 		ctx, stop := context.WithCancel(t.Context())
-		go node.ask(ctx)
+		go node.runProbes(ctx)
 		for n := range 3 {
-			node.ReportInterrupted("sound", life(n))
+			node.ReportInterrupted("sound", incarnation(n))
 		}
 		time.Sleep(time.Second)
 		other.Merge(node.Retained())
 		over.Store(true)
-		time.Sleep(2 * longestAgain)
-		if node.holds("sound") {
-			t.Error("the call is held though its servers answer")
+		time.Sleep(2 * probeBackoffMax)
+		if node.isQuarantined("sound") {
+			t.Error("the call is quarantined although its servers answer")
 		}
 		if node.Checksum() == other.Checksum() {
-			t.Error("nodes that know different things tell the same sum")
+			t.Error("nodes with different records have the same checksum")
 		}
-		if other.Merge(node.Retained()); other.holds("sound") {
-			t.Error("another node holds it")
+		if other.Merge(node.Retained()); other.isQuarantined("sound") {
+			t.Error("another node quarantines it")
 		}
 		stop()
 		synctest.Wait()
 	})
 }
 
-// Story: the third engine has ended, and its end is proven 5 ms later. In between the call
-// was repeated at a fourth one.
-func TestCallWaitsForTheProofThatWouldHoldIt(t *testing.T) {
+// A call must not be retried at a fourth engine while the third crash is being proven.
+func TestQuarantinedWaitsForProof(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := newQuiet()
-		q.ended("x", 1, 2)
-		q.ReportInterrupted("x", life(3))
-		time.AfterFunc(5*time.Millisecond, func() { q.settle(time.Now(), life(3), garnetworks.CrashProven) })
-		if !q.holds("x") {
-			t.Error("the call goes on before the proof")
-		}
-		q.ended("y", 4, 5)
-		q.ReportInterrupted("y", life(6))
+		q := newIdle()
+		q.reportCrashes("x", 1, 2)
+		q.ReportInterrupted("x", incarnation(3))
+		time.AfterFunc(5*time.Millisecond, func() { q.applyResult(time.Now(), incarnation(3), garnetworks.CrashProven) })
+		if !q.isQuarantined("x") {
+			t.Error("the call is allowed before the proof")
+		}
+		q.reportCrashes("y", 4, 5)
+		q.ReportInterrupted("y", incarnation(6))
 		began := time.Now()
-		if q.holds("y") || time.Since(began) > proofTime {
-			t.Errorf("without a proof the call waits for %s, or for good", time.Since(began))
+		if q.isQuarantined("y") || time.Since(began) > proofTimeout {
+			t.Errorf("without a proof the call waited %s, or was quarantined", time.Since(began))
 		}
 	})
 }
 
-// A hold ends, so that a mended server gets the call again, and doubles with each further
-// end up to LongestHold; what is not held is forgotten.
-func TestHoldsEnd(t *testing.T) {
+// A quarantine expires, so that a repaired server gets the call again, and doubles with each
+// further crash up to MaxQuarantine; other records expire.
+func TestQuarantineExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := newQuiet()
-		q.ended("x", 1, 2, 3)
-		for n, want := range []time.Duration{FirstHold, 2 * FirstHold, 4 * FirstHold} {
-			if left, _ := q.Quarantined(t.Context(), "x"); left != want {
-				t.Errorf("after %d ends it is held for %s, want %s", 3+n, left, want)
+		q := newIdle()
+		q.reportCrashes("x", 1, 2, 3)
+		for n, want := range []time.Duration{MinQuarantine, 2 * MinQuarantine, 4 * MinQuarantine} {
+			if remaining, _ := q.Quarantined(t.Context(), "x"); remaining != want {
+				t.Errorf("after %d crashes it is quarantined for %s, want %s", 3+n, remaining, want)
 			}
 			time.Sleep(want)
-			q.forget()
-			if q.holds("x") {
-				t.Error("a hold does not end")
+			q.expire()
+			if q.isQuarantined("x") {
+				t.Error("a quarantine does not end")
 			}
-			q.ended("x", 4+n)
+			q.reportCrashes("x", 4+n)
 		}
 		for n := range 20 {
-			q.ended("x", 10+n)
+			q.reportCrashes("x", 10+n)
 		}
-		if left, _ := q.Quarantined(t.Context(), "x"); left != LongestHold {
-			t.Errorf("it is held for %s, want %s at most", left, LongestHold)
+		if remaining, _ := q.Quarantined(t.Context(), "x"); remaining != MaxQuarantine {
+			t.Errorf("it is quarantined for %s, want %s at most", remaining, MaxQuarantine)
 		}
-		time.Sleep(2*LongestHold + time.Second)
-		q.forget()
+		time.Sleep(2*MaxQuarantine + time.Second)
+		q.expire()
 		if n := len(q.records); n != 0 {
-			t.Errorf("%d records are kept for good", n)
+			t.Errorf("%d records never expire", n)
 		}
 	})
 }
 
-// Story: a zone goes dark with 40 groups, and thousands of calls break off. What is known
-// of the few that matter must not be lost among them, and memory is bounded.
+// The outage of a zone interrupts thousands of calls. Memory stays bounded, and the records
+// of quarantined contents are not evicted for them.
 func TestRecordsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := newQuiet()
-		q.ended("x", 1, 2, 3)
-		for n := range 2 * MostRecords {
-			q.ReportInterrupted(garnetworks.ContentDigest(fmt.Sprint("c", n)), life(100+n%40))
+		q := newIdle()
+		q.reportCrashes("x", 1, 2, 3)
+		for n := range 2 * MaxRecords {
+			q.ReportInterrupted(garnetworks.ContentDigest(fmt.Sprint("c", n)), incarnation(100+n%40))
 		}
-		for n := range 2 * MostRuns {
-			q.ReportInterrupted("many", life(200+n))
+		for n := range 2 * MaxRuns {
+			q.ReportInterrupted("many", incarnation(200+n))
 		}
-		for n := range 3 * mostSound {
+		for n := range 3 * maxCompleted {
 			q.ReportCompleted(garnetworks.ContentDigest(fmt.Sprint("s", n)))
 		}
-		if len(q.records) > MostRecords || len(q.records["many"].runs) > MostRuns || len(q.sound) > mostSound || len(q.order) > mostSound {
-			t.Errorf("%d records, %d runs, %d sound contents", len(q.records), len(q.records["many"].runs), len(q.sound))
+		if len(q.records) > MaxRecords || len(q.records["many"].runs) > MaxRuns || len(q.completed) > maxCompleted || len(q.completionOrder) > maxCompleted {
+			t.Errorf("%d records, %d runs, %d completed contents", len(q.records), len(q.records["many"].runs), len(q.completed))
 		}
-		if !q.holds("x") {
-			t.Error("a content that is held was forgotten")
+		if !q.isQuarantined("x") {
+			t.Error("a quarantined content was evicted")
 		}
-		if n := len(q.Recent()); n > mostTold {
+		if n := len(q.Recent()); n > maxReported {
 			t.Errorf("%d records in a message", n)
 		}
 	})
 }
 
-// Nodes that heard the same, in any order, twice or by way of others, hold the same and
-// tell the same sum (rule Z5).
-func TestNodesThatHeardTheSameDecideTheSame(t *testing.T) {
+// Nodes that merged the same reports, in any order, repeatedly or through others, quarantine
+// the same contents and have the same checksum (rule Z5).
+func TestMergeOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var told []garnetworks.ContentRecord
+		var reported []garnetworks.ContentRecord
 		contents := []garnetworks.ContentDigest{"x", "y", "z"}
 		for range rapid.IntRange(1, 30).Draw(t, "records") {
 			r := garnetworks.ContentRecord{Digest: rapid.SampledFrom(contents).Draw(t, "content"), LastCompletedAgeMS: -1}
 			for range rapid.IntRange(1, 3).Draw(t, "runs") {
 				r.Runs = append(r.Runs, garnetworks.InterruptedRun{
-					Instance: life(rapid.IntRange(0, 6).Draw(t, "life")).Instance, AgeMS: 5,
+					Instance: incarnation(rapid.IntRange(0, 6).Draw(t, "life")).Instance, AgeMS: 5,
 					State: garnetworks.CrashState(rapid.IntRange(0, 3).Draw(t, "state")),
 				})
 			}
-			told = append(told, r)
+			reported = append(reported, r)
 		}
-		a, b, c := newQuiet(), newQuiet(), newQuiet()
-		a.Merge(told)
-		for _, r := range rapid.Permutation(told).Draw(t, "order") {
+		a, b, c := newIdle(), newIdle(), newIdle()
+		a.Merge(reported)
+		for _, r := range rapid.Permutation(reported).Draw(t, "order") {
 			b.Merge([]garnetworks.ContentRecord{r, r})
 		}
 		c.Merge(b.Retained())
-		heldBy := func(q *Quarantiner) []garnetworks.ContentDigest { return slices.Sorted(maps.Keys(q.held)) }
+		quarantinedBy := func(q *Quarantiner) []garnetworks.ContentDigest { return slices.Sorted(maps.Keys(q.quarantined)) }
 		if a.Checksum() != b.Checksum() || a.Checksum() != c.Checksum() {
-			t.Fatalf("sums %x, %x, %x", a.Checksum(), b.Checksum(), c.Checksum())
+			t.Fatalf("checksums %x, %x, %x", a.Checksum(), b.Checksum(), c.Checksum())
 		}
-		if !slices.Equal(heldBy(a), heldBy(b)) || !slices.Equal(heldBy(a), heldBy(c)) {
-			t.Fatalf("held are %v, %v, %v", heldBy(a), heldBy(b), heldBy(c))
+		if !slices.Equal(quarantinedBy(a), quarantinedBy(b)) || !slices.Equal(quarantinedBy(a), quarantinedBy(c)) {
+			t.Fatalf("quarantined are %v, %v, %v", quarantinedBy(a), quarantinedBy(b), quarantinedBy(c))
 		}
 	})
 }
 
-// What is stored reads back as it was; what another program wrote there is refused or
-// bounded, and never ends the node.
+// Decoding a stored value never panics, and its result is bounded.
 func FuzzDecode(f *testing.F) {
-	q := newQuiet()
-	q.ended("x", 1, 2, 3)
+	q := newIdle()
+	q.reportCrashes("x", 1, 2, 3)
 	value, err := encode(time.Now(), q.Retained())
 	if err != nil {
 		f.Fatal(err)
@@ -273,13 +267,13 @@
 		if err != nil {
 			return
 		}
-		if len(records) > MostStored {
+		if len(records) > MaxStored {
 			t.Errorf("%d records", len(records))
 		}
-		q := newQuiet()
+		q := newIdle()
 		q.Merge(records)
 		for _, r := range q.Retained() {
-			if len(r.Runs) > MostRuns {
+			if len(r.Runs) > MaxRuns {
 				t.Errorf("%d runs", len(r.Runs))
 			}
 			for _, x := range r.Runs {
--- a/quarantiner/record.go
+++ b/quarantiner/record.go
@@ -11,99 +11,100 @@
 )
 
 const (
-	// MostRuns bounds the lives that are kept of a content; the newest are.
-	MostRuns = 16
-	// SoundTime is how long a content counts as sound after it was answered (Z4). It is
-	// above the time in which copies of a popular call come again, and bounds for how
-	// long one that has become harmful, say by another model version, is not found.
-	SoundTime = time.Minute
-	// StoredEnds is the number of lives from which a content's record lasts (Z6). A node
-	// that knows of fewer lets at most two more servers end.
-	StoredEnds = 2
-	// memory is how long a content is remembered that is not held.
-	memory = 10 * time.Minute
-	// FirstHold is how long a content is held after MostEnds ends. An operator is told
-	// within a minute, and needs some to mend or take back a model version.
-	FirstHold = 10 * time.Minute
-	// LongestHold bounds a hold: a content that ends a server twice a day harms nobody.
-	LongestHold = 12 * time.Hour
+	// MaxRuns bounds the runs that are kept of a content; the oldest are evicted.
+	MaxRuns = 16
+	// ExemptionPeriod is how long a content is exempt after it was completed (Z4). It exceeds
+	// the time between copies of a popular call, and bounds how long a content that has become
+	// harmful, for example by a new model version, goes undetected.
+	ExemptionPeriod = time.Minute
+	// RetainThreshold is the number of runs from which a content's record is retained (Z6). A
+	// node that knows of fewer lets at most two more servers crash.
+	RetainThreshold = 2
+	// recordTTL is how long a content is remembered that is not quarantined.
+	recordTTL = 10 * time.Minute
+	// MinQuarantine is the quarantine after CrashThreshold crashes. It leaves an operator time
+	// to repair or roll back a model version.
+	MinQuarantine = 10 * time.Minute
+	// MaxQuarantine bounds a quarantine: a content that crashes a server twice a day does no harm.
+	MaxQuarantine = 12 * time.Hour
 )
 
-// run is a life under which the content broke off.
+// run is an incarnation at which a call with the content was interrupted.
 type run struct {
 	at    time.Time
 	state garnetworks.CrashState
-	// asked is the number of times that the life was asked after, last at askedAt.
-	asked   int
-	askedAt time.Time
+	// probes is the number of times the incarnation was probed, the last at probedAt.
+	probes   int
+	probedAt time.Time
 }
 
-// record is what is known of a content (Z5).
+// record is what a node knows of a content (Z5).
 type record struct {
 	runs map[garnetworks.Incarnation]run
-	// answered is when a server last answered such a call whole; zero if never.
-	answered time.Time
-	// changed is when anything of it was learnt last.
+	// completed is when a server last completed such a call; zero if never.
+	completed time.Time
+	// changed is when the record last changed.
 	changed time.Time
-	// seen says that this node saw the content break off.
-	seen bool
+	// observed says that this node itself saw a call with the content interrupted.
+	observed bool
 }
 
-// join takes a run, and reports whether that tells anything new.
-func (r *record) join(life garnetworks.Incarnation, at time.Time, state garnetworks.CrashState) bool {
-	old, known := r.runs[life]
+// add adds or updates a run, and reports whether that changed the record.
+func (r *record) add(incarnation garnetworks.Incarnation, at time.Time, state garnetworks.CrashState) bool {
+	old, known := r.runs[incarnation]
 	switch {
 	case !known:
-		r.runs[life] = run{at: at, state: state}
-		r.forgetOldest()
+		r.runs[incarnation] = run{at: at, state: state}
+		r.evictOldest()
 		return true
 	case state > old.state:
 		old.state = state
-		r.runs[life] = old
+		r.runs[incarnation] = old
 		return true
 	}
 	return false
 }
 
-func (r *record) forgetOldest() {
-	if len(r.runs) <= MostRuns {
+func (r *record) evictOldest() {
+	if len(r.runs) <= MaxRuns {
 		return
 	}
 	var oldest garnetworks.Incarnation
-	for l, x := range r.runs {
+	for id, x := range r.runs {
 		if o, ok := r.runs[oldest]; !ok || x.at.Before(o.at) {
-			oldest = l
+			oldest = id
 		}
 	}
 	delete(r.runs, oldest)
 }
 
-// counts reports whether a run may be the content's doing (Z4).
-func (r *record) counts(x run) bool {
-	return x.state != garnetworks.CrashRefuted && (r.answered.IsZero() || x.at.Sub(r.answered) > SoundTime)
+// attributable reports whether a run may be caused by the content (Z4).
+func (r *record) attributable(x run) bool {
+	return x.state != garnetworks.CrashRefuted && (r.completed.IsZero() || x.at.Sub(r.completed) > ExemptionPeriod)
 }
 
-// lives returns the lives of the runs that may be the content's doing and that are known
-// as well as least, in order.
-func (r *record) lives(least garnetworks.CrashState) []garnetworks.Incarnation {
+// incarnations returns the incarnations of the attributable runs whose state is at least
+// minState, sorted.
+func (r *record) incarnations(minState garnetworks.CrashState) []garnetworks.Incarnation {
 	var list []garnetworks.Incarnation
-	for l, x := range r.runs {
-		if x.state >= least && r.counts(x) {
-			list = append(list, l)
+	for id, x := range r.runs {
+		if x.state >= minState && r.attributable(x) {
+			list = append(list, id)
 		}
 	}
 	slices.SortFunc(list, garnetworks.Incarnation.Compare)
 	return list
 }
 
-// pending reports whether the content would be held if the lives in doubt had ended.
+// pending reports whether the content would be quarantined if all suspected crashes were
+// confirmed.
 func (r *record) pending() bool {
-	all := len(r.lives(garnetworks.CrashSuspected))
-	return all >= MostEnds && len(r.lives(garnetworks.CrashConnectionRefused)) < all
+	all := len(r.incarnations(garnetworks.CrashSuspected))
+	return all >= CrashThreshold && len(r.incarnations(garnetworks.CrashConnectionRefused)) < all
 }
 
-// last is when the content last broke off.
-func (r *record) last() time.Time {
+// lastInterruption is when the content was last interrupted.
+func (r *record) lastInterruption() time.Time {
 	var last time.Time
 	for _, x := range r.runs {
 		if x.at.After(last) {
@@ -113,48 +114,48 @@
 	return last
 }
 
-// hold is how long a content is held after its last end (Z7).
-func hold(ends int) time.Duration {
+// quarantineTime is the length of the quarantine from the last interruption (Z7).
+func quarantineTime(crashes int) time.Duration {
 	const doublings = 10
-	return min(LongestHold, FirstHold<<min(max(ends-MostEnds, 0), doublings))
+	return min(MaxQuarantine, MinQuarantine<<min(max(crashes-CrashThreshold, 0), doublings))
 }
 
-// until is when the record may be forgotten. That of a content that was held outlives the
-// hold, so that its next end is not taken for its first one.
-func (r *record) until() time.Time {
-	if ends := len(r.lives(garnetworks.CrashConnectionRefused)); ends >= MostEnds {
-		return r.last().Add(2 * hold(ends))
+// expiresAt is when the record may be removed. The record of a quarantined content outlives
+// the quarantine, so that the next crash extends it.
+func (r *record) expiresAt() time.Time {
+	if crashes := len(r.incarnations(garnetworks.CrashConnectionRefused)); crashes >= CrashThreshold {
+		return r.lastInterruption().Add(2 * quarantineTime(crashes))
 	}
-	return r.last().Add(memory)
+	return r.lastInterruption().Add(recordTTL)
 }
 
-// lasting reports whether the record is kept in the object API (Z6). What was refuted or
-// answered since lasts as well: nodes that read it there must not go on with what was taken
-// for an end before.
-func (r *record) lasting() bool { return len(r.runs) >= StoredEnds }
+// retained reports whether the record belongs to Retained and may be stored in the object API
+// (Z6). Refuted runs and those before a completion count too: other nodes must learn of them
+// to stop counting the crashes.
+func (r *record) retained() bool { return len(r.runs) >= RetainThreshold }
 
-// sum is a digest of what the record tells, without times: they differ between nodes by
-// the way of the messages.
-func (r *record) sum(content garnetworks.ContentDigest) uint64 {
+// checksum is a digest of the record without its times, which differ between nodes by the
+// transmission time of messages.
+func (r *record) checksum(content garnetworks.ContentDigest) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(content)) // a hash takes all bytes
-	for _, l := range slices.SortedFunc(maps.Keys(r.runs), garnetworks.Incarnation.Compare) {
-		text := strconv.AppendInt([]byte(l.Instance), l.StartMS, 10)
-		text = strconv.AppendBool(text, r.counts(r.runs[l]))
-		_, _ = h.Write(append(text, byte(r.runs[l].state)))
+	_, _ = h.Write([]byte(content)) // Write of a hash.Hash never fails
+	for _, id := range slices.SortedFunc(maps.Keys(r.runs), garnetworks.Incarnation.Compare) {
+		text := strconv.AppendInt([]byte(id.Instance), id.StartMS, 10)
+		text = strconv.AppendBool(text, r.attributable(r.runs[id]))
+		_, _ = h.Write(append(text, byte(r.runs[id].state)))
 	}
 	return h.Sum64()
 }
 
-// tell returns the record as other nodes get it.
-func (r *record) tell(content garnetworks.ContentDigest, now time.Time) garnetworks.ContentRecord {
-	told := garnetworks.ContentRecord{Digest: content, LastCompletedAgeMS: -1}
-	if !r.answered.IsZero() {
-		told.LastCompletedAgeMS = max(0, now.Sub(r.answered).Milliseconds())
+// report returns the record as sent to other nodes.
+func (r *record) report(content garnetworks.ContentDigest, now time.Time) garnetworks.ContentRecord {
+	rec := garnetworks.ContentRecord{Digest: content, LastCompletedAgeMS: -1}
+	if !r.completed.IsZero() {
+		rec.LastCompletedAgeMS = max(0, now.Sub(r.completed).Milliseconds())
 	}
-	for l, x := range r.runs {
-		told.Runs = append(told.Runs, garnetworks.InterruptedRun{Instance: l.Instance, StartMS: l.StartMS, AgeMS: max(0, now.Sub(x.at).Milliseconds()), State: x.state})
+	for id, x := range r.runs {
+		rec.Runs = append(rec.Runs, garnetworks.InterruptedRun{Instance: id.Instance, StartMS: id.StartMS, AgeMS: max(0, now.Sub(x.at).Milliseconds()), State: x.state})
 	}
-	slices.SortFunc(told.Runs, func(a, b garnetworks.InterruptedRun) int { return a.Incarnation().Compare(b.Incarnation()) })
-	return told
+	slices.SortFunc(rec.Runs, func(a, b garnetworks.InterruptedRun) int { return a.Incarnation().Compare(b.Incarnation()) })
+	return rec
 }
--- a/quarantiner/site_test.go
+++ b/quarantiner/site_test.go
@@ -14,10 +14,11 @@
 	"github.com/garnetworks/garnetworks/quarantiner"
 )
 
-// heardTime is within what sites give all nodes to hear of a third end.
-const heardTime = 3 * time.Second
+// propagationTime bounds the time in which all nodes must learn of a third crash.
+const propagationTime = 3 * time.Second
 
-// site is nodes that exchange records and share an object API. Each server ends once.
+// site is a set of nodes that exchange records and share an object API. Each server crashes
+// at most once.
 type site struct {
 	t       *testing.T
 	objects *faker.Objects
@@ -25,9 +26,9 @@
 	mu    sync.Mutex
 	nodes map[string]*node
 	next  int
-	// probes counts the questions to servers, ended the servers that ended.
-	probes, ended int
-	// silent servers give no answer to questions.
+	// probes counts probes of servers, crashed the servers that crashed.
+	probes, crashed int
+	// silent servers don't answer probes.
 	silent bool
 }
 
@@ -35,25 +36,25 @@
 	*quarantiner.Quarantiner
 	exchanger *exchanger.Exchanger
 	info      garnetworks.NodeInfo
-	// part tells which nodes it reaches: those of the same one.
-	part int
-	// storeless nodes don't reach the object API.
-	storeless bool
-	stop      context.CancelFunc
+	// partition is the network partition of the node; it reaches only nodes in the same one.
+	partition int
+	// noObjectAPI nodes don't reach the object API.
+	noObjectAPI bool
+	stop        context.CancelFunc
 }
 
-func newSite(t *testing.T, zones, each int) *site {
+func newSite(t *testing.T, zones, perZone int) *site {
 	s := &site{t: t, objects: faker.NewObjects(faker.ObjectsOptions{}), nodes: make(map[string]*node)}
 	for z := range zones {
-		for range each {
+		for range perZone {
 			s.start(z)
 		}
 	}
-	time.Sleep(heardTime)
+	time.Sleep(propagationTime)
 	return s
 }
 
-// start starts a node with nothing.
+// start starts a node without records.
 func (s *site) start(zone int) *node {
 	s.mu.Lock()
 	s.next++
@@ -61,10 +62,10 @@
 	n := &node{info: garnetworks.NodeInfo{ID: garnetworks.NodeID(address), Address: address, Zone: garnetworks.ZoneID(fmt.Sprint(zone)), Region: "r"}}
 	s.mu.Unlock()
 	n.Quarantiner = quarantiner.New(quarantiner.Options{
-		Prove: s.prove, Objects: &view{s.objects, s, n}, Reads: func() bool { return n.exchanger.Reads() },
+		Probe: s.probe, Objects: &nodeObjects{s.objects, s, n}, Reads: func() bool { return n.exchanger.Reads() },
 	})
 	n.exchanger = exchanger.New(exchanger.Options{
-		Peers: caller{s, n}, Self: func() garnetworks.NodeInfo { return n.info }, Nodes: func() []garnetworks.NodeInfo { return s.others(n) },
+		Peers: peerCaller{s, n}, Self: func() garnetworks.NodeInfo { return n.info }, Nodes: func() []garnetworks.NodeInfo { return s.others(n) },
 		Load: func() garnetworks.LoadReport { return garnetworks.LoadReport{} }, Take: func(garnetworks.LoadReport, bool) {},
 		Suspect: func(garnetworks.GroupID) {}, Contents: n.Quarantiner,
 	})
@@ -76,7 +77,7 @@
 	return n
 }
 
-// kill ends a node with all that it knows.
+// kill stops a node, losing its records.
 func (s *site) kill(n *node) {
 	n.stop()
 	s.mu.Lock()
@@ -111,11 +112,11 @@
 	return list
 }
 
-// prove tells of each server that it has ended.
-func (s *site) prove(_ context.Context, _ garnetworks.Incarnation, ask bool) garnetworks.CrashState {
+// probe reports each server as crashed, unless it is silent.
+func (s *site) probe(_ context.Context, _ garnetworks.Incarnation, unregistered bool) garnetworks.CrashState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !ask {
+	if !unregistered {
 		return garnetworks.CrashSuspected
 	}
 	s.probes++
@@ -125,35 +126,35 @@
 	return garnetworks.CrashProven
 }
 
-// crash sends the crashing call to a node, which repeats it once as a route allows, and
-// returns the number of servers that ended.
-func (s *site) crash(n *node, attempts int) (ended int) {
+// crash sends the crashing call to a node, which makes up to the given number of attempts,
+// and returns the number of servers that crashed.
+func (s *site) crash(n *node, attempts int) (crashed int) {
 	for range attempts {
-		if _, held := n.Quarantined(s.t.Context(), "x"); held {
-			return ended
+		if _, quarantined := n.Quarantined(s.t.Context(), "x"); quarantined {
+			return crashed
 		}
 		s.mu.Lock()
 		s.next++
-		s.ended++
-		life := garnetworks.Incarnation{Instance: garnetworks.InstanceID(fmt.Sprint("i", s.next))}
+		s.crashed++
+		incarnation := garnetworks.Incarnation{Instance: garnetworks.InstanceID(fmt.Sprint("i", s.next))}
 		s.mu.Unlock()
-		ended++
-		n.ReportInterrupted("x", life)
+		crashed++
+		n.ReportInterrupted("x", incarnation)
 	}
-	return ended
+	return crashed
 }
 
-// caller is a node's way to the others.
-type caller struct {
+// peerCaller is a node's connection to the other nodes.
+type peerCaller struct {
 	site *site
 	from *node
 }
 
 // Exchange implements garnetworks.ExchangeCaller.
-func (c caller) Exchange(ctx context.Context, address string, request *garnetworks.ExchangeRequest) (*garnetworks.ExchangeResponse, error) {
+func (c peerCaller) Exchange(ctx context.Context, address string, request *garnetworks.ExchangeRequest) (*garnetworks.ExchangeResponse, error) {
 	c.site.mu.Lock()
 	to := c.site.nodes[address]
-	cut := to == nil || to.part != c.from.part
+	cut := to == nil || to.partition != c.from.partition
 	c.site.mu.Unlock()
 	if cut {
 		<-ctx.Done()
@@ -162,66 +163,64 @@
 	return to.exchanger.Exchange(ctx, request)
 }
 
-// view is a node's way to the object API.
-type view struct {
+// nodeObjects is a node's connection to the object API.
+type nodeObjects struct {
 	*faker.Objects
 	site *site
 	node *node
 }
 
-func (v *view) cut() error {
+func (v *nodeObjects) cut() error {
 	v.site.mu.Lock()
 	defer v.site.mu.Unlock()
-	if v.node.storeless {
+	if v.node.noObjectAPI {
 		return garnetworks.Errorf(garnetworks.KindObjectAPIDown, "cut")
 	}
 	return nil
 }
 
-func (v *view) Get(ctx context.Context, key string) (garnetworks.Object, error) {
+func (v *nodeObjects) Get(ctx context.Context, key string) (garnetworks.Object, error) {
 	if err := v.cut(); err != nil {
 		return garnetworks.Object{}, err
 	}
 	return v.Objects.Get(ctx, key)
 }
 
-func (v *view) Put(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
+func (v *nodeObjects) Put(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
 	if err := v.cut(); err != nil {
 		return 0, err
 	}
 	return v.Objects.Put(ctx, key, value, after)
 }
 
-func (v *view) List(ctx context.Context, prefix string) ([]garnetworks.Object, garnetworks.Revision, error) {
+func (v *nodeObjects) List(ctx context.Context, prefix string) ([]garnetworks.Object, garnetworks.Revision, error) {
 	if err := v.cut(); err != nil {
 		return nil, 0, err
 	}
 	return v.Objects.List(ctx, prefix)
 }
 
-func (v *view) Watch(ctx context.Context, prefix string, after garnetworks.Revision, wait time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
+func (v *nodeObjects) Watch(ctx context.Context, prefix string, after garnetworks.Revision, wait time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
 	if err := v.cut(); err != nil {
 		return nil, 0, err
 	}
 	return v.Objects.Watch(ctx, prefix, after, wait)
 }
 
-// set changes a node.
+// set changes a node under the lock.
 func (s *site) set(n *node, change func(*node)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(n)
 }
 
-// Story: engines end under a call at one node, and its copies come at all the others,
-// which were cut off meanwhile, started since, or have only the object API in common with
-// the first one. Each node on its own ended engines; together they ended dozens. In touch,
-// each must know within three seconds of the third end.
-func TestEachNodeKnowsWhatEndedServers(t *testing.T) {
+// Every node must stop a crashing call within three seconds of the third crash, also when it
+// was partitioned, started later, or shares only the object API with the nodes that saw it.
+func TestQuarantineReachesAllNodes(t *testing.T) {
 	const attempts = 2
-	sizes := map[string]struct{ zones, each int }{"six nodes, one cell": {3, 2}, "24 nodes, three cells": {3, 8}}
+	sizes := map[string]struct{ zones, perZone int }{"six nodes, one cell": {3, 2}, "24 nodes, three cells": {3, 8}}
 	cases := map[string]func(s *site){
-		"all in touch": func(s *site) {
+		"all connected": func(s *site) {
 			s.crash(s.all()[0], attempts)
 			s.crash(s.all()[1], attempts)
 		},
@@ -232,7 +231,7 @@
 		},
 		"all killed at once": func(s *site) {
 			s.crash(s.all()[0], attempts)
-			time.Sleep(heardTime)
+			time.Sleep(propagationTime)
 			s.crash(s.all()[1], attempts)
 			time.Sleep(time.Second)
 			for _, n := range s.all() {
@@ -251,82 +250,82 @@
 				time.Sleep(time.Second)
 			}
 		},
-		"the node that saw it is killed at once": func(s *site) {
+		"the node that saw it is killed right after": func(s *site) {
 			s.crash(s.all()[0], attempts)
-			time.Sleep(heardTime)
+			time.Sleep(propagationTime)
 			s.crash(s.all()[2], 1)
 			time.Sleep(exchanger.Interval * 2)
 			s.kill(s.all()[2])
 		},
-		"nodes cut off from the others, in touch with the object API": func(s *site) {
+		"nodes partitioned from each other, but not from the object API": func(s *site) {
 			for i, n := range s.all() {
-				s.set(n, func(n *node) { n.part = i % 3 })
+				s.set(n, func(n *node) { n.partition = i % 3 })
 			}
-			time.Sleep(heardTime)
+			time.Sleep(propagationTime)
 			s.crash(s.all()[0], attempts)
 			time.Sleep(time.Second)
 			s.crash(s.all()[1], attempts)
 		},
-		"cut off from all while it happened": func(s *site) {
+		"partitioned from all while it happened": func(s *site) {
 			last := s.all()[len(s.all())-1]
-			s.set(last, func(n *node) { n.part, n.storeless = 9, true })
-			time.Sleep(heardTime)
+			s.set(last, func(n *node) { n.partition, n.noObjectAPI = 9, true })
+			time.Sleep(propagationTime)
 			s.crash(s.all()[0], attempts)
 			time.Sleep(time.Second)
 			s.crash(s.all()[1], attempts)
 			time.Sleep(time.Minute)
-			s.set(last, func(n *node) { n.part, n.storeless = 0, false })
+			s.set(last, func(n *node) { n.partition, n.noObjectAPI = 0, false })
 		},
-		"cut off from the others while it happened, the object API away": func(s *site) {
+		"partitioned from the others while it happened, the object API unavailable": func(s *site) {
 			s.objects.SetFaults(faker.FaultPlan{Down: true})
 			last := s.all()[len(s.all())-1]
-			s.set(last, func(n *node) { n.part = 9 })
-			time.Sleep(heardTime)
+			s.set(last, func(n *node) { n.partition = 9 })
+			time.Sleep(propagationTime)
 			s.crash(s.all()[0], attempts)
 			s.crash(s.all()[0], attempts)
 			time.Sleep(time.Minute)
-			s.set(last, func(n *node) { n.part = 0 })
+			s.set(last, func(n *node) { n.partition = 0 })
 		},
-		"who saw it does not reach the object API": func(s *site) {
+		"the node that saw it does not reach the object API": func(s *site) {
 			first := s.all()[0]
-			s.set(first, func(n *node) { n.storeless = true })
+			s.set(first, func(n *node) { n.noObjectAPI = true })
 			s.crash(first, attempts)
 			s.crash(first, attempts)
-			time.Sleep(heardTime)
+			time.Sleep(propagationTime)
 			for _, n := range s.all() {
 				s.kill(n)
 				s.start(0)
 			}
 		},
-		"the object API is away": func(s *site) {
+		"the object API is unavailable": func(s *site) {
 			s.objects.SetFaults(faker.FaultPlan{Down: true})
 			s.crash(s.all()[0], attempts)
 			s.crash(s.all()[0], attempts)
 			time.Sleep(10 * time.Second)
 			s.objects.SetFaults(faker.FaultPlan{})
-			time.Sleep(heardTime)
+			time.Sleep(propagationTime)
 			for _, n := range s.all() {
 				s.kill(n)
 				s.start(0)
 			}
 		},
-		"the object API loses answers": func(s *site) {
+		"responses of the object API are lost": func(s *site) {
 			s.objects.SetFaults(faker.FaultPlan{LoseAnswers: 3, Methods: []string{faker.MethodPut}})
 			s.crash(s.all()[0], attempts)
 			s.crash(s.all()[0], attempts)
-			time.Sleep(heardTime)
+			time.Sleep(propagationTime)
 			for _, n := range s.all() {
 				s.kill(n)
 				s.start(0)
 			}
 		},
-		"another program wrote there": func(s *site) {
+		"the stored object can't be decoded": func(s *site) {
 			if _, err := s.objects.Put(s.t.Context(), "quarantines/calls", []byte("\xff{"), 0); err != nil {
 				s.t.Error(err)
 			}
 			s.crash(s.all()[0], attempts)
 			s.crash(s.all()[0], attempts)
-			time.Sleep(heardTime)
+			time.Sleep(propagationTime)
 			for _, n := range s.all() {
 				s.kill(n)
 				s.start(0)
@@ -334,24 +333,24 @@
 		},
 	}
 	for size, z := range sizes {
-		for name, play := range cases {
+		for name, run := range cases {
 			t.Run(size+"/"+name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					s := newSite(t, z.zones, z.each)
-					play(s)
-					time.Sleep(heardTime)
-					ended, more := s.ended, 0
+					s := newSite(t, z.zones, z.perZone)
+					run(s)
+					time.Sleep(propagationTime)
+					crashed, more := s.crashed, 0
 					for range 3 {
 						for _, n := range s.all() {
 							more += s.crash(n, attempts)
 							time.Sleep(50 * time.Millisecond)
 						}
 					}
-					if ended < quarantiner.MostEnds || more > 0 {
-						t.Errorf("%d servers more ended after %d, want none after %d", more, ended, quarantiner.MostEnds)
+					if crashed < quarantiner.CrashThreshold || more > 0 {
+						t.Errorf("%d servers more crashed after %d, want none after %d", more, crashed, quarantiner.CrashThreshold)
 					}
 					if s.probes > 40 {
-						t.Errorf("%d questions to servers", s.probes)
+						t.Errorf("%d probes of servers", s.probes)
 					}
 					s.close()
 				})
@@ -360,10 +359,9 @@
 	}
 }
 
-// Story: two domains are lost one after the other, and hundreds of sound calls are broken
-// off twice. More of them than the object API keeps must not be written again and again,
-// nor sent to and fro, by nodes that each find some of them missing there.
-func TestMoreThanIsKeptCostsNoMoreAtRest(t *testing.T) {
+// When more contents are interrupted than the object API keeps, nodes must not write or
+// exchange them again and again.
+func TestExcessRecordsAreNotRewritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 3, 8)
 		for i, n := range s.all() {
@@ -377,21 +375,20 @@
 		before := s.objects.Counts()
 		time.Sleep(time.Minute)
 		if puts := s.objects.Counts()[faker.MethodPut] - before[faker.MethodPut]; puts > 0 {
-			t.Errorf("%d writes in a minute at rest", puts)
+			t.Errorf("%d writes in an idle minute", puts)
 		}
 		for _, n := range s.all() {
 			if n.Checksum() != s.all()[0].Checksum() {
-				t.Errorf("%s does not know what others know", n.info.ID)
+				t.Errorf("%s has other records than the first node", n.info.ID)
 			}
 		}
 		s.close()
 	})
 }
 
-// Story: a zone is cut off, and sound calls of all nodes break off twice, at servers of
-// which nothing can be found out. Their records filled the object API: 650 reads and 160
-// writes in ten seconds of a day of 88 nodes. What is only suspected is not written.
-func TestWhatIsOnlySuspectedIsNotWritten(t *testing.T) {
+// A partition interrupts many harmless calls twice; suspected crashes must not load the
+// object API.
+func TestSuspectedCrashesAreNotStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 3, 8)
 		s.silent = true
@@ -413,9 +410,9 @@
 	})
 }
 
-// At rest, what is kept costs one call in eight seconds for each cell, whatever the number
-// of its nodes, and no message more.
-func TestRestCostsLittle(t *testing.T) {
+// An idle site costs one watch of the object API in eight seconds for each cell, whatever
+// the number of its nodes, and no other request.
+func TestIdleSiteMakesFewRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 3, 8)
 		s.crash(s.all()[0], 2)
--- a/sharer/sharer.go
+++ b/sharer/sharer.go
@@ -152,11 +152,11 @@
 func (a *Aggregator) demand(now time.Time, n *garnetworks.NodeInfo, parts map[garnetworks.ZoneID][]garnetworks.Demand) admitter.NodeDemand {
 	if n.Zone != a.zone {
 		part, recent := parts[n.Zone]
-		return admitter.NodeDemand{Node: n.ID, Silent: !recent, Demands: part}
+		return admitter.NodeDemand{Node: n.ID, Unresponsive: !recent, Demands: part}
 	}
 	r, recent := a.nodeReports[n.ID]
 	recent = recent && now.Sub(r.at) <= admitter.ShareBound // S3
-	return admitter.NodeDemand{Node: n.ID, Silent: !recent, Demands: r.value}
+	return admitter.NodeDemand{Node: n.ID, Unresponsive: !recent, Demands: r.value}
 }
 
 // divide returns one of n equal parts of the demands. Calls in flight are rounded up, so that
