--- a/controller/plan.go
+++ b/controller/plan.go
@@ -28,13 +28,13 @@
 		Domains:   p.current(),
 		Models:    p.models(),
 		Classes:   manifest.Site.Classes,
-		Weights:   manifest.Site.CostWeights,
+		Costs:     manifest.Site.CostWeights,
 		Grace:     manifest.Site.Grace,
 		Limit:     max(p.Limit-p.servicesDraw(), 0),
 		StoreRate: p.storeShare(),
 		Instances: p.instanceObservations(),
 		Groups:    p.groupObservations(),
-		Held:      heldModels(manifest, p.Zone, p.o.Others),
+		NoOutage:  heldModels(manifest, p.Zone, p.o.Others),
 		State:     p.Plan.State,
 	})
 	p.planned = p.o.Now
@@ -46,7 +46,7 @@
 }
 
 func (p *deciding) planDue() bool {
-	wake := !p.Plan.Wake.IsZero() && !p.o.Now.Before(p.Plan.Wake)
+	wake := !p.Plan.ReplanAt.IsZero() && !p.o.Now.Before(p.Plan.ReplanAt)
 	return p.changed || wake || p.o.Now.Sub(p.planned) >= p.Times.PlanEvery || p.opened()
 }
 
--- a/placer/baseline_test.go
+++ b/placer/baseline_test.go
@@ -12,22 +12,22 @@
 // forces it, shares the store evenly, and knows no priorities. Engines keep
 // their weights, as under the policy, so that the comparison isn't made easy.
 func baseline(in placer.Input) placer.Output {
-	b := &naive{in: in, taken: garnetworks.NewSet[garnetworks.InstanceID](), have: map[garnetworks.ModelName]int{}}
-	b.judge()
+	b := &naivePlanner{in: in, taken: garnetworks.NewSet[garnetworks.InstanceID](), groupCounts: map[garnetworks.ModelName]int{}}
+	b.classifyGroups()
 	b.shed()
 	b.rebuild()
 	return b.out
 }
 
-type naive struct {
-	in    placer.Input
-	out   placer.Output
-	taken garnetworks.Set[garnetworks.InstanceID]
-	have  map[garnetworks.ModelName]int
-	drawn garnetworks.Watts
+type naivePlanner struct {
+	in          placer.Input
+	out         placer.Output
+	taken       garnetworks.Set[garnetworks.InstanceID]
+	groupCounts map[garnetworks.ModelName]int
+	drawn       garnetworks.Watts
 }
 
-func (b *naive) judge() {
+func (b *naivePlanner) classifyGroups() {
 	for _, d := range b.in.Domains {
 		conditions := map[garnetworks.InstanceID]garnetworks.Condition{}
 		for _, i := range d.Instances {
@@ -37,12 +37,12 @@
 			}
 		}
 		for _, g := range d.Groups {
-			b.judgeGroup(d.ID, g, conditions)
+			b.classifyGroup(d.ID, g, conditions)
 		}
 	}
 }
 
-func (b *naive) judgeGroup(d garnetworks.DomainID, g garnetworks.Group, conditions map[garnetworks.InstanceID]garnetworks.Condition) {
+func (b *naivePlanner) classifyGroup(d garnetworks.DomainID, g garnetworks.Group, conditions map[garnetworks.InstanceID]garnetworks.Condition) {
 	drained := g.State == garnetworks.GroupDraining && (b.in.Groups[g.ID].Idle || !b.in.Now.Before(g.DrainUntil))
 	lost, leaving := drained, false
 	for _, m := range g.Members {
@@ -64,11 +64,11 @@
 		b.out.Decisions = append(b.out.Decisions, placer.DrainGroup{Domain: d, Group: g.ID, Grace: b.in.Grace.Drain})
 		return
 	}
-	b.have[g.Model]++
+	b.groupCounts[g.Model]++
 }
 
 // shed takes groups, the last discovered first, until the draw fits the limit.
-func (b *naive) shed() {
+func (b *naivePlanner) shed() {
 	over := b.drawn - b.in.Limit
 	for n := len(b.in.Domains) - 1; n >= 0 && over > 0; n-- {
 		d := b.in.Domains[n]
@@ -88,17 +88,17 @@
 			over -= engineWatts * garnetworks.Watts(len(g.Members))
 			if g.State == garnetworks.GroupServing && b.taken.Has(g.Members[0]) {
 				b.out.Decisions = append(b.out.Decisions, placer.DrainGroup{Domain: d.ID, Group: g.ID, Grace: b.in.Grace.Shed})
-				b.have[g.Model]--
+				b.groupCounts[g.Model]--
 			}
 		}
 	}
 }
 
-func (b *naive) rebuild() {
+func (b *naivePlanner) rebuild() {
 	for _, m := range b.in.Models {
-		for range max(0, m.MaxGroups-b.have[m.Name]) {
+		for range max(0, m.MaxGroups-b.groupCounts[m.Name]) {
 			for _, d := range b.in.Domains {
-				if b.build(m, d) {
+				if b.formGroup(m, d) {
 					break
 				}
 			}
@@ -106,22 +106,22 @@
 	}
 }
 
-func (b *naive) build(m garnetworks.ModelSpec, d garnetworks.FabricDomain) bool {
+func (b *naivePlanner) formGroup(m garnetworks.ModelSpec, d garnetworks.FabricDomain) bool {
 	var members []garnetworks.InstanceID
-	var on []placer.Decision
+	var powerOns []placer.Decision
 	ready := true
 	watts := garnetworks.Watts(0)
 	for _, i := range d.Instances {
 		healthy := i.Condition == garnetworks.ConditionHealthy || i.Condition == garnetworks.ConditionStraggler
-		coming := i.Power == garnetworks.PowerStarting || i.Power == garnetworks.PowerOff || i.Condition == garnetworks.ConditionReturned
-		usable := i.Power == garnetworks.PowerOn && healthy || i.Power != garnetworks.PowerStopping && coming
+		pending := i.Power == garnetworks.PowerStarting || i.Power == garnetworks.PowerOff || i.Condition == garnetworks.ConditionReturned
+		usable := i.Power == garnetworks.PowerOn && healthy || i.Power != garnetworks.PowerStopping && pending
 		if len(members) == m.GroupSize || b.taken.Has(i.ID) || !usable {
 			continue
 		}
 		members = append(members, i.ID)
 		ready = ready && i.Power == garnetworks.PowerOn && healthy
 		if i.Power == garnetworks.PowerOff {
-			on = append(on, placer.PowerOn{Domain: d.ID, Instance: i.ID})
+			powerOns = append(powerOns, placer.PowerOn{Domain: d.ID, Instance: i.ID})
 			watts += i.Watts
 		}
 	}
@@ -132,7 +132,7 @@
 	for _, id := range members {
 		b.taken.Add(id)
 	}
-	b.out.Decisions = append(b.out.Decisions, on...)
+	b.out.Decisions = append(b.out.Decisions, powerOns...)
 	if ready {
 		b.out.Decisions = append(b.out.Decisions, placer.FormGroup{
 			Domain: d.ID, Model: m.Name, Version: m.Version, Members: members,
--- a/placer/bench_test.go
+++ b/placer/bench_test.go
@@ -9,11 +9,11 @@
 	"github.com/garnetworks/garnetworks/placer"
 )
 
-// benchWorld returns a zone of the given number of engines in domains of 15,
+// benchZone returns a zone of the given number of engines in domains of 15,
 // all of its groups serving.
-func benchWorld(b *testing.B, engines int) *world {
+func benchZone(b *testing.B, engines int) *testZone {
 	groups := engines / 15 * 3
-	w := newWorld(engines/15, 15,
+	w := newTestZone(engines/15, 15,
 		modelSpec("a", 10, groups/4, groups*2/5), modelSpec("b", 5, groups/4, groups*2/5), modelSpec("c", 1, 1, groups/5))
 	w.settle(b)
 	return w
@@ -23,19 +23,19 @@
 // member is lost, after a whole domain is lost, and for a zone that starts.
 func BenchmarkPlan(b *testing.B) {
 	for _, engines := range []int{75, 150, 300, 600} {
-		cases := map[string]func(w *world){
-			"rest":   func(*world) {},
-			"member": func(w *world) { w.Domains[0].Instances[1].Condition = garnetworks.ConditionLost },
-			"domain": func(w *world) {
+		cases := map[string]func(w *testZone){
+			"rest":   func(*testZone) {},
+			"member": func(w *testZone) { w.Domains[0].Instances[1].Condition = garnetworks.ConditionLost },
+			"domain": func(w *testZone) {
 				for i := range w.Domains[0].Instances {
 					w.Domains[0].Instances[i].Condition = garnetworks.ConditionLost
 				}
 			},
-			"cap": func(w *world) { w.Limit /= 2 },
+			"cap": func(w *testZone) { w.Limit /= 2 },
 		}
 		for _, name := range []string{"rest", "member", "domain", "cap"} {
 			b.Run(fmt.Sprintf("%s/engines=%d", name, engines), func(b *testing.B) {
-				w := benchWorld(b, engines)
+				w := benchZone(b, engines)
 				cases[name](w)
 				w.Now = w.Now.Add(time.Second)
 				b.ReportAllocs()
@@ -45,7 +45,7 @@
 			})
 		}
 		b.Run(fmt.Sprintf("start/engines=%d", engines), func(b *testing.B) {
-			w := benchWorld(b, engines)
+			w := benchZone(b, engines)
 			w.State = placer.State{}
 			for i := range w.Domains {
 				w.Domains[i].Groups = nil
--- a/placer/choice.go
+++ b/placer/choice.go
@@ -6,62 +6,62 @@
 	"time"
 )
 
-// choice is the best set of members for a group in one domain.
-type choice struct {
+// placement is the best set of members for a group in one domain.
+type placement struct {
 	domain  *domain
 	members []*instance
 	// wait is the estimated time until the group can form with its weights.
 	wait time.Duration
-	// waits is the sum of the members' waits for boots and drains, which is the
+	// totalWait is the sum of the members' totalWait for boots and drains, which is the
 	// time that they are stranded.
-	waits time.Duration
+	totalWait time.Duration
 	// boots counts the members that are yet to be ordered on.
 	boots int
-	// waste is how many more instances than before fit no largest group.
-	waste int
-	// rest counts the instances of the class that are left without a use,
+	// fragmentation is how many more instances than before fit no largest group.
+	fragmentation int
+	// remaining counts the instances of the class that are left without a use,
 	// whatever their power is: so it doesn't change as power is switched.
-	rest int
+	remaining int
 }
 
 // ready reports whether the group can form now.
-func (c choice) ready() bool {
+func (c placement) ready() bool {
 	for _, i := range c.members {
-		if i.presence != idle {
+		if i.availability != idle {
 			return false
 		}
 	}
 	return true
 }
 
-// keptChoice is a choice that holds while the domain doesn't change.
-type keptChoice struct {
-	version  int
-	known    bool
-	possible bool
-	choice   choice
+// cachedPlacement is a choice that holds while the domain doesn't change.
+type cachedPlacement struct {
+	domainVersion int
+	valid         bool
+	found         bool
+	placement     placement
 }
 
 type candidate struct {
-	instance *instance
-	wait     time.Duration
-	spoils   bool
+	instance      *instance
+	wait          time.Duration
+	evictsWeights bool
 }
 
-// best returns the choice of all domains that rule P5 puts first.
-func (p *planner) best(m *model, doubtful bool) (choice, bool) {
-	var best choice
+// bestPlacement returns the choice of all domains that rule P5 puts first.
+func (p *planner) bestPlacement(m *model, allowSuspect bool) (placement, bool) {
+	var best placement
 	found := false
 	for index, d := range p.domains {
-		c, ok := p.choiceIn(index, d, m, doubtful)
-		if ok && (!found || compareChoices(c, best, m) < 0) {
+		c, ok := p.placementIn(index, d, m, allowSuspect)
+		if ok && (!found || comparePlacements(c, best, m) < 0) {
 			best, found = c, true
 		}
 	}
 	return best, found
 }
 
-func compareChoices(a, b choice, m *model) int {
+func comparePlacements(a, b placement, m *model) int {
 	if a.ready() != b.ready() {
 		if a.ready() {
 			return -1
@@ -70,78 +70,78 @@
 	}
 	return cmp.Or(
 		cmp.Compare(a.wait, b.wait),
-		cmp.Compare(a.waits, b.waits),
+		cmp.Compare(a.totalWait, b.totalWait),
 		cmp.Compare(a.boots, b.boots),
-		cmp.Compare(a.waste, b.waste),
-		cmp.Compare(a.domain.held[m.index], b.domain.held[m.index]),
-		cmp.Compare(b.rest, a.rest),
+		cmp.Compare(a.fragmentation, b.fragmentation),
+		cmp.Compare(a.domain.groupCounts[m.index], b.domain.groupCounts[m.index]),
+		cmp.Compare(b.remaining, a.remaining),
 		cmp.Compare(a.domain.ID, b.domain.ID),
 	)
 }
 
-func (p *planner) choiceIn(index int, d *domain, m *model, doubtful bool) (choice, bool) {
-	if doubtful {
-		return p.assemble(d, m, true)
+func (p *planner) placementIn(index int, d *domain, m *model, allowSuspect bool) (placement, bool) {
+	if allowSuspect {
+		return p.findPlacement(d, m, true)
 	}
-	kept := &m.choices[index]
-	if !kept.known || kept.version != d.version {
-		c, ok := p.assemble(d, m, false)
-		*kept = keptChoice{version: d.version, known: true, possible: ok, choice: c}
+	cached := &m.placements[index]
+	if !cached.valid || cached.domainVersion != d.version {
+		c, ok := p.findPlacement(d, m, false)
+		*cached = cachedPlacement{domainVersion: d.version, valid: true, found: ok, placement: c}
 	}
-	return kept.choice, kept.possible
+	return cached.placement, cached.found
 }
 
-// assemble picks the members that are ready first.
-func (p *planner) assemble(d *domain, m *model, doubtful bool) (choice, bool) {
+// findPlacement picks the members that are ready first.
+func (p *planner) findPlacement(d *domain, m *model, allowSuspect bool) (placement, bool) {
 	candidates := p.scratch[:0]
 	for _, i := range d.instances {
-		if available(i, m, doubtful) {
-			candidates = append(candidates, p.rate(i, m))
+		if available(i, m, allowSuspect) {
+			candidates = append(candidates, p.newCandidate(i, m))
 		}
 	}
 	p.scratch = candidates
 	if len(candidates) < m.GroupSize {
-		return choice{}, false
+		return placement{}, false
 	}
-	candidates = presentOnly(candidates, m.GroupSize)
+	candidates = preferIdle(candidates, m.GroupSize)
 	slices.SortFunc(candidates, compareCandidates)
-	before := d.unused(m.class)
-	c := choice{domain: d, rest: before - m.GroupSize}
+	before := d.countUnused(m.class)
+	c := placement{domain: d, remaining: before - m.GroupSize}
 	c.members = make([]*instance, m.GroupSize)
 	for n := range c.members {
 		c.members[n] = candidates[n].instance
-		c.waits += p.presenceWait(c.members[n])
-		if c.members[n].presence == powerless {
+		c.totalWait += p.availabilityWait(c.members[n])
+		if c.members[n].availability == switchedOff {
 			c.boots++
 		}
 	}
 	slices.SortFunc(c.members, func(a, b *instance) int { return cmp.Compare(a.ID, b.ID) })
-	c.wait = p.waitOf(c.members, m)
+	c.wait = p.placementWait(c.members, m)
 	if m.class.mixed {
-		c.waste = c.rest%m.class.largest - before%m.class.largest
+		c.fragmentation = c.remaining%m.class.largest - before%m.class.largest
 	}
 	return c, true
 }
 
-// presentOnly leaves out those that must be waited for if the others are enough.
-func presentOnly(candidates []candidate, enough int) []candidate {
-	present := 0
+// preferIdle leaves out those that must be waited for if the others are enough.
+func preferIdle(candidates []candidate, size int) []candidate {
+	idleCount := 0
 	for _, c := range candidates {
-		if c.instance.presence == idle {
-			present++
+		if c.instance.availability == idle {
+			idleCount++
 		}
 	}
-	if present < enough {
+	if idleCount < size {
 		return candidates
 	}
-	return slices.DeleteFunc(candidates, func(c candidate) bool { return c.instance.presence != idle })
+	return slices.DeleteFunc(candidates, func(c candidate) bool { return c.instance.availability != idle })
 }
 
-// unused counts the instances of the class that the plan has no use for yet.
-func (d *domain) unused(c *class) int {
+// countUnused counts the instances of the class that the plan has no use for yet.
+func (d *domain) countUnused(c *class) int {
 	count := 0
 	for _, i := range d.instances {
-		if i.class == c && i.use == unused && i.presence != employed {
+		if i.class == c && i.use == unused && i.availability != inGroup {
 			count++
 		}
 	}
@@ -151,15 +151,15 @@
 // available reports whether the instance could join a group of the model.
 // Doubtful instances must prove themselves by a boot; until then only a plan
 // without other ways counts on them (rule P7).
-func available(i *instance, m *model, doubtful bool) bool {
+func available(i *instance, m *model, allowSuspect bool) bool {
 	if i.use != unused || i.class != m.class {
 		return false
 	}
-	switch i.presence {
-	case idle, returning, leavingGroup:
+	switch i.availability {
+	case idle, returning, drainingMember:
 		return true
-	case booting, powerless:
-		return doubtful || !i.doubtful
+	case booting, switchedOff:
+		return allowSuspect || !i.suspect
 	default:
 		return false
 	}
@@ -168,13 +168,13 @@
 func compareCandidates(a, b candidate) int {
 	c := cmp.Or(
 		cmp.Compare(a.wait, b.wait),
-		-cmp.Compare(a.instance.presence, b.instance.presence),
+		-cmp.Compare(a.instance.availability, b.instance.availability),
 	)
 	if c != 0 {
 		return c
 	}
-	if a.spoils != b.spoils {
-		if a.spoils {
+	if a.evictsWeights != b.evictsWeights {
+		if a.evictsWeights {
 			return 1
 		}
 		return -1
@@ -182,20 +182,20 @@
 	return cmp.Compare(a.instance.ID, b.instance.ID)
 }
 
-func (p *planner) rate(i *instance, m *model) candidate {
-	missing := p.missing(i, m.weights())
+func (p *planner) newCandidate(i *instance, m *model) candidate {
+	missing := p.missingBytes(i, m.weights())
 	return candidate{
-		instance: i,
-		wait:     p.presenceWait(i) + p.loadTime(missing, m.WeightBytes),
-		spoils:   missing > 0 && len(i.Weights) > 0,
+		instance:      i,
+		wait:          p.availabilityWait(i) + p.loadTime(missing, m.WeightBytes),
+		evictsWeights: missing > 0 && len(i.Weights) > 0,
 	}
 }
 
-// presenceWait estimates when the instance is powered and free.
-func (p *planner) presenceWait(i *instance) time.Duration {
+// availabilityWait estimates when the instance is powered and free.
+func (p *planner) availabilityWait(i *instance) time.Duration {
 	wait := time.Duration(0)
-	switch i.presence {
-	case powerless:
+	switch i.availability {
+	case switchedOff:
 		wait = i.class.BootTime
 	case booting:
 		wait = i.class.BootTime
@@ -204,11 +204,11 @@
 		}
 	case returning:
 		wait = readmitTime
-	case leavingGroup:
-		wait = max(0, i.free.Sub(p.in.Now))
+	case drainingMember:
+		wait = max(0, i.freeAt.Sub(p.in.Now))
 	}
-	if i.presence == powerless || i.presence == booting {
-		wait += doubtPenalty * time.Duration(i.history.Strikes)
+	if i.availability == switchedOff || i.availability == booting {
+		wait += failurePenalty * time.Duration(i.history.Failures)
 	}
 	if i.isStraggler() {
 		wait += stragglerPenalty
@@ -216,24 +216,24 @@
 	return wait
 }
 
-// missing returns the bytes that the instance has yet to load.
-func (p *planner) missing(i *instance, w Weights) int64 {
+// missingBytes returns the bytes that the instance has yet to load.
+func (p *planner) missingBytes(i *instance, w Weights) int64 {
 	// What an instance held is gone with its power.
-	if i.presence == powerless || i.presence == booting {
+	if i.availability == switchedOff || i.availability == booting {
 		return w.Bytes
 	}
 	if slices.Contains(i.Weights, w.WeightID) {
 		return 0
 	}
-	if i.observed.Loading == w.WeightID {
-		return max(w.Bytes-i.observed.LoadedBytes, 1)
+	if i.observation.Loading == w.WeightID {
+		return max(w.Bytes-i.observation.LoadedBytes, 1)
 	}
 	return w.Bytes
 }
 
 // loadTime estimates the time to load some of an instance's weights at the
 // whole rate.
-func (p *planner) loadTime(missing, whole int64) time.Duration {
+func (p *planner) loadTime(missing, total int64) time.Duration {
 	if missing == 0 {
 		return 0
 	}
@@ -244,19 +244,19 @@
 	if rate > 0 {
 		return seconds(float64(missing) / float64(rate))
 	}
-	if whole <= 0 {
+	if total <= 0 {
 		return 0
 	}
-	return seconds(DefaultLoadTime.Seconds() * float64(missing) / float64(whole))
+	return seconds(DefaultLoadTime.Seconds() * float64(missing) / float64(total))
 }
 
-// waitOf estimates when all members can form the group with loaded weights.
-func (p *planner) waitOf(members []*instance, m *model) time.Duration {
+// placementWait estimates when all members can form the group with loaded weights.
+func (p *planner) placementWait(members []*instance, m *model) time.Duration {
 	var longest, slowest time.Duration
 	var total int64
 	for _, i := range members {
-		missing := p.missing(i, m.weights())
-		longest = max(longest, p.presenceWait(i))
+		missing := p.missingBytes(i, m.weights())
+		longest = max(longest, p.availabilityWait(i))
 		slowest = max(slowest, p.loadTime(missing, m.WeightBytes))
 		total += missing
 	}
@@ -269,5 +269,5 @@
 // seconds returns s as a duration of at most longestEstimate: a store that
 // states next to no rate would else make it overflow and turn negative.
 func seconds(s float64) time.Duration {
-	return time.Duration(min(s, longestEstimate.Seconds()) * float64(time.Second))
+	return time.Duration(min(s, maxEstimate.Seconds()) * float64(time.Second))
 }
--- a/placer/doc.go
+++ b/placer/doc.go
@@ -89,24 +89,24 @@
 	// FormTime is the time that engines take to form a group whose weights are
 	// loaded (F).
 	FormTime = 5 * time.Second
-	// FlapBound is the least time between two changes of an instance's power by
+	// FlapDampingTime is the least time between two changes of an instance's power by
 	// choice (rule P13).
-	FlapBound = 3 * time.Minute
-	// ReformBound is how long a model below its minimum waits after a lowered
+	FlapDampingTime = 3 * time.Minute
+	// ReformDelay is how long a model below its minimum waits after a lowered
 	// limit or maximum took a group of it (rule P13).
-	ReformBound = time.Minute
-	// SwitchGain is how much sooner another choice must be for a slot to give up
+	ReformDelay = time.Minute
+	// ReservationHysteresis is how much sooner another choice must be for a slot to give up
 	// the members that it waits for.
-	SwitchGain = 20 * time.Second
-	// MoveBound is the least time between two replacements of stragglers of a
+	ReservationHysteresis = 20 * time.Second
+	// StragglerReplacementInterval is the least time between two replacements of stragglers of a
 	// model.
-	MoveBound = 10 * time.Minute
+	StragglerReplacementInterval = 10 * time.Minute
 	// LostGrace is how long a lost instance keeps its power: a member whose
 	// network blinked comes back with its weights.
 	LostGrace = 20 * time.Second
-	// MassLostGrace replaces LostGrace when most of the zone is lost at once:
+	// MassLossGrace replaces LostGrace when most of the zone is lost at once:
 	// then it is more likely that the view is wrong than that they all failed.
-	MassLostGrace = 2 * time.Minute
+	MassLossGrace = 2 * time.Minute
 	// ReturnGrace is how long a returned instance may wait to be re-admitted.
 	ReturnGrace = time.Minute
 	// MaxHold bounds every hold by rule P11.
@@ -116,8 +116,8 @@
 	RepairTime = time.Hour
 	// StragglerHorizon is how long a straggler is expected to stay slow.
 	StragglerHorizon = 30 * time.Minute
-	// StrikeMemory is how long one failure makes an instance doubtful.
-	StrikeMemory = 6 * time.Hour
+	// FailureDecayTime is how long one failure makes an instance doubtful.
+	FailureDecayTime = 6 * time.Hour
 	// DefaultBootTime stands in for a class that states none.
 	DefaultBootTime = 3 * time.Minute
 	// DefaultLoadTime is one instance's load time if the store's rate is not
@@ -126,23 +126,23 @@
 )
 
 const (
-	firstBackoff      = time.Minute
-	longestBackoff    = 30 * time.Minute
-	doubtPenalty      = time.Minute
-	stragglerPenalty  = 10 * time.Minute
-	slowAt            = 1.5
-	defaultSlowdown   = 1.5
-	readmitTime       = 2 * time.Second
-	defaultFailures   = 0.02
-	bootOverdueFactor = 3
-	massLostShare     = 0.6
-	massLostLeast     = 6
-	mostSpares        = 8
-	rateStep          = 8
-	floorShare        = 1000
-	preloadLeastShare = 100
-	bootMargin        = 15 * time.Second
-	preloadRetry      = 30 * time.Second
-	longestEstimate   = 24 * time.Hour
-	day               = 24 * time.Hour
+	minBackoff            = time.Minute
+	maxBackoff            = 30 * time.Minute
+	failurePenalty        = time.Minute
+	stragglerPenalty      = 10 * time.Minute
+	stragglerSlowdown     = 1.5
+	defaultSlowdown       = 1.5
+	readmitTime           = 2 * time.Second
+	defaultFailuresPerDay = 0.02
+	bootOverdueFactor     = 3
+	massLossShare         = 0.6
+	massLossMinInstances  = 6
+	maxSpares             = 8
+	rateChangeDivisor     = 8
+	minRateDivisor        = 1000
+	minPreloadDivisor     = 100
+	bootMargin            = 15 * time.Second
+	preloadRetryInterval  = 30 * time.Second
+	maxEstimate           = 24 * time.Hour
+	day                   = 24 * time.Hour
 )
--- a/placer/faults_test.go
+++ b/placer/faults_test.go
@@ -20,26 +20,26 @@
 	// runs is over how many runs the means are taken; 0 is 1.
 	runs int
 	// setup changes the zone before it starts; it may be nil.
-	setup func(*world)
+	setup func(*testZone)
 }
 
 // window is how long the effects of a fault are summed up.
 const window = time.Hour
 
 func faultCases() []faultCase {
-	roomy := func(w *world) { w.Models[2].MaxGroups = 1 }
+	withSpareRoom := func(w *testZone) { w.Models[2].MaxGroups = 1 }
 	return []faultCase{
 		{name: "nothing happens", window: window, begin: func(*simulator) {}},
-		{name: "single member lost", window: window, begin: func(s *simulator) { s.fail(s.member("a", 1), repairAfter, false) }},
+		{name: "single member lost", window: window, begin: func(s *simulator) { s.fail(s.member("a", 1), repairTime, false) }},
 		{name: "member returns in 8 s", window: window, begin: func(s *simulator) { s.fail(s.member("a", 1), 8*time.Second, true) }},
 		{name: "member returns in 45 s", window: window, begin: func(s *simulator) { s.fail(s.member("a", 1), 45*time.Second, true) }},
 		{name: "two members, one domain", window: window, begin: func(s *simulator) {
-			s.fail(s.member("a", 1), repairAfter, false)
-			s.fail(s.member("b", 2), repairAfter, false)
+			s.fail(s.member("a", 1), repairTime, false)
+			s.fail(s.member("b", 2), repairTime, false)
 		}},
-		{name: "whole domain dark", window: 2 * window, begin: func(s *simulator) { s.dark(0, 1) }},
-		{name: "same, room elsewhere", window: 2 * window, setup: roomy, begin: func(s *simulator) { s.dark(0, 1) }},
-		{name: "rack (half a domain)", window: 2 * window, begin: func(s *simulator) { s.dark(0, 2) }},
+		{name: "whole domain dark", window: 2 * window, begin: func(s *simulator) { s.cutOff(0, 1) }},
+		{name: "same, room elsewhere", window: 2 * window, setup: withSpareRoom, begin: func(s *simulator) { s.cutOff(0, 1) }},
+		{name: "rack (half a domain)", window: 2 * window, begin: func(s *simulator) { s.cutOff(0, 2) }},
 		{name: "straggler", window: window, begin: func(s *simulator) {
 			s.member("a", 1).instance.Condition = garnetworks.ConditionStraggler
 		}},
@@ -50,16 +50,16 @@
 			s.Limit = engineWatts * 45
 			s.after(20*time.Minute, func() { s.Limit = before })
 		}},
-		{name: "peak begins", window: window, setup: func(w *world) { w.Models[1].MinGroups, w.Models[1].MaxGroups = 3, 3 }, begin: func(s *simulator) {
+		{name: "peak begins", window: window, setup: func(w *testZone) { w.Models[1].MinGroups, w.Models[1].MaxGroups = 3, 3 }, begin: func(s *simulator) {
 			s.Models[1].MaxGroups = 6
 		}},
 		{name: "store slow, member lost", window: window, begin: func(s *simulator) {
 			s.StoreRate /= 10
-			s.fail(s.member("a", 1), repairAfter, false)
+			s.fail(s.member("a", 1), repairTime, false)
 		}},
 		{name: "boot slow, member lost", window: window, begin: func(s *simulator) {
-			s.boot = 15 * time.Minute
-			s.fail(s.member("a", 1), repairAfter, false)
+			s.bootTime = 15 * time.Minute
+			s.fail(s.member("a", 1), repairTime, false)
 		}},
 		ordinaryDays(3),
 	}
@@ -74,10 +74,10 @@
 	}}
 }
 
-// dark cuts every part-th instance of a domain off for half an hour, as a failed
+// cutOff cuts every part-th instance of a domain off for half an hour, as a failed
 // switch does; the instances keep their weights if they keep their power, and
 // the power can still be switched.
-func (s *simulator) dark(domain, part int) {
+func (s *simulator) cutOff(domain, part int) {
 	for n := range s.Domains[domain].Instances {
 		if n%part == 0 {
 			s.fail(s.engines[s.Domains[domain].Instances[n].ID], 30*time.Minute, true)
@@ -91,13 +91,13 @@
 	}
 }
 
-type measured struct {
+type measures struct {
 	down, stranded, slow float64
 }
 
-func simulate(t testing.TB, c faultCase, p policy, weights garnetworks.CostWeights) measured {
+func simulate(t testing.TB, c faultCase, p policy, weights garnetworks.CostWeights) measures {
 	t.Helper()
-	var sum measured
+	var sum measures
 	runs := max(1, c.runs)
 	for range runs {
 		m := simulateOnce(t, c, p, weights)
@@ -108,10 +108,10 @@
 	return sum
 }
 
-func simulateOnce(t testing.TB, c faultCase, p policy, weights garnetworks.CostWeights) measured {
+func simulateOnce(t testing.TB, c faultCase, p policy, weights garnetworks.CostWeights) measures {
 	t.Helper()
-	w := newWorld(5, 15, modelSpec("a", 10, 4, 6), modelSpec("b", 5, 4, 6), modelSpec("c", 1, 1, 3))
-	w.Weights = weights
+	w := newTestZone(5, 15, modelSpec("a", 10, 4, 6), modelSpec("b", 5, 4, 6), modelSpec("c", 1, 1, 3))
+	w.Costs = weights
 	w.Limit = engineWatts * 70
 	w.Grace.Drain = time.Minute
 	if c.setup != nil {
@@ -119,7 +119,7 @@
 	}
 	s := newSimulator(w, p)
 	s.announced = map[garnetworks.InstanceID]placer.InstanceObservation{}
-	s.run(epoch.Add(time.Hour))
+	s.run(startTime.Add(time.Hour))
 	before := s.account.Measures()
 	slow := s.slow
 	c.begin(s)
@@ -129,7 +129,7 @@
 	}
 	s.account.CountUntil(s.Now)
 	after := s.account.Measures()
-	return measured{
+	return measures{
 		down:     (after.GroupDowntime - before.GroupDowntime).Seconds(),
 		stranded: (after.Stranded - before.Stranded).Seconds(),
 		slow:     (s.slow - slow).Seconds(),
@@ -155,13 +155,13 @@
 		if testing.Short() && c.window > 2*window {
 			continue
 		}
-		naive := simulate(t, c, baseline, delta)
-		d := simulate(t, c, placer.Plan, delta)
-		s := simulate(t, c, placer.Plan, schiedsplan)
+		naive := simulate(t, c, baseline, downtimeFirst)
+		d := simulate(t, c, placer.Plan, downtimeFirst)
+		s := simulate(t, c, placer.Plan, strandedFirst)
 		fmt.Fprintf(&b, "%-24s|%8.0f %7.0f %4s %7.0f %4s |%8.0f %7.0f %4s %7.0f %4s |%6s %5s |%6.0f %6.0f %6.0f\n", c.name,
 			naive.down, d.down, ratio(d.down, naive.down), s.down, ratio(s.down, naive.down),
 			naive.stranded, d.stranded, ratio(d.stranded, naive.stranded), s.stranded, ratio(s.stranded, naive.stranded),
-			ratio(d.cost(delta), naive.cost(delta)), ratio(s.cost(schiedsplan), naive.cost(schiedsplan)),
+			ratio(d.cost(downtimeFirst), naive.cost(downtimeFirst)), ratio(s.cost(strandedFirst), naive.cost(strandedFirst)),
 			naive.slow, d.slow, s.slow)
 	}
 	t.Logf("\n%s", b.String())
@@ -188,7 +188,7 @@
 }
 
 // cost weighs the measures as the manifest does.
-func (m measured) cost(w garnetworks.CostWeights) float64 {
+func (m measures) cost(w garnetworks.CostWeights) float64 {
 	return m.down*w.GroupDowntime + m.stranded*w.Stranded
 }
 
--- a/placer/groups.go
+++ b/placer/groups.go
@@ -8,37 +8,37 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// judgeGroups ends the groups that can't go on and sorts the others into those
+// classifyGroups ends the groups that can't go on and sorts the others into those
 // that fill slots and those that form to replace one.
-func (p *planner) judgeGroups() {
+func (p *planner) classifyGroups() {
 	for _, g := range p.groups {
-		p.judgeGroup(g)
+		p.classifyGroup(g)
 	}
 	for _, g := range p.groups {
-		p.judgeReplacement(g)
+		p.classifyReplacement(g)
 	}
 	for _, m := range p.models {
-		slices.SortFunc(m.live, compareLive)
+		slices.SortFunc(m.live, compareRetention)
 	}
-	p.judged = true
+	p.classified = true
 }
 
-func (p *planner) judgeGroup(g *group) {
+func (p *planner) classifyGroup(g *group) {
 	e, ended := p.ended[g.ID]
 	switch {
 	case isBroken(g):
 		p.dissolve(g, ReasonMemberLost)
 	case ended:
-		p.end(g, e.reason, e.grace)
+		p.endGroup(g, e.reason, e.grace)
 	case g.State == garnetworks.GroupDraining:
-		p.goOnDraining(g)
+		p.continueDrain(g)
 	case g.model == nil || g.model.class == nil:
-		p.end(g, ReasonSurplus, p.in.Grace.Drain)
-	case hasLeaving(g) || p.leavesSoon(g):
-		p.end(g, ReasonLeaving, p.leavingGrace(g))
+		p.endGroup(g, ReasonSurplus, p.in.Grace.Drain)
+	case hasLeavingMember(g) || p.mustDrainNow(g):
+		p.endGroup(g, ReasonLeaving, p.leavingGrace(g))
 	default:
 		for _, i := range g.members {
-			i.presence = employed
+			i.availability = inGroup
 		}
 	}
 }
@@ -61,7 +61,7 @@
 	return false
 }
 
-func hasLeaving(g *group) bool {
+func hasLeavingMember(g *group) bool {
 	for _, i := range g.members {
 		if i.Condition == garnetworks.ConditionLeaving {
 			return true
@@ -70,16 +70,16 @@
 	return false
 }
 
-// leavesSoon reports whether a member ends before a later drain could finish:
+// mustDrainNow reports whether a member ends before a later drain could finish:
 // its calls would be cut off (rule G9).
-func (p *planner) leavesSoon(g *group) bool {
-	by := firstLeave(g)
+func (p *planner) mustDrainNow(g *group) bool {
+	by := earliestLeave(g)
 	if by.IsZero() {
 		return false
 	}
 	latest := by.Add(-p.in.Grace.Drain)
 	if p.in.Now.Before(latest) {
-		p.wake(latest)
+		p.replanAt(latest)
 		return false
 	}
 	return true
@@ -89,63 +89,63 @@
 func (p *planner) leavingGrace(g *group) time.Duration {
 	grace := p.in.Grace.Drain
 	for _, i := range g.members {
-		if by := i.observed.LeaveBy; !by.IsZero() {
+		if by := i.observation.LeaveBy; !by.IsZero() {
 			grace = min(grace, max(by.Sub(p.in.Now), 0))
 		}
 	}
 	return grace
 }
 
-func (p *planner) goOnDraining(g *group) {
+func (p *planner) continueDrain(g *group) {
 	if p.in.Groups[g.ID].Idle || !p.in.Now.Before(g.DrainUntil) {
 		p.dissolve(g, ReasonDrained)
 		return
 	}
-	p.wake(g.DrainUntil)
-	p.startDrain(g, g.DrainUntil)
+	p.replanAt(g.DrainUntil)
+	p.markDraining(g, g.DrainUntil)
 }
 
-func (p *planner) startDrain(g *group, until time.Time) {
+func (p *planner) markDraining(g *group, until time.Time) {
 	g.ending = true
 	if g.model != nil {
-		g.model.drains++
+		g.model.draining++
 	}
 	g.domain.version++
 	for _, i := range g.members {
 		i.use = unused
 		i.draining = true
-		i.presence = p.presenceOf(i)
-		if i.presence == idle {
-			i.presence = leavingGroup
-			i.free = until
+		i.availability = p.availabilityOf(i)
+		if i.availability == idle {
+			i.availability = drainingMember
+			i.freeAt = until
 		}
 	}
 }
 
 // dissolve ends the group at once; its members are judged on their own.
 func (p *planner) dissolve(g *group, reason Reason) {
-	p.noteEnd(g, reason, 0)
+	p.recordEnd(g, reason, 0)
 	g.ending = true
 	g.domain.version++
 	for _, i := range g.members {
 		i.use = unused
 		i.draining = false
-		i.presence = p.presenceOf(i)
+		i.availability = p.availabilityOf(i)
 	}
-	p.closing = append(p.closing, DissolveGroup{Domain: g.domain.ID, Group: g.ID, Reason: reason})
+	p.groupEnds = append(p.groupEnds, DissolveGroup{Domain: g.domain.ID, Group: g.ID, Reason: reason})
 }
 
-// noteEnd keeps an end that was decided on the way for the next round.
-func (p *planner) noteEnd(g *group, reason Reason, grace time.Duration) {
-	if p.judged {
-		p.endedLate = true
-		p.ended[g.ID] = ending{reason: reason, grace: grace}
+// recordEnd keeps an end that was decided on the way for the next round.
+func (p *planner) recordEnd(g *group, reason Reason, grace time.Duration) {
+	if p.classified {
+		p.rerun = true
+		p.ended[g.ID] = groupEnd{reason: reason, grace: grace}
 	}
 }
 
-// end drains the group; one that doesn't serve has nothing to drain. The group
+// endGroup drains the group; one that doesn't serve has nothing to drain. The group
 // that was to replace it ends as well, unless that is why it ends.
-func (p *planner) end(g *group, reason Reason, grace time.Duration) {
+func (p *planner) endGroup(g *group, reason Reason, grace time.Duration) {
 	if r := g.replacement; r != nil && !r.ending {
 		p.dissolve(r, reason)
 	}
@@ -153,23 +153,23 @@
 		p.dissolve(g, reason)
 		return
 	}
-	p.noteEnd(g, reason, grace)
+	p.recordEnd(g, reason, grace)
 	until := p.in.Now.Add(grace)
-	p.closing = append(p.closing, DrainGroup{Domain: g.domain.ID, Group: g.ID, Grace: grace, Reason: reason})
-	p.wake(until)
-	p.startDrain(g, until)
+	p.groupEnds = append(p.groupEnds, DrainGroup{Domain: g.domain.ID, Group: g.ID, Grace: grace, Reason: reason})
+	p.replanAt(until)
+	p.markDraining(g, until)
 }
 
-// judgeReplacement drains a group whose replacement serves (rule P8) and sets
+// classifyReplacement drains a group whose replacement serves (rule P8) and sets
 // apart one that still forms.
-func (p *planner) judgeReplacement(g *group) {
+func (p *planner) classifyReplacement(g *group) {
 	if g.ending {
 		return
 	}
 	old := g.replaces
 	replacing := old != nil && !old.ending
 	if replacing && g.State == garnetworks.GroupServing {
-		p.end(old, ReasonReplaced, p.in.Grace.Drain)
+		p.endGroup(old, ReasonReplaced, p.in.Grace.Drain)
 		if old.model != nil {
 			old.model.live = slices.DeleteFunc(old.model.live, func(o *group) bool { return o == old })
 		}
@@ -177,22 +177,22 @@
 	}
 	if replacing {
 		old.replacement = g
-		g.model.shadows = append(g.model.shadows, g)
+		g.model.replacements = append(g.model.replacements, g)
 		return
 	}
 	g.model.live = append(g.model.live, g)
 }
 
-// compareLive puts first the group that is to be kept longest.
-func compareLive(a, b *group) int {
+// compareRetention puts first the group that is to be kept longest.
+func compareRetention(a, b *group) int {
 	return cmp.Or(
-		cmp.Compare(demerits(a), demerits(b)),
+		cmp.Compare(retentionRank(a), retentionRank(b)),
 		a.Since.Compare(b.Since),
 		cmp.Compare(a.ID, b.ID),
 	)
 }
 
-func demerits(g *group) int {
+func retentionRank(g *group) int {
 	// Groups that don't serve yet keep their order of forming, so that a new one
 	// never takes the slot of one that formed before it.
 	if g.State != garnetworks.GroupServing {
@@ -202,17 +202,17 @@
 	if g.Version != g.model.Version {
 		n += 2
 	}
-	if len(worse(g)) > 0 {
+	if len(membersToReplace(g)) > 0 {
 		n++
 	}
 	return n
 }
 
-// worse returns the members that a replacement would leave out.
-func worse(g *group) []*instance {
+// membersToReplace returns the members that a replacement would leave out.
+func membersToReplace(g *group) []*instance {
 	var members []*instance
 	for _, i := range g.members {
-		if i.isStraggler() || !i.observed.LeaveBy.IsZero() {
+		if i.isStraggler() || !i.observation.LeaveBy.IsZero() {
 			members = append(members, i)
 		}
 	}
--- a/placer/index.go
+++ b/placer/index.go
@@ -8,24 +8,24 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// presence is how an instance could come to a group.
-type presence int
+// availability is how an instance could come to a group.
+type availability int
 
 const (
 	// unusable instances can't join a group now.
-	unusable presence = iota
-	// powerless instances are proven off and can be booted.
-	powerless
+	unusable availability = iota
+	// switchedOff instances are proven off and can be booted.
+	switchedOff
 	// booting instances were ordered on.
 	booting
 	// returning instances run and are about to be re-admitted.
 	returning
-	// leavingGroup instances are members of a group that drains.
-	leavingGroup
+	// drainingMember instances are members of a group that drains.
+	drainingMember
 	// idle instances are powered, healthy and in no group.
 	idle
-	// employed instances are members of a group that stays.
-	employed
+	// inGroup instances are members of a group that stays.
+	inGroup
 )
 
 // use is what the plan does with an instance.
@@ -41,34 +41,34 @@
 
 type instance struct {
 	*garnetworks.Instance
-	domain   *domain
-	class    *class
-	observed InstanceObservation
-	history  InstanceHistory
-	presence presence
-	use      use
-	// free is when a member of a draining group becomes free.
-	free time.Time
-	// doubtful instances failed within StrikeMemory (rule P7).
-	doubtful bool
-	// order is the position of the slot that the instance is reserved for.
-	order int
+	domain       *domain
+	class        *class
+	observation  InstanceObservation
+	history      InstanceHistory
+	availability availability
+	use          use
+	// freeAt is when a member of a draining group becomes freeAt.
+	freeAt time.Time
+	// suspect instances failed within StrikeMemory (rule P7).
+	suspect bool
+	// slotIndex is the position of the slot that the instance is reserved for.
+	slotIndex int
 	// reason is given if the instance is ordered on.
 	reason Reason
 	// preload is what a reserved or spare instance should load.
 	preload Weights
 	// loadClass orders loads (rule P12).
 	loadClass loadClass
-	// powerOff is set once the plan orders the instance off.
-	powerOff bool
+	// orderedOff is set once the plan orders the instance off.
+	orderedOff bool
 	// pool is nil for instances that no model uses.
 	pool *pool
-	// delay is how much later than now the instance should be ordered on.
-	delay time.Duration
+	// bootDelay is how much later than now the instance should be ordered on.
+	bootDelay time.Duration
 	// draining says that the instance is a member of a group that drains.
 	draining bool
-	// loads says that the plan lets the instance load weights.
-	loads bool
+	// loading says that the plan lets the instance load weights.
+	loading bool
 }
 
 // Weights are the weights of a model's version with their size.
@@ -89,12 +89,12 @@
 type domain struct {
 	*garnetworks.FabricDomain
 	instances []*instance
-	// held counts the groups and slots of each model in the domain.
-	held []int
+	// groupCounts counts the groups and slots of each model in the domain.
+	groupCounts []int
 	// version counts changes, so that choices can be kept until then.
 	version int
-	// unproven is true if instances have failed and none has come back.
-	unproven bool
+	// unrecovered is true if instances have failed and none has come back.
+	unrecovered bool
 }
 
 type group struct {
@@ -108,8 +108,8 @@
 	replaces *group
 	// replacement is the group that will replace this one.
 	replacement *group
-	// order is the position of the group's slot.
-	order int
+	// slotIndex is the position of the group's slot.
+	slotIndex int
 	// minimum says that the group fills a minimum slot.
 	minimum bool
 }
@@ -118,28 +118,28 @@
 	garnetworks.ModelSpec
 	class *class
 	index int
-	// reach is the most groups that the zone's instances could form.
-	reach int
+	// feasibleGroups is the most groups that the zone's instances could form.
+	feasibleGroups int
 	// live are the groups that fill slots, the best first.
 	live []*group
-	// shadows are groups that form to replace live ones.
-	shadows []*group
-	// drains counts groups that drain.
-	drains int
-	// pending counts slots without a group that the plan waits for.
-	pending int
+	// replacements are groups that form to replace live ones.
+	replacements []*group
+	// draining counts groups that drain.
+	draining int
+	// waiting counts slots without a group that the plan waits for.
+	waiting int
 	// unplaced counts empty slots for which nothing is reserved.
 	unplaced int
-	// moving counts replacements that the plan prepares.
-	moving int
+	// replacing counts replacements that the plan prepares.
+	replacing int
 	// reservations are those of the last plan that no slot has taken up.
 	reservations []Reservation
-	// choices keeps the best members of each domain, by the domain's index.
-	choices []keptChoice
+	// placements keeps the best members of each domain, by the domain's index.
+	placements []cachedPlacement
 }
 
-// ending is the end of a group that an earlier round decided.
-type ending struct {
+// groupEnd is the end of a group that an earlier round decided.
+type groupEnd struct {
 	reason Reason
 	grace  time.Duration
 }
@@ -148,33 +148,33 @@
 	in Input
 	// ended holds the groups that end; judged says that all those known from
 	// the start have been ended, endedLate that there were others.
-	ended     map[garnetworks.GroupID]ending
-	judged    bool
-	endedLate bool
+	ended      map[garnetworks.GroupID]groupEnd
+	classified bool
+	rerun      bool
 	// displaced says that a slot displaced groups, which ends the round.
-	displaced bool
-	out       Output
-	classes   map[string]*class
-	models    []*model
-	byName    map[garnetworks.ModelName]*model
-	domains   []*domain
-	instances []*instance
-	groups    []*group
-	slots     []slot
-	// planned is the draw of everything the plan has a use for.
-	planned garnetworks.Watts
-	// waits are the reserved slots, in order.
-	waits []pendingWait
-	// forms are the groups that can form now.
-	forms []*pendingForm
-	// closing, offs, ons and loads are the decisions by kind.
-	closing, offs, ons, loads []Decision
-	pools                     []*pool
-	// spareWatts is the draw of all spares that are worth it, also of those that
+	displaced    bool
+	out          Output
+	classes      map[string]*class
+	models       []*model
+	modelsByName map[garnetworks.ModelName]*model
+	domains      []*domain
+	instances    []*instance
+	groups       []*group
+	slots        []slot
+	// plannedDraw is the draw of everything the plan has a use for.
+	plannedDraw garnetworks.Watts
+	// waitingSlots are the reserved slots, in order.
+	waitingSlots []waitingSlot
+	// pendingGroups are the groups that can form now.
+	pendingGroups []*pendingGroup
+	// groupEnds, powerOffs, powerOns and loadOrders are the decisions by kind.
+	groupEnds, powerOffs, powerOns, loadOrders []Decision
+	pools                                      []*pool
+	// spareDraw is the draw of all spares that are worth it, also of those that
 	// the limit leaves no power for.
-	spareWatts garnetworks.Watts
-	lostGrace  time.Duration
-	scratch    []candidate
+	spareDraw garnetworks.Watts
+	lostGrace time.Duration
+	scratch   []candidate
 }
 
 func newPlanner(in Input) *planner {
@@ -183,7 +183,7 @@
 	p.indexModels()
 	p.indexDomains()
 	p.indexGroups()
-	p.indexReach()
+	p.indexFeasible()
 	p.slots = slotsOf(p.models)
 	return p
 }
@@ -195,14 +195,14 @@
 			c.BootTime = DefaultBootTime
 		}
 		if c.FailuresPerDay <= 0 {
-			c.FailuresPerDay = defaultFailures
+			c.FailuresPerDay = defaultFailuresPerDay
 		}
 		p.classes[c.Name] = &class{InstanceClass: c}
 	}
 }
 
 func (p *planner) indexModels() {
-	p.byName = make(map[garnetworks.ModelName]*model, len(p.in.Models))
+	p.modelsByName = make(map[garnetworks.ModelName]*model, len(p.in.Models))
 	for _, m := range p.in.Models {
 		c := p.classes[m.Class]
 		if m.GroupSize < 1 {
@@ -220,24 +220,24 @@
 	})
 	for i, m := range p.models {
 		m.index = i
-		m.choices = make([]keptChoice, len(p.in.Domains))
-		p.byName[m.Name] = m
+		m.placements = make([]cachedPlacement, len(p.in.Domains))
+		p.modelsByName[m.Name] = m
 	}
 	for _, r := range p.in.State.Reservations {
-		if m := p.byName[r.Model]; m != nil {
+		if m := p.modelsByName[r.Model]; m != nil {
 			m.reservations = append(m.reservations, r)
 		}
 	}
 }
 
-func (p *planner) indexReach() {
+func (p *planner) indexFeasible() {
 	counts := make(map[*class]int, len(p.classes))
 	for _, i := range p.instances {
 		counts[i.class]++
 	}
 	for _, m := range p.models {
 		if m.class != nil {
-			m.reach = counts[m.class] / m.GroupSize
+			m.feasibleGroups = counts[m.class] / m.GroupSize
 		}
 	}
 }
@@ -250,7 +250,7 @@
 	slab := make([]instance, 0, count)
 	p.instances = make([]*instance, 0, count)
 	for i := range p.in.Domains {
-		d := &domain{FabricDomain: &p.in.Domains[i], held: make([]int, len(p.models))}
+		d := &domain{FabricDomain: &p.in.Domains[i], groupCounts: make([]int, len(p.models))}
 		d.instances = make([]*instance, 0, len(d.Instances))
 		for j := range d.Instances {
 			slab = append(slab, instance{Instance: &d.Instances[j], domain: d})
@@ -265,79 +265,79 @@
 		for _, i := range d.instances {
 			p.indexInstance(i)
 		}
-		d.unproven = isUnproven(d)
+		d.unrecovered = isUnrecovered(d)
 	}
 }
 
 func (p *planner) indexInstance(i *instance) {
 	i.class = p.classes[i.Class]
-	i.observed = p.in.Instances[i.ID]
+	i.observation = p.in.Instances[i.ID]
 	i.history = p.in.State.Instances[i.ID]
-	p.recordLoss(i)
-	p.noteReturn(i)
-	i.doubtful = i.history.Strikes > 0 && p.in.Now.Before(i.history.LastStrike.Add(StrikeMemory))
-	i.presence = p.presenceOf(i)
+	p.trackLoss(i)
+	p.trackReturn(i)
+	i.suspect = i.history.Failures > 0 && p.in.Now.Before(i.history.FailuresChanged.Add(FailureDecayTime))
+	i.availability = p.availabilityOf(i)
 	if i.Power.Draws() {
 		p.out.Drawn += i.Watts
 	}
 }
 
-// recordLoss counts the instance's failures. A boot that takes far too long
+// trackLoss counts the instance's failures. A boot that takes far too long
 // counts as one: the instance draws power, never answers, and nothing else
 // would ever end the wait for it.
-func (p *planner) recordLoss(i *instance) {
+func (p *planner) trackLoss(i *instance) {
 	h := &i.history
 	running := i.Power == garnetworks.PowerOn || i.Power == garnetworks.PowerUnknown
 	starting := i.Power == garnetworks.PowerStarting
-	lost := (running || starting) && i.Condition == garnetworks.ConditionLost || p.bootOverdue(i)
+	lost := (running || starting) && i.Condition == garnetworks.ConditionLost || p.isBootOverdue(i)
 	lost = lost || starting && !h.LostSince.IsZero()
 	if i.Power == garnetworks.PowerStopping {
 		return
 	}
 	if !lost {
 		h.LostSince = time.Time{}
-		p.forgetStrikes(h)
+		p.decayFailures(h)
 		return
 	}
 	if h.LostSince.IsZero() {
 		h.LostSince = p.in.Now
-		h.LastStrike = p.in.Now
-		h.Strikes++
+		h.FailuresChanged = p.in.Now
+		h.Failures++
 	}
 }
 
-func (p *planner) forgetStrikes(h *InstanceHistory) {
-	for h.Strikes > 0 && !p.in.Now.Before(h.LastStrike.Add(StrikeMemory)) {
-		h.Strikes--
-		h.LastStrike = h.LastStrike.Add(StrikeMemory)
+func (p *planner) decayFailures(h *InstanceHistory) {
+	for h.Failures > 0 && !p.in.Now.Before(h.FailuresChanged.Add(FailureDecayTime)) {
+		h.Failures--
+		h.FailuresChanged = h.FailuresChanged.Add(FailureDecayTime)
 	}
 }
 
-// bootOverdue allows twice the time after each failure: were the class's boot
+// isBootOverdue allows twice the time after each failure: were the class's boot
 // time stated too short, every boot would be given up and none would ever end.
-func (p *planner) bootOverdue(i *instance) bool {
+func (p *planner) isBootOverdue(i *instance) bool {
 	if i.Power != garnetworks.PowerStarting || i.class == nil || i.history.PoweredOn.IsZero() {
 		return false
 	}
 	end := i.history.PoweredOn.Add(bootLimit(i))
-	p.wake(end)
+	p.replanAt(end)
 	return !p.in.Now.Before(end)
 }
 
 func bootLimit(i *instance) time.Duration {
 	limit := bootOverdueFactor*i.class.BootTime + time.Minute
-	return limit << min(i.history.Strikes, 4)
+	return limit << min(i.history.Failures, 4)
 }
 
-// presenceOf judges the instance on its own; indexGroups corrects it for
+// availabilityOf judges the instance on its own; indexGroups corrects it for
 // members of groups.
-func (p *planner) presenceOf(i *instance) presence {
+func (p *planner) availabilityOf(i *instance) availability {
 	if i.class == nil || p.inBackoff(i) {
 		return unusable
 	}
 	switch i.Power {
 	case garnetworks.PowerOff:
-		return powerless
+		return switchedOff
 	case garnetworks.PowerStarting:
 		if !i.history.LostSince.IsZero() {
 			return unusable
@@ -345,32 +345,32 @@
 		return booting
 	case garnetworks.PowerOn:
 		// An instance whose end is announced would break its next group too.
-		if !i.observed.LeaveBy.IsZero() {
+		if !i.observation.LeaveBy.IsZero() {
 			return unusable
 		}
 		switch i.Condition {
 		case garnetworks.ConditionHealthy, garnetworks.ConditionStraggler:
 			return idle
 		case garnetworks.ConditionReturned:
-			return p.presenceOfReturned(i)
+			return p.availabilityOfReturned(i)
 		}
 	}
 	return unusable
 }
 
-// presenceOfReturned counts on an instance that is about to be re-admitted, as
+// availabilityOfReturned counts on an instance that is about to be re-admitted, as
 // each is after its boot: else its slot would boot another one in its place.
-func (p *planner) presenceOfReturned(i *instance) presence {
+func (p *planner) availabilityOfReturned(i *instance) availability {
 	end := i.history.ReturnedSince.Add(ReturnGrace)
-	p.wake(end)
+	p.replanAt(end)
 	if p.in.Now.Before(end) {
 		return returning
 	}
 	return unusable
 }
 
-// noteReturn keeps since when the instance has waited to be re-admitted.
-func (p *planner) noteReturn(i *instance) {
+// trackReturn keeps since when the instance has waited to be re-admitted.
+func (p *planner) trackReturn(i *instance) {
 	if i.Power != garnetworks.PowerOn || i.Condition != garnetworks.ConditionReturned {
 		i.history.ReturnedSince = time.Time{}
 		return
@@ -387,7 +387,7 @@
 	if i.Power != garnetworks.PowerOn {
 		return false
 	}
-	return i.Condition == garnetworks.ConditionStraggler || i.observed.Slowdown >= slowAt
+	return i.Condition == garnetworks.ConditionStraggler || i.observation.Slowdown >= stragglerSlowdown
 }
 
 // inBackoff keeps an instance that fails again and again out of groups for
@@ -398,24 +398,24 @@
 	if !p.in.Now.Before(until) {
 		return false
 	}
-	p.wake(until)
+	p.replanAt(until)
 	return true
 }
 
 func backoffEnd(h InstanceHistory) time.Time {
-	if h.Strikes < 2 {
+	if h.Failures < 2 {
 		return time.Time{}
 	}
-	backoff := firstBackoff << min(h.Strikes-2, 10)
-	return h.LastStrike.Add(min(backoff, longestBackoff))
+	backoff := minBackoff << min(h.Failures-2, 10)
+	return h.FailuresChanged.Add(min(backoff, maxBackoff))
 }
 
-// isUnproven reports whether instances of the domain have failed and none of
+// isUnrecovered reports whether instances of the domain have failed and none of
 // them has come back.
-func isUnproven(d *domain) bool {
+func isUnrecovered(d *domain) bool {
 	failed := false
 	for _, i := range d.instances {
-		if !i.doubtful {
+		if !i.suspect {
 			continue
 		}
 		if i.Power == garnetworks.PowerOn && i.Condition == garnetworks.ConditionHealthy {
@@ -431,40 +431,40 @@
 	for _, i := range p.instances {
 		byID[i.ID] = i
 	}
-	named := map[garnetworks.GroupID]*group{}
+	groupsByID := map[garnetworks.GroupID]*group{}
 	for _, d := range p.domains {
 		for j := range d.Groups {
-			g := &group{Group: &d.Groups[j], domain: d, model: p.byName[d.Groups[j].Model]}
+			g := &group{Group: &d.Groups[j], domain: d, model: p.modelsByName[d.Groups[j].Model]}
 			for _, id := range g.Members {
 				if i := byID[id]; i != nil && i.domain == d {
 					g.members = append(g.members, i)
 				}
 			}
 			p.groups = append(p.groups, g)
-			named[g.ID] = g
+			groupsByID[g.ID] = g
 		}
 	}
 	slices.SortFunc(p.groups, func(a, b *group) int { return cmp.Compare(a.ID, b.ID) })
 	for _, g := range p.groups {
 		if g.Replaces != "" {
-			g.replaces = named[g.Replaces]
+			g.replaces = groupsByID[g.Replaces]
 		}
 	}
 }
 
-// wake asks for a new plan at t.
-func (p *planner) wake(t time.Time) {
+// replanAt asks for a new plan at t.
+func (p *planner) replanAt(t time.Time) {
 	if !t.After(p.in.Now) {
 		return
 	}
-	if p.out.Wake.IsZero() || t.Before(p.out.Wake) {
-		p.out.Wake = t
+	if p.out.ReplanAt.IsZero() || t.Before(p.out.ReplanAt) {
+		p.out.ReplanAt = t
 	}
 }
 
-// remember writes the state for the next plan; instances without history are
+// saveState writes the state for the next plan; instances without history are
 // left out, so that the state stays small.
-func (p *planner) remember() {
+func (p *planner) saveState() {
 	p.out.State.Instances = make(map[garnetworks.InstanceID]InstanceHistory)
 	for _, i := range p.instances {
 		if i.history != (InstanceHistory{}) {
--- a/placer/plan.go
+++ b/placer/plan.go
@@ -13,69 +13,69 @@
 // plan that ends groups on the way is made again with those groups ending from
 // the start. Each round ends one group more at least, which bounds them.
 func Plan(in Input) Output {
-	ended := map[garnetworks.GroupID]ending{}
+	ended := map[garnetworks.GroupID]groupEnd{}
 	for {
 		p := newPlanner(in)
 		p.ended = ended
 		p.decide()
-		if !p.endedLate {
-			p.collect()
+		if !p.rerun {
+			p.orderDecisions()
 			p.countWanted()
-			p.remember()
+			p.saveState()
 			return p.out
 		}
 		in.State.Sheds = p.out.State.Sheds
-		in.State.Moves = p.out.State.Moves
+		in.State.StragglerReplacements = p.out.State.StragglerReplacements
 	}
 }
 
 func (p *planner) decide() {
-	p.out.State.Sheds = cloned(p.in.State.Sheds)
-	p.out.State.Moves = cloned(p.in.State.Moves)
-	p.lostGrace = p.graceForLost()
-	p.judgeGroups()
+	p.out.State.Sheds = copyMap(p.in.State.Sheds)
+	p.out.State.StragglerReplacements = copyMap(p.in.State.StragglerReplacements)
+	p.lostGrace = p.lostInstanceGrace()
+	p.classifyGroups()
 	p.fillSlots()
-	p.replaceMembers()
-	if p.endedLate {
+	p.replaceGroups()
+	if p.rerun {
 		return
 	}
-	p.keepSpares()
-	p.describeHolds()
+	p.chooseSpares()
+	p.computeHolds()
 	p.decidePower()
-	p.shareRate()
+	p.allocateRate()
 }
 
-// cloned returns a copy that is never nil, so that a plan can write into it.
-func cloned[V any](m map[garnetworks.ModelName]V) map[garnetworks.ModelName]V {
+// copyMap returns a copy that is never nil, so that a plan can write into it.
+func copyMap[V any](m map[garnetworks.ModelName]V) map[garnetworks.ModelName]V {
 	c := make(map[garnetworks.ModelName]V, len(m))
 	maps.Copy(c, m)
 	return c
 }
 
-// collect puts the decisions in the order in which they can be carried out:
+// orderDecisions puts the decisions in the order in which they can be carried out:
 // what frees members and power comes before what takes them.
-func (p *planner) collect() {
-	count := len(p.closing) + len(p.offs) + len(p.ons) + len(p.forms) + len(p.loads)
+func (p *planner) orderDecisions() {
+	count := len(p.groupEnds) + len(p.powerOffs) + len(p.powerOns) + len(p.pendingGroups) + len(p.loadOrders)
 	if count == 0 {
 		return
 	}
 	p.out.Decisions = make([]Decision, 0, count)
-	p.out.Decisions = append(p.out.Decisions, p.closing...)
-	p.out.Decisions = append(p.out.Decisions, p.offs...)
-	p.out.Decisions = append(p.out.Decisions, p.ons...)
-	for _, f := range p.forms {
+	p.out.Decisions = append(p.out.Decisions, p.groupEnds...)
+	p.out.Decisions = append(p.out.Decisions, p.powerOffs...)
+	p.out.Decisions = append(p.out.Decisions, p.powerOns...)
+	for _, f := range p.pendingGroups {
 		p.out.Decisions = append(p.out.Decisions, f.decision())
 	}
-	p.out.Decisions = append(p.out.Decisions, p.loads...)
+	p.out.Decisions = append(p.out.Decisions, p.loadOrders...)
 }
 
-func (f *pendingForm) decision() FormGroup {
+func (f *pendingGroup) decision() FormGroup {
 	d := FormGroup{
-		Domain:   f.choice.domain.ID,
+		Domain:   f.placement.domain.ID,
 		Model:    f.model.Name,
 		Version:  f.model.Version,
 		Adapters: slices.Clone(f.model.Adapters),
-		Members:  idsOf(f.choice.members),
+		Members:  idsOf(f.placement.members),
 		LoadRate: f.rate,
 		Reason:   f.reason,
 	}
--- a/placer/power.go
+++ b/placer/power.go
@@ -12,13 +12,13 @@
 func (p *planner) decidePower() {
 	p.delayBoots()
 	ons := p.wantedOn()
-	var asked garnetworks.Watts
+	var requested garnetworks.Watts
 	for _, i := range ons {
-		asked += i.Watts
+		requested += i.Watts
 	}
-	lack := p.out.Drawn + asked - p.in.Limit
-	lack -= p.switchOffDue()
-	p.switchOffFor(lack)
+	excess := p.out.Drawn + requested - p.in.Limit
+	excess -= p.switchOffDue()
+	p.switchOffToFit(excess)
 	p.switchOn(ons)
 }
 
@@ -26,24 +26,24 @@
 func (p *planner) wantedOn() []*instance {
 	var ons []*instance
 	for _, d := range p.domains {
-		probing := d.unproven && p.probesFirst(d)
+		probing := d.unrecovered && p.shouldProbe(d)
 		probed := probing && hasBooting(d)
 		for _, i := range d.instances {
-			if i.use == unused || i.presence != powerless {
+			if i.use == unused || i.availability != switchedOff {
 				continue
 			}
-			if i.delay > 0 {
-				p.wake(p.in.Now.Add(i.delay))
+			if i.bootDelay > 0 {
+				p.replanAt(p.in.Now.Add(i.bootDelay))
 				continue
 			}
-			if i.doubtful && probed {
+			if i.suspect && probed {
 				continue
 			}
 			ons = append(ons, i)
 			probed = probing
 		}
 	}
-	slices.SortStableFunc(ons, func(a, b *instance) int { return cmp.Compare(a.order, b.order) })
+	slices.SortStableFunc(ons, func(a, b *instance) int { return cmp.Compare(a.slotIndex, b.slotIndex) })
 	return ons
 }
 
@@ -54,59 +54,59 @@
 	if p.in.StoreRate <= 0 {
 		return
 	}
-	fed := p.loadingNow()
-	for _, w := range p.waits {
+	storeBusy := p.storeBusyTime()
+	for _, w := range p.waitingSlots {
 		size := float64(w.model.GroupSize)
-		c := w.choice
+		c := w.placement
 		boot := c.longestWait(p)
-		if p.in.Weights.Stranded*size > p.in.Weights.GroupDowntime && !c.begun() {
-			c.delay(fed - boot - bootMargin)
+		if p.in.Costs.Stranded*size > p.in.Costs.GroupDowntime && !c.hasBootingMember() {
+			c.setBootDelay(storeBusy - boot - bootMargin)
 		}
-		fed = max(fed, boot) + p.waitOf(c.members, w.model) - boot
+		storeBusy = max(storeBusy, boot) + p.placementWait(c.members, w.model) - boot
 	}
 }
 
-// loadingNow estimates how long the store is busy with groups that load.
-func (p *planner) loadingNow() time.Duration {
+// storeBusyTime estimates how long the store is busy with groups that load.
+func (p *planner) storeBusyTime() time.Duration {
 	var bytes int64
 	for _, l := range p.loaders() {
-		if !l.preloads() {
+		if !l.isPreload() {
 			bytes += l.bytes
 		}
 	}
 	return seconds(float64(bytes) / float64(p.in.StoreRate))
 }
 
-func (c choice) longestWait(p *planner) time.Duration {
+func (c placement) longestWait(p *planner) time.Duration {
 	var longest time.Duration
 	for _, i := range c.members {
-		longest = max(longest, p.presenceWait(i))
+		longest = max(longest, p.availabilityWait(i))
 	}
 	return longest
 }
 
-// begun reports whether a member boots already.
-func (c choice) begun() bool {
-	return slices.ContainsFunc(c.members, func(i *instance) bool { return i.presence == booting })
+// hasBootingMember reports whether a member boots already.
+func (c placement) hasBootingMember() bool {
+	return slices.ContainsFunc(c.members, func(i *instance) bool { return i.availability == booting })
 }
 
-func (c choice) delay(d time.Duration) {
+func (c placement) setBootDelay(d time.Duration) {
 	for _, i := range c.members {
-		i.delay = d
+		i.bootDelay = d
 	}
 }
 
 func hasBooting(d *domain) bool {
-	return slices.ContainsFunc(d.instances, func(i *instance) bool { return i.presence == booting && i.use != unused })
+	return slices.ContainsFunc(d.instances, func(i *instance) bool { return i.availability == booting && i.use != unused })
 }
 
-// probesFirst reports whether the failed instances of a domain are tried with
+// shouldProbe reports whether the failed instances of a domain are tried with
 // one of them: all booting in vain cost more than the boot time that one costs
 // (rule P7).
-func (p *planner) probesFirst(d *domain) bool {
+func (p *planner) shouldProbe(d *domain) bool {
 	for _, i := range d.instances {
 		if i.class != nil && i.class.largest > 0 {
-			return p.in.Weights.Stranded*float64(i.class.largest) > p.in.Weights.GroupDowntime
+			return p.in.Costs.Stranded*float64(i.class.largest) > p.in.Costs.GroupDowntime
 		}
 	}
 	return false
@@ -120,13 +120,13 @@
 		if i.Power == garnetworks.PowerStopping {
 			freed += i.Watts
 		}
-		p.noteIdle(i)
+		p.trackIdle(i)
 		reason, due := p.offDue(i)
 		if reason == "" {
 			continue
 		}
 		if p.in.Now.Before(due) {
-			p.wake(due)
+			p.replanAt(due)
 			continue
 		}
 		p.switchOff(i, reason)
@@ -135,10 +135,10 @@
 	return freed
 }
 
-// noteIdle keeps the time since which the instance is of no use. The time that
+// trackIdle keeps the time since which the instance is of no use. The time that
 // it was lost doesn't count: else one that returns late would be switched off
 // before it is re-admitted.
-func (p *planner) noteIdle(i *instance) {
+func (p *planner) trackIdle(i *instance) {
 	running := i.Power == garnetworks.PowerOn || i.Power == garnetworks.PowerStarting
 	if !running || i.use != unused || i.draining || !i.history.LostSince.IsZero() {
 		i.history.IdleSince = time.Time{}
@@ -191,10 +191,10 @@
 func (p *planner) lostHold(i *instance) time.Duration {
 	o := i.pool
 	switch {
-	case o.waiting > 0 && float64(o.lost-o.GroupSize)*p.in.Weights.Stranded < p.in.Weights.GroupDowntime:
+	case o.waiting > 0 && float64(o.lost-o.GroupSize)*p.in.Costs.Stranded < p.in.Costs.GroupDowntime:
 		return MaxHold
-	case 2*o.lost >= o.size && o.wanted:
-		return max(p.lostGrace, p.holdAgainstBoot(o, o.GroupSize))
+	case 2*o.lost >= o.size && o.groupWanted:
+		return max(p.lostGrace, p.breakEvenHold(o, o.GroupSize))
 	default:
 		return p.lostGrace
 	}
@@ -203,51 +203,51 @@
 // idleDue returns the end of the hold by rule P11, but not before FlapBound has
 // passed since the instance was ordered on (rule P13).
 func (p *planner) idleDue(i *instance) time.Time {
-	due := i.history.IdleSince.Add(p.holdOf(i))
-	if on := i.history.PoweredOn; !on.IsZero() && on.Add(FlapBound).After(due) {
-		due = on.Add(FlapBound)
+	due := i.history.IdleSince.Add(p.idleHold(i))
+	if on := i.history.PoweredOn; !on.IsZero() && on.Add(FlapDampingTime).After(due) {
+		due = on.Add(FlapDampingTime)
 	}
 	return due
 }
 
-func (p *planner) holdOf(i *instance) time.Duration {
+func (p *planner) idleHold(i *instance) time.Duration {
 	o := i.pool
 	hold := o.hold
-	if o.survivors > 0 && i.presence == idle {
-		hold = max(hold, p.holdAgainstBoot(o, o.survivors))
+	if o.survivors > 0 && i.availability == idle {
+		hold = max(hold, p.breakEvenHold(o, o.survivors))
 	}
 	return min(hold, MaxHold)
 }
 
-// holdAgainstBoot is the time after which holding a group's n instances has
+// breakEvenHold is the time after which holding a group's n instances has
 // cost as much as booting and loading them anew would.
-func (p *planner) holdAgainstBoot(o *pool, n int) time.Duration {
-	cost := p.in.Weights.Stranded * float64(n)
+func (p *planner) breakEvenHold(o *pool, n int) time.Duration {
+	cost := p.in.Costs.Stranded * float64(n)
 	if cost <= 0 {
 		return MaxHold
 	}
-	factor := 1 + p.in.Weights.GroupDowntime/cost
-	return seconds(min(o.Saved.Seconds()*factor, MaxHold.Seconds()))
+	factor := 1 + p.in.Costs.GroupDowntime/cost
+	return seconds(min(o.TimeSaved.Seconds()*factor, MaxHold.Seconds()))
 }
 
-// describeHolds computes, for each pool, how long its leftovers are held.
-func (p *planner) describeHolds() {
+// computeHolds computes, for each pool, how long its leftovers are held.
+func (p *planner) computeHolds() {
 	for _, o := range p.pools {
 		share := 1.0
-		if s := p.in.Weights.Stranded; s > 0 {
-			share = min(1, o.worthOf(len(o.kept)+1)/s)
+		if s := p.in.Costs.Stranded; s > 0 {
+			share = min(1, o.benefitOf(len(o.kept)+1)/s)
 		}
 		o.hold = seconds(o.class.BootTime.Seconds() * share)
-		o.survivors = p.survivorsOf(o)
-		p.countLost(o)
+		o.survivors = p.countSurvivors(o)
+		p.countLosses(o)
 	}
 }
 
-// countLost fills in what lostHold asks for.
-func (p *planner) countLost(o *pool) {
-	o.wanted = p.leastUnplaced(o.class) > 0
+// countLosses fills in what lostHold asks for.
+func (p *planner) countLosses(o *pool) {
+	o.groupWanted = p.smallestUnplaced(o.class) > 0
 	for _, m := range p.models {
-		o.wanted = o.wanted || m.class == o.class && m.pending > 0
+		o.groupWanted = o.groupWanted || m.class == o.class && m.waiting > 0
 	}
 	for _, i := range o.domain.instances {
 		if i.class != o.class {
@@ -257,62 +257,62 @@
 		if !i.history.LostSince.IsZero() {
 			o.lost++
 		}
-		if i.use == usedBySlot && (i.presence == booting || i.presence == powerless) {
+		if i.use == usedBySlot && (i.availability == booting || i.availability == switchedOff) {
 			o.waiting++
 		}
 	}
 }
 
-// leastUnplaced returns the size of the smallest group of the class that is
+// smallestUnplaced returns the size of the smallest group of the class that is
 // wanting and that power is left for, or 0.
-func (p *planner) leastUnplaced(c *class) int {
-	least := 0
+func (p *planner) smallestUnplaced(c *class) int {
+	smallest := 0
 	for _, m := range p.models {
-		affordable := p.planned+c.Watts*garnetworks.Watts(m.GroupSize) <= p.in.Limit
-		if m.class == c && m.unplaced > 0 && affordable && (least == 0 || m.GroupSize < least) {
-			least = m.GroupSize
+		affordable := p.plannedDraw+c.Watts*garnetworks.Watts(m.GroupSize) <= p.in.Limit
+		if m.class == c && m.unplaced > 0 && affordable && (smallest == 0 || m.GroupSize < smallest) {
+			smallest = m.GroupSize
 		}
 	}
-	return least
+	return smallest
 }
 
-// survivorsOf counts the idle instances of a pool that wait for a lost member:
+// countSurvivors counts the idle instances of a pool that wait for a lost member:
 // a group is wanted, they are too few for it, and with those that may return
 // they are enough.
-func (p *planner) survivorsOf(o *pool) int {
-	least := p.leastUnplaced(o.class)
-	left, mayReturn := 0, 0
+func (p *planner) countSurvivors(o *pool) int {
+	least := p.smallestUnplaced(o.class)
+	survivors, mayReturn := 0, 0
 	for _, i := range o.domain.instances {
 		if i.class != o.class || i.use != unused {
 			continue
 		}
-		if i.presence == idle {
-			left++
-		} else if i.history.Strikes > 0 {
+		if i.availability == idle {
+			survivors++
+		} else if i.history.Failures > 0 {
 			mayReturn++
 		}
 	}
-	if least == 0 || left+mayReturn < least {
+	if least == 0 || survivors+mayReturn < least {
 		return 0
 	}
-	return left
+	return survivors
 }
 
-// switchOffFor gives up holds until the lack of power is covered; what is of
+// switchOffToFit gives up holds until the lack of power is covered; what is of
 // the least use goes first.
-func (p *planner) switchOffFor(lack garnetworks.Watts) {
-	if lack <= 0 {
+func (p *planner) switchOffToFit(excess garnetworks.Watts) {
+	if excess <= 0 {
 		return
 	}
 	var held []*instance
 	for _, i := range p.instances {
-		if reason, _ := p.offDue(i); reason != "" && !i.powerOff {
+		if reason, _ := p.offDue(i); reason != "" && !i.orderedOff {
 			held = append(held, i)
 		}
 	}
-	slices.SortStableFunc(held, func(a, b *instance) int { return cmp.Compare(holdRank(a), holdRank(b)) })
+	slices.SortStableFunc(held, func(a, b *instance) int { return cmp.Compare(powerOffRank(a), powerOffRank(b)) })
 	for _, i := range held {
-		if lack <= 0 {
+		if excess <= 0 {
 			return
 		}
 		reason, _ := p.offDue(i)
@@ -320,15 +320,15 @@
 			reason = ReasonPower
 		}
 		p.switchOff(i, reason)
-		lack -= i.Watts
+		excess -= i.Watts
 	}
 }
 
-func holdRank(i *instance) int {
+func powerOffRank(i *instance) int {
 	switch {
 	case !i.history.LostSince.IsZero():
 		return 0
-	case i.presence != idle:
+	case i.availability != idle:
 		return 1
 	case len(i.Weights) == 0:
 		return 2
@@ -338,8 +338,8 @@
 }
 
 func (p *planner) switchOff(i *instance, reason Reason) {
-	i.powerOff = true
-	p.offs = append(p.offs, PowerOff{Domain: i.domain.ID, Instance: i.ID, Reason: reason})
+	i.orderedOff = true
+	p.powerOffs = append(p.powerOffs, PowerOff{Domain: i.domain.ID, Instance: i.ID, Reason: reason})
 	if reason == ReasonIdle || reason == ReasonPower {
 		i.history.PoweredOff = p.in.Now
 	}
@@ -361,12 +361,12 @@
 		drawn += i.Watts
 		i.history.PoweredOn = p.in.Now
 		i.history.PoweredOff = time.Time{}
-		p.ons = append(p.ons, PowerOn{Domain: i.domain.ID, Instance: i.ID, Reason: i.reason})
+		p.powerOns = append(p.powerOns, PowerOn{Domain: i.domain.ID, Instance: i.ID, Reason: i.reason})
 	}
 }
 
-// graceForLost returns how long lost instances keep their power.
-func (p *planner) graceForLost() time.Duration {
+// lostInstanceGrace returns how long lost instances keep their power.
+func (p *planner) lostInstanceGrace() time.Duration {
 	powered, lost := 0, 0
 	for _, i := range p.instances {
 		ran := i.Power == garnetworks.PowerOn || i.Power == garnetworks.PowerUnknown
@@ -380,8 +380,8 @@
 	}
 	// Most of a zone lost at once shows rather that this node is cut off; to
 	// switch everything off would turn its own fault into the zone's.
-	if lost >= massLostLeast && float64(lost) > massLostShare*float64(powered) {
-		return MassLostGrace
+	if lost >= massLossMinInstances && float64(lost) > massLossShare*float64(powered) {
+		return MassLossGrace
 	}
 	return LostGrace
 }
--- a/placer/replace.go
+++ b/placer/replace.go
@@ -8,15 +8,15 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// concurrentShare bounds the replacements of a model at one time to a part of
+// replacementDivisor bounds the replacements of a model at one time to a part of
 // its groups.
-const concurrentShare = 4
+const replacementDivisor = 4
 
-// replaceMembers makes replacements before groups end (rule P8).
-func (p *planner) replaceMembers() {
+// replaceGroups makes replacements before groups end (rule P8).
+func (p *planner) replaceGroups() {
 	for _, m := range p.models {
 		for _, g := range p.replaceable(m) {
-			if p.busy(m) >= max(1, len(m.live)/concurrentShare) {
+			if p.countChanging(m) >= max(1, len(m.live)/replacementDivisor) {
 				break
 			}
 			p.replace(g)
@@ -24,16 +24,16 @@
 	}
 }
 
-// busy counts the groups of the model that are on their way. Slots that nothing
+// countChanging counts the groups of the model that are on their way. Slots that nothing
 // can fill don't count: a new version would else wait for them for good.
-func (p *planner) busy(m *model) int {
-	count := m.drains + m.pending + len(m.shadows) + m.moving
+func (p *planner) countChanging(m *model) int {
+	count := m.draining + m.waiting + len(m.replacements) + m.replacing
 	for _, g := range m.live {
 		if g.State != garnetworks.GroupServing {
 			count++
 		}
 	}
-	for _, f := range p.forms {
+	for _, f := range p.pendingGroups {
 		if f.model == m && f.replaces == nil {
 			count++
 		}
@@ -56,21 +56,21 @@
 	slices.SortFunc(groups, func(a, b *group) int {
 		return cmp.Or(
 			cmp.Compare(urgency(a), urgency(b)),
-			firstLeave(a).Compare(firstLeave(b)),
-			cmp.Compare(a.order, b.order),
+			earliestLeave(a).Compare(earliestLeave(b)),
+			cmp.Compare(a.slotIndex, b.slotIndex),
 		)
 	})
 	return groups
 }
 
 func reasonToReplace(g *group) Reason {
-	if !firstLeave(g).IsZero() {
+	if !earliestLeave(g).IsZero() {
 		return ReasonLeaving
 	}
 	if g.Version != g.model.Version {
 		return ReasonVersion
 	}
-	if len(worse(g)) > 0 {
+	if len(membersToReplace(g)) > 0 {
 		return ReasonStraggler
 	}
 	return ""
@@ -80,11 +80,11 @@
 	return slices.Index([]Reason{ReasonLeaving, ReasonVersion, ReasonStraggler}, reasonToReplace(g))
 }
 
-// firstLeave returns the first announced end of a member, or zero.
-func firstLeave(g *group) time.Time {
+// earliestLeave returns the first announced end of a member, or zero.
+func earliestLeave(g *group) time.Time {
 	var first time.Time
 	for _, i := range g.members {
-		by := i.observed.LeaveBy
+		by := i.observation.LeaveBy
 		if !by.IsZero() && (first.IsZero() || by.Before(first)) {
 			first = by
 		}
@@ -95,12 +95,12 @@
 // replace takes the cheaper way of rule P8.
 func (p *planner) replace(g *group) {
 	reason := reasonToReplace(g)
-	if reason == ReasonStraggler && !p.mayMove(g.model) {
+	if reason == ReasonStraggler && !p.mayReplaceStraggler(g.model) {
 		return
 	}
-	whole, wholeCost, wholePossible := p.wholeReplacement(g)
-	parts, partsCost, partsPossible := p.preparedMembers(g, reason)
-	if reason == ReasonVersion && p.in.Held.Has(g.model.Name) {
+	whole, wholeCost, wholePossible := p.groupReplacement(g)
+	parts, partsCost, partsPossible := p.memberReplacement(g, reason)
+	if reason == ReasonVersion && p.in.NoOutage.Has(g.model.Name) {
 		partsPossible = false
 	}
 	if !wholePossible && !partsPossible {
@@ -111,133 +111,133 @@
 	if useWhole {
 		cost = wholeCost
 	}
-	if reason == ReasonStraggler && p.stragglerLoss(g) <= cost {
+	if reason == ReasonStraggler && p.stragglerCost(g) <= cost {
 		return
 	}
-	g.model.moving++
+	g.model.replacing++
 	if useWhole {
-		p.formBeside(g, whole, reason)
+		p.replaceWhole(g, whole, reason)
 		return
 	}
 	p.swapMembers(g, parts, reason)
 }
 
-// mayMove keeps two measurements of slowness that disagree from moving a model's
+// mayReplaceStraggler keeps two measurements of slowness that disagree from moving a model's
 // groups back and forth (rule P9).
-func (p *planner) mayMove(m *model) bool {
-	moved, ok := p.out.State.Moves[m.Name]
-	if !ok || !p.in.Now.Before(moved.Add(MoveBound)) {
+func (p *planner) mayReplaceStraggler(m *model) bool {
+	moved, ok := p.out.State.StragglerReplacements[m.Name]
+	if !ok || !p.in.Now.Before(moved.Add(StragglerReplacementInterval)) {
 		return true
 	}
-	p.wake(moved.Add(MoveBound))
+	p.replanAt(moved.Add(StragglerReplacementInterval))
 	return false
 }
 
-func (p *planner) stragglerLoss(g *group) float64 {
+func (p *planner) stragglerCost(g *group) float64 {
 	slowdown := 1.0
 	for _, i := range g.members {
 		if !i.isStraggler() {
 			continue
 		}
-		s := i.observed.Slowdown
+		s := i.observation.Slowdown
 		if s <= 1 {
 			s = defaultSlowdown
 		}
 		slowdown = max(slowdown, s)
 	}
-	return (1 - 1/slowdown) * p.groupCost(g.model) * StragglerHorizon.Seconds()
+	return (1 - 1/slowdown) * p.downtimeCost(g.model) * StragglerHorizon.Seconds()
 }
 
-// groupCost is the cost of a whole group standing still for a second: D+g·S.
-func (p *planner) groupCost(m *model) float64 {
-	return p.in.Weights.GroupDowntime + float64(m.GroupSize)*p.in.Weights.Stranded
+// downtimeCost is the cost of a whole group standing still for a second: D+g·S.
+func (p *planner) downtimeCost(m *model) float64 {
+	return p.in.Costs.GroupDowntime + float64(m.GroupSize)*p.in.Costs.Stranded
 }
 
-// wholeReplacement finds a second group to form before the first one drains.
-func (p *planner) wholeReplacement(g *group) (choice, float64, bool) {
-	c, ok := p.best(g.model, false)
-	if !ok || p.planned+drawOf(c.members) > p.in.Limit {
-		return choice{}, 0, false
+// groupReplacement finds a second group to form before the first one drains.
+func (p *planner) groupReplacement(g *group) (placement, float64, bool) {
+	c, ok := p.bestPlacement(g.model, false)
+	if !ok || p.plannedDraw+totalDraw(c.members) > p.in.Limit {
+		return placement{}, 0, false
 	}
 	busy := c.wait + FormTime + p.in.Grace.Drain
-	return c, p.in.Weights.Stranded * float64(g.model.GroupSize) * busy.Seconds(), true
+	return c, p.in.Costs.Stranded * float64(g.model.GroupSize) * busy.Seconds(), true
 }
 
-// preparedMembers finds the instances to put in the place of the bad members.
+// memberReplacement finds the instances to put in the place of the bad members.
 // A new version needs none: the members stay and load it after the drain.
-func (p *planner) preparedMembers(g *group, reason Reason) (choice, float64, bool) {
-	still := p.in.Grace.Drain + FormTime
+func (p *planner) memberReplacement(g *group, reason Reason) (placement, float64, bool) {
+	downtime := p.in.Grace.Drain + FormTime
 	if reason == ReasonVersion {
 		whole := g.model.WeightBytes
-		still += time.Duration(g.model.GroupSize) * p.loadTime(whole, whole)
-		return choice{domain: g.domain}, p.groupCost(g.model) * still.Seconds(), true
+		downtime += time.Duration(g.model.GroupSize) * p.loadTime(whole, whole)
+		return placement{domain: g.domain}, p.downtimeCost(g.model) * downtime.Seconds(), true
 	}
-	c, ok := p.replacementsFor(g)
-	if !ok || p.planned+drawOf(c.members) > p.in.Limit {
-		return choice{}, 0, false
+	c, ok := p.findReplacements(g)
+	if !ok || p.plannedDraw+totalDraw(c.members) > p.in.Limit {
+		return placement{}, 0, false
 	}
-	cost := p.in.Weights.Stranded * float64(len(c.members)) * c.wait.Seconds()
-	return c, cost + p.groupCost(g.model)*still.Seconds(), true
+	cost := p.in.Costs.Stranded * float64(len(c.members)) * c.wait.Seconds()
+	return c, cost + p.downtimeCost(g.model)*downtime.Seconds(), true
 }
 
-func (p *planner) replacementsFor(g *group) (choice, bool) {
+func (p *planner) findReplacements(g *group) (placement, bool) {
 	var candidates []candidate
 	for _, i := range g.domain.instances {
 		if available(i, g.model, false) && !i.isStraggler() {
-			candidates = append(candidates, p.rate(i, g.model))
+			candidates = append(candidates, p.newCandidate(i, g.model))
 		}
 	}
-	need := len(worse(g))
+	need := len(membersToReplace(g))
 	if len(candidates) < need {
-		return choice{}, false
+		return placement{}, false
 	}
 	slices.SortFunc(candidates, compareCandidates)
-	c := choice{domain: g.domain}
+	c := placement{domain: g.domain}
 	for _, o := range candidates[:need] {
 		c.members = append(c.members, o.instance)
 	}
-	c.wait = p.waitOf(c.members, g.model)
+	c.wait = p.placementWait(c.members, g.model)
 	return c, true
 }
 
-// formBeside prepares or forms the whole replacement.
-func (p *planner) formBeside(g *group, c choice, reason Reason) {
-	p.reserve(c, g.model, g.order, usedAsReplacement)
+// replaceWhole prepares or forms the whole replacement.
+func (p *planner) replaceWhole(g *group, c placement, reason Reason) {
+	p.reserve(c, g.model, g.slotIndex, usedAsReplacement)
 	if !c.ready() {
 		p.preloadWaiting(c, g.model, loadReplacement)
 		return
 	}
-	p.forms = append(p.forms, &pendingForm{
-		choice: c, model: g.model, replaces: g, reason: reason, class: loadReplacement,
+	p.pendingGroups = append(p.pendingGroups, &pendingGroup{
+		placement: c, model: g.model, replaces: g, reason: reason, class: loadReplacement,
 	})
-	p.moved(g.model, reason)
+	p.recordReplacement(g.model, reason)
 }
 
 // swapMembers prepares the new members and drains the group once they are.
-func (p *planner) swapMembers(g *group, c choice, reason Reason) {
-	if !p.prepared(c, g.model) {
-		p.reserve(c, g.model, g.order, usedAsReplacement)
+func (p *planner) swapMembers(g *group, c placement, reason Reason) {
+	if !p.isPrepared(c, g.model) {
+		p.reserve(c, g.model, g.slotIndex, usedAsReplacement)
 		p.preloadWaiting(c, g.model, loadReplacement)
 		return
 	}
-	p.end(g, reason, p.leavingGrace(g))
-	p.moved(g.model, reason)
+	p.endGroup(g, reason, p.leavingGrace(g))
+	p.recordReplacement(g.model, reason)
 }
 
-func (p *planner) prepared(c choice, m *model) bool {
+func (p *planner) isPrepared(c placement, m *model) bool {
 	if !c.ready() {
 		return false
 	}
 	for _, i := range c.members {
-		if p.in.StoreRate > 0 && p.missing(i, m.weights()) > 0 {
+		if p.in.StoreRate > 0 && p.missingBytes(i, m.weights()) > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-func (p *planner) moved(m *model, reason Reason) {
+func (p *planner) recordReplacement(m *model, reason Reason) {
 	if reason == ReasonStraggler {
-		p.out.State.Moves[m.Name] = p.in.Now
+		p.out.State.StragglerReplacements[m.Name] = p.in.Now
 	}
 }
--- a/placer/rules_test.go
+++ b/placer/rules_test.go
@@ -12,15 +12,15 @@
 	"pgregory.net/rapid"
 )
 
-// threeModels is the zone of the measurement: 5 domains of 15.
-func threeModels(t *testing.T) *world {
-	w := newWorld(5, 15, modelSpec("a", 10, 4, 6), modelSpec("b", 5, 4, 6), modelSpec("c", 1, 1, 3))
+// threeModelZone is the zone of the measurement: 5 domains of 15.
+func threeModelZone(t *testing.T) *testZone {
+	w := newTestZone(5, 15, modelSpec("a", 10, 4, 6), modelSpec("b", 5, 4, 6), modelSpec("c", 1, 1, 3))
 	w.settle(t)
 	return w
 }
 
-// only returns the decisions of one type.
-func only[T placer.Decision](out placer.Output) []T {
+// decisionsOf returns the decisions of one type.
+func decisionsOf[T placer.Decision](out placer.Output) []T {
 	var found []T
 	for _, d := range out.Decisions {
 		if one, ok := d.(T); ok {
@@ -35,32 +35,32 @@
 // treated one by one, each would wait with three members for one that may never
 // come back.
 func TestSurvivorsOfOneDomainMerge(t *testing.T) {
-	w := newWorld(1, 8, modelSpec("a", 1, 2, 2))
+	w := newTestZone(1, 8, modelSpec("a", 1, 2, 2))
 	w.settle(t)
 	w.instance("d00-i00").Condition = garnetworks.ConditionLost
 	w.instance("d00-i04").Condition = garnetworks.ConditionLost
 	out := w.plan(t)
-	if dissolved, formed := only[placer.DissolveGroup](out), only[placer.FormGroup](out); len(dissolved) != 2 || len(formed) != 1 {
+	if dissolved, formed := decisionsOf[placer.DissolveGroup](out), decisionsOf[placer.FormGroup](out); len(dissolved) != 2 || len(formed) != 1 {
 		t.Fatalf("want both groups dissolved and one formed of the survivors:\n%s", describe(out))
 	}
-	if rate := only[placer.FormGroup](out)[0].LoadRate; rate != 0 {
+	if rate := decisionsOf[placer.FormGroup](out)[0].LoadRate; rate != 0 {
 		t.Errorf("the survivors have their weights, yet load at %d", rate)
 	}
 }
 
 // A user of the most important model sees it refused while less important ones
 // are served: a whole domain went dark, and the others are full.
-func TestDarkDomainGoesByPriority(t *testing.T) {
-	w := newWorld(2, 8, modelSpec("high", 9, 2, 2), modelSpec("low", 1, 1, 2))
+func TestLostDomainIsReplacedByPriority(t *testing.T) {
+	w := newTestZone(2, 8, modelSpec("high", 9, 2, 2), modelSpec("low", 1, 1, 2))
 	w.settle(t)
-	for _, g := range w.all() {
+	for _, g := range w.allGroups() {
 		t.Log(g.ID, g.Model, g.Members)
 	}
 	for i := range w.Domains[0].Instances {
 		w.Domains[0].Instances[i].Condition = garnetworks.ConditionLost
 	}
 	out := w.plan(t)
-	drains := only[placer.DrainGroup](out)
+	drains := decisionsOf[placer.DrainGroup](out)
 	if len(drains) != 1 || w.group(drains[0].Group).Model != "low" || drains[0].Grace != w.Grace.Shed {
 		t.Fatalf("want the group of low drained with the grace for shedding:\n%s", describe(out))
 	}
@@ -74,7 +74,7 @@
 // switch its instances are back with their weights, but are switched off in the
 // second before they are re-admitted, because they had been idle for so long.
 func TestReturnAfterLongLossKeepsItsPower(t *testing.T) {
-	w := threeModels(t)
+	w := threeModelZone(t)
 	for i := range w.Domains[0].Instances {
 		w.Domains[0].Instances[i].Condition = garnetworks.ConditionLost
 	}
@@ -83,7 +83,7 @@
 	for i := range w.Domains[0].Instances {
 		w.Domains[0].Instances[i].Condition = garnetworks.ConditionReturned
 	}
-	if offs := only[placer.PowerOff](w.plan(t)); len(offs) != 0 {
+	if offs := decisionsOf[placer.PowerOff](w.plan(t)); len(offs) != 0 {
 		t.Errorf("%d instances were switched off on their return", len(offs))
 	}
 }
@@ -92,11 +92,11 @@
 // wants one group more than the zone has instances for, and the empty slot was
 // taken for a group on its way, which replacements wait for.
 func TestVersionRollsThoughASlotStaysEmpty(t *testing.T) {
-	w := newWorld(2, 6, modelSpec("a", 1, 2, 3))
+	w := newTestZone(2, 6, modelSpec("a", 1, 2, 3))
 	w.settle(t)
 	w.Models[0].Version = "v2"
 	w.settle(t)
-	for _, g := range w.all() {
+	for _, g := range w.allGroups() {
 		if g.Version != "v2" {
 			t.Errorf("%s still has version %s", g.ID, g.Version)
 		}
@@ -105,9 +105,9 @@
 
 // A cut-off node sees every instance of its zone lost at once. Were their power
 // cut after the ordinary grace, its own fault would end the zone's service.
-func TestMassLossWaits(t *testing.T) {
-	w := threeModels(t)
-	w.Weights = schiedsplan
+func TestMassLossKeepsPower(t *testing.T) {
+	w := threeModelZone(t)
+	w.Costs = strandedFirst
 	// So fast a boot makes every other hold shorter than MassLostGrace.
 	w.Classes[0].BootTime = 20 * time.Second
 	w.settle(t)
@@ -117,25 +117,25 @@
 		}
 	}
 	w.plan(t)
-	w.Now = w.Now.Add(placer.MassLostGrace - time.Second)
-	if offs := only[placer.PowerOff](w.plan(t)); len(offs) != 0 {
+	w.Now = w.Now.Add(placer.MassLossGrace - time.Second)
+	if offs := decisionsOf[placer.PowerOff](w.plan(t)); len(offs) != 0 {
 		t.Errorf("%d instances were switched off before MassLostGrace", len(offs))
 	}
 }
 
 // A store that gives its rate to everyone alike brings every group back late.
-func TestStoreRateGoesByNeed(t *testing.T) {
-	w := newWorld(2, 10, modelSpec("high", 9, 1, 2), modelSpec("low", 1, 1, 2))
+func TestStoreRateFollowsPriority(t *testing.T) {
+	w := newTestZone(2, 10, modelSpec("high", 9, 1, 2), modelSpec("low", 1, 1, 2))
 	w.plan(t)
-	w.finish()
+	w.finishPending()
 	w.Now = w.Now.Add(time.Second)
 	out := w.plan(t)
 	sum, rates := int64(0), map[garnetworks.ModelName]int64{}
-	for _, f := range only[placer.FormGroup](out) {
+	for _, f := range decisionsOf[placer.FormGroup](out) {
 		sum += f.LoadRate * int64(len(f.Members))
 		rates[f.Model] = max(rates[f.Model], f.LoadRate)
 	}
-	for _, l := range only[placer.Preload](out) {
+	for _, l := range decisionsOf[placer.Preload](out) {
 		sum += l.LoadRate
 	}
 	if sum > w.StoreRate {
@@ -150,9 +150,9 @@
 func flapCases() map[string]func(s *simulator, on bool) {
 	return map[string]func(s *simulator, on bool){
 		"weights": func(s *simulator, on bool) {
-			s.Weights = schiedsplan
+			s.Costs = strandedFirst
 			if on {
-				s.Weights = delta
+				s.Costs = downtimeFirst
 			}
 		},
 		"limit": func(s *simulator, on bool) {
@@ -168,7 +168,7 @@
 			}
 		},
 		"straggler": func(s *simulator, on bool) {
-			for _, e := range s.order[:4] {
+			for _, e := range s.enginesInOrder[:4] {
 				if e.instance.Power == garnetworks.PowerOn {
 					e.instance.Condition = garnetworks.ConditionHealthy
 					if on {
@@ -178,7 +178,7 @@
 			}
 		},
 		"member": func(s *simulator, on bool) {
-			if e := s.order[1]; !on {
+			if e := s.enginesInOrder[1]; !on {
 				s.fail(e, 4*time.Second, true)
 			}
 		},
@@ -192,26 +192,26 @@
 func TestAlternatingInputsDoNotFlap(t *testing.T) {
 	for name, alternate := range flapCases() {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(5, 15, modelSpec("a", 10, 4, 6), modelSpec("b", 5, 4, 6), modelSpec("c", 1, 1, 3))
+			w := newTestZone(5, 15, modelSpec("a", 10, 4, 6), modelSpec("b", 5, 4, 6), modelSpec("c", 1, 1, 3))
 			w.Limit = engineWatts * 70
 			ons := map[garnetworks.InstanceID]time.Time{}
 			formed, switched, began := 0, 0, false
 			s := newSimulator(w, func(in placer.Input) placer.Output {
 				out := placer.Plan(in)
-				formed += len(only[placer.FormGroup](out))
-				for _, d := range only[placer.PowerOn](out) {
+				formed += len(decisionsOf[placer.FormGroup](out))
+				for _, d := range decisionsOf[placer.PowerOn](out) {
 					ons[d.Instance] = in.Now
 					switched++
 				}
-				for _, d := range only[placer.PowerOff](out) {
+				for _, d := range decisionsOf[placer.PowerOff](out) {
 					since := in.Now.Sub(ons[d.Instance])
-					if began && d.Reason == placer.ReasonIdle && since < placer.FlapBound {
+					if began && d.Reason == placer.ReasonIdle && since < placer.FlapDampingTime {
 						t.Errorf("%s is switched off %v after it was switched on", d.Instance, since)
 					}
 				}
 				return out
 			})
-			s.run(epoch.Add(20 * time.Minute))
+			s.run(startTime.Add(20 * time.Minute))
 			began, formed, switched = true, 0, 0
 			const length = 30 * time.Minute
 			for n := 0; time.Duration(n)*5*time.Second < length; n++ {
@@ -222,10 +222,10 @@
 				t.Fatal(s.err)
 			}
 			// At most three groups are touched by any of the cases.
-			if most := 3 * int(length/placer.ReformBound); formed > most {
+			if most := 3 * int(length/placer.ReformDelay); formed > most {
 				t.Errorf("%d groups were formed in %v, at most %d are due", formed, length, most)
 			}
-			if most := 15 * int(length/placer.FlapBound); switched > most {
+			if most := 15 * int(length/placer.FlapDampingTime); switched > most {
 				t.Errorf("%d instances were switched on in %v, at most %d are due", switched, length, most)
 			}
 			t.Logf("%d groups formed, %d instances switched on", formed, switched)
@@ -243,14 +243,14 @@
 	for _, name := range []string{"11 failures", "and 160 restarts"} {
 		fmt.Fprintf(&b, "%s a day on 600 instances\n", name)
 		for _, d := range []float64{1, 100, 300, 1000, 3000, 10000, 30000} {
-			c := placer.SpareCase{
-				LossRate: 12 * losses[name] / 86400, Saved: 220 * time.Second, Refill: 220 * time.Second,
-				GroupSize: 4, Weights: garnetworks.CostWeights{GroupDowntime: d, Stranded: 1},
+			c := placer.SpareParams{
+				LossRate: 12 * losses[name] / 86400, TimeSaved: 220 * time.Second, RefillTime: 220 * time.Second,
+				GroupSize: 4, Costs: garnetworks.CostWeights{GroupDowntime: d, Stranded: 1},
 			}
 			slow := c
-			slow.Saved, slow.Refill = 940*time.Second, 940*time.Second
+			slow.TimeSaved, slow.RefillTime = 940*time.Second, 940*time.Second
 			scarce := c
-			scarce.Refill = placer.RepairTime
+			scarce.RefillTime = placer.RepairTime
 			fmt.Fprintf(&b, "%-18.0f%14d%14d%14d\n", d, c.Spares(), slow.Spares(), scarce.Spares())
 		}
 	}
@@ -296,24 +296,24 @@
 // An operator sees two instances boot for one lost member: the first one has
 // booted and waits a second for its re-admission, and in that second the slot
 // takes it for unusable and orders the next one on.
-func TestBootedMemberIsAwaited(t *testing.T) {
-	w := newWorld(1, 8, modelSpec("a", 1, 1, 1))
-	w.Weights = schiedsplan
+func TestBootedMemberIsWaitedFor(t *testing.T) {
+	w := newTestZone(1, 8, modelSpec("a", 1, 1, 1))
+	w.Costs = strandedFirst
 	w.settle(t)
 	w.instance("d00-i00").Condition = garnetworks.ConditionLost
-	ons := only[placer.PowerOn](w.plan(t))
+	ons := decisionsOf[placer.PowerOn](w.plan(t))
 	if len(ons) != 1 {
 		t.Fatalf("%d instances were ordered on, want 1", len(ons))
 	}
 	w.Now = w.Now.Add(3 * time.Minute)
 	booted := w.instance(ons[0].Instance)
 	booted.Power, booted.Condition = garnetworks.PowerOn, garnetworks.ConditionReturned
-	if out := w.plan(t); len(only[placer.PowerOn](out)) != 0 || len(only[placer.FormGroup](out)) != 0 {
+	if out := w.plan(t); len(decisionsOf[placer.PowerOn](out)) != 0 || len(decisionsOf[placer.FormGroup](out)) != 0 {
 		t.Fatalf("want nothing until the re-admission:\n%s", describe(out))
 	}
 	w.Now = w.Now.Add(2 * time.Second)
 	booted.Condition = garnetworks.ConditionHealthy
-	if forms := only[placer.FormGroup](w.plan(t)); len(forms) != 1 {
+	if forms := decisionsOf[placer.FormGroup](w.plan(t)); len(forms) != 1 {
 		t.Fatalf("%d groups were formed after the re-admission, want 1", len(forms))
 	}
 }
@@ -321,20 +321,20 @@
 // Latency shows a member that slows its group down, but nobody has judged it:
 // the group must still get a better member, and only then end.
 func TestMeasuredStragglerIsReplaced(t *testing.T) {
-	w := newWorld(1, 8, modelSpec("a", 1, 1, 1))
+	w := newTestZone(1, 8, modelSpec("a", 1, 1, 1))
 	w.settle(t)
-	slow := w.all()[0].Members[0]
+	slow := w.allGroups()[0].Members[0]
 	w.Instances[slow] = placer.InstanceObservation{Slowdown: 2}
 	for range 3 {
 		out := w.plan(t)
-		for _, f := range only[placer.FormGroup](out) {
+		for _, f := range decisionsOf[placer.FormGroup](out) {
 			for _, m := range f.Members {
 				if m == slow {
 					t.Fatalf("the straggler is taken again:\n%s", describe(out))
 				}
 			}
 		}
-		w.finish()
+		w.finishPending()
 		w.Now = w.Now.Add(time.Minute)
 	}
 	w.settle(t)
@@ -345,8 +345,8 @@
 
 // A zone never gets the power for its spares: it states only the need of what
 // it already powers, so that its grant never grows.
-func TestNeedHoldsSparesBeyondTheLimit(t *testing.T) {
-	w := threeModels(t)
+func TestNeedIncludesSparesBeyondTheLimit(t *testing.T) {
+	w := threeModelZone(t)
 	full := placer.Plan(w.Input).Need
 	w.Limit = engineWatts * 60
 	w.settle(t)
@@ -358,7 +358,7 @@
 // An operator means "as many as possible" by a maximum of a billion: the zone's
 // controller must neither stand still nor want more than there can be.
 func TestMaximumBeyondAllInstances(t *testing.T) {
-	w := newWorld(2, 9, modelSpec("a", 1, 6, 1_000_000_000), modelSpec("bad", 1, 1, 1))
+	w := newTestZone(2, 9, modelSpec("a", 1, 6, 1_000_000_000), modelSpec("bad", 1, 1, 1))
 	w.Models[1].GroupSize = 0
 	w.settle(t)
 	if got := w.serving()["a"]; got != 4 {
@@ -378,16 +378,16 @@
 // Two models of one priority share a zone. One loses its domain; were it allowed
 // to take the other's, the two would drive each other out again and again.
 func TestEqualPrioritiesDoNotDisplaceEachOther(t *testing.T) {
-	w := newWorld(2, 4, modelSpec("a", 1, 1, 1), modelSpec("b", 1, 1, 1))
+	w := newTestZone(2, 4, modelSpec("a", 1, 1, 1), modelSpec("b", 1, 1, 1))
 	w.settle(t)
-	lost := w.all()[0]
+	lost := w.allGroups()[0]
 	for _, id := range lost.Members {
 		w.instance(id).Condition = garnetworks.ConditionLost
 	}
 	if lost.Model != "a" {
 		t.Fatalf("the first domain holds %s", lost.Model)
 	}
-	if drains := only[placer.DrainGroup](w.plan(t)); len(drains) != 0 {
+	if drains := decisionsOf[placer.DrainGroup](w.plan(t)); len(drains) != 0 {
 		t.Errorf("%+v", drains)
 	}
 }
@@ -395,24 +395,24 @@
 // A caller's answer breaks off at a planned stop: the member's end was known,
 // but no replacement could be prepared, and the drain began too late.
 func TestAnnouncedEndIsDrainedInTime(t *testing.T) {
-	w := newWorld(1, 4, modelSpec("a", 1, 1, 1))
+	w := newTestZone(1, 4, modelSpec("a", 1, 1, 1))
 	w.settle(t)
 	by := w.Now.Add(w.Grace.Drain + time.Minute)
 	w.Instances["d00-i02"] = placer.InstanceObservation{LeaveBy: by}
 	out := w.plan(t)
-	if len(out.Decisions) != 0 || out.Wake.After(by.Add(-w.Grace.Drain)) {
-		t.Fatalf("want to wake before %v, not %v:\n%s", by, out.Wake, describe(out))
+	if len(out.Decisions) != 0 || out.ReplanAt.After(by.Add(-w.Grace.Drain)) {
+		t.Fatalf("want to wake before %v, not %v:\n%s", by, out.ReplanAt, describe(out))
 	}
 	w.Now = by.Add(-w.Grace.Drain)
-	if drains := only[placer.DrainGroup](w.plan(t)); len(drains) != 1 || drains[0].Reason != placer.ReasonLeaving {
+	if drains := decisionsOf[placer.DrainGroup](w.plan(t)); len(drains) != 1 || drains[0].Reason != placer.ReasonLeaving {
 		t.Errorf("drains are %+v", drains)
 	}
 }
 
 // A member that dies and returns every few seconds breaks a group each time it
 // is taken back. After its second loss it must wait.
-func TestInstanceThatFailsAgainAndAgainWaits(t *testing.T) {
-	w := newWorld(1, 4, modelSpec("a", 1, 1, 1))
+func TestRepeatedlyFailingInstanceBacksOff(t *testing.T) {
+	w := newTestZone(1, 4, modelSpec("a", 1, 1, 1))
 	w.settle(t)
 	forms := 0
 	for range 30 {
@@ -420,8 +420,8 @@
 		w.plan(t)
 		w.Now = w.Now.Add(5 * time.Second)
 		w.instance("d00-i01").Condition = garnetworks.ConditionHealthy
-		forms += len(only[placer.FormGroup](w.plan(t)))
-		w.finish()
+		forms += len(decisionsOf[placer.FormGroup](w.plan(t)))
+		w.finishPending()
 		w.Now = w.Now.Add(5 * time.Second)
 	}
 	// One at once, and one after the first minute; the next wait is over only
@@ -433,27 +433,27 @@
 
 // Latency is a doubtful witness: it calls a member of each group slow at once.
 // The groups of the model must not all be replaced on its word.
-func TestOneStragglerAModelIsReplaced(t *testing.T) {
-	w := newWorld(1, 15, modelSpec("a", 1, 3, 3))
+func TestOneStragglerPerModelIsReplaced(t *testing.T) {
+	w := newTestZone(1, 15, modelSpec("a", 1, 3, 3))
 	// Without a known rate nothing is preloaded, and a spare is ready at once.
 	w.StoreRate = 0
 	w.settle(t)
 	began := w.Now
-	for _, g := range w.all() {
+	for _, g := range w.allGroups() {
 		w.Instances[g.Members[3]] = placer.InstanceObservation{Slowdown: 3}
 	}
 	moved := 0
-	for w.Now.Sub(began) < placer.MoveBound {
+	for w.Now.Sub(began) < placer.StragglerReplacementInterval {
 		out := w.plan(t)
-		for _, d := range only[placer.DrainGroup](out) {
+		for _, d := range decisionsOf[placer.DrainGroup](out) {
 			if d.Reason == placer.ReasonStraggler {
 				moved++
 			}
 		}
-		w.finish()
+		w.finishPending()
 		w.Now = w.Now.Add(10 * time.Second)
 	}
 	if moved != 1 {
-		t.Errorf("%d groups were replaced within %v, want 1", moved, placer.MoveBound)
+		t.Errorf("%d groups were replaced within %v, want 1", moved, placer.StragglerReplacementInterval)
 	}
 }
--- a/placer/share.go
+++ b/placer/share.go
@@ -13,42 +13,42 @@
 // model, so that no zone gets all remainders. A zone that is left out keeps the
 // share it had with all zones counted: it may be cut off and serving.
 func ZoneModels(manifest *garnetworks.Manifest, zone garnetworks.ZoneID) []garnetworks.ModelSpec {
-	zones := sharingZones(manifest, zone)
+	zones := participatingZones(manifest, zone)
 	position, ok := slices.BinarySearch(zones, zone)
 	models := slices.Clone(manifest.Models)
-	first := 0
+	offset := 0
 	for i := range models {
 		m := &models[i]
 		if !ok {
 			m.MinGroups, m.MaxGroups = 0, 0
 			continue
 		}
-		turn := (position - first%len(zones) + len(zones)) % len(zones)
-		first += m.MaxGroups
-		m.MinGroups = dealt(m.MinGroups, turn, len(zones))
-		m.MaxGroups = dealt(m.MaxGroups, turn, len(zones))
+		turn := (position - offset%len(zones) + len(zones)) % len(zones)
+		offset += m.MaxGroups
+		m.MinGroups = zoneShare(m.MinGroups, turn, len(zones))
+		m.MaxGroups = zoneShare(m.MaxGroups, turn, len(zones))
 	}
 	return models
 }
 
-func sharingZones(manifest *garnetworks.Manifest, zone garnetworks.ZoneID) []garnetworks.ZoneID {
-	var all, in []garnetworks.ZoneID
+func participatingZones(manifest *garnetworks.Manifest, zone garnetworks.ZoneID) []garnetworks.ZoneID {
+	var all, included []garnetworks.ZoneID
 	for _, z := range manifest.Site.Zones {
 		all = append(all, z.Name)
 		if !z.Excluded {
-			in = append(in, z.Name)
+			included = append(included, z.Name)
 		}
 	}
 	slices.Sort(all)
-	slices.Sort(in)
-	if _, ok := slices.BinarySearch(in, zone); ok {
-		return in
+	slices.Sort(included)
+	if _, ok := slices.BinarySearch(included, zone); ok {
+		return included
 	}
 	return all
 }
 
-// dealt returns how many of groups go to the zone whose turn it is.
-func dealt(groups, turn, zones int) int {
+// zoneShare returns how many of groups go to the zone whose turn it is.
+func zoneShare(groups, turn, zones int) int {
 	share := groups / zones
 	if turn < groups%zones {
 		share++
--- a/placer/simulator_test.go
+++ b/placer/simulator_test.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	noticeLoss   = garnetworks.ConfirmationBound
-	switchTime   = 2 * time.Second
-	readmitTime  = time.Second
-	drainedAfter = 15 * time.Second
-	repairAfter  = 10 * time.Minute
+	lossDetectionTime = garnetworks.ConfirmationBound
+	powerOffTime      = 2 * time.Second
+	readmitTime       = time.Second
+	drainTime         = 15 * time.Second
+	repairTime        = 10 * time.Minute
 )
 
 // engine is the truth about an instance, of which the domain's object holds
@@ -63,29 +63,29 @@
 // simulator lets instances boot, load, fail, return and straggle under virtual
 // time and carries out a policy's decisions.
 type simulator struct {
-	*world
-	policy  policy
-	engines map[garnetworks.InstanceID]*engine
-	order   []*engine
-	queue   events
-	seq     int
-	boot    time.Duration
-	account measurer.Account
+	*testZone
+	policy         policy
+	engines        map[garnetworks.InstanceID]*engine
+	enginesInOrder []*engine
+	queue          events
+	seq            int
+	bootTime       time.Duration
+	account        measurer.Account
 	// announced holds the stops that are known beforehand.
 	announced map[garnetworks.InstanceID]placer.InstanceObservation
-	wake      time.Time
+	replanAt  time.Time
 	// slow sums the time that groups served with a straggler.
 	slow time.Duration
 	err  error
 }
 
-func newSimulator(w *world, p policy) *simulator {
-	s := &simulator{world: w, policy: p, engines: map[garnetworks.InstanceID]*engine{}, boot: 3 * time.Minute}
+func newSimulator(w *testZone, p policy) *simulator {
+	s := &simulator{testZone: w, policy: p, engines: map[garnetworks.InstanceID]*engine{}, bootTime: 3 * time.Minute}
 	for i := range w.Domains {
 		for j := range w.Domains[i].Instances {
 			e := &engine{instance: &w.Domains[i].Instances[j], alive: true}
 			s.engines[e.instance.ID] = e
-			s.order = append(s.order, e)
+			s.enginesInOrder = append(s.enginesInOrder, e)
 		}
 	}
 	return s
@@ -117,11 +117,11 @@
 	if len(s.queue) > 0 && s.queue[0].at.Before(next) {
 		next = s.queue[0].at
 	}
-	if s.wake.After(s.Now) && s.wake.Before(next) {
-		next = s.wake
+	if s.replanAt.After(s.Now) && s.replanAt.Before(next) {
+		next = s.replanAt
 	}
-	for _, e := range s.order {
-		if rate := s.effective(e); rate > 0 {
+	for _, e := range s.enginesInOrder {
+		if rate := s.effectiveRate(e); rate > 0 {
 			left := float64(s.bytes(e.loading)) - e.loaded
 			end := s.Now.Add(time.Duration(left/rate*float64(time.Second)) + time.Millisecond)
 			if end.Before(next) {
@@ -141,7 +141,7 @@
 	return 0
 }
 
-func (e *engine) asks(most int64) float64 {
+func (e *engine) requestedRate(most int64) float64 {
 	if e.loading == (garnetworks.WeightID{}) || !e.alive {
 		return 0
 	}
@@ -151,27 +151,27 @@
 	return float64(min(e.rate, most))
 }
 
-// effective is the rate that the engine gets: what it asks for, scaled down if
+// effectiveRate is the rate that the engine gets: what it asks for, scaled down if
 // all together ask for more than the store gives.
-func (s *simulator) effective(e *engine) float64 {
-	asked := e.asks(s.InstanceRate)
+func (s *simulator) effectiveRate(e *engine) float64 {
+	asked := e.requestedRate(s.InstanceRate)
 	if asked == 0 {
 		return 0
 	}
 	total := 0.0
-	for _, o := range s.order {
-		total += o.asks(s.InstanceRate)
+	for _, o := range s.enginesInOrder {
+		total += o.requestedRate(s.InstanceRate)
 	}
 	return asked * min(1, float64(s.StoreRate)/total)
 }
 
 func (s *simulator) advance(to time.Time) {
 	elapsed := to.Sub(s.Now).Seconds()
-	rates := make([]float64, len(s.order))
-	for n, e := range s.order {
-		rates[n] = s.effective(e)
+	rates := make([]float64, len(s.enginesInOrder))
+	for n, e := range s.enginesInOrder {
+		rates[n] = s.effectiveRate(e)
 	}
-	for _, g := range s.all() {
+	for _, g := range s.allGroups() {
 		slow := func(id garnetworks.InstanceID) bool {
 			return s.instance(id).Condition == garnetworks.ConditionStraggler
 		}
@@ -180,7 +180,7 @@
 		}
 	}
 	s.Now = to
-	for n, e := range s.order {
+	for n, e := range s.enginesInOrder {
 		if rates[n] == 0 {
 			continue
 		}
@@ -195,7 +195,7 @@
 
 // progressGroups lets groups whose members have the weights form.
 func (s *simulator) progressGroups() {
-	for _, g := range s.all() {
+	for _, g := range s.allGroups() {
 		if g.State != garnetworks.GroupForming {
 			continue
 		}
@@ -233,7 +233,7 @@
 
 func (s *simulator) observe() {
 	s.Instances = map[garnetworks.InstanceID]placer.InstanceObservation{}
-	for _, e := range s.order {
+	for _, e := range s.enginesInOrder {
 		o := s.announced[e.instance.ID]
 		if e.loading != (garnetworks.WeightID{}) {
 			o.Loading, o.LoadedBytes = e.loading, int64(e.loaded)
@@ -250,13 +250,13 @@
 	for range 20 {
 		s.observe()
 		out := s.policy(s.Input)
-		s.wake = out.Wake
+		s.replanAt = out.ReplanAt
 		if err := s.apply(out); err != nil {
 			s.err = err
 			return
 		}
 		for _, d := range out.Decisions {
-			s.carryOut(d)
+			s.execute(d)
 		}
 		if len(out.Decisions) == 0 {
 			break
@@ -268,7 +268,7 @@
 	}))
 }
 
-func (s *simulator) carryOut(decision placer.Decision) {
+func (s *simulator) execute(decision placer.Decision) {
 	switch d := decision.(type) {
 	case placer.FormGroup:
 		for _, id := range d.Members {
@@ -276,7 +276,7 @@
 		}
 		s.progressGroups()
 	case placer.DrainGroup:
-		s.after(min(d.Grace, drainedAfter), func() { s.Groups[d.Group] = placer.GroupObservation{Idle: true} })
+		s.after(min(d.Grace, drainTime), func() { s.Groups[d.Group] = placer.GroupObservation{Idle: true} })
 	case placer.PowerOn:
 		s.powerUp(s.engines[d.Instance])
 	case placer.PowerOff:
@@ -301,7 +301,7 @@
 
 func (s *simulator) powerUp(e *engine) {
 	e.epoch++
-	epoch, boot := e.epoch, s.boot
+	epoch, boot := e.epoch, s.bootTime
 	boot = max(boot, e.repaired.Sub(s.Now))
 	s.after(boot, func() {
 		if e.epoch != epoch {
@@ -318,7 +318,7 @@
 	e.alive = false
 	e.loading, e.loaded, e.instance.Weights = garnetworks.WeightID{}, 0, nil
 	epoch := e.epoch
-	s.after(switchTime, func() {
+	s.after(powerOffTime, func() {
 		if e.epoch == epoch {
 			e.instance.Power, e.instance.Condition = garnetworks.PowerOff, garnetworks.ConditionHealthy
 		}
@@ -336,7 +336,7 @@
 	weights := e.instance.Weights
 	e.alive, e.repaired = false, s.Now.Add(outage)
 	e.loading, e.loaded, e.instance.Weights = garnetworks.WeightID{}, 0, nil
-	s.after(noticeLoss, func() {
+	s.after(lossDetectionTime, func() {
 		if e.epoch == epoch && !e.alive {
 			e.instance.Condition = garnetworks.ConditionLost
 		}
@@ -378,14 +378,14 @@
 		}
 		s.after(time.Minute, func() {
 			delete(s.announced, id)
-			s.fail(e, s.boot, false)
+			s.fail(e, s.bootTime, false)
 		})
 	})
 }
 
 // member returns the n-th member of the first serving group of a model.
 func (s *simulator) member(model garnetworks.ModelName, n int) *engine {
-	for _, g := range s.all() {
+	for _, g := range s.allGroups() {
 		if g.Model == model && g.State == garnetworks.GroupServing {
 			return s.engines[g.Members[n]]
 		}
@@ -397,14 +397,14 @@
 // same for every policy.
 func (s *simulator) ordinaryDay(seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 11))
-	count := float64(len(s.order))
+	count := float64(len(s.enginesInOrder))
 	class := s.Classes[0]
 	for range int(class.FailuresPerDay*count + 0.5) {
-		e := s.order[random.IntN(len(s.order))]
-		s.after(time.Duration(random.Int64N(int64(24*time.Hour))), func() { s.fail(e, repairAfter, false) })
+		e := s.enginesInOrder[random.IntN(len(s.enginesInOrder))]
+		s.after(time.Duration(random.Int64N(int64(24*time.Hour))), func() { s.fail(e, repairTime, false) })
 	}
 	for range int(class.RestartsPerDay*count + 0.5) {
-		e := s.order[random.IntN(len(s.order))]
+		e := s.enginesInOrder[random.IntN(len(s.enginesInOrder))]
 		s.after(time.Duration(random.Int64N(int64(24*time.Hour))), func() {
 			if e.alive {
 				s.restart(e, 0)
--- a/placer/slots.go
+++ b/placer/slots.go
@@ -20,7 +20,7 @@
 func slotsOf(models []*model) []slot {
 	var slots []slot
 	for _, m := range models {
-		for rank := range min(max(m.MinGroups, m.MaxGroups), m.reach) {
+		for rank := range min(max(m.MinGroups, m.MaxGroups), m.feasibleGroups) {
 			slots = append(slots, slot{model: m, rank: rank, minimum: rank < m.MinGroups})
 		}
 	}
@@ -36,29 +36,29 @@
 	return slots
 }
 
-// pendingForm is a group that can form as soon as the plan is carried out.
-type pendingForm struct {
-	choice   choice
-	model    *model
-	replaces *group
-	reason   Reason
-	class    loadClass
-	rate     int64
+// pendingGroup is a group that can form as soon as the plan is carried out.
+type pendingGroup struct {
+	placement placement
+	model     *model
+	replaces  *group
+	reason    Reason
+	class     loadClass
+	rate      int64
 }
 
-// pendingWait is a slot whose members are not all there.
-type pendingWait struct {
-	choice choice
-	model  *model
+// waitingSlot is a slot whose members are not all there.
+type waitingSlot struct {
+	placement placement
+	model     *model
 }
 
 // fillSlots keeps, sheds, displaces and places groups, in the order of P1.
 func (p *planner) fillSlots() {
 	p.assignSlots()
-	p.noteBeyondReach()
-	for order, s := range p.slots {
+	p.reportInfeasible()
+	for index, s := range p.slots {
 		if s.minimum {
-			p.keepOrFill(order, s)
+			p.keepOrFill(index, s)
 		}
 		// What is displaced changes the ranks of its model and the choices of
 		// earlier slots; the next round sees it all.
@@ -68,47 +68,47 @@
 	}
 	for _, s := range p.slots {
 		if g := s.group(); !s.minimum && g != nil && !g.ending {
-			p.keep(g)
+			p.keepGroup(g)
 		}
 	}
 	for _, m := range p.models {
-		for _, g := range m.shadows {
-			p.keepShadow(g)
+		for _, g := range m.replacements {
+			p.keepReplacement(g)
 		}
 	}
-	for order, s := range p.slots {
+	for index, s := range p.slots {
 		if g := s.group(); !s.minimum && (g == nil || g.ending) {
-			p.fill(order, s)
+			p.fillSlot(index, s)
 		}
 	}
 }
 
-// noteBeyondReach reports minimum groups that have no slot.
-func (p *planner) noteBeyondReach() {
+// reportInfeasible reports minimum groups that have no slot.
+func (p *planner) reportInfeasible() {
 	for _, m := range p.models {
 		cause := CauseInstances
 		if m.class == nil {
 			cause = CauseClass
 		}
-		if m.MinGroups > m.reach {
-			p.unmetGroups(m, cause, m.MinGroups-m.reach)
+		if m.MinGroups > m.feasibleGroups {
+			p.addUnmetGroups(m, cause, m.MinGroups-m.feasibleGroups)
 		}
 	}
 }
 
 // assignSlots gives each living group its slot; those above the maximum end.
 func (p *planner) assignSlots() {
-	for order, s := range p.slots {
+	for index, s := range p.slots {
 		if g := s.group(); g != nil {
-			g.order = order
+			g.slotIndex = index
 			g.minimum = s.minimum
 		}
 	}
 	for _, m := range p.models {
 		most := min(max(m.MinGroups, m.MaxGroups), len(m.live))
 		for _, g := range m.live[most:] {
-			p.end(g, ReasonSurplus, p.in.Grace.Drain)
-			p.noteShed(m, most)
+			p.endGroup(g, ReasonSurplus, p.in.Grace.Drain)
+			p.recordShed(m, most)
 		}
 		m.live = m.live[:most]
 	}
@@ -121,74 +121,74 @@
 	return nil
 }
 
-func (p *planner) keepOrFill(order int, s slot) {
+func (p *planner) keepOrFill(index int, s slot) {
 	if g := s.group(); g != nil && !g.ending {
-		p.keep(g)
+		p.keepGroup(g)
 		return
 	}
-	p.fill(order, s)
+	p.fillSlot(index, s)
 }
 
-// keep lets the group go on, or sheds it if the limit is too low (rule P3).
-func (p *planner) keep(g *group) bool {
-	watts := drawOf(g.members)
-	if p.planned+watts > p.in.Limit {
-		p.end(g, ReasonPower, p.in.Grace.Shed)
-		p.noteShed(g.model, p.slots[g.order].rank)
-		p.unmet(g.model, CausePower)
+// keepGroup lets the group go on, or sheds it if the limit is too low (rule P3).
+func (p *planner) keepGroup(g *group) bool {
+	watts := totalDraw(g.members)
+	if p.plannedDraw+watts > p.in.Limit {
+		p.endGroup(g, ReasonPower, p.in.Grace.Shed)
+		p.recordShed(g.model, p.slots[g.slotIndex].rank)
+		p.addUnmet(g.model, CausePower)
 		return false
 	}
-	p.planned += watts
-	g.domain.held[g.model.index]++
+	p.plannedDraw += watts
+	g.domain.groupCounts[g.model.index]++
 	for _, i := range g.members {
 		i.use = usedByGroup
-		i.order = g.order
+		i.slotIndex = g.slotIndex
 	}
 	return true
 }
 
-// keepShadow keeps a group that forms to replace another one, as long as power
+// keepReplacement keeps a group that forms to replace another one, as long as power
 // is left for both.
-func (p *planner) keepShadow(g *group) {
+func (p *planner) keepReplacement(g *group) {
 	if g.ending {
 		return
 	}
-	watts := drawOf(g.members)
-	if p.planned+watts > p.in.Limit {
+	watts := totalDraw(g.members)
+	if p.plannedDraw+watts > p.in.Limit {
 		g.replaces.replacement = nil
 		p.dissolve(g, ReasonPower)
 		return
 	}
-	p.planned += watts
-	g.order = g.replaces.order
+	p.plannedDraw += watts
+	g.slotIndex = g.replaces.slotIndex
 	for _, i := range g.members {
 		i.use = usedByGroup
-		i.order = g.order
+		i.slotIndex = g.slotIndex
 	}
 }
 
-// fill places a group in an empty slot.
-func (p *planner) fill(order int, s slot) {
+// fillSlot places a group in an empty slot.
+func (p *planner) fillSlot(index int, s slot) {
 	m := s.model
 	if p.recentlyShed(s) {
-		p.unmet(m, CausePower)
+		p.addUnmet(m, CausePower)
 		return
 	}
-	if p.planned+m.class.Watts*garnetworks.Watts(m.GroupSize) > p.in.Limit {
-		p.giveUp(s)
+	if p.plannedDraw+m.class.Watts*garnetworks.Watts(m.GroupSize) > p.in.Limit {
+		p.skipForPower(s)
 		return
 	}
-	c, ok := p.chooseFor(order, s)
+	c, ok := p.chooseMembers(index, s)
 	if !ok {
 		m.unplaced++
-		p.unmet(m, CauseInstances)
+		p.addUnmet(m, CauseInstances)
 		return
 	}
-	if p.planned+drawOf(c.members) > p.in.Limit {
-		p.giveUp(s)
+	if p.plannedDraw+totalDraw(c.members) > p.in.Limit {
+		p.skipForPower(s)
 		return
 	}
-	p.reserveSlot(order, s, c)
+	p.reserveSlot(index, s, c)
 }
 
 // recentlyShed keeps a limit or a maximum that goes up and down from forming and
@@ -196,70 +196,70 @@
 // then are replaced at any time.
 func (p *planner) recentlyShed(s slot) bool {
 	shed, ok := p.out.State.Sheds[s.model.Name]
-	end := shed.At.Add(FlapBound)
+	end := shed.At.Add(FlapDampingTime)
 	if s.minimum {
-		end = shed.At.Add(ReformBound)
+		end = shed.At.Add(ReformDelay)
 	}
-	if !ok || s.rank < shed.Groups || !p.in.Now.Before(end) {
+	if !ok || s.rank < shed.Remaining || !p.in.Now.Before(end) {
 		return false
 	}
-	p.wake(end)
+	p.replanAt(end)
 	return true
 }
 
-// noteShed remembers that the model lost all groups from a rank on.
-func (p *planner) noteShed(m *model, rank int) {
+// recordShed remembers that the model lost all groups from a rank on.
+func (p *planner) recordShed(m *model, rank int) {
 	if shed, ok := p.out.State.Sheds[m.Name]; ok && shed.At.Equal(p.in.Now) {
-		rank = min(rank, shed.Groups)
+		rank = min(rank, shed.Remaining)
 	}
-	p.out.State.Sheds[m.Name] = Shed{At: p.in.Now, Groups: rank}
+	p.out.State.Sheds[m.Name] = Shed{At: p.in.Now, Remaining: rank}
 }
 
-// giveUp leaves a slot empty for lack of power. If members were reserved for
+// skipForPower leaves a slot empty for lack of power. If members were reserved for
 // it, the limit has fallen, and their boots are in vain.
-func (p *planner) giveUp(s slot) {
+func (p *planner) skipForPower(s slot) {
 	m := s.model
 	if len(m.reservations) > 0 {
 		m.reservations = m.reservations[1:]
-		p.noteShed(m, s.rank)
+		p.recordShed(m, s.rank)
 	}
 	m.unplaced++
-	p.unmet(m, CausePower)
+	p.addUnmet(m, CausePower)
 }
 
-// chooseFor tries, in turn, free instances, displacing, and doubtful instances
+// chooseMembers tries, in turn, free instances, displacing, and doubtful instances
 // (rules P5, P6 and P7).
-func (p *planner) chooseFor(order int, s slot) (choice, bool) {
-	best, ok := p.best(s.model, false)
+func (p *planner) chooseMembers(index int, s slot) (placement, bool) {
+	best, ok := p.bestPlacement(s.model, false)
 	if ok && best.ready() {
 		return best, true
 	}
-	kept, isKept := p.reserved(s.model)
-	if isKept && (!ok || best.wait+SwitchGain > kept.wait) {
+	kept, isKept := p.nextReservation(s.model)
+	if isKept && (!ok || best.wait+ReservationHysteresis > kept.wait) {
 		return kept, true
 	}
 	if ok {
 		return best, true
 	}
-	if s.minimum && p.displace(order, s.model) {
-		return p.best(s.model, false)
+	if s.minimum && p.displace(index, s.model) {
+		return p.bestPlacement(s.model, false)
 	}
-	return p.best(s.model, true)
+	return p.bestPlacement(s.model, true)
 }
 
-func (p *planner) reserveSlot(order int, s slot, c choice) {
+func (p *planner) reserveSlot(index int, s slot, c placement) {
 	class := loadExtra
 	if s.minimum {
 		class = loadMinimum
 	}
-	p.reserve(c, s.model, order, usedBySlot)
-	c.domain.held[s.model.index]++
+	p.reserve(c, s.model, index, usedBySlot)
+	c.domain.groupCounts[s.model.index]++
 	if c.ready() {
-		p.forms = append(p.forms, &pendingForm{choice: c, model: s.model, reason: ReasonWanted, class: class})
+		p.pendingGroups = append(p.pendingGroups, &pendingGroup{placement: c, model: s.model, reason: ReasonWanted, class: class})
 		return
 	}
-	s.model.pending++
-	p.waits = append(p.waits, pendingWait{choice: c, model: s.model})
+	s.model.waiting++
+	p.waitingSlots = append(p.waitingSlots, waitingSlot{placement: c, model: s.model})
 	p.preloadWaiting(c, s.model, loadWaiting)
 	p.out.State.Reservations = append(p.out.State.Reservations, Reservation{
 		Model: s.model.Name, Domain: c.domain.ID, Members: idsOf(c.members),
@@ -274,50 +274,50 @@
 	return ids
 }
 
-// reserved returns the model's next reservation that still holds.
-func (p *planner) reserved(m *model) (choice, bool) {
+// nextReservation returns the model's next reservation that still holds.
+func (p *planner) nextReservation(m *model) (placement, bool) {
 	for len(m.reservations) > 0 {
 		r := m.reservations[0]
 		m.reservations = m.reservations[1:]
-		if c, ok := p.reservedChoice(m, r); ok {
+		if c, ok := p.reservedPlacement(m, r); ok {
 			return c, true
 		}
 	}
-	return choice{}, false
+	return placement{}, false
 }
 
-func (p *planner) reservedChoice(m *model, r Reservation) (choice, bool) {
+func (p *planner) reservedPlacement(m *model, r Reservation) (placement, bool) {
 	at, ok := slices.BinarySearchFunc(p.domains, r.Domain, func(d *domain, id garnetworks.DomainID) int {
 		return cmp.Compare(d.ID, id)
 	})
 	if !ok || len(r.Members) != m.GroupSize {
-		return choice{}, false
+		return placement{}, false
 	}
-	c := choice{domain: p.domains[at]}
+	c := placement{domain: p.domains[at]}
 	for _, i := range c.domain.instances {
 		if slices.Contains(r.Members, i.ID) && available(i, m, true) {
 			c.members = append(c.members, i)
 		}
 	}
-	c.wait = p.waitOf(c.members, m)
+	c.wait = p.placementWait(c.members, m)
 	return c, len(c.members) == m.GroupSize
 }
 
 // reserve takes the members for one use.
-func (p *planner) reserve(c choice, m *model, order int, u use) {
+func (p *planner) reserve(c placement, m *model, slotIndex int, u use) {
 	c.domain.version++
-	p.planned += drawOf(c.members)
+	p.plannedDraw += totalDraw(c.members)
 	for _, i := range c.members {
 		i.use = u
-		i.order = order
+		i.slotIndex = slotIndex
 		i.reason = ReasonWanted
 	}
 }
 
 // preloadWaiting lets the members that are there load while others boot.
-func (p *planner) preloadWaiting(c choice, m *model, class loadClass) {
+func (p *planner) preloadWaiting(c placement, m *model, class loadClass) {
 	for _, i := range c.members {
-		if i.presence == idle {
+		if i.availability == idle {
 			i.preload = m.weights()
 			i.loadClass = class
 		}
@@ -326,10 +326,10 @@
 
 // displace drains the groups of one domain that make room for the model (rule
 // P6). It returns false if no domain has enough of them.
-func (p *planner) displace(order int, m *model) bool {
+func (p *planner) displace(index int, m *model) bool {
 	var victims []*group
 	for _, d := range p.domains {
-		found := p.victimsIn(d, order, m)
+		found := p.victimsIn(d, index, m)
 		if found == nil {
 			continue
 		}
@@ -338,7 +338,7 @@
 		}
 	}
 	for _, g := range victims {
-		p.end(g, ReasonDisplaced, p.in.Grace.Shed)
+		p.endGroup(g, ReasonDisplaced, p.in.Grace.Shed)
 	}
 	p.displaced = victims != nil
 	return p.displaced
@@ -348,26 +348,26 @@
 	if len(a) != len(b) {
 		return len(a) < len(b)
 	}
-	return a[len(a)-1].order > b[len(b)-1].order
+	return a[len(a)-1].slotIndex > b[len(b)-1].slotIndex
 }
 
 // victimsIn returns the last groups of the domain that together with its free
 // instances give room for the model, or nil.
-func (p *planner) victimsIn(d *domain, order int, m *model) []*group {
-	room := 0
+func (p *planner) victimsIn(d *domain, index int, m *model) []*group {
+	freeInstances := 0
 	for _, i := range d.instances {
 		if available(i, m, false) {
-			room++
+			freeInstances++
 		}
 	}
 	var victims []*group
 	for _, n := range p.models {
-		victims = append(victims, displaceable(n, d, order, m)...)
+		victims = append(victims, displaceable(n, d, index, m)...)
 	}
-	slices.SortFunc(victims, func(a, b *group) int { return cmp.Compare(b.order, a.order) })
+	slices.SortFunc(victims, func(a, b *group) int { return cmp.Compare(b.slotIndex, a.slotIndex) })
 	for n, g := range victims {
-		room += usableMembers(g)
-		if room >= m.GroupSize {
+		freeInstances += countUsable(g)
+		if freeInstances >= m.GroupSize {
 			return victims[:n+1]
 		}
 	}
@@ -378,14 +378,14 @@
 // model m's slot: all of a lower priority, else as many as are above n's
 // minimum. A group that holds a minimum slot counts as above it only if enough
 // others serve already; one that still forms can't stand in for it yet.
-func displaceable(n *model, d *domain, order int, m *model) []*group {
+func displaceable(n *model, d *domain, index int, m *model) []*group {
 	if n.class != m.class || n == m {
 		return nil
 	}
-	above := -n.MinGroups
+	surplus := -n.MinGroups
 	for _, g := range n.live {
 		if !g.ending && g.State == garnetworks.GroupServing {
-			above++
+			surplus++
 		}
 	}
 	var found []*group
@@ -394,31 +394,31 @@
 		if g.ending || g.domain != d {
 			continue
 		}
-		lower := g.order > order && n.Priority < m.Priority
-		if !lower && g.minimum && above <= 0 {
+		lower := g.slotIndex > index && n.Priority < m.Priority
+		if !lower && g.minimum && surplus <= 0 {
 			continue
 		}
 		if g.State == garnetworks.GroupServing {
-			above--
+			surplus--
 		}
 		found = append(found, g)
 	}
 	return found
 }
 
-func usableMembers(g *group) int {
+func countUsable(g *group) int {
 	n := 0
 	for _, i := range g.members {
-		if i.observed.LeaveBy.IsZero() {
+		if i.observation.LeaveBy.IsZero() {
 			n++
 		}
 	}
 	return n
 }
 
-func (p *planner) unmet(m *model, cause Cause) { p.unmetGroups(m, cause, 1) }
+func (p *planner) addUnmet(m *model, cause Cause) { p.addUnmetGroups(m, cause, 1) }
 
-func (p *planner) unmetGroups(m *model, cause Cause, groups int) {
+func (p *planner) addUnmetGroups(m *model, cause Cause, groups int) {
 	for i := range p.out.Unmet {
 		u := &p.out.Unmet[i]
 		if u.Model == m.Name && u.Cause == cause {
@@ -429,7 +429,7 @@
 	p.out.Unmet = append(p.out.Unmet, Unmet{Model: m.Name, Groups: groups, Cause: cause})
 }
 
-func drawOf(members []*instance) garnetworks.Watts {
+func totalDraw(members []*instance) garnetworks.Watts {
 	var watts garnetworks.Watts
 	for _, i := range members {
 		watts += i.Watts
--- a/placer/spares.go
+++ b/placer/spares.go
@@ -9,33 +9,33 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// SpareCase is what the worth of a spare in one domain depends on.
-type SpareCase struct {
+// SpareParams is what the worth of a spare in one domain depends on.
+type SpareParams struct {
 	// LossRate is the number of members lost a second in the domain's groups of
 	// the class (λ).
 	LossRate float64
-	// Saved is the wait that a powered spare with weights saves (T = B+L).
-	Saved time.Duration
-	// Refill is the time until a spare that was used is replaced.
-	Refill time.Duration
+	// TimeSaved is the wait that a powered spare with weights saves (T = B+L).
+	TimeSaved time.Duration
+	// RefillTime is the time until a spare that was used is replaced.
+	RefillTime time.Duration
 	// GroupSize is g.
 	GroupSize int
-	// Weights are D and S.
-	Weights garnetworks.CostWeights
+	// Costs are D and S.
+	Costs garnetworks.CostWeights
 }
 
-// Worth returns the cost a second that the k-th spare, from 1, saves (rule
+// MarginalBenefit returns the cost a second that the k-th spare, from 1, saves (rule
 // P10). A loss finds it useful if fewer than k−1 of the others are left, that
 // is, if at least k−1 losses happened within the last refill.
-func (c SpareCase) Worth(k int) float64 {
-	still := c.Weights.GroupDowntime + float64(c.GroupSize-1)*c.Weights.Stranded
-	return c.LossRate * poissonAtLeast(c.LossRate*c.Refill.Seconds(), k-1) * c.Saved.Seconds() * still
+func (c SpareParams) MarginalBenefit(k int) float64 {
+	downtimeCost := c.Costs.GroupDowntime + float64(c.GroupSize-1)*c.Costs.Stranded
+	return c.LossRate * poissonAtLeast(c.LossRate*c.RefillTime.Seconds(), k-1) * c.TimeSaved.Seconds() * downtimeCost
 }
 
 // Spares returns how many powered spares are worth their cost.
-func (c SpareCase) Spares() int {
+func (c SpareParams) Spares() int {
 	k := 0
-	for k < mostSpares && c.Worth(k+1) > c.Weights.Stranded {
+	for k < maxSpares && c.MarginalBenefit(k+1) > c.Costs.Stranded {
 		k++
 	}
 	return k
@@ -53,11 +53,11 @@
 
 // pool is the instances of one class in one domain.
 type pool struct {
-	SpareCase
+	SpareParams
 	domain *domain
 	class  *class
-	// uses counts the groups of each model, by its index.
-	uses []int
+	// groupCounts counts the groups of each model, by its index.
+	groupCounts []int
 	// candidates are the instances that could be spares, the readiest first.
 	candidates []*instance
 	// unused counts the instances without a use, whatever their power is.
@@ -71,48 +71,48 @@
 	// size counts the pool's instances, lost those that are lost, and waiting
 	// those that boot for a slot; wanted says that a slot of the class is empty.
 	size, lost, waiting int
-	wanted              bool
+	groupWanted         bool
 }
 
-// spareStep is the choice of one more spare of a pool.
-type spareStep struct {
-	pool  *pool
-	count int
-	worth float64
+// spareOption is the choice of one more spare of a pool.
+type spareOption struct {
+	pool    *pool
+	rank    int
+	benefit float64
 }
 
-// keepSpares takes spares by their worth as long as power is left.
-func (p *planner) keepSpares() {
+// chooseSpares takes spares by their worth as long as power is left.
+func (p *planner) chooseSpares() {
 	p.indexPools()
-	var steps []spareStep
+	var options []spareOption
 	for _, o := range p.pools {
-		for k := 1; k <= min(len(o.candidates), mostSpares); k++ {
-			worth := o.worthOf(k)
-			if worth <= p.in.Weights.Stranded {
+		for k := 1; k <= min(len(o.candidates), maxSpares); k++ {
+			benefit := o.benefitOf(k)
+			if benefit <= p.in.Costs.Stranded {
 				break
 			}
-			steps = append(steps, spareStep{pool: o, count: k, worth: worth})
+			options = append(options, spareOption{pool: o, rank: k, benefit: benefit})
 		}
 	}
-	slices.SortStableFunc(steps, func(a, b spareStep) int { return cmp.Compare(b.worth, a.worth) })
-	for _, s := range steps {
-		p.keepSpare(s)
+	slices.SortStableFunc(options, func(a, b spareOption) int { return cmp.Compare(b.benefit, a.benefit) })
+	for _, s := range options {
+		p.takeSpare(s)
 	}
 	for _, o := range p.pools {
 		p.preloadSpares(o)
 	}
 }
 
-func (p *planner) keepSpare(s spareStep) {
-	i := s.pool.candidates[s.count-1]
-	p.spareWatts += i.Watts
-	if len(s.pool.kept) != s.count-1 || p.planned+i.Watts > p.in.Limit {
+func (p *planner) takeSpare(s spareOption) {
+	i := s.pool.candidates[s.rank-1]
+	p.spareDraw += i.Watts
+	if len(s.pool.kept) != s.rank-1 || p.plannedDraw+i.Watts > p.in.Limit {
 		return
 	}
 	s.pool.kept = append(s.pool.kept, i)
-	p.planned += i.Watts
+	p.plannedDraw += i.Watts
 	i.use = usedAsSpare
-	i.order = len(p.slots)
+	i.slotIndex = len(p.slots)
 	i.reason = ReasonSpare
 	i.domain.version++
 }
@@ -122,12 +122,12 @@
 		for _, i := range d.instances {
 			if i.class != nil && i.class.largest > 0 {
 				i.pool = p.poolOf(d, i.class)
-				i.pool.count(i)
+				i.pool.addLossRate(i)
 			}
 		}
 	}
 	for _, o := range p.pools {
-		p.describe(o)
+		p.describePool(o)
 	}
 }
 
@@ -139,25 +139,25 @@
 		}
 	}
 	o := &pool{domain: d, class: c}
-	o.Weights = p.in.Weights
+	o.Costs = p.in.Costs
 	o.GroupSize = c.largest
 	p.pools = append(p.pools, o)
 	return o
 }
 
-func (o *pool) count(i *instance) {
+func (o *pool) addLossRate(i *instance) {
 	if i.use != unused && i.use != usedAsSpare {
 		o.LossRate += (i.class.FailuresPerDay + i.class.RestartsPerDay) / day.Seconds()
 	}
 }
 
-// describe fills in the times and the candidates of the pool.
-func (p *planner) describe(o *pool) {
-	o.uses = o.domain.held
-	load := p.meanLoad(o)
-	o.Saved = o.class.BootTime + load
-	o.Refill = o.Saved
-	o.unused = o.domain.unused(o.class)
+// describePool fills in the times and the candidates of the pool.
+func (p *planner) describePool(o *pool) {
+	o.groupCounts = o.domain.groupCounts
+	load := p.meanLoadTime(o)
+	o.TimeSaved = o.class.BootTime + load
+	o.RefillTime = o.TimeSaved
+	o.unused = o.domain.countUnused(o.class)
 	for _, i := range o.domain.instances {
 		if i.class == o.class && p.mayBeSpare(i) {
 			o.candidates = append(o.candidates, i)
@@ -168,21 +168,21 @@
 	})
 }
 
-// worthOf is the worth of the pool's k-th spare. Whether another instance is
+// benefitOf is the worth of the pool's k-th spare. Whether another instance is
 // left to refill it from is counted without regard to power, so that ordering a
 // spare on doesn't change what it is worth.
-func (o *pool) worthOf(k int) float64 {
-	c := o.SpareCase
+func (o *pool) benefitOf(k int) float64 {
+	c := o.SpareParams
 	if k >= o.unused {
-		c.Refill = RepairTime
+		c.RefillTime = RepairTime
 	}
-	return c.Worth(k)
+	return c.MarginalBenefit(k)
 }
 
-func (p *planner) meanLoad(o *pool) time.Duration {
+func (p *planner) meanLoadTime(o *pool) time.Duration {
 	var sum time.Duration
 	count := 0
-	for index, uses := range o.uses {
+	for index, uses := range o.groupCounts {
 		m := p.models[index]
 		if m.class == o.class {
 			sum += time.Duration(uses) * p.loadTime(m.WeightBytes, m.WeightBytes)
@@ -199,20 +199,20 @@
 	if i.use != unused || i.isStraggler() {
 		return false
 	}
-	switch i.presence {
-	case idle, returning, leavingGroup:
+	switch i.availability {
+	case idle, returning, drainingMember:
 		return true
 	case booting:
-		return !i.doubtful
-	case powerless:
-		if i.doubtful {
+		return !i.suspect
+	case switchedOff:
+		if i.suspect {
 			return false
 		}
 		// A spare that was just given up is not booted again at once: a worth
 		// that goes up and down would switch its power each time (rule P13).
-		again := i.history.PoweredOff.Add(FlapBound)
+		again := i.history.PoweredOff.Add(FlapDampingTime)
 		if !i.history.PoweredOff.IsZero() && p.in.Now.Before(again) {
-			p.wake(again)
+			p.replanAt(again)
 			return false
 		}
 		return true
@@ -223,11 +223,11 @@
 
 // spareRank puts powered instances with useful weights first.
 func (p *planner) spareRank(o *pool, i *instance) int {
-	switch i.presence {
-	case idle, returning, leavingGroup:
-		for index, uses := range o.uses {
+	switch i.availability {
+	case idle, returning, drainingMember:
+		for index, uses := range o.groupCounts {
 			m := p.models[index]
-			if uses > 0 && m.class == o.class && p.missing(i, m.weights()) == 0 {
+			if uses > 0 && m.class == o.class && p.missingBytes(i, m.weights()) == 0 {
 				return 0
 			}
 		}
@@ -242,13 +242,13 @@
 // preloadSpares divides the pool's spares among the models of its groups, by
 // the bytes that a loss would have to wait for.
 func (p *planner) preloadSpares(o *pool) {
-	given := make([]int, len(p.models))
+	assigned := make([]int, len(p.models))
 	for range o.kept {
-		m := p.neediest(o, given)
+		m := p.modelToPreload(o, assigned)
 		if m == nil {
 			return
 		}
-		given[m.index]++
+		assigned[m.index]++
 		if i := p.spareFor(o, m); i != nil {
 			i.preload = m.weights()
 			i.loadClass = loadSpare
@@ -256,15 +256,15 @@
 	}
 }
 
-func (p *planner) neediest(o *pool, given []int) *model {
+func (p *planner) modelToPreload(o *pool, assigned []int) *model {
 	var best *model
 	most := 0.0
-	for index, uses := range o.uses {
+	for index, uses := range o.groupCounts {
 		m := p.models[index]
 		if m.class != o.class {
 			continue
 		}
-		need := float64(uses) * float64(m.WeightBytes) / float64(given[index]+1)
+		need := float64(uses) * float64(m.WeightBytes) / float64(assigned[index]+1)
 		if need > most {
 			best, most = m, need
 		}
@@ -278,10 +278,10 @@
 	var best *instance
 	least := int64(math.MaxInt64)
 	for _, i := range o.kept {
-		if i.presence != idle || i.preload.Bytes != 0 {
+		if i.availability != idle || i.preload.Bytes != 0 {
 			continue
 		}
-		missing := p.missing(i, m.weights())
+		missing := p.missingBytes(i, m.weights())
 		if i.history.Weights == m.weights().WeightID {
 			missing = min(missing, m.WeightBytes-1)
 		}
--- a/placer/state_test.go
+++ b/placer/state_test.go
@@ -16,10 +16,10 @@
 // must be the same when it is made twice, and must have settled once it is
 // carried out.
 type machine struct {
-	*world
+	*testZone
 }
 
-func (m *machine) pick(t *rapid.T) *garnetworks.Instance {
+func (m *machine) drawInstance(t *rapid.T) *garnetworks.Instance {
 	d := &m.Domains[rapid.IntRange(0, len(m.Domains)-1).Draw(t, "domain")]
 	return &d.Instances[rapid.IntRange(0, len(d.Instances)-1).Draw(t, "instance")]
 }
@@ -52,7 +52,7 @@
 }
 
 func (m *machine) fault(t *rapid.T) {
-	i := m.pick(t)
+	i := m.drawInstance(t)
 	if i.Power == garnetworks.PowerOff {
 		return
 	}
@@ -62,9 +62,9 @@
 	}).Draw(t, "condition")
 }
 
-func (m *machine) heal(t *rapid.T) { m.pick(t).Condition = garnetworks.ConditionHealthy }
+func (m *machine) heal(t *rapid.T) { m.drawInstance(t).Condition = garnetworks.ConditionHealthy }
 
-func (m *machine) domainDark(t *rapid.T) {
+func (m *machine) loseDomain(t *rapid.T) {
 	d := &m.Domains[rapid.IntRange(0, len(m.Domains)-1).Draw(t, "domain")]
 	for i := range d.Instances {
 		if d.Instances[i].Power.Draws() {
@@ -74,28 +74,28 @@
 }
 
 func (m *machine) announce(t *rapid.T) {
-	i := m.pick(t)
+	i := m.drawInstance(t)
 	by := m.Now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "seconds")) * time.Second)
 	m.Instances[i.ID] = placer.InstanceObservation{LeaveBy: by}
 }
 
 func (m *machine) observe(t *rapid.T) {
 	w := garnetworks.WeightID{Model: "a", Version: "v1"}
-	m.Instances[m.pick(t).ID] = placer.InstanceObservation{
+	m.Instances[m.drawInstance(t).ID] = placer.InstanceObservation{
 		Slowdown:    rapid.SampledFrom([]float64{0, 1, 3}).Draw(t, "slowdown"),
 		Loading:     w,
 		LoadedBytes: rapid.Int64Range(0, 300).Draw(t, "loaded") * gigabyte,
 	}
 }
 
-func (m *machine) store(t *rapid.T) {
+func (m *machine) changeStoreRate(t *rapid.T) {
 	m.StoreRate = rapid.SampledFrom([]int64{0, 1, 100, gigabyte, 10 * gigabyte}).Draw(t, "rate")
 	m.InstanceRate = rapid.SampledFrom([]int64{0, gigabyte}).Draw(t, "instance rate")
 }
 
-func (m *machine) withdraw(t *rapid.T) { delete(m.Instances, m.pick(t).ID) }
+func (m *machine) clearObservation(t *rapid.T) { delete(m.Instances, m.drawInstance(t).ID) }
 
-func (m *machine) limit(t *rapid.T) {
+func (m *machine) changeLimit(t *rapid.T) {
 	count := 0
 	for _, d := range m.Domains {
 		count += len(d.Instances)
@@ -103,13 +103,13 @@
 	m.Limit = engineWatts * garnetworks.Watts(rapid.IntRange(0, count).Draw(t, "limit"))
 }
 
-func (m *machine) manifest(t *rapid.T) {
+func (m *machine) changeManifest(t *rapid.T) {
 	o := &m.Models[rapid.IntRange(0, len(m.Models)-1).Draw(t, "model")]
 	o.MinGroups = rapid.IntRange(0, 3).Draw(t, "min")
 	o.MaxGroups = o.MinGroups + rapid.IntRange(0, 2).Draw(t, "more")
 	o.Priority = rapid.IntRange(0, 3).Draw(t, "priority")
 	o.Version = rapid.SampledFrom([]garnetworks.VersionName{"v1", "v2"}).Draw(t, "version")
-	m.Weights = rapid.SampledFrom([]garnetworks.CostWeights{delta, schiedsplan}).Draw(t, "weights")
+	m.Costs = rapid.SampledFrom([]garnetworks.CostWeights{downtimeFirst, strandedFirst}).Draw(t, "weights")
 }
 
 func (m *machine) removeInstance(t *rapid.T) {
@@ -119,7 +119,7 @@
 	}
 }
 
-func (m *machine) pass(t *rapid.T) {
+func (m *machine) advanceClock(t *rapid.T) {
 	m.Now = m.Now.Add(time.Duration(rapid.IntRange(1, 600).Draw(t, "seconds")) * time.Second)
 }
 
@@ -181,7 +181,7 @@
 
 func (m *machine) protectedDraw(than garnetworks.ModelSpec, serving map[garnetworks.ModelName]int) garnetworks.Watts {
 	draw := garnetworks.Watts(0)
-	for _, g := range m.all() {
+	for _, g := range m.allGroups() {
 		if m.protected(g.Model, than, serving) {
 			draw += engineWatts * garnetworks.Watts(len(g.Members))
 		}
@@ -201,7 +201,7 @@
 			}
 		}
 		most := 0
-		if m.Weights == delta {
+		if m.Costs == downtimeFirst {
 			most = 2
 		}
 		if len(d.Groups) == 0 {
@@ -215,7 +215,7 @@
 
 func TestPlansKeepTheRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &machine{newWorld(3, 10, modelSpec("a", 3, 2, 3), modelSpec("b", 2, 1, 3), modelSpec("c", 1, 1, 2))}
+		m := &machine{newTestZone(3, 10, modelSpec("a", 3, 2, 3), modelSpec("b", 2, 1, 3), modelSpec("c", 1, 1, 2))}
 		m.Classes = append(m.Classes, garnetworks.InstanceClass{Name: "other", Watts: engineWatts})
 		for i := range m.Domains {
 			m.Domains[i].Instances[0].Class = "other"
@@ -227,16 +227,16 @@
 			"":         m.check,
 			"fault":    m.fault,
 			"heal":     m.heal,
-			"dark":     m.domainDark,
+			"dark":     m.loseDomain,
 			"announce": m.announce,
-			"withdraw": m.withdraw,
+			"withdraw": m.clearObservation,
 			"observe":  m.observe,
-			"store":    m.store,
-			"limit":    m.limit,
-			"manifest": m.manifest,
+			"store":    m.changeStoreRate,
+			"limit":    m.changeLimit,
+			"manifest": m.changeManifest,
 			"remove":   m.removeInstance,
-			"pass":     m.pass,
-			"finish":   func(*rapid.T) { m.finish() },
+			"pass":     m.advanceClock,
+			"finish":   func(*rapid.T) { m.finishPending() },
 			"recover":  m.recover,
 		})
 	})
--- a/placer/types.go
+++ b/placer/types.go
@@ -22,8 +22,8 @@
 	Models []garnetworks.ModelSpec
 	// Classes are the manifest's instance classes.
 	Classes []garnetworks.InstanceClass
-	// Weights balance the two measures.
-	Weights garnetworks.CostWeights
+	// Costs balance the two measures.
+	Costs garnetworks.CostWeights
 	// Grace bounds drains.
 	Grace garnetworks.GraceSpec
 	// Limit is the zone's grant.
@@ -38,9 +38,9 @@
 	Instances map[garnetworks.InstanceID]InstanceObservation
 	// Groups holds what is known of groups' calls; a group may be absent.
 	Groups map[garnetworks.GroupID]GroupObservation
-	// Held are the models whose groups must not stand still for a new version
+	// NoOutage are the models whose groups must not stand still for a new version
 	// now, since other zones do; one that forms beside the old group may.
-	Held garnetworks.Set[garnetworks.ModelName]
+	NoOutage garnetworks.Set[garnetworks.ModelName]
 	// State is the last Output's State, or empty.
 	State State
 }
@@ -82,9 +82,9 @@
 	// Unmet lists the wanted groups that no decision brings nearer, with the
 	// cause, for operators.
 	Unmet []Unmet
-	// Wake is the earliest time at which a plan can differ though nothing has
+	// ReplanAt is the earliest time at which a plan can differ though nothing has
 	// changed; zero if there is none.
-	Wake time.Time
+	ReplanAt time.Time
 	// State is to be handed to the next plan.
 	State State
 }
@@ -235,8 +235,8 @@
 type State struct {
 	// Instances holds only instances with something to remember.
 	Instances map[garnetworks.InstanceID]InstanceHistory
-	// Moves holds when a model's straggler was last replaced.
-	Moves map[garnetworks.ModelName]time.Time
+	// StragglerReplacements holds when a model's straggler was last replaced.
+	StragglerReplacements map[garnetworks.ModelName]time.Time
 	// Sheds holds the last time that a lowered limit or maximum took a group.
 	Sheds map[garnetworks.ModelName]Shed
 	// Reservations are the members that groups wait for, in the order of slots.
@@ -246,8 +246,8 @@
 // Shed is a time at which a model lost groups by a limit or a maximum.
 type Shed struct {
 	At time.Time
-	// Groups is how many groups were left; these are replaced without delay.
-	Groups int
+	// Remaining is how many groups were left; these are replaced without delay.
+	Remaining int
 }
 
 // Reservation is a choice of members that are not all there yet. Later plans
@@ -272,10 +272,10 @@
 	// ReturnedSince is when the instance was seen to wait for its re-admission;
 	// zero unless it does.
 	ReturnedSince time.Time
-	// Strikes counts losses; it falls by one for each StrikeMemory without one.
-	Strikes int
-	// LastStrike is when Strikes last changed.
-	LastStrike time.Time
+	// Failures counts losses; it falls by one for each StrikeMemory without one.
+	Failures int
+	// FailuresChanged is when Strikes last changed.
+	FailuresChanged time.Time
 	// Weights are the weights whose loading was last ordered.
 	Weights garnetworks.WeightID
 	// LoadRate is the rate last ordered; 0 if the instance loads nothing.
--- a/placer/wanted.go
+++ b/placer/wanted.go
@@ -11,10 +11,10 @@
 // capacity counts instances of one class in one domain that no wanted group
 // has taken.
 type capacity struct {
-	domain *domain
-	class  *class
-	left   int
-	held   []int
+	domain      *domain
+	class       *class
+	remaining   int
+	groupCounts []int
 }
 
 // countWanted computes the wanted groups (rule P2) and the zone's need.
@@ -25,7 +25,7 @@
 	}
 	slices.SortFunc(p.out.Wanted, func(a, b ModelGroups) int { return cmp.Compare(a.Model, b.Model) })
 	_, p.out.Need = p.wantedWithin(math.MaxInt64)
-	p.out.Need += p.spareWatts
+	p.out.Need += p.spareDraw
 }
 
 func (p *planner) wantedWithin(limit garnetworks.Watts) ([]int, garnetworks.Watts) {
@@ -38,12 +38,12 @@
 		if watts > limit-drawn {
 			continue
 		}
-		c := roomiest(capacities, m)
+		c := bestCapacity(capacities, m)
 		if c == nil {
 			continue
 		}
-		c.left -= m.GroupSize
-		c.held[m.index]++
+		c.remaining -= m.GroupSize
+		c.groupCounts[m.index]++
 		drawn += watts
 		wanted[m.index]++
 	}
@@ -61,19 +61,19 @@
 			at := slices.IndexFunc(all[first:], func(c *capacity) bool { return c.class == i.class })
 			if at < 0 {
 				at = len(all) - first
-				all = append(all, &capacity{domain: d, class: i.class, held: make([]int, len(p.models))})
+				all = append(all, &capacity{domain: d, class: i.class, groupCounts: make([]int, len(p.models))})
 			}
-			all[first+at].left++
+			all[first+at].remaining++
 		}
 	}
 	return all
 }
 
-// roomiest returns where a group of the model would go by the ties of P5.
-func roomiest(capacities []*capacity, m *model) *capacity {
+// bestCapacity returns where a group of the model would go by the ties of P5.
+func bestCapacity(capacities []*capacity, m *model) *capacity {
 	var best *capacity
 	for _, c := range capacities {
-		if c.class != m.class || c.left < m.GroupSize {
+		if c.class != m.class || c.remaining < m.GroupSize {
 			continue
 		}
 		if best == nil || compareCapacities(c, best, m) < 0 {
@@ -85,18 +85,18 @@
 
 func compareCapacities(a, b *capacity, m *model) int {
 	return cmp.Or(
-		cmp.Compare(a.waste(m), b.waste(m)),
-		cmp.Compare(a.held[m.index], b.held[m.index]),
-		cmp.Compare(b.left, a.left),
+		cmp.Compare(a.fragmentation(m), b.fragmentation(m)),
+		cmp.Compare(a.groupCounts[m.index], b.groupCounts[m.index]),
+		cmp.Compare(b.remaining, a.remaining),
 	)
 }
 
-// waste is how many more instances than before fit no largest group.
-func (c *capacity) waste(m *model) int {
+// fragmentation is how many more instances than before fit no largest group.
+func (c *capacity) fragmentation(m *model) int {
 	if !c.class.mixed {
 		return 0
 	}
-	return (c.left-m.GroupSize)%c.class.largest - c.left%c.class.largest
+	return (c.remaining-m.GroupSize)%c.class.largest - c.remaining%c.class.largest
 }
 
 // Wanted returns the number of groups of each model that the manifest and the
--- a/placer/world_test.go
+++ b/placer/world_test.go
@@ -30,9 +30,9 @@
 }
 
 var (
-	epoch       = time.Date(2026, 1, 5, 8, 0, 0, 0, time.UTC)
-	delta       = garnetworks.CostWeights{GroupDowntime: 1000, Stranded: 1}
-	schiedsplan = garnetworks.CostWeights{GroupDowntime: 1, Stranded: 5}
+	startTime     = time.Date(2026, 1, 5, 8, 0, 0, 0, time.UTC)
+	downtimeFirst = garnetworks.CostWeights{GroupDowntime: 1000, Stranded: 1}
+	strandedFirst = garnetworks.CostWeights{GroupDowntime: 1, Stranded: 5}
 )
 
 const (
@@ -40,8 +40,8 @@
 	gigabyte    = int64(1e9)
 )
 
-// world is a zone whose bookkeeping follows decisions as the grouper's does.
-type world struct {
+// testZone is a zone whose bookkeeping follows decisions as the grouper's does.
+type testZone struct {
 	placer.Input
 	groups int
 }
@@ -53,18 +53,18 @@
 	}
 }
 
-func modelSpec(name garnetworks.ModelName, priority, least, most int) garnetworks.ModelSpec {
+func modelSpec(name garnetworks.ModelName, priority, minGroups, maxGroups int) garnetworks.ModelSpec {
 	return garnetworks.ModelSpec{
 		Name: name, Version: "v1", WeightBytes: 200 * gigabyte, GroupSize: 4, Class: "engine",
-		MinGroups: least, MaxGroups: most, Priority: priority,
+		MinGroups: minGroups, MaxGroups: maxGroups, Priority: priority,
 	}
 }
 
-// newWorld returns a zone with all instances off.
-func newWorld(domains, size int, models ...garnetworks.ModelSpec) *world {
-	w := &world{Input: placer.Input{
-		Now: epoch, Models: models, Classes: []garnetworks.InstanceClass{engineClass()},
-		Weights: delta, Grace: garnetworks.GraceSpec{Drain: 30 * time.Second, Shed: 10 * time.Second},
+// newTestZone returns a zone with all instances off.
+func newTestZone(domains, size int, models ...garnetworks.ModelSpec) *testZone {
+	w := &testZone{Input: placer.Input{
+		Now: startTime, Models: models, Classes: []garnetworks.InstanceClass{engineClass()},
+		Costs: downtimeFirst, Grace: garnetworks.GraceSpec{Drain: 30 * time.Second, Shed: 10 * time.Second},
 		Limit: engineWatts * garnetworks.Watts(domains*size), StoreRate: 10 * gigabyte, InstanceRate: 5 * gigabyte,
 		Instances: map[garnetworks.InstanceID]placer.InstanceObservation{},
 		Groups:    map[garnetworks.GroupID]placer.GroupObservation{},
@@ -82,7 +82,7 @@
 	return w
 }
 
-func (w *world) domain(id garnetworks.DomainID) *garnetworks.FabricDomain {
+func (w *testZone) domain(id garnetworks.DomainID) *garnetworks.FabricDomain {
 	for i := range w.Domains {
 		if w.Domains[i].ID == id {
 			return &w.Domains[i]
@@ -91,7 +91,7 @@
 	return nil
 }
 
-func (w *world) instance(id garnetworks.InstanceID) *garnetworks.Instance {
+func (w *testZone) instance(id garnetworks.InstanceID) *garnetworks.Instance {
 	for i := range w.Domains {
 		for j := range w.Domains[i].Instances {
 			if w.Domains[i].Instances[j].ID == id {
@@ -102,7 +102,7 @@
 	return nil
 }
 
-func (w *world) group(id garnetworks.GroupID) *garnetworks.Group {
+func (w *testZone) group(id garnetworks.GroupID) *garnetworks.Group {
 	for i := range w.Domains {
 		for j := range w.Domains[i].Groups {
 			if w.Domains[i].Groups[j].ID == id {
@@ -113,8 +113,8 @@
 	return nil
 }
 
-// all returns every group of the world by domain and position.
-func (w *world) all() []*garnetworks.Group {
+// allGroups returns every group of the world by domain and position.
+func (w *testZone) allGroups() []*garnetworks.Group {
 	var all []*garnetworks.Group
 	for i := range w.Domains {
 		for j := range w.Domains[i].Groups {
@@ -124,7 +124,7 @@
 	return all
 }
 
-func (w *world) drawn() garnetworks.Watts {
+func (w *testZone) drawn() garnetworks.Watts {
 	var drawn garnetworks.Watts
 	for _, d := range w.Domains {
 		for _, i := range d.Instances {
@@ -138,7 +138,7 @@
 
 // apply carries the plan out and returns the first decision that breaks a rule
 // that must always hold.
-func (w *world) apply(out placer.Output) error {
+func (w *testZone) apply(out placer.Output) error {
 	w.State = out.State
 	for _, d := range out.Decisions {
 		if err := w.applyOne(d); err != nil {
@@ -148,10 +148,10 @@
 	return nil
 }
 
-func (w *world) applyOne(decision placer.Decision) error {
+func (w *testZone) applyOne(decision placer.Decision) error {
 	switch d := decision.(type) {
 	case placer.FormGroup:
-		return w.form(d)
+		return w.formGroup(d)
 	case placer.DrainGroup:
 		g := w.group(d.Group)
 		if g.State != garnetworks.GroupServing {
@@ -187,7 +187,7 @@
 	return nil
 }
 
-func (w *world) form(d placer.FormGroup) error {
+func (w *testZone) formGroup(d placer.FormGroup) error {
 	w.groups++
 	g := garnetworks.Group{
 		ID: garnetworks.GroupID(fmt.Sprintf("g%05d", w.groups)), Model: d.Model, Version: d.Version,
@@ -219,7 +219,7 @@
 	return nil
 }
 
-func (w *world) powerOn(d placer.PowerOn) error {
+func (w *testZone) powerOn(d placer.PowerOn) error {
 	i := w.instance(d.Instance)
 	if i.Power != garnetworks.PowerOff {
 		return fmt.Errorf("power %s", i.Power)
@@ -232,7 +232,7 @@
 }
 
 // plan plans, applies and checks that the plan has settled.
-func (w *world) plan(t fataler) placer.Output {
+func (w *testZone) plan(t failer) placer.Output {
 	t.Helper()
 	out := placer.Plan(w.Input)
 	if err := w.apply(out); err != nil {
@@ -244,7 +244,7 @@
 	return out
 }
 
-type fataler interface {
+type failer interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
@@ -259,11 +259,11 @@
 
 // settle lets boots, loads, switches and drains end at once until nothing is
 // decided any longer.
-func (w *world) settle(t fataler) {
+func (w *testZone) settle(t failer) {
 	t.Helper()
 	for range 100 {
 		out := w.plan(t)
-		moved := w.finish()
+		moved := w.finishPending()
 		if len(out.Decisions) == 0 && !moved {
 			return
 		}
@@ -272,15 +272,15 @@
 	t.Fatalf("the zone does not settle")
 }
 
-// finish ends everything that is under way.
-func (w *world) finish() bool {
+// finishPending ends everything that is under way.
+func (w *testZone) finishPending() bool {
 	moved := false
 	for i := range w.Domains {
 		for j := range w.Domains[i].Instances {
 			moved = finishPower(&w.Domains[i].Instances[j]) || moved
 		}
 	}
-	for _, g := range w.all() {
+	for _, g := range w.allGroups() {
 		switch g.State {
 		case garnetworks.GroupForming, garnetworks.GroupLoading:
 			for _, id := range g.Members {
@@ -309,9 +309,9 @@
 }
 
 // serving counts serving groups by model.
-func (w *world) serving() map[garnetworks.ModelName]int {
+func (w *testZone) serving() map[garnetworks.ModelName]int {
 	serving := map[garnetworks.ModelName]int{}
-	for _, g := range w.all() {
+	for _, g := range w.allGroups() {
 		if g.State == garnetworks.GroupServing {
 			serving[g.Model]++
 		}
@@ -320,7 +320,7 @@
 }
 
 func TestColdStartServesAllWanted(t *testing.T) {
-	w := newWorld(5, 15, modelSpec("a", 10, 4, 6), modelSpec("b", 5, 4, 6), modelSpec("c", 1, 1, 3))
+	w := newTestZone(5, 15, modelSpec("a", 10, 4, 6), modelSpec("b", 5, 4, 6), modelSpec("c", 1, 1, 3))
 	w.settle(t)
 	got := w.serving()
 	for _, wanted := range placer.Wanted(w.Input) {
