--- a/placer/baseline_test.go
+++ b/placer/baseline_test.go
@@ -5,12 +5,12 @@
 	"github.com/garnetworks/garnetworks/placer"
 )
 
-// baseline is the naive policy that the measurement compares with: it keeps no
-// spares, tears a group down when a member is missing or leaving, and rebuilds
-// groups in order of discovery from whatever instances of a domain come first,
-// booting those that are off. It never switches anything off unless the limit
-// forces it, shares the store evenly, and knows no priorities. Engines keep
-// their weights, as under the policy, so that the comparison isn't made easy.
+// baseline is the naive policy that the fault table compares with: it keeps no
+// spares, ends a group when a member is missing or leaving, and forms groups in
+// order of discovery from the first usable instances of a domain, booting those
+// that are off. It powers instances off only if the limit requires it, sets no
+// load rates and knows no priorities. Engines keep their weights, as under the policy, so that the
+// comparison is fair.
 func baseline(in placer.Input) placer.Output {
 	b := &naivePlanner{in: in, taken: garnetworks.NewSet[garnetworks.InstanceID](), groupCounts: map[garnetworks.ModelName]int{}}
 	b.classifyGroups()
@@ -67,7 +67,8 @@
 	b.groupCounts[g.Model]++
 }
 
-// shed takes groups, the last discovered first, until the draw fits the limit.
+// shed powers unused instances off and drains groups, those of the last domain
+// first, until the draw fits the limit.
 func (b *naivePlanner) shed() {
 	over := b.drawn - b.in.Limit
 	for n := len(b.in.Domains) - 1; n >= 0 && over > 0; n-- {
--- a/placer/bench_test.go
+++ b/placer/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/garnetworks/garnetworks/placer"
 )
 
-// benchZone returns a zone of the given number of engines in domains of 15,
-// all of its groups serving.
+// benchZone returns a zone of the given number of engines in domains of 15, with all
+// of its groups serving.
 func benchZone(b *testing.B, engines int) *testZone {
 	groups := engines / 15 * 3
 	w := newTestZone(engines/15, 15,
@@ -19,8 +19,8 @@
 	return w
 }
 
-// BenchmarkPlan measures one plan of a zone, by engines: at rest, after one
-// member is lost, after a whole domain is lost, and for a zone that starts.
+// BenchmarkPlan measures one plan by number of engines: at rest, after the loss of a
+// member or a domain, after the limit is halved, and at the start of a zone.
 func BenchmarkPlan(b *testing.B) {
 	for _, engines := range []int{75, 150, 300, 600} {
 		cases := map[string]func(w *testZone){
--- a/placer/choice.go
+++ b/placer/choice.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-// placement is the best set of members for a group in one domain.
+// placement is a choice of members for a group, all in one domain.
 type placement struct {
 	domain  *domain
 	members []*instance
-	// wait is the estimated time until the group can form with its weights.
+	// wait is the estimated time until the group can form with loaded weights.
 	wait time.Duration
-	// totalWait is the sum of the members' totalWait for boots and drains, which is the
-	// time that they are stranded.
+	// totalWait is the sum of the members' waits for boots and drains, an estimate
+	// of the time for which they are stranded.
 	totalWait time.Duration
-	// boots counts the members that are yet to be ordered on.
+	// boots counts the members that must be powered on first.
 	boots int
-	// fragmentation is how many more instances than before fit no largest group.
+	// fragmentation is by how much the placement raises the number of instances
+	// left over from groups of the largest size.
 	fragmentation int
-	// remaining counts the instances of the class that are left without a use,
-	// whatever their power is: so it doesn't change as power is switched.
+	// remaining counts the instances of the class that are left unused, powered or
+	// not, so that it doesn't change as power is switched.
 	remaining int
 }
 
@@ -34,7 +35,7 @@
 	return true
 }
 
-// cachedPlacement is a choice that holds while the domain doesn't change.
+// cachedPlacement is a placement that is valid while the domain doesn't change.
 type cachedPlacement struct {
 	domainVersion int
 	valid         bool
@@ -48,7 +49,7 @@
 	evictsWeights bool
 }
 
-// bestPlacement returns the choice of all domains that rule P5 puts first.
+// bestPlacement returns the placement that rule P5 ranks first over all domains.
 func (p *planner) bestPlacement(m *model, allowSuspect bool) (placement, bool) {
 	var best placement
 	found := false
@@ -91,7 +92,7 @@
 	return cached.placement, cached.found
 }
 
-// findPlacement picks the members that are ready first.
+// findPlacement picks the members that are available first.
 func (p *planner) findPlacement(d *domain, m *model, allowSuspect bool) (placement, bool) {
 	candidates := p.scratch[:0]
 	for _, i := range d.instances {
@@ -123,7 +124,8 @@
 	return c, true
 }
 
-// preferIdle leaves out those that must be waited for if the others are enough.
+// preferIdle drops the candidates that must be waited for if the idle ones are
+// enough.
 func preferIdle(candidates []candidate, size int) []candidate {
 	idleCount := 0
 	for _, c := range candidates {
@@ -137,7 +139,7 @@
 	return slices.DeleteFunc(candidates, func(c candidate) bool { return c.instance.availability != idle })
 }
 
-// countUnused counts the instances of the class that the plan has no use for yet.
+// countUnused counts the instances of the class that the plan does not use yet.
 func (d *domain) countUnused(c *class) int {
 	count := 0
 	for _, i := range d.instances {
@@ -148,9 +150,9 @@
 	return count
 }
 
-// available reports whether the instance could join a group of the model.
-// Doubtful instances must prove themselves by a boot; until then only a plan
-// without other ways counts on them (rule P7).
+// available reports whether the instance could join a group of the model. A
+// suspect instance that is off or booting counts only if allowSuspect is set,
+// since its boot may fail again (rule P7).
 func available(i *instance, m *model, allowSuspect bool) bool {
 	if i.use != unused || i.class != m.class {
 		return false
@@ -191,7 +193,7 @@
 	}
 }
 
-// availabilityWait estimates when the instance is powered and free.
+// availabilityWait estimates the time until the instance is powered and free.
 func (p *planner) availabilityWait(i *instance) time.Duration {
 	wait := time.Duration(0)
 	switch i.availability {
@@ -218,7 +220,7 @@
 
 // missingBytes returns the bytes that the instance has yet to load.
 func (p *planner) missingBytes(i *instance, w Weights) int64 {
-	// What an instance held is gone with its power.
+	// Weights are lost with the power.
 	if i.availability == switchedOff || i.availability == booting {
 		return w.Bytes
 	}
@@ -231,8 +233,8 @@
 	return w.Bytes
 }
 
-// loadTime estimates the time to load some of an instance's weights at the
-// whole rate.
+// loadTime estimates the time in which one instance loads the missing bytes of its
+// weights at the full rate.
 func (p *planner) loadTime(missing, total int64) time.Duration {
 	if missing == 0 {
 		return 0
@@ -250,7 +252,8 @@
 	return seconds(DefaultLoadTime.Seconds() * float64(missing) / float64(total))
 }
 
-// placementWait estimates when all members can form the group with loaded weights.
+// placementWait estimates the time until all members can form the group with
+// loaded weights.
 func (p *planner) placementWait(members []*instance, m *model) time.Duration {
 	var longest, slowest time.Duration
 	var total int64
@@ -266,8 +269,8 @@
 	return longest + slowest
 }
 
-// seconds returns s as a duration of at most longestEstimate: a store that
-// states next to no rate would else make it overflow and turn negative.
+// seconds returns s as a duration of at most maxEstimate: at a very low store rate
+// the duration would otherwise overflow and become negative.
 func seconds(s float64) time.Duration {
 	return time.Duration(min(s, maxEstimate.Seconds()) * float64(time.Second))
 }
--- a/placer/faults_test.go
+++ b/placer/faults_test.go
@@ -11,19 +11,19 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// faultCase is a row of the measurement: what happens in a zone at rest, and
-// how long it is watched.
+// faultCase is a row of the fault table: what happens in a zone at rest, and for how
+// long the effects are counted.
 type faultCase struct {
 	name   string
 	window time.Duration
 	begin  func(s *simulator)
-	// runs is over how many runs the means are taken; 0 is 1.
+	// runs is the number of runs that are averaged; 0 means 1.
 	runs int
 	// setup changes the zone before it starts; it may be nil.
 	setup func(*testZone)
 }
 
-// window is how long the effects of a fault are summed up.
+// window is how long the effects of a fault are counted.
 const window = time.Hour
 
 func faultCases() []faultCase {
@@ -65,7 +65,7 @@
 	}
 }
 
-// ordinaryDays takes the mean of several days.
+// ordinaryDays averages several days.
 func ordinaryDays(days int) faultCase {
 	day := uint64(0)
 	return faultCase{name: "ordinary day", window: 24 * time.Hour, runs: days, begin: func(s *simulator) {
@@ -74,9 +74,9 @@
 	}}
 }
 
-// cutOff cuts every part-th instance of a domain off for half an hour, as a failed
-// switch does; the instances keep their weights if they keep their power, and
-// the power can still be switched.
+// cutOff makes every part-th instance of a domain unreachable for half an hour, as a
+// failed network switch does; the instances keep their weights if they keep their
+// power, and the power can still be switched.
 func (s *simulator) cutOff(domain, part int) {
 	for n := range s.Domains[domain].Instances {
 		if n%part == 0 {
@@ -136,12 +136,8 @@
 	}
 }
 
-// TestFaultTable measures the two measures on the table of faults for the naive
-// baseline, for the policy with weights that put downtime first, and with
-// weights that put stranded instances first. The zone has 5 domains of 15
-// instances, 15 groups of 4, and power for 70 instances. To reproduce:
-//
-//	go test ./placer -run TestFaultTable -v
+// TestFaultTable compares group downtime and stranded time of the baseline with those
+// of the policy, with cost weights that put either downtime or stranding first.
 func TestFaultTable(t *testing.T) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-24s|%32s |%32s |%12s |%20s\n", "",
@@ -170,8 +166,8 @@
 	}
 }
 
-// TestWeightTable measures the ordinary day under several ratios of the two
-// weights; docs/weights.md carries it.
+// TestWeightTable measures the ordinary day under several ratios of the cost weights;
+// docs/weights.md contains the result.
 func TestWeightTable(t *testing.T) {
 	if testing.Short() {
 		t.Skip("three weeks are simulated")
@@ -187,7 +183,7 @@
 	goldie.New(t).Assert(t, "weight-table", []byte(b.String()))
 }
 
-// cost weighs the measures as the manifest does.
+// cost applies the cost weights to the measures.
 func (m measures) cost(w garnetworks.CostWeights) float64 {
 	return m.down*w.GroupDowntime + m.stranded*w.Stranded
 }
--- a/placer/groups.go
+++ b/placer/groups.go
@@ -8,8 +8,8 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// classifyGroups ends the groups that can't go on and sorts the others into those
-// that fill slots and those that form to replace one.
+// classifyGroups ends the groups that can't continue and divides the others into
+// those that fill slots and those that form to replace a group.
 func (p *planner) classifyGroups() {
 	for _, g := range p.groups {
 		p.classifyGroup(g)
@@ -43,8 +43,8 @@
 	}
 }
 
-// isBroken reports whether the group misses a member (rules G1 and P4). A
-// member that is powered off or unknown is missing whatever its last word was.
+// isBroken reports whether the group lacks a member (rules G1 and P4). A member
+// whose power is off or unknown counts as missing whatever its condition is.
 func isBroken(g *group) bool {
 	if g.State == garnetworks.GroupBroken || len(g.members) != len(g.Members) {
 		return true
@@ -70,8 +70,8 @@
 	return false
 }
 
-// mustDrainNow reports whether a member ends before a later drain could finish:
-// its calls would be cut off (rule G9).
+// mustDrainNow reports whether a member stops before a drain that begins later could
+// finish: calls in flight would be cut off (rule G9).
 func (p *planner) mustDrainNow(g *group) bool {
 	by := earliestLeave(g)
 	if by.IsZero() {
@@ -85,7 +85,8 @@
 	return true
 }
 
-// leavingGrace is the drain's grace, but no longer than the member stays.
+// leavingGrace returns the drain's grace period, cut to the time until the first
+// member stops.
 func (p *planner) leavingGrace(g *group) time.Duration {
 	grace := p.in.Grace.Drain
 	for _, i := range g.members {
@@ -122,7 +123,7 @@
 	}
 }
 
-// dissolve ends the group at once; its members are judged on their own.
+// dissolve ends the group at once; its members become unused.
 func (p *planner) dissolve(g *group, reason Reason) {
 	p.recordEnd(g, reason, 0)
 	g.ending = true
@@ -135,7 +136,7 @@
 	p.groupEnds = append(p.groupEnds, DissolveGroup{Domain: g.domain.ID, Group: g.ID, Reason: reason})
 }
 
-// recordEnd keeps an end that was decided on the way for the next round.
+// recordEnd records an end that was decided after classifyGroups for the next round.
 func (p *planner) recordEnd(g *group, reason Reason, grace time.Duration) {
 	if p.classified {
 		p.rerun = true
@@ -143,8 +144,8 @@
 	}
 }
 
-// endGroup drains the group; one that doesn't serve has nothing to drain. The group
-// that was to replace it ends as well, unless that is why it ends.
+// endGroup drains the group if it serves and has a grace period, and dissolves it
+// otherwise. A group that forms to replace it is dissolved as well.
 func (p *planner) endGroup(g *group, reason Reason, grace time.Duration) {
 	if r := g.replacement; r != nil && !r.ending {
 		p.dissolve(r, reason)
@@ -160,8 +161,8 @@
 	p.markDraining(g, until)
 }
 
-// classifyReplacement drains a group whose replacement serves (rule P8) and sets
-// apart one that still forms.
+// classifyReplacement drains a group whose replacement serves (rule P8) and keeps a
+// replacement that still forms out of the slots.
 func (p *planner) classifyReplacement(g *group) {
 	if g.ending {
 		return
@@ -183,7 +184,7 @@
 	g.model.live = append(g.model.live, g)
 }
 
-// compareRetention puts first the group that is to be kept longest.
+// compareRetention sorts the group that is to be kept longest first.
 func compareRetention(a, b *group) int {
 	return cmp.Or(
 		cmp.Compare(retentionRank(a), retentionRank(b)),
@@ -193,8 +194,8 @@
 }
 
 func retentionRank(g *group) int {
-	// Groups that don't serve yet keep their order of forming, so that a new one
-	// never takes the slot of one that formed before it.
+	// Groups that don't serve yet stay in the order in which they formed, so that a
+	// new one never takes the slot of an older one.
 	if g.State != garnetworks.GroupServing {
 		return 4
 	}
--- a/placer/index.go
+++ b/placer/index.go
@@ -8,7 +8,8 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// availability is how an instance could come to a group.
+// availability is the state in which an instance could join a group. Of instances
+// with equal waits the higher state is preferred.
 type availability int
 
 const (
@@ -16,19 +17,19 @@
 	unusable availability = iota
 	// switchedOff instances are proven off and can be booted.
 	switchedOff
-	// booting instances were ordered on.
+	// booting instances were powered on and have not answered yet.
 	booting
 	// returning instances run and are about to be re-admitted.
 	returning
-	// drainingMember instances are members of a group that drains.
+	// drainingMember instances belong to a group that drains.
 	drainingMember
 	// idle instances are powered, healthy and in no group.
 	idle
-	// inGroup instances are members of a group that stays.
+	// inGroup instances belong to a group that is not ending.
 	inGroup
 )
 
-// use is what the plan does with an instance.
+// use is the purpose for which the plan takes an instance.
 type use int
 
 const (
@@ -47,53 +48,55 @@
 	history      InstanceHistory
 	availability availability
 	use          use
-	// freeAt is when a member of a draining group becomes freeAt.
+	// freeAt is when a member of a draining group becomes free.
 	freeAt time.Time
-	// suspect instances failed within StrikeMemory (rule P7).
+	// suspect instances failed within FailureDecayTime (rule P7).
 	suspect bool
-	// slotIndex is the position of the slot that the instance is reserved for.
+	// slotIndex is the index of the slot that the instance is used for.
 	slotIndex int
-	// reason is given if the instance is ordered on.
+	// reason is the reason of a PowerOn or Preload of the instance.
 	reason Reason
-	// preload is what a reserved or spare instance should load.
+	// preload is what a reserved or spare instance should load; its Bytes are 0 if
+	// there is nothing.
 	preload Weights
-	// loadClass orders loads (rule P12).
+	// loadClass is the class of the preload (rule P12).
 	loadClass loadClass
-	// orderedOff is set once the plan orders the instance off.
+	// orderedOff is set once the plan powers the instance off.
 	orderedOff bool
-	// pool is nil for instances that no model uses.
+	// pool is nil for instances whose class no model uses.
 	pool *pool
-	// bootDelay is how much later than now the instance should be ordered on.
+	// bootDelay is how much later than now the instance should be powered on.
 	bootDelay time.Duration
-	// draining says that the instance is a member of a group that drains.
+	// draining says that the instance belongs to a group that drains.
 	draining bool
-	// loading says that the plan lets the instance load weights.
+	// loading says that the instance loads weights under the plan.
 	loading bool
 }
 
-// Weights are the weights of a model's version with their size.
+// Weights identifies the weights of a model's version, with their size.
 type Weights struct {
 	garnetworks.WeightID
-	// Bytes is the size of one instance's share.
+	// Bytes is the size of the weights on one instance.
 	Bytes int64
 }
 
 type class struct {
 	garnetworks.InstanceClass
-	// largest is the largest group size of the class's models.
+	// largest is the largest group size of the models that use the class.
 	largest int
-	// mixed says that models of several group sizes use the class.
+	// mixed says that models with different group sizes use the class.
 	mixed bool
 }
 
 type domain struct {
 	*garnetworks.FabricDomain
 	instances []*instance
-	// groupCounts counts the groups and slots of each model in the domain.
+	// groupCounts counts the kept groups and filled slots of each model in the
+	// domain, by the model's index.
 	groupCounts []int
-	// version counts changes, so that choices can be kept until then.
+	// version counts changes of the instances' use; it invalidates cached placements.
 	version int
-	// unrecovered is true if instances have failed and none has come back.
+	// unrecovered says that instances have failed and none has come back.
 	unrecovered bool
 }
 
@@ -104,11 +107,11 @@
 	members []*instance
 	// ending is set once the plan drains or dissolves the group.
 	ending bool
-	// replaces is the living group that this one will replace.
+	// replaces is the group that drains once this one serves; nil if there is none.
 	replaces *group
-	// replacement is the group that will replace this one.
+	// replacement is the group that forms to replace this one.
 	replacement *group
-	// slotIndex is the position of the group's slot.
+	// slotIndex is the index of the group's slot.
 	slotIndex int
 	// minimum says that the group fills a minimum slot.
 	minimum bool
@@ -120,25 +123,25 @@
 	index int
 	// feasibleGroups is the most groups that the zone's instances could form.
 	feasibleGroups int
-	// live are the groups that fill slots, the best first.
+	// live are the groups that fill slots, in order of rank.
 	live []*group
-	// replacements are groups that form to replace live ones.
+	// replacements are the groups that form to replace live ones.
 	replacements []*group
-	// draining counts groups that drain.
+	// draining counts the groups that drain.
 	draining int
-	// waiting counts slots without a group that the plan waits for.
+	// waiting counts the slots that wait for reserved members.
 	waiting int
-	// unplaced counts empty slots for which nothing is reserved.
+	// unplaced counts the empty slots for which nothing is reserved.
 	unplaced int
-	// replacing counts replacements that the plan prepares.
+	// replacing counts the replacements that the plan prepares or begins.
 	replacing int
-	// reservations are those of the last plan that no slot has taken up.
+	// reservations are those of the last plan that no slot has taken over.
 	reservations []Reservation
-	// placements keeps the best members of each domain, by the domain's index.
+	// placements caches the best placement in each domain, by the domain's index.
 	placements []cachedPlacement
 }
 
-// groupEnd is the end of a group that an earlier round decided.
+// groupEnd is how a group ends that an earlier round decided to end.
 type groupEnd struct {
 	reason Reason
 	grace  time.Duration
@@ -146,8 +149,9 @@
 
 type planner struct {
 	in Input
-	// ended holds the groups that end; judged says that all those known from
-	// the start have been ended, endedLate that there were others.
+	// ended holds the groups that this round and earlier ones ended after
+	// classifyGroups. classified is set once classifyGroups is done, rerun once a
+	// group was ended after that.
 	ended      map[garnetworks.GroupID]groupEnd
 	classified bool
 	rerun      bool
@@ -161,17 +165,17 @@
 	instances    []*instance
 	groups       []*group
 	slots        []slot
-	// plannedDraw is the draw of everything the plan has a use for.
+	// plannedDraw is the draw of everything that the plan uses.
 	plannedDraw garnetworks.Watts
-	// waitingSlots are the reserved slots, in order.
+	// waitingSlots are the slots that wait for reserved members, in order.
 	waitingSlots []waitingSlot
 	// pendingGroups are the groups that can form now.
 	pendingGroups []*pendingGroup
 	// groupEnds, powerOffs, powerOns and loadOrders are the decisions by kind.
 	groupEnds, powerOffs, powerOns, loadOrders []Decision
 	pools                                      []*pool
-	// spareDraw is the draw of all spares that are worth it, also of those that
-	// the limit leaves no power for.
+	// spareDraw is the draw of all spares whose benefit exceeds their cost, also of
+	// those that the limit leaves no power for.
 	spareDraw garnetworks.Watts
 	lostGrace time.Duration
 	scratch   []candidate
@@ -282,9 +286,9 @@
 	}
 }
 
-// trackLoss counts the instance's failures. A boot that takes far too long
-// counts as one: the instance draws power, never answers, and nothing else
-// would ever end the wait for it.
+// trackLoss counts the instance's failures. An overdue boot counts as one: the
+// instance draws power and never answers, and nothing else would end the wait
+// for it.
 func (p *planner) trackLoss(i *instance) {
 	h := &i.history
 	running := i.Power == garnetworks.PowerOn || i.Power == garnetworks.PowerUnknown
@@ -313,8 +317,9 @@
 	}
 }
 
-// isBootOverdue allows twice the time after each failure: were the class's boot
-// time stated too short, every boot would be given up and none would ever end.
+// isBootOverdue reports whether the instance has exceeded its bootLimit. The limit
+// grows with each failure: with a boot time stated too short, every boot would be
+// given up otherwise.
 func (p *planner) isBootOverdue(i *instance) bool {
 	if i.Power != garnetworks.PowerStarting || i.class == nil || i.history.PoweredOn.IsZero() {
 		return false
@@ -329,8 +334,8 @@
 	return limit << min(i.history.Failures, 4)
 }
 
-// availabilityOf judges the instance on its own; indexGroups corrects it for
-// members of groups.
+// availabilityOf returns the availability of the instance by itself; classifyGroups
+// corrects it for members of groups.
 func (p *planner) availabilityOf(i *instance) availability {
 	if i.class == nil || p.inBackoff(i) {
 		return unusable
@@ -344,7 +349,7 @@
 		}
 		return booting
 	case garnetworks.PowerOn:
-		// An instance whose end is announced would break its next group too.
+		// The group that an instance with an announced stop joins would break soon.
 		if !i.observation.LeaveBy.IsZero() {
 			return unusable
 		}
@@ -358,8 +363,9 @@
 	return unusable
 }
 
-// availabilityOfReturned counts on an instance that is about to be re-admitted, as
-// each is after its boot: else its slot would boot another one in its place.
+// availabilityOfReturned treats an instance as usable that is about to be
+// re-admitted, as each is after its boot: otherwise its slot would boot another
+// instance in its place.
 func (p *planner) availabilityOfReturned(i *instance) availability {
 	end := i.history.ReturnedSince.Add(ReturnGrace)
 	p.replanAt(end)
@@ -369,7 +375,7 @@
 	return unusable
 }
 
-// trackReturn keeps since when the instance has waited to be re-admitted.
+// trackReturn records since when the instance has waited for its re-admission.
 func (p *planner) trackReturn(i *instance) {
 	if i.Power != garnetworks.PowerOn || i.Condition != garnetworks.ConditionReturned {
 		i.history.ReturnedSince = time.Time{}
@@ -380,9 +386,8 @@
 	}
 }
 
-// isStraggler reports whether the instance is slow, by the controller's
-// judgement or by what was measured. What made it slow is forgotten with its
-// power.
+// isStraggler reports whether the instance is slow, by its condition or by its
+// measured slowdown. A slowdown no longer counts once the power is off.
 func (i *instance) isStraggler() bool {
 	if i.Power != garnetworks.PowerOn {
 		return false
@@ -390,9 +395,9 @@
 	return i.Condition == garnetworks.ConditionStraggler || i.observation.Slowdown >= stragglerSlowdown
 }
 
-// inBackoff keeps an instance that fails again and again out of groups for
-// twice the time after each failure (rule P7): each return would otherwise
-// break another group.
+// inBackoff keeps an instance that fails repeatedly out of groups, for a time that
+// doubles with each failure (rule P7): each return would otherwise break another
+// group.
 func (p *planner) inBackoff(i *instance) bool {
 	until := backoffEnd(i.history)
 	if !p.in.Now.Before(until) {
@@ -452,7 +457,7 @@
 	}
 }
 
-// replanAt asks for a new plan at t.
+// replanAt requests a new plan at t, or earlier if another call does.
 func (p *planner) replanAt(t time.Time) {
 	if !t.After(p.in.Now) {
 		return
@@ -462,8 +467,8 @@
 	}
 }
 
-// saveState writes the state for the next plan; instances without history are
-// left out, so that the state stays small.
+// saveState writes the state for the next plan; instances with an empty history are
+// omitted.
 func (p *planner) saveState() {
 	p.out.State.Instances = make(map[garnetworks.InstanceID]InstanceHistory)
 	for _, i := range p.instances {
--- a/placer/load.go
+++ b/placer/load.go
@@ -7,7 +7,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// loadClass orders the users of the weight store's rate (rule P12).
+// loadClass is the order in which loads get the weight store's rate (rule P12).
 type loadClass int
 
 const (
@@ -33,7 +33,7 @@
 
 func (l *loader) isPreload() bool { return l.group == "" && l.form == nil }
 
-// allocateRate gives each loader its rate and orders what has changed.
+// allocateRate sets the rate of each loader and orders the changed ones.
 func (p *planner) allocateRate() {
 	loaders := p.loaders()
 	p.clearFinishedLoads(loaders)
@@ -109,7 +109,7 @@
 	return l
 }
 
-// clearFinishedLoads clears what is remembered of instances that no longer load.
+// clearFinishedLoads clears the load history of instances that no longer load.
 func (p *planner) clearFinishedLoads(loaders []*loader) {
 	for _, i := range p.instances {
 		i.loading = false
@@ -127,8 +127,8 @@
 	}
 }
 
-// divideRate hands the rate out in the loaders' order. Members of one group share
-// evenly, because the group forms when the last one is done.
+// divideRate allocates the store's rate in the order of loaders. Members of a group
+// get equal rates, since the group forms when the last one is done.
 func (p *planner) divideRate(loaders []*loader) {
 	left := p.in.StoreRate
 	floor := max(1, p.in.StoreRate/minRateDivisor)
@@ -136,8 +136,8 @@
 		if l.isPreload() && !l.isOrdered() {
 			continue
 		}
-		// A group without any rate would look stuck, and rate 0 would leave the
-		// rate to the engine.
+		// Without any rate a group would seem stuck, and rate 0 would let the engine
+		// choose its own rate.
 		l.rate = floor
 		left -= floor * int64(len(l.instances))
 	}
@@ -157,7 +157,7 @@
 	}
 }
 
-// isOrdered reports whether a preload was ordered before.
+// isOrdered reports whether the preload was ordered before.
 func (l *loader) isOrdered() bool {
 	h := l.instances[0].history
 	return h.Weights == l.weights.WeightID && h.LoadRate > 0
@@ -206,7 +206,7 @@
 	}
 }
 
-// rateChanged reports whether a new rate is worth an order (rule P13).
+// rateChanged reports whether the new rate differs enough to be ordered (rule P13).
 func rateChanged(old, next int64) bool {
 	difference := next - old
 	if difference < 0 {
--- a/placer/plan.go
+++ b/placer/plan.go
@@ -9,9 +9,10 @@
 
 // Plan decides what to do next in the zone.
 //
-// A group that ends frees members that slots before its own may want, so a
-// plan that ends groups on the way is made again with those groups ending from
-// the start. Each round ends one group more at least, which bounds them.
+// Ending a group frees members that earlier slots may want. So a plan that ends
+// groups while it fills slots is computed again, with those groups ending from
+// the start. Each round ends at least one more group, so the number of rounds is
+// bounded.
 func Plan(in Input) Output {
 	ended := map[garnetworks.GroupID]groupEnd{}
 	for {
@@ -45,15 +46,15 @@
 	p.allocateRate()
 }
 
-// copyMap returns a copy that is never nil, so that a plan can write into it.
+// copyMap returns a copy that is never nil, so that a plan can write to it.
 func copyMap[V any](m map[garnetworks.ModelName]V) map[garnetworks.ModelName]V {
 	c := make(map[garnetworks.ModelName]V, len(m))
 	maps.Copy(c, m)
 	return c
 }
 
-// orderDecisions puts the decisions in the order in which they can be carried out:
-// what frees members and power comes before what takes them.
+// orderDecisions puts the decisions in an order in which they can be executed:
+// those that free members and power come before those that need them.
 func (p *planner) orderDecisions() {
 	count := len(p.groupEnds) + len(p.powerOffs) + len(p.powerOns) + len(p.pendingGroups) + len(p.loadOrders)
 	if count == 0 {
--- a/placer/power.go
+++ b/placer/power.go
@@ -8,7 +8,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// decidePower orders instances off and on (rules P3, P11 and P13).
+// decidePower powers instances off and on (rules P3, P11 and P13).
 func (p *planner) decidePower() {
 	p.delayBoots()
 	ons := p.wantedOn()
@@ -22,7 +22,7 @@
 	p.switchOn(ons)
 }
 
-// wantedOn returns the instances to be ordered on, the most urgent first.
+// wantedOn returns the instances to be powered on, the most urgent first.
 func (p *planner) wantedOn() []*instance {
 	var ons []*instance
 	for _, d := range p.domains {
@@ -47,9 +47,9 @@
 	return ons
 }
 
-// delayBoots spaces out the boots of several groups (rule P14): the store feeds
-// one group after another, so that a group whose turn comes later would only
-// stand by, powered, until then.
+// delayBoots spaces out the boots of several groups (rule P14): the store loads one
+// group after another, so the members of a later group would only be
+// stranded until the store is free.
 func (p *planner) delayBoots() {
 	if p.in.StoreRate <= 0 {
 		return
@@ -85,7 +85,7 @@
 	return longest
 }
 
-// hasBootingMember reports whether a member boots already.
+// hasBootingMember reports whether a member is already booting.
 func (c placement) hasBootingMember() bool {
 	return slices.ContainsFunc(c.members, func(i *instance) bool { return i.availability == booting })
 }
@@ -100,9 +100,9 @@
 	return slices.ContainsFunc(d.instances, func(i *instance) bool { return i.availability == booting && i.use != unused })
 }
 
-// shouldProbe reports whether the failed instances of a domain are tried with
-// one of them: all booting in vain cost more than the boot time that one costs
-// (rule P7).
+// shouldProbe reports whether the failed instances of a domain are probed by
+// booting one of them: booting all of them in vain costs more than waiting for one
+// boot (rule P7).
 func (p *planner) shouldProbe(d *domain) bool {
 	for _, i := range d.instances {
 		if i.class != nil && i.class.largest > 0 {
@@ -112,8 +112,8 @@
 	return false
 }
 
-// switchOffDue orders off what has no use any longer and returns its draw,
-// with that of instances that are being switched off.
+// switchOffDue powers off the instances whose hold has ended and returns their
+// draw plus the draw of instances that are already stopping.
 func (p *planner) switchOffDue() garnetworks.Watts {
 	var freed garnetworks.Watts
 	for _, i := range p.instances {
@@ -135,9 +135,9 @@
 	return freed
 }
 
-// trackIdle keeps the time since which the instance is of no use. The time that
-// it was lost doesn't count: else one that returns late would be switched off
-// before it is re-admitted.
+// trackIdle records since when the instance has been unused. The time for which it
+// was lost doesn't count: otherwise an instance that returns late would be powered
+// off before it is re-admitted.
 func (p *planner) trackIdle(i *instance) {
 	running := i.Power == garnetworks.PowerOn || i.Power == garnetworks.PowerStarting
 	if !running || i.use != unused || i.draining || !i.history.LostSince.IsZero() {
@@ -149,8 +149,8 @@
 	}
 }
 
-// offDue returns why and when the instance is to be ordered off; an empty
-// reason means that it isn't.
+// offDue returns why and when the instance is to be powered off; an empty reason
+// means that it isn't.
 func (p *planner) offDue(i *instance) (Reason, time.Time) {
 	switch {
 	case i.Power == garnetworks.PowerOff || i.Power == garnetworks.PowerStopping:
@@ -170,8 +170,8 @@
 	}
 }
 
-// lostDue returns when a lost instance is to be ordered off. One that boots is
-// given the time that bootLimit allows, which grows with each failure.
+// lostDue returns when a lost instance is to be powered off. A booting one gets at
+// least the time that bootLimit allows, which grows with each failure.
 func (p *planner) lostDue(i *instance) time.Time {
 	due := i.history.LostSince.Add(p.lostHold(i))
 	if i.Power != garnetworks.PowerStarting {
@@ -184,9 +184,9 @@
 }
 
 // lostHold returns how long a lost instance keeps its power (rule P11). While a
-// group of its domain waits for a boot, a return may be sooner, and a few lost
-// instances cost less than the wait. Of a domain of which half is lost at once,
-// a switch is the likelier cause than the instances, which then come back with
+// group of its domain waits for a boot, the instance may return sooner, and a few
+// lost instances cost less than the wait. If half of the pool is lost at once, a
+// failed network switch is likelier than failed instances, which then return with
 // their weights.
 func (p *planner) lostHold(i *instance) time.Duration {
 	o := i.pool
@@ -200,8 +200,8 @@
 	}
 }
 
-// idleDue returns the end of the hold by rule P11, but not before FlapBound has
-// passed since the instance was ordered on (rule P13).
+// idleDue returns the end of the hold by rule P11, but not before FlapDampingTime has
+// passed since the instance was powered on (rule P13).
 func (p *planner) idleDue(i *instance) time.Time {
 	due := i.history.IdleSince.Add(p.idleHold(i))
 	if on := i.history.PoweredOn; !on.IsZero() && on.Add(FlapDampingTime).After(due) {
@@ -219,8 +219,8 @@
 	return min(hold, MaxHold)
 }
 
-// breakEvenHold is the time after which holding a group's n instances has
-// cost as much as booting and loading them anew would.
+// breakEvenHold returns the time after which holding n instances of a group has cost
+// as much as booting and loading them anew.
 func (p *planner) breakEvenHold(o *pool, n int) time.Duration {
 	cost := p.in.Costs.Stranded * float64(n)
 	if cost <= 0 {
@@ -230,7 +230,7 @@
 	return seconds(min(o.TimeSaved.Seconds()*factor, MaxHold.Seconds()))
 }
 
-// computeHolds computes, for each pool, how long its leftovers are held.
+// computeHolds computes, for each pool, how long its unused instances stay powered.
 func (p *planner) computeHolds() {
 	for _, o := range p.pools {
 		share := 1.0
@@ -243,7 +243,7 @@
 	}
 }
 
-// countLosses fills in what lostHold asks for.
+// countLosses fills in the counts that lostHold uses.
 func (p *planner) countLosses(o *pool) {
 	o.groupWanted = p.smallestUnplaced(o.class) > 0
 	for _, m := range p.models {
@@ -264,7 +264,7 @@
 }
 
 // smallestUnplaced returns the size of the smallest group of the class that is
-// wanting and that power is left for, or 0.
+// missing and that the limit has power for, or 0.
 func (p *planner) smallestUnplaced(c *class) int {
 	smallest := 0
 	for _, m := range p.models {
@@ -276,9 +276,9 @@
 	return smallest
 }
 
-// countSurvivors counts the idle instances of a pool that wait for a lost member:
-// a group is wanted, they are too few for it, and with those that may return
-// they are enough.
+// countSurvivors counts the idle instances of a pool that wait for a lost member. It
+// returns 0 unless a group is missing that the idle instances can fill together
+// with those that may return.
 func (p *planner) countSurvivors(o *pool) int {
 	least := p.smallestUnplaced(o.class)
 	survivors, mayReturn := 0, 0
@@ -298,8 +298,8 @@
 	return survivors
 }
 
-// switchOffToFit gives up holds until the lack of power is covered; what is of
-// the least use goes first.
+// switchOffToFit ends holds until the excess is covered, those of the least useful
+// instances first.
 func (p *planner) switchOffToFit(excess garnetworks.Watts) {
 	if excess <= 0 {
 		return
@@ -349,9 +349,9 @@
 	i.history.LoadRate = 0
 }
 
-// switchOn orders on, in order, what the pessimistic draw leaves room for. A
-// later instance never overtakes an earlier one that must wait, since it would
-// take the power that the earlier one waits for.
+// switchOn powers on, in order, the instances that the pessimistic draw leaves room
+// for. It stops at the first one that doesn't fit: a later instance would take the
+// power that the earlier one waits for.
 func (p *planner) switchOn(ons []*instance) {
 	drawn := p.out.Drawn
 	for _, i := range ons {
@@ -378,8 +378,8 @@
 			powered++
 		}
 	}
-	// Most of a zone lost at once shows rather that this node is cut off; to
-	// switch everything off would turn its own fault into the zone's.
+	// If most of the zone is lost at once, this node is probably partitioned from it;
+	// powering everything off would turn that fault into an outage of the zone.
 	if lost >= massLossMinInstances && float64(lost) > massLossShare*float64(powered) {
 		return MassLossGrace
 	}
--- a/placer/replace.go
+++ b/placer/replace.go
@@ -8,8 +8,8 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// replacementDivisor bounds the replacements of a model at one time to a part of
-// its groups.
+// replacementDivisor bounds a model's concurrent replacements to the number of its
+// groups divided by this, but allows one.
 const replacementDivisor = 4
 
 // replaceGroups makes replacements before groups end (rule P8).
@@ -24,8 +24,9 @@
 	}
 }
 
-// countChanging counts the groups of the model that are on their way. Slots that nothing
-// can fill don't count: a new version would else wait for them for good.
+// countChanging counts the groups of the model that are being formed, drained or
+// replaced. Slots that nothing can fill don't count: a new version would otherwise
+// wait for them indefinitely.
 func (p *planner) countChanging(m *model) int {
 	count := m.draining + m.waiting + len(m.replacements) + m.replacing
 	for _, g := range m.live {
@@ -41,8 +42,8 @@
 	return count
 }
 
-// replaceable returns the model's groups with something to replace, the most
-// urgent first.
+// replaceable returns the model's groups that need a replacement, the most urgent
+// first.
 func (p *planner) replaceable(m *model) []*group {
 	var groups []*group
 	for _, g := range m.live {
@@ -80,7 +81,7 @@
 	return slices.Index([]Reason{ReasonLeaving, ReasonVersion, ReasonStraggler}, reasonToReplace(g))
 }
 
-// earliestLeave returns the first announced end of a member, or zero.
+// earliestLeave returns the earliest announced stop of a member, or zero.
 func earliestLeave(g *group) time.Time {
 	var first time.Time
 	for _, i := range g.members {
@@ -92,7 +93,7 @@
 	return first
 }
 
-// replace takes the cheaper way of rule P8.
+// replace chooses the cheaper kind of replacement (rule P8).
 func (p *planner) replace(g *group) {
 	reason := reasonToReplace(g)
 	if reason == ReasonStraggler && !p.mayReplaceStraggler(g.model) {
@@ -122,7 +123,7 @@
 	p.swapMembers(g, parts, reason)
 }
 
-// mayReplaceStraggler keeps two measurements of slowness that disagree from moving a model's
+// mayReplaceStraggler keeps contradictory slowdown measurements from moving a model's
 // groups back and forth (rule P9).
 func (p *planner) mayReplaceStraggler(m *model) bool {
 	moved, ok := p.out.State.StragglerReplacements[m.Name]
@@ -148,12 +149,13 @@
 	return (1 - 1/slowdown) * p.downtimeCost(g.model) * StragglerHorizon.Seconds()
 }
 
-// downtimeCost is the cost of a whole group standing still for a second: D+g·S.
+// downtimeCost is the cost of a whole group not serving for a second: D+g·S.
 func (p *planner) downtimeCost(m *model) float64 {
 	return p.in.Costs.GroupDowntime + float64(m.GroupSize)*p.in.Costs.Stranded
 }
 
-// groupReplacement finds a second group to form before the first one drains.
+// groupReplacement finds members for a second group that forms before the first one
+// drains, and returns the cost.
 func (p *planner) groupReplacement(g *group) (placement, float64, bool) {
 	c, ok := p.bestPlacement(g.model, false)
 	if !ok || p.plannedDraw+totalDraw(c.members) > p.in.Limit {
@@ -163,8 +165,9 @@
 	return c, p.in.Costs.Stranded * float64(g.model.GroupSize) * busy.Seconds(), true
 }
 
-// memberReplacement finds the instances to put in the place of the bad members.
-// A new version needs none: the members stay and load it after the drain.
+// memberReplacement finds instances that replace the members to be left out, and
+// returns the cost. A new version needs none: the members stay and load it after
+// the drain.
 func (p *planner) memberReplacement(g *group, reason Reason) (placement, float64, bool) {
 	downtime := p.in.Grace.Drain + FormTime
 	if reason == ReasonVersion {
@@ -200,7 +203,7 @@
 	return c, true
 }
 
-// replaceWhole prepares or forms the whole replacement.
+// replaceWhole reserves the members of the replacement, or forms it if they are ready.
 func (p *planner) replaceWhole(g *group, c placement, reason Reason) {
 	p.reserve(c, g.model, g.slotIndex, usedAsReplacement)
 	if !c.ready() {
@@ -213,7 +216,7 @@
 	p.recordReplacement(g.model, reason)
 }
 
-// swapMembers prepares the new members and drains the group once they are.
+// swapMembers prepares the new members, and drains the group once they are prepared.
 func (p *planner) swapMembers(g *group, c placement, reason Reason) {
 	if !p.isPrepared(c, g.model) {
 		p.reserve(c, g.model, g.slotIndex, usedAsReplacement)
--- a/placer/rules_test.go
+++ b/placer/rules_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// threeModelZone is the zone of the measurement: 5 domains of 15.
+// threeModelZone returns a zone of 5 domains of 15 instances with three models.
 func threeModelZone(t *testing.T) *testZone {
 	w := newTestZone(5, 15, modelSpec("a", 10, 4, 6), modelSpec("b", 5, 4, 6), modelSpec("c", 1, 1, 3))
 	w.settle(t)
@@ -30,10 +30,8 @@
 	return found
 }
 
-// A user sees two models down at once. A domain loses one member of each of two
-// groups of a model, and nothing else there can be booted. Were the groups
-// treated one by one, each would wait with three members for one that may never
-// come back.
+// If two groups of a domain lose a member each and nothing can be booted, the
+// survivors must form one group instead of waiting in two incomplete ones.
 func TestSurvivorsOfOneDomainMerge(t *testing.T) {
 	w := newTestZone(1, 8, modelSpec("a", 1, 2, 2))
 	w.settle(t)
@@ -48,8 +46,8 @@
 	}
 }
 
-// A user of the most important model sees it refused while less important ones
-// are served: a whole domain went dark, and the others are full.
+// If a domain is lost and the others are full, the more important model must get its
+// group back at the expense of the less important one.
 func TestLostDomainIsReplacedByPriority(t *testing.T) {
 	w := newTestZone(2, 8, modelSpec("high", 9, 2, 2), modelSpec("low", 1, 1, 2))
 	w.settle(t)
@@ -70,9 +68,8 @@
 	}
 }
 
-// An operator sees a domain boot for nothing: after half an hour behind a broken
-// switch its instances are back with their weights, but are switched off in the
-// second before they are re-admitted, because they had been idle for so long.
+// Instances that return after a long loss must not be powered off as idle before they
+// are re-admitted.
 func TestReturnAfterLongLossKeepsItsPower(t *testing.T) {
 	w := threeModelZone(t)
 	for i := range w.Domains[0].Instances {
@@ -88,9 +85,8 @@
 	}
 }
 
-// An operator commits a new version, and one model never gets it: the model
-// wants one group more than the zone has instances for, and the empty slot was
-// taken for a group on its way, which replacements wait for.
+// A slot that nothing can fill must not block the rollout of a new version: it doesn't
+// count as a group that is being formed.
 func TestVersionRollsThoughASlotStaysEmpty(t *testing.T) {
 	w := newTestZone(2, 6, modelSpec("a", 1, 2, 3))
 	w.settle(t)
@@ -103,12 +99,12 @@
 	}
 }
 
-// A cut-off node sees every instance of its zone lost at once. Were their power
-// cut after the ordinary grace, its own fault would end the zone's service.
+// If every instance of a zone is lost at once, the node is probably partitioned and
+// must not power the instances off after the ordinary grace period.
 func TestMassLossKeepsPower(t *testing.T) {
 	w := threeModelZone(t)
 	w.Costs = strandedFirst
-	// So fast a boot makes every other hold shorter than MassLostGrace.
+	// With so short a boot time every other hold is shorter than MassLossGrace.
 	w.Classes[0].BootTime = 20 * time.Second
 	w.settle(t)
 	for i := range w.Domains {
@@ -119,11 +115,11 @@
 	w.plan(t)
 	w.Now = w.Now.Add(placer.MassLossGrace - time.Second)
 	if offs := decisionsOf[placer.PowerOff](w.plan(t)); len(offs) != 0 {
-		t.Errorf("%d instances were switched off before MassLostGrace", len(offs))
+		t.Errorf("%d instances were switched off before MassLossGrace", len(offs))
 	}
 }
 
-// A store that gives its rate to everyone alike brings every group back late.
+// Guards against an equal split of the store's rate, which delays every group.
 func TestStoreRateFollowsPriority(t *testing.T) {
 	w := newTestZone(2, 10, modelSpec("high", 9, 1, 2), modelSpec("low", 1, 1, 2))
 	w.plan(t)
@@ -146,7 +142,7 @@
 	}
 }
 
-// flapCases change an input back and forth every five seconds.
+// flapCases alternate an input every five seconds.
 func flapCases() map[string]func(s *simulator, on bool) {
 	return map[string]func(s *simulator, on bool){
 		"weights": func(s *simulator, on bool) {
@@ -185,10 +181,8 @@
 	}
 }
 
-// An operator sees instances switched on and off without end, because an input
-// goes back and forth: no instance may be switched off by choice within
-// FlapBound of its order to power on, and no model's groups be formed again
-// more than once for each ReformBound.
+// An input that alternates must not power instances off within FlapDampingTime of
+// their start, nor re-form groups more often than ReformDelay allows.
 func TestAlternatingInputsDoNotFlap(t *testing.T) {
 	for name, alternate := range flapCases() {
 		t.Run(name, func(t *testing.T) {
@@ -221,21 +215,20 @@
 			if s.err != nil {
 				t.Fatal(s.err)
 			}
-			// At most three groups are touched by any of the cases.
+			// No case touches more than three groups.
 			if most := 3 * int(length/placer.ReformDelay); formed > most {
-				t.Errorf("%d groups were formed in %v, at most %d are due", formed, length, most)
+				t.Errorf("%d groups were formed in %v, want at most %d", formed, length, most)
 			}
 			if most := 15 * int(length/placer.FlapDampingTime); switched > most {
-				t.Errorf("%d instances were switched on in %v, at most %d are due", switched, length, most)
+				t.Errorf("%d instances were switched on in %v, want at most %d", switched, length, most)
 			}
 			t.Logf("%d groups formed, %d instances switched on", formed, switched)
 		})
 	}
 }
 
-// TestSpareTable shows how the ratio of the weights decides the number of
-// powered spares in a domain of 15 with three groups of 4; docs/weights.md
-// carries it.
+// TestSpareTable shows how many powered spares each ratio of cost weights gives in a
+// domain of 15 with three groups of 4; docs/weights.md contains the result.
 func TestSpareTable(t *testing.T) {
 	var b strings.Builder
 	losses := map[string]float64{"11 failures": 11.0 / 600, "and 160 restarts": 171.0 / 600}
@@ -257,7 +250,7 @@
 	goldie.New(t).Assert(t, "spares", []byte(b.String()))
 }
 
-// The shares of all zones must be the manifest's groups, whatever the numbers.
+// The shares of all zones must add up to the manifest's groups for any numbers.
 func TestZoneSharesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var manifest garnetworks.Manifest
@@ -293,9 +286,8 @@
 	})
 }
 
-// An operator sees two instances boot for one lost member: the first one has
-// booted and waits a second for its re-admission, and in that second the slot
-// takes it for unusable and orders the next one on.
+// A booted instance that waits for its re-admission must not be taken for unusable, or
+// its slot powers on a second one.
 func TestBootedMemberIsWaitedFor(t *testing.T) {
 	w := newTestZone(1, 8, modelSpec("a", 1, 1, 1))
 	w.Costs = strandedFirst
@@ -318,8 +310,8 @@
 	}
 }
 
-// Latency shows a member that slows its group down, but nobody has judged it:
-// the group must still get a better member, and only then end.
+// A straggler known only by its measured slowdown must be replaced, and its group must
+// end only after that.
 func TestMeasuredStragglerIsReplaced(t *testing.T) {
 	w := newTestZone(1, 8, modelSpec("a", 1, 1, 1))
 	w.settle(t)
@@ -343,8 +335,8 @@
 	}
 }
 
-// A zone never gets the power for its spares: it states only the need of what
-// it already powers, so that its grant never grows.
+// The need must include spares beyond the limit; otherwise the zone's grant never
+// grows enough to power them.
 func TestNeedIncludesSparesBeyondTheLimit(t *testing.T) {
 	w := threeModelZone(t)
 	full := placer.Plan(w.Input).Need
@@ -355,8 +347,8 @@
 	}
 }
 
-// An operator means "as many as possible" by a maximum of a billion: the zone's
-// controller must neither stand still nor want more than there can be.
+// A maximum far beyond the zone's instances must neither stall planning nor raise the
+// wanted groups.
 func TestMaximumBeyondAllInstances(t *testing.T) {
 	w := newTestZone(2, 9, modelSpec("a", 1, 6, 1_000_000_000), modelSpec("bad", 1, 1, 1))
 	w.Models[1].GroupSize = 0
@@ -375,8 +367,8 @@
 	}
 }
 
-// Two models of one priority share a zone. One loses its domain; were it allowed
-// to take the other's, the two would drive each other out again and again.
+// A model must not displace a group of equal priority: the two would displace each
+// other forever.
 func TestEqualPrioritiesDoNotDisplaceEachOther(t *testing.T) {
 	w := newTestZone(2, 4, modelSpec("a", 1, 1, 1), modelSpec("b", 1, 1, 1))
 	w.settle(t)
@@ -388,12 +380,12 @@
 		t.Fatalf("the first domain holds %s", lost.Model)
 	}
 	if drains := decisionsOf[placer.DrainGroup](w.plan(t)); len(drains) != 0 {
-		t.Errorf("%+v", drains)
+		t.Errorf("unexpected drains: %+v", drains)
 	}
 }
 
-// A caller's answer breaks off at a planned stop: the member's end was known,
-// but no replacement could be prepared, and the drain began too late.
+// If no replacement can be prepared for a member with an announced stop, the drain must
+// begin early enough to finish before the stop.
 func TestAnnouncedEndIsDrainedInTime(t *testing.T) {
 	w := newTestZone(1, 4, modelSpec("a", 1, 1, 1))
 	w.settle(t)
@@ -409,8 +401,8 @@
 	}
 }
 
-// A member that dies and returns every few seconds breaks a group each time it
-// is taken back. After its second loss it must wait.
+// An instance that fails and returns repeatedly must wait after its second failure, or
+// it breaks a group at each return.
 func TestRepeatedlyFailingInstanceBacksOff(t *testing.T) {
 	w := newTestZone(1, 4, modelSpec("a", 1, 1, 1))
 	w.settle(t)
@@ -424,15 +416,15 @@
 		w.finishPending()
 		w.Now = w.Now.Add(5 * time.Second)
 	}
-	// One at once, and one after the first minute; the next wait is over only
-	// after two more.
+	// One at once, and one after the first minute; the next backoff takes two more
+	// minutes.
 	if forms > 3 {
 		t.Errorf("%d groups were formed with it in 5 minutes", forms)
 	}
 }
 
-// Latency is a doubtful witness: it calls a member of each group slow at once.
-// The groups of the model must not all be replaced on its word.
+// If a member of each group is measured as slow at once, the groups of the model must
+// not all be replaced at once.
 func TestOneStragglerPerModelIsReplaced(t *testing.T) {
 	w := newTestZone(1, 15, modelSpec("a", 1, 3, 3))
 	// Without a known rate nothing is preloaded, and a spare is ready at once.
--- a/placer/share.go
+++ b/placer/share.go
@@ -6,12 +6,12 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// ZoneModels returns the manifest's models with MinGroups and MaxGroups
-// reduced to one zone's share, so that a zone that is cut off knows its part
-// from the manifest alone. Groups are dealt out evenly over the zones that are
-// not left out; what doesn't divide goes round from another zone for each
-// model, so that no zone gets all remainders. A zone that is left out keeps the
-// share it had with all zones counted: it may be cut off and serving.
+// ZoneModels returns the manifest's models with MinGroups and MaxGroups reduced to
+// one zone's share, so that a zone that is cut off knows its part from the manifest
+// alone. Groups are divided evenly among the zones that are not excluded; the
+// remainder is assigned round robin, for each model from where the groups of the
+// previous one ended, so that no zone gets all remainders. An excluded zone keeps
+// the share that it had with all zones counted: it may be cut off and serving.
 func ZoneModels(manifest *garnetworks.Manifest, zone garnetworks.ZoneID) []garnetworks.ModelSpec {
 	zones := participatingZones(manifest, zone)
 	position, ok := slices.BinarySearch(zones, zone)
@@ -47,7 +47,7 @@
 	return all
 }
 
-// zoneShare returns how many of groups go to the zone whose turn it is.
+// zoneShare returns the number of groups for the zone at position turn.
 func zoneShare(groups, turn, zones int) int {
 	share := groups / zones
 	if turn < groups%zones {
--- a/placer/simulator_test.go
+++ b/placer/simulator_test.go
@@ -20,14 +20,14 @@
 	repairTime        = 10 * time.Minute
 )
 
-// engine is the truth about an instance, of which the domain's object holds
-// what the controller knows.
+// engine is the simulated state of an instance; the domain's object holds what the
+// controller knows of it.
 type engine struct {
 	instance *garnetworks.Instance
 	alive    bool
-	// repaired is when an engine that failed answers again at the earliest.
+	// repaired is the earliest time at which a failed engine answers again.
 	repaired time.Time
-	// epoch counts what makes earlier events of the engine void.
+	// epoch counts the changes that invalidate earlier events of the engine.
 	epoch   int
 	loading garnetworks.WeightID
 	loaded  float64
@@ -57,11 +57,11 @@
 	return last
 }
 
-// policy makes plans; the baseline is one too.
+// policy computes plans; the baseline is one.
 type policy func(placer.Input) placer.Output
 
 // simulator lets instances boot, load, fail, return and straggle under virtual
-// time and carries out a policy's decisions.
+// time and executes a policy's decisions.
 type simulator struct {
 	*testZone
 	policy         policy
@@ -71,10 +71,10 @@
 	seq            int
 	bootTime       time.Duration
 	account        measurer.Account
-	// announced holds the stops that are known beforehand.
+	// announced holds the announced stops.
 	announced map[garnetworks.InstanceID]placer.InstanceObservation
 	replanAt  time.Time
-	// slow sums the time that groups served with a straggler.
+	// slow sums the time for which groups served with a straggler.
 	slow time.Duration
 	err  error
 }
@@ -151,8 +151,8 @@
 	return float64(min(e.rate, most))
 }
 
-// effectiveRate is the rate that the engine gets: what it asks for, scaled down if
-// all together ask for more than the store gives.
+// effectiveRate is the rate that the engine gets: the requested one, scaled down if
+// all engines together request more than the store's rate.
 func (s *simulator) effectiveRate(e *engine) float64 {
 	asked := e.requestedRate(s.InstanceRate)
 	if asked == 0 {
@@ -193,7 +193,7 @@
 	s.progressGroups()
 }
 
-// progressGroups lets groups whose members have the weights form.
+// progressGroups starts the forming of groups whose members have the weights.
 func (s *simulator) progressGroups() {
 	for _, g := range s.allGroups() {
 		if g.State != garnetworks.GroupForming {
@@ -245,7 +245,7 @@
 	}
 }
 
-// decide plans until nothing more is decided, then notes the measures.
+// decide plans until a plan has no decisions, then records the measures.
 func (s *simulator) decide() {
 	for range 20 {
 		s.observe()
@@ -325,8 +325,8 @@
 	})
 }
 
-// fail ends the engine. If its power is left on, it comes back by itself after
-// the outage, with or without its weights.
+// fail ends the engine. If its power is left on, it returns after the outage, with
+// or without its weights.
 func (s *simulator) fail(e *engine, outage time.Duration, keepsWeights bool) {
 	if !e.alive {
 		return
@@ -354,7 +354,7 @@
 	})
 }
 
-// readmit makes a returned engine healthy after its release was confirmed.
+// readmit makes a returned engine healthy after readmitTime.
 func (s *simulator) readmit(e *engine) {
 	epoch := e.epoch
 	s.after(readmitTime, func() {
@@ -364,8 +364,8 @@
 	})
 }
 
-// restart stops the engine after a notice, as the platform does; a longer
-// announcement may go before it.
+// restart stops the engine after a notice of one minute, as the platform does; a
+// longer announcement may precede it.
 func (s *simulator) restart(e *engine, announced time.Duration) {
 	id := e.instance.ID
 	s.announced[id] = placer.InstanceObservation{}
--- a/placer/slots.go
+++ b/placer/slots.go
@@ -7,16 +7,16 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// slot is one group that the manifest asks for.
+// slot is one group that the manifest requests.
 type slot struct {
 	model   *model
 	rank    int
 	minimum bool
 }
 
-// slotsOf returns the slots in the order of rule P1; models are sorted by
-// priority and name. A model has no more slots than the zone's instances could
-// ever fill, whatever its maximum is.
+// slotsOf returns the slots in the order of rule P1; models are sorted by priority
+// and name. A model has at most as many slots as feasible groups, so that a very
+// large maximum doesn't slow planning down.
 func slotsOf(models []*model) []slot {
 	var slots []slot
 	for _, m := range models {
@@ -36,7 +36,7 @@
 	return slots
 }
 
-// pendingGroup is a group that can form as soon as the plan is carried out.
+// pendingGroup is a group that can form as soon as the plan is executed.
 type pendingGroup struct {
 	placement placement
 	model     *model
@@ -46,13 +46,13 @@
 	rate      int64
 }
 
-// waitingSlot is a slot whose members are not all there.
+// waitingSlot is a slot whose reserved members are not all available.
 type waitingSlot struct {
 	placement placement
 	model     *model
 }
 
-// fillSlots keeps, sheds, displaces and places groups, in the order of P1.
+// fillSlots keeps, sheds, displaces and places groups in the order of rule P1.
 func (p *planner) fillSlots() {
 	p.assignSlots()
 	p.reportInfeasible()
@@ -60,8 +60,8 @@
 		if s.minimum {
 			p.keepOrFill(index, s)
 		}
-		// What is displaced changes the ranks of its model and the choices of
-		// earlier slots; the next round sees it all.
+		// Displacing changes the ranks of the displaced groups' models and the placements
+		// of earlier slots; the next round takes both into account.
 		if p.displaced {
 			return
 		}
@@ -96,7 +96,7 @@
 	}
 }
 
-// assignSlots gives each living group its slot; those above the maximum end.
+// assignSlots assigns each live group its slot; those above the maximum end.
 func (p *planner) assignSlots() {
 	for index, s := range p.slots {
 		if g := s.group(); g != nil {
@@ -129,7 +129,7 @@
 	p.fillSlot(index, s)
 }
 
-// keepGroup lets the group go on, or sheds it if the limit is too low (rule P3).
+// keepGroup keeps the group, or sheds it if the limit is too low (rule P3).
 func (p *planner) keepGroup(g *group) bool {
 	watts := totalDraw(g.members)
 	if p.plannedDraw+watts > p.in.Limit {
@@ -147,8 +147,8 @@
 	return true
 }
 
-// keepReplacement keeps a group that forms to replace another one, as long as power
-// is left for both.
+// keepReplacement keeps a group that forms to replace another one, as long as the
+// limit has power for both.
 func (p *planner) keepReplacement(g *group) {
 	if g.ending {
 		return
@@ -191,9 +191,9 @@
 	p.reserveSlot(index, s, c)
 }
 
-// recentlyShed keeps a limit or a maximum that goes up and down from forming and
-// shedding the same group again and again (rule P13). Groups that were left
-// then are replaced at any time.
+// recentlyShed reports whether the slot must stay empty for now, so that a limit or
+// maximum that goes up and down doesn't form and shed the same group repeatedly
+// (rule P13). Groups that remained after the shed are replaced at any time.
 func (p *planner) recentlyShed(s slot) bool {
 	shed, ok := p.out.State.Sheds[s.model.Name]
 	end := shed.At.Add(FlapDampingTime)
@@ -207,7 +207,7 @@
 	return true
 }
 
-// recordShed remembers that the model lost all groups from a rank on.
+// recordShed records that the model lost all groups from a rank on.
 func (p *planner) recordShed(m *model, rank int) {
 	if shed, ok := p.out.State.Sheds[m.Name]; ok && shed.At.Equal(p.in.Now) {
 		rank = min(rank, shed.Remaining)
@@ -216,7 +216,7 @@
 }
 
 // skipForPower leaves a slot empty for lack of power. If members were reserved for
-// it, the limit has fallen, and their boots are in vain.
+// it, the limit has fallen since, which counts as a shed.
 func (p *planner) skipForPower(s slot) {
 	m := s.model
 	if len(m.reservations) > 0 {
@@ -227,8 +227,8 @@
 	p.addUnmet(m, CausePower)
 }
 
-// chooseMembers tries, in turn, free instances, displacing, and doubtful instances
-// (rules P5, P6 and P7).
+// chooseMembers tries, in turn, free instances, displacing groups, and suspect
+// instances (rules P5, P6 and P7).
 func (p *planner) chooseMembers(index int, s slot) (placement, bool) {
 	best, ok := p.bestPlacement(s.model, false)
 	if ok && best.ready() {
@@ -274,7 +274,7 @@
 	return ids
 }
 
-// nextReservation returns the model's next reservation that still holds.
+// nextReservation returns the model's next reservation that is still valid.
 func (p *planner) nextReservation(m *model) (placement, bool) {
 	for len(m.reservations) > 0 {
 		r := m.reservations[0]
@@ -303,7 +303,7 @@
 	return c, len(c.members) == m.GroupSize
 }
 
-// reserve takes the members for one use.
+// reserve marks the members as used.
 func (p *planner) reserve(c placement, m *model, slotIndex int, u use) {
 	c.domain.version++
 	p.plannedDraw += totalDraw(c.members)
@@ -314,7 +314,7 @@
 	}
 }
 
-// preloadWaiting lets the members that are there load while others boot.
+// preloadWaiting lets the available members load while others boot.
 func (p *planner) preloadWaiting(c placement, m *model, class loadClass) {
 	for _, i := range c.members {
 		if i.availability == idle {
@@ -324,8 +324,8 @@
 	}
 }
 
-// displace drains the groups of one domain that make room for the model (rule
-// P6). It returns false if no domain has enough of them.
+// displace ends the groups of one domain that make room for the model (rule P6). It
+// returns false if no domain has enough of them.
 func (p *planner) displace(index int, m *model) bool {
 	var victims []*group
 	for _, d := range p.domains {
@@ -351,8 +351,8 @@
 	return a[len(a)-1].slotIndex > b[len(b)-1].slotIndex
 }
 
-// victimsIn returns the last groups of the domain that together with its free
-// instances give room for the model, or nil.
+// victimsIn returns the groups, from the last slot up, that must end so that the
+// domain has enough free instances for the model, or nil.
 func (p *planner) victimsIn(d *domain, index int, m *model) []*group {
 	freeInstances := 0
 	for _, i := range d.instances {
@@ -374,10 +374,10 @@
 	return nil
 }
 
-// displaceable returns the groups of model n in the domain that may give way to
-// model m's slot: all of a lower priority, else as many as are above n's
-// minimum. A group that holds a minimum slot counts as above it only if enough
-// others serve already; one that still forms can't stand in for it yet.
+// displaceable returns the groups of model n in the domain that may be displaced for
+// model m's slot: all of a lower priority, else as many as exceed n's minimum. A
+// group in a minimum slot counts as exceeding it only if enough other groups
+// already serve; one that still forms can't take its place yet.
 func displaceable(n *model, d *domain, index int, m *model) []*group {
 	if n.class != m.class || n == m {
 		return nil
--- a/placer/spares.go
+++ b/placer/spares.go
@@ -9,30 +9,30 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// SpareParams is what the worth of a spare in one domain depends on.
+// SpareParams are the parameters of the benefit of spares in one domain.
 type SpareParams struct {
-	// LossRate is the number of members lost a second in the domain's groups of
+	// LossRate is the number of members lost per second in the domain's groups of
 	// the class (λ).
 	LossRate float64
 	// TimeSaved is the wait that a powered spare with weights saves (T = B+L).
 	TimeSaved time.Duration
 	// RefillTime is the time until a spare that was used is replaced.
 	RefillTime time.Duration
-	// GroupSize is g.
+	// GroupSize is the number of members of a group (g).
 	GroupSize int
-	// Costs are D and S.
+	// Costs holds D and S.
 	Costs garnetworks.CostWeights
 }
 
-// MarginalBenefit returns the cost a second that the k-th spare, from 1, saves (rule
-// P10). A loss finds it useful if fewer than k−1 of the others are left, that
-// is, if at least k−1 losses happened within the last refill.
+// MarginalBenefit returns the cost per second that the k-th spare, from 1, saves
+// (rule P10). A loss needs the k-th spare only if the k−1 others are used up, that
+// is, if at least k−1 losses happened within the last refill time.
 func (c SpareParams) MarginalBenefit(k int) float64 {
 	downtimeCost := c.Costs.GroupDowntime + float64(c.GroupSize-1)*c.Costs.Stranded
 	return c.LossRate * poissonAtLeast(c.LossRate*c.RefillTime.Seconds(), k-1) * c.TimeSaved.Seconds() * downtimeCost
 }
 
-// Spares returns how many powered spares are worth their cost.
+// Spares returns how many powered spares have a benefit above their cost.
 func (c SpareParams) Spares() int {
 	k := 0
 	for k < maxSpares && c.MarginalBenefit(k+1) > c.Costs.Stranded {
@@ -51,37 +51,38 @@
 	return max(0, 1-below)
 }
 
-// pool is the instances of one class in one domain.
+// pool holds the instances of one class in one domain.
 type pool struct {
 	SpareParams
 	domain *domain
 	class  *class
-	// groupCounts counts the groups of each model, by its index.
+	// groupCounts counts the groups of each model, by the model's index.
 	groupCounts []int
-	// candidates are the instances that could be spares, the readiest first.
+	// candidates are the instances that could be spares, the soonest available first.
 	candidates []*instance
 	// unused counts the instances without a use, whatever their power is.
 	unused int
 	// kept are the chosen spares.
 	kept []*instance
-	// hold is how long a leftover is held.
+	// hold is how long an unused instance stays powered.
 	hold time.Duration
 	// survivors counts the idle instances that wait for a lost member.
 	survivors int
-	// size counts the pool's instances, lost those that are lost, and waiting
-	// those that boot for a slot; wanted says that a slot of the class is empty.
+	// size counts the pool's instances, lost those that are lost, and waiting those
+	// whose boot a slot waits for; groupWanted says that a slot of the class lacks a
+	// group.
 	size, lost, waiting int
 	groupWanted         bool
 }
 
-// spareOption is the choice of one more spare of a pool.
+// spareOption is the option to keep one more spare of a pool.
 type spareOption struct {
 	pool    *pool
 	rank    int
 	benefit float64
 }
 
-// chooseSpares takes spares by their worth as long as power is left.
+// chooseSpares keeps spares in order of benefit as long as power is left.
 func (p *planner) chooseSpares() {
 	p.indexPools()
 	var options []spareOption
@@ -168,9 +169,9 @@
 	})
 }
 
-// benefitOf is the worth of the pool's k-th spare. Whether another instance is
-// left to refill it from is counted without regard to power, so that ordering a
-// spare on doesn't change what it is worth.
+// benefitOf is the benefit of the pool's k-th spare. Whether another instance is
+// left to refill it from is counted without regard to power, so that powering a
+// spare on doesn't change its benefit.
 func (o *pool) benefitOf(k int) float64 {
 	c := o.SpareParams
 	if k >= o.unused {
@@ -208,8 +209,8 @@
 		if i.suspect {
 			return false
 		}
-		// A spare that was just given up is not booted again at once: a worth
-		// that goes up and down would switch its power each time (rule P13).
+		// A spare that was just powered off is not booted again at once: a benefit
+		// close to the cost would otherwise toggle its power (rule P13).
 		again := i.history.PoweredOff.Add(FlapDampingTime)
 		if !i.history.PoweredOff.IsZero() && p.in.Now.Before(again) {
 			p.replanAt(again)
@@ -221,7 +222,7 @@
 	}
 }
 
-// spareRank puts powered instances with useful weights first.
+// spareRank sorts powered instances with useful weights first.
 func (p *planner) spareRank(o *pool, i *instance) int {
 	switch i.availability {
 	case idle, returning, drainingMember:
@@ -239,8 +240,8 @@
 	}
 }
 
-// preloadSpares divides the pool's spares among the models of its groups, by
-// the bytes that a loss would have to wait for.
+// preloadSpares assigns the pool's spares to the models of its groups, by the bytes
+// that a loss would otherwise wait for.
 func (p *planner) preloadSpares(o *pool) {
 	assigned := make([]int, len(p.models))
 	for range o.kept {
@@ -272,8 +273,8 @@
 	return best
 }
 
-// spareFor returns a spare without a task, one that holds or loads the model's
-// weights first.
+// spareFor returns the unassigned idle spare with the fewest bytes of the model's
+// weights left to load; one whose load was already ordered precedes an empty one.
 func (p *planner) spareFor(o *pool, m *model) *instance {
 	var best *instance
 	least := int64(math.MaxInt64)
--- a/placer/state_test.go
+++ b/placer/state_test.go
@@ -11,10 +11,10 @@
 	"pgregory.net/rapid"
 )
 
-// machine drives a zone through random faults, orders and changes of the
-// manifest. After each step the plan must keep the rules that apply checks,
-// must be the same when it is made twice, and must have settled once it is
-// carried out.
+// machine drives a zone through random faults, orders and changes of the manifest.
+// After each step the plan must keep the rules that apply checks, must be the same
+// when it is computed twice, and the next plan must have no decisions once it is
+// executed.
 type machine struct {
 	*testZone
 }
@@ -123,7 +123,7 @@
 	m.Now = m.Now.Add(time.Duration(rapid.IntRange(1, 600).Draw(t, "seconds")) * time.Second)
 }
 
-// recover heals all, lets everything under way end, and asks the oracle.
+// recover heals all instances, finishes everything in progress and checks the result.
 func (m *machine) recover(t *rapid.T) {
 	m.StoreRate, m.InstanceRate = 10*gigabyte, 5*gigabyte
 	m.Instances = map[garnetworks.InstanceID]placer.InstanceObservation{}
@@ -141,8 +141,8 @@
 	m.checkNothingStranded(t)
 }
 
-// checkGreedy is the oracle for rule P1: a model below its minimum has no
-// domain in which it could form, were all groups of lower priority gone.
+// checkGreedy checks rule P1: for a model below its minimum there is no domain in
+// which it could form if all groups of lower priority were gone.
 func (m *machine) checkGreedy(t *rapid.T) {
 	serving := m.serving()
 	for _, o := range m.Models {
@@ -189,9 +189,9 @@
 	return draw
 }
 
-// checkNothingStranded is the oracle for rules P10 and P11: in a zone at rest
-// only spares are powered outside of groups, and none with weights that put
-// stranded instances first.
+// checkNothingStranded checks rules P10 and P11: in a zone at rest only spares are
+// powered outside of groups, and none with weights that put stranded instances
+// first.
 func (m *machine) checkNothingStranded(t *rapid.T) {
 	for _, d := range m.Domains {
 		idle := 0
@@ -208,7 +208,7 @@
 			most = 0
 		}
 		if idle > most {
-			t.Fatalf("%s keeps %d instances powered outside of groups, at most %d are due", d.ID, idle, most)
+			t.Fatalf("%s keeps %d instances powered outside of groups, want at most %d", d.ID, idle, most)
 		}
 	}
 }
--- a/placer/wanted.go
+++ b/placer/wanted.go
@@ -8,7 +8,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// capacity counts instances of one class in one domain that no wanted group
+// capacity counts the instances of one class in one domain that no wanted group
 // has taken.
 type capacity struct {
 	domain      *domain
@@ -69,7 +69,8 @@
 	return all
 }
 
-// bestCapacity returns where a group of the model would go by the ties of P5.
+// bestCapacity returns where a group of the model would go by the tie-breaks of
+// rule P5.
 func bestCapacity(capacities []*capacity, m *model) *capacity {
 	var best *capacity
 	for _, c := range capacities {
@@ -91,7 +92,8 @@
 	)
 }
 
-// fragmentation is how many more instances than before fit no largest group.
+// fragmentation is by how much a group of the model raises the number of instances
+// left over from groups of the largest size.
 func (c *capacity) fragmentation(m *model) int {
 	if !c.class.mixed {
 		return 0
@@ -99,8 +101,8 @@
 	return (c.remaining-m.GroupSize)%c.class.largest - c.remaining%c.class.largest
 }
 
-// Wanted returns the number of groups of each model that the manifest and the
-// power allow (rule P2), sorted by model, without making a plan.
+// Wanted returns the number of groups of each model that the manifest and the limit
+// allow (rule P2), sorted by model, without computing a plan.
 func Wanted(in Input) []ModelGroups {
 	p := newPlanner(in)
 	p.countWanted()
--- a/placer/world_test.go
+++ b/placer/world_test.go
@@ -12,8 +12,8 @@
 	"github.com/garnetworks/garnetworks/placer"
 )
 
-// TestMain pins rapid's seed, so that CI reaches the same verdict each time; a
-// seed on the command line goes before it.
+// TestMain fixes rapid's seed, so that CI runs are reproducible; a seed on the command
+// line takes precedence.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := map[string]bool{}
@@ -40,7 +40,7 @@
 	gigabyte    = int64(1e9)
 )
 
-// testZone is a zone whose bookkeeping follows decisions as the grouper's does.
+// testZone is a zone whose domains follow the decisions as the grouper's do.
 type testZone struct {
 	placer.Input
 	groups int
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// allGroups returns every group of the world by domain and position.
+// allGroups returns every group of the zone by domain and position.
 func (w *testZone) allGroups() []*garnetworks.Group {
 	var all []*garnetworks.Group
 	for i := range w.Domains {
@@ -136,8 +136,8 @@
 	return drawn
 }
 
-// apply carries the plan out and returns the first decision that breaks a rule
-// that must always hold.
+// apply executes the plan and returns an error for the first decision that breaks a
+// rule that must always hold.
 func (w *testZone) apply(out placer.Output) error {
 	w.State = out.State
 	for _, d := range out.Decisions {
@@ -231,7 +231,7 @@
 	return nil
 }
 
-// plan plans, applies and checks that the plan has settled.
+// plan computes a plan, applies it and checks that the next plan has no decisions.
 func (w *testZone) plan(t failer) placer.Output {
 	t.Helper()
 	out := placer.Plan(w.Input)
@@ -257,8 +257,8 @@
 	return s
 }
 
-// settle lets boots, loads, switches and drains end at once until nothing is
-// decided any longer.
+// settle finishes boots, loads, power switches and drains at once until a plan has no
+// decisions.
 func (w *testZone) settle(t failer) {
 	t.Helper()
 	for range 100 {
@@ -272,7 +272,7 @@
 	t.Fatalf("the zone does not settle")
 }
 
-// finishPending ends everything that is under way.
+// finishPending finishes everything that is in progress.
 func (w *testZone) finishPending() bool {
 	moved := false
 	for i := range w.Domains {
