--- a/placer/load.go
+++ b/placer/load.go
@@ -27,11 +27,11 @@
 	instances []*instance
 	bytes     int64
 	group     garnetworks.GroupID
-	form      *pendingGroup
+	pending   *pendingGroup
 	rate      int64
 }
 
-func (l *loader) isPreload() bool { return l.group == "" && l.form == nil }
+func (l *loader) isPreload() bool { return l.group == "" && l.pending == nil }
 
 // allocateRate sets the rate of each loader and orders the changed ones.
 func (p *planner) allocateRate() {
@@ -43,8 +43,8 @@
 	p.divideRate(loaders)
 	for _, l := range loaders {
 		switch {
-		case l.form != nil:
-			l.form.rate = l.rate
+		case l.pending != nil:
+			l.pending.rate = l.rate
 			p.recordLoad(l)
 		case l.isPreload():
 			p.orderPreload(l)
@@ -63,7 +63,7 @@
 		}
 	}
 	for _, f := range p.pendingGroups {
-		l := &loader{class: f.class, priority: f.model.Priority, weights: f.model.weights(), form: f}
+		l := &loader{class: f.class, priority: f.model.Priority, weights: f.model.weights(), pending: f}
 		all = append(all, p.addMissing(l, f.placement.members))
 	}
 	for _, i := range p.instances {
--- a/placer/power.go
+++ b/placer/power.go
@@ -280,7 +280,7 @@
 // returns 0 unless a group is missing that the idle instances can fill together
 // with those that may return.
 func (p *planner) countSurvivors(o *pool) int {
-	least := p.smallestUnplaced(o.class)
+	groupSize := p.smallestUnplaced(o.class)
 	survivors, mayReturn := 0, 0
 	for _, i := range o.domain.instances {
 		if i.class != o.class || i.use != unused {
@@ -292,7 +292,7 @@
 			mayReturn++
 		}
 	}
-	if least == 0 || survivors+mayReturn < least {
+	if groupSize == 0 || survivors+mayReturn < groupSize {
 		return 0
 	}
 	return survivors
--- a/placer/slots.go
+++ b/placer/slots.go
@@ -105,12 +105,12 @@
 		}
 	}
 	for _, m := range p.models {
-		most := min(max(m.MinGroups, m.MaxGroups), len(m.live))
-		for _, g := range m.live[most:] {
+		kept := min(max(m.MinGroups, m.MaxGroups), len(m.live))
+		for _, g := range m.live[kept:] {
 			p.endGroup(g, ReasonSurplus, p.in.Grace.Drain)
-			p.recordShed(m, most)
+			p.recordShed(m, kept)
 		}
-		m.live = m.live[:most]
+		m.live = m.live[:kept]
 	}
 }
 
--- a/placer/spares.go
+++ b/placer/spares.go
@@ -183,11 +183,11 @@
 func (p *planner) meanLoadTime(o *pool) time.Duration {
 	var sum time.Duration
 	count := 0
-	for index, uses := range o.groupCounts {
+	for index, groups := range o.groupCounts {
 		m := p.models[index]
 		if m.class == o.class {
-			sum += time.Duration(uses) * p.loadTime(m.WeightBytes, m.WeightBytes)
-			count += uses
+			sum += time.Duration(groups) * p.loadTime(m.WeightBytes, m.WeightBytes)
+			count += groups
 		}
 	}
 	if count == 0 {
@@ -226,9 +226,9 @@
 func (p *planner) spareRank(o *pool, i *instance) int {
 	switch i.availability {
 	case idle, returning, drainingMember:
-		for index, uses := range o.groupCounts {
+		for index, groups := range o.groupCounts {
 			m := p.models[index]
-			if uses > 0 && m.class == o.class && p.missingBytes(i, m.weights()) == 0 {
+			if groups > 0 && m.class == o.class && p.missingBytes(i, m.weights()) == 0 {
 				return 0
 			}
 		}
@@ -260,12 +260,12 @@
 func (p *planner) modelToPreload(o *pool, assigned []int) *model {
 	var best *model
 	most := 0.0
-	for index, uses := range o.groupCounts {
+	for index, groups := range o.groupCounts {
 		m := p.models[index]
 		if m.class != o.class {
 			continue
 		}
-		need := float64(uses) * float64(m.WeightBytes) / float64(assigned[index]+1)
+		need := float64(groups) * float64(m.WeightBytes) / float64(assigned[index]+1)
 		if need > most {
 			best, most = m, need
 		}
