--- a/placer/baseline_test.go
+++ b/placer/baseline_test.go
@@ -9,8 +9,8 @@
 // spares, ends a group when a member is missing or leaving, and forms groups in
 // order of discovery from the first usable instances of a domain, booting those
 // that are off. It powers instances off only if the limit requires it, sets no
-// load rates and knows no priorities. Engines keep their weights, as under the policy, so that the
-// comparison is fair.
+// load rates and knows no priorities. Engines keep their weights, as under the
+// policy, so that the comparison is fair.
 func baseline(in placer.Input) placer.Output {
 	b := &naivePlanner{in: in, taken: garnetworks.NewSet[garnetworks.InstanceID](), groupCounts: map[garnetworks.ModelName]int{}}
 	b.classifyGroups()
