--- a/content.go
+++ b/content.go
@@ -11,30 +11,30 @@
 // identifiers clients give them. It is lower-case hex of contentBytes bytes.
 type ContentDigest string
 
-// contentBytes is the length of a digest's bytes. A caller that could make up a body with
+// digestBytes is the length of a digest's bytes. A caller that could make up a body with
 // another workspace's digest could have that workspace's call taken for its own; against
 // 128 bits of SHA-256 it can't.
-const contentBytes = 16
+const digestBytes = 16
 
 // ContentDigest returns the call's digest, for the workspace whose key it has; empty for a call
 // that needs no key.
 func (c *ProxiedCall) ContentDigest(workspace WorkspaceName) ContentDigest {
-	return contentOf(c.Body, string(workspace), c.Host, c.Target)
+	return digestOf(c.Body, string(workspace), c.Host, c.Target)
 }
 
 // ContentDigest returns the call's digest.
 func (c *CallRequest) ContentDigest() ContentDigest {
-	return contentOf([]byte(c.Prompt), string(c.Workspace), string(c.Model), string(c.Adapter))
+	return digestOf([]byte(c.Prompt), string(c.Workspace), string(c.Model), string(c.Adapter))
 }
 
 // ContentDigest returns the call's digest.
 func (c *ServiceCall) ContentDigest() ContentDigest {
-	return contentOf(c.Body, string(c.Workspace), string(c.Service), c.Path)
+	return digestOf(c.Body, string(c.Workspace), string(c.Service), c.Path)
 }
 
-// contentOf returns the digest of some names and a body. Each name stands behind its
+// digestOf returns the digest of some names and a body. Each name stands behind its
 // length, so that nothing moves from one to the next.
-func contentOf(body []byte, names ...string) ContentDigest {
+func digestOf(body []byte, names ...string) ContentDigest {
 	h := sha256.New()
 	for _, name := range names {
 		var length [8]byte
@@ -43,5 +43,5 @@
 		_, _ = h.Write([]byte(name))
 	}
 	_, _ = h.Write(body)
-	return ContentDigest(hex.EncodeToString(h.Sum(nil)[:contentBytes]))
+	return ContentDigest(hex.EncodeToString(h.Sum(nil)[:digestBytes]))
 }
--- a/content_test.go
+++ b/content_test.go
@@ -4,9 +4,9 @@
 
 // Story: a caller sends the same thing again, with another identifier, key and deadline.
 // It is the same content; anything else in target, workspace or body is another.
-func TestContentIsTargetWorkspaceAndBody(t *testing.T) {
+func TestContentDigestCoversTargetWorkspaceAndBody(t *testing.T) {
 	call := ProxiedCall{ID: "1", WorkspaceKey: "k", Host: "a", Target: "/x", Body: []byte("body"), PromptTokens: 3}
-	first := call.ContentDigest("w")
+	original := call.ContentDigest("w")
 	cases := map[string]struct {
 		call      ProxiedCall
 		workspace WorkspaceName
@@ -21,8 +21,8 @@
 		"body in target":    {ProxiedCall{Host: "a", Target: "/xbody"}, "w", false},
 	}
 	for name, c := range cases {
-		if got := c.call.ContentDigest(c.workspace); (got == first) != c.same {
-			t.Errorf("%s: digest %s, the first one's is %s", name, got, first)
+		if got := c.call.ContentDigest(c.workspace); (got == original) != c.same {
+			t.Errorf("%s: digest %s, the first one's is %s", name, got, original)
 		}
 	}
 }
--- a/kinds.go
+++ b/kinds.go
@@ -85,7 +85,7 @@
 	RetryAfter time.Duration
 }
 
-var answerTable = []ErrorResponse{
+var errorResponses = []ErrorResponse{
 	{KindInvalidRequest, http.StatusBadRequest, "The request is malformed", OutcomeNotRun, false, 0},
 	{KindTooLarge, http.StatusRequestEntityTooLarge, "The request is too large", OutcomeNotRun, false, 0},
 	{KindUnauthenticated, http.StatusUnauthorized, "No valid workspace key", OutcomeNotRun, false, 0},
@@ -126,24 +126,24 @@
 	{KindThrottled, http.StatusTooManyRequests, "The platform's rate limit is reached", OutcomeNotRun, true, time.Second},
 }
 
-var answersByKind = func() map[Kind]ErrorResponse {
-	m := make(map[Kind]ErrorResponse, len(answerTable))
-	for _, a := range answerTable {
-		m[a.Kind] = a
+var responsesByKind = func() map[Kind]ErrorResponse {
+	m := make(map[Kind]ErrorResponse, len(errorResponses))
+	for _, r := range errorResponses {
+		m[r.Kind] = r
 	}
 	return m
 }()
 
 // ErrorResponses returns the table from kind to answer, in its documented order.
-func ErrorResponses() []ErrorResponse { return append([]ErrorResponse(nil), answerTable...) }
+func ErrorResponses() []ErrorResponse { return append([]ErrorResponse(nil), errorResponses...) }
 
 // ErrorResponseFor returns the row of the table for k; an unlisted kind is answered
 // as KindInternal, whose outcome claims nothing.
 func ErrorResponseFor(k Kind) ErrorResponse {
-	if a, ok := answersByKind[k]; ok {
-		return a
+	if r, ok := responsesByKind[k]; ok {
+		return r
 	}
-	return answersByKind[KindInternal]
+	return responsesByKind[KindInternal]
 }
 
 // Error is an error of one of the listed kinds.
--- a/kinds_test.go
+++ b/kinds_test.go
@@ -35,28 +35,28 @@
 	return kinds
 }
 
-func TestEachKindHasOneAnswer(t *testing.T) {
+func TestEachKindHasOneErrorResponse(t *testing.T) {
 	declared := declaredKinds(t)
 	if len(declared) < 30 {
 		t.Fatalf("found only %d declared kinds", len(declared))
 	}
 	seen := NewSet[string]()
-	for _, a := range ErrorResponses() {
-		if seen.Has(string(a.Kind)) {
-			t.Errorf("kind %s has two rows", a.Kind)
+	for _, r := range ErrorResponses() {
+		if seen.Has(string(r.Kind)) {
+			t.Errorf("kind %s has two rows", r.Kind)
 		}
-		seen.Add(string(a.Kind))
-		if !declared.Has(string(a.Kind)) {
-			t.Errorf("row for undeclared kind %s", a.Kind)
+		seen.Add(string(r.Kind))
+		if !declared.Has(string(r.Kind)) {
+			t.Errorf("row for undeclared kind %s", r.Kind)
 		}
-		if a.Status < 400 || a.Title == "" || a.Outcome == "" {
-			t.Errorf("row of %s is not whole: %+v", a.Kind, a)
+		if r.Status < 400 || r.Title == "" || r.Outcome == "" {
+			t.Errorf("row of %s is not whole: %+v", r.Kind, r)
 		}
-		if a.Outcome == OutcomeCompleted {
-			t.Errorf("kind %s claims a completed call", a.Kind)
+		if r.Outcome == OutcomeCompleted {
+			t.Errorf("kind %s claims a completed call", r.Kind)
 		}
-		if !a.Retry && a.RetryAfter != 0 {
-			t.Errorf("kind %s forbids a retry and says when to retry", a.Kind)
+		if !r.Retry && r.RetryAfter != 0 {
+			t.Errorf("kind %s forbids a retry and says when to retry", r.Kind)
 		}
 	}
 	for _, kind := range Sorted(declared) {
--- a/passing.go
+++ b/passing.go
@@ -148,5 +148,5 @@
 	SendOrder(ctx context.Context, order GroupOrder) error
 	// Probe asks the engine at an address for its report and returns nil if the life
 	// answered, and KindNotFound if a later one did.
-	Probe(ctx context.Context, address string, life Incarnation) error
+	Probe(ctx context.Context, address string, incarnation Incarnation) error
 }
--- a/path.go
+++ b/path.go
@@ -151,7 +151,7 @@
 	// of them the caller must not forward the call.
 	Claim(ctx context.Context, request ClaimRequest) (ClaimResult, error)
 	// Complete records the whole answer of a claimed call.
-	Complete(ctx context.Context, claim Claim, answer *ServiceResponse) error
+	Complete(ctx context.Context, claim Claim, response *ServiceResponse) error
 	// Abandon ends a claim without an answer: OutcomeNotRun, which must be
 	// proven, frees the key; OutcomeUnknown answers later calls with
 	// KindOutcomeUnknown.
--- a/peer.go
+++ b/peer.go
@@ -55,8 +55,8 @@
 
 // CutTopic returns what stands behind the topic's first part, such as a zone's
 // name, and whether the topic begins with it.
-func CutTopic(topic, first Topic) (string, bool) {
-	return strings.CutPrefix(string(topic), string(first))
+func CutTopic(topic, prefix Topic) (string, bool) {
+	return strings.CutPrefix(string(topic), string(prefix))
 }
 
 // UpdateVersion orders the values of a topic.
--- a/prefix.go
+++ b/prefix.go
@@ -23,16 +23,16 @@
 // AppendPrefixBlocks appends the hashes that PrefixBlocks returns to hashes.
 func AppendPrefixBlocks(hashes []uint64, model ModelName, adapter AdapterName, prompt string, limit int) []uint64 {
 	count := min(len(prompt)/PrefixBlockBytes, limit)
-	var link [8]byte
+	var previous [8]byte
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(string(model))
 	_, _ = d.WriteString("\x00")
 	_, _ = d.WriteString(string(adapter))
 	for i := range count {
-		binary.LittleEndian.PutUint64(link[:], d.Sum64())
+		binary.LittleEndian.PutUint64(previous[:], d.Sum64())
 		d.Reset()
-		_, _ = d.Write(link[:])
+		_, _ = d.Write(previous[:])
 		_, _ = d.WriteString(prompt[i*PrefixBlockBytes : (i+1)*PrefixBlockBytes])
 		hashes = append(hashes, d.Sum64())
 	}
--- a/quarantine.go
+++ b/quarantine.go
@@ -56,14 +56,14 @@
 	// being found out.
 	Quarantined(ctx context.Context, content ContentDigest) (time.Duration, bool)
 	// ReportInterrupted takes that a call broke off at a server that was registered as live.
-	ReportInterrupted(content ContentDigest, life Incarnation)
+	ReportInterrupted(content ContentDigest, incarnation Incarnation)
 	// ReportCompleted takes that a server answered a call whole.
 	ReportCompleted(content ContentDigest)
 }
 
 // QuarantinedError returns the error of a call that is kept from servers for some time.
-func QuarantinedError(left time.Duration) error {
-	return &Error{Kind: KindCallQuarantined, Detail: "servers ended under calls with this content", RetryAfter: left}
+func QuarantinedError(remaining time.Duration) error {
+	return &Error{Kind: KindCallQuarantined, Detail: "servers ended under calls with this content", RetryAfter: remaining}
 }
 
 // ContentRecordStore are a node's records, for exchange with other nodes.
--- a/routing.go
+++ b/routing.go
@@ -194,8 +194,8 @@
 }
 
 // Compare orders incarnations by instance, and by start among those of one instance.
-func (l Incarnation) Compare(other Incarnation) int {
-	return cmp.Or(cmp.Compare(l.Instance, other.Instance), cmp.Compare(l.StartMS, other.StartMS))
+func (i Incarnation) Compare(other Incarnation) int {
+	return cmp.Or(cmp.Compare(i.Instance, other.Instance), cmp.Compare(i.StartMS, other.StartMS))
 }
 
 // Membership is an instance's own word on the group that it belongs to.
