--- a/claims.go
+++ b/claims.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// CommitClaimsRequest hands operations on one shard of the claims to the node
+// CommitClaimsRequest forwards operations on one shard of the claims to the node
 // that commits them for its region. Fields are encoded by position.
 type CommitClaimsRequest struct {
 	_ struct{} `cbor:",toarray"`
@@ -12,8 +12,8 @@
 	Operations []byte
 }
 
-// CommitClaimsResponse holds the results of operations that are proven to be in
-// the object API.
+// CommitClaimsResponse holds the results of operations that are known to be
+// stored in the object API.
 type CommitClaimsResponse struct {
 	_  struct{} `cbor:",toarray"`
 	At Timestamp
@@ -21,13 +21,13 @@
 	Results []byte
 }
 
-// ClaimsCaller hands claims to another node by address. After an error the
-// operations may have been committed, or may still be.
+// ClaimsCaller forwards claim operations to the node at an address. After an
+// error they may already be committed, or may be committed later.
 type ClaimsCaller interface {
 	CommitClaims(ctx context.Context, address string, request *CommitClaimsRequest) (*CommitClaimsResponse, error)
 }
 
-// ClaimsHandler commits other nodes' claims.
+// ClaimsHandler commits claim operations for other nodes.
 type ClaimsHandler interface {
 	CommitClaims(ctx context.Context, request *CommitClaimsRequest) (*CommitClaimsResponse, error)
 }
--- a/content.go
+++ b/content.go
@@ -6,18 +6,17 @@
 	"encoding/hex"
 )
 
-// ContentDigest tells what a call asks for, and for whom: calls of one workspace with the
-// same host, target and body have the same one, whichever node takes them and whatever
-// identifiers clients give them. It is lower-case hex of contentBytes bytes.
+// ContentDigest identifies what a call asks for, and for whom: calls of one workspace with
+// the same host, target and body have the same digest, whichever node receives them and
+// whatever identifiers the clients give them. It is digestBytes bytes in lower-case hex.
 type ContentDigest string
 
-// digestBytes is the length of a digest's bytes. A caller that could make up a body with
-// another workspace's digest could have that workspace's call taken for its own; against
-// 128 bits of SHA-256 it can't.
+// digestBytes is the length of a digest. At 128 bits of SHA-256 a caller can't construct a
+// body that has the digest of another workspace's call, and so be taken for that call.
 const digestBytes = 16
 
-// ContentDigest returns the call's digest, for the workspace whose key it has; empty for a call
-// that needs no key.
+// ContentDigest returns the digest of the call for the workspace that its key belongs to;
+// workspace is empty if the call needs no key.
 func (c *ProxiedCall) ContentDigest(workspace WorkspaceName) ContentDigest {
 	return digestOf(c.Body, string(workspace), c.Host, c.Target)
 }
@@ -32,14 +31,14 @@
 	return digestOf(c.Body, string(c.Workspace), string(c.Service), c.Path)
 }
 
-// digestOf returns the digest of some names and a body. Each name stands behind its
-// length, so that nothing moves from one to the next.
+// digestOf returns the digest of names and a body. Each name is prefixed with its length,
+// so that different splits of the same bytes have different digests.
 func digestOf(body []byte, names ...string) ContentDigest {
 	h := sha256.New()
 	for _, name := range names {
 		var length [8]byte
 		binary.BigEndian.PutUint64(length[:], uint64(len(name)))
-		_, _ = h.Write(length[:]) // a hash takes all bytes
+		_, _ = h.Write(length[:]) // hash.Hash never returns an error
 		_, _ = h.Write([]byte(name))
 	}
 	_, _ = h.Write(body)
--- a/content_test.go
+++ b/content_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Story: a caller sends the same thing again, with another identifier, key and deadline.
-// It is the same content; anything else in target, workspace or body is another.
+// A digest ignores the call's identifier, key and deadline, and changes with the target,
+// the workspace or the body.
 func TestContentDigestCoversTargetWorkspaceAndBody(t *testing.T) {
 	call := ProxiedCall{ID: "1", WorkspaceKey: "k", Host: "a", Target: "/x", Body: []byte("body"), PromptTokens: 3}
 	original := call.ContentDigest("w")
--- a/event.go
+++ b/event.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Timestamp is a hybrid logical clock reading: it never goes back at a node
-// and is above every timestamp that the node has seen.
+// Timestamp is a hybrid logical clock reading: at one node it never decreases, and
+// it is greater than every timestamp that the node has received.
 type Timestamp struct {
-	// Wall is milliseconds since the Unix epoch, the highest seen anywhere.
+	// Wall is in milliseconds since the Unix epoch, the highest value seen on any node.
 	Wall int64 `json:"wall" cbor:"1,keyasint"`
 	// Logical orders timestamps with equal Wall.
 	Logical uint32 `json:"logical" cbor:"2,keyasint"`
@@ -19,13 +19,13 @@
 	return t.Logical < u.Logical
 }
 
-// Time returns the wall part as a time.
+// Time returns the wall clock part as a time.
 func (t Timestamp) Time() time.Time { return time.UnixMilli(t.Wall) }
 
-// EventKind is a kind of event on the time line.
+// EventKind is the kind of an event on the timeline.
 type EventKind string
 
-// The kinds of events.
+// Event kinds.
 const (
 	EventNodeStarted          EventKind = "node-started"
 	EventNodeStopping         EventKind = "node-stopping"
@@ -78,12 +78,12 @@
 	EventObjectRefused        EventKind = "object-refused"
 )
 
-// Event is an entry of the time line. Fields that do not apply are empty.
+// Event is an entry of the timeline. Fields that do not apply are empty.
 type Event struct {
 	At   Timestamp `json:"at"`
 	Node NodeID    `json:"node"`
-	// Sequence counts the node's events from 1 without gaps, so that a reader
-	// sees an overrun.
+	// Sequence counts the node's events from 1 without gaps, so that a reader can
+	// detect that events were overwritten before it read them.
 	Sequence   uint64     `json:"sequence"`
 	Kind       EventKind  `json:"kind"`
 	Zone       ZoneID     `json:"zone,omitempty"`
@@ -95,8 +95,8 @@
 	Detail     string     `json:"detail,omitempty"`
 }
 
-// Recorder takes events for the time line; it never blocks. Node, Sequence and
-// At are filled in by the recorder.
+// Recorder adds events to the timeline; Record never blocks. The recorder fills in
+// Node, Sequence and At.
 type Recorder interface {
 	Record(event Event)
 }
--- a/follow.go
+++ b/follow.go
@@ -2,56 +2,58 @@
 
 import "context"
 
-// FollowRequest asks a node for what has changed under a prefix that it follows
-// in the object API. Fields are encoded by position, since it travels each second.
+// FollowRequest asks a node for the changes under a prefix of the object API that
+// it follows. Fields are encoded by position to keep the message small, because it
+// is sent every second.
 type FollowRequest struct {
 	_      struct{} `cbor:",toarray"`
 	Prefix string
-	// After is the revision that the sender has; 0 asks for all objects.
+	// After is the revision that the sender holds; 0 asks for all objects.
 	After Revision
-	// WaitMS is how long the answer may wait for a change, in milliseconds.
+	// WaitMS is how long the receiver may wait for a change, in milliseconds.
 	WaitMS int64
 }
 
-// FollowResponse tells what changed.
+// FollowResponse holds the changes.
 type FollowResponse struct {
 	_  struct{} `cbor:",toarray"`
 	At Timestamp
-	// Snapshot says that Objects are all objects under the prefix, not changes.
+	// Snapshot says that Objects are all objects under the prefix rather than changes.
 	Snapshot bool
 	Objects  []Object
 	Revision Revision
-	// WaitedMS is how long the answer waited, AgeMS how long before it left its
-	// objects were the newest ones for certain, in milliseconds.
+	// WaitedMS is how long the receiver waited for a change. AgeMS bounds the age of the
+	// response when it was sent: that long before, the objects are known to have been
+	// the newest ones. Both are in milliseconds.
 	WaitedMS, AgeMS int64
 }
 
-// FollowCaller asks other nodes by address. Errors are as for PeerCaller.
+// FollowCaller sends FollowRequests to the node at an address. Its errors are those
+// of PeerCaller.
 type FollowCaller interface {
 	Follow(ctx context.Context, address string, request *FollowRequest) (*FollowResponse, error)
 }
 
-// FollowHandler answers FollowRequests.
+// FollowHandler handles FollowRequests.
 type FollowHandler interface {
 	Follow(ctx context.Context, request *FollowRequest) (*FollowResponse, error)
 }
 
-// GroupLoad is what some nodes have at a group.
+// GroupLoad is the load that a set of nodes puts on a group.
 type GroupLoad struct {
 	_     struct{} `cbor:",toarray"`
 	Group GroupID
-	// Running is the number of calls that they have sent there and that have not
-	// ended.
+	// Running is the number of calls in flight that the nodes sent to the group.
 	Running int
-	// ActiveNodes is the number of nodes that had an event from there a moment ago.
+	// ActiveNodes is the number of nodes that recently received an event from the group.
 	ActiveNodes int
 }
 
-// ModelDemand is what some nodes are asked for.
+// ModelDemand is the demand for a model at a set of nodes.
 type ModelDemand struct {
 	_     struct{} `cbor:",toarray"`
 	Model ModelName
-	// CallsPerSecond is the number of calls that arrived in the last second or so.
+	// CallsPerSecond is the rate of arriving calls over the last second or so.
 	CallsPerSecond float64
 }
 
@@ -60,47 +62,47 @@
 	_       struct{} `cbor:",toarray"`
 	Groups  []GroupLoad
 	Demands []ModelDemand
-	// Suspects are groups that seem to stand still, newly since the last report.
+	// Suspects are groups newly suspected of having stalled since the last report.
 	Suspects []GroupID
-	// Lost are groups of which an instance was found dark, as long as it is. Only the
-	// holder of the lease tells them.
+	// Lost are groups with an instance that was found unresponsive, for as long as it
+	// stays so. Only the holder of the lease reports them.
 	Lost []GroupID
 	// Nodes is the number of nodes that the report covers.
 	Nodes int
 }
 
-// ExchangeRequest brings a report and asks for the sum of all others.
+// ExchangeRequest carries a load report and asks for the sum of all others.
 type ExchangeRequest struct {
 	_ struct{} `cbor:",toarray"`
-	// From is the node, or the cell of nodes, that the report covers.
+	// From is the node or the cell of nodes that the report covers.
 	From string
-	// Cell says that the report is the sum of a cell.
+	// Cell says that the report is the sum over a cell.
 	Cell   bool
 	Report LoadReport
-	// ContentRecords are records that changed a moment ago, or all that last if the nodes' sums
-	// differed. ContentChecksum is ContentRecordStore.Checksum at the sender.
+	// ContentRecords are the records that changed recently, or all retained ones if the two
+	// nodes' checksums differed. ContentChecksum is the sender's ContentRecordStore.Checksum.
 	ContentRecords  []ContentRecord
 	ContentChecksum uint64
 }
 
-// ExchangeResponse brings the sum of the reports of all others that the node
-// knows; that of its own cell if a cell asked.
+// ExchangeResponse carries the sum of all other reports that the responding node knows,
+// or the report of its own cell if a cell asked.
 type ExchangeResponse struct {
 	_      struct{} `cbor:",toarray"`
 	At     Timestamp
 	Report LoadReport
-	// ContentRecords and ContentSum are as in ExchangeRequest.
+	// ContentRecords and ContentChecksum are as in ExchangeRequest.
 	ContentRecords  []ContentRecord
 	ContentChecksum uint64
 }
 
-// ExchangeCaller sends reports to other nodes by address. Errors are as for
+// ExchangeCaller sends reports to the node at an address. Its errors are those of
 // PeerCaller.
 type ExchangeCaller interface {
 	Exchange(ctx context.Context, address string, request *ExchangeRequest) (*ExchangeResponse, error)
 }
 
-// ExchangeHandler answers ExchangeRequests.
+// ExchangeHandler handles ExchangeRequests.
 type ExchangeHandler interface {
 	Exchange(ctx context.Context, request *ExchangeRequest) (*ExchangeResponse, error)
 }
--- a/kinds.go
+++ b/kinds.go
@@ -8,11 +8,11 @@
 	"github.com/pkg/errors"
 )
 
-// Kind is one of the closed list of error kinds. Each kind has one row in the
-// table that ErrorResponseFor reads; a test holds the list and the table together.
+// Kind is an error kind from a closed list. Each kind has exactly one row in the table
+// that ErrorResponseFor reads; a test compares the table with the list.
 type Kind string
 
-// Kinds that a caller can meet.
+// Kinds that callers can receive.
 const (
 	KindInvalidRequest      Kind = "invalid-request"
 	KindTooLarge            Kind = "too-large"
@@ -41,7 +41,7 @@
 	KindInternal            Kind = "internal"
 )
 
-// Kinds that operators and the system's own processes meet.
+// Kinds that only operators and the system's own processes receive.
 const (
 	KindNotFound        Kind = "not-found"
 	KindConflict        Kind = "conflict"
@@ -57,31 +57,31 @@
 	KindThrottled       Kind = "throttled"
 )
 
-// Outcome says what is known of a call's execution.
+// Outcome is what is known about a call's execution.
 type Outcome string
 
 const (
-	// OutcomeCompleted means that the call ran and the answer is whole.
+	// OutcomeCompleted: the call ran and its response is complete.
 	OutcomeCompleted Outcome = "completed"
-	// OutcomeNotRun means that it is proven that the call did not run.
+	// OutcomeNotRun: it is proven that the call did not run.
 	OutcomeNotRun Outcome = "not-run"
-	// OutcomeUnknown means that the call may have run, wholly or in part.
+	// OutcomeUnknown: the call may have run, completely or in part.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// ErrorResponse is a row of the table from kind to answer.
+// ErrorResponse is the response for an error kind.
 type ErrorResponse struct {
 	Kind Kind
 	// Status is the HTTP status of the problem document.
 	Status int
 	// Title is the problem document's title.
 	Title string
-	// Outcome is what the answer may say of the call; it is never stronger than
-	// what every place that returns the kind can prove.
+	// Outcome is the strongest outcome that may be reported: one that holds in every
+	// place that returns the kind.
 	Outcome Outcome
 	// Retry says whether the caller may send the same call again.
 	Retry bool
-	// RetryAfter is the default delay sent to the caller; 0 sends none.
+	// RetryAfter is the default delay that is sent to the caller; 0 sends none.
 	RetryAfter time.Duration
 }
 
@@ -134,11 +134,11 @@
 	return m
 }()
 
-// ErrorResponses returns the table from kind to answer, in its documented order.
+// ErrorResponses returns the responses of all kinds, in their documented order.
 func ErrorResponses() []ErrorResponse { return append([]ErrorResponse(nil), errorResponses...) }
 
-// ErrorResponseFor returns the row of the table for k; an unlisted kind is answered
-// as KindInternal, whose outcome claims nothing.
+// ErrorResponseFor returns the response for kind k. For an unlisted kind it is that of
+// KindInternal, whose outcome is unknown.
 func ErrorResponseFor(k Kind) ErrorResponse {
 	if r, ok := responsesByKind[k]; ok {
 		return r
@@ -146,13 +146,13 @@
 	return responsesByKind[KindInternal]
 }
 
-// Error is an error of one of the listed kinds.
+// Error is an error with a kind from the list.
 type Error struct {
 	Kind Kind
-	// Detail is one sentence for the reader of the answer or the log; it holds
-	// no secret and no other workspace's data.
+	// Detail is one sentence for the response or the log. It contains no secret and no
+	// data of other workspaces.
 	Detail string
-	// RetryAfter replaces the table's default if it is above 0.
+	// RetryAfter overrides the kind's default delay if it is above 0.
 	RetryAfter time.Duration
 	// Cause may be nil; it is never shown to callers.
 	Cause error
@@ -186,8 +186,8 @@
 	return &Error{Kind: k, Detail: detail, Cause: cause}
 }
 
-// KindOf returns the kind of err: the nearest Error in its chain, "" for nil,
-// and KindInternal if there is none.
+// KindOf returns the kind of the first Error in err's chain, "" for a nil error, and
+// KindInternal if the chain has no Error.
 func KindOf(err error) Kind {
 	if err == nil {
 		return ""
@@ -199,7 +199,7 @@
 	return KindInternal
 }
 
-// IsKind reports whether err is of one of the kinds.
+// IsKind reports whether err is not nil and KindOf(err) is one of kinds.
 func IsKind(err error, kinds ...Kind) bool {
 	if err == nil {
 		return false
--- a/kinds_test.go
+++ b/kinds_test.go
@@ -12,8 +12,8 @@
 	pkgerrors "github.com/pkg/errors"
 )
 
-// declaredKinds reads the constants of type Kind out of the source, so that a
-// kind can't be added without its row.
+// declaredKinds reads the constants of type Kind from the source, so that a kind without
+// a row in the table is found.
 func declaredKinds(t *testing.T) Set[string] {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), "kinds.go", nil, 0)
@@ -50,13 +50,13 @@
 			t.Errorf("row for undeclared kind %s", r.Kind)
 		}
 		if r.Status < 400 || r.Title == "" || r.Outcome == "" {
-			t.Errorf("row of %s is not whole: %+v", r.Kind, r)
+			t.Errorf("row of %s is incomplete: %+v", r.Kind, r)
 		}
 		if r.Outcome == OutcomeCompleted {
 			t.Errorf("kind %s claims a completed call", r.Kind)
 		}
 		if !r.Retry && r.RetryAfter != 0 {
-			t.Errorf("kind %s forbids a retry and says when to retry", r.Kind)
+			t.Errorf("kind %s forbids a retry but has a delay for it", r.Kind)
 		}
 	}
 	for _, kind := range Sorted(declared) {
@@ -85,7 +85,7 @@
 		})
 	}
 	if got := ErrorResponseFor("no-such-kind"); got.Outcome != OutcomeUnknown {
-		t.Errorf("an unlisted kind claims outcome %s", got.Outcome)
+		t.Errorf("an unlisted kind has outcome %s", got.Outcome)
 	}
 }
 
--- a/names.go
+++ b/names.go
@@ -2,20 +2,20 @@
 
 import "fmt"
 
-// Names of the things the system deals with. They are opaque strings in kebab
-// case; a name is never reused for another thing while the first one exists.
+// Names of what the system manages. They are opaque kebab-case strings; a name is not
+// reused while the thing that it names exists.
 type (
-	// InstanceID names a backend server's machine.
+	// InstanceID names an instance, the machine of a backend server.
 	InstanceID string
-	// DomainID names a fabric domain, a set of instances with a fast network.
+	// DomainID names a fabric domain, a set of instances connected by a fast network.
 	DomainID string
 	// ZoneID names an availability zone.
 	ZoneID string
 	// RegionID names a region, a set of availability zones.
 	RegionID string
-	// GroupID names a replica group. A re-formed group gets a new name.
+	// GroupID names a replica group. A group that is formed again gets a new name.
 	GroupID string
-	// NodeID names an entry node, a process of garnetd on an entry instance.
+	// NodeID names an entry node, a garnetd process on an entry instance.
 	NodeID string
 	// ModelName names a model in the manifest.
 	ModelName string
@@ -23,17 +23,17 @@
 	VersionName string
 	// AdapterName names an adapter of a model.
 	AdapterName string
-	// WorkspaceName names a workspace, the unit of access and of limits.
+	// WorkspaceName names a workspace, the unit of access control and limits.
 	WorkspaceName string
 	// ServiceName names a plain service.
 	ServiceName string
-	// CallID names one attempt's call; backend servers echo it.
+	// CallID identifies a call or one attempt of it; backend servers echo it.
 	CallID string
-	// Generation counts accepted manifests from 1; 0 means none.
+	// Generation numbers the accepted manifests from 1; 0 means none.
 	Generation uint64
 	// Revision is the object API's version of an object; 0 means absent.
 	Revision uint64
-	// Watts is electric power.
+	// Watts is electric power in watts.
 	Watts int64
 )
 
@@ -47,11 +47,11 @@
 func (w WeightID) String() string { return string(w.Model) + "@" + string(w.Version) }
 
 // FencingToken orders the decisions about an instance or a group: the high 32
-// bits are the lease term of the controller that issued it, the low 32 bits
-// count within the term (rule G3).
+// bits are the lease term of the controller that issued it, the low 32 bits are
+// a sequence number within the term (rule G3).
 type FencingToken uint64
 
-// NewFencingToken joins a term and a sequence number.
+// NewFencingToken returns the token of a term and a sequence number.
 func NewFencingToken(term, sequence uint32) FencingToken {
 	return FencingToken(uint64(term)<<32 | uint64(sequence))
 }
@@ -59,8 +59,8 @@
 // Term returns the lease term under which the token was issued.
 func (t FencingToken) Term() uint32 { return uint32(t >> 32) }
 
-// Sequence returns the token's position within its term.
+// Sequence returns the sequence number within the term.
 func (t FencingToken) Sequence() uint32 { return uint32(t) }
 
-// String returns term.sequence.
+// String returns the token as term.sequence.
 func (t FencingToken) String() string { return fmt.Sprintf("%d.%d", t.Term(), t.Sequence()) }
--- a/path.go
+++ b/path.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// ManifestSource gives the manifest in force at the node.
+// ManifestSource provides the manifest in force at the node.
 type ManifestSource interface {
-	// Manifest returns the newest manifest in force, which nobody changes, or
-	// false before the first one. It takes no lock that a writer holds for long:
-	// every call on the path reads it.
+	// Manifest returns the newest manifest in force, which must not be modified, or
+	// false if there is none yet. Every call reads it, so it takes no lock that a writer
+	// holds for long.
 	Manifest() (*AcceptedManifest, bool)
 }
 
-// AttemptResult says how one attempt at a group or a backend server ended.
+// AttemptResult describes how an attempt at a group or a backend server ended.
 type AttemptResult struct {
-	// Phase is PhaseDone for a whole answer.
+	// Phase is PhaseDone if the response is complete.
 	Phase CallPhase
-	// Stalled says that the connection made no progress, and a probe on a new
+	// Stalled says that the connection made no progress although a probe over a new
 	// connection found the engine alive.
 	Stalled bool
-	// StaleToken says that the engine refused the attempt's fencing token: the
-	// chooser's view of the group is out of date.
+	// StaleToken says that the engine refused the attempt's fencing token, so the
+	// chooser's view of the group is outdated.
 	StaleToken bool
 	// Leaving says that the server refused the attempt because it is leaving.
 	Leaving bool
-	// Cancelled says that the caller or the node ended the attempt, so that it
+	// Cancelled says that the caller or the node ended the attempt, so that its result
 	// tells nothing about the backend server.
 	Cancelled bool
 	// FirstToken is the time from the start of the attempt to its first token;
-	// 0 if none came.
+	// 0 if there was none.
 	FirstToken time.Duration
 	// Elapsed is the time from the start of the attempt to its end.
 	Elapsed time.Duration
@@ -37,123 +37,122 @@
 	Tokens int
 }
 
-// GroupChooser chooses the replica group for an attempt of a call. It is safe
-// for concurrent use and does no I/O.
+// GroupChooser chooses the replica group for an attempt. It is safe for concurrent
+// use and does no I/O.
 type GroupChooser interface {
 	// Choose returns a serving group that is not in tried, or an error of kind
-	// KindNoGroup. It counts nothing: the caller reports with AttemptStarted.
+	// KindNoGroup. It does not count an attempt; the caller does with AttemptStarted.
 	Choose(now time.Time, call *CallRequest, tried []GroupID) (GroupView, error)
 	// AttemptStarted counts an attempt as in flight. Each AttemptStarted is followed by
 	// exactly one AttemptFinished.
 	AttemptStarted(now time.Time, call *CallRequest, group GroupID)
-	// AttemptFinished ends an attempt.
+	// AttemptFinished counts an attempt as ended.
 	AttemptFinished(now time.Time, call *CallRequest, group GroupID, result AttemptResult)
-	// ReportLoad takes the load that an engine sent back on an answer.
+	// ReportLoad updates a group's load with the one reported in a response.
 	ReportLoad(now time.Time, group GroupID, load EngineLoad)
 }
 
 // ServerChooser chooses the backend server of a plain service. It is safe for
 // concurrent use and does no I/O.
 type ServerChooser interface {
-	// ChooseServer returns a server that may get new work and is not in tried,
-	// or an error of kind KindNoBackend.
+	// ChooseServer returns a server that may get new work and is not in tried, or an
+	// error of kind KindNoBackend.
 	ChooseServer(now time.Time, service ServiceName, tried []InstanceID) (ServerView, error)
 	// ServerCallStarted counts a call as in flight. Each ServerCallStarted is followed
 	// by exactly one ServerCallFinished.
 	ServerCallStarted(now time.Time, service ServiceName, instance InstanceID)
-	// ServerCallFinished ends a call.
+	// ServerCallFinished counts a call as ended.
 	ServerCallFinished(now time.Time, service ServiceName, instance InstanceID, result AttemptResult)
 }
 
-// AdmitRequest asks for a call to be admitted under its workspace's limits.
+// AdmitRequest asks for the admission of a call under its workspace's limits.
 type AdmitRequest struct {
 	Workspace WorkspaceName
 	// Model is the model that the call needs; empty for calls to plain services,
 	// which use no model capacity.
 	Model ModelName
-	// Priority is the workspace's; a higher one is shed later.
+	// Priority is the workspace's priority; higher ones are shed later.
 	Priority int
-	// Tokens estimates prompt and answer; 0 for calls to plain services.
+	// Tokens is the estimated total of prompt and output; 0 for calls to plain services.
 	Tokens int
 	// Received is when the node read the request.
 	Received time.Time
-	// FirstTokenBy is the deadline of the first token; a call that can't make it
-	// is refused at once.
+	// FirstTokenBy is the deadline of the first token; a call that can't meet it is
+	// refused immediately.
 	FirstTokenBy time.Time
 }
 
-// ModelCapacity is what a node sees of the groups that may serve a model now.
+// ModelCapacity is a node's view of the groups that may serve a model now.
 type ModelCapacity struct {
 	Model ModelName
-	// Slots is the number of calls that the model's eligible groups batch
-	// together, over the whole site as far as the node sees it.
+	// Slots is the number of calls that the model's eligible groups can batch, over the
+	// whole site as far as the node knows.
 	Slots int
-	// InUse is the estimated number of calls in those groups, from all nodes.
+	// InUse is the estimated number of calls running in those groups, from all nodes.
 	InUse float64
-	// FirstToken is the usual time from the start of an attempt to its first
-	// token, by the node's own measurements; 0 if it has none.
+	// FirstToken is the typical time from the start of an attempt to its first token, as
+	// measured by the node; 0 if it has no measurement.
 	FirstToken time.Duration
 }
 
-// Admitter holds workspaces to their limits and the node to its capacity.
+// Admitter enforces the limits of workspaces and the capacity of the node.
 type Admitter interface {
-	// Admit returns a ticket, at once or after a wait in a bounded queue, or an
+	// Admit returns a ticket, immediately or after waiting in a bounded queue, or an
 	// error of kind KindOverLimit, KindOverloaded, KindDeadlineUnreachable (each with a
-	// RetryAfter), KindShuttingDown or, if ctx ended, KindCancelled. A call that
-	// was not admitted did not run.
+	// RetryAfter), KindShuttingDown or, if ctx ended, KindCancelled. A call that is not
+	// admitted does not run.
 	Admit(ctx context.Context, request AdmitRequest) (Ticket, error)
 }
 
-// Ticket is the admission of one call.
+// Ticket is the admission of a call.
 type Ticket interface {
-	// Done gives the ticket back with the tokens that the call really used. It
-	// is called once.
+	// Done returns the ticket with the number of tokens that the call used. It must be
+	// called exactly once.
 	Done(tokens int)
 }
 
-// ClaimRequest asks for the sole right to forward a call with an idempotency
+// ClaimRequest asks for the exclusive right to forward a call with an idempotency
 // key.
 type ClaimRequest struct {
 	Workspace WorkspaceName
 	Service   ServiceName
 	// Key is the caller's idempotency key; not empty.
 	Key string
-	// BodyHash covers method, path and body: the same key with another hash is
-	// refused.
+	// BodyHash covers method, path and body; a claim with the same key and a different
+	// hash is refused.
 	BodyHash [32]byte
-	// Call is the call that claims; a lost answer is read back by it.
+	// Call is the claiming call; it identifies the claim on reading back after a lost response.
 	Call CallID
-	// Until is when the call has ended at the latest. From then on a claim
-	// without a recorded answer is answered as KindOutcomeUnknown; it is never
-	// given to another call.
+	// Until is the latest time at which the call ends. From then on, a claim without a
+	// recorded response is answered with KindOutcomeUnknown; it is never given to
+	// another call.
 	Until time.Time
 }
 
-// Claim is the sole right to forward one keyed call.
+// Claim is the exclusive right to forward one call with an idempotency key.
 type Claim struct {
 	ClaimRequest
 }
 
-// ClaimResult is either a claim or an earlier call's recorded answer.
+// ClaimResult is either a claim or the recorded response of an earlier call.
 type ClaimResult struct {
-	// Claim is meaningful if Recorded is absent.
+	// Claim is valid only if Recorded is absent.
 	Claim Claim
-	// Recorded is the whole answer of the call that used the key first.
+	// Recorded is the complete response of the call that first used the key.
 	Recorded Option[ServiceResponse]
 }
 
-// Claimer keeps rule G6 for calls with an idempotency key over all nodes.
+// Claimer enforces rule G6 across all nodes for calls with an idempotency key.
 type Claimer interface {
-	// Claim returns a claim if the key is free, so that no other call gets one
-	// for it, or the recorded answer. Errors are of kind KindKeyReused,
-	// KindInProgress, KindOutcomeUnknown, KindClaimsUnavailable (the object API
-	// can't be asked or its answer stays unknown) or KindCancelled; after each
-	// of them the caller must not forward the call.
+	// Claim returns a claim if the key is unused, so that no other call gets one
+	// for it, or the recorded response. Errors are of kind KindKeyReused,
+	// KindInProgress, KindOutcomeUnknown, KindClaimsUnavailable (the object API is
+	// unavailable or its response stays unknown) or KindCancelled; after any of them
+	// the caller must not forward the call.
 	Claim(ctx context.Context, request ClaimRequest) (ClaimResult, error)
-	// Complete records the whole answer of a claimed call.
+	// Complete records the complete response of a claimed call.
 	Complete(ctx context.Context, claim Claim, response *ServiceResponse) error
-	// Abandon ends a claim without an answer: OutcomeNotRun, which must be
-	// proven, frees the key; OutcomeUnknown answers later calls with
-	// KindOutcomeUnknown.
+	// Abandon ends a claim without a response. OutcomeNotRun, which must be proven,
+	// frees the key; with OutcomeUnknown, later calls get KindOutcomeUnknown.
 	Abandon(ctx context.Context, claim Claim, outcome Outcome) error
 }
--- a/peer.go
+++ b/peer.go
@@ -6,41 +6,41 @@
 	"time"
 )
 
-// NodeInfo describes an entry node. Like the other types that travel with each
-// heartbeat, it has numbers for its fields between nodes: they shorten a
-// heartbeat by a third, and are never given to another field.
+// NodeInfo describes an entry node. Like all types that are part of heartbeats, it
+// is encoded with numbered fields between nodes to keep heartbeats small. A number is
+// never reassigned to another field.
 type NodeInfo struct {
 	ID NodeID `json:"id" cbor:"1,keyasint"`
-	// Incarnation grows with each start of the node's process.
+	// Incarnation increases with each start of the node's process.
 	Incarnation uint64 `json:"incarnation" cbor:"2,keyasint"`
-	// Address is where the node's peers reach it.
+	// Address is where other nodes reach the node.
 	Address string   `json:"address" cbor:"3,keyasint"`
 	Zone    ZoneID   `json:"zone" cbor:"4,keyasint"`
 	Region  RegionID `json:"region" cbor:"5,keyasint"`
-	// Ready says that the node takes calls.
+	// Ready says that the node accepts calls.
 	Ready bool `json:"ready" cbor:"6,keyasint"`
-	// Program is the node's program version.
+	// Program is the version of the node's program.
 	Program string `json:"program" cbor:"7,keyasint"`
-	// MilliCPU is the part of a core that the node may use, in thousandths; 0 if it is
-	// not known.
+	// MilliCPU is the share of a core that the node may use, in thousandths; 0 if it is
+	// unknown.
 	MilliCPU int `json:"processor,omitempty" cbor:"8,keyasint,omitempty"`
 }
 
-// Roster is the list of a zone's entry nodes, an object of its own.
+// Roster is the list of a zone's entry nodes, stored as one object.
 type Roster struct {
 	Zone ZoneID `json:"zone"`
 	// Nodes are sorted by ID.
 	Nodes []NodeInfo `json:"nodes"`
-	// Version grows with each change.
+	// Version increases with each change.
 	Version uint64 `json:"version"`
 	WriteID string `json:"write-id"`
 }
 
-// Topic names a value that is distributed to all nodes; the newest version
+// Topic names a value that is distributed to all nodes. The newest version
 // wins.
 type Topic string
 
-// Topics; those of a zone have the zone's name behind them.
+// Topics; the per-zone topics, which end with a slash, are followed by the zone's name.
 const (
 	TopicManifest         Topic = "manifest"
 	TopicProposal         Topic = "proposal"
@@ -53,17 +53,17 @@
 	TopicQuarantinedCalls Topic = "held-calls"
 )
 
-// CutTopic returns what stands behind the topic's first part, such as a zone's
-// name, and whether the topic begins with it.
+// CutTopic returns the topic without the leading prefix, such as a zone's name, and
+// reports whether the topic begins with prefix.
 func CutTopic(topic, prefix Topic) (string, bool) {
 	return strings.CutPrefix(string(topic), string(prefix))
 }
 
-// UpdateVersion orders the values of a topic.
+// UpdateVersion orders the versions of a topic's value.
 type UpdateVersion struct {
-	// Term is the writer's lease term, or 0 where the object API orders writes.
+	// Term is the writer's lease term; 0 if the object API orders the writes.
 	Term uint32 `json:"term" cbor:"1,keyasint"`
-	// Sequence counts within the term.
+	// Sequence numbers the versions within the term.
 	Sequence uint64 `json:"sequence" cbor:"2,keyasint"`
 }
 
@@ -82,7 +82,7 @@
 	Body    []byte        `json:"body" cbor:"3,keyasint"`
 }
 
-// GroupView is what routers know of a group.
+// GroupView is what routers know about a group.
 type GroupView struct {
 	ID       GroupID       `json:"id"`
 	Zone     ZoneID        `json:"zone"`
@@ -91,18 +91,18 @@
 	Version  VersionName   `json:"version"`
 	Adapters []AdapterName `json:"adapters,omitempty"`
 	Token    FencingToken  `json:"token"`
-	// Address is the first member's.
+	// Address is the address of the first member.
 	Address string       `json:"address"`
 	State   GroupState   `json:"state"`
 	Members []InstanceID `json:"members"`
-	// Confirmed is false as soon as a member's confirmation is missing.
+	// Confirmed says that no member's confirmation is missing.
 	Confirmed bool       `json:"confirmed"`
 	Load      EngineLoad `json:"load"`
-	// Slow marks a straggler by latency.
+	// Slow marks a group that is a straggler by its latency.
 	Slow bool `json:"slow,omitempty"`
 }
 
-// ServerView is what routers know of a plain service's backend server.
+// ServerView is what routers know about a plain service's backend server.
 type ServerView struct {
 	Instance InstanceID  `json:"instance"`
 	Service  ServiceName `json:"service"`
@@ -111,43 +111,42 @@
 	Leaving  bool        `json:"leaving,omitempty"`
 }
 
-// EngineView names an engine instance and where it is probed.
+// EngineView identifies an engine instance and the address to probe it at.
 type EngineView struct {
 	Instance InstanceID `json:"instance"`
 	Address  string     `json:"address"`
 }
 
-// ZoneView is what a zone's controller tells all nodes of the zone's backend
+// ZoneView is what a zone's controller tells all nodes about the zone's backend
 // servers.
 type ZoneView struct {
 	Zone ZoneID `json:"zone"`
-	// Controller is the node that holds the zone's lease; nodes of the zone
-	// report to it.
+	// Controller is the node that holds the zone's lease; the zone's nodes report to it.
 	Controller NodeInfo     `json:"controller"`
 	Groups     []GroupView  `json:"groups"`
 	Servers    []ServerView `json:"servers"`
-	// Engines are the zone's engine instances, in groups or not, sorted by
+	// Engines are the zone's engine instances, whether in groups or not, sorted by
 	// Instance; the zone's nodes probe them.
 	Engines []EngineView `json:"engines,omitempty"`
-	// Metrics are the zone's counters of the two measures.
+	// Metrics are the zone's group downtime and stranded time.
 	Metrics ZoneMetrics `json:"measures"`
 }
 
-// ZoneMetrics are the users' two measures, counted since the controller's start.
+// ZoneMetrics are the two metrics that operators optimize, since the controller's start.
 type ZoneMetrics struct {
-	// GroupDowntime sums the time that wanted groups did not serve.
+	// GroupDowntime is the total time for which wanted groups did not serve.
 	GroupDowntime time.Duration `json:"group-downtime"`
-	// Stranded sums the time that powered instances did not serve.
+	// Stranded is the total time for which powered instances did not serve.
 	Stranded time.Duration `json:"stranded"`
-	// GroupsDown and InstancesStranded are the numbers now.
+	// GroupsDown and InstancesStranded are the current numbers.
 	GroupsDown        int `json:"groups-down"`
 	InstancesStranded int `json:"instances-stranded"`
-	// Drawn is the pessimistic draw now, Limit the zone's grant.
+	// Drawn is the current pessimistic power draw, Limit the zone's grant.
 	Drawn Watts `json:"drawn"`
 	Limit Watts `json:"limit"`
 }
 
-// Demand is a node's demand for one workspace, averaged over some seconds.
+// Demand is a node's demand for a workspace, averaged over a few seconds.
 type Demand struct {
 	Workspace         WorkspaceName `json:"workspace"`
 	RequestsPerSecond float64       `json:"requests-per-second"`
@@ -159,49 +158,48 @@
 type HeartbeatRequest struct {
 	From NodeInfo  `json:"from" cbor:"1,keyasint"`
 	At   Timestamp `json:"at" cbor:"2,keyasint"`
-	// Versions are the newest versions that the sender holds, so that the other
-	// side can send what is missing.
+	// Versions are the newest versions that the sender holds, so that the receiver
+	// can send what is missing.
 	Versions map[Topic]UpdateVersion `json:"versions,omitempty" cbor:"3,keyasint,omitempty"`
 	Demands  []Demand                `json:"demands,omitempty" cbor:"4,keyasint,omitempty"`
-	// Confirmations are the changes that the sender's probes brought, with ages
-	// in place of times.
+	// Confirmations are the results of the sender's probes that changed, with ages
+	// instead of times.
 	Confirmations []ProbeResult `json:"confirmations,omitempty" cbor:"5,keyasint,omitempty"`
-	// Digest sums up the versions that the sender holds; peers with equal
-	// digests have nothing to send each other, so Versions stays empty.
+	// Digest is a hash of the versions that the sender holds. Peers with equal digests
+	// have nothing to send each other, so Versions stays empty.
 	Digest uint64 `json:"digest,omitempty" cbor:"6,keyasint,omitempty"`
-	// IndirectProbes names nodes that the sender can't reach. The receiver answers in Alive
-	// and tries them itself.
+	// IndirectProbes are nodes that the sender can't reach. The receiver answers in Alive
+	// and probes them itself.
 	IndirectProbes []NodeInfo `json:"ask,omitempty" cbor:"7,keyasint,omitempty"`
-	// Slow names the groups that are slower than their like by the sender's
+	// Slow names the groups that are slower than comparable groups by the sender's
 	// measurements.
 	Slow []GroupSlowdown `json:"slow,omitempty" cbor:"8,keyasint,omitempty"`
-	// Leaving says that the sender's process is stopping, so that its loss needs
-	// no suspicion.
+	// Leaving says that the sender's process is stopping, so that it need not be
+	// suspected before it counts as lost.
 	Leaving bool `json:"leaving,omitempty" cbor:"9,keyasint,omitempty"`
 }
 
-// GroupSlowdown is a node's measurement of a group.
+// GroupSlowdown is a node's measurement of a group's latency.
 type GroupSlowdown struct {
 	Group GroupID `json:"group"`
-	// Ratio is the group's time for a token over the median group's.
+	// Ratio is the group's time per token divided by that of the median group.
 	Ratio float64 `json:"ratio"`
 }
 
-// AliveNode is a node's word that another one lives.
+// AliveNode is a node's statement that another node is alive.
 type AliveNode struct {
 	ID          NodeID `json:"id" cbor:"1,keyasint"`
 	Incarnation uint64 `json:"incarnation" cbor:"2,keyasint"`
-	// Age is the time since the node was last heard.
+	// Age is the time since the node was last heard from.
 	Age time.Duration `json:"age" cbor:"3,keyasint"`
 }
 
-// ProbeResult is the result of a probe of an engine, as sent between nodes.
+// ProbeResult is the result of a probe of an engine, as exchanged between nodes.
 type ProbeResult struct {
 	Status EngineStatus `json:"status"`
 	// Age is the time since the probe was sent.
 	Age time.Duration `json:"age"`
-	// Failed says that the engine did not answer; Status then holds only the
-	// instance.
+	// Failed says that the engine did not answer; only Status.Instance is then set.
 	Failed bool `json:"failed,omitempty"`
 }
 
@@ -210,38 +208,39 @@
 	From    NodeInfo  `json:"from" cbor:"1,keyasint"`
 	At      Timestamp `json:"at" cbor:"2,keyasint"`
 	Updates []Update  `json:"updates,omitempty" cbor:"3,keyasint,omitempty"`
-	// Versions tells the sender what to send.
+	// Versions are the versions that the responding node holds, so that the sender knows
+	// what to send.
 	Versions map[Topic]UpdateVersion `json:"versions,omitempty" cbor:"4,keyasint,omitempty"`
-	// Digest sums up the versions that the answering node holds.
+	// Digest is a hash of the versions that the responding node holds.
 	Digest uint64 `json:"digest,omitempty" cbor:"5,keyasint,omitempty"`
-	// Alive answers HeartbeatRequest.IndirectProbes: those of the nodes that were heard from.
+	// Alive are those of HeartbeatRequest.IndirectProbes that the node has heard from.
 	Alive []AliveNode `json:"heard,omitempty" cbor:"6,keyasint,omitempty"`
 }
 
-// DistributeRequest hands updates down the distribution tree.
+// DistributeRequest sends updates down the distribution tree.
 type DistributeRequest struct {
 	From    NodeID    `json:"from" cbor:"1,keyasint"`
 	At      Timestamp `json:"at" cbor:"2,keyasint"`
 	Updates []Update  `json:"updates" cbor:"3,keyasint"`
-	// Targets are the addresses that the receiver passes the updates on to.
+	// Targets are the addresses that the receiver forwards the updates to.
 	Targets []string `json:"targets,omitempty" cbor:"4,keyasint,omitempty"`
-	// Hops counts the steps from the origin.
+	// Hops is the number of hops from the origin.
 	Hops int `json:"hops" cbor:"5,keyasint"`
 }
 
-// DistributeResponse acknowledges receipt by the receiver alone.
+// DistributeResponse acknowledges receipt by the receiver only, not by Targets.
 type DistributeResponse struct {
 	At       Timestamp `json:"at"`
 	Accepted int       `json:"accepted"`
 }
 
-// FetchRequest asks for the newest versions of topics; none asks for all.
+// FetchRequest asks for the newest versions of topics; no topics means all.
 type FetchRequest struct {
 	At     Timestamp `json:"at"`
 	Topics []Topic   `json:"topics,omitempty"`
 }
 
-// FetchResponse holds the topics that the peer knows.
+// FetchResponse holds the topics that the responding node knows.
 type FetchResponse struct {
 	At      Timestamp `json:"at"`
 	Updates []Update  `json:"updates"`
@@ -255,17 +254,17 @@
 	Limit int    `json:"limit"`
 }
 
-// EventsResponse holds events in sequence order.
+// EventsResponse holds events ordered by sequence number.
 type EventsResponse struct {
 	At     Timestamp `json:"at"`
 	Node   NodeID    `json:"node"`
 	Events []Event   `json:"events"`
-	// Lost is the number of events after EventsRequest.After that the ring had
-	// already overwritten.
+	// Lost is the number of events after EventsRequest.After that were already
+	// overwritten in the ring buffer.
 	Lost uint64 `json:"lost"`
 }
 
-// StatusRequest asks a node for its view.
+// StatusRequest asks a node for its view of the site.
 type StatusRequest struct {
 	At Timestamp `json:"at"`
 }
@@ -279,54 +278,54 @@
 	Leases     []string   `json:"leases"`
 	Views      []ZoneView `json:"views"`
 	Rosters    []Roster   `json:"rosters"`
-	// ObjectAPIDown says that the node can't reach the object API now.
+	// ObjectAPIDown says that the node can't reach the object API at present.
 	ObjectAPIDown bool `json:"object-api-down"`
 }
 
-// ProposeRequest hands a manifest to a node. Repeating it with the same commit
-// identifier never commits twice; the answer then tells how the first one went.
+// ProposeRequest submits a manifest to a node. Repeating it with the same commit ID
+// never commits twice; the response then reports on the first commit.
 type ProposeRequest struct {
 	At Timestamp `json:"at"`
-	// CommitID is made by the operator's program and unique to the commit.
+	// CommitID is generated by the operator's program and unique to the commit.
 	CommitID string `json:"commit-id"`
-	// Operator is who commits, for others to read.
+	// Operator is who commits, for display.
 	Operator string `json:"operator"`
-	// Base is the generation that the manifest was made from; the manifest
-	// becomes Base+1 or nothing.
+	// Base is the generation that the manifest is based on; if accepted, the manifest
+	// becomes generation Base+1.
 	Base Generation `json:"base"`
-	// Supersedes names the pending commit that this one takes the place of;
-	// empty if there is none.
+	// Supersedes is the ID of the pending commit that this one replaces; empty if it
+	// replaces none.
 	Supersedes string `json:"supersedes,omitempty"`
 	// Text is the manifest's YAML text, at most MaxObjectBytes long.
 	Text []byte `json:"text"`
 }
 
-// ProposeResponse tells how the commit stands.
+// ProposeResponse reports the progress of the commit.
 type ProposeResponse struct {
 	At       Timestamp      `json:"at"`
 	Progress CommitProgress `json:"progress"`
 }
 
-// ProgressRequest asks how a commit stands; an empty CommitID asks for the
+// ProgressRequest asks for the progress of a commit; an empty CommitID means the
 // newest one.
 type ProgressRequest struct {
 	At       Timestamp `json:"at"`
 	CommitID string    `json:"commit-id,omitempty"`
-	// WithManifest asks for the manifest that the node decides by.
+	// WithManifest asks for the manifest that the node uses.
 	WithManifest bool `json:"with-manifest,omitempty"`
 }
 
-// ProgressResponse tells how the commit stands, as the node knows it.
+// ProgressResponse reports the progress of the commit, as far as the node knows it.
 type ProgressResponse struct {
 	At       Timestamp      `json:"at"`
 	Progress CommitProgress `json:"progress"`
-	// Manifest is the JSON of the AcceptedManifest that the node decides by; empty
-	// if it was not asked for or there is none.
+	// Manifest is the JSON of the AcceptedManifest that the node uses; empty if it was
+	// not requested or there is none.
 	Manifest []byte `json:"manifest,omitempty"`
 }
 
-// ReportRequest brings a node's report to the node that gathers the reports of
-// its zone.
+// ReportRequest sends a node's report to the node that collects the reports of its
+// zone.
 type ReportRequest struct {
 	At     Timestamp  `json:"at"`
 	Zone   ZoneID     `json:"zone"`
@@ -336,41 +335,41 @@
 // ReportResponse acknowledges a report.
 type ReportResponse struct {
 	At Timestamp `json:"at"`
-	// Manifest and Proposal are the newest that the receiver knows, so that the
-	// sender sees what it lacks.
+	// Manifest and Proposal are the newest ones that the receiver knows, so that the
+	// sender finds out what it lacks.
 	Manifest Generation `json:"manifest"`
 	Proposal uint64     `json:"proposal"`
 }
 
-// NodeReport is a node's word on the manifest. Of two reports of one node the
-// one with the higher incarnation, then Proposal, then Applied is the newer.
+// NodeReport is a node's report on the manifest. Of two reports of one node, the one
+// with the higher Incarnation, then Proposal, then Applied is newer.
 type NodeReport struct {
 	Node        NodeID `json:"node"`
 	Incarnation uint64 `json:"incarnation"`
-	// Proposal is the number of the newest proposal that the node has judged.
+	// Proposal is the number of the newest proposal that the node has checked.
 	Proposal uint64 `json:"proposal"`
-	// Refusal says why the node can't serve by the proposal; empty if it has
+	// Refusal says why the node can't serve by the proposal; empty if the node has
 	// staged it.
 	Refusal string `json:"refusal,omitempty"`
-	// Applied is the generation that the node decides by; it never decreases
-	// within an incarnation (rule G10).
+	// Applied is the generation that the node uses; it never decreases within an
+	// incarnation (rule G10).
 	Applied Generation `json:"applied"`
-	// StagedAt and AppliedAt are by the node's own clock.
+	// StagedAt and AppliedAt are times on the node's own clock.
 	StagedAt  time.Time `json:"staged-at,omitzero"`
 	AppliedAt time.Time `json:"applied-at,omitzero"`
 }
 
-// ZoneReport joins the reports of a zone's nodes; it is the body of TopicStaged.
+// ZoneReport combines the reports of a zone's nodes; it is the body of TopicStaged.
 type ZoneReport struct {
 	Zone ZoneID `json:"zone"`
 	// Roster is the version of the zone's roster that the writer knew; a reader
 	// with an older one does not know all nodes that must confirm.
 	Roster uint64 `json:"roster"`
-	// Nodes are sorted by node.
+	// Nodes are sorted by node ID.
 	Nodes []NodeReport `json:"nodes"`
 }
 
-// CommitState says how far a commit has come.
+// CommitState is the state of a commit.
 type CommitState string
 
 const (
@@ -378,56 +377,56 @@
 	CommitStaging CommitState = "staging"
 	// CommitHeld commits wait for a zone that does not answer.
 	CommitHeld CommitState = "held"
-	// CommitAccepted commits are the manifest; some nodes have yet to confirm.
+	// CommitAccepted commits have become the manifest, but some nodes have yet to confirm.
 	CommitAccepted CommitState = "accepted"
-	// CommitInForce commits were confirmed by every live node of every zone that
-	// is not left out.
+	// CommitInForce commits were confirmed by every live node of every zone that is not
+	// excluded.
 	CommitInForce CommitState = "in-force"
-	// CommitRefused commits were refused and change nothing.
+	// CommitRefused commits were refused and have no effect.
 	CommitRefused CommitState = "refused"
-	// CommitSuperseded commits gave way to another commit on the same base and
-	// change nothing.
+	// CommitSuperseded commits were replaced by another commit on the same base and have
+	// no effect.
 	CommitSuperseded CommitState = "superseded"
-	// CommitUnknown commits are not in the history that is kept.
+	// CommitUnknown commits are not in the retained history.
 	CommitUnknown CommitState = "unknown"
 )
 
-// CommitProgress tells how a commit stands.
+// CommitProgress is the progress of a commit.
 type CommitProgress struct {
 	CommitID string     `json:"commit-id"`
 	Operator string     `json:"operator"`
 	Base     Generation `json:"base"`
-	// Proposal is the commit's number among the proposals.
+	// Proposal is the commit's proposal number.
 	Proposal uint64      `json:"proposal"`
 	State    CommitState `json:"state"`
-	// Generation is what the commit became; 0 if it was not accepted.
+	// Generation is the generation that the commit became; 0 if it was not accepted.
 	Generation Generation `json:"generation,omitempty"`
 	ProposedAt time.Time  `json:"proposed-at,omitzero"`
 	AcceptedAt time.Time  `json:"accepted-at,omitzero"`
 	InForceAt  time.Time  `json:"in-force-at,omitzero"`
-	// Reason explains held, refused, superseded and unknown.
+	// Reason explains the states held, refused, superseded and unknown.
 	Reason string `json:"reason,omitempty"`
-	// Winner is the commit that was accepted in place of this one or that has
-	// replaced it since.
+	// Winner is the commit that was accepted instead of this one or has replaced it
+	// since.
 	Winner CommitRecord `json:"winner,omitzero"`
 	// Zones are sorted by zone.
 	Zones []ZoneProgress `json:"zones,omitempty"`
 }
 
-// ZoneProgress is a zone's part of a commit's progress.
+// ZoneProgress is the progress of a commit in one zone.
 type ZoneProgress struct {
 	Zone     ZoneID `json:"zone"`
 	Excluded bool   `json:"left-out,omitempty"`
 	// Live is the number of nodes that must confirm.
 	Live int `json:"live"`
-	// Unstaged and Unapplied are the live nodes that have yet to confirm.
+	// Unstaged and Unapplied are the live nodes that have yet to confirm each step.
 	Unstaged  []NodeID `json:"unstaged,omitempty"`
 	Unapplied []NodeID `json:"unapplied,omitempty"`
 	// Nodes are the reports of the live nodes.
 	Nodes []NodeReport `json:"nodes,omitempty"`
 }
 
-// PeerHandler answers other nodes.
+// PeerHandler handles the requests of other nodes.
 type PeerHandler interface {
 	Heartbeat(ctx context.Context, request *HeartbeatRequest) (*HeartbeatResponse, error)
 	Distribute(ctx context.Context, request *DistributeRequest) (*DistributeResponse, error)
@@ -439,8 +438,8 @@
 	Report(ctx context.Context, request *ReportRequest) (*ReportResponse, error)
 }
 
-// PeerCaller calls other nodes by address. Errors are of kind KindUnreachable
-// or KindResponseLost, or the handler's own kind.
+// PeerCaller calls the node at an address. Errors are of kind KindUnreachable or
+// KindResponseLost, or of the kind that the handler returned.
 type PeerCaller interface {
 	Heartbeat(ctx context.Context, address string, request *HeartbeatRequest) (*HeartbeatResponse, error)
 	Distribute(ctx context.Context, address string, request *DistributeRequest) (*DistributeResponse, error)
--- a/ports.go
+++ b/ports.go
@@ -5,48 +5,48 @@
 	"time"
 )
 
-// Object is a stored value with its version.
+// Object is a stored value with its revision.
 type Object struct {
 	Key      string
 	Value    []byte
 	Revision Revision
-	// Deleted is set only in changes that Watch returns.
+	// Deleted is set only in changes returned by Watch.
 	Deleted bool
 }
 
-// ObjectAPI is the platform's store. Every method counts as one call against
-// its rates, a waiting watch too. Errors are of kind KindNotFound,
-// KindConflict, KindCompacted, KindTooLarge, KindThrottled, KindObjectAPIDown
-// (the call may have taken effect only if it was a write and the error is
-// KindResponseLost) or KindResponseLost.
+// ObjectAPI is the platform's object store. Every method call, including a waiting
+// watch, counts against its rate limits. Errors are of kind KindNotFound,
+// KindConflict, KindCompacted, KindTooLarge, KindThrottled, KindObjectAPIDown or
+// KindResponseLost. Only a write that failed with KindResponseLost may have taken
+// effect.
 type ObjectAPI interface {
-	// Get returns the newest object, or KindNotFound.
+	// Get returns the newest version of an object, or KindNotFound.
 	Get(ctx context.Context, key string) (Object, error)
-	// Put writes value if the object's revision is still after; after 0 creates
-	// it. It returns KindConflict if the revision differs.
+	// Put writes value if the object's revision is still after; if after is 0, it creates
+	// the object. It returns KindConflict if the revision differs.
 	Put(ctx context.Context, key string, value []byte, after Revision) (Revision, error)
-	// Delete removes the object if its revision is still after.
+	// Delete deletes the object if its revision is still after.
 	Delete(ctx context.Context, key string, after Revision) error
-	// List returns the objects whose keys begin with prefix, in key order, and
-	// the revision of the whole store that they reflect.
+	// List returns the objects whose keys begin with prefix, in key order, and the
+	// store's revision at which they were read.
 	List(ctx context.Context, prefix string) ([]Object, Revision, error)
 	// Watch waits until an object under prefix changes after revision after, or
-	// wait is over, and returns the changes in order (none at the end of wait)
-	// and the revision to go on from. KindCompacted asks to list again.
+	// until wait has passed. It returns the changes in order (none if wait has passed)
+	// and the revision to continue from. After KindCompacted the caller must list again.
 	Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) ([]Object, Revision, error)
 }
 
-// ListedState is an instance's state in the instance list.
+// ListedState is the state of an instance in the instance list.
 type ListedState string
 
 const (
-	// ListedLive instances run.
+	// ListedLive instances are running.
 	ListedLive ListedState = "live"
 	// ListedLeaving instances will be stopped soon.
 	ListedLeaving ListedState = "leaving"
 )
 
-// ListedInstance is a row of the platform's instance list.
+// ListedInstance is an entry of the platform's instance list.
 type ListedInstance struct {
 	ID      InstanceID  `json:"id"`
 	Address string      `json:"address"`
@@ -58,39 +58,39 @@
 	Service ServiceName `json:"service,omitempty"`
 }
 
-// InstanceList is the platform's list of backend instances. It lags: rows can
-// be missing, stale, or name instances that are gone.
+// InstanceList is the platform's list of backend instances. It lags behind: entries
+// can be missing or outdated, or name instances that no longer exist.
 type InstanceList interface {
-	// Instances returns the rows of one zone.
+	// Instances returns the entries of one zone.
 	Instances(ctx context.Context, zone ZoneID) ([]ListedInstance, error)
 }
 
-// PowerOrder asks for an instance's power to change.
+// PowerOrder orders an instance's power on or off.
 type PowerOrder struct {
-	// ID is unique to the decision; a repeated order has the same one.
+	// ID is unique to the decision; a repeated order has the same ID.
 	ID       string       `json:"id"`
 	Instance InstanceID   `json:"instance"`
 	On       bool         `json:"on"`
 	Token    FencingToken `json:"token"`
 }
 
-// PowerSwitch turns instances on and off. An order's answer can be lost after
-// its effect (KindResponseLost).
+// PowerSwitch turns instances on and off. The response to an order can be lost after
+// the order took effect (KindResponseLost).
 type PowerSwitch interface {
-	// SetPower carries out the order; KindStaleToken refuses it.
+	// SetPower executes the order, or refuses it with KindStaleToken.
 	SetPower(ctx context.Context, order PowerOrder) error
-	// Power returns the instance's proven state: on or off.
+	// Power returns the proven state of the instance's power: on or off.
 	Power(ctx context.Context, instance InstanceID) (PowerState, error)
 }
 
-// OrderKind is what an engine order asks for.
+// OrderKind is the kind of an engine order.
 type OrderKind string
 
 const (
-	// OrderForm makes the instance a member of a group and loads its weights.
+	// OrderForm makes the instance a member of a group and loads the model's weights.
 	OrderForm OrderKind = "form"
-	// OrderRelease takes the instance out of its group; calls end as refused or
-	// finish within the drain.
+	// OrderRelease removes the instance from its group; calls in flight are refused or
+	// finish within the drain time.
 	OrderRelease OrderKind = "release"
 	// OrderDrain stops new calls; those in flight finish.
 	OrderDrain OrderKind = "drain"
@@ -110,26 +110,26 @@
 	Model    ModelName     `json:"model,omitempty"`
 	Version  VersionName   `json:"version,omitempty"`
 	Adapters []AdapterName `json:"adapters,omitempty"`
-	// LoadRate is the instance's share of the weight store in bytes a second; 0
-	// leaves it to the engine.
+	// LoadRate is the instance's share of the weight store's rate in bytes per second; 0
+	// leaves the rate to the engine.
 	LoadRate int64 `json:"load-rate,omitempty"`
 }
 
-// EnginePhase is what an engine is doing.
+// EnginePhase is the phase that an engine is in.
 type EnginePhase string
 
 const (
-	// EngineIdle engines are members of no group.
+	// EngineIdle engines belong to no group.
 	EngineIdle EnginePhase = "idle"
-	// EngineLoading engines load weights.
+	// EngineLoading engines are loading weights.
 	EngineLoading EnginePhase = "loading"
-	// EngineReady engines serve.
+	// EngineReady engines are serving.
 	EngineReady EnginePhase = "ready"
 	// EngineDraining engines take no new calls.
 	EngineDraining EnginePhase = "draining"
 )
 
-// EngineStatus is an engine's own word on its state.
+// EngineStatus is the state that an engine reports of itself.
 type EngineStatus struct {
 	Instance    InstanceID    `json:"instance"`
 	Incarnation uint64        `json:"incarnation"`
@@ -140,9 +140,9 @@
 	Version     VersionName   `json:"version,omitempty"`
 	Adapters    []AdapterName `json:"adapters,omitempty"`
 	Weights     []WeightID    `json:"weights,omitempty"`
-	// LastOrder is the ID of the last order carried out.
+	// LastOrder is the ID of the last order that was executed.
 	LastOrder string `json:"last-order,omitempty"`
-	// Leaving is the server's own word that it will stop.
+	// Leaving says that the server has announced that it will stop.
 	Leaving bool       `json:"leaving,omitempty"`
 	Load    EngineLoad `json:"load"`
 	// CacheEvents is the number of the newest cache event.
@@ -156,35 +156,35 @@
 	Status(ctx context.Context, address string) (EngineStatus, error)
 }
 
-// CacheEvent says that a prompt prefix entered or left an engine's cache.
+// CacheEvent reports that a prompt prefix was added to or evicted from an engine's cache.
 type CacheEvent struct {
-	// Number counts from 1 without gaps at the engine; a gap at the reader means
-	// lost events.
+	// Number counts the engine's events from 1 without gaps; a gap at the reader means
+	// that events were lost.
 	Number uint64 `json:"number"`
-	// Block is the hash of the prefix block.
+	// Block is the hash of the prefix block, as PrefixBlocks computes it.
 	Block uint64 `json:"block"`
 	// Added is false for an eviction.
 	Added bool `json:"added"`
 }
 
-// CacheEvents reads an engine's cache events, which come late and with gaps.
+// CacheEvents reads an engine's cache events, which arrive late and with gaps.
 type CacheEvents interface {
 	CacheEvents(ctx context.Context, address string, after uint64) ([]CacheEvent, error)
 }
 
 // EngineCaller sends calls to replica groups. Errors are *AttemptError.
 type EngineCaller interface {
-	// Generate starts an attempt. The stream is not nil if the error is nil and
-	// must be closed.
+	// Generate starts an attempt. If the error is nil, the stream is not nil and must be
+	// closed.
 	Generate(ctx context.Context, address string, call *EngineCall) (EngineStream, error)
 }
 
-// EngineStream is the answer of one attempt.
+// EngineStream is the response to one attempt.
 type EngineStream interface {
-	// Next fills in the next chunk. After a chunk with End it returns io.EOF;
-	// io.EOF before End never happens: a broken answer is an *AttemptError.
+	// Next reads the next chunk. After a chunk with End it returns io.EOF. It never
+	// returns io.EOF before End: an incomplete response ends with an *AttemptError.
 	Next(chunk *Chunk) error
-	// Close ends the attempt and cancels it at the engine if it is not whole.
+	// Close ends the attempt and cancels it at the engine if the response is incomplete.
 	Close() error
 }
 
@@ -193,10 +193,10 @@
 	Call(ctx context.Context, address string, call *ServiceCall) (ServiceResponse, error)
 }
 
-// WeightStore tells what the rate-limited store of weights can give.
+// WeightStore describes the rate-limited store of weights.
 type WeightStore interface {
-	// Rate is the store's whole rate in bytes a second.
+	// Rate is the store's total rate in bytes per second.
 	Rate(ctx context.Context) (int64, error)
-	// Size returns the bytes of one instance's share of the weights.
+	// Size returns the number of bytes of the weights that one instance loads.
 	Size(ctx context.Context, weights WeightID) (int64, error)
 }
--- a/prefix.go
+++ b/prefix.go
@@ -6,12 +6,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PrefixBlockBytes is the length of a prompt prefix block.
+// PrefixBlockBytes is the length of a prompt prefix block in bytes.
 const PrefixBlockBytes = 256
 
-// PrefixBlocks returns the hashes of the prompt's whole prefix blocks, at most
-// limit of them, as engines name them in cache events: each hash covers the
-// block and all blocks before it, and the model and adapter.
+// PrefixBlocks returns the hashes of the prompt's complete prefix blocks, at most
+// limit of them, as engines report them in cache events. Each hash covers the model,
+// the adapter, the block and all blocks before it.
 func PrefixBlocks(model ModelName, adapter AdapterName, prompt string, limit int) []uint64 {
 	count := min(len(prompt)/PrefixBlockBytes, limit)
 	if count <= 0 {
--- a/quarantine.go
+++ b/quarantine.go
@@ -5,73 +5,73 @@
 	"time"
 )
 
-// CrashState says what is known of a server's life under which a call broke off. A higher
-// one is known for certain by more, and goes before a lower one.
+// CrashState is the evidence on whether a server crashed while running a call. The states
+// are ordered by the strength of the evidence; a stronger one replaces a weaker one.
 type CrashState int
 
 const (
-	// CrashSuspected: the call broke off; whether the server ended is not known.
+	// CrashSuspected: the call was interrupted; whether the server ended is not known.
 	CrashSuspected CrashState = iota
-	// CrashConnectionRefused: its host refuses connections, while another one answers: nobody listens
-	// there. A partition can look the same to one node, so it is asked again.
+	// CrashConnectionRefused: the server's host refuses connections while another server of
+	// its zone answers. A partition can look the same to one node, so the server is probed
+	// again.
 	CrashConnectionRefused
-	// CrashRefuted: the life answered afterwards, so it did not end under the call.
+	// CrashRefuted: the incarnation answered afterwards, so it did not end with the call.
 	CrashRefuted
-	// CrashProven: another life answers in its place. A partition can't make this, as it can
-	// make an entry go, or connections be refused.
+	// CrashProven: another incarnation answers in its place. A partition can't cause this,
+	// whereas it can make an entry expire or connections be refused.
 	CrashProven
 )
 
-// InterruptedRun is a server's life under which a call broke off. Fields are encoded by
-// position, since it travels between nodes.
+// InterruptedRun is an incarnation of a server on which a call was interrupted. Fields are
+// encoded by position, because it is sent between nodes.
 type InterruptedRun struct {
 	_        struct{} `cbor:",toarray"`
 	Instance InstanceID
 	StartMS  int64
-	// AgeMS is how long ago it broke off, in milliseconds; at least 0.
+	// AgeMS is how long ago the call was interrupted, in milliseconds; at least 0.
 	AgeMS int64
 	State CrashState
 }
 
-// Incarnation returns the run of the server's process.
+// Incarnation returns the incarnation of the server.
 func (r *InterruptedRun) Incarnation() Incarnation {
 	return Incarnation{Instance: r.Instance, StartMS: r.StartMS}
 }
 
-// ContentRecord is what is known of the runs of calls with one content.
+// ContentRecord is what is known about the runs of calls with the same content.
 type ContentRecord struct {
 	_      struct{} `cbor:",toarray"`
 	Digest ContentDigest
-	// Runs are those that broke off, of different lives.
+	// Runs are the interrupted ones, each of a different incarnation.
 	Runs []InterruptedRun
-	// LastCompletedAgeMS is how long ago a server last answered such a call whole, in
+	// LastCompletedAgeMS is how long ago a server last completed such a call, in
 	// milliseconds; below 0 if none is known to have.
 	LastCompletedAgeMS int64
 }
 
-// Quarantine keeps calls under which servers end from further servers.
+// Quarantine keeps calls that crash servers away from further servers.
 type Quarantine interface {
-	// Quarantined returns for how long calls with the content are still kept from servers, and
-	// whether they are. It waits for a moment, at most until ctx ends, where that is just
-	// being found out.
+	// Quarantined returns how long calls with the content remain quarantined, and whether
+	// they are. While this is being determined it waits briefly, at most until ctx ends.
 	Quarantined(ctx context.Context, content ContentDigest) (time.Duration, bool)
-	// ReportInterrupted takes that a call broke off at a server that was registered as live.
+	// ReportInterrupted records that a call was interrupted on a server registered as live.
 	ReportInterrupted(content ContentDigest, incarnation Incarnation)
-	// ReportCompleted takes that a server answered a call whole.
+	// ReportCompleted records that a server completed a call.
 	ReportCompleted(content ContentDigest)
 }
 
-// QuarantinedError returns the error of a call that is kept from servers for some time.
+// QuarantinedError returns the error for a call that is quarantined for the remaining time.
 func QuarantinedError(remaining time.Duration) error {
 	return &Error{Kind: KindCallQuarantined, Detail: "servers ended under calls with this content", RetryAfter: remaining}
 }
 
-// ContentRecordStore are a node's records, for exchange with other nodes.
+// ContentRecordStore holds a node's records, for exchange with other nodes.
 type ContentRecordStore interface {
-	// Checksum is the same at nodes that know the same of contents under which two servers or
-	// more have ended.
+	// Checksum is equal on nodes that know the same about the contents on which at least two
+	// servers were interrupted.
 	Checksum() uint64
-	// Recent returns the records that changed a moment ago, Retained those that Checksum is of.
+	// Recent returns the records that changed recently, Retained those that Checksum covers.
 	Recent() []ContentRecord
 	Retained() []ContentRecord
 	Merge(records []ContentRecord)
--- a/values.go
+++ b/values.go
@@ -9,7 +9,7 @@
 // Set is an unordered collection of distinct values.
 type Set[T comparable] map[T]struct{}
 
-// NewSet returns a set of the given values.
+// NewSet returns a set of values.
 func NewSet[T comparable](values ...T) Set[T] {
 	s := make(Set[T], len(values))
 	for _, v := range values {
@@ -18,13 +18,13 @@
 	return s
 }
 
-// Add puts v into the set.
+// Add adds v to the set.
 func (s Set[T]) Add(v T) { s[v] = struct{}{} }
 
-// Remove takes v out of the set.
+// Remove removes v from the set.
 func (s Set[T]) Remove(v T) { delete(s, v) }
 
-// Has reports whether v is in the set. It is safe on a nil set.
+// Has reports whether v is in the set. The set may be nil.
 func (s Set[T]) Has(v T) bool {
 	_, ok := s[v]
 	return ok
@@ -33,11 +33,11 @@
 // Sorted returns the values of a set in ascending order.
 func Sorted[T cmp.Ordered](s Set[T]) []T { return slices.Sorted(maps.Keys(s)) }
 
-// Option is a value that may be absent.
+// Option is an optional value. The zero Option is absent.
 type Option[T any] struct {
 	// Value is meaningful only if Present.
 	Value T
-	// Present is false for the zero Option.
+	// Present says whether the option has a value.
 	Present bool
 }
 
