--- a/controller/sim_test.go
+++ b/controller/sim_test.go
@@ -363,7 +363,7 @@
 		n.lease.RaiseFloor(s.now, e.RaiseFloor)
 	}
 	if e.GiveAway {
-		n.lease.GiveAway(s.now, giveAwayFor)
+		n.lease.Yield(s.now, giveAwayFor)
 	}
 }
 
--- a/controller/zone.go
+++ b/controller/zone.go
@@ -170,7 +170,7 @@
 		z.lease.RaiseFloor(e.RaiseFloor)
 	}
 	if e.GiveAway {
-		z.lease.GiveAway(giveAwayFor)
+		z.lease.Yield(giveAwayFor)
 	}
 }
 
--- a/exchanger/exchanger.go
+++ b/exchanger/exchanger.go
@@ -71,7 +71,7 @@
 		cells[name] = append(cells[name], n)
 	}
 	for name, nodes := range cells {
-		cells[name] = leaser.Order(name, nodes)
+		cells[name] = leaser.RankNodes(name, nodes)
 	}
 	return cells
 }
@@ -85,7 +85,7 @@
 			heads = append(heads, nodes[0])
 		}
 	}
-	return leaser.Order("region/"+string(self.Region), heads)
+	return leaser.RankNodes("region/"+string(self.Region), heads)
 }
 
 // Upstream is whom a node asks for what the object API holds.
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -72,12 +72,12 @@
 // is lost every few seconds at worst, and nobody mends it meanwhile.
 func leaseSettings() leaser.Settings {
 	return leaser.Settings{
-		Duration:      2400 * time.Millisecond,
-		RenewEvery:    800 * time.Millisecond,
-		OrderBound:    600 * time.Millisecond,
-		DriftBound:    50 * time.Millisecond,
-		ReadEvery:     time.Second,
-		RareReadEvery: time.Minute,
+		Duration:         2400 * time.Millisecond,
+		RenewInterval:    800 * time.Millisecond,
+		OrderBound:       600 * time.Millisecond,
+		DriftBound:       50 * time.Millisecond,
+		ReadInterval:     time.Second,
+		RareReadInterval: time.Minute,
 	}
 }
 
@@ -174,8 +174,8 @@
 		Acting: func() bool { return l.peers.leading() }, Alone: l.peers.relayer.Alone,
 	})
 	l.lease, err = leaser.New(leaser.Options{
-		Self: site.Node, Key: leaseKey, Objects: objects, Settings: leaseSettings(), Recorder: events, Zone: site.Zone, Processor: site.MilliCPU,
-		Patience: patience(site),
+		Self: site.Node, Key: leaseKey, Objects: objects, Settings: leaseSettings(), Recorder: events, Zone: site.Zone, MilliCPU: site.MilliCPU,
+		StartDelay: patience(site),
 	})
 	if err != nil {
 		return nil, err
--- a/leaser/lease.go
+++ b/leaser/lease.go
@@ -32,13 +32,13 @@
 	Recorder garnetworks.Recorder
 	// Zone is recorded with the lease's events.
 	Zone garnetworks.ZoneID
-	// Processor is the part of a core that the node may use, in thousandths; 0 if it is
+	// MilliCPU is the part of a core that the node may use, in thousandths; 0 if it is
 	// not known.
-	Processor int
-	// Patience is how long the node does not contend after its start, where all nodes
+	MilliCPU int
+	// StartDelay is how long the node does not contend after its start, where all nodes
 	// start at once: none of them knows yet which others there are, and the first one
 	// that asks would hold the lease, whatever its processor.
-	Patience time.Duration
+	StartDelay time.Duration
 }
 
 // Lease contends for a lease in the object API. It is safe for concurrent use.
@@ -69,8 +69,8 @@
 	}
 	state := NewState(options.Self, options.Settings)
 	state.Candidates = options.Candidates
-	if options.Patience > 0 {
-		state.nextRead = time.Now().Add(options.Patience)
+	if options.StartDelay > 0 {
+		state.nextRead = time.Now().Add(options.StartDelay)
 	}
 	return &Lease{
 		options: options,
@@ -84,7 +84,7 @@
 // that only the first few in rendezvous order read the record often (L7). A
 // node that is missing from its own roster counts itself in.
 func (l *Lease) SetContenders(nodes []garnetworks.NodeInfo) {
-	self := garnetworks.NodeInfo{ID: l.options.Self, Zone: l.options.Zone, MilliCPU: l.options.Processor}
+	self := garnetworks.NodeInfo{ID: l.options.Self, Zone: l.options.Zone, MilliCPU: l.options.MilliCPU}
 	rank := Rank(l.options.Key, self, nodes)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,35 +97,35 @@
 func Rank(key string, self garnetworks.NodeInfo, nodes []garnetworks.NodeInfo) int {
 	isSelf := func(n garnetworks.NodeInfo) bool { return n.ID == self.ID }
 	others := slices.DeleteFunc(slices.Clone(nodes), isSelf)
-	return slices.IndexFunc(Order(key, append(others, self)), isSelf)
+	return slices.IndexFunc(RankNodes(key, append(others, self)), isSelf)
 }
 
-// Order returns the nodes in the order of key, the first one first (rule L8).
-func Order(key string, nodes []garnetworks.NodeInfo) []garnetworks.NodeInfo {
-	type place struct {
+// RankNodes returns the nodes in the order of key, the first one first (rule L8).
+func RankNodes(key string, nodes []garnetworks.NodeInfo) []garnetworks.NodeInfo {
+	type ranked struct {
 		garnetworks.NodeInfo
 		weight uint64
-		// turn is the number of nodes of the same zone that come before it.
-		turn int
+		// zoneRank is the number of nodes of the same zone that come before it.
+		zoneRank int
 	}
-	order := make([]place, len(nodes))
+	list := make([]ranked, len(nodes))
 	for i, n := range nodes {
-		order[i] = place{NodeInfo: n, weight: weight(key, n.ID)}
+		list[i] = ranked{NodeInfo: n, weight: weight(key, n.ID)}
 	}
-	slices.SortFunc(order, func(a, b place) int {
+	slices.SortFunc(list, func(a, b ranked) int {
 		return cmp.Or(cmp.Compare(b.MilliCPU, a.MilliCPU), cmp.Compare(b.weight, a.weight), cmp.Compare(a.ID, b.ID))
 	})
-	turns := make(map[garnetworks.ZoneID]int)
-	for i := range order {
-		order[i].turn = turns[order[i].Zone]
-		turns[order[i].Zone]++
+	zoneCounts := make(map[garnetworks.ZoneID]int)
+	for i := range list {
+		list[i].zoneRank = zoneCounts[list[i].Zone]
+		zoneCounts[list[i].Zone]++
 	}
-	slices.SortStableFunc(order, func(a, b place) int {
-		return cmp.Or(cmp.Compare(b.MilliCPU, a.MilliCPU), cmp.Compare(a.turn, b.turn))
+	slices.SortStableFunc(list, func(a, b ranked) int {
+		return cmp.Or(cmp.Compare(b.MilliCPU, a.MilliCPU), cmp.Compare(a.zoneRank, b.zoneRank))
 	})
-	sorted := make([]garnetworks.NodeInfo, len(order))
-	for i := range order {
-		sorted[i] = order[i].NodeInfo
+	sorted := make([]garnetworks.NodeInfo, len(list))
+	for i := range list {
+		sorted[i] = list[i].NodeInfo
 	}
 	return sorted
 }
@@ -159,7 +159,7 @@
 }
 
 func (l *Lease) read(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, l.options.Settings.RenewEvery)
+	ctx, cancel := context.WithTimeout(ctx, l.options.Settings.RenewInterval)
 	defer cancel()
 	object, err := l.options.Objects.Get(ctx, l.options.Key)
 	record := garnetworks.LeaseRecord{}
@@ -169,7 +169,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.state.OnRead(time.Now(), record, object.Revision, err, rand.Float64())
-	l.noteLocked()
+	l.updateHeldLocked()
 }
 
 func (l *Lease) write(ctx context.Context, action Action) {
@@ -177,13 +177,13 @@
 	if err != nil {
 		panic("leaser: a lease record does not marshal: " + err.Error())
 	}
-	ctx, cancel := context.WithTimeout(ctx, l.options.Settings.RenewEvery)
+	ctx, cancel := context.WithTimeout(ctx, l.options.Settings.RenewInterval)
 	defer cancel()
 	revision, err := l.options.Objects.Put(ctx, l.options.Key, value, action.After)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.state.OnWrite(time.Now(), revision, err)
-	l.noteLocked()
+	l.updateHeldLocked()
 }
 
 func (l *Lease) wait(ctx context.Context, until time.Time) {
@@ -196,14 +196,14 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.noteLocked()
+	l.updateHeldLocked()
 }
 
 // Bounds of a node that stops: the calls that it makes to read what an unclear
 // write did and to free the record, and the time that it takes for them.
 const (
-	stepDownTries = 6
-	stepDownBound = 2 * time.Second
+	maxStepDownCalls = 6
+	stepDownTimeout  = 2 * time.Second
 )
 
 // stepDown frees the record, so that the successor need not wait it out. It does
@@ -218,8 +218,8 @@
 	l.mu.Lock()
 	l.state.Closing = true
 	l.mu.Unlock()
-	over := time.Now().Add(stepDownBound)
-	for range stepDownTries {
+	deadline := time.Now().Add(stepDownTimeout)
+	for range maxStepDownCalls {
 		action := l.next()
 		switch action.Kind {
 		case ActionRead:
@@ -227,7 +227,7 @@
 		case ActionWrite:
 			l.write(context.Background(), action)
 		case ActionWait:
-			if action.At.After(over) {
+			if action.At.After(deadline) {
 				return
 			}
 			l.wait(context.Background(), action.At)
@@ -235,8 +235,8 @@
 	}
 }
 
-// noteLocked records and signals a change of the holding.
-func (l *Lease) noteLocked() {
+// updateHeldLocked records and signals a change of the holding.
+func (l *Lease) updateHeldLocked() {
 	held := l.state.Term(time.Now()) != 0
 	if held == l.held {
 		return
@@ -291,17 +291,17 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.state.RaiseFloor(time.Now(), floor)
-	l.noteLocked()
+	l.updateHeldLocked()
 	signal(l.wake)
 }
 
-// GiveAway frees the lease, so that another node can take it, and keeps this
+// Yield frees the lease, so that another node can take it, and keeps this
 // node from contending for the given time.
-func (l *Lease) GiveAway(away time.Duration) {
+func (l *Lease) Yield(duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.state.GiveAway(time.Now(), away)
-	l.noteLocked()
+	l.state.Yield(time.Now(), duration)
+	l.updateHeldLocked()
 	signal(l.wake)
 }
 
@@ -312,10 +312,10 @@
 	l.mu.Lock()
 	bound := l.options.Settings.OrderBound
 	now := time.Now()
-	left, ok := l.state.MayAct(now, bound)
+	remaining, ok := l.state.MayAct(now, bound)
 	l.mu.Unlock()
 	if !ok {
-		return nil, nil, garnetworks.Errorf(garnetworks.KindLeaseLost, "the lease %s ends in %s, before the order could", l.options.Key, left)
+		return nil, nil, garnetworks.Errorf(garnetworks.KindLeaseLost, "the lease %s ends in %s, before the order could", l.options.Key, remaining)
 	}
 	orderCtx, cancel := context.WithDeadline(ctx, now.Add(bound))
 	return orderCtx, cancel, nil
--- a/leaser/leaser.go
+++ b/leaser/leaser.go
@@ -43,40 +43,40 @@
 type Settings struct {
 	// Duration is how long a holder may act after it sent a renewal.
 	Duration time.Duration
-	// RenewEvery is the time between renewals; a third of Duration or less, so
+	// RenewInterval is the time between renewals; a third of Duration or less, so
 	// that one lost renewal does not end the lease.
-	RenewEvery time.Duration
+	RenewInterval time.Duration
 	// OrderBound is the longest time for which an order may be in flight.
 	OrderBound time.Duration
 	// DriftBound is the most that two clocks differ over Duration.
 	DriftBound time.Duration
-	// ReadEvery is the time between two reads of a candidate.
-	ReadEvery time.Duration
-	// RareReadEvery is the time between two reads of a node that is not among
+	// ReadInterval is the time between two reads of a candidate.
+	ReadInterval time.Duration
+	// RareReadInterval is the time between two reads of a node that is not among
 	// the candidates.
-	RareReadEvery time.Duration
+	RareReadInterval time.Duration
 }
 
 // Defaults returns the settings for a lease: it passes on within 15 s of the
 // holder's loss and costs a write every 3 s.
 func Defaults() Settings {
 	return Settings{
-		Duration:      9 * time.Second,
-		RenewEvery:    3 * time.Second,
-		OrderBound:    2 * time.Second,
-		DriftBound:    200 * time.Millisecond,
-		ReadEvery:     3 * time.Second,
-		RareReadEvery: 90 * time.Second,
+		Duration:         9 * time.Second,
+		RenewInterval:    3 * time.Second,
+		OrderBound:       2 * time.Second,
+		DriftBound:       200 * time.Millisecond,
+		ReadInterval:     3 * time.Second,
+		RareReadInterval: 90 * time.Second,
 	}
 }
 
 // Check reports whether the settings can keep the rules.
 func (s Settings) Check() error {
 	switch {
-	case s.Duration <= 0 || s.RenewEvery <= 0 || s.ReadEvery <= 0 || s.RareReadEvery <= 0:
+	case s.Duration <= 0 || s.RenewInterval <= 0 || s.ReadInterval <= 0 || s.RareReadInterval <= 0:
 		return garnetworks.Errorf(garnetworks.KindInvalidSettings, "lease times must be above 0")
-	case s.RenewEvery*2 > s.Duration:
-		return garnetworks.Errorf(garnetworks.KindInvalidSettings, "lease renewal %s is more than half of the duration %s", s.RenewEvery, s.Duration)
+	case s.RenewInterval*2 > s.Duration:
+		return garnetworks.Errorf(garnetworks.KindInvalidSettings, "lease renewal %s is more than half of the duration %s", s.RenewInterval, s.Duration)
 	case s.OrderBound <= 0 || s.OrderBound >= s.Duration:
 		return garnetworks.Errorf(garnetworks.KindInvalidSettings, "order bound %s is not between 0 and the duration %s", s.OrderBound, s.Duration)
 	case s.DriftBound < 0:
@@ -114,8 +114,8 @@
 	Started time.Time
 }
 
-// maxSent bounds the writes that are remembered for reading back.
-const maxSent = 8
+// maxSentWrites bounds the writes that are remembered for reading back.
+const maxSentWrites = 8
 
 // State is one node's knowledge of a lease.
 type State struct {
@@ -141,27 +141,27 @@
 	Holding bool
 	// HeldFrom is the time before the last concluded renewal was sent (L1).
 	HeldFrom time.Time
-	// Seen is the highest term seen in the record; Floor is the highest one that
+	// HighestTerm is the highest term seen in the record; Floor is the highest one that
 	// this node must not hold any more (L5).
-	Seen  uint32
-	Floor uint32
+	HighestTerm uint32
+	Floor       uint32
 	// Closing says that the node steps down and wants the lease no more.
 	Closing bool
-	// AwayUntil is until when the node leaves the lease to others; it frees its
+	// YieldUntil is until when the node leaves the lease to others; it frees its
 	// record at FreeFrom, when its last order can't be in flight any more.
-	AwayUntil time.Time
-	FreeFrom  time.Time
+	YieldUntil time.Time
+	ReleaseAt  time.Time
 
 	// sent are the newest writes, oldest first. A write whose answer was lost can
 	// take effect after a read that did not show it yet, so they stay.
 	sent []sentWrite
-	// retake is the revision of this process's own record under a term that it may
+	// reacquireRevision is the revision of this process's own record under a term that it may
 	// not use any more; from retakeFrom on it may replace it.
-	retake     garnetworks.Revision
-	retakeFrom time.Time
-	mustRead   bool
-	nextRead   time.Time
-	nextBeat   time.Time
+	reacquireRevision garnetworks.Revision
+	reacquireFrom     time.Time
+	mustRead          bool
+	nextRead          time.Time
+	nextRenewal       time.Time
 }
 
 // NewState returns the state of a node that knows nothing yet.
@@ -181,7 +181,7 @@
 
 // Term returns the term under which this node holds the lease, or 0.
 func (s *State) Term(now time.Time) uint32 {
-	if !s.Holding || now.Before(s.AwayUntil) || Age(now, s.HeldFrom) >= s.Settings.Duration {
+	if !s.Holding || now.Before(s.YieldUntil) || Age(now, s.HeldFrom) >= s.Settings.Duration {
 		return 0
 	}
 	return s.Record.Term
@@ -190,24 +190,24 @@
 // MayAct reports whether an order that ends within bound may be sent now, and
 // the remaining time of the lease (L3).
 func (s *State) MayAct(now time.Time, bound time.Duration) (time.Duration, bool) {
-	if !s.Holding || s.Closing || now.Before(s.AwayUntil) {
+	if !s.Holding || s.Closing || now.Before(s.YieldUntil) {
 		return 0, false
 	}
-	left := s.Settings.Duration - Age(now, s.HeldFrom)
-	return left, bound <= s.Settings.OrderBound && bound < left
+	remaining := s.Settings.Duration - Age(now, s.HeldFrom)
+	return remaining, bound <= s.Settings.OrderBound && bound < remaining
 }
 
-// Lapsed reports whether the node holds a lease whose time has run out. It may
+// Expired reports whether the node holds a lease whose time has run out. It may
 // still renew the record if nobody else has taken it.
-func (s *State) Lapsed(now time.Time) bool {
+func (s *State) Expired(now time.Time) bool {
 	return s.Holding && Age(now, s.HeldFrom) >= s.Settings.Duration
 }
 
-// GiveAway leaves the lease to other nodes for the given time. From now on the
+// Yield leaves the lease to other nodes for the given time. From now on the
 // node may send no order; its record is freed once those it sent have ended (L6).
-func (s *State) GiveAway(now time.Time, away time.Duration) {
-	s.FreeFrom = now.Add(s.Settings.OrderBound)
-	s.AwayUntil = now.Add(max(away, 2*s.Settings.OrderBound))
+func (s *State) Yield(now time.Time, duration time.Duration) {
+	s.ReleaseAt = now.Add(s.Settings.OrderBound)
+	s.YieldUntil = now.Add(max(duration, 2*s.Settings.OrderBound))
 }
 
 // RaiseFloor makes the node's next record carry a term above floor. A holder
@@ -220,8 +220,8 @@
 	s.Floor = max(s.Floor, floor)
 	if s.Holding && s.Record.Term <= s.Floor {
 		s.Holding = false
-		s.retake = s.Revision
-		s.retakeFrom = now.Add(s.Settings.OrderBound)
+		s.reacquireRevision = s.Revision
+		s.reacquireFrom = now.Add(s.Settings.OrderBound)
 	}
 }
 
@@ -231,13 +231,13 @@
 		return s.readOrWait(now)
 	}
 	if s.Holding {
-		return s.nextOfHolder(now, writeID)
+		return s.nextAsHolder(now, writeID)
 	}
 	if s.Closing {
-		return Action{Kind: ActionWait, At: now.Add(s.Settings.ReadEvery)}
+		return Action{Kind: ActionWait, At: now.Add(s.Settings.ReadInterval)}
 	}
-	if s.mayTake(now) {
-		return s.write(now, s.takeRecord(writeID))
+	if s.mayAcquire(now) {
+		return s.write(now, s.acquireRecord(writeID))
 	}
 	return s.readOrWait(now)
 }
@@ -249,15 +249,15 @@
 	return Action{Kind: ActionRead}
 }
 
-func (s *State) nextOfHolder(now time.Time, writeID string) Action {
-	if now.Before(s.AwayUntil) && now.Before(s.FreeFrom) {
-		return Action{Kind: ActionWait, At: s.FreeFrom}
+func (s *State) nextAsHolder(now time.Time, writeID string) Action {
+	if now.Before(s.YieldUntil) && now.Before(s.ReleaseAt) {
+		return Action{Kind: ActionWait, At: s.ReleaseAt}
 	}
-	if s.Closing || now.Before(s.AwayUntil) {
-		return s.write(now, s.emptyRecord(writeID))
+	if s.Closing || now.Before(s.YieldUntil) {
+		return s.write(now, s.releaseRecord(writeID))
 	}
-	if now.Before(s.nextBeat) {
-		return Action{Kind: ActionWait, At: s.nextBeat}
+	if now.Before(s.nextRenewal) {
+		return Action{Kind: ActionWait, At: s.nextRenewal}
 	}
 	record := s.Record
 	record.Renewals++
@@ -267,23 +267,23 @@
 
 func (s *State) write(now time.Time, record garnetworks.LeaseRecord) Action {
 	s.sent = append(s.sent, sentWrite{Record: record, Started: now})
-	if len(s.sent) > maxSent {
+	if len(s.sent) > maxSentWrites {
 		s.sent = s.sent[1:]
 	}
 	return Action{Kind: ActionWrite, Record: record, After: s.Revision}
 }
 
-func (s *State) takeRecord(writeID string) garnetworks.LeaseRecord {
+func (s *State) acquireRecord(writeID string) garnetworks.LeaseRecord {
 	return garnetworks.LeaseRecord{
 		Holder:   s.Self,
-		Term:     max(s.Record.Term, s.Seen, s.Floor) + 1,
+		Term:     max(s.Record.Term, s.HighestTerm, s.Floor) + 1,
 		Renewals: s.Record.Renewals + 1,
 		Duration: s.Settings.Duration,
 		WriteID:  writeID,
 	}
 }
 
-func (s *State) emptyRecord(writeID string) garnetworks.LeaseRecord {
+func (s *State) releaseRecord(writeID string) garnetworks.LeaseRecord {
 	record := s.Record
 	record.Holder = ""
 	record.Renewals++
@@ -291,28 +291,28 @@
 	return record
 }
 
-// mayTake reports whether the record is free, or was this process's own until
+// mayAcquire reports whether the record is free, or was this process's own until
 // its floor rose, or its holder's time is over with all its orders (L4).
-func (s *State) mayTake(now time.Time) bool {
-	if !s.Known || now.Before(s.AwayUntil) {
+func (s *State) mayAcquire(now time.Time) bool {
+	if !s.Known || now.Before(s.YieldUntil) {
 		return false
 	}
 	if s.Record.Holder == "" && s.Rank < s.Candidates {
 		return true
 	}
-	if s.retake != 0 && s.retake == s.Revision && !now.Before(s.retakeFrom) {
+	if s.reacquireRevision != 0 && s.reacquireRevision == s.Revision && !now.Before(s.reacquireFrom) {
 		return true
 	}
-	return s.waitedOut()
+	return s.takeoverDue()
 }
 
-// waitedOut reports whether a read has shown the record unchanged for the whole
+// takeoverDue reports whether a read has shown the record unchanged for the whole
 // wait. A node that reads rarely knows nothing of what lies between two reads.
-func (s *State) waitedOut() bool { return s.ReadAt.Sub(s.SeenAt) >= s.wait() }
+func (s *State) takeoverDue() bool { return s.ReadAt.Sub(s.SeenAt) >= s.takeoverWait() }
 
-// wait counts the record's own duration if it is the longer one: its holder may
+// takeoverWait counts the record's own duration if it is the longer one: its holder may
 // run with other settings.
-func (s *State) wait() time.Duration {
+func (s *State) takeoverWait() time.Duration {
 	return max(s.Record.Duration, s.Settings.Duration) + s.Settings.OrderBound + s.Settings.DriftBound
 }
 
@@ -323,15 +323,15 @@
 		record, revision, err = garnetworks.LeaseRecord{}, 0, nil
 	}
 	if err != nil {
-		s.nextRead = now.Add(s.spread(s.rereadEvery(), jitter))
+		s.nextRead = now.Add(s.withJitter(s.failedReadInterval(), jitter))
 		return
 	}
 	s.mustRead = false
 	s.ReadAt = now
-	s.conclude(now, record, revision)
-	s.nextRead = now.Add(s.spread(s.readEvery(), jitter))
-	if over := s.SeenAt.Add(s.wait()); s.Rank < s.Candidates && now.Before(over) && over.Before(s.nextRead) {
-		s.nextRead = over
+	s.reconcile(now, record, revision)
+	s.nextRead = now.Add(s.withJitter(s.readInterval(), jitter))
+	if takeoverAt := s.SeenAt.Add(s.takeoverWait()); s.Rank < s.Candidates && now.Before(takeoverAt) && takeoverAt.Before(s.nextRead) {
+		s.nextRead = takeoverAt
 	}
 }
 
@@ -342,73 +342,73 @@
 // others come before it. One that has read nothing yet, and is no candidate, leaves it at
 // the long interval.
 func (s *State) setRank(now time.Time, rank int, jitter float64) (sooner bool) {
-	before := s.Rank < s.Candidates
+	wasCandidate := s.Rank < s.Candidates
 	s.Rank = rank
 	candidate := rank < s.Candidates
 	switch {
-	case candidate && !before:
+	case candidate && !wasCandidate:
 		s.nextRead = time.Time{}
 		return true
-	case !candidate && before && s.ReadAt.IsZero() && len(s.sent) == 0:
-		s.nextRead = now.Add(s.spread(s.Settings.RareReadEvery, jitter))
+	case !candidate && wasCandidate && s.ReadAt.IsZero() && len(s.sent) == 0:
+		s.nextRead = now.Add(s.withJitter(s.Settings.RareReadInterval, jitter))
 	}
 	return false
 }
 
-func (s *State) readEvery() time.Duration {
+func (s *State) readInterval() time.Duration {
 	if s.Rank < s.Candidates {
-		return s.Settings.ReadEvery
+		return s.Settings.ReadInterval
 	}
-	return s.Settings.RareReadEvery
+	return s.Settings.RareReadInterval
 }
 
-// rereadEvery is the time to the next read after one that failed.
+// failedReadInterval is the time to the next read after one that failed.
 //
 // Failure: the object API turns a third of the nodes away. Each of them reads the lease
 // three times in a renewal's time, though only few nodes would take it; of 75 nodes, 55
 // made 417 such calls in 8 s. A node that reads rarely has no hurry after a failure.
-func (s *State) rereadEvery() time.Duration {
-	const rarePart = 4
+func (s *State) failedReadInterval() time.Duration {
+	const retryDivisor = 4
 	if s.Rank < s.Candidates {
-		return s.Settings.RenewEvery / 3
+		return s.Settings.RenewInterval / 3
 	}
-	return s.Settings.RareReadEvery / rarePart
+	return s.Settings.RareReadInterval / retryDivisor
 }
 
-// spread returns between three and five quarters of d.
-func (s *State) spread(d time.Duration, jitter float64) time.Duration {
+// withJitter returns between three and five quarters of d.
+func (s *State) withJitter(d time.Duration, jitter float64) time.Duration {
 	return d*3/4 + time.Duration(float64(d)*jitter/2)
 }
 
-// conclude compares the record with the writes that this process sent (L2). A
+// reconcile compares the record with the writes that this process sent (L2). A
 // record that holds one of them is this process's, from when it sent it.
-func (s *State) conclude(now time.Time, record garnetworks.LeaseRecord, revision garnetworks.Revision) {
+func (s *State) reconcile(now time.Time, record garnetworks.LeaseRecord, revision garnetworks.Revision) {
 	for _, w := range s.sent {
 		if revision != 0 && w.Record.WriteID == record.WriteID {
-			s.adopt(record, revision, w.Started)
+			s.adoptWrite(record, revision, w.Started)
 			return
 		}
 	}
-	s.see(now, record, revision)
+	s.observe(now, record, revision)
 	s.Holding = false
 }
 
-// adopt takes in a write that is known to have taken effect.
-func (s *State) adopt(record garnetworks.LeaseRecord, revision garnetworks.Revision, started time.Time) {
-	s.see(started, record, revision)
+// adoptWrite takes in a write that is known to have taken effect.
+func (s *State) adoptWrite(record garnetworks.LeaseRecord, revision garnetworks.Revision, started time.Time) {
+	s.observe(started, record, revision)
 	s.Holding = record.Holder == s.Self && record.Term > s.Floor
 	s.HeldFrom = started
-	s.nextBeat = started.Add(s.Settings.RenewEvery)
+	s.nextRenewal = started.Add(s.Settings.RenewInterval)
 }
 
-func (s *State) see(now time.Time, record garnetworks.LeaseRecord, revision garnetworks.Revision) {
+func (s *State) observe(now time.Time, record garnetworks.LeaseRecord, revision garnetworks.Revision) {
 	if !s.Known || revision != s.Revision {
 		s.SeenAt = now
 	}
 	s.Known = true
 	s.Record = record
 	s.Revision = revision
-	s.Seen = max(s.Seen, record.Term)
+	s.HighestTerm = max(s.HighestTerm, record.Term)
 }
 
 // OnWrite takes in the result of the write of the last ActionWrite.
@@ -418,12 +418,12 @@
 	}
 	write := s.sent[len(s.sent)-1]
 	if err == nil {
-		s.adopt(write.Record, revision, write.Started)
+		s.adoptWrite(write.Record, revision, write.Started)
 		return
 	}
 	s.mustRead = true
 	s.nextRead = now
 	if garnetworks.IsKind(err, garnetworks.KindObjectAPIDown, garnetworks.KindThrottled) {
-		s.nextRead = now.Add(s.Settings.RenewEvery / 3)
+		s.nextRead = now.Add(s.Settings.RenewInterval / 3)
 	}
 }
--- a/leaser/leaser_test.go
+++ b/leaser/leaser_test.go
@@ -52,16 +52,16 @@
 
 type contender struct {
 	*State
-	id      garnetworks.NodeID
-	skew    float64
-	paused  time.Time
-	started time.Time
-	writes  int
+	id        garnetworks.NodeID
+	clockRate float64
+	paused    time.Time
+	started   time.Time
+	writes    int
 }
 
 // clock is the node's own clock, which runs faster or slower than real time.
 func (c *contender) clock(now time.Time) time.Time {
-	return c.started.Add(time.Duration(float64(now.Sub(c.started)) * c.skew))
+	return c.started.Add(time.Duration(float64(now.Sub(c.started)) * c.clockRate))
 }
 
 func (w *world) put(a Action) error {
@@ -84,18 +84,18 @@
 	c.writes++
 	now := c.clock(w.now)
 	a := c.Next(now, fmt.Sprintf("%s/%d", c.id, c.writes))
-	fate := rapid.IntRange(0, 9).Draw(rt, "fate")
+	fault := rapid.IntRange(0, 9).Draw(rt, "fate")
 	switch a.Kind {
 	case ActionRead:
 		var err error
-		if fate == 0 {
+		if fault == 0 {
 			err = garnetworks.Errorf(garnetworks.KindObjectAPIDown, "")
 		} else if w.rev == 0 {
 			err = garnetworks.Errorf(garnetworks.KindNotFound, "")
 		}
 		c.OnRead(now, w.record, w.rev, err, 0.5)
 	case ActionWrite:
-		w.write(rt, c, a, fate)
+		w.write(rt, c, a, fault)
 	}
 	if _, ok := c.MayAct(c.clock(w.now), c.Settings.OrderBound); ok {
 		if c.Record.Term <= c.Floor {
@@ -105,9 +105,9 @@
 	}
 }
 
-func (w *world) write(rt *rapid.T, c *contender, a Action, fate int) {
+func (w *world) write(rt *rapid.T, c *contender, a Action, fault int) {
 	lost := garnetworks.Errorf(garnetworks.KindResponseLost, "")
-	switch fate {
+	switch fault {
 	case 0:
 		c.OnWrite(c.clock(w.now), 0, garnetworks.Errorf(garnetworks.KindObjectAPIDown, ""))
 	case 1:
@@ -147,10 +147,10 @@
 				n := rapid.IntRange(0, 2).Draw(rt, "node")
 				w.nodes[n].paused = w.now.Add(time.Duration(rapid.IntRange(1, 30).Draw(rt, "seconds")) * time.Second)
 			},
-			"restart": func(rt *rapid.T) { n := rapid.IntRange(0, 2).Draw(rt, "node"); w.add(n, w.nodes[n].skew) },
+			"restart": func(rt *rapid.T) { n := rapid.IntRange(0, 2).Draw(rt, "node"); w.add(n, w.nodes[n].clockRate) },
 			"give-away": func(rt *rapid.T) {
 				c := w.nodes[rapid.IntRange(0, 2).Draw(rt, "node")]
-				c.GiveAway(c.clock(w.now), 20*time.Second)
+				c.Yield(c.clock(w.now), 20*time.Second)
 			},
 			"floor": func(rt *rapid.T) {
 				c := w.nodes[rapid.IntRange(0, 2).Draw(rt, "node")]
@@ -165,9 +165,9 @@
 	}
 }
 
-func (w *world) add(n int, skew float64) {
+func (w *world) add(n int, clockRate float64) {
 	id := garnetworks.NodeID(fmt.Sprintf("n%d", n))
-	c := &contender{State: NewState(id, Defaults()), id: id, skew: skew, started: w.now}
+	c := &contender{State: NewState(id, Defaults()), id: id, clockRate: clockRate, started: w.now}
 	c.Candidates = 3
 	if n < len(w.nodes) {
 		c.writes = w.nodes[n].writes + 1000
@@ -265,7 +265,7 @@
 
 // Story: the object API turns nodes away for ten seconds. All of them asked for the
 // lease several times a second, and each refused call counts like any other.
-func TestNodesThatReadRarelyDoSoAfterFailures(t *testing.T) {
+func TestNonCandidatesReadRarelyAfterFailures(t *testing.T) {
 	const seconds, nodes = 10, 40
 	reads := 0
 	for n := range nodes {
@@ -279,14 +279,14 @@
 			}
 		}
 	}
-	if most := 2 * nodes; reads > most {
-		t.Errorf("%d nodes read %d times in %d s, want %d at most", nodes, reads, seconds, most)
+	if limit := 2 * nodes; reads > limit {
+		t.Errorf("%d nodes read %d times in %d s, want %d at most", nodes, reads, seconds, limit)
 	}
 }
 
 // Story: 88 nodes start at once. Each read the lease, and 84 of them found only that
 // others come before them; the platform counts each read.
-func TestNodesThatAreNoCandidatesReadNothingAtTheirStart(t *testing.T) {
+func TestNonCandidatesDoNotReadAtStart(t *testing.T) {
 	const nodes = 88
 	reads := 0
 	for n := range nodes {
@@ -307,7 +307,7 @@
 			t.Error("a node that becomes a candidate does not read at once")
 		}
 	}
-	if most := DefaultCandidates * 5; reads > most {
-		t.Errorf("%d reads in ten seconds, want %d at most", reads, most)
+	if limit := DefaultCandidates * 5; reads > limit {
+		t.Errorf("%d reads in ten seconds, want %d at most", reads, limit)
 	}
 }
--- a/leaser/order_test.go
+++ b/leaser/order_test.go
@@ -11,21 +11,21 @@
 // Story: four in five nodes of a site have a fifth of a core, and one of them took the
 // lease. It was late with all orders to 880 engines. The three nodes that read the lease
 // often were of one zone, and when that was cut off nobody took it for 20 s.
-func TestStrongNodesOfSeveralZonesComeFirst(t *testing.T) {
+func TestRankNodesPrefersCPUThenDistinctZones(t *testing.T) {
 	var nodes []garnetworks.NodeInfo
 	for z := range 5 {
 		for n := range 19 {
-			processor := 192
+			milliCPU := 192
 			if n < 3 {
-				processor = 800
+				milliCPU = 800
 			}
 			nodes = append(nodes, garnetworks.NodeInfo{
-				ID: garnetworks.NodeID(fmt.Sprintf("n-%d-%d", z, n)), Zone: garnetworks.ZoneID(fmt.Sprintf("z%d", z)), MilliCPU: processor,
+				ID: garnetworks.NodeID(fmt.Sprintf("n-%d-%d", z, n)), Zone: garnetworks.ZoneID(fmt.Sprintf("z%d", z)), MilliCPU: milliCPU,
 			})
 		}
 	}
 	for key := range 20 {
-		order := leaser.Order(fmt.Sprintf("key-%d", key), nodes)
+		order := leaser.RankNodes(fmt.Sprintf("key-%d", key), nodes)
 		zones := garnetworks.NewSet[garnetworks.ZoneID]()
 		for i, n := range order[:15] {
 			if n.MilliCPU != 800 {
