--- a/leaser/lease.go
+++ b/leaser/lease.go
@@ -14,37 +14,37 @@
 	"github.com/oklog/ulid/v2"
 )
 
-// DefaultCandidates is how many nodes read a lease often (L7).
+// DefaultCandidates is the default number of nodes that read a lease frequently (L7).
 const DefaultCandidates = 3
 
-// Options describe a lease and the node that contends for it.
+// Options configure a lease and the node that contends for it.
 type Options struct {
 	// Self is the node's name; unique among the contenders.
 	Self garnetworks.NodeID
 	// Key is the record's key in the object API.
 	Key     string
 	Objects garnetworks.ObjectAPI
-	// Settings are Defaults if Duration is 0.
+	// Settings default to Defaults() if Duration is 0.
 	Settings Settings
-	// Candidates is DefaultCandidates if 0.
+	// Candidates defaults to DefaultCandidates if it is 0 or below.
 	Candidates int
 	// Recorder may be nil.
 	Recorder garnetworks.Recorder
 	// Zone is recorded with the lease's events.
 	Zone garnetworks.ZoneID
-	// MilliCPU is the part of a core that the node may use, in thousandths; 0 if it is
-	// not known.
+	// MilliCPU is the share of a core that the node may use, in thousandths; 0 if it is
+	// unknown.
 	MilliCPU int
-	// StartDelay is how long the node does not contend after its start, where all nodes
-	// start at once: none of them knows yet which others there are, and the first one
-	// that asks would hold the lease, whatever its processor.
+	// StartDelay is how long the node does not contend after its start. If all nodes start
+	// at once, none knows the others yet, and without a delay the first one to read the
+	// record would hold the lease, whatever its CPU share.
 	StartDelay time.Duration
 }
 
 // Lease contends for a lease in the object API. It is safe for concurrent use.
 type Lease struct {
 	options Options
-	// changed has room for one signal: the holding may have changed.
+	// changed has a buffer of one signal; see Changed.
 	changed chan struct{}
 	wake    chan struct{}
 
@@ -53,7 +53,7 @@
 	held  bool
 }
 
-// New returns a lease that contends once Run runs.
+// New returns a lease. It does not contend before Run is called.
 func New(options Options) (*Lease, error) {
 	if options.Settings.Duration == 0 {
 		options.Settings = Defaults()
@@ -80,9 +80,9 @@
 	}, nil
 }
 
-// SetContenders tells the lease which nodes contend, from the zone's roster, so
-// that only the first few in rendezvous order read the record often (L7). A
-// node that is missing from its own roster counts itself in.
+// SetContenders sets the nodes that contend, from the zone's roster, so that only the
+// first few in rank read the record frequently (L7). The node counts as a contender
+// even if it is missing from its own roster.
 func (l *Lease) SetContenders(nodes []garnetworks.NodeInfo) {
 	self := garnetworks.NodeInfo{ID: l.options.Self, Zone: l.options.Zone, MilliCPU: l.options.MilliCPU}
 	rank := Rank(l.options.Key, self, nodes)
@@ -93,19 +93,19 @@
 	}
 }
 
-// Rank returns the number of nodes that come before self in the order of key.
+// Rank returns the number of nodes that rank before self for key.
 func Rank(key string, self garnetworks.NodeInfo, nodes []garnetworks.NodeInfo) int {
 	isSelf := func(n garnetworks.NodeInfo) bool { return n.ID == self.ID }
 	others := slices.DeleteFunc(slices.Clone(nodes), isSelf)
 	return slices.IndexFunc(RankNodes(key, append(others, self)), isSelf)
 }
 
-// RankNodes returns the nodes in the order of key, the first one first (rule L8).
+// RankNodes returns the nodes in their rank for key, highest first (rule L8).
 func RankNodes(key string, nodes []garnetworks.NodeInfo) []garnetworks.NodeInfo {
 	type ranked struct {
 		garnetworks.NodeInfo
 		weight uint64
-		// zoneRank is the number of nodes of the same zone that come before it.
+		// zoneRank is the number of nodes of the same zone that come before the node.
 		zoneRank int
 	}
 	list := make([]ranked, len(nodes))
@@ -134,8 +134,8 @@
 	return xxhash.Sum64String(key + "\x00" + string(node))
 }
 
-// Run contends for the lease until ctx ends; it then steps down if it holds the
-// lease. The caller's orders must have ended before it cancels ctx (L6).
+// Run contends for the lease until ctx ends, then steps down if it holds it. The caller
+// must have ended its orders before it cancels ctx (L6).
 func (l *Lease) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		action := l.next()
@@ -199,21 +199,21 @@
 	l.updateHeldLocked()
 }
 
-// Bounds of a node that stops: the calls that it makes to read what an unclear
-// write did and to free the record, and the time that it takes for them.
+// Limits for stepping down: the number of calls to read back an unclear write and to
+// release the record, and the total time for them.
 const (
 	maxStepDownCalls = 6
 	stepDownTimeout  = 2 * time.Second
 )
 
-// stepDown frees the record, so that the successor need not wait it out. It does
-// not try for long: a record that is not freed only makes the successor wait.
+// stepDown releases the record, so that the successor need not wait until the lease
+// expires. It gives up early, because a record that is not released only delays the
+// successor.
 //
-// Failure: the node stops while a renewal is on its way whose answer gets lost.
-// The write that frees the record then meets a conflict, or the read that would
-// tell is not yet due; a node that gave up there left its successor waiting out
-// the whole lease. So a wait that is short is waited, and a write that did not
-// free the record is followed by a read.
+// Failure: the node stops while the response to a renewal is lost. The write that
+// releases the record then meets a conflict, or the read that would resolve it is not yet
+// due; giving up there would delay the successor by the whole lease. So short waits are
+// waited out, and a write that did not release the record is followed by a read.
 func (l *Lease) stepDown() {
 	l.mu.Lock()
 	l.state.Closing = true
@@ -235,7 +235,7 @@
 	}
 }
 
-// updateHeldLocked records and signals a change of the holding.
+// updateHeldLocked records and signals a change of whether the lease is held.
 func (l *Lease) updateHeldLocked() {
 	held := l.state.Term(time.Now()) != 0
 	if held == l.held {
@@ -260,19 +260,19 @@
 	}
 }
 
-// Changed delivers a signal when the holding may have changed.
+// Changed returns a channel that gets a signal when the lease may have been taken or lost.
 func (l *Lease) Changed() <-chan struct{} { return l.changed }
 
-// Term returns the term under which this node holds the lease now, or 0.
+// Term returns the term under which this node holds the lease at now, or 0.
 func (l *Lease) Term(now time.Time) uint32 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state.Term(now)
 }
 
-// Contested reports whether another node has held the lease since this process
-// last held it, as far as it has seen. A holder that is cut off from the object
-// API has lapsed but is not contested.
+// Contested reports whether another node has held the lease since this process last held
+// it, as far as it knows. A holder that is cut off from the object API has expired but
+// is not contested.
 func (l *Lease) Contested() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -286,7 +286,7 @@
 	return *l.state
 }
 
-// RaiseFloor makes the holder's next term lie above floor (L5).
+// RaiseFloor makes the holder's next term exceed floor (L5).
 func (l *Lease) RaiseFloor(floor uint32) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -295,8 +295,8 @@
 	signal(l.wake)
 }
 
-// Yield frees the lease, so that another node can take it, and keeps this
-// node from contending for the given time.
+// Yield releases the lease, so that another node can take it, and keeps this node from
+// contending for the duration.
 func (l *Lease) Yield(duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -305,9 +305,9 @@
 	signal(l.wake)
 }
 
-// OrderContext returns a context for one order, which ends within the order
-// bound and before the lease does, or KindLeaseLost. It must be called right
-// before the order (L3): a holder that was paused finds out here.
+// OrderContext returns a context for one order that ends within the order bound and
+// before the lease does, or KindLeaseLost. It must be called right before the order
+// is sent (L3), so that a holder that was paused finds out that its lease has expired.
 func (l *Lease) OrderContext(ctx context.Context) (context.Context, context.CancelFunc, error) {
 	l.mu.Lock()
 	bound := l.options.Settings.OrderBound
@@ -321,5 +321,5 @@
 	return orderCtx, cancel, nil
 }
 
-// OrderBound is the longest time for which an order may be in flight.
+// OrderBound returns the longest time for which an order may be in flight.
 func (l *Lease) OrderBound() time.Duration { return l.options.Settings.OrderBound }
--- a/leaser/leaser.go
+++ b/leaser/leaser.go
@@ -1,36 +1,36 @@
-// Package leaser holds a lease on an object of the object API: one holder at a
-// time, whose term becomes the high part of every fencing token it issues. The
-// decisions are in State, which is pure; Lease is the thin adapter around it.
-// Nothing in the package knows what the lease is for.
+// Package leaser implements a lease on an object of the object API: it has one holder at
+// a time, whose term becomes the high part of every fencing token that it issues. The
+// decisions are in State, which does no I/O; Lease is a thin adapter around it. The
+// package is independent of what the lease is used for.
 //
 // Rules:
 //
 //	L1  A holder counts its lease from before it sent the write that renewed
-//	    it, and takes the longer of monotonic and wall time as its age.
-//	L2  A write whose answer was lost renews nothing until a read shows its
+//	    it. The lease's age is the longer of the monotonic and the wall time.
+//	L2  A write whose response was lost renews nothing until a read returns its
 //	    WriteID.
 //	L3  An order is sent only if its bound ends before the lease does, and it
 //	    carries that bound as its deadline (rule G12).
 //	L4  Another node counts from when it first saw the record, on its own
 //	    monotonic clock, and takes over only after the lease's duration, the
 //	    order bound and the drift bound have all passed.
-//	L5  Each change of holder raises the term by one at least, and no node
-//	    writes a term that is not above every term it knows of.
+//	L5  Each change of holder raises the term by at least one, and no node
+//	    writes a term that is not above every term that it knows of.
 //	L6  A holder that steps down leaves the record without a holder, and only
 //	    after its caller has ended all orders.
-//	L7  Only the first few nodes in order read the record often; the others read
-//	    it rarely, and stand in when the first ones are gone.
-//	L8  Nodes with more processor come first, and among equals those of different
-//	    zones, in rendezvous order. A holder that can't do the work is late with all
-//	    of it, and candidates of one zone are lost together.
+//	L7  Only the first few nodes in rank, the candidates, read the record
+//	    frequently. The others read it rarely, and take over when the candidates
+//	    are gone.
+//	L8  Nodes rank by their CPU share, then so that those of equal share alternate
+//	    between zones, then in rendezvous order. An overloaded holder is late with
+//	    all its work, and candidates of one zone would be lost together.
 //
-// Assumptions. Clocks of two nodes run at rates that differ by less than
-// DriftBound over one lease. A stopped process's monotonic clock goes on, so
-// L1 finds the pause. A suspended machine's monotonic clock may stop; its wall
-// clock then jumps when the machine resumes, and L1's longer time finds that
-// too. A machine whose two clocks both stand still in a suspend and are not
-// set right before its first order can't be told from one that never stopped;
-// engines that check fencing tokens refuse its orders all the same.
+// Assumptions. The clocks of two nodes drift apart by less than DriftBound over one
+// lease. The monotonic clock of a stopped process continues, so L1 detects the pause. The
+// monotonic clock of a suspended machine may stop, but then its wall clock jumps when the
+// machine resumes, and L1 detects that too. A machine of which both clocks stop during a
+// suspend and are not corrected before its first order can't be told from one that was
+// never suspended; engines that check fencing tokens still refuse its orders.
 package leaser
 
 import (
@@ -39,26 +39,25 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Settings are the times of a lease; all nodes that contend for it share them.
+// Settings are the durations of a lease. All nodes that contend for it must share them.
 type Settings struct {
 	// Duration is how long a holder may act after it sent a renewal.
 	Duration time.Duration
-	// RenewInterval is the time between renewals; a third of Duration or less, so
-	// that one lost renewal does not end the lease.
+	// RenewInterval is the time between renewals; it should be at most a third of Duration,
+	// so that one lost renewal does not end the lease.
 	RenewInterval time.Duration
 	// OrderBound is the longest time for which an order may be in flight.
 	OrderBound time.Duration
-	// DriftBound is the most that two clocks differ over Duration.
+	// DriftBound is the most that two clocks drift apart over Duration.
 	DriftBound time.Duration
-	// ReadInterval is the time between two reads of a candidate.
+	// ReadInterval is the time between two reads by a candidate.
 	ReadInterval time.Duration
-	// RareReadInterval is the time between two reads of a node that is not among
-	// the candidates.
+	// RareReadInterval is the time between two reads by a node that is not a candidate.
 	RareReadInterval time.Duration
 }
 
-// Defaults returns the settings for a lease: it passes on within 15 s of the
-// holder's loss and costs a write every 3 s.
+// Defaults returns settings with which the lease changes hands within 15 s of the
+// holder's loss, at the cost of one write every 3 s.
 func Defaults() Settings {
 	return Settings{
 		Duration:         9 * time.Second,
@@ -70,7 +69,7 @@
 	}
 }
 
-// Check reports whether the settings can keep the rules.
+// Check returns an error if the rules can't be kept with the settings.
 func (s Settings) Check() error {
 	switch {
 	case s.Duration <= 0 || s.RenewInterval <= 0 || s.ReadInterval <= 0 || s.RareReadInterval <= 0:
@@ -85,36 +84,36 @@
 	return nil
 }
 
-// ActionKind is what a State asks its adapter to do.
+// ActionKind is the kind of an Action.
 type ActionKind string
 
 const (
-	// ActionWait means that nothing is due before Action.At.
+	// ActionWait: nothing is due before Action.At.
 	ActionWait ActionKind = "wait"
-	// ActionRead asks for a read of the record.
+	// ActionRead: the record is to be read.
 	ActionRead ActionKind = "read"
-	// ActionWrite asks for a conditional write of Action.Record.
+	// ActionWrite: Action.Record is to be written conditionally.
 	ActionWrite ActionKind = "write"
 )
 
-// Action is the next thing to do.
+// Action is what the adapter has to do next.
 type Action struct {
 	Kind ActionKind
-	// At is when to ask again; set for ActionWait.
+	// At is when to call Next again; set for ActionWait.
 	At time.Time
 	// Record and After are set for ActionWrite.
 	Record garnetworks.LeaseRecord
 	After  garnetworks.Revision
 }
 
-// sentWrite is a write that this process has sent.
+// sentWrite is a write that this process sent.
 type sentWrite struct {
 	Record garnetworks.LeaseRecord
-	// Started is the time before the write was sent.
+	// Started is a time before the write was sent.
 	Started time.Time
 }
 
-// maxSentWrites bounds the writes that are remembered for reading back.
+// maxSentWrites is the number of writes that are remembered for reading back.
 const maxSentWrites = 8
 
 // State is one node's knowledge of a lease.
@@ -123,8 +122,8 @@
 	Self garnetworks.NodeID
 	// Settings passed Check.
 	Settings Settings
-	// Rank is the node's place in the order of L8; below Candidates it reads
-	// often (L7).
+	// Rank is the node's rank by L8; a node with a rank below Candidates is a candidate
+	// (L7).
 	Rank       int
 	Candidates int
 
@@ -135,28 +134,28 @@
 	// SeenAt is when Record was first seen, ReadAt when it was last read (L4).
 	SeenAt time.Time
 	ReadAt time.Time
-	// Holding says that Record is this process's own. A record with this node's
-	// name from before a restart is another holder's: the new process does not
-	// know what the old one decided.
+	// Holding says that Record was written by this process. A record that carries this
+	// node's name from before a restart counts as another holder's, because the new
+	// process does not know what the old one decided.
 	Holding bool
-	// HeldFrom is the time before the last concluded renewal was sent (L1).
+	// HeldFrom is a time before the last confirmed renewal was sent (L1).
 	HeldFrom time.Time
 	// HighestTerm is the highest term seen in the record; Floor is the highest one that
-	// this node must not hold any more (L5).
+	// this node must no longer hold (L5).
 	HighestTerm uint32
 	Floor       uint32
-	// Closing says that the node steps down and wants the lease no more.
+	// Closing says that the node is stepping down and does not contend any more.
 	Closing bool
-	// YieldUntil is until when the node leaves the lease to others; it frees its
-	// record at FreeFrom, when its last order can't be in flight any more.
+	// YieldUntil is until when the node leaves the lease to others. It releases its record
+	// at ReleaseAt, when no order of it can be in flight any more.
 	YieldUntil time.Time
 	ReleaseAt  time.Time
 
-	// sent are the newest writes, oldest first. A write whose answer was lost can
-	// take effect after a read that did not show it yet, so they stay.
+	// sent are the newest writes, oldest first. They are kept after a read that does not
+	// show them, because a write whose response was lost can still take effect later.
 	sent []sentWrite
-	// reacquireRevision is the revision of this process's own record under a term that it may
-	// not use any more; from retakeFrom on it may replace it.
+	// reacquireRevision is the revision of this process's own record under a term that it
+	// must no longer use; from reacquireFrom on it may replace the record.
 	reacquireRevision garnetworks.Revision
 	reacquireFrom     time.Time
 	mustRead          bool
@@ -164,22 +163,22 @@
 	nextRenewal       time.Time
 }
 
-// NewState returns the state of a node that knows nothing yet.
+// NewState returns the state of a node that has not read the record yet.
 func NewState(self garnetworks.NodeID, settings Settings) *State {
 	return &State{Self: self, Settings: settings, Candidates: 1, mustRead: true}
 }
 
-// Age returns how long ago from was, by the longer of the monotonic and the
-// wall clock (L1). It guards against a suspended machine: its monotonic clock
-// may have stood still while a successor's ran on; the wall clock's jump shows
-// it. A wall clock set forward ends the lease too early, which does no harm.
+// Age returns how long ago from was, by the longer of the monotonic and the wall clock
+// (L1). The monotonic clock of a suspended machine may have stopped while a successor's
+// continued; its wall clock then jumps on resuming. A wall clock that is set forward ends
+// the lease early, which does no harm.
 func Age(now, from time.Time) time.Duration {
 	return longer(now.Sub(from), now.Round(0).Sub(from.Round(0)))
 }
 
 func longer(mono, wall time.Duration) time.Duration { return max(mono, wall) }
 
-// Term returns the term under which this node holds the lease, or 0.
+// Term returns the term under which this node holds the lease at now, or 0.
 func (s *State) Term(now time.Time) uint32 {
 	if !s.Holding || now.Before(s.YieldUntil) || Age(now, s.HeldFrom) >= s.Settings.Duration {
 		return 0
@@ -187,8 +186,8 @@
 	return s.Record.Term
 }
 
-// MayAct reports whether an order that ends within bound may be sent now, and
-// the remaining time of the lease (L3).
+// MayAct returns the remaining time of the lease and reports whether an order that ends
+// within bound may be sent now (L3).
 func (s *State) MayAct(now time.Time, bound time.Duration) (time.Duration, bool) {
 	if !s.Holding || s.Closing || now.Before(s.YieldUntil) {
 		return 0, false
@@ -197,25 +196,24 @@
 	return remaining, bound <= s.Settings.OrderBound && bound < remaining
 }
 
-// Expired reports whether the node holds a lease whose time has run out. It may
-// still renew the record if nobody else has taken it.
+// Expired reports whether the node holds a lease that has expired. It may still renew
+// the record if no other node has taken it.
 func (s *State) Expired(now time.Time) bool {
 	return s.Holding && Age(now, s.HeldFrom) >= s.Settings.Duration
 }
 
-// Yield leaves the lease to other nodes for the given time. From now on the
-// node may send no order; its record is freed once those it sent have ended (L6).
+// Yield leaves the lease to other nodes for the duration. From now on the node may send
+// no order; its record is released once those already sent have ended (L6).
 func (s *State) Yield(now time.Time, duration time.Duration) {
 	s.ReleaseAt = now.Add(s.Settings.OrderBound)
 	s.YieldUntil = now.Add(max(duration, 2*s.Settings.OrderBound))
 }
 
-// RaiseFloor makes the node's next record carry a term above floor. A holder
-// whose term is not above it takes a new term with its next write: tokens of its
-// term would go backwards (rule G3), because the record was deleted or restored
-// or because the holder no longer knows which ones it issued. Until then it holds
-// nothing, so it may send no order.
-// The orders that it sent before may be in flight until the order bound is over.
+// RaiseFloor makes the term of the node's next record exceed floor. A holder whose term
+// does not exceed it takes a new term with its next write, because tokens of its term
+// could decrease (rule G3): the record was deleted or restored, or the holder no longer
+// knows which tokens it issued. Until then it does not hold the lease and may send no
+// order. It waits for the order bound, since earlier orders may still be in flight.
 func (s *State) RaiseFloor(now time.Time, floor uint32) {
 	s.Floor = max(s.Floor, floor)
 	if s.Holding && s.Record.Term <= s.Floor {
@@ -225,7 +223,7 @@
 	}
 }
 
-// Next returns what to do now. writeID must be unique to the call.
+// Next returns what to do at now. writeID must be unique to the call.
 func (s *State) Next(now time.Time, writeID string) Action {
 	if s.mustRead {
 		return s.readOrWait(now)
@@ -291,8 +289,8 @@
 	return record
 }
 
-// mayAcquire reports whether the record is free, or was this process's own until
-// its floor rose, or its holder's time is over with all its orders (L4).
+// mayAcquire reports whether the record has no holder, or was this process's own until
+// the floor was raised, or its holder has expired with all its orders (L4).
 func (s *State) mayAcquire(now time.Time) bool {
 	if !s.Known || now.Before(s.YieldUntil) {
 		return false
@@ -306,18 +304,19 @@
 	return s.takeoverDue()
 }
 
-// takeoverDue reports whether a read has shown the record unchanged for the whole
-// wait. A node that reads rarely knows nothing of what lies between two reads.
+// takeoverDue reports whether reads have shown the record unchanged for the whole
+// takeover wait. The time since the last read does not count, because the record may
+// have changed in it.
 func (s *State) takeoverDue() bool { return s.ReadAt.Sub(s.SeenAt) >= s.takeoverWait() }
 
-// takeoverWait counts the record's own duration if it is the longer one: its holder may
+// takeoverWait uses the record's own duration if it is longer, because the holder may
 // run with other settings.
 func (s *State) takeoverWait() time.Duration {
 	return max(s.Record.Duration, s.Settings.Duration) + s.Settings.OrderBound + s.Settings.DriftBound
 }
 
-// OnRead takes in the result of a read that ended at now. jitter is between 0
-// and 1 and spreads the reads of many nodes.
+// OnRead processes the result of a read that ended at now. jitter is between 0 and 1
+// and spreads the reads of many nodes over time.
 func (s *State) OnRead(now time.Time, record garnetworks.LeaseRecord, revision garnetworks.Revision, err error, jitter float64) {
 	if garnetworks.IsKind(err, garnetworks.KindNotFound) {
 		record, revision, err = garnetworks.LeaseRecord{}, 0, nil
@@ -335,12 +334,11 @@
 	}
 }
 
-// setRank takes the node's place in the order of L8, and reports whether it is to read
-// sooner for that: the nodes before it are gone.
+// setRank sets the node's rank by L8 and reports whether the node is to read sooner,
+// because it has become a candidate.
 //
-// Load pattern: hundreds of nodes start at once, and each read the record only to find that
-// others come before it. One that has read nothing yet, and is no candidate, leaves it at
-// the long interval.
+// Load pattern: hundreds of nodes start at once. A node that has read nothing yet and is
+// not a candidate skips its first read and waits for the long interval.
 func (s *State) setRank(now time.Time, rank int, jitter float64) (sooner bool) {
 	wasCandidate := s.Rank < s.Candidates
 	s.Rank = rank
@@ -362,11 +360,10 @@
 	return s.Settings.RareReadInterval
 }
 
-// failedReadInterval is the time to the next read after one that failed.
+// failedReadInterval is the time from a failed read to the next one.
 //
-// Failure: the object API turns a third of the nodes away. Each of them reads the lease
-// three times in a renewal's time, though only few nodes would take it; of 75 nodes, 55
-// made 417 such calls in 8 s. A node that reads rarely has no hurry after a failure.
+// Load pattern: the object API refuses the calls of many nodes. Only candidates retry
+// soon; frequent retries by all nodes would add to the load.
 func (s *State) failedReadInterval() time.Duration {
 	const retryDivisor = 4
 	if s.Rank < s.Candidates {
@@ -375,13 +372,13 @@
 	return s.Settings.RareReadInterval / retryDivisor
 }
 
-// withJitter returns between three and five quarters of d.
+// withJitter returns a duration between three and five quarters of d.
 func (s *State) withJitter(d time.Duration, jitter float64) time.Duration {
 	return d*3/4 + time.Duration(float64(d)*jitter/2)
 }
 
-// reconcile compares the record with the writes that this process sent (L2). A
-// record that holds one of them is this process's, from when it sent it.
+// reconcile compares the record with the writes that this process sent (L2). A record
+// that one of them wrote is this process's own, held from when that write was sent.
 func (s *State) reconcile(now time.Time, record garnetworks.LeaseRecord, revision garnetworks.Revision) {
 	for _, w := range s.sent {
 		if revision != 0 && w.Record.WriteID == record.WriteID {
@@ -393,7 +390,7 @@
 	s.Holding = false
 }
 
-// adoptWrite takes in a write that is known to have taken effect.
+// adoptWrite updates the state with a write that is known to have taken effect.
 func (s *State) adoptWrite(record garnetworks.LeaseRecord, revision garnetworks.Revision, started time.Time) {
 	s.observe(started, record, revision)
 	s.Holding = record.Holder == s.Self && record.Term > s.Floor
@@ -411,7 +408,7 @@
 	s.HighestTerm = max(s.HighestTerm, record.Term)
 }
 
-// OnWrite takes in the result of the write of the last ActionWrite.
+// OnWrite processes the result of the write of the last ActionWrite.
 func (s *State) OnWrite(now time.Time, revision garnetworks.Revision, err error) {
 	if len(s.sent) == 0 {
 		return
--- a/leaser/leaser_test.go
+++ b/leaser/leaser_test.go
@@ -24,18 +24,17 @@
 	os.Exit(m.Run())
 }
 
-// world is one record and several nodes with clocks of their own.
+// world simulates one record and several nodes with clocks of their own.
 type world struct {
 	now    time.Time
 	record garnetworks.LeaseRecord
 	rev    garnetworks.Revision
 	nodes  []*contender
-	// orders holds until when each node's newest order may be in flight, and its
-	// term.
+	// orders are the orders that may be in flight.
 	orders []order
 	terms  uint32
 	late   []lateWrite
-	// owners are the processes that ever acted under a term.
+	// owners maps each term to the process that acted under it.
 	owners map[uint32]*contender
 }
 
@@ -59,7 +58,7 @@
 	writes    int
 }
 
-// clock is the node's own clock, which runs faster or slower than real time.
+// clock returns the node's own time; its clock runs faster or slower than real time.
 func (c *contender) clock(now time.Time) time.Time {
 	return c.started.Add(time.Duration(float64(now.Sub(c.started)) * c.clockRate))
 }
@@ -77,8 +76,8 @@
 	return nil
 }
 
-// act lets a node do what is due, with a chance of a lost answer, of a write
-// that takes effect late, and of a refusal.
+// act executes the node's next action. A response may be lost, a write may take effect
+// late, and a call may be refused.
 func (w *world) act(rt *rapid.T, n int) {
 	c := w.nodes[n]
 	c.writes++
@@ -127,9 +126,8 @@
 	}
 }
 
-// TestOrdersOfTwoTermsNeverOverlap holds rules L1 to L5: whatever is paused,
-// lost, late or restarted, and with clocks that differ by one in a hundred, no
-// order of a term is in flight once a node may send orders of another one.
+// Despite pauses, lost responses, delayed writes, restarts and clock drift, orders of two
+// terms or processes are never in flight together (L1 to L5).
 func TestOrdersOfTwoTermsNeverOverlap(t *testing.T) {
 	taken := 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -218,15 +216,14 @@
 	}
 }
 
-// TestAgeTakesTheLongerClock: a machine is suspended for a minute. Its monotonic
-// clock stood still, its wall clock is set after it resumes; by the monotonic
-// clock alone it would still hold a lease that another node has taken.
+// After a suspend the monotonic clock understates the lease's age; the wall clock, set on
+// resuming, shows it. Otherwise a holder would act after a successor took the lease.
 func TestAgeTakesTheLongerClock(t *testing.T) {
 	for name, c := range map[string]struct{ mono, wall, want time.Duration }{
-		"running":         {time.Second, time.Second, time.Second},
-		"suspended":       {time.Second, time.Minute, time.Minute},
-		"wall set back":   {time.Second, -time.Hour, time.Second},
-		"wall set onward": {time.Second, time.Hour, time.Hour},
+		"running":          {time.Second, time.Second, time.Second},
+		"suspended":        {time.Second, time.Minute, time.Minute},
+		"wall set back":    {time.Second, -time.Hour, time.Second},
+		"wall set forward": {time.Second, time.Hour, time.Hour},
 	} {
 		if got := longer(c.mono, c.wall); got != c.want {
 			t.Errorf("%s: age is %s, want %s", name, got, c.want)
@@ -234,8 +231,7 @@
 	}
 }
 
-// TestFewNodesReadOften counts the calls that 41 nodes of a zone make for one
-// lease in an hour without faults (L7).
+// Only candidates read the record frequently: bounds the calls of 41 nodes in an hour (L7).
 func TestFewNodesReadOften(t *testing.T) {
 	w := &world{now: time.Unix(1_000_000, 0)}
 	reads, writes := 0, 0
@@ -263,8 +259,7 @@
 	}
 }
 
-// Story: the object API turns nodes away for ten seconds. All of them asked for the
-// lease several times a second, and each refused call counts like any other.
+// Guards against nodes that are not candidates retrying refused reads several times a second.
 func TestNonCandidatesReadRarelyAfterFailures(t *testing.T) {
 	const seconds, nodes = 10, 40
 	reads := 0
@@ -275,7 +270,7 @@
 		for end := now.Add(seconds * time.Second); now.Before(end); now = now.Add(50 * time.Millisecond) {
 			if a := c.Next(now, "w"); a.Kind == ActionRead {
 				reads++
-				c.OnRead(now, garnetworks.LeaseRecord{}, 0, garnetworks.Errorf(garnetworks.KindThrottled, "turned away"), float64(n%10)/10)
+				c.OnRead(now, garnetworks.LeaseRecord{}, 0, garnetworks.Errorf(garnetworks.KindThrottled, "throttled"), float64(n%10)/10)
 			}
 		}
 	}
@@ -284,8 +279,7 @@
 	}
 }
 
-// Story: 88 nodes start at once. Each read the lease, and 84 of them found only that
-// others come before them; the platform counts each read.
+// Guards against a read by every node when many start at once.
 func TestNonCandidatesDoNotReadAtStart(t *testing.T) {
 	const nodes = 88
 	reads := 0
@@ -304,7 +298,7 @@
 			now = now.Add(50 * time.Millisecond)
 		}
 		if n == nodes-1 && !c.setRank(now, 0, 0.5) {
-			t.Error("a node that becomes a candidate does not read at once")
+			t.Error("a node that has become a candidate does not read immediately")
 		}
 	}
 	if limit := DefaultCandidates * 5; reads > limit {
--- a/leaser/order_test.go
+++ b/leaser/order_test.go
@@ -8,9 +8,8 @@
 	"github.com/garnetworks/garnetworks/leaser"
 )
 
-// Story: four in five nodes of a site have a fifth of a core, and one of them took the
-// lease. It was late with all orders to 880 engines. The three nodes that read the lease
-// often were of one zone, and when that was cut off nobody took it for 20 s.
+// Guards against a holder with too little CPU, and against candidates that are all in one
+// zone and lost together.
 func TestRankNodesPrefersCPUThenDistinctZones(t *testing.T) {
 	var nodes []garnetworks.NodeInfo
 	for z := range 5 {
@@ -29,7 +28,7 @@
 		zones := garnetworks.NewSet[garnetworks.ZoneID]()
 		for i, n := range order[:15] {
 			if n.MilliCPU != 800 {
-				t.Fatalf("a weak node comes at place %d", i)
+				t.Fatalf("a node with a small CPU share has rank %d", i)
 			}
 			if i < 5 {
 				zones.Add(n.Zone)
@@ -40,7 +39,7 @@
 		}
 		for i, n := range order {
 			if got := leaser.Rank(fmt.Sprintf("key-%d", key), n, nodes); got != i {
-				t.Fatalf("rank %d at place %d", got, i)
+				t.Fatalf("Rank() = %d, want %d", got, i)
 			}
 		}
 	}
