--- a/follower/follower.go
+++ b/follower/follower.go
@@ -58,23 +58,23 @@
 	// other node: it learns of a new group that much later, and of a lost one by its
 	// silence as before.
 	AlonePause = 600 * time.Millisecond
-	// AnswerMargin is how long past its wait a watch may take to answer.
-	AnswerMargin = 700 * time.Millisecond
-	// ListTime bounds a list.
-	ListTime = 2 * time.Second
+	// ResponseMargin is how long past its wait a watch may take to answer.
+	ResponseMargin = 700 * time.Millisecond
+	// ListTimeout bounds a list.
+	ListTimeout = 2 * time.Second
 	// Retries wait between these bounds: the first is far above the store's usual
 	// answer of some milliseconds, the last lets a node be back well within a
 	// second of the store's return, also where it learns of that from another node,
 	// which learns of it from a third.
 	retryMin = 60 * time.Millisecond
 	retryMax = 300 * time.Millisecond
-	// ReturnTime is how long after the store's return living servers' entries may
+	// RecoveryTime is how long after the store's return living servers' entries may
 	// take to be back (rule F2). The platform says about two seconds.
-	ReturnTime = 2300 * time.Millisecond
+	RecoveryTime = 2300 * time.Millisecond
 )
 
-// mostPast bounds the lives that are remembered: those of a large zone that is cut off.
-const mostPast = 512
+// maxDeparted bounds the lives that are remembered: those of a large zone that is cut off.
+const maxDeparted = 512
 
 // Servers is a view of the registered servers. Nobody changes it.
 type Servers map[garnetworks.InstanceID]garnetworks.RegisteredServer
@@ -87,9 +87,9 @@
 	// newest state for certain, where Objects know better than by when they were
 	// asked; it may be nil.
 	Confirmed func(prefix string) time.Time
-	// Woke returns when the instance was last found to have been suspended; it may be
+	// LastResume returns when the instance was last found to have been suspended; it may be
 	// nil.
-	Woke func(now time.Time) time.Time
+	LastResume func(now time.Time) time.Time
 	// Acting reports whether the node acts on what it reads of servers; it may be nil.
 	Acting func() bool
 	// Alone reports whether nobody else relies on what the node reads; it may be nil.
@@ -112,40 +112,40 @@
 	// view is a copy of known for readers; it is nil while known is newer.
 	view   Servers
 	lapsed map[garnetworks.InstanceID]bool
-	// past are the lives that were known and are not any more, at most mostPast of them;
+	// departed are the lives that were known and are not any more, at most mostPast of them;
 	// pastOrder holds them by when they went.
-	past      map[garnetworks.Incarnation]garnetworks.RegisteredServer
-	pastOrder []garnetworks.Incarnation
+	departed      map[garnetworks.Incarnation]garnetworks.RegisteredServer
+	departedOrder []garnetworks.Incarnation
 	// refused holds why the newest entries of some servers can't be decoded.
 	refused map[garnetworks.InstanceID]string
-	// fresh are the servers that registered since fresh ones were last told of.
-	fresh   []garnetworks.InstanceID
-	freshAt time.Time
-	changed []chan struct{}
+	// registered are the servers that registered since registered ones were last told of.
+	registered   []garnetworks.InstanceID
+	registeredAt time.Time
+	changed      []chan struct{}
 }
 
 // New returns a follower that knows nothing until Run runs.
 func New(options Options) *Follower {
 	f := &Follower{
 		options: options, known: make(Servers), lapsed: make(map[garnetworks.InstanceID]bool), refused: make(map[garnetworks.InstanceID]string),
-		past: make(map[garnetworks.Incarnation]garnetworks.RegisteredServer),
+		departed: make(map[garnetworks.Incarnation]garnetworks.RegisteredServer),
 	}
 	common := watcher.Options{
-		Margin: AnswerMargin, ListTimeout: ListTime,
+		Margin: ResponseMargin, ListTimeout: ListTimeout,
 		RetryMin: retryMin, RetryMax: retryMax, Recorder: options.Recorder, Random: options.Random,
 	}
 	routing, servers := common, common
-	routing.Wait, routing.Certain = RoutingWait, f.certainOf(options.Reader.RoutingKey())
-	servers.Wait, servers.Certain = ServersWait, f.certainOf(options.Reader.ServerPrefix())
+	routing.Wait, routing.Certain = RoutingWait, f.confirmedFunc(options.Reader.RoutingKey())
+	servers.Wait, servers.Certain = ServersWait, f.confirmedFunc(options.Reader.ServerPrefix())
 	servers.Pause = f.pause
 	f.routing = watcher.New(options.Objects, options.Reader.RoutingKey(), routing)
 	f.servers = watcher.New(options.Objects, options.Reader.ServerPrefix(), servers)
 	return f
 }
 
-// certainOf returns what tells since when an answer about a prefix is certain; nil if
+// confirmedFunc returns what tells since when an answer about a prefix is certain; nil if
 // that is by when it was asked for.
-func (f *Follower) certainOf(prefix string) func() time.Time {
+func (f *Follower) confirmedFunc(prefix string) func() time.Time {
 	if f.options.Confirmed == nil {
 		return nil
 	}
@@ -177,17 +177,17 @@
 // Confirmed returns a time at which the routing was the newest one for certain
 // (rule F4).
 func (f *Follower) Confirmed() time.Time {
-	return f.certain(f.routing)
+	return f.confirmed(f.routing)
 }
 
-// certain returns since when a prefix's contents are certain; zero if the instance
+// confirmed returns since when a prefix's contents are confirmed; zero if the instance
 // was suspended since, because ages are then understated.
-func (f *Follower) certain(w *watcher.Watcher) time.Time {
-	confirmed := w.Confirmed()
-	if f.options.Woke != nil && !confirmed.After(f.options.Woke(time.Now())) {
+func (f *Follower) confirmed(w *watcher.Watcher) time.Time {
+	at := w.Confirmed()
+	if f.options.LastResume != nil && !at.After(f.options.LastResume(time.Now())) {
 		return time.Time{}
 	}
-	return confirmed
+	return at
 }
 
 // RefreshServers reads all servers anew; ServersConfirmed tells when that is done.
@@ -196,7 +196,7 @@
 // ServersConfirmed returns a time at which the servers were the newest ones for
 // certain.
 func (f *Follower) ServersConfirmed() time.Time {
-	return f.certain(f.servers)
+	return f.confirmed(f.servers)
 }
 
 // Servers returns the registered servers.
@@ -209,25 +209,25 @@
 	return f.view
 }
 
-// Past returns the last entry of a life that is known no more: whether it has ended is
+// LastEntry returns the last entry of a life that is known no more: whether it has ended is
 // asked at the address that it had (rule F7).
-func (f *Follower) Past(life garnetworks.Incarnation) (garnetworks.RegisteredServer, bool) {
+func (f *Follower) LastEntry(incarnation garnetworks.Incarnation) (garnetworks.RegisteredServer, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s, ok := f.past[life]
+	s, ok := f.departed[incarnation]
 	return s, ok
 }
 
-// pass remembers a life that is known no more; f.mu is held.
-func (f *Follower) pass(s *garnetworks.RegisteredServer) {
-	life := s.Incarnation()
-	if _, again := f.past[life]; !again {
-		f.pastOrder = append(f.pastOrder, life)
+// rememberDeparted remembers a life that is known no more; f.mu is held.
+func (f *Follower) rememberDeparted(s *garnetworks.RegisteredServer) {
+	incarnation := s.Incarnation()
+	if _, known := f.departed[incarnation]; !known {
+		f.departedOrder = append(f.departedOrder, incarnation)
 	}
-	f.past[life] = *s
-	if len(f.pastOrder) > mostPast {
-		delete(f.past, f.pastOrder[0])
-		f.pastOrder = f.pastOrder[1:]
+	f.departed[incarnation] = *s
+	if len(f.departedOrder) > maxDeparted {
+		delete(f.departed, f.departedOrder[0])
+		f.departedOrder = f.departedOrder[1:]
 	}
 }
 
@@ -237,13 +237,13 @@
 // Run follows the store until ctx ends.
 func (f *Follower) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return f.routing.Run(ctx, f.tellRouting) })
-	group.Go(func() error { return f.servers.Run(ctx, f.tellServer) })
+	group.Go(func() error { return f.routing.Run(ctx, f.applyRouting) })
+	group.Go(func() error { return f.servers.Run(ctx, f.applyServer) })
 	group.Go(func() error { return f.expire(ctx) })
 	return group.Wait()
 }
 
-func (f *Follower) tellRouting(o garnetworks.Object) {
+func (f *Follower) applyRouting(o garnetworks.Object) {
 	if o.Deleted || o.Key != f.options.Reader.RoutingKey() {
 		return
 	}
@@ -266,22 +266,22 @@
 	f.signal()
 }
 
-func (f *Follower) tellServer(o garnetworks.Object) {
+func (f *Follower) applyServer(o garnetworks.Object) {
 	id := garnetworks.InstanceID(strings.TrimPrefix(o.Key, f.options.Reader.ServerPrefix()))
 	if o.Deleted {
-		f.serverGone(id)
+		f.serverRemoved(id)
 		return
 	}
 	s, err := f.options.Reader.ReadServer(id, o.Value)
 	if err != nil {
-		f.refuse(id, err)
+		f.reject(id, err)
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.recordState(&s)
 	if old, ok := f.known[id]; ok {
-		f.remember(&old, &s)
+		f.inherit(&old, &s)
 	}
 	f.known[id] = s
 	delete(f.lapsed, id)
@@ -289,22 +289,22 @@
 	f.publish()
 }
 
-// remember adds to a server's newest entry what earlier ones told (rule F6).
-func (f *Follower) remember(old, s *garnetworks.RegisteredServer) {
+// inherit adds to a server's newest entry what earlier ones told (rule F6).
+func (f *Follower) inherit(old, s *garnetworks.RegisteredServer) {
 	s.InheritFrom(old)
 	if old.Incarnation() == s.Incarnation() {
 		return
 	}
-	f.pass(old)
+	f.rememberDeparted(old)
 	f.record(garnetworks.Event{
 		Kind: garnetworks.EventServerRestarted, Instance: s.ID, Zone: s.Zone, Group: old.Membership.Group,
 		Detail: fmt.Sprintf("it started at %d, the one known before at %d; what was known of that one is dropped", s.StartMS, old.StartMS),
 	})
 }
 
-// refuse drops the server whose entry can't be decoded (rule F5). It tells so once for
+// reject drops the server whose entry can't be decoded (rule F5). It tells so once for
 // each reason, however often the entry is written.
-func (f *Follower) refuse(id garnetworks.InstanceID, err error) {
+func (f *Follower) reject(id garnetworks.InstanceID, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.refused[id] != err.Error() {
@@ -321,15 +321,15 @@
 // held.
 func (f *Follower) drop(id garnetworks.InstanceID) {
 	if s, ok := f.known[id]; ok {
-		f.pass(&s)
+		f.rememberDeparted(&s)
 	}
 	delete(f.known, id)
 	delete(f.lapsed, id)
 }
 
-// serverGone drops a server, or holds it until it is clear that its entry did
+// serverRemoved drops a server, or holds it until it is clear that its entry did
 // not just lapse in an outage (rule F2).
-func (f *Follower) serverGone(id garnetworks.InstanceID) {
+func (f *Follower) serverRemoved(id garnetworks.InstanceID) {
 	recovered, up := f.servers.Recovered()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -337,7 +337,7 @@
 	if _, ok := f.known[id]; !ok {
 		return
 	}
-	if !up || time.Since(recovered) < ReturnTime {
+	if !up || time.Since(recovered) < RecoveryTime {
 		f.lapsed[id] = true
 		f.record(garnetworks.Event{Kind: garnetworks.EventServerLapsed, Instance: id, Detail: "its entry went while the object API was away or just back"})
 		return
@@ -350,8 +350,8 @@
 // expire drops lapsed servers once ReturnTime has passed since the store's
 // return.
 func (f *Follower) expire(ctx context.Context) error {
-	const often = 100 * time.Millisecond
-	ticker := time.NewTicker(often)
+	const interval = 100 * time.Millisecond
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -359,7 +359,7 @@
 			return ctx.Err()
 		case <-ticker.C:
 			f.expireLapsed()
-			f.tellFresh(time.Now())
+			f.recordRegistrations(time.Now())
 		}
 	}
 }
@@ -368,7 +368,7 @@
 	recovered, up := f.servers.Recovered()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.lapsed) == 0 || !up || time.Since(recovered) < ReturnTime {
+	if len(f.lapsed) == 0 || !up || time.Since(recovered) < RecoveryTime {
 		return
 	}
 	for id := range f.lapsed {
@@ -389,27 +389,27 @@
 	case known && old.State != s.State && s.State == garnetworks.ListedLeaving:
 		f.record(garnetworks.Event{Kind: garnetworks.EventServerLeaving, Instance: s.ID, Zone: s.Zone})
 	case !known && f.Ready():
-		f.fresh = append(f.fresh, s.ID)
+		f.registered = append(f.registered, s.ID)
 	}
 }
 
-// tellFresh tells of the servers that have registered, in one line a second at most:
+// recordRegistrations tells of the servers that have registered, in one line a second at most:
 // with a line for each, 95 nodes that start beside 880 servers wrote 83,600.
-func (f *Follower) tellFresh(now time.Time) {
+func (f *Follower) recordRegistrations(now time.Time) {
 	const (
-		every = time.Second
-		named = 8
+		interval = time.Second
+		maxNamed = 8
 	)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.fresh) == 0 || now.Sub(f.freshAt) < every {
+	if len(f.registered) == 0 || now.Sub(f.registeredAt) < interval {
 		return
 	}
 	f.record(garnetworks.Event{
-		Kind: garnetworks.EventServerListed, Instance: f.fresh[0],
-		Detail: fmt.Sprintf("%d servers registered, among them %v", len(f.fresh), f.fresh[:min(len(f.fresh), named)]),
+		Kind: garnetworks.EventServerListed, Instance: f.registered[0],
+		Detail: fmt.Sprintf("%d servers registered, among them %v", len(f.registered), f.registered[:min(len(f.registered), maxNamed)]),
 	})
-	f.fresh, f.freshAt = f.fresh[:0], now
+	f.registered, f.registeredAt = f.registered[:0], now
 }
 
 // publish tells that the known servers have changed; f.mu is held. The view is
--- a/follower/follower_test.go
+++ b/follower/follower_test.go
@@ -85,10 +85,10 @@
 		return garnetworks.RegisteredServer{}, errors.New("bad")
 	}
 	s := garnetworks.RegisteredServer{}
-	text, born, _ := strings.Cut(string(value), "@")
+	text, start, _ := strings.Cut(string(value), "@")
 	state, model, _ := strings.Cut(text, " ")
 	s.ID, s.State, s.Model = id, garnetworks.ListedState(state), garnetworks.ModelName(model)
-	s.StartMS = int64(len(born))
+	s.StartMS = int64(len(start))
 	if s.Model != "" {
 		s.Membership = garnetworks.Membership{Group: garnetworks.GroupID("g-" + model), Epoch: 1}
 	}
@@ -123,11 +123,11 @@
 	followWith(t, &events{}, do)
 }
 
-func followWith(t *testing.T, told *events, do func(*store, *follower.Follower)) {
+func followWith(t *testing.T, recorded *events, do func(*store, *follower.Follower)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{objects: make(map[string]garnetworks.Object), revision: 1}
-		f := follower.New(follower.Options{Objects: s, Reader: reader{}, Recorder: told})
+		f := follower.New(follower.Options{Objects: s, Reader: reader{}, Recorder: recorded})
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); _ = f.Run(ctx) }()
@@ -141,7 +141,7 @@
 
 // Story: the store answers from an older state for a moment. A node that applies
 // the older routing honours keys that were taken away.
-func TestRoutingNeverGoesBack(t *testing.T) {
+func TestRoutingVersionNeverDecreases(t *testing.T) {
 	follow(t, func(s *store, f *follower.Follower) {
 		versions := map[string]uint64{"five.": 5, "six..6": 6, "two": 6, "bad": 6, "seven.7": 7}
 		for _, value := range []string{"five.", "six..6", "two", "bad", "seven.7"} {
@@ -221,13 +221,13 @@
 // Story: an engine crashes and starts again under its identifier within a heartbeat, so
 // that its entry never vanishes. It was taken for one that holds the weights of before,
 // and its group for one whose member is only not listed.
-func TestNewLifeKnowsNothingOfTheEarlierOne(t *testing.T) {
-	told := &events{}
-	followWith(t, told, func(s *store, f *follower.Follower) {
+func TestNewIncarnationInheritsNoState(t *testing.T) {
+	recorded := &events{}
+	followWith(t, recorded, func(s *store, f *follower.Follower) {
 		steps := []struct {
-			entry        string
-			model        garnetworks.ModelName
-			group, ended garnetworks.GroupID
+			entry       string
+			model       garnetworks.ModelName
+			group, lost garnetworks.GroupID
 		}{
 			{"live m@1", "m", "g-m", ""},
 			{"live@1", "m", "", ""},
@@ -243,25 +243,25 @@
 			s.set("servers/a", step.entry)
 			time.Sleep(second)
 			got := f.Servers()["a"]
-			if got.Model != step.model || got.Membership.Group != step.group || got.PreviousMembership.Group != step.ended {
+			if got.Model != step.model || got.Membership.Group != step.group || got.PreviousMembership.Group != step.lost {
 				t.Errorf("step %d, %q: %+v", i, step.entry, got)
 			}
 		}
 	})
-	if got := told.count(garnetworks.EventServerRestarted); got != 3 {
+	if got := recorded.count(garnetworks.EventServerRestarted); got != 3 {
 		t.Errorf("%d starts were told, want 3", got)
 	}
 }
 
-// script is a store that answers lists as they were written down, newer or older ones, and
+// scriptedStore is a store that answers lists as they were written down, newer or older ones, and
 // has always forgotten its history.
-type script struct {
+type scriptedStore struct {
 	garnetworks.ObjectAPI
 	mu    sync.Mutex
 	lists []garnetworks.Object
 }
 
-func (s *script) List(_ context.Context, prefix string) ([]garnetworks.Object, garnetworks.Revision, error) {
+func (s *scriptedStore) List(_ context.Context, prefix string) ([]garnetworks.Object, garnetworks.Revision, error) {
 	if prefix != "servers/" {
 		return nil, 1, nil
 	}
@@ -274,19 +274,19 @@
 	return []garnetworks.Object{o}, o.Revision, nil
 }
 
-func (s *script) Watch(context.Context, string, garnetworks.Revision, time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
+func (s *scriptedStore) Watch(context.Context, string, garnetworks.Revision, time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
 	return nil, 0, garnetworks.Errorf(garnetworks.KindCompacted, "gone")
 }
 
 // Story: an engine has started again, and a replica of the store that lags, or a node that
 // reads for others and is behind, tells the entry of its earlier life once more. The
 // engine was taken for a member of its old group again.
-func TestOlderEntryBringsNoLifeBack(t *testing.T) {
+func TestStaleEntryDoesNotRestoreEarlierIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		entry := func(value string, revision garnetworks.Revision) garnetworks.Object {
 			return garnetworks.Object{Key: "servers/a", Value: []byte(value), Revision: revision}
 		}
-		s := &script{lists: []garnetworks.Object{
+		s := &scriptedStore{lists: []garnetworks.Object{
 			entry("live m@1", 10), entry("live@22", 20), entry("live m@1", 10), entry("live m@1", 15), entry("live@22", 20),
 		}}
 		f := follower.New(follower.Options{Objects: s, Reader: reader{}, Recorder: &events{}})
@@ -314,9 +314,9 @@
 // what the entry said before; nobody knows who answers there now. The other servers are
 // used on, the server is used again once it has written its entry, and the log has one
 // line for the reason, not one for each time.
-func TestEntryThatCannotBeReadNamesNoServer(t *testing.T) {
-	told := &events{}
-	followWith(t, told, func(s *store, f *follower.Follower) {
+func TestUndecodableEntryDropsServer(t *testing.T) {
+	recorded := &events{}
+	followWith(t, recorded, func(s *store, f *follower.Follower) {
 		s.set("servers/a", "live")
 		s.set("servers/b", "live")
 		time.Sleep(second)
@@ -327,7 +327,7 @@
 		if _, ok := f.Servers()["a"]; ok || len(f.Servers()) != 1 {
 			t.Errorf("servers %v", f.Servers())
 		}
-		if got := told.count(garnetworks.EventServerRefused); got != 1 {
+		if got := recorded.count(garnetworks.EventServerRefused); got != 1 {
 			t.Errorf("%d lines for one reason", got)
 		}
 		s.set("servers/a", "live")
@@ -340,9 +340,9 @@
 
 // Story: 880 servers register while the nodes run. Each node wrote a line for each of
 // them: 83,600 lines of 95 nodes.
-func TestRegistrationsAreToldTogether(t *testing.T) {
-	told := &events{}
-	followWith(t, told, func(s *store, _ *follower.Follower) {
+func TestRegistrationsAreRecordedInBatches(t *testing.T) {
+	recorded := &events{}
+	followWith(t, recorded, func(s *store, _ *follower.Follower) {
 		s.set("routing", "one")
 		time.Sleep(second)
 		for i := range 880 {
@@ -351,7 +351,7 @@
 		}
 		time.Sleep(2 * second)
 	})
-	if got := told.count(garnetworks.EventServerListed); got < 2 || got > 7 {
+	if got := recorded.count(garnetworks.EventServerListed); got < 2 || got > 7 {
 		t.Errorf("%d lines for 880 servers in 4.4 s", got)
 	}
 }
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -170,7 +170,7 @@
 		return nil, err
 	}
 	l.follower = follower.New(follower.Options{
-		Objects: l.peers.relayer, Confirmed: l.peers.relayer.Confirmed, Woke: clocks.Woke, Reader: options.Reader, Recorder: events,
+		Objects: l.peers.relayer, Confirmed: l.peers.relayer.Confirmed, LastResume: clocks.Woke, Reader: options.Reader, Recorder: events,
 		Acting: func() bool { return l.peers.leading() }, Alone: l.peers.relayer.Alone,
 	})
 	l.lease, err = leaser.New(leaser.Options{
--- a/launcher/prover.go
+++ b/launcher/prover.go
@@ -27,7 +27,7 @@
 	s, listed := servers[life.Instance]
 	if !listed {
 		var known bool
-		if s, known = l.follower.Past(life); !known || !ask {
+		if s, known = l.follower.LastEntry(life); !known || !ask {
 			return garnetworks.CrashSuspected
 		}
 	}
--- a/launcher/prover_test.go
+++ b/launcher/prover_test.go
@@ -109,11 +109,11 @@
 				defer synctest.Wait()
 				defer stop()
 				go func() { _ = f.Run(ctx) }()
-				time.Sleep(2 * follower.ReturnTime)
+				time.Sleep(2 * follower.RecoveryTime)
 				for id, entry := range c.later {
 					write(id, entry)
 				}
-				time.Sleep(2 * follower.ReturnTime)
+				time.Sleep(2 * follower.RecoveryTime)
 				l := &Launcher{options: Options{Orders: h}, follower: f}
 				if got := l.prove(t.Context(), c.life, c.ask); got != c.want {
 					t.Errorf("state %d, want %d", got, c.want)
--- a/relayer/model_test.go
+++ b/relayer/model_test.go
@@ -357,7 +357,7 @@
 		Chained: func() bool { return upstream().Several }, Random: n.float,
 	})
 	n.follower = follower.New(follower.Options{
-		Objects: n.relayer, Confirmed: n.relayer.Confirmed, Woke: n.woke, Reader: siteReader{}, Recorder: unrecorded{}, Alone: n.relayer.Alone, Random: n.float,
+		Objects: n.relayer, Confirmed: n.relayer.Confirmed, LastResume: n.woke, Reader: siteReader{}, Recorder: unrecorded{}, Alone: n.relayer.Alone, Random: n.float,
 	})
 	ctx, n.stop = context.WithCancel(ctx)
 	w.mu.Lock()
