--- a/follower/follower.go
+++ b/follower/follower.go
@@ -1,24 +1,26 @@
-// Package follower keeps a node's newest view of what the platform's store
-// holds: the operators' routing and the registered backend servers.
+// Package follower maintains a node's current view of the operators' routing and the
+// registered backend servers, which the platform's object store holds.
 //
-//	F1  A routing of a lower version than one applied before is never applied
-//	    (rule G10).
-//	F2  A server whose entry is gone is gone, but not at once after an outage of
-//	    the store: entries lapse while servers can't renew them. They are kept
-//	    until ReturnTime after the store's return, and dropped then.
-//	F3  A routing that can't be decoded changes nothing and is told in the log.
-//	F5  A server's entry that can't be decoded names no server: one that was known by
-//	    it is dropped as if the entry were removed, and calls that it has go on. Who
-//	    wrote it is not known, so neither is who answers at the address that stood
-//	    there before. A server that lives writes its entry again within a heartbeat.
-//	F6  What is remembered of a server is of one life of it. A server that starts
-//	    again under its identifier replaces the earlier life at once, and the group
-//	    that the earlier one was in has lost a member.
-//	F7  An entry that is gone tells nothing of the server's life: those of a zone that is
-//	    cut off lapse together while their servers serve on. So the address of a life
-//	    that went is remembered, for those who need to ask it.
-//	F4  How old the routing may be is known at each moment: a node that can't ask
-//	    the store must stop honouring keys in time.
+//	F1  A routing whose version is lower than one applied before is never
+//	    applied (rule G10).
+//	F2  A server whose entry was removed is dropped, but not right after an
+//	    outage of the store, when entries have expired because servers could not
+//	    renew them. Such servers are kept until RecoveryTime after the store's
+//	    recovery and dropped only if their entries are still missing.
+//	F3  A routing that can't be decoded changes nothing and is recorded.
+//	F4  The age of the routing is known at all times, so that a node that can't
+//	    reach the store stops accepting keys in time.
+//	F5  A server whose entry can't be decoded is dropped as if the entry had been
+//	    removed; calls in flight on it continue. It is not known who wrote the
+//	    entry, nor who answers at the earlier address. A live server rewrites its
+//	    entry within a heartbeat interval.
+//	F6  State that is kept about a server belongs to one incarnation of it. A
+//	    server that restarts under its identifier replaces the earlier incarnation
+//	    at once, and the group of the earlier one has lost a member.
+//	F7  The removal of an entry does not prove that the server ended: in a zone
+//	    that is cut off, all entries expire while their servers keep serving. So
+//	    the last entry of a departed incarnation is kept, with the address to
+//	    probe it at.
 package follower
 
 import (
@@ -37,70 +39,67 @@
 	"github.com/garnetworks/garnetworks/watcher"
 )
 
-// Times of following.
+// Timing of the watches.
 const (
-	// RoutingWait is the longest wait of the watch on the routing. An answer proves
-	// that the routing was the newest one when the watch was sent, so what is known
-	// is up to twice the wait old: below the usual 2 s within which changes are used.
+	// RoutingWait is the longest wait of the watch on the routing. A response proves that
+	// the routing was the newest one when the watch was sent, so the age of what is known
+	// is at most twice the wait, below the usual SiteBounds.ApplyTime of 2 s.
 	RoutingWait = 900 * time.Millisecond
-	// ServersWait is that of the watch on servers. Nodes that read it from another
-	// node rely on how old its contents are at most, which is twice the wait.
+	// ServersWait is the longest wait of the watch on servers. Nodes that read the servers
+	// from another node rely on their age being at most twice the wait.
 	ServersWait = 1200 * time.Millisecond
-	// ServersPause joins changes that come in a row, as when a group forms, into
-	// one call. A node that only places calls learns of a group that much later, at
-	// most. With 220 engines of which one is lost each second, their entries change
-	// some twenty times a second, and each change was a call of each reader.
+	// ServersPause is the pause after a response with changes, so that changes in quick
+	// succession, as when a group forms, cost one call. It delays by that much when a node
+	// that only routes calls learns of a new group.
 	ServersPause = 200 * time.Millisecond
-	// ActingPause is the same for a node that acts on the entries: each step of a
-	// group's formation waits for the one before.
+	// ActingPause is the pause of a node that acts on the entries; it is shorter because
+	// each step of forming a group waits for the previous one.
 	ActingPause = 50 * time.Millisecond
-	// AlonePause is the same for a node that reads for itself only because it reaches no
-	// other node: it learns of a new group that much later, and of a lost one by its
-	// silence as before.
+	// AlonePause is the pause of a node that reads from the store itself only because it
+	// reaches no other node. It delays by that much when the node learns of a new group.
 	AlonePause = 600 * time.Millisecond
-	// ResponseMargin is how long past its wait a watch may take to answer.
+	// ResponseMargin is how long after its wait a watch may take to respond.
 	ResponseMargin = 700 * time.Millisecond
-	// ListTimeout bounds a list.
+	// ListTimeout limits the time of a list call.
 	ListTimeout = 2 * time.Second
-	// Retries wait between these bounds: the first is far above the store's usual
-	// answer of some milliseconds, the last lets a node be back well within a
-	// second of the store's return, also where it learns of that from another node,
-	// which learns of it from a third.
+	// Retries wait between these bounds. The first is well above the store's usual
+	// response time; the last is short enough for a node to recover well within a second
+	// of the store's recovery, even if it learns of that through two other nodes.
 	retryMin = 60 * time.Millisecond
 	retryMax = 300 * time.Millisecond
-	// RecoveryTime is how long after the store's return living servers' entries may
-	// take to be back (rule F2). The platform says about two seconds.
+	// RecoveryTime is how long after the store's recovery live servers may take to restore
+	// their entries (rule F2).
 	RecoveryTime = 2300 * time.Millisecond
 )
 
-// maxDeparted bounds the lives that are remembered: those of a large zone that is cut off.
+// maxDeparted limits the departed incarnations that are kept to those of a large zone.
 const maxDeparted = 512
 
-// Servers is a view of the registered servers. Nobody changes it.
+// Servers is an immutable view of the registered servers.
 type Servers map[garnetworks.InstanceID]garnetworks.RegisteredServer
 
-// Options describe a follower.
+// Options configure a follower.
 type Options struct {
 	Objects garnetworks.ObjectAPI
 	Reader  garnetworks.SiteReader
-	// Confirmed returns a time at which what was last read of a prefix was the
-	// newest state for certain, where Objects know better than by when they were
-	// asked; it may be nil.
+	// Confirmed returns a time at which the objects last read under a prefix are known to
+	// have been the newest ones, if Objects knows better than from the time of the call; it
+	// may be nil.
 	Confirmed func(prefix string) time.Time
-	// LastResume returns when the instance was last found to have been suspended; it may be
-	// nil.
+	// LastResume returns when the instance was last found to have resumed from a suspend; it
+	// may be nil.
 	LastResume func(now time.Time) time.Time
-	// Acting reports whether the node acts on what it reads of servers; it may be nil.
+	// Acting reports whether the node acts on the servers that it reads; it may be nil.
 	Acting func() bool
-	// Alone reports whether nobody else relies on what the node reads; it may be nil.
+	// Alone reports whether no other node relies on what this node reads; it may be nil.
 	Alone func() bool
-	// Recorder is told what changes in the node's view.
+	// Recorder records the changes of the node's view.
 	Recorder garnetworks.Recorder
 	// Random returns values in [0, 1); nil takes the runtime's generator.
 	Random func() float64
 }
 
-// Follower follows the store. Its views may be read by any goroutine.
+// Follower follows the store. Its views may be read from any goroutine.
 type Follower struct {
 	options Options
 	routing *watcher.Watcher
@@ -109,22 +108,23 @@
 
 	mu    sync.Mutex
 	known Servers
-	// view is a copy of known for readers; it is nil while known is newer.
+	// view is a copy of known for readers; it is nil if known has changed since.
 	view   Servers
 	lapsed map[garnetworks.InstanceID]bool
-	// departed are the lives that were known and are not any more, at most mostPast of them;
-	// pastOrder holds them by when they went.
+	// departed holds the last entries of the incarnations that are no longer known, at most
+	// maxDeparted of them; departedOrder lists them, oldest first.
 	departed      map[garnetworks.Incarnation]garnetworks.RegisteredServer
 	departedOrder []garnetworks.Incarnation
-	// refused holds why the newest entries of some servers can't be decoded.
+	// refused holds the decoding errors of the newest entries of some servers.
 	refused map[garnetworks.InstanceID]string
-	// registered are the servers that registered since registered ones were last told of.
+	// registered are the servers that registered since the last record of registrations,
+	// which was made at registeredAt.
 	registered   []garnetworks.InstanceID
 	registeredAt time.Time
 	changed      []chan struct{}
 }
 
-// New returns a follower that knows nothing until Run runs.
+// New returns a follower. It knows nothing before Run is called.
 func New(options Options) *Follower {
 	f := &Follower{
 		options: options, known: make(Servers), lapsed: make(map[garnetworks.InstanceID]bool), refused: make(map[garnetworks.InstanceID]string),
@@ -143,8 +143,8 @@
 	return f
 }
 
-// confirmedFunc returns what tells since when an answer about a prefix is certain; nil if
-// that is by when it was asked for.
+// confirmedFunc returns a function for the time at which a response about a prefix was
+// confirmed, or nil if that is when the call was sent.
 func (f *Follower) confirmedFunc(prefix string) func() time.Time {
 	if f.options.Confirmed == nil {
 		return nil
@@ -152,7 +152,7 @@
 	return func() time.Time { return f.options.Confirmed(prefix) }
 }
 
-// pause is the time between two reads of servers that change.
+// pause returns the time to wait between two reads of servers that change.
 func (f *Follower) pause() time.Duration {
 	if f.options.Acting != nil && f.options.Acting() {
 		return ActingPause
@@ -163,25 +163,25 @@
 	return ServersPause
 }
 
-// Changed returns a channel that gets a signal when servers or routing may have
-// changed. It is called before Run.
+// Changed returns a channel that gets a signal when servers or routing may have changed.
+// It must be called before Run.
 func (f *Follower) Changed() <-chan struct{} {
 	c := make(chan struct{}, 1)
 	f.changed = append(f.changed, c)
 	return c
 }
 
-// Index returns the routing in force, or nil before the first one.
+// Index returns the routing in force, or nil if there is none yet.
 func (f *Follower) Index() *matcher.Index { return f.index.Load() }
 
-// Confirmed returns a time at which the routing was the newest one for certain
+// Confirmed returns a time at which the routing is known to have been the newest one
 // (rule F4).
 func (f *Follower) Confirmed() time.Time {
 	return f.confirmed(f.routing)
 }
 
-// confirmed returns since when a prefix's contents are confirmed; zero if the instance
-// was suspended since, because ages are then understated.
+// confirmed returns a time at which a prefix's contents are known to have been the newest;
+// zero if the instance was suspended since, because ages are then understated.
 func (f *Follower) confirmed(w *watcher.Watcher) time.Time {
 	at := w.Confirmed()
 	if f.options.LastResume != nil && !at.After(f.options.LastResume(time.Now())) {
@@ -190,11 +190,11 @@
 	return at
 }
 
-// RefreshServers reads all servers anew; ServersConfirmed tells when that is done.
+// RefreshServers lists all servers again; ServersConfirmed shows when that is done.
 func (f *Follower) RefreshServers() { f.servers.Relist() }
 
-// ServersConfirmed returns a time at which the servers were the newest ones for
-// certain.
+// ServersConfirmed returns a time at which the servers are known to have been the newest
+// ones.
 func (f *Follower) ServersConfirmed() time.Time {
 	return f.confirmed(f.servers)
 }
@@ -209,8 +209,8 @@
 	return f.view
 }
 
-// LastEntry returns the last entry of a life that is known no more: whether it has ended is
-// asked at the address that it had (rule F7).
+// LastEntry returns the last entry of a departed incarnation, with the address at which to
+// probe whether it has ended (rule F7).
 func (f *Follower) LastEntry(incarnation garnetworks.Incarnation) (garnetworks.RegisteredServer, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -218,7 +218,7 @@
 	return s, ok
 }
 
-// rememberDeparted remembers a life that is known no more; f.mu is held.
+// rememberDeparted keeps the last entry of an incarnation; f.mu must be held.
 func (f *Follower) rememberDeparted(s *garnetworks.RegisteredServer) {
 	incarnation := s.Incarnation()
 	if _, known := f.departed[incarnation]; !known {
@@ -289,7 +289,7 @@
 	f.publish()
 }
 
-// inherit adds to a server's newest entry what earlier ones told (rule F6).
+// inherit adds to a server's newest entry what earlier ones held (rule F6).
 func (f *Follower) inherit(old, s *garnetworks.RegisteredServer) {
 	s.InheritFrom(old)
 	if old.Incarnation() == s.Incarnation() {
@@ -298,18 +298,18 @@
 	f.rememberDeparted(old)
 	f.record(garnetworks.Event{
 		Kind: garnetworks.EventServerRestarted, Instance: s.ID, Zone: s.Zone, Group: old.Membership.Group,
-		Detail: fmt.Sprintf("it started at %d, the one known before at %d; what was known of that one is dropped", s.StartMS, old.StartMS),
+		Detail: fmt.Sprintf("it started at %d, the previous incarnation at %d; state kept about that one is dropped", s.StartMS, old.StartMS),
 	})
 }
 
-// reject drops the server whose entry can't be decoded (rule F5). It tells so once for
-// each reason, however often the entry is written.
+// reject drops the server whose entry can't be decoded (rule F5). It records that once per
+// reason, however often the entry is written.
 func (f *Follower) reject(id garnetworks.InstanceID, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.refused[id] != err.Error() {
 		f.refused[id] = err.Error()
-		f.record(garnetworks.Event{Kind: garnetworks.EventServerRefused, Instance: id, Error: garnetworks.KindOf(err), Detail: "its entry names no server: " + err.Error()})
+		f.record(garnetworks.Event{Kind: garnetworks.EventServerRefused, Instance: id, Error: garnetworks.KindOf(err), Detail: "its entry can't be decoded: " + err.Error()})
 	}
 	if _, ok := f.known[id]; ok {
 		f.drop(id)
@@ -317,8 +317,7 @@
 	}
 }
 
-// drop forgets a server, and remembers the incarnation that was known of it (rule F7); f.mu is
-// held.
+// drop removes a server from the view and keeps its last entry (rule F7); f.mu must be held.
 func (f *Follower) drop(id garnetworks.InstanceID) {
 	if s, ok := f.known[id]; ok {
 		f.rememberDeparted(&s)
@@ -327,8 +326,8 @@
 	delete(f.lapsed, id)
 }
 
-// serverRemoved drops a server, or holds it until it is clear that its entry did
-// not just lapse in an outage (rule F2).
+// serverRemoved drops a server, or marks it as lapsed if its entry may only have expired
+// during an outage of the store (rule F2).
 func (f *Follower) serverRemoved(id garnetworks.InstanceID) {
 	recovered, up := f.servers.Recovered()
 	f.mu.Lock()
@@ -339,7 +338,7 @@
 	}
 	if !up || time.Since(recovered) < RecoveryTime {
 		f.lapsed[id] = true
-		f.record(garnetworks.Event{Kind: garnetworks.EventServerLapsed, Instance: id, Detail: "its entry went while the object API was away or just back"})
+		f.record(garnetworks.Event{Kind: garnetworks.EventServerLapsed, Instance: id, Detail: "its entry disappeared during or right after an outage of the object API"})
 		return
 	}
 	f.record(garnetworks.Event{Kind: garnetworks.EventServerGone, Instance: id, Detail: "its entry was removed"})
@@ -347,8 +346,8 @@
 	f.publish()
 }
 
-// expire drops lapsed servers once ReturnTime has passed since the store's
-// return.
+// expire drops lapsed servers once RecoveryTime has passed since the store's recovery, and
+// records registrations.
 func (f *Follower) expire(ctx context.Context) error {
 	const interval = 100 * time.Millisecond
 	ticker := time.NewTicker(interval)
@@ -372,7 +371,7 @@
 		return
 	}
 	for id := range f.lapsed {
-		f.record(garnetworks.Event{Kind: garnetworks.EventServerGone, Instance: id, Detail: fmt.Sprintf("its entry is not back %s after the object API's return", time.Since(recovered).Round(time.Millisecond))})
+		f.record(garnetworks.Event{Kind: garnetworks.EventServerGone, Instance: id, Detail: fmt.Sprintf("its entry is still missing %s after the object API's recovery", time.Since(recovered).Round(time.Millisecond))})
 		f.drop(id)
 	}
 	f.publish()
@@ -380,7 +379,7 @@
 
 func (f *Follower) record(e garnetworks.Event) { f.options.Recorder.Record(e) }
 
-// recordState tells a change of a server's state; f.mu is held.
+// recordState records a change of a server's state; f.mu must be held.
 func (f *Follower) recordState(s *garnetworks.RegisteredServer) {
 	old, known := f.known[s.ID]
 	switch {
@@ -393,8 +392,8 @@
 	}
 }
 
-// recordRegistrations tells of the servers that have registered, in one line a second at most:
-// with a line for each, 95 nodes that start beside 880 servers wrote 83,600.
+// recordRegistrations records new servers, in at most one event per second: with one event
+// per server, each node of a large site would record thousands when the site starts.
 func (f *Follower) recordRegistrations(now time.Time) {
 	const (
 		interval = time.Second
@@ -412,8 +411,8 @@
 	f.registered, f.registeredAt = f.registered[:0], now
 }
 
-// publish tells that the known servers have changed; f.mu is held. The view is
-// copied when it is asked for, so that many changes in a row cost one copy.
+// publish signals that the known servers have changed; f.mu must be held. The view is
+// copied only when it is requested, so that many changes in a row cost one copy.
 func (f *Follower) publish() {
 	f.view = nil
 	f.signal()
--- a/follower/follower_test.go
+++ b/follower/follower_test.go
@@ -15,7 +15,7 @@
 	"github.com/garnetworks/garnetworks/follower"
 )
 
-// store is an object API in memory that can be away.
+// store is an in-memory object API that can be unavailable.
 type store struct {
 	garnetworks.ObjectAPI
 	mu       sync.Mutex
@@ -56,7 +56,7 @@
 	return list, s.revision, nil
 }
 
-// Watch has always forgotten its history, so that each change comes by a list.
+// Watch always reports a compacted history, so that each change arrives through a list.
 func (s *store) Watch(_ context.Context, _ string, _ garnetworks.Revision, wait time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
 	time.Sleep(min(wait, 100*time.Millisecond))
 	s.mu.Lock()
@@ -67,7 +67,7 @@
 	return nil, 0, garnetworks.Errorf(garnetworks.KindCompacted, "gone")
 }
 
-// reader decodes a version from the routing's length, and refuses "bad".
+// reader decodes a version from the length of the routing, and rejects "bad".
 type reader struct{}
 
 func (reader) RoutingKey() string   { return "routing" }
@@ -118,7 +118,7 @@
 	return n
 }
 
-// follow runs a follower for the time of do.
+// follow runs a follower while do runs.
 func follow(t *testing.T, do func(*store, *follower.Follower)) {
 	followWith(t, &events{}, do)
 }
@@ -139,8 +139,8 @@
 
 const second = time.Second
 
-// Story: the store answers from an older state for a moment. A node that applies
-// the older routing honours keys that were taken away.
+// A lagging replica returns an older routing. A node that applied it would accept revoked
+// keys.
 func TestRoutingVersionNeverDecreases(t *testing.T) {
 	follow(t, func(s *store, f *follower.Follower) {
 		versions := map[string]uint64{"five.": 5, "six..6": 6, "two": 6, "bad": 6, "seven.7": 7}
@@ -154,9 +154,8 @@
 	})
 }
 
-// Story: the store is away, and the entries of servers lapse because the servers
-// can't renew them. They are back two seconds after the store's return. A node that
-// drops them at once has no servers left and refuses all calls.
+// During an outage of the store, entries expire because servers can't renew them. A node
+// that dropped them at once would have no servers left and refuse all calls.
 func TestEntriesThatLapseInAnOutageAreKept(t *testing.T) {
 	follow(t, func(s *store, f *follower.Follower) {
 		s.set("servers/a", "live")
@@ -177,12 +176,12 @@
 			t.Error("a server whose entry is back was dropped")
 		}
 		if _, ok := f.Servers()["b"]; ok {
-			t.Error("a server whose entry is not back counts as there")
+			t.Error("a server whose entry is not back is still listed")
 		}
 	})
 }
 
-// Story: a server leaves while all is well; it is dropped at once.
+// A server whose entry is removed without an outage is dropped immediately.
 func TestEntriesThatAreRemovedAreDropped(t *testing.T) {
 	follow(t, func(s *store, f *follower.Follower) {
 		s.set("servers/a", "live")
@@ -199,9 +198,8 @@
 	})
 }
 
-// Story: an engine leaves its group. Its entry names no model any more, and the engine
-// was taken for one that needs a load, though its memory holds the weights until it
-// starts anew under another identifier.
+// An engine that leaves its group reports no model but keeps the weights in memory. It
+// must not be treated as if it needed a full load.
 func TestModelInMemoryIsRemembered(t *testing.T) {
 	follow(t, func(s *store, f *follower.Follower) {
 		steps := []struct {
@@ -218,9 +216,8 @@
 	})
 }
 
-// Story: an engine crashes and starts again under its identifier within a heartbeat, so
-// that its entry never vanishes. It was taken for one that holds the weights of before,
-// and its group for one whose member is only not listed.
+// An engine that crashes and restarts within a heartbeat must not count as holding its
+// earlier weights, and its group must count as having lost a member.
 func TestNewIncarnationInheritsNoState(t *testing.T) {
 	recorded := &events{}
 	followWith(t, recorded, func(s *store, f *follower.Follower) {
@@ -235,7 +232,7 @@
 			{"live@22", "", "", "g-m"},
 			{"live@22", "", "", "g-m"},
 			{"live n@22", "n", "g-n", "g-m"},
-			// A clock that went back between two lives makes them no less different.
+			// Incarnations stay distinct when the server's clock goes back.
 			{"live@1", "", "", "g-n"},
 			{"live@333", "", "", "g-n"},
 		}
@@ -249,12 +246,12 @@
 		}
 	})
 	if got := recorded.count(garnetworks.EventServerRestarted); got != 3 {
-		t.Errorf("%d starts were told, want 3", got)
+		t.Errorf("%d restarts were recorded, want 3", got)
 	}
 }
 
-// scriptedStore is a store that answers lists as they were written down, newer or older ones, and
-// has always forgotten its history.
+// scriptedStore returns the given lists one after the other, newer or older ones, and always
+// reports a compacted history.
 type scriptedStore struct {
 	garnetworks.ObjectAPI
 	mu    sync.Mutex
@@ -278,9 +275,8 @@
 	return nil, 0, garnetworks.Errorf(garnetworks.KindCompacted, "gone")
 }
 
-// Story: an engine has started again, and a replica of the store that lags, or a node that
-// reads for others and is behind, tells the entry of its earlier life once more. The
-// engine was taken for a member of its old group again.
+// After a restart, a lagging replica or relay returns the entry of the earlier incarnation.
+// The engine must not become a member of its old group again.
 func TestStaleEntryDoesNotRestoreEarlierIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		entry := func(value string, revision garnetworks.Revision) garnetworks.Object {
@@ -299,21 +295,19 @@
 			a := f.Servers()["a"]
 			restarted = restarted || a.StartMS == 2
 			if restarted && (a.StartMS != 2 || a.Membership.Group != "" || a.PreviousMembership.Group != "g-m") {
-				t.Fatalf("after the later life came, the entry is %+v", a)
+				t.Fatalf("after the restart the entry is %+v", a)
 			}
 		}
 		if !restarted {
-			t.Error("the later life never came")
+			t.Error("the restart was never seen")
 		}
 		stop()
 		<-done
 	})
 }
 
-// Story: another program writes over a server's entry, again and again. Calls went to
-// what the entry said before; nobody knows who answers there now. The other servers are
-// used on, the server is used again once it has written its entry, and the log has one
-// line for the reason, not one for each time.
+// Another program keeps overwriting a server's entry. The server is dropped until it writes
+// its entry again, the others stay, and the reason is recorded only once.
 func TestUndecodableEntryDropsServer(t *testing.T) {
 	recorded := &events{}
 	followWith(t, recorded, func(s *store, f *follower.Follower) {
@@ -328,7 +322,7 @@
 			t.Errorf("servers %v", f.Servers())
 		}
 		if got := recorded.count(garnetworks.EventServerRefused); got != 1 {
-			t.Errorf("%d lines for one reason", got)
+			t.Errorf("%d events for one reason", got)
 		}
 		s.set("servers/a", "live")
 		time.Sleep(second)
@@ -338,8 +332,7 @@
 	})
 }
 
-// Story: 880 servers register while the nodes run. Each node wrote a line for each of
-// them: 83,600 lines of 95 nodes.
+// Guards against one event for each of many servers that register at the same time.
 func TestRegistrationsAreRecordedInBatches(t *testing.T) {
 	recorded := &events{}
 	followWith(t, recorded, func(s *store, _ *follower.Follower) {
@@ -352,23 +345,23 @@
 		time.Sleep(2 * second)
 	})
 	if got := recorded.count(garnetworks.EventServerListed); got < 2 || got > 7 {
-		t.Errorf("%d lines for 880 servers in 4.4 s", got)
+		t.Errorf("%d events for 880 servers in 4.4 s", got)
 	}
 }
 
-// Story: the store can't be reached. What the node knows gets older, and it can tell
-// how old, so that it stops honouring keys in time.
+// While the store is unreachable, the age of the routing grows, so that the node stops
+// accepting keys in time.
 func TestAgeOfTheRoutingIsKnown(t *testing.T) {
 	follow(t, func(s *store, f *follower.Follower) {
 		s.set("routing", "one")
 		time.Sleep(2 * second)
 		if age := time.Since(f.Confirmed()); age > 2*second {
-			t.Errorf("the routing may be %s old while the store answers", age)
+			t.Errorf("the routing's age is %s while the store is available", age)
 		}
 		s.setDown(true)
 		time.Sleep(10 * second)
 		if age := time.Since(f.Confirmed()); age < 9*second {
-			t.Errorf("the routing is said to be %s old after 10 s without the store", age)
+			t.Errorf("the routing's age is %s after an outage of 10 s", age)
 		}
 	})
 }
