--- a/follower/follower.go
+++ b/follower/follower.go
@@ -135,8 +135,8 @@
 		RetryMin: retryMin, RetryMax: retryMax, Recorder: options.Recorder, Random: options.Random,
 	}
 	routing, servers := common, common
-	routing.Wait, routing.Certain = RoutingWait, f.confirmedFunc(options.Reader.RoutingKey())
-	servers.Wait, servers.Certain = ServersWait, f.confirmedFunc(options.Reader.ServerPrefix())
+	routing.Wait, routing.ConfirmedAt = RoutingWait, f.confirmedFunc(options.Reader.RoutingKey())
+	servers.Wait, servers.ConfirmedAt = ServersWait, f.confirmedFunc(options.Reader.ServerPrefix())
 	servers.Pause = f.pause
 	f.routing = watcher.New(options.Objects, options.Reader.RoutingKey(), routing)
 	f.servers = watcher.New(options.Objects, options.Reader.ServerPrefix(), servers)
--- a/watcher/state.go
+++ b/watcher/state.go
@@ -11,58 +11,58 @@
 // State is what is known of the objects under a prefix. The zero State knows
 // nothing. It does no I/O and is not safe for concurrent use.
 type State struct {
-	// After is the store's revision that the state reflects; it never decreases.
-	After garnetworks.Revision
+	// Revision is the store's revision that the state reflects; it never decreases.
+	Revision garnetworks.Revision
 	// Known holds the revision last told for each living object.
 	Known map[string]garnetworks.Revision
 }
 
-// Listed takes a list's answer and returns the objects to tell, in key order.
+// ApplyList takes a list's answer and returns the objects to tell, in key order.
 // It returns false and changes nothing if the list is older than the state
 // (rule W2): a lagging replica or a restored backup of the store answered.
-func (s *State) Listed(objects []garnetworks.Object, revision garnetworks.Revision) ([]garnetworks.Object, bool) {
-	if revision < s.After {
+func (s *State) ApplyList(objects []garnetworks.Object, revision garnetworks.Revision) ([]garnetworks.Object, bool) {
+	if revision < s.Revision {
 		return nil, false
 	}
-	s.After = revision
+	s.Revision = revision
 	present := make(map[string]garnetworks.Revision, len(objects))
-	var told []garnetworks.Object
+	var updates []garnetworks.Object
 	for _, o := range objects {
 		present[o.Key] = o.Revision
 		if o.Revision > s.Known[o.Key] {
-			told = append(told, o)
+			updates = append(updates, o)
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(s.Known)) {
 		if _, ok := present[key]; !ok {
-			told = append(told, garnetworks.Object{Key: key, Revision: revision, Deleted: true}) // rule W3
+			updates = append(updates, garnetworks.Object{Key: key, Revision: revision, Deleted: true}) // rule W3
 		}
 	}
-	slices.SortStableFunc(told, func(a, b garnetworks.Object) int { return cmp.Compare(a.Key, b.Key) })
+	slices.SortStableFunc(updates, func(a, b garnetworks.Object) int { return cmp.Compare(a.Key, b.Key) })
 	s.Known = present
-	return told, true
+	return updates, true
 }
 
-// Changed takes a watch's answer and returns the changes to tell, in order.
-func (s *State) Changed(objects []garnetworks.Object, revision garnetworks.Revision) []garnetworks.Object {
+// ApplyChanges takes a watch's answer and returns the changes to tell, in order.
+func (s *State) ApplyChanges(objects []garnetworks.Object, revision garnetworks.Revision) []garnetworks.Object {
 	if s.Known == nil {
 		s.Known = make(map[string]garnetworks.Revision)
 	}
-	var told []garnetworks.Object
+	var updates []garnetworks.Object
 	for _, o := range objects {
-		if s.apply(o) {
-			told = append(told, o)
+		if s.applyChange(o) {
+			updates = append(updates, o)
 		}
 	}
-	s.After = max(s.After, revision)
-	return told
+	s.Revision = max(s.Revision, revision)
+	return updates
 }
 
-// apply takes one change and reports whether it is new (rule W2). A change at
+// applyChange takes one change and reports whether it is new (rule W2). A change at
 // or below After for an unknown key is a repetition from before its deletion.
-func (s *State) apply(o garnetworks.Object) bool {
-	known, living := s.Known[o.Key]
-	if o.Revision <= known || !living && (o.Deleted || o.Revision <= s.After) {
+func (s *State) applyChange(o garnetworks.Object) bool {
+	known, exists := s.Known[o.Key]
+	if o.Revision <= known || !exists && (o.Deleted || o.Revision <= s.Revision) {
 		return false
 	}
 	if o.Deleted {
--- a/watcher/watcher.go
+++ b/watcher/watcher.go
@@ -35,10 +35,10 @@
 	// Pause returns what is waited after an answer with changes, so that changes that
 	// come in a row cost one call together; nil asks again at once.
 	Pause func() time.Duration
-	// Certain returns since when the contents of the answer that has just come are
+	// ConfirmedAt returns since when the contents of the answer that has just come are
 	// certain, where the object API knows better than by when it was asked: answers that
 	// pass through other nodes are older. Nil takes the time at which the call was sent.
-	Certain func() time.Time
+	ConfirmedAt func() time.Time
 	// Recorder may be nil.
 	Recorder garnetworks.Recorder
 	// Random returns values in [0, 1); nil takes the runtime's generator.
@@ -69,8 +69,8 @@
 // uniformly random part of a ceiling that doubles from low to high (rule W4).
 // It is never under a tenth of the ceiling, so that no call follows at once.
 func Backoff(failures int, low, high time.Duration, random float64) time.Duration {
-	const doublings = 20
-	ceiling := min(high, low<<min(max(failures-1, 0), doublings))
+	const maxDoublings = 20
+	ceiling := min(high, low<<min(max(failures-1, 0), maxDoublings))
 	floor := ceiling / 10
 	return floor + time.Duration(random*float64(ceiling-floor))
 }
@@ -86,7 +86,7 @@
 	// down is true while the last call failed; synced is true once a list has
 	// been told.
 	down, synced bool
-	last         time.Time
+	lastSuccess  time.Time
 	// confirmed is when the last call that succeeded was sent, recovered when the
 	// first call after a failure succeeded.
 	confirmed, recovered time.Time
@@ -106,7 +106,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	limit := w.options.Wait + w.options.Margin + w.options.ListTimeout
-	return w.synced && !w.down && time.Since(w.last) <= limit
+	return w.synced && !w.down && time.Since(w.lastSuccess) <= limit
 }
 
 // Confirmed returns a time at which what was told was the newest state for
@@ -129,8 +129,8 @@
 	}
 }
 
-// relisting reports whether Relist was called since the last list.
-func (w *Watcher) relisting() bool {
+// relistRequested reports whether Relist was called since the last list.
+func (w *Watcher) relistRequested() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.relist
@@ -148,10 +148,10 @@
 // Run tells each newest object to tell, one after the other, until ctx ends; a
 // deletion comes as an object with Deleted. It returns ctx's error and may be
 // called once.
-func (w *Watcher) Run(ctx context.Context, tell func(garnetworks.Object)) error {
+func (w *Watcher) Run(ctx context.Context, deliver func(garnetworks.Object)) error {
 	failures := 0
 	for ctx.Err() == nil {
-		err := w.follow(ctx, tell, func() { failures = 0 })
+		err := w.follow(ctx, deliver, func() { failures = 0 })
 		if ctx.Err() != nil {
 			break
 		}
@@ -160,7 +160,7 @@
 		}
 		failures++
 		if !garnetworks.IsKind(err, garnetworks.KindCompacted) {
-			w.failed(err)
+			w.recordFailure(err)
 		}
 		o := w.options
 		sleep(ctx, Backoff(failures, o.RetryMin, o.RetryMax, o.Random()))
@@ -173,25 +173,25 @@
 // ends a series of failures: where a lagging replica answers the list, its
 // revision may be compacted already, and list and watch would chase each other
 // without a pause.
-func (w *Watcher) follow(ctx context.Context, tell func(garnetworks.Object), ok func()) error {
-	if err := w.list(ctx, tell); err != nil {
+func (w *Watcher) follow(ctx context.Context, deliver func(garnetworks.Object), succeeded func()) error {
+	if err := w.list(ctx, deliver); err != nil {
 		return err
 	}
-	relist := time.Now().Add(w.options.Relist/2 + time.Duration(w.options.Random()*float64(w.options.Relist/2)))
-	for ctx.Err() == nil && time.Now().Before(relist) && !w.relisting() { // rule W5
-		if err := w.watch(ctx, tell); err != nil {
-			if w.relisting() {
+	relistAt := time.Now().Add(w.options.Relist/2 + time.Duration(w.options.Random()*float64(w.options.Relist/2)))
+	for ctx.Err() == nil && time.Now().Before(relistAt) && !w.relistRequested() { // rule W5
+		if err := w.watch(ctx, deliver); err != nil {
+			if w.relistRequested() {
 				return nil
 			}
 			return err
 		}
-		ok()
+		succeeded()
 	}
 	return nil
 }
 
 // list lists the prefix once and tells what is new.
-func (w *Watcher) list(ctx context.Context, tell func(garnetworks.Object)) error {
+func (w *Watcher) list(ctx context.Context, deliver func(garnetworks.Object)) error {
 	call, cancel := context.WithTimeout(ctx, w.options.ListTimeout)
 	defer cancel()
 	w.mu.Lock()
@@ -202,37 +202,37 @@
 	if err != nil {
 		return err
 	}
-	certain := w.certain(sent)
-	told, newer := w.state.Listed(objects, revision)
+	confirmedAt := w.confirmedAt(sent)
+	updates, newer := w.state.ApplyList(objects, revision)
 	if !newer {
-		return garnetworks.Errorf(garnetworks.KindCompacted, "list of %q reflects revision %d, older than %d", w.prefix, revision, w.state.After)
+		return garnetworks.Errorf(garnetworks.KindCompacted, "list of %q reflects revision %d, older than %d", w.prefix, revision, w.state.Revision)
 	}
-	w.tell(told, certain, tell)
+	w.deliverAll(updates, confirmedAt, deliver)
 	return nil
 }
 
-// certain returns since when the contents of an answer are certain.
-func (w *Watcher) certain(sent time.Time) time.Time {
-	if w.options.Certain != nil {
-		return w.options.Certain()
+// confirmedAt returns since when the contents of an answer are confirmedAt.
+func (w *Watcher) confirmedAt(sent time.Time) time.Time {
+	if w.options.ConfirmedAt != nil {
+		return w.options.ConfirmedAt()
 	}
 	return sent
 }
 
-// tell tells the objects of an answer, and counts it after the last of them.
+// deliverAll tells the objects of an answer, and counts it after the last of them.
 //
 // Failure: a node counted as ready, and what it knew as confirmed, while a list was still
 // being told. A call met a part of the servers, and was given up for want of one; a new
 // holder of the lease could have planned with such a part.
-func (w *Watcher) tell(objects []garnetworks.Object, certain time.Time, tell func(garnetworks.Object)) {
+func (w *Watcher) deliverAll(objects []garnetworks.Object, confirmedAt time.Time, deliver func(garnetworks.Object)) {
 	for _, o := range objects {
-		tell(o)
+		deliver(o)
 	}
-	w.succeeded(certain)
+	w.recordSuccess(confirmedAt)
 }
 
 // watch waits for one watch's answer and tells it.
-func (w *Watcher) watch(ctx context.Context, tell func(garnetworks.Object)) error {
+func (w *Watcher) watch(ctx context.Context, deliver func(garnetworks.Object)) error {
 	// Rule W1: something between the two ends can lose track of a connection, so
 	// that a watch hangs for good while new connections work. The deadline ends
 	// it; the list that follows shows what it has missed.
@@ -242,24 +242,24 @@
 	w.interrupt = cancel
 	w.mu.Unlock()
 	sent := time.Now()
-	objects, revision, err := w.api.Watch(call, w.prefix, w.state.After, w.options.Wait)
+	objects, revision, err := w.api.Watch(call, w.prefix, w.state.Revision, w.options.Wait)
 	if err != nil {
-		if call.Err() != nil && ctx.Err() == nil && !w.relisting() {
+		if call.Err() != nil && ctx.Err() == nil && !w.relistRequested() {
 			w.record(garnetworks.Event{Kind: garnetworks.EventStalledConnection, Detail: "watch of " + w.prefix})
 		}
 		return err
 	}
-	certain := w.certain(sent)
-	changed := w.state.Changed(objects, revision)
-	w.tell(changed, certain, tell)
+	confirmedAt := w.confirmedAt(sent)
+	changed := w.state.ApplyChanges(objects, revision)
+	w.deliverAll(changed, confirmedAt, deliver)
 	if len(changed) > 0 && w.options.Pause != nil {
 		sleep(ctx, w.options.Pause())
 	}
 	return nil
 }
 
-// failed notes a failed call.
-func (w *Watcher) failed(err error) {
+// recordFailure notes a recordFailure call.
+func (w *Watcher) recordFailure(err error) {
 	w.mu.Lock()
 	first := !w.down
 	w.down = true
@@ -269,19 +269,19 @@
 	}
 }
 
-// succeeded notes the answer of a call.
-func (w *Watcher) succeeded(sent time.Time) {
+// recordSuccess notes the answer of a call.
+func (w *Watcher) recordSuccess(sent time.Time) {
 	w.mu.Lock()
-	back := w.down
+	recovered := w.down
 	w.down = false
 	w.synced = true
-	w.last = time.Now()
+	w.lastSuccess = time.Now()
 	w.confirmed = sent
-	if back {
-		w.recovered = w.last
+	if recovered {
+		w.recovered = w.lastSuccess
 	}
 	w.mu.Unlock()
-	if back {
+	if recovered {
 		w.record(garnetworks.Event{Kind: garnetworks.EventObjectAPIRestored, Detail: "watch of " + w.prefix})
 	}
 }
--- a/watcher/watcher_test.go
+++ b/watcher/watcher_test.go
@@ -33,11 +33,11 @@
 	history []garnetworks.Object
 	// compacted is the revision up to which the history is gone.
 	compacted garnetworks.Revision
-	// silent watches hang; skip makes a watch leave out a change; lag makes lists
+	// stalled watches hang; skip makes a watch leave out a change; lag makes lists
 	// reflect a revision so far back.
-	silent, skip bool
-	lag          garnetworks.Revision
-	down         bool
+	stalled, skip bool
+	lag           garnetworks.Revision
+	down          bool
 	// calls holds the time of each call that got through or was refused.
 	calls []time.Time
 }
@@ -51,14 +51,14 @@
 
 // at returns the living objects at a revision.
 func (s *store) at(revision garnetworks.Revision) map[string]garnetworks.Object {
-	living := make(map[string]garnetworks.Object)
+	live := make(map[string]garnetworks.Object)
 	for _, o := range s.history[:revision] {
-		living[o.Key] = o
+		live[o.Key] = o
 		if o.Deleted {
-			delete(living, o.Key)
+			delete(live, o.Key)
 		}
 	}
-	return living
+	return live
 }
 
 func (s *store) begin() error {
@@ -88,14 +88,14 @@
 
 func (s *store) Watch(ctx context.Context, prefix string, after garnetworks.Revision, wait time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
 	s.mu.Lock()
-	err, silent, compacted := s.begin(), s.silent, after < s.compacted
+	err, stalled, compacted := s.begin(), s.stalled, after < s.compacted
 	s.mu.Unlock()
 	switch {
 	case err != nil:
 		return nil, 0, err
 	case compacted:
 		return nil, 0, garnetworks.Errorf(garnetworks.KindCompacted, "compacted")
-	case silent:
+	case stalled:
 		<-ctx.Done()
 		return nil, 0, garnetworks.WrapError(garnetworks.KindResponseLost, ctx.Err(), "silent")
 	}
@@ -134,21 +134,21 @@
 
 // mirror is what a watcher has told; it notes steps back.
 type mirror struct {
-	mu      sync.Mutex
-	objects map[string]garnetworks.Object
-	highest map[string]garnetworks.Revision
-	back    string
+	mu         sync.Mutex
+	objects    map[string]garnetworks.Object
+	highest    map[string]garnetworks.Revision
+	regression string
 }
 
 func newMirror() *mirror {
 	return &mirror{objects: make(map[string]garnetworks.Object), highest: make(map[string]garnetworks.Revision)}
 }
 
-func (m *mirror) tell(o garnetworks.Object) {
+func (m *mirror) apply(o garnetworks.Object) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if o.Revision <= m.highest[o.Key] {
-		m.back = fmt.Sprintf("%s went from revision %d to %d", o.Key, m.highest[o.Key], o.Revision)
+		m.regression = fmt.Sprintf("%s went from revision %d to %d", o.Key, m.highest[o.Key], o.Revision)
 	}
 	m.highest[o.Key] = o.Revision
 	m.objects[o.Key] = o
@@ -163,18 +163,18 @@
 	defer m.mu.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	living := s.at(garnetworks.Revision(len(s.history)))
-	for key, o := range living {
+	live := s.at(garnetworks.Revision(len(s.history)))
+	for key, o := range live {
 		if strings.HasPrefix(key, "p/") && m.objects[key].Revision != o.Revision {
 			return fmt.Sprintf("%s is at revision %d, told %d", key, o.Revision, m.objects[key].Revision)
 		}
 	}
 	for key := range m.objects {
-		if _, ok := living[key]; !ok {
+		if _, ok := live[key]; !ok {
 			return key + " is deleted and was not told so"
 		}
 	}
-	return m.back
+	return m.regression
 }
 
 // An operator commits a manifest or a zone's roster changes, and some node never
@@ -196,19 +196,19 @@
 				deleted: rapid.Bool().Draw(rt, "deleted"), on: rapid.Bool().Draw(rt, "on"),
 			})
 		}
-		var wrong string
+		var problem string
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			s, m := &store{}, newMirror()
 			w := New(s, "p/", Options{Random: rand.New(rand.NewPCG(1, 1)).Float64})
-			go func() { _ = w.Run(ctx, m.tell) }()
+			go func() { _ = w.Run(ctx, m.apply) }()
 			for _, st := range steps {
 				time.Sleep(st.wait)
 				s.write([]string{"p/a", "p/b", "p/c", "q/d"}[st.key], "x", st.deleted)
 				s.mu.Lock()
 				switch st.fault {
 				case 0:
-					s.silent = st.on
+					s.stalled = st.on
 				case 1:
 					s.down = st.on
 				case 2:
@@ -224,30 +224,30 @@
 				s.mu.Unlock()
 			}
 			s.mu.Lock()
-			s.silent, s.down, s.skip, s.lag = false, false, false, 0
+			s.stalled, s.down, s.skip, s.lag = false, false, false, 0
 			s.mu.Unlock()
 			time.Sleep(DefaultRelist + DefaultWait + DefaultMargin + 2*DefaultRetryMax)
-			wrong = m.differs(s)
+			problem = m.differs(s)
 			if !w.Healthy() {
-				wrong += " not healthy"
+				problem += " not healthy"
 			}
 			cancel()
 			time.Sleep(time.Minute)
 		})
-		if wrong != "" {
-			rt.Fatalf("%s: %+v", wrong, steps)
+		if problem != "" {
+			rt.Fatalf("%s: %+v", problem, steps)
 		}
 	})
 }
 
 // A middlebox has lost track of a node's connection: its watch hangs for good,
 // while new connections work. A change must be told within Wait and Margin.
-func TestSilentWatchIsFound(t *testing.T) {
+func TestStalledWatchIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		s, m := &store{silent: true}, newMirror()
+		s, m := &store{stalled: true}, newMirror()
 		w := New(s, "p/", Options{})
-		go func() { _ = w.Run(ctx, m.tell) }()
+		go func() { _ = w.Run(ctx, m.apply) }()
 		time.Sleep(time.Second)
 		s.write("p/a", "x", false)
 		time.Sleep(DefaultWait + DefaultMargin)
@@ -268,8 +268,8 @@
 
 // The object API returns after an outage of ten minutes, and 330 nodes with three
 // watches each want to list at once. Their calls must spread, or they bring it
-// down again. The figures: go test ./watcher -run=TestReturnAfterOutage -v.
-func TestReturnAfterOutage(t *testing.T) {
+// down again. The figures: go test ./watcher -run=TestCallsSpreadAfterOutage -v.
+func TestCallsSpreadAfterOutage(t *testing.T) {
 	const nodes, watches = 330, 3
 	outage := 10 * time.Minute
 	if testing.Short() {
@@ -295,17 +295,17 @@
 		s.mu.Unlock()
 		back := time.Now()
 		time.Sleep(DefaultRetryMax)
-		var second [8]int
-		tenths := make([]int, 80)
+		var perSecond [8]int
+		perTenth := make([]int, 80)
 		s.mu.Lock()
 		calls := slices.Clone(s.calls)
 		s.mu.Unlock()
 		for _, at := range calls {
-			second[min(int(at.Sub(back)/time.Second), 7)]++
-			tenths[min(int(at.Sub(back)/(100*time.Millisecond)), 79)]++
+			perSecond[min(int(at.Sub(back)/time.Second), 7)]++
+			perTenth[min(int(at.Sub(back)/(100*time.Millisecond)), 79)]++
 		}
-		t.Logf("calls in each second after the return: %v; most in 100 ms: %d", second, slices.Max(tenths))
-		if most := slices.Max(second[:]); most > 2000/4 {
+		t.Logf("calls in each second after the return: %v; most in 100 ms: %d", perSecond, slices.Max(perTenth))
+		if most := slices.Max(perSecond[:]); most > 2000/4 {
 			t.Errorf("%d calls in one second", most)
 		}
 		cancel()
@@ -316,7 +316,7 @@
 // Story: a node has just started and reads its first list, of two servers. It counted as
 // ready once the list had come; a call met the first server only, which lost its answer,
 // and was given up for want of a second one.
-func TestListCountsOnceItWasTold(t *testing.T) {
+func TestListIsConfirmedOnlyAfterDelivery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{}
 		s.write("k/a", "1", false)
@@ -324,21 +324,21 @@
 		w := New(s, "k/", Options{})
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan struct{})
-		told := 0
+		delivered := 0
 		go func() {
 			defer close(done)
 			_ = w.Run(ctx, func(garnetworks.Object) {
-				told++
+				delivered++
 				if !w.Confirmed().IsZero() || w.Healthy() {
-					t.Errorf("the list counts while object %d of it is told", told)
+					t.Errorf("the list counts while object %d of it is told", delivered)
 				}
 			})
 		}()
 		time.Sleep(time.Second)
 		stop()
 		<-done
-		if told != 2 || w.Confirmed().IsZero() {
-			t.Errorf("%d objects were told, confirmed at %s", told, w.Confirmed())
+		if delivered != 2 || w.Confirmed().IsZero() {
+			t.Errorf("%d objects were told, confirmed at %s", delivered, w.Confirmed())
 		}
 	})
 }
@@ -347,23 +347,23 @@
 // counted as new once the list had come, while engines of it still stood as they had
 // before; a plan in that moment could have ordered one into a second group. The same with
 // a watch's answer, and where the answer is older than the question.
-func TestAnswersCountOnceTheyWereTold(t *testing.T) {
+func TestResponsesAreConfirmedOnlyAfterDelivery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{}
 		s.write("k/a", "1", false)
 		// Each answer is certain since a time of its own.
-		began, answers := time.Now(), 0
+		began, responses := time.Now(), 0
 		at := func(n int) time.Time { return began.Add(time.Duration(n) * time.Minute) }
-		w := New(s, "k/", Options{Wait: time.Second, Certain: func() time.Time { answers++; return at(answers) }})
+		w := New(s, "k/", Options{Wait: time.Second, ConfirmedAt: func() time.Time { responses++; return at(responses) }})
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan struct{})
-		told := 0
+		delivered := 0
 		go func() {
 			defer close(done)
 			_ = w.Run(ctx, func(garnetworks.Object) {
-				told++
-				if w.Confirmed().Equal(at(answers)) {
-					t.Errorf("answer %d counts while it is told", answers)
+				delivered++
+				if w.Confirmed().Equal(at(responses)) {
+					t.Errorf("answer %d counts while it is told", responses)
 				}
 			})
 		}()
@@ -375,8 +375,8 @@
 		time.Sleep(time.Second)
 		stop()
 		<-done
-		if told != 3 || !w.Confirmed().Equal(at(answers)) {
-			t.Errorf("%d objects were told, the last of %d answers does not count", told, answers)
+		if delivered != 3 || !w.Confirmed().Equal(at(responses)) {
+			t.Errorf("%d objects were told, the last of %d answers does not count", delivered, responses)
 		}
 	})
 }
