--- a/watcher/doc.go
+++ b/watcher/doc.go
@@ -1,20 +1,20 @@
-// Package watcher follows the objects under one prefix of the object API. It
-// tells its user every newest state of every object, through lost connections,
-// outages and compacted histories, and it never goes back to an older state.
+// Package watcher follows the objects under a prefix of the object API. It delivers the
+// latest state of every object to its user despite lost connections, outages and compacted
+// histories, and never delivers an older state after a newer one.
 //
 // The package keeps these rules:
 //
-//	W1  A watch that has said nothing for Wait and Margin is silent: the
-//	    connection may be dead although new ones work. It is given up and the
-//	    prefix is listed anew.
+//	W1  A watch that has not returned after Wait and Margin has stalled: its
+//	    connection may be dead although new ones work. The watch is abandoned
+//	    and the prefix is listed again.
 //	W2  A list that reflects an older revision of the store than one already
-//	    seen is refused; an object is told only if its revision is above the one
-//	    last told for its key.
-//	W3  An object that a list no longer holds is told as deleted, since its
-//	    deletion may have happened between two watches.
-//	W4  After a failure the next call waits a random time below a ceiling that
+//	    seen is rejected. An object is delivered only if its revision is above
+//	    the one last delivered for its key.
+//	W3  An object that is missing from a list is delivered as deleted, because it
+//	    may have been deleted between two watches.
+//	W4  After a failure the next call waits for a random time below a ceiling that
 //	    doubles up to RetryMax, so that the calls of all nodes spread over
 //	    RetryMax when an outage ends.
-//	W5  Even a watch that seems healthy is listed anew every Relist, so that a
-//	    change that a watch has skipped shows within that time.
+//	W5  Even a prefix whose watches succeed is listed again every Relist, so that
+//	    a change that a watch missed is found within that time.
 package watcher
--- a/watcher/state.go
+++ b/watcher/state.go
@@ -8,18 +8,18 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// State is what is known of the objects under a prefix. The zero State knows
-// nothing. It does no I/O and is not safe for concurrent use.
+// State is the known state of the objects under a prefix. The zero State knows no
+// objects. It does no I/O and is not safe for concurrent use.
 type State struct {
 	// Revision is the store's revision that the state reflects; it never decreases.
 	Revision garnetworks.Revision
-	// Known holds the revision last told for each living object.
+	// Known maps the key of each existing object to the revision last delivered.
 	Known map[string]garnetworks.Revision
 }
 
-// ApplyList takes a list's answer and returns the objects to tell, in key order.
-// It returns false and changes nothing if the list is older than the state
-// (rule W2): a lagging replica or a restored backup of the store answered.
+// ApplyList applies the result of a list call and returns the objects to deliver, in key
+// order. It returns false and changes nothing if the list is older than the state (rule
+// W2), as it can be from a lagging replica or a restored backup of the store.
 func (s *State) ApplyList(objects []garnetworks.Object, revision garnetworks.Revision) ([]garnetworks.Object, bool) {
 	if revision < s.Revision {
 		return nil, false
@@ -43,7 +43,7 @@
 	return updates, true
 }
 
-// ApplyChanges takes a watch's answer and returns the changes to tell, in order.
+// ApplyChanges applies the result of a watch and returns the changes to deliver, in order.
 func (s *State) ApplyChanges(objects []garnetworks.Object, revision garnetworks.Revision) []garnetworks.Object {
 	if s.Known == nil {
 		s.Known = make(map[string]garnetworks.Revision)
@@ -58,8 +58,8 @@
 	return updates
 }
 
-// applyChange takes one change and reports whether it is new (rule W2). A change at
-// or below After for an unknown key is a repetition from before its deletion.
+// applyChange applies one change and reports whether it is new (rule W2). A change at or
+// below Revision for an unknown key repeats one from before the key's deletion.
 func (s *State) applyChange(o garnetworks.Object) bool {
 	known, exists := s.Known[o.Key]
 	if o.Revision <= known || !exists && (o.Deleted || o.Revision <= s.Revision) {
--- a/watcher/watcher.go
+++ b/watcher/watcher.go
@@ -11,37 +11,36 @@
 
 // Defaults of Options.
 const (
-	// DefaultWait makes a node's watch cost two calls a minute at rest.
+	// DefaultWait makes an idle watch cost two calls per minute.
 	DefaultWait = 30 * time.Second
-	// DefaultMargin is far above the object API's usual milliseconds, and low
-	// enough for a silent watch to be found within 35 s.
+	// DefaultMargin is far above the object API's usual response time of milliseconds, and
+	// low enough for a stalled watch to be detected within 35 s.
 	DefaultMargin = 5 * time.Second
-	// DefaultListTimeout bounds one list.
+	// DefaultListTimeout limits the time of a list call.
 	DefaultListTimeout = 5 * time.Second
-	// DefaultRelist bounds how long a change that a watch skipped stays unseen.
+	// DefaultRelist limits how long a change that a watch missed stays unnoticed.
 	DefaultRelist = 5 * time.Minute
-	// DefaultRetryMin is the first retry's ceiling.
+	// DefaultRetryMin is the ceiling of the first retry's wait.
 	DefaultRetryMin = 200 * time.Millisecond
-	// DefaultRetryMax spreads the first calls of all nodes after an outage: 330
-	// nodes with three watches each make their 990 lists and the watches that
-	// follow within 8 s, under a quarter of the platform's reads in any second.
+	// DefaultRetryMax spreads the first calls of all nodes after an outage, so that together
+	// they stay well below the platform's rate limit.
 	DefaultRetryMax = 8 * time.Second
 )
 
-// Options change a Watcher's times; zero fields take the defaults.
+// Options are the times and callbacks of a Watcher; zero fields take the defaults.
 type Options struct {
 	Wait, Margin, ListTimeout, Relist time.Duration
 	RetryMin, RetryMax                time.Duration
-	// Pause returns what is waited after an answer with changes, so that changes that
-	// come in a row cost one call together; nil asks again at once.
+	// Pause returns how long to wait after a response with changes, so that changes in quick
+	// succession cost one call; if it is nil, the next call is made immediately.
 	Pause func() time.Duration
-	// ConfirmedAt returns since when the contents of the answer that has just come are
-	// certain, where the object API knows better than by when it was asked: answers that
-	// pass through other nodes are older. Nil takes the time at which the call was sent.
+	// ConfirmedAt returns a time at which the contents of the response just received are
+	// known to have been the newest, for object APIs that read through other nodes, whose
+	// responses can be older than the call. If it is nil, that is the time of the call.
 	ConfirmedAt func() time.Time
 	// Recorder may be nil.
 	Recorder garnetworks.Recorder
-	// Random returns values in [0, 1); nil takes the runtime's generator.
+	// Random returns values in [0, 1); it defaults to rand.Float64.
 	Random func() float64
 }
 
@@ -65,9 +64,9 @@
 	}
 }
 
-// Backoff returns the wait before the next call after failures in a row: a
-// uniformly random part of a ceiling that doubles from low to high (rule W4).
-// It is never under a tenth of the ceiling, so that no call follows at once.
+// Backoff returns how long to wait before the next call after a number of consecutive
+// failures: a random time below a ceiling that doubles from low to high (rule W4). It is
+// at least a tenth of the ceiling, so that no call follows immediately.
 func Backoff(failures int, low, high time.Duration, random float64) time.Duration {
 	const maxDoublings = 20
 	ceiling := min(high, low<<min(max(failures-1, 0), maxDoublings))
@@ -75,7 +74,7 @@
 	return floor + time.Duration(random*float64(ceiling-floor))
 }
 
-// Watcher follows one prefix.
+// Watcher follows the objects under one prefix.
 type Watcher struct {
 	api     garnetworks.ObjectAPI
 	prefix  string
@@ -83,14 +82,14 @@
 	state   State
 
 	mu sync.Mutex
-	// down is true while the last call failed; synced is true once a list has
-	// been told.
+	// down is true if the last call failed; synced is true once a list has been
+	// delivered.
 	down, synced bool
 	lastSuccess  time.Time
-	// confirmed is when the last call that succeeded was sent, recovered when the
+	// confirmed is a time at which the delivered state was the newest; recovered is when the
 	// first call after a failure succeeded.
 	confirmed, recovered time.Time
-	// interrupt ends the watch that waits now; relist says that Relist did.
+	// interrupt cancels the pending watch; relist says that Relist was called.
 	interrupt context.CancelFunc
 	relist    bool
 }
@@ -100,8 +99,8 @@
 	return &Watcher{api: api, prefix: prefix, options: options.withDefaults()}
 }
 
-// Healthy reports whether the prefix was listed and the last call, no longer
-// ago than a watch may take, succeeded.
+// Healthy reports whether the prefix has been listed, the last call succeeded, and that
+// was no longer ago than a watch may take.
 func (w *Watcher) Healthy() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -109,17 +108,16 @@
 	return w.synced && !w.down && time.Since(w.lastSuccess) <= limit
 }
 
-// Confirmed returns a time at which what was told was the newest state for
-// certain: when the last call that succeeded was sent. It is zero before the
-// first list.
+// Confirmed returns a time at which the delivered state is known to have been the newest:
+// by default, when the last successful call was sent. It is zero before the first list.
 func (w *Watcher) Confirmed() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.confirmed
 }
 
-// Relist lists the prefix anew as soon as possible, for a user that must know more
-// than what the watch has told so far.
+// Relist lists the prefix again as soon as possible, for users that can't wait for the
+// watch to deliver the newest state.
 func (w *Watcher) Relist() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -136,18 +134,17 @@
 	return w.relist
 }
 
-// Recovered returns when the object API answered again after its last failure;
-// zero if it has not failed since the first list. While it fails, it returns
-// false.
+// Recovered returns when the object API recovered from its last failure, zero if it has
+// not failed since the first list, and whether the last call succeeded.
 func (w *Watcher) Recovered() (time.Time, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.recovered, !w.down
 }
 
-// Run tells each newest object to tell, one after the other, until ctx ends; a
-// deletion comes as an object with Deleted. It returns ctx's error and may be
-// called once.
+// Run calls deliver with the latest state of each object that changes, one after the
+// other, until ctx ends; a deleted object has Deleted set. It returns ctx's error and may
+// be called only once.
 func (w *Watcher) Run(ctx context.Context, deliver func(garnetworks.Object)) error {
 	failures := 0
 	for ctx.Err() == nil {
@@ -168,11 +165,10 @@
 	return ctx.Err()
 }
 
-// follow lists the prefix and watches it until a call fails or the prefix is
-// to be listed anew; the latter returns no error. Only a watch that succeeded
-// ends a series of failures: where a lagging replica answers the list, its
-// revision may be compacted already, and list and watch would chase each other
-// without a pause.
+// follow lists the prefix and watches it until a call fails or the prefix is to be listed
+// again; in the latter case it returns nil. It calls succeeded only after a successful
+// watch: if a lagging replica answers the list, its revision may already be compacted, and
+// list and watch would alternate without a backoff.
 func (w *Watcher) follow(ctx context.Context, deliver func(garnetworks.Object), succeeded func()) error {
 	if err := w.list(ctx, deliver); err != nil {
 		return err
@@ -190,7 +186,7 @@
 	return nil
 }
 
-// list lists the prefix once and tells what is new.
+// list lists the prefix once and delivers the changes.
 func (w *Watcher) list(ctx context.Context, deliver func(garnetworks.Object)) error {
 	call, cancel := context.WithTimeout(ctx, w.options.ListTimeout)
 	defer cancel()
@@ -211,7 +207,7 @@
 	return nil
 }
 
-// confirmedAt returns since when the contents of an answer are confirmedAt.
+// confirmedAt returns when the contents of a response to a call sent at sent were confirmed.
 func (w *Watcher) confirmedAt(sent time.Time) time.Time {
 	if w.options.ConfirmedAt != nil {
 		return w.options.ConfirmedAt()
@@ -219,11 +215,11 @@
 	return sent
 }
 
-// deliverAll tells the objects of an answer, and counts it after the last of them.
+// deliverAll delivers the objects of a response and then records its success.
 //
-// Failure: a node counted as ready, and what it knew as confirmed, while a list was still
-// being told. A call met a part of the servers, and was given up for want of one; a new
-// holder of the lease could have planned with such a part.
+// Failure: if the success were recorded first, a node would be ready, and its view count as
+// confirmed, while only part of a list is delivered; calls would see only some of the
+// servers, and a new lease holder could plan with them.
 func (w *Watcher) deliverAll(objects []garnetworks.Object, confirmedAt time.Time, deliver func(garnetworks.Object)) {
 	for _, o := range objects {
 		deliver(o)
@@ -231,11 +227,11 @@
 	w.recordSuccess(confirmedAt)
 }
 
-// watch waits for one watch's answer and tells it.
+// watch makes one watch call and delivers the changes.
 func (w *Watcher) watch(ctx context.Context, deliver func(garnetworks.Object)) error {
-	// Rule W1: something between the two ends can lose track of a connection, so
-	// that a watch hangs for good while new connections work. The deadline ends
-	// it; the list that follows shows what it has missed.
+	// Rule W1: a middlebox can drop a connection silently, so that the watch hangs while
+	// new connections work. The deadline ends it, and the list that follows finds what it
+	// missed.
 	call, cancel := context.WithTimeout(ctx, w.options.Wait+w.options.Margin)
 	defer cancel()
 	w.mu.Lock()
@@ -258,7 +254,7 @@
 	return nil
 }
 
-// recordFailure notes a recordFailure call.
+// recordFailure records a failed call, as an event if the previous call succeeded.
 func (w *Watcher) recordFailure(err error) {
 	w.mu.Lock()
 	first := !w.down
@@ -269,14 +265,14 @@
 	}
 }
 
-// recordSuccess notes the answer of a call.
-func (w *Watcher) recordSuccess(sent time.Time) {
+// recordSuccess records a successful call whose contents were confirmed at confirmedAt.
+func (w *Watcher) recordSuccess(confirmedAt time.Time) {
 	w.mu.Lock()
 	recovered := w.down
 	w.down = false
 	w.synced = true
 	w.lastSuccess = time.Now()
-	w.confirmed = sent
+	w.confirmed = confirmedAt
 	if recovered {
 		w.recovered = w.lastSuccess
 	}
@@ -292,7 +288,7 @@
 	}
 }
 
-// sleep waits for d or the end of ctx.
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/watcher/watcher_test.go
+++ b/watcher/watcher_test.go
@@ -27,18 +27,18 @@
 	os.Exit(m.Run())
 }
 
-// store is an object API in memory with a history of changes.
+// store is an in-memory object API with a history of changes.
 type store struct {
 	mu      sync.Mutex
 	history []garnetworks.Object
-	// compacted is the revision up to which the history is gone.
+	// compacted is the revision up to which the history was compacted.
 	compacted garnetworks.Revision
-	// stalled watches hang; skip makes a watch leave out a change; lag makes lists
-	// reflect a revision so far back.
+	// stalled makes watches hang; skip makes a watch omit a change; lag is the number of
+	// revisions by which lists are behind.
 	stalled, skip bool
 	lag           garnetworks.Revision
 	down          bool
-	// calls holds the time of each call that got through or was refused.
+	// calls holds the time of each call, including refused ones.
 	calls []time.Time
 }
 
@@ -49,7 +49,7 @@
 	s.history = append(s.history, garnetworks.Object{Key: key, Value: []byte(value), Revision: r, Deleted: deleted})
 }
 
-// at returns the living objects at a revision.
+// at returns the objects that exist at a revision.
 func (s *store) at(revision garnetworks.Revision) map[string]garnetworks.Object {
 	live := make(map[string]garnetworks.Object)
 	for _, o := range s.history[:revision] {
@@ -97,7 +97,7 @@
 		return nil, 0, garnetworks.Errorf(garnetworks.KindCompacted, "compacted")
 	case stalled:
 		<-ctx.Done()
-		return nil, 0, garnetworks.WrapError(garnetworks.KindResponseLost, ctx.Err(), "silent")
+		return nil, 0, garnetworks.WrapError(garnetworks.KindResponseLost, ctx.Err(), "stalled")
 	}
 	const poll = 100 * time.Millisecond
 	for end := time.Now().Add(wait); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(poll) {
@@ -132,7 +132,7 @@
 
 func (s *store) Delete(context.Context, string, garnetworks.Revision) error { panic("not used") }
 
-// mirror is what a watcher has told; it notes steps back.
+// mirror is the state that a watcher has delivered; it detects regressions to older revisions.
 type mirror struct {
 	mu         sync.Mutex
 	objects    map[string]garnetworks.Object
@@ -157,7 +157,7 @@
 	}
 }
 
-// differs returns how the mirror differs from the store.
+// differs returns how the mirror differs from the store, or a regression; empty if neither.
 func (m *mirror) differs(s *store) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -166,21 +166,19 @@
 	live := s.at(garnetworks.Revision(len(s.history)))
 	for key, o := range live {
 		if strings.HasPrefix(key, "p/") && m.objects[key].Revision != o.Revision {
-			return fmt.Sprintf("%s is at revision %d, told %d", key, o.Revision, m.objects[key].Revision)
+			return fmt.Sprintf("%s is at revision %d, delivered at %d", key, o.Revision, m.objects[key].Revision)
 		}
 	}
 	for key := range m.objects {
 		if _, ok := live[key]; !ok {
-			return key + " is deleted and was not told so"
+			return key + " is deleted but was not delivered as deleted"
 		}
 	}
 	return m.regression
 }
 
-// An operator commits a manifest or a zone's roster changes, and some node never
-// hears of it, or hears of an older one after it: its watch went silent, skipped
-// the change, its history was compacted, or a lagging replica answered its list.
-// Each change must be told within the bounds, and none may be taken back.
+// Despite stalled watches, missed changes, compacted histories, lagging lists and outages,
+// each change is delivered within the bounds, and no older state follows a newer one.
 func TestWatcherFollowsThroughFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		type step struct {
@@ -240,8 +238,8 @@
 	})
 }
 
-// A middlebox has lost track of a node's connection: its watch hangs for good,
-// while new connections work. A change must be told within Wait and Margin.
+// A connection dropped by a middlebox leaves a watch hanging. A change must still be
+// delivered within Wait and Margin.
 func TestStalledWatchIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -251,8 +249,8 @@
 		time.Sleep(time.Second)
 		s.write("p/a", "x", false)
 		time.Sleep(DefaultWait + DefaultMargin)
-		if wrong := m.differs(s); wrong != "" {
-			t.Error(wrong)
+		if problem := m.differs(s); problem != "" {
+			t.Error(problem)
 		}
 		s.mu.Lock()
 		s.down = true
@@ -266,9 +264,8 @@
 	})
 }
 
-// The object API returns after an outage of ten minutes, and 330 nodes with three
-// watches each want to list at once. Their calls must spread, or they bring it
-// down again. The figures: go test ./watcher -run=TestCallsSpreadAfterOutage -v.
+// After an outage, the lists of all nodes must be spread over time, or they overload the
+// object API again.
 func TestCallsSpreadAfterOutage(t *testing.T) {
 	const nodes, watches = 330, 3
 	outage := 10 * time.Minute
@@ -304,7 +301,7 @@
 			perSecond[min(int(at.Sub(back)/time.Second), 7)]++
 			perTenth[min(int(at.Sub(back)/(100*time.Millisecond)), 79)]++
 		}
-		t.Logf("calls in each second after the return: %v; most in 100 ms: %d", perSecond, slices.Max(perTenth))
+		t.Logf("calls in each second after the outage: %v; most in 100 ms: %d", perSecond, slices.Max(perTenth))
 		if most := slices.Max(perSecond[:]); most > 2000/4 {
 			t.Errorf("%d calls in one second", most)
 		}
@@ -313,9 +310,8 @@
 	})
 }
 
-// Story: a node has just started and reads its first list, of two servers. It counted as
-// ready once the list had come; a call met the first server only, which lost its answer,
-// and was given up for want of a second one.
+// While a list is being delivered, the node must not count as ready, or calls see only some
+// of the servers.
 func TestListIsConfirmedOnlyAfterDelivery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{}
@@ -330,7 +326,7 @@
 			_ = w.Run(ctx, func(garnetworks.Object) {
 				delivered++
 				if !w.Confirmed().IsZero() || w.Healthy() {
-					t.Errorf("the list counts while object %d of it is told", delivered)
+					t.Errorf("the list is confirmed while object %d of it is delivered", delivered)
 				}
 			})
 		}()
@@ -338,20 +334,18 @@
 		stop()
 		<-done
 		if delivered != 2 || w.Confirmed().IsZero() {
-			t.Errorf("%d objects were told, confirmed at %s", delivered, w.Confirmed())
+			t.Errorf("%d objects were delivered, confirmed at %s", delivered, w.Confirmed())
 		}
 	})
 }
 
-// Story: a node takes the lease and reads the list anew before it plans. What it knew
-// counted as new once the list had come, while engines of it still stood as they had
-// before; a plan in that moment could have ordered one into a second group. The same with
-// a watch's answer, and where the answer is older than the question.
+// While a list or a watch's changes are being delivered, they must not count as confirmed:
+// a new lease holder could plan with a partly delivered view and assign an engine twice.
 func TestResponsesAreConfirmedOnlyAfterDelivery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{}
 		s.write("k/a", "1", false)
-		// Each answer is certain since a time of its own.
+		// Each response has its own confirmation time.
 		began, responses := time.Now(), 0
 		at := func(n int) time.Time { return began.Add(time.Duration(n) * time.Minute) }
 		w := New(s, "k/", Options{Wait: time.Second, ConfirmedAt: func() time.Time { responses++; return at(responses) }})
@@ -363,12 +357,12 @@
 			_ = w.Run(ctx, func(garnetworks.Object) {
 				delivered++
 				if w.Confirmed().Equal(at(responses)) {
-					t.Errorf("answer %d counts while it is told", responses)
+					t.Errorf("response %d is confirmed while it is delivered", responses)
 				}
 			})
 		}()
 		time.Sleep(1500 * time.Millisecond)
-		s.write("k/a", "2", false) // comes by the watch
+		s.write("k/a", "2", false) // arrives through the watch
 		time.Sleep(1500 * time.Millisecond)
 		w.Relist()
 		s.write("k/a", "3", false)
@@ -376,7 +370,7 @@
 		stop()
 		<-done
 		if delivered != 3 || !w.Confirmed().Equal(at(responses)) {
-			t.Errorf("%d objects were told, the last of %d answers does not count", delivered, responses)
+			t.Errorf("%d objects were delivered, the last of %d responses is not confirmed", delivered, responses)
 		}
 	})
 }
