--- a/follow.go
+++ b/follow.go
@@ -86,7 +86,7 @@
 }
 
 // ExchangeResponse carries the sum of all other reports that the responding node knows,
-// or the report of its own cell if a cell asked.
+// or the sum over its own cell if a cell asked.
 type ExchangeResponse struct {
 	_      struct{} `cbor:",toarray"`
 	At     Timestamp
