--- a/confirm.go
+++ b/confirm.go
@@ -19,8 +19,8 @@
 	// receiver's incarnation at that time; 0 before the first response. The receiver
 	// uses them to compute the offset between the two clocks.
 	Echo, EchoAt, EchoIncarnation uint64
-	// Relayed says that the list is that of the sender's row in the zone's grid of nodes, not only
-	// the instances that the sender probes itself.
+	// Relayed says that the list is that of the sender's row in the zone's grid of
+	// nodes, not only the instances that the sender probes itself.
 	Relayed bool
 	// BaseChecksum is the checksum of the list that Changed and Removed are relative
 	// to; 0 is the empty list. It is also 0 if the receiver should already hold the
