--- a/leaser/leaser_test.go
+++ b/leaser/leaser_test.go
@@ -24,18 +24,17 @@
 	os.Exit(m.Run())
 }
 
-// world is one record and several nodes with clocks of their own.
+// world simulates one record and several nodes with clocks of their own.
 type world struct {
 	now    time.Time
 	record garnetworks.LeaseRecord
 	rev    garnetworks.Revision
 	nodes  []*contender
-	// orders holds until when each node's newest order may be in flight, and its
-	// term.
+	// orders are the orders that may be in flight.
 	orders []order
 	terms  uint32
 	late   []lateWrite
-	// owners are the processes that ever acted under a term.
+	// owners maps each term to the process that acted under it.
 	owners map[uint32]*contender
 }
 
@@ -52,16 +51,16 @@
 
 type contender struct {
 	*State
-	id      garnetworks.NodeID
-	skew    float64
-	paused  time.Time
-	started time.Time
-	writes  int
+	id        garnetworks.NodeID
+	clockRate float64
+	paused    time.Time
+	started   time.Time
+	writes    int
 }
 
-// clock is the node's own clock, which runs faster or slower than real time.
+// clock returns the node's own time; its clock runs faster or slower than real time.
 func (c *contender) clock(now time.Time) time.Time {
-	return c.started.Add(time.Duration(float64(now.Sub(c.started)) * c.skew))
+	return c.started.Add(time.Duration(float64(now.Sub(c.started)) * c.clockRate))
 }
 
 func (w *world) put(a Action) error {
@@ -77,25 +76,25 @@
 	return nil
 }
 
-// act lets a node do what is due, with a chance of a lost answer, of a write
-// that takes effect late, and of a refusal.
+// act executes the node's next action. A response may be lost, a write may take effect
+// late, and a call may be refused.
 func (w *world) act(rt *rapid.T, n int) {
 	c := w.nodes[n]
 	c.writes++
 	now := c.clock(w.now)
 	a := c.Next(now, fmt.Sprintf("%s/%d", c.id, c.writes))
-	fate := rapid.IntRange(0, 9).Draw(rt, "fate")
+	fault := rapid.IntRange(0, 9).Draw(rt, "fate")
 	switch a.Kind {
 	case ActionRead:
 		var err error
-		if fate == 0 {
+		if fault == 0 {
 			err = garnetworks.Errorf(garnetworks.KindObjectAPIDown, "")
 		} else if w.rev == 0 {
 			err = garnetworks.Errorf(garnetworks.KindNotFound, "")
 		}
 		c.OnRead(now, w.record, w.rev, err, 0.5)
 	case ActionWrite:
-		w.write(rt, c, a, fate)
+		w.write(rt, c, a, fault)
 	}
 	if _, ok := c.MayAct(c.clock(w.now), c.Settings.OrderBound); ok {
 		if c.Record.Term <= c.Floor {
@@ -105,9 +104,9 @@
 	}
 }
 
-func (w *world) write(rt *rapid.T, c *contender, a Action, fate int) {
+func (w *world) write(rt *rapid.T, c *contender, a Action, fault int) {
 	lost := garnetworks.Errorf(garnetworks.KindResponseLost, "")
-	switch fate {
+	switch fault {
 	case 0:
 		c.OnWrite(c.clock(w.now), 0, garnetworks.Errorf(garnetworks.KindObjectAPIDown, ""))
 	case 1:
@@ -127,9 +126,8 @@
 	}
 }
 
-// TestOrdersOfTwoTermsNeverOverlap holds rules L1 to L5: whatever is paused,
-// lost, late or restarted, and with clocks that differ by one in a hundred, no
-// order of a term is in flight once a node may send orders of another one.
+// Despite pauses, lost responses, delayed writes, restarts and clock drift, orders of two
+// terms or processes are never in flight together (L1 to L5).
 func TestOrdersOfTwoTermsNeverOverlap(t *testing.T) {
 	taken := 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -147,10 +145,10 @@
 				n := rapid.IntRange(0, 2).Draw(rt, "node")
 				w.nodes[n].paused = w.now.Add(time.Duration(rapid.IntRange(1, 30).Draw(rt, "seconds")) * time.Second)
 			},
-			"restart": func(rt *rapid.T) { n := rapid.IntRange(0, 2).Draw(rt, "node"); w.add(n, w.nodes[n].skew) },
+			"restart": func(rt *rapid.T) { n := rapid.IntRange(0, 2).Draw(rt, "node"); w.add(n, w.nodes[n].clockRate) },
 			"give-away": func(rt *rapid.T) {
 				c := w.nodes[rapid.IntRange(0, 2).Draw(rt, "node")]
-				c.GiveAway(c.clock(w.now), 20*time.Second)
+				c.Yield(c.clock(w.now), 20*time.Second)
 			},
 			"floor": func(rt *rapid.T) {
 				c := w.nodes[rapid.IntRange(0, 2).Draw(rt, "node")]
@@ -165,9 +163,9 @@
 	}
 }
 
-func (w *world) add(n int, skew float64) {
+func (w *world) add(n int, clockRate float64) {
 	id := garnetworks.NodeID(fmt.Sprintf("n%d", n))
-	c := &contender{State: NewState(id, Defaults()), id: id, skew: skew, started: w.now}
+	c := &contender{State: NewState(id, Defaults()), id: id, clockRate: clockRate, started: w.now}
 	c.Candidates = 3
 	if n < len(w.nodes) {
 		c.writes = w.nodes[n].writes + 1000
@@ -218,15 +216,14 @@
 	}
 }
 
-// TestAgeTakesTheLongerClock: a machine is suspended for a minute. Its monotonic
-// clock stood still, its wall clock is set after it resumes; by the monotonic
-// clock alone it would still hold a lease that another node has taken.
+// After a suspend the monotonic clock understates the lease's age; the wall clock, set on
+// resuming, shows it. Otherwise a holder would act after a successor took the lease.
 func TestAgeTakesTheLongerClock(t *testing.T) {
 	for name, c := range map[string]struct{ mono, wall, want time.Duration }{
-		"running":         {time.Second, time.Second, time.Second},
-		"suspended":       {time.Second, time.Minute, time.Minute},
-		"wall set back":   {time.Second, -time.Hour, time.Second},
-		"wall set onward": {time.Second, time.Hour, time.Hour},
+		"running":          {time.Second, time.Second, time.Second},
+		"suspended":        {time.Second, time.Minute, time.Minute},
+		"wall set back":    {time.Second, -time.Hour, time.Second},
+		"wall set forward": {time.Second, time.Hour, time.Hour},
 	} {
 		if got := longer(c.mono, c.wall); got != c.want {
 			t.Errorf("%s: age is %s, want %s", name, got, c.want)
@@ -234,8 +231,7 @@
 	}
 }
 
-// TestFewNodesReadOften counts the calls that 41 nodes of a zone make for one
-// lease in an hour without faults (L7).
+// Only candidates read the record frequently: bounds the calls of 41 nodes in an hour (L7).
 func TestFewNodesReadOften(t *testing.T) {
 	w := &world{now: time.Unix(1_000_000, 0)}
 	reads, writes := 0, 0
@@ -263,9 +259,8 @@
 	}
 }
 
-// Story: the object API turns nodes away for ten seconds. All of them asked for the
-// lease several times a second, and each refused call counts like any other.
-func TestNodesThatReadRarelyDoSoAfterFailures(t *testing.T) {
+// Guards against nodes that are not candidates retrying refused reads several times a second.
+func TestNonCandidatesReadRarelyAfterFailures(t *testing.T) {
 	const seconds, nodes = 10, 40
 	reads := 0
 	for n := range nodes {
@@ -275,18 +270,17 @@
 		for end := now.Add(seconds * time.Second); now.Before(end); now = now.Add(50 * time.Millisecond) {
 			if a := c.Next(now, "w"); a.Kind == ActionRead {
 				reads++
-				c.OnRead(now, garnetworks.LeaseRecord{}, 0, garnetworks.Errorf(garnetworks.KindThrottled, "turned away"), float64(n%10)/10)
+				c.OnRead(now, garnetworks.LeaseRecord{}, 0, garnetworks.Errorf(garnetworks.KindThrottled, "throttled"), float64(n%10)/10)
 			}
 		}
 	}
-	if most := 2 * nodes; reads > most {
-		t.Errorf("%d nodes read %d times in %d s, want %d at most", nodes, reads, seconds, most)
+	if limit := 2 * nodes; reads > limit {
+		t.Errorf("%d nodes read %d times in %d s, want %d at most", nodes, reads, seconds, limit)
 	}
 }
 
-// Story: 88 nodes start at once. Each read the lease, and 84 of them found only that
-// others come before them; the platform counts each read.
-func TestNodesThatAreNoCandidatesReadNothingAtTheirStart(t *testing.T) {
+// Guards against a read by every node when many start at once.
+func TestNonCandidatesDoNotReadAtStart(t *testing.T) {
 	const nodes = 88
 	reads := 0
 	for n := range nodes {
@@ -304,10 +298,10 @@
 			now = now.Add(50 * time.Millisecond)
 		}
 		if n == nodes-1 && !c.setRank(now, 0, 0.5) {
-			t.Error("a node that becomes a candidate does not read at once")
+			t.Error("a node that has become a candidate does not read immediately")
 		}
 	}
-	if most := DefaultCandidates * 5; reads > most {
-		t.Errorf("%d reads in ten seconds, want %d at most", reads, most)
+	if limit := DefaultCandidates * 5; reads > limit {
+		t.Errorf("%d reads in ten seconds, want %d at most", reads, limit)
 	}
 }
--- a/prefix.go
+++ b/prefix.go
@@ -6,12 +6,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PrefixBlockBytes is the length of a prompt prefix block.
+// PrefixBlockBytes is the length of a prompt prefix block in bytes.
 const PrefixBlockBytes = 256
 
-// PrefixBlocks returns the hashes of the prompt's whole prefix blocks, at most
-// limit of them, as engines name them in cache events: each hash covers the
-// block and all blocks before it, and the model and adapter.
+// PrefixBlocks returns the hashes of the prompt's complete prefix blocks, at most
+// limit of them, as engines report them in cache events. Each hash covers the model,
+// the adapter, the block and all blocks before it.
 func PrefixBlocks(model ModelName, adapter AdapterName, prompt string, limit int) []uint64 {
 	count := min(len(prompt)/PrefixBlockBytes, limit)
 	if count <= 0 {
@@ -23,16 +23,16 @@
 // AppendPrefixBlocks appends the hashes that PrefixBlocks returns to hashes.
 func AppendPrefixBlocks(hashes []uint64, model ModelName, adapter AdapterName, prompt string, limit int) []uint64 {
 	count := min(len(prompt)/PrefixBlockBytes, limit)
-	var link [8]byte
+	var previous [8]byte
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(string(model))
 	_, _ = d.WriteString("\x00")
 	_, _ = d.WriteString(string(adapter))
 	for i := range count {
-		binary.LittleEndian.PutUint64(link[:], d.Sum64())
+		binary.LittleEndian.PutUint64(previous[:], d.Sum64())
 		d.Reset()
-		_, _ = d.Write(link[:])
+		_, _ = d.Write(previous[:])
 		_, _ = d.WriteString(prompt[i*PrefixBlockBytes : (i+1)*PrefixBlockBytes])
 		hashes = append(hashes, d.Sum64())
 	}
