--- a/gateway/account_test.go
+++ b/gateway/account_test.go
@@ -14,19 +14,19 @@
 )
 
 // newAccounted returns a stream to a group, whose line can be read.
-func newAccounted(t *testing.T) *stream {
+func newLoggedStream(t *testing.T) *stream {
 	t.Helper()
-	_, s := newGuarded(t)
-	s.heads = map[garnetworks.GroupID]head{"a-grey": {life: garnetworks.Incarnation{Instance: "i"}}, "b-well": {life: garnetworks.Incarnation{Instance: "j"}}}
+	_, s := newWatchedStream(t)
+	s.heads = map[garnetworks.GroupID]head{"a-grey": {incarnation: garnetworks.Incarnation{Instance: "i"}}, "b-well": {incarnation: garnetworks.Incarnation{Instance: "j"}}}
 	s.route.MaxGap = 200 * time.Millisecond
 	s.route.Name, s.route.Timeout = "r", 6*time.Second
 	s.call.ID, s.call.PromptTokens, s.call.EstimatedTokens = "c", 1400, 90
-	s.until = s.call.Received.Add(s.route.Timeout)
+	s.deadline = s.call.Received.Add(s.route.Timeout)
 	return s
 }
 
 // line returns the fields of the call's line by their names.
-func line(x *exchange, status int, err error) map[string]any {
+func logFields(x *exchange, status int, err error) map[string]any {
 	list := x.fields(status, garnetworks.OutcomeCompleted, err, 0)
 	fields := make(map[string]any)
 	for i := 0; i < len(list); i += 2 {
@@ -36,40 +36,40 @@
 }
 
 // give lets the present attempt's group give events, each after a pause.
-func (s *stream) give(pauses ...time.Duration) {
+func (s *stream) giveEvents(pauses ...time.Duration) {
 	for _, p := range pauses {
 		time.Sleep(p)
-		s.run.event(time.Now())
-		s.event(s.call.Received, time.Now())
+		s.current.recordEvent(time.Now())
+		s.recordEvent(s.call.Received, time.Now())
 	}
 }
 
 // Story: a user complains that an answer was late, or stood still. The engineer on call
 // needs to see in one line whether the call waited for a place, its group was slow to
 // begin, it paused, or the group was lost and how long each step of the move took.
-func TestLineTellsWhyACallWasLate(t *testing.T) {
+func TestLogLineExplainsLateCall(t *testing.T) {
 	const step = 50 * time.Millisecond
 	cases := map[string]struct {
-		play   func(*stream)
+		run    func(*stream)
 		absent []string
 		want   map[string]any
 	}{
 		"on time, in short": {
-			play: func(s *stream) {
-				s.enter("a-grey")
-				s.give(step, step, step)
-				s.noteAttempt("a-grey", "i", s.run.began, nil)
+			run: func(s *stream) {
+				s.beginAttempt("a-grey")
+				s.giveEvents(step, step, step)
+				s.recordAttempt("a-grey", "i", s.current.started, nil)
 			},
 			absent: []string{"waited-ms", "objective-ms", "pause-ms"},
 			want:   map[string]any{"prompt": 1400, "answer": 90, "first-ms": int64(50)},
 		},
 		"waited for a place": {
-			play: func(s *stream) {
+			run: func(s *stream) {
 				s.waited = 380 * time.Millisecond
 				time.Sleep(s.waited)
-				s.enter("a-grey")
-				s.give(step)
-				s.run.describe(s.noteAttempt("a-grey", "i", s.run.began, nil), 1, false)
+				s.beginAttempt("a-grey")
+				s.giveEvents(step)
+				s.current.describe(s.recordAttempt("a-grey", "i", s.current.started, nil), 1, false)
 			},
 			want: map[string]any{
 				"waited-ms": int64(380), "first-ms": int64(430), "objective-ms": int64(400),
@@ -77,10 +77,10 @@
 			},
 		},
 		"paused": {
-			play: func(s *stream) {
-				s.enter("a-grey")
-				s.give(step, 300*time.Millisecond, step)
-				s.run.describe(s.noteAttempt("a-grey", "i", s.run.began, nil), 3, false)
+			run: func(s *stream) {
+				s.beginAttempt("a-grey")
+				s.giveEvents(step, 300*time.Millisecond, step)
+				s.current.describe(s.recordAttempt("a-grey", "i", s.current.started, nil), 3, false)
 			},
 			want: map[string]any{"pause-ms": int64(300), "waited-ms": int64(0)},
 		},
@@ -88,10 +88,10 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newAccounted(t)
+				s := newLoggedStream(t)
 				s.options.Meter = meter.New()
-				c.play(s)
-				fields := line(s.exchange, 200, nil)
+				c.run(s)
+				fields := logFields(s.exchange, 200, nil)
 				for _, field := range c.absent {
 					if _, ok := fields[field]; ok {
 						t.Errorf("%s is told of a call that was on time", field)
@@ -110,33 +110,33 @@
 // Story: a group is lost under a stream, which goes on at another one. Its line tells
 // how long the loss took to be seen, how long the next place took to be found, and how
 // long the prompt took to be read again.
-func TestLineTellsTheStepsOfAMove(t *testing.T) {
+func TestLogLineListsAttemptsOfMovedCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newAccounted(t)
+		s := newLoggedStream(t)
 		s.options.Meter = meter.New()
-		s.enter("a-grey")
-		s.give(100*time.Millisecond, 40*time.Millisecond)
+		s.beginAttempt("a-grey")
+		s.giveEvents(100*time.Millisecond, 40*time.Millisecond)
 		time.Sleep(550 * time.Millisecond)
-		failure := &garnetworks.AttemptError{Phase: garnetworks.PhaseWait, Cause: errStill}
-		s.run.describe(s.noteAttempt("a-grey", "i", s.run.began, failure), 2, true)
-		s.leave("a-grey")
+		failure := &garnetworks.AttemptError{Phase: garnetworks.PhaseWait, Cause: errStalled}
+		s.current.describe(s.recordAttempt("a-grey", "i", s.current.started, failure), 2, true)
+		s.releaseSlot("a-grey")
 
 		s.reserved = "b-well"
 		d, ok := s.place()
 		if !ok || d.Group != "b-well" {
 			t.Fatalf("the call was placed at %+v", d)
 		}
-		s.run = s.newRun(30 * time.Millisecond)
-		s.enter("b-well")
-		s.give(160*time.Millisecond, 40*time.Millisecond)
-		s.run.describe(s.noteAttempt("b-well", "j", s.run.began, nil), 2, false)
+		s.current = s.newAttemptState(30 * time.Millisecond)
+		s.beginAttempt("b-well")
+		s.giveEvents(160*time.Millisecond, 40*time.Millisecond)
+		s.current.describe(s.recordAttempt("b-well", "j", s.current.started, nil), 2, false)
 
-		fields := line(s.exchange, 200, nil)
+		fields := logFields(s.exchange, 200, nil)
 		if fields["pause-ms"] != int64(710) {
 			t.Errorf("the client saw a pause of %v ms", fields["pause-ms"])
 		}
-		told := fields["attempts"].([]emitter.Attempt)
-		lost, next := told[0], told[1]
+		logged := fields["attempts"].([]emitter.Attempt)
+		lost, next := logged[0], logged[1]
 		if lost.SilentMS != 550 || lost.PauseMS != 40 || lost.FirstMS != 100 || lost.Phase != garnetworks.PhaseWait {
 			t.Errorf("the lost attempt is told as %+v", lost)
 		}
@@ -148,23 +148,23 @@
 
 // Story: first events of one group are late, and nobody waits. The line of a late call
 // tells how many calls and how many prompt tokens the group had before it.
-func TestLineTellsWhatTheGroupHadBefore(t *testing.T) {
+func TestLogLineShowsGroupLoadBeforeCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newAccounted(t)
+		s := newLoggedStream(t)
 		s.call.PromptTokens = 0 // it was placed before it had a size
 		before := &stream{exchange: &exchange{Gateway: s.Gateway, call: &garnetworks.ProxiedCall{Model: "m", PromptTokens: 5900}, route: s.route, service: s.service}}
 		if _, decided := s.scheduler.Arrive(time.Now(), scheduler.Call{ID: "other", Model: "m", PromptTokens: 5900, Arrived: time.Now(), Objective: time.Second, Tried: []garnetworks.GroupID{"b-well"}}); !decided {
 			t.Fatal("the other call was not placed")
 		}
-		before.enter("a-grey")
-		s.enter("a-grey")
-		if s.run.calls != 1 || s.run.reading != 5900 {
-			t.Errorf("the group had %d calls and %d prompt tokens before", s.run.calls, s.run.reading)
+		before.beginAttempt("a-grey")
+		s.beginAttempt("a-grey")
+		if s.current.groupCalls != 1 || s.current.pendingPrefill != 5900 {
+			t.Errorf("the group had %d calls and %d prompt tokens before", s.current.groupCalls, s.current.pendingPrefill)
 		}
-		before.run.event(time.Now().Add(time.Millisecond))
+		before.current.recordEvent(time.Now().Add(time.Millisecond))
 		before.scheduler.PrefillDone("m", "a-grey", 5900)
-		before.leave("a-grey")
-		s.leave("a-grey")
+		before.releaseSlot("a-grey")
+		s.releaseSlot("a-grey")
 		if left := s.scheduler.PendingPrefill("m", "a-grey"); left != 0 {
 			t.Errorf("%d prompt tokens stay counted", left)
 		}
@@ -173,14 +173,14 @@
 
 // Story: a log holds the same cause twice in each line of a failed call, and is full
 // sooner. The attempt tells the cause; the call's error leaves it out.
-func TestErrorLeavesOutWhatTheAttemptTells(t *testing.T) {
+func TestErrorOmitsCauseOfLastAttempt(t *testing.T) {
 	x := &exchange{}
 	failure := &garnetworks.AttemptError{Phase: garnetworks.PhaseWait, Cause: errors.New("i/o timeout")}
 	err := garnetworks.WrapError(garnetworks.KindBackendLost, failure, "the call got no answer")
 	if x.errorText(err) != err.Error() {
 		t.Errorf("without an attempt the error is %q", x.errorText(err))
 	}
-	x.trials = []emitter.Attempt{{Cause: failure.Error()}}
+	x.attemptLog = []emitter.Attempt{{Cause: failure.Error()}}
 	if got := x.errorText(err); got != "backend-lost: the call got no answer" {
 		t.Errorf("the error is %q", got)
 	}
@@ -190,12 +190,12 @@
 // lines must say so, or engineers look for the cause at the groups.
 func TestStallOfTheNodeIsCounted(t *testing.T) {
 	var s stalls
-	s.tick(25*time.Millisecond, advanceEvery)
-	s.tick(90*time.Millisecond, advanceEvery)
+	s.tick(25*time.Millisecond, advanceInterval)
+	s.tick(90*time.Millisecond, advanceInterval)
 	if s.total() != 0 {
 		t.Errorf("ticks a little late count as a stall of %s", s.total())
 	}
-	s.tick(2*time.Second+advanceEvery, advanceEvery)
+	s.tick(2*time.Second+advanceInterval, advanceInterval)
 	if s.total() != 2*time.Second {
 		t.Errorf("a stall of two seconds counts as %s", s.total())
 	}
--- a/gateway/age_test.go
+++ b/gateway/age_test.go
@@ -19,20 +19,20 @@
 )
 
 // objects is an object API that holds one routing and one server, and can be cut off.
-type objects struct {
+type fakeObjectAPI struct {
 	garnetworks.ObjectAPI
-	cut atomic.Bool
+	down atomic.Bool
 }
 
-func (o *objects) answer(wait time.Duration) error {
+func (o *fakeObjectAPI) answer(wait time.Duration) error {
 	time.Sleep(wait)
-	if o.cut.Load() {
+	if o.down.Load() {
 		return garnetworks.Errorf(garnetworks.KindObjectAPIDown, "cut")
 	}
 	return nil
 }
 
-func (o *objects) List(_ context.Context, prefix string) ([]garnetworks.Object, garnetworks.Revision, error) {
+func (o *fakeObjectAPI) List(_ context.Context, prefix string) ([]garnetworks.Object, garnetworks.Revision, error) {
 	key := prefix
 	if strings.HasSuffix(prefix, "/") {
 		key += "s"
@@ -40,9 +40,9 @@
 	return []garnetworks.Object{{Key: key, Revision: 1}}, 1, o.answer(0)
 }
 
-func (o *objects) Watch(context.Context, string, garnetworks.Revision, time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
-	const often = 100 * time.Millisecond
-	return nil, 1, o.answer(often)
+func (o *fakeObjectAPI) Watch(context.Context, string, garnetworks.Revision, time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
+	const interval = 100 * time.Millisecond
+	return nil, 1, o.answer(interval)
 }
 
 // siteReader reads the same routing and server from each object.
@@ -81,38 +81,38 @@
 }
 
 // passer answers each call with success.
-type passer struct{}
+type okProxy struct{}
 
-func (passer) Send(context.Context, string, *garnetworks.ProxiedAttempt) (*garnetworks.ProxiedResponse, error) {
+func (okProxy) Send(context.Context, string, *garnetworks.ProxiedAttempt) (*garnetworks.ProxiedResponse, error) {
 	return &garnetworks.ProxiedResponse{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("x")), FromServer: true}, nil
 }
 
 // unheld is a quarantine that keeps nothing from servers.
-type unheld struct{}
+type noQuarantine struct{}
 
-func (unheld) Quarantined(context.Context, garnetworks.ContentDigest) (time.Duration, bool) {
+func (noQuarantine) Quarantined(context.Context, garnetworks.ContentDigest) (time.Duration, bool) {
 	return 0, false
 }
 
-func (unheld) ReportInterrupted(garnetworks.ContentDigest, garnetworks.Incarnation) {}
-func (unheld) ReportCompleted(garnetworks.ContentDigest)                            {}
+func (noQuarantine) ReportInterrupted(garnetworks.ContentDigest, garnetworks.Incarnation) {}
+func (noQuarantine) ReportCompleted(garnetworks.ContentDigest)                            {}
 
-type unrecorded struct{}
+type noRecorder struct{}
 
-func (unrecorded) Record(garnetworks.Event) {}
+func (noRecorder) Record(garnetworks.Event) {}
 
 // newFollowing returns a gateway whose follower reads the object API until ctx ends.
-func newFollowing(ctx context.Context, api garnetworks.ObjectAPI, bounds garnetworks.SiteBounds) *Gateway {
-	f := follower.New(follower.Options{Objects: api, Reader: siteReader{}, Recorder: unrecorded{}})
+func newFollowingGateway(ctx context.Context, api garnetworks.ObjectAPI, bounds garnetworks.SiteBounds) *Gateway {
+	f := follower.New(follower.Options{Objects: api, Reader: siteReader{}, Recorder: noRecorder{}})
 	g := New(Options{
-		Bounds: bounds, Follower: f, Reader: callReader{}, Passer: passer{}, Meter: meter.New(), Quarantine: unheld{}, Logger: hclog.NewNullLogger(),
+		Bounds: bounds, Follower: f, Reader: callReader{}, Proxy: okProxy{}, Meter: meter.New(), Quarantine: noQuarantine{}, Logger: hclog.NewNullLogger(),
 	})
 	go func() { _ = f.Run(ctx) }() // ends with ctx
 	return g
 }
 
 // Guards against a definite refusal of a call that a newer routing than the node's allows.
-func TestOldRoutingRefusesNothingForGood(t *testing.T) {
+func TestStaleRoutingRefusesNothingPermanently(t *testing.T) {
 	const (
 		young = time.Second
 		old   = 3 * time.Second
@@ -143,11 +143,11 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				api := &objects{}
+				api := &fakeObjectAPI{}
 				ctx, stop := context.WithCancel(t.Context())
-				g := newFollowing(ctx, api, garnetworks.SiteBounds{ApplyTime: 2 * time.Second, RevokeTime: 5 * time.Second})
+				g := newFollowingGateway(ctx, api, garnetworks.SiteBounds{ApplyTime: 2 * time.Second, RevokeTime: 5 * time.Second})
 				time.Sleep(time.Second)
-				api.cut.Store(true)
+				api.down.Store(true)
 				time.Sleep(c.cutFor)
 				r := httptest.NewRequest(http.MethodPost, c.path, strings.NewReader(c.body))
 				r.Host = c.host
--- a/gateway/guard.go
+++ b/gateway/guard.go
@@ -10,7 +10,7 @@
 
 // moveAgain is the time between two looks for a place elsewhere while a group stands
 // still; places come free some ten times a second.
-const moveAgain = 100 * time.Millisecond
+const moveRetryInterval = 100 * time.Millisecond
 
 // guard moves a call from a group that stands still to another one.
 //
@@ -23,100 +23,100 @@
 // place or the retries are used up. A call that is ended for the silence is lost
 // then, and would have been answered. So it is ended only when it has a place
 // elsewhere.
-type guard struct {
-	stream *stream
-	group  garnetworks.GroupID
-	cancel context.CancelCauseFunc
-	timer  *time.Timer
-	began  time.Time
-	limit  time.Duration
+type watchdog struct {
+	stream  *stream
+	group   garnetworks.GroupID
+	cancel  context.CancelCauseFunc
+	timer   *time.Timer
+	started time.Time
+	limit   time.Duration
 	// begun says that the call has had an event here, late that it has had none for
 	// the scheduler's BeginTime.
-	begun, late bool
+	hadEvent, reportedFailed bool
 	// movable says that the route allows another attempt after this one, and work is
 	// what the call then asks the scheduler for.
 	movable bool
-	work    scheduler.Call
+	request scheduler.Call
 	stopped bool
 }
 
 // guard begins to look after an attempt.
-func (s *stream) guard(group garnetworks.GroupID, cancel context.CancelCauseFunc) *guard {
-	g := &guard{
-		stream: s, group: group, cancel: cancel, began: time.Now(), limit: stillFirst,
+func (s *stream) newWatchdog(group garnetworks.GroupID, cancel context.CancelCauseFunc) *watchdog {
+	w := &watchdog{
+		stream: s, group: group, cancel: cancel, started: time.Now(), limit: firstEventStallTimeout,
 		movable: s.route.Idempotent() && s.attempts+1 < s.route.MaxAttempts,
-		work:    s.work(),
+		request: s.schedulerCall(),
 	}
-	g.work.Resumed = true
+	w.request.Resumed = true
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g.timer = time.AfterFunc(quietTime, g.check)
-	return g
+	w.timer = time.AfterFunc(suspectTimeout, w.check)
+	return w
 }
 
 // event notes that the group gave an event.
-func (g *guard) event() {
+func (w *watchdog) recordEvent() {
 	now := time.Now()
-	g.stream.mu.Lock()
-	defer g.stream.mu.Unlock()
-	g.stream.progress[g.group] = now
-	g.stream.scheduler.EventReceived(now, g.stream.call.Model, g.group)
-	g.limit, g.begun = stillTime, true
-	g.timer.Reset(quietTime)
+	w.stream.mu.Lock()
+	defer w.stream.mu.Unlock()
+	w.stream.lastGroupEvent[w.group] = now
+	w.stream.scheduler.EventReceived(now, w.stream.call.Model, w.group)
+	w.limit, w.hadEvent = stallTimeout, true
+	w.timer.Reset(suspectTimeout)
 }
 
 // stop ends the guard; no place is taken after it.
-func (g *guard) stop() {
-	g.stream.mu.Lock()
-	defer g.stream.mu.Unlock()
-	g.stopped = true
-	g.timer.Stop()
+func (w *watchdog) stop() {
+	w.stream.mu.Lock()
+	defer w.stream.mu.Unlock()
+	w.stopped = true
+	w.timer.Stop()
 }
 
 // check runs when this call has had no event for some time.
-func (g *guard) check() {
-	quiet, moved := g.judge(time.Now())
-	if quiet {
-		g.stream.options.Suspect(g.group)
+func (w *watchdog) check() {
+	silent, moved := w.evaluate(time.Now())
+	if silent {
+		w.stream.options.Suspect(w.group)
 	}
 	if moved {
-		g.cancel(errStill)
+		w.cancel(errStalled)
 	}
 }
 
 // judge tells whether the group is quiet, and whether the call has a place elsewhere
 // for that; if not, it sets the timer anew.
-func (g *guard) judge(now time.Time) (quiet, moved bool) {
-	g.stream.mu.Lock()
-	defer g.stream.mu.Unlock()
-	if g.stopped {
+func (w *watchdog) evaluate(now time.Time) (silent, moved bool) {
+	w.stream.mu.Lock()
+	defer w.stream.mu.Unlock()
+	if w.stopped {
 		return false, false
 	}
-	last := g.stream.progress[g.group]
-	if last.Before(g.began) {
-		last = g.began
+	last := w.stream.lastGroupEvent[w.group]
+	if last.Before(w.started) {
+		last = w.started
 	}
 	silence := now.Sub(last)
-	if silence >= quietTime {
-		g.stream.scheduler.Unreachable(now, g.stream.call.Model, g.group)
+	if silence >= suspectTimeout {
+		w.stream.scheduler.Unreachable(now, w.stream.call.Model, w.group)
 	}
-	if g.neverBegins(now) && g.movable && g.stream.reserve(now, g.work) {
-		return silence >= quietTime, true
+	if w.firstEventOverdue(now) && w.movable && w.stream.reserve(now, w.request) {
+		return silence >= suspectTimeout, true
 	}
-	limit := g.limit
-	if g.stream.scheduler.Lost(now, g.stream.call.Model, g.group) {
-		limit = quietTime
+	limit := w.limit
+	if w.stream.scheduler.Lost(now, w.stream.call.Model, w.group) {
+		limit = suspectTimeout
 	}
 	switch {
-	case silence < quietTime:
-		g.timer.Reset(quietTime - silence)
+	case silence < suspectTimeout:
+		w.timer.Reset(suspectTimeout - silence)
 		return false, false
 	case silence < limit:
-		g.timer.Reset(min(moveAgain, limit-silence))
-	case g.movable && g.stream.reserve(now, g.work):
+		w.timer.Reset(min(moveRetryInterval, limit-silence))
+	case w.movable && w.stream.reserve(now, w.request):
 		return true, true
 	default:
-		g.timer.Reset(moveAgain)
+		w.timer.Reset(moveRetryInterval)
 	}
 	return true, false
 }
@@ -127,25 +127,25 @@
 // Failure: an engine answers a part of its calls and never begins the others, while
 // its health is good and its group gives events. It shows as calls without a first
 // event; their clients left after two seconds, and new calls went there all the same.
-func (g *guard) neverBegins(now time.Time) bool {
-	if g.begun || now.Sub(g.began) < g.stream.scheduler.FirstEventTimeout(g.stream.call.Model) {
+func (w *watchdog) firstEventOverdue(now time.Time) bool {
+	if w.hadEvent || now.Sub(w.started) < w.stream.scheduler.FirstEventTimeout(w.stream.call.Model) {
 		return false
 	}
-	if !g.late {
-		g.late = true
-		g.stream.scheduler.Failed(g.stream.call.Model, g.group)
+	if !w.reportedFailed {
+		w.reportedFailed = true
+		w.stream.scheduler.Failed(w.stream.call.Model, w.group)
 	}
 	return true
 }
 
 // reserve takes a place at another group and a retry, if there are both; the lock is
 // held.
-func (s *stream) reserve(now time.Time, work scheduler.Call) bool {
-	retries := s.window(now, s.service.Name)
+func (s *stream) reserve(now time.Time, request scheduler.Call) bool {
+	retries := s.retryWindow(now, s.service.Name)
 	if retries.Available(now) < 1 {
 		return false
 	}
-	group, ok := s.scheduler.TryPlace(now, work)
+	group, ok := s.scheduler.TryPlace(now, request)
 	if !ok {
 		return false
 	}
@@ -164,7 +164,7 @@
 
 // giveBack gives a reserved place back that the call does not need, because its
 // group gave the end of the answer after all.
-func (s *stream) giveBack() {
+func (s *stream) releaseReserved() {
 	d, ok := s.takeReserved()
 	if !ok {
 		return
--- a/gateway/guard_test.go
+++ b/gateway/guard_test.go
@@ -12,14 +12,14 @@
 )
 
 // newGuarded returns a gateway with two groups, and a call that was sent to the first.
-func newGuarded(t *testing.T) (*Gateway, *stream) {
+func newWatchedStream(t *testing.T) (*Gateway, *stream) {
 	t.Helper()
 	g := &Gateway{
-		options:   Options{Suspect: func(garnetworks.GroupID) {}},
-		scheduler: scheduler.New("z", func() float64 { return 0 }),
-		progress:  make(map[garnetworks.GroupID]time.Time),
-		retries:   make(map[garnetworks.ServiceName]*retrier.Window),
-		waiters:   make(map[garnetworks.CallID]chan scheduler.Decision),
+		options:        Options{Suspect: func(garnetworks.GroupID) {}},
+		scheduler:      scheduler.New("z", func() float64 { return 0 }),
+		lastGroupEvent: make(map[garnetworks.GroupID]time.Time),
+		retryWindows:   make(map[garnetworks.ServiceName]*retrier.Window),
+		waiters:        make(map[garnetworks.CallID]chan scheduler.Decision),
 	}
 	g.bounds.Store(&garnetworks.SiteBounds{RetryWindow: 10 * time.Second, RetrySlack: 100})
 	g.scheduler.SetGroups(time.Now(), []scheduler.Group{{ID: "a-grey", Model: "m", Slots: 26}, {ID: "b-well", Model: "m", Slots: 26}})
@@ -38,11 +38,11 @@
 }
 
 // keepMoving lets a group give events to other calls.
-func (g *Gateway) keepMoving(group garnetworks.GroupID, d time.Duration) {
-	const often = 50 * time.Millisecond
-	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(often) {
+func (g *Gateway) emitEvents(group garnetworks.GroupID, d time.Duration) {
+	const interval = 50 * time.Millisecond
+	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(interval) {
 		g.mu.Lock()
-		g.progress[group] = time.Now()
+		g.lastGroupEvent[group] = time.Now()
 		g.mu.Unlock()
 	}
 }
@@ -50,7 +50,7 @@
 // Story: an engine answers a part of its calls and never begins the others. Its health
 // is good, and its group gives events all the time. The calls that it did not begin
 // waited there until their clients left after two seconds.
-func TestCallThatNeverBeginsMoves(t *testing.T) {
+func TestCallWithoutFirstEventMoves(t *testing.T) {
 	cases := map[string]struct {
 		begins bool
 		full   bool
@@ -63,18 +63,18 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g, s := newGuarded(t)
+				g, s := newWatchedStream(t)
 				if c.full {
 					g.scheduler.SetGroups(time.Now(), []scheduler.Group{{ID: "a-grey", Model: "m", Slots: 26}})
 				}
 				ctx, cancel := context.WithCancelCause(t.Context())
-				guard := s.guard("a-grey", cancel)
-				defer guard.stop()
+				wd := s.newWatchdog("a-grey", cancel)
+				defer wd.stop()
 				if c.begins {
-					guard.event()
+					wd.recordEvent()
 				}
-				g.keepMoving("a-grey", 1900*time.Millisecond)
-				if moved := context.Cause(ctx) == errStill; moved != c.moves {
+				g.emitEvents("a-grey", 1900*time.Millisecond)
+				if moved := context.Cause(ctx) == errStalled; moved != c.moves {
 					t.Errorf("the call has moved: %t", moved)
 				}
 				if c.moves && s.reserved != "b-well" {
@@ -88,16 +88,16 @@
 // Story: a group stands still, and its call takes a place elsewhere; at that moment
 // the group gives the end of the answer after all. The place was never given back, and
 // each such call left the other group one place less.
-func TestUnusedPlaceIsGivenBack(t *testing.T) {
+func TestUnusedReservationIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, s := newGuarded(t)
-		guard := s.guard("a-grey", func(error) {})
+		g, s := newWatchedStream(t)
+		wd := s.newWatchdog("a-grey", func(error) {})
 		time.Sleep(3 * time.Second)
-		guard.stop()
+		wd.stop()
 		if s.reserved != "b-well" {
 			t.Fatalf("the call has a place at %q", s.reserved)
 		}
-		s.giveBack()
+		s.releaseReserved()
 		for _, p := range g.scheduler.Load(time.Now()).Groups {
 			if p.Group == "b-well" {
 				t.Errorf("%d calls hold places there", p.Running)
@@ -109,34 +109,34 @@
 // Story: a group's instances all went dark, and the holder of the lease has told so. Calls
 // without an event there waited for 1.2 s, those in the middle for 0.55, as if only this
 // node's view spoke; a call that still gets events there stays.
-func TestCallLeavesAGroupThatIsToldLost(t *testing.T) {
+func TestCallLeavesGroupReportedLost(t *testing.T) {
 	cases := map[string]struct {
-		told, events bool
-		within       time.Duration
-		moves        bool
+		reported, events bool
+		within           time.Duration
+		moves            bool
 	}{
-		"told":                  {told: true, within: quietTime + moveAgain, moves: true},
-		"told, but gives event": {told: true, events: true, within: quietTime + moveAgain},
-		"not told":              {within: quietTime + moveAgain},
-		"not told, for long":    {within: stillFirst + moveAgain, moves: true},
+		"told":                  {reported: true, within: suspectTimeout + moveRetryInterval, moves: true},
+		"told, but gives event": {reported: true, events: true, within: suspectTimeout + moveRetryInterval},
+		"not told":              {within: suspectTimeout + moveRetryInterval},
+		"not told, for long":    {within: firstEventStallTimeout + moveRetryInterval, moves: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g, s := newGuarded(t)
+				g, s := newWatchedStream(t)
 				ctx, cancel := context.WithCancelCause(t.Context())
-				guard := s.guard("a-grey", cancel)
-				defer guard.stop()
-				if c.told {
-					g.SetOthers(garnetworks.LoadReport{Lost: []garnetworks.GroupID{"a-grey"}}, true)
+				wd := s.newWatchdog("a-grey", cancel)
+				defer wd.stop()
+				if c.reported {
+					g.SetPeerLoad(garnetworks.LoadReport{Lost: []garnetworks.GroupID{"a-grey"}}, true)
 				}
-				for end := time.Now().Add(c.within); time.Now().Before(end); time.Sleep(moveAgain / 2) {
+				for end := time.Now().Add(c.within); time.Now().Before(end); time.Sleep(moveRetryInterval / 2) {
 					if c.events {
-						guard.event()
+						wd.recordEvent()
 					}
 				}
 				synctest.Wait()
-				if moved := context.Cause(ctx) == errStill; moved != c.moves {
+				if moved := context.Cause(ctx) == errStalled; moved != c.moves {
 					t.Errorf("the call has moved: %t", moved)
 				}
 			})
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -17,32 +17,32 @@
 const (
 	// maxWholeAnswer bounds an answer that is read before it is given on, so that
 	// a call whose answer breaks off can be repeated.
-	maxWholeAnswer = 8 << 20
+	maxBufferedBytes = 8 << 20
 	// maxFree bounds the attempts that reached no server.
-	maxFree = 4
+	maxFreeAttempts = 4
 	// firstAttemptPart is the part of the time left that the first attempt of a
 	// call that may be repeated gets: a server that hangs then leaves time for
 	// another one.
-	firstAttemptPart = 0.45
+	firstAttemptFraction = 0.45
 	// plainConnectTime bounds a connect to a plain service. Within a site a server
 	// that lives accepts within milliseconds.
 	plainConnectTime = 200 * time.Millisecond
 )
 
 // whole is an answer that was read to its end.
-type whole struct {
+type bufferedResponse struct {
 	*garnetworks.ProxiedResponse
 	body []byte
 }
 
 // errOtherServer says that another server has the address now.
-var errOtherServer = errors.New("another server has the address")
+var errMisdirected = errors.New("another server has the address")
 
 // reachedNone reports whether an attempt reached no server of the service, so that
 // it is none of those that the route allows: nobody answered, or the address was
 // given to a server of another service, which says so and runs nothing.
-func reachedNone(failure *garnetworks.AttemptError) bool {
-	return failure.Phase == garnetworks.PhaseConnect || errors.Is(failure.Cause, errOtherServer)
+func reachedNoServer(failure *garnetworks.AttemptError) bool {
+	return failure.Phase == garnetworks.PhaseConnect || errors.Is(failure.Cause, errMisdirected)
 }
 
 // repeatability says what the route's kind allows.
@@ -54,43 +54,43 @@
 }
 
 // passOn passes a call to a plain service.
-func (x *exchange) passOn() {
+func (x *exchange) callService() {
 	history := retrier.History{Repeatability: x.repeatability(), MaxAttempts: x.route.MaxAttempts}
 	repeatable := history.Repeatability == retrier.Repeatable
 	var tried []garnetworks.Incarnation
-	free := 0
+	freeAttempts := 0
 	for {
 		server, ok := x.pick(tried)
 		if !ok {
-			x.giveUp(history.MayHaveRun, garnetworks.KindNoBackend, errors.New("no server takes the call"))
+			x.refuseUnanswered(history.MayHaveRun, garnetworks.KindNoBackend, errors.New("no server takes the call"))
 			return
 		}
-		if err := x.heldBack(); err != nil {
-			x.endHeld(history.MayHaveRun, err)
+		if err := x.checkQuarantine(); err != nil {
+			x.endQuarantined(history.MayHaveRun, err)
 			return
 		}
 		tried = append(tried, server.Incarnation())
-		more := repeatable && len(tried) < x.route.MaxAttempts+free
-		answer, granted, failure := x.attemptPlain(&server, more)
-		if failure == nil && (answer.Status < http.StatusInternalServerError || !more) {
-			x.write(answer)
+		mayRepeat := repeatable && len(tried) < x.route.MaxAttempts+freeAttempts
+		answer, granted, failure := x.attemptPlain(&server, mayRepeat)
+		if failure == nil && (answer.Status < http.StatusInternalServerError || !mayRepeat) {
+			x.writeResponse(answer)
 			return
 		}
 		if failure == nil { // a failed run that may be repeated
-			if !granted && !x.mayRetry(x.service.Name) {
-				x.write(answer)
+			if !granted && !x.takeRetry(x.service.Name) {
+				x.writeResponse(answer)
 				return
 			}
 			history.MayHaveRun = true
 			continue
 		}
-		if reachedNone(failure) && free < maxFree {
-			free++
+		if reachedNoServer(failure) && freeAttempts < maxFreeAttempts {
+			freeAttempts++
 			continue
 		}
 		verdict := history.RecordFailure(retrier.Failure{Phase: failure.Phase})
-		if x.ctx.Err() != nil || !verdict.Retry || !granted && !x.mayRetry(x.service.Name) {
-			x.giveUp(history.MayHaveRun, garnetworks.KindBackendRefused, failure)
+		if x.ctx.Err() != nil || !verdict.Retry || !granted && !x.takeRetry(x.service.Name) {
+			x.refuseUnanswered(history.MayHaveRun, garnetworks.KindBackendRefused, failure)
 			return
 		}
 	}
@@ -118,64 +118,64 @@
 //
 // Failure: servers are slow and the retries are used up. An attempt that is ended
 // all the same loses an answer that would have come in time.
-func (x *exchange) attemptPlain(server *garnetworks.RegisteredServer, more bool) (answer *whole, granted bool, failure *garnetworks.AttemptError) {
-	began := time.Now()
+func (x *exchange) attemptPlain(server *garnetworks.RegisteredServer, mayRepeat bool) (answer *bufferedResponse, granted bool, failure *garnetworks.AttemptError) {
+	started := time.Now()
 	ctx, cancel := context.WithCancelCause(x.ctx)
 	defer cancel(nil)
-	if more {
-		part := time.Duration(float64(time.Until(x.until)) * firstAttemptPart)
-		slow := time.AfterFunc(part, func() {
-			if x.mayRetry(x.service.Name) {
+	if mayRepeat {
+		timeout := time.Duration(float64(time.Until(x.deadline)) * firstAttemptFraction)
+		slow := time.AfterFunc(timeout, func() {
+			if x.takeRetry(x.service.Name) {
 				cancel(errSlow)
 			}
 		})
 		defer slow.Stop()
 	}
-	passed, err := x.options.Passer.Send(ctx, server.Address, &garnetworks.ProxiedAttempt{
-		ProxiedCall: x.call, Instance: server.ID, Workspace: x.workspace, ServerDeadline: x.until,
+	response, err := x.options.Proxy.Send(ctx, server.Address, &garnetworks.ProxiedAttempt{
+		ProxiedCall: x.call, Instance: server.ID, Workspace: x.workspace, ServerDeadline: x.deadline,
 		AtMostOnce: !x.route.Idempotent(), ConnectTime: plainConnectTime,
 	})
-	answer, failure = readWhole(passed, err)
+	answer, failure = readResponse(response, err)
 	now := time.Now()
-	x.noteAttempt("", server.ID, began, failure)
+	x.recordAttempt("", server.ID, started, failure)
 	if failure == nil {
 		x.options.Quarantine.ReportCompleted(x.content)
 	} else {
-		x.brokeOff(server.Incarnation(), failure)
+		x.reportInterrupted(server.Incarnation(), failure)
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	bad := failure != nil && x.ctx.Err() == nil
-	x.picker.Finished(now, server.Incarnation(), now.Sub(began), bad)
-	if failure != nil && reachedNone(failure) {
+	failed := failure != nil && x.ctx.Err() == nil
+	x.picker.Finished(now, server.Incarnation(), now.Sub(started), failed)
+	if failure != nil && reachedNoServer(failure) {
 		x.picker.Unreachable(now, server.Incarnation())
 	}
 	return answer, context.Cause(ctx) == errSlow, failure
 }
 
 // readWhole reads an answer's body and judges the answer.
-func readWhole(answer *garnetworks.ProxiedResponse, err error) (*whole, *garnetworks.AttemptError) {
+func readResponse(answer *garnetworks.ProxiedResponse, err error) (*bufferedResponse, *garnetworks.AttemptError) {
 	if err != nil {
-		return nil, asAttempt(err)
+		return nil, asAttemptError(err)
 	}
 	defer answer.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxWholeAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedBytes+1))
 	switch {
 	case answer.NotRun && answer.Status == http.StatusMisdirectedRequest:
-		return nil, &garnetworks.AttemptError{Phase: garnetworks.PhaseRefused, Cause: errOtherServer}
+		return nil, &garnetworks.AttemptError{Phase: garnetworks.PhaseRefused, Cause: errMisdirected}
 	case answer.NotRun:
 		return nil, &garnetworks.AttemptError{Phase: garnetworks.PhaseRefused, Cause: errors.Errorf("refused with status %d", answer.Status)}
 	case err != nil:
 		return nil, &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: err}
-	case len(body) > maxWholeAnswer:
+	case len(body) > maxBufferedBytes:
 		return nil, &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: errors.New("the answer is too large")}
 	case !answer.FromServer || answer.Header.Get("Content-Encoding") != "":
 		return nil, &garnetworks.AttemptError{Phase: garnetworks.PhaseHeaders, Cause: errors.Errorf("an answer with status %d is not a server's own", answer.Status)}
 	}
-	return &whole{answer, body}, nil
+	return &bufferedResponse{answer, body}, nil
 }
 
-func asAttempt(err error) *garnetworks.AttemptError {
+func asAttemptError(err error) *garnetworks.AttemptError {
 	var a *garnetworks.AttemptError
 	if errors.As(err, &a) {
 		return a
@@ -184,23 +184,23 @@
 }
 
 // write gives a server's answer to the client unchanged.
-func (x *exchange) write(answer *whole) {
+func (x *exchange) writeResponse(answer *bufferedResponse) {
 	h := x.copyHeader(answer.Header)
 	h.Set("Content-Length", strconv.Itoa(len(answer.body)))
 	x.w.WriteHeader(answer.Status)
 	_, _ = x.w.Write(answer.body) // the client may have left
-	x.ended(answer.Status, garnetworks.OutcomeCompleted, nil)
+	x.recordEnd(answer.Status, garnetworks.OutcomeCompleted, nil)
 }
 
 // noteAttempt takes the end of an attempt into the call's line and the metrics.
-func (x *exchange) noteAttempt(group garnetworks.GroupID, instance garnetworks.InstanceID, began time.Time, failure *garnetworks.AttemptError) *emitter.Attempt {
+func (x *exchange) recordAttempt(group garnetworks.GroupID, instance garnetworks.InstanceID, started time.Time, failure *garnetworks.AttemptError) *emitter.Attempt {
 	var err error
 	if failure != nil {
 		err = failure
 	}
-	t := x.tried(group, instance, began, err)
-	x.options.Meter.Attempt(x.service.Name, group, t.Phase, time.Since(began))
-	return t
+	attempt := x.addAttempt(group, instance, started, err)
+	x.options.Meter.Attempt(x.service.Name, group, attempt.Phase, time.Since(started))
+	return attempt
 }
 
 // copyHeader takes over an answer's headers.
@@ -221,7 +221,7 @@
 // endOf returns the error kind of a call whose context has ended: the client has left,
 // or the time is over. Logs that take the one for the other send engineers to servers
 // that did nothing wrong.
-func endOf(err error) garnetworks.Kind {
+func contextErrorKind(err error) garnetworks.Kind {
 	if errors.Is(err, context.Canceled) {
 		return garnetworks.KindCancelled
 	}
@@ -229,11 +229,11 @@
 }
 
 // giveUp answers a call that got no answer from a server (rules W2 and W6).
-func (x *exchange) giveUp(mayHaveRun bool, kind garnetworks.Kind, cause error) {
+func (x *exchange) refuseUnanswered(mayHaveRun bool, kind garnetworks.Kind, cause error) {
 	if mayHaveRun {
 		kind = garnetworks.KindBackendLost
 		if err := x.ctx.Err(); err != nil {
-			kind = endOf(err)
+			kind = contextErrorKind(err)
 		}
 	}
 	x.refuse(x.w, x, garnetworks.WrapError(kind, cause, "the call got no answer"))
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -20,12 +20,12 @@
 	// quietTime is how long a group that has calls of this node may give none of
 	// them an event before it is suspected, which only asks its members whether
 	// they live. A pass of a full batch with a long prompt takes 0.3 s at most.
-	quietTime = 300 * time.Millisecond
+	suspectTimeout = 300 * time.Millisecond
 	// stillTime is the same before the node takes its calls elsewhere. A call that
 	// was moved is read again from its beginning, so this is longer.
-	stillTime = 550 * time.Millisecond
+	stallTimeout = 550 * time.Millisecond
 	// stillFirst is the same for a call that has no event yet.
-	stillFirst = 1200 * time.Millisecond
+	firstEventStallTimeout = 1200 * time.Millisecond
 	// streamConnectTime bounds a connect to a group's head. Within a site one takes
 	// some milliseconds; a lost packet is sent again after a second only, so that
 	// waiting for it helps nobody. A call whose connect fails after 0.1 s can still
@@ -36,88 +36,88 @@
 	// packet is sent again after 0.2 s.
 	streamAckTime = 300 * time.Millisecond
 	// readBytes is the size of a read from a stream; an event is smaller.
-	readBytes = 4 << 10
+	readBufferBytes = 4 << 10
 	// Urgencies at the engine: a resumed stream's client waits between two events.
 	urgencyResumed = 2
 	urgencyFirst   = 4
 )
 
-var errStill = errors.New("the group gives no events")
+var errStalled = errors.New("the group gives no events")
 
 // stream is the state of a call to a model over its attempts.
 type stream struct {
 	*exchange
 	splicer splicer.Splicer
 	// done says that the answer was whole.
-	done bool
+	complete bool
 	// begun says that the answer's headers are with the client.
-	begun bool
+	headersSent bool
 	// mayHaveRun says that an attempt ended without proof that the call did not
 	// run.
 	mayHaveRun bool
 	tried      []garnetworks.GroupID
 	// attempts counts those that may have run, free those that surely did not.
-	attempts, free int
-	resuming       bool
+	attempts, freeAttempts int
+	resuming               bool
 	// moved says that the present place was taken while the group before stood still.
 	moved bool
 	// reserved is a place that was taken elsewhere for a call whose group stands
 	// still; the gateway's lock guards it.
 	reserved garnetworks.GroupID
 	// run is the present attempt.
-	run run
+	current attemptState
 }
 
 // run is what is known of an attempt while it runs.
-type run struct {
-	life  garnetworks.Incarnation
-	began time.Time
+type attemptState struct {
+	incarnation garnetworks.Incarnation
+	started     time.Time
 	// first is the time to its first event, 0 before it; last is when the last one
 	// came, or the start, and pause the longest time between two.
-	first time.Duration
-	last  time.Time
-	pause time.Duration
+	firstEventAfter time.Duration
+	lastEvent       time.Time
+	maxPause        time.Duration
 	// calls and reading are what the group had before the attempt: calls, and
 	// prompt tokens of this node.
-	calls, reading int
-	why            emitter.AttemptReason
+	groupCalls, pendingPrefill int
+	reason                     emitter.AttemptReason
 	// placed is the time from the end of the attempt before to the start.
-	placed time.Duration
+	placementTime time.Duration
 }
 
 // event notes that an event came.
-func (r *run) event(now time.Time) {
-	if r.first == 0 {
-		r.first = now.Sub(r.began)
+func (r *attemptState) recordEvent(now time.Time) {
+	if r.firstEventAfter == 0 {
+		r.firstEventAfter = now.Sub(r.started)
 	} else {
-		r.pause = max(r.pause, now.Sub(r.last))
+		r.maxPause = max(r.maxPause, now.Sub(r.lastEvent))
 	}
-	r.last = now
+	r.lastEvent = now
 }
 
 // describe takes the attempt into the call's line.
-func (r *run) describe(t *emitter.Attempt, events int, failed bool) {
-	t.Why, t.PlacedMS = r.why, milliseconds(r.placed)
-	t.FirstMS, t.PauseMS, t.Events = milliseconds(r.first), milliseconds(r.pause), events
-	t.Calls, t.Reading = r.calls, r.reading
+func (r *attemptState) describe(attempt *emitter.Attempt, events int, failed bool) {
+	attempt.Why, attempt.PlacedMS = r.reason, milliseconds(r.placementTime)
+	attempt.FirstMS, attempt.PauseMS, attempt.Events = milliseconds(r.firstEventAfter), milliseconds(r.maxPause), events
+	attempt.Calls, attempt.Reading = r.groupCalls, r.pendingPrefill
 	if failed {
-		t.SilentMS = milliseconds(time.Since(r.last))
+		attempt.SilentMS = milliseconds(time.Since(r.lastEvent))
 	}
 }
 
 // generate passes a call to a group, and on to another one if the first is lost.
 func (x *exchange) generate() {
 	s := &stream{exchange: x}
-	defer s.giveBack()
+	defer s.releaseReserved()
 	for {
-		asked := time.Now()
+		start := time.Now()
 		d, ok := s.place()
 		s.decision = d
-		if len(s.trials) == 0 {
-			s.waited = time.Since(asked)
+		if len(s.attemptLog) == 0 {
+			s.waited = time.Since(start)
 			x.options.Meter.Waited(x.call.Model, s.waited)
 		}
-		s.run = s.newRun(time.Since(asked))
+		s.current = s.newAttemptState(time.Since(start))
 		if !ok {
 			s.end(garnetworks.KindCancelled, x.ctx.Err())
 			return
@@ -128,8 +128,8 @@
 		}
 		again, failure := s.attempt(d.Group)
 		if failure == nil {
-			if s.done {
-				s.ended(http.StatusOK, garnetworks.OutcomeCompleted, nil)
+			if s.complete {
+				s.recordEnd(http.StatusOK, garnetworks.OutcomeCompleted, nil)
 			}
 			return
 		}
@@ -141,28 +141,28 @@
 }
 
 // newRun returns the state of the next attempt, whose place took some time.
-func (s *stream) newRun(took time.Duration) run {
-	if len(s.trials) == 0 {
-		return run{}
+func (s *stream) newAttemptState(took time.Duration) attemptState {
+	if len(s.attemptLog) == 0 {
+		return attemptState{}
 	}
-	r := run{placed: took, why: emitter.AttemptRepeated}
+	r := attemptState{placementTime: took, reason: emitter.AttemptRepeated}
 	if s.moved {
-		r.why = emitter.AttemptMoved
+		r.reason = emitter.AttemptMoved
 	}
 	return r
 }
 
 // work returns what the call asks the scheduler for.
-func (s *stream) work() scheduler.Call {
-	w := scheduler.Call{
+func (s *stream) schedulerCall() scheduler.Call {
+	request := scheduler.Call{
 		ID:    garnetworks.CallID(strconv.FormatUint(s.sequence.Add(1), 10)),
 		Model: s.call.Model, Priority: s.priority, Arrived: s.call.Received,
-		Objective: s.route.Objective, PromptTokens: s.call.PromptTokens, MaxGap: s.route.MaxGap, Resumed: s.begun || s.resuming, Tried: s.tried,
+		Objective: s.route.Objective, PromptTokens: s.call.PromptTokens, MaxGap: s.route.MaxGap, Resumed: s.headersSent || s.resuming, Tried: s.tried,
 	}
-	if w.Resumed {
-		w.Arrived = time.Now()
+	if request.Resumed {
+		request.Arrived = time.Now()
 	}
-	return w
+	return request
 }
 
 // place waits for a group. It returns false if the client left or time ran out.
@@ -172,11 +172,11 @@
 	if ok {
 		return d, true
 	}
-	work := s.work()
-	id := work.ID
+	request := s.schedulerCall()
+	id := request.ID
 	waiter := make(chan scheduler.Decision, 1)
 	s.mu.Lock()
-	d, decided := s.scheduler.Arrive(time.Now(), work)
+	d, decided := s.scheduler.Arrive(time.Now(), request)
 	if !decided {
 		s.waiters[id] = waiter
 	}
@@ -208,81 +208,81 @@
 // attempt runs the call at one group. It returns no failure if the client has got
 // its answer, and otherwise whether another group may go on.
 func (s *stream) attempt(group garnetworks.GroupID) (again bool, failure error) {
-	defer s.leave(group)
-	h, ok := s.enter(group)
-	if err := s.heldBack(); err != nil {
+	defer s.releaseSlot(group)
+	h, ok := s.beginAttempt(group)
+	if err := s.checkQuarantine(); err != nil {
 		return false, err
 	}
 	s.tried = append(s.tried, group)
 	if !ok {
-		s.free++
-		return s.free <= maxFree, errors.New("the group is gone")
+		s.freeAttempts++
+		return s.freeAttempts <= maxFreeAttempts, errors.New("the group is gone")
 	}
 	ctx, cancel := context.WithCancelCause(s.ctx)
 	defer cancel(nil)
-	guard := s.guard(group, cancel)
-	defer guard.stop()
+	wd := s.newWatchdog(group, cancel)
+	defer wd.stop()
 	before := s.splicer.Events
 	defer func() {
-		t := s.noteAttempt(group, h.life.Instance, s.run.began, asFailure(failure))
-		s.run.describe(t, s.splicer.Events-before, failure != nil)
+		attempt := s.recordAttempt(group, h.incarnation.Instance, s.current.started, attemptErrorOf(failure))
+		s.current.describe(attempt, s.splicer.Events-before, failure != nil)
 	}()
 	urgency := urgencyFirst
 	resumeAfter := s.call.LastEvent
-	if s.begun {
+	if s.headersSent {
 		urgency, resumeAfter = urgencyResumed, s.splicer.LastID
 	}
 	ackTime := time.Duration(0)
 	if s.route.Idempotent() {
 		ackTime = streamAckTime
 	}
-	answer, err := s.options.Passer.Send(ctx, h.address, &garnetworks.ProxiedAttempt{
-		ProxiedCall: s.call, Instance: h.life.Instance, Workspace: s.workspace, ServerDeadline: s.until,
+	answer, err := s.options.Proxy.Send(ctx, h.address, &garnetworks.ProxiedAttempt{
+		ProxiedCall: s.call, Instance: h.incarnation.Instance, Workspace: s.workspace, ServerDeadline: s.deadline,
 		Urgency: urgency, ResumeAfter: resumeAfter, AtMostOnce: !s.route.Idempotent(), ConnectTime: streamConnectTime, AckTime: ackTime,
 	})
 	if err != nil {
-		s.brokeOff(s.run.life, asAttempt(err))
-		return s.failed(group, asAttempt(err), context.Cause(ctx))
+		s.reportInterrupted(s.current.incarnation, asAttemptError(err))
+		return s.handleFailure(group, asAttemptError(err), context.Cause(ctx))
 	}
 	defer answer.Body.Close()
 	switch {
 	case answer.NotRun:
-		return s.refused(group, answer)
+		return s.handleRefusal(group, answer)
 	case !answer.FromServer || answer.Header.Get("Content-Encoding") != "":
-		return s.failed(group, &garnetworks.AttemptError{Phase: garnetworks.PhaseHeaders, Cause: errors.Errorf("an answer with status %d is not an engine's own", answer.Status)}, nil)
+		return s.handleFailure(group, &garnetworks.AttemptError{Phase: garnetworks.PhaseHeaders, Cause: errors.Errorf("an answer with status %d is not an engine's own", answer.Status)}, nil)
 	case answer.Status != http.StatusOK:
-		return s.error(group, answer)
+		return s.handleErrorResponse(group, answer)
 	}
 	s.attempts++
-	return s.relay(group, answer, guard, func() error { return context.Cause(ctx) })
+	return s.relay(group, answer, wd, func() error { return context.Cause(ctx) })
 }
 
 // enter counts the call at a group, and returns the group's head if it has one.
-func (s *stream) enter(group garnetworks.GroupID) (head, bool) {
+func (s *stream) beginAttempt(group garnetworks.GroupID) (head, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.run.began, s.run.last = now, now
-	s.run.calls = max(0, s.scheduler.Calls(s.call.Model, group)-1)
-	s.run.reading = max(0, s.scheduler.PendingPrefill(s.call.Model, group)-s.call.PromptTokens)
+	s.current.started, s.current.lastEvent = now, now
+	s.current.groupCalls = max(0, s.scheduler.Calls(s.call.Model, group)-1)
+	s.current.pendingPrefill = max(0, s.scheduler.PendingPrefill(s.call.Model, group)-s.call.PromptTokens)
 	h, ok := s.heads[group]
-	s.run.life = h.life
+	s.current.incarnation = h.incarnation
 	return h, ok
 }
 
 // leave gives the call's place at a group back.
-func (s *stream) leave(group garnetworks.GroupID) {
+func (s *stream) releaseSlot(group garnetworks.GroupID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.run.first == 0 {
+	if s.current.firstEventAfter == 0 {
 		s.scheduler.PrefillDone(s.call.Model, group, s.call.PromptTokens)
 	}
 	now := time.Now()
-	s.deliver(s.scheduler.Finished(now, s.call.Model, group, now.Sub(s.run.began), s.run.first > 0))
+	s.deliver(s.scheduler.Finished(now, s.call.Model, group, now.Sub(s.current.started), s.current.firstEventAfter > 0))
 }
 
 // refused takes an engine's word that it did not begin the call.
-func (s *stream) refused(group garnetworks.GroupID, answer *garnetworks.ProxiedResponse) (bool, error) {
+func (s *stream) handleRefusal(group garnetworks.GroupID, answer *garnetworks.ProxiedResponse) (bool, error) {
 	s.mu.Lock()
 	now := time.Now()
 	if answer.Status == http.StatusMisdirectedRequest || answer.FaultyInstance != "" {
@@ -292,29 +292,29 @@
 		s.scheduler.Full(now, s.call.Model, group)
 	}
 	s.mu.Unlock()
-	s.free++
+	s.freeAttempts++
 	err := errors.Errorf("%s refused with status %d because of %q", group, answer.Status, answer.FaultyInstance)
-	return s.free <= maxFree && s.attempts < s.route.MaxAttempts && s.retry(), err
+	return s.freeAttempts <= maxFreeAttempts && s.attempts < s.route.MaxAttempts && s.claimRetry(), err
 }
 
 // failed takes the failure of an attempt before its answer.
-func (s *stream) failed(group garnetworks.GroupID, failure *garnetworks.AttemptError, cause error) (bool, error) {
+func (s *stream) handleFailure(group garnetworks.GroupID, failure *garnetworks.AttemptError, cause error) (bool, error) {
 	if s.ctx.Err() != nil {
 		s.mayHaveRun = s.mayHaveRun || failure.Phase != garnetworks.PhaseConnect
 		return false, failure
 	}
-	s.still(group)
+	s.reportStall(group)
 	if failure.Phase == garnetworks.PhaseConnect {
-		s.free++
-		return s.free <= maxFree, failure
+		s.freeAttempts++
+		return s.freeAttempts <= maxFreeAttempts, failure
 	}
 	s.mayHaveRun = true
 	s.attempts++
-	return s.goOn(errors.Wrap(failure, causeText(cause)))
+	return s.tryResume(errors.Wrap(failure, causeText(cause)))
 }
 
 // still takes that a group gave no answer, or broke one off.
-func (s *stream) still(group garnetworks.GroupID) {
+func (s *stream) reportStall(group garnetworks.GroupID) {
 	now := time.Now()
 	s.mu.Lock()
 	s.scheduler.Stalled(now, s.call.Model, group)
@@ -331,45 +331,45 @@
 }
 
 // goOn decides whether a call whose attempt was lost may go on at another group.
-func (s *stream) goOn(failure error) (bool, error) {
+func (s *stream) tryResume(failure error) (bool, error) {
 	if !s.route.Idempotent() || s.attempts >= s.route.MaxAttempts {
 		return false, failure
 	}
 	s.resuming = true
-	return s.retry(), failure
+	return s.claimRetry(), failure
 }
 
 // retry reports whether the call has a retry: with the place that was taken for it,
 // or by the service's calls of late.
-func (s *stream) retry() bool {
+func (s *stream) claimRetry() bool {
 	s.mu.Lock()
 	reserved := s.reserved != ""
 	s.mu.Unlock()
-	return reserved || s.mayRetry(s.service.Name)
+	return reserved || s.takeRetry(s.service.Name)
 }
 
 // error gives an engine's own error to the client, unless another group may try.
-func (s *stream) error(group garnetworks.GroupID, answer *garnetworks.ProxiedResponse) (bool, error) {
+func (s *stream) handleErrorResponse(group garnetworks.GroupID, answer *garnetworks.ProxiedResponse) (bool, error) {
 	s.attempts++
 	s.mayHaveRun = true
-	result, failure := readWhole(answer, nil)
+	result, failure := readResponse(answer, nil)
 	if failure != nil {
-		return s.goOn(failure)
+		return s.tryResume(failure)
 	}
-	if s.begun {
-		return s.goOn(errors.Errorf("%s answered with status %d", group, answer.Status))
+	if s.headersSent {
+		return s.tryResume(errors.Errorf("%s answered with status %d", group, answer.Status))
 	}
 	s.options.Quarantine.ReportCompleted(s.content)
-	s.failedThere(group, answer.Status)
-	if answer.Status >= http.StatusInternalServerError && s.route.Idempotent() && s.attempts < s.route.MaxAttempts && s.retry() {
+	s.recordGroupFailure(group, answer.Status)
+	if answer.Status >= http.StatusInternalServerError && s.route.Idempotent() && s.attempts < s.route.MaxAttempts && s.claimRetry() {
 		return true, errors.Errorf("%s answered with status %d", group, answer.Status)
 	}
-	s.write(result)
+	s.writeResponse(result)
 	return false, nil
 }
 
 // failedThere counts an engine's own failure against its group.
-func (s *stream) failedThere(group garnetworks.GroupID, status int) {
+func (s *stream) recordGroupFailure(group garnetworks.GroupID, status int) {
 	if status < http.StatusInternalServerError {
 		return
 	}
@@ -379,8 +379,8 @@
 }
 
 // relay gives the events on as they come.
-func (s *stream) relay(group garnetworks.GroupID, answer *garnetworks.ProxiedResponse, guard *guard, cause func() error) (bool, error) {
-	buffer := make([]byte, readBytes)
+func (s *stream) relay(group garnetworks.GroupID, answer *garnetworks.ProxiedResponse, wd *watchdog, cause func() error) (bool, error) {
+	buffer := make([]byte, readBufferBytes)
 	var events []byte
 	s.splicer.Resume()
 	for {
@@ -389,14 +389,14 @@
 			var gap error
 			events, gap = s.splicer.Feed(events[:0], buffer[:n])
 			if gap != nil {
-				return s.goOn(gap)
+				return s.tryResume(gap)
 			}
 			if len(events) > 0 {
-				guard.event()
-				first := s.run.first == 0
-				s.run.event(time.Now())
+				wd.recordEvent()
+				first := s.current.firstEventAfter == 0
+				s.current.recordEvent(time.Now())
 				if first {
-					s.firstEvent(group, s.run.first)
+					s.recordFirstEvent(group, s.current.firstEventAfter)
 				}
 				if failure := s.send(answer, events); failure != nil {
 					return false, failure
@@ -407,12 +407,12 @@
 			return false, s.finish(answer)
 		}
 		if err != nil {
-			return s.broken(group, err, cause())
+			return s.handleBrokenStream(group, err, cause())
 		}
 	}
 }
 
-func (s *stream) firstEvent(group garnetworks.GroupID, took time.Duration) {
+func (s *stream) recordFirstEvent(group garnetworks.GroupID, took time.Duration) {
 	if s.splicer.Events <= 1 {
 		s.options.Meter.FirstEvent(s.route.Name, time.Since(s.call.Received))
 	}
@@ -423,55 +423,55 @@
 }
 
 // broken takes the end of a stream before its last event.
-func (s *stream) broken(group garnetworks.GroupID, err, cause error) (bool, error) {
+func (s *stream) handleBrokenStream(group garnetworks.GroupID, err, cause error) (bool, error) {
 	s.mayHaveRun = true
-	s.brokeOff(s.run.life, &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: err})
+	s.reportInterrupted(s.current.incarnation, &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: err})
 	if s.ctx.Err() != nil {
 		return false, err
 	}
-	s.still(group)
-	return s.goOn(errors.Wrap(err, causeText(cause)))
+	s.reportStall(group)
+	return s.tryResume(errors.Wrap(err, causeText(cause)))
 }
 
 // begin sends the answer's headers; later runs keep those of the first one.
-func (s *stream) begin(answer *garnetworks.ProxiedResponse) {
-	if s.begun {
+func (s *stream) sendHeaders(answer *garnetworks.ProxiedResponse) {
+	if s.headersSent {
 		return
 	}
-	s.begun = true
+	s.headersSent = true
 	s.copyHeader(answer.Header).Del("Content-Length")
 	s.w.WriteHeader(answer.Status)
 }
 
 func (s *stream) send(answer *garnetworks.ProxiedResponse, events []byte) error {
-	s.begin(answer)
-	began := time.Now()
+	s.sendHeaders(answer)
+	started := time.Now()
 	if _, err := s.w.Write(events); err != nil {
 		return errors.Wrap(err, "the client has left")
 	}
 	if err := http.NewResponseController(s.w).Flush(); err != nil {
 		return errors.Wrap(err, "the client has left")
 	}
-	s.event(s.call.Received, began)
+	s.recordEvent(s.call.Received, started)
 	return nil
 }
 
 // finish ends an answer that is whole.
 func (s *stream) finish(answer *garnetworks.ProxiedResponse) error {
-	s.begin(answer)
-	s.done = true
+	s.sendHeaders(answer)
+	s.complete = true
 	s.options.Quarantine.ReportCompleted(s.content)
 	return nil
 }
 
 // end ends a call without a whole answer (rules W1 and W2).
 func (s *stream) end(kind garnetworks.Kind, cause error) {
-	if s.begun {
+	if s.headersSent {
 		kind := garnetworks.KindStreamBroken
 		if s.ctx.Err() != nil {
 			kind = garnetworks.KindCancelled
 		}
-		s.ended(0, garnetworks.OutcomeUnknown, garnetworks.WrapError(kind, cause, "the stream broke off"))
+		s.recordEnd(0, garnetworks.OutcomeUnknown, garnetworks.WrapError(kind, cause, "the stream broke off"))
 		panic(http.ErrAbortHandler)
 	}
 	if e, ok := asError(cause); ok && !s.mayHaveRun {
@@ -481,13 +481,13 @@
 	if kind == garnetworks.KindCancelled && !s.mayHaveRun {
 		kind = garnetworks.KindDeadlineUnreachable
 	}
-	s.giveUp(s.mayHaveRun, kind, cause)
+	s.refuseUnanswered(s.mayHaveRun, kind, cause)
 }
 
 // asFailure returns the failure of an attempt, or nil.
-func asFailure(err error) *garnetworks.AttemptError {
+func attemptErrorOf(err error) *garnetworks.AttemptError {
 	if err == nil {
 		return nil
 	}
-	return asAttempt(err)
+	return asAttemptError(err)
 }
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -183,15 +183,15 @@
 	l.peers.leading = func() bool { return l.lease.Term(time.Now()) != 0 }
 	l.former = former.New(former.Options{
 		Follower: l.follower, Orders: options.Orders, Lease: l.lease, Bounds: site.Bounds, FirstStart: site.FirstStart, Recorder: events,
-		Progressing: func() garnetworks.Set[garnetworks.GroupID] { return l.gateway.Moving() },
-		Demand:      func() map[garnetworks.ModelName]float64 { return l.gateway.Work() },
+		Progressing: func() garnetworks.Set[garnetworks.GroupID] { return l.gateway.Progressing() },
+		Demand:      func() map[garnetworks.ModelName]float64 { return l.gateway.OfferedLoad() },
 	})
 	l.quarantine = quarantiner.New(quarantiner.Options{
 		Probe: l.prove, Objects: objects, Reads: func() bool { return l.peers.exchanger.Reads() }, Recorder: events,
 		InitialReadDelay: firstRead(site),
 	})
 	l.gateway = gateway.New(gateway.Options{
-		Zone: site.Zone, Bounds: site.Bounds, Follower: l.follower, Reader: options.Calls, Passer: options.Passer,
+		Zone: site.Zone, Bounds: site.Bounds, Follower: l.follower, Reader: options.Calls, Proxy: options.Passer,
 		Meter: l.meter, Suspect: l.suspect, Quarantine: l.quarantine, Logger: options.Logger,
 	})
 	l.meter.ShowRoutingAge(l.gateway.RoutingAge)
@@ -213,7 +213,7 @@
 // not among it.
 func (l *Launcher) takeOthers(others garnetworks.LoadReport, known bool) {
 	others.Lost = append(slices.Clone(others.Lost), l.former.Lost()...)
-	l.gateway.SetOthers(others, known)
+	l.gateway.SetPeerLoad(others, known)
 }
 
 // suspect tells of a group that seems to stand still: the node itself, which may
