--- a/gateway/account.go
+++ b/gateway/account.go
@@ -10,55 +10,53 @@
 	"github.com/garnetworks/garnetworks/scheduler"
 )
 
-// Bounds of the log. A node at the design size gets about 15 calls a second.
+// Limits of the log.
 const (
-	// EndedWell and EndedBadly are the lines that a node writes in a second of
-	// calls that ended well, and of each cause of calls that did not.
+	// SuccessLinesPerSecond and FailureLinesPerSecond limit a node's lines per second: those of
+	// successful calls, and those of failed calls for each cause.
 	SuccessLinesPerSecond = 50
 	FailureLinesPerSecond = 20
 )
 
-// detailPart is the part of the objective, or of the allowed pause, from which a call's
-// line tells details. It is below 1, since the client measures a little more than the
-// node: the way of its request and of the events.
+// detailFraction is the fraction of the objective, or of the allowed pause, from which a call
+// is logged in detail. It is below 1 because the client also measures the network latency.
 const detailFraction = 0.9
 
-// leastWriting is the time from which a write to the client is told. Shorter ones are
-// the socket's buffer being filled.
+// minLoggedWrite is the shortest write to the client that is logged; shorter ones only fill
+// the socket buffer.
 const minLoggedWrite = 10 * time.Millisecond
 
-// sampled is the number of calls of which one is told in detail though it was on time,
-// so that the others' lines have something to be held against, and the terms of routes
-// without any late call are told as well. One in 20 adds 2 in 100 to the log.
+// sampleInterval is the number of calls on time of which one is logged in detail, for
+// comparison with late calls and so that the limits of every route appear in the log.
 const sampleInterval = 20
 
-// account gathers what one call's line tells.
+// callLog collects what is logged about one call.
 type callLog struct {
 	attemptLog []emitter.Attempt
-	// waited is how long the call waited for its first place.
+	// waited is how long the call waited for its first slot.
 	waited time.Duration
-	// decision is the last one of the scheduler.
+	// decision is the scheduler's last one.
 	decision scheduler.Decision
-	// matched says that the node knew a routing when the call came: version routing,
-	// last known to be the newest one routingAge before.
+	// hasRouting says that the node had a routing when the call arrived: of version routing,
+	// last confirmed as the newest routingAge before.
 	hasRouting bool
 	routing    uint64
 	routingAge time.Duration
-	// first is the time from the call's receipt to its first event; 0 before it.
+	// firstEventAfter is the time from the call's receipt to its first event; 0 before it.
 	firstEventAfter time.Duration
-	// lastEvent is when the last event was with the client, pause the longest time
-	// between two, over all attempts.
+	// lastEvent is when the last event was written to the client, maxPause the longest time
+	// between two events over all attempts.
 	lastEvent time.Time
 	maxPause  time.Duration
-	// writing is the longest time that an event took to be written.
+	// maxWrite is the longest time that writing an event took.
 	maxWrite time.Duration
-	// stalled is what the node's stalls came to when the call was received.
+	// stallsBefore is the node's total stall time when the call was received.
 	stallsBefore time.Duration
 }
 
 func milliseconds(d time.Duration) int64 { return d.Milliseconds() }
 
-// tried notes the end of an attempt.
+// addAttempt appends an attempt that has ended.
 func (a *callLog) addAttempt(group garnetworks.GroupID, instance garnetworks.InstanceID, started time.Time, failure error) *emitter.Attempt {
 	t := emitter.Attempt{Group: group, Instance: instance, Phase: garnetworks.PhaseDone, TookMS: milliseconds(time.Since(started))}
 	if failure != nil {
@@ -69,7 +67,7 @@
 	return &a.attemptLog[len(a.attemptLog)-1]
 }
 
-// event notes that an event is with the client, whose write began at a time.
+// recordEvent records an event that has been written to the client since began.
 func (a *callLog) recordEvent(received, started time.Time) {
 	now := time.Now()
 	a.maxWrite = max(a.maxWrite, now.Sub(started))
@@ -81,8 +79,8 @@
 	a.lastEvent = now
 }
 
-// ended writes the call's line and counts it. A call that ended well has one line
-// at most; lines of calls that did not are bounded by their cause.
+// recordEnd counts a call that has ended and logs it, within the limits for successful calls
+// or for the failure's cause.
 func (x *exchange) recordEnd(status int, outcome garnetworks.Outcome, err error) {
 	kind := garnetworks.KindOf(err)
 	route := ""
@@ -101,8 +99,8 @@
 	x.options.Logger.Info(emitter.CallEnded, x.fields(status, outcome, err, folded)...)
 }
 
-// fields are the line's fields; docs/OPERATIONS.md explains them. A call that was
-// surely on time is told in short, so that the log's volume goes to the others.
+// fields returns the key-value pairs of the call's line, which docs/OPERATIONS.md describes. A
+// call that was clearly on time gets a short line, to leave the log's volume to the others.
 func (x *exchange) fields(status int, outcome garnetworks.Outcome, err error, folded int) []any {
 	list := []any{"status", status, "outcome", outcome}
 	detailed := err != nil || status >= http.StatusBadRequest || x.nearlyLate() || x.onTimeCalls.Add(1)%sampleInterval == 0
@@ -134,10 +132,10 @@
 	return list
 }
 
-// nearlyLate reports whether the client may have found the answer late.
+// nearlyLate reports whether the client may have measured the answer as late.
 func (x *exchange) nearlyLate() bool {
 	first := x.firstEventAfter
-	if first == 0 { // the answer came whole
+	if first == 0 { // the answer was not streamed
 		first = time.Since(x.call.Received)
 	}
 	if float64(first) > detailFraction*float64(x.route.Objective) || len(x.attemptLog) > 1 {
@@ -146,7 +144,7 @@
 	return x.route.MaxGap > 0 && float64(x.maxPause) > detailFraction*float64(x.route.MaxGap)
 }
 
-// appendCall appends what the call asked for and how long it took.
+// appendCall appends the call's parameters and durations.
 func (x *exchange) appendCall(list []any, detailed bool) []any {
 	list = append(list, "call", x.call.ID, "took-ms", milliseconds(time.Since(x.call.Received)))
 	if x.firstEventAfter > 0 {
@@ -182,7 +180,7 @@
 	return list
 }
 
-// appendRouting appends which routing the call was matched by.
+// appendRouting appends the routing that the call was matched with.
 func (x *exchange) appendRouting(list []any, detailed bool) []any {
 	list = append(list, "routing", x.routing)
 	if !detailed {
@@ -191,7 +189,7 @@
 	return append(list, "routing-age-ms", milliseconds(x.routingAge))
 }
 
-// appendRoute appends the route and its terms.
+// appendRoute appends the route and its limits.
 func (x *exchange) appendRoute(list []any, detailed bool) []any {
 	list = append(list, "route", x.route.Name)
 	if !detailed {
@@ -208,8 +206,7 @@
 	return list
 }
 
-// attempts are those that the line tells: of a call that was on time only who
-// answered.
+// loggedAttempts returns the attempts to log: for a call on time only the server that answered.
 func loggedAttempts(trials []emitter.Attempt, detailed bool) []emitter.Attempt {
 	if detailed {
 		return trials
@@ -218,7 +215,7 @@
 	return []emitter.Attempt{{Group: last.Group, Instance: last.Instance, Events: last.Events}}
 }
 
-// errorText is the error's text without the cause that the last attempt tells.
+// errorText returns the error's text without the cause, which the last attempt already has.
 func (x *exchange) errorText(err error) string {
 	text := err.Error()
 	if n := len(x.attemptLog); n > 0 && x.attemptLog[n-1].Cause != "" {
@@ -228,7 +225,7 @@
 	return text
 }
 
-// outcomeOf is what an answer of the node's own says of the call.
+// outcomeOf returns the outcome that an error status of the node implies for the call.
 func outcomeOf(status int) garnetworks.Outcome {
 	switch status {
 	case http.StatusBadGateway, http.StatusGatewayTimeout, garnetworks.ErrorResponseFor(garnetworks.KindCancelled).Status, 0:
--- a/gateway/account_test.go
+++ b/gateway/account_test.go
@@ -13,7 +13,7 @@
 	"github.com/garnetworks/garnetworks/scheduler"
 )
 
-// newAccounted returns a stream to a group, whose line can be read.
+// newLoggedStream returns a stream with the fields that its log line needs.
 func newLoggedStream(t *testing.T) *stream {
 	t.Helper()
 	_, s := newWatchedStream(t)
@@ -25,7 +25,7 @@
 	return s
 }
 
-// line returns the fields of the call's line by their names.
+// logFields returns the fields of the call's log line by name.
 func logFields(x *exchange, status int, err error) map[string]any {
 	list := x.fields(status, garnetworks.OutcomeCompleted, err, 0)
 	fields := make(map[string]any)
@@ -35,7 +35,7 @@
 	return fields
 }
 
-// give lets the present attempt's group give events, each after a pause.
+// giveEvents lets the current attempt receive events, each after a pause.
 func (s *stream) giveEvents(pauses ...time.Duration) {
 	for _, p := range pauses {
 		time.Sleep(p)
@@ -44,9 +44,8 @@
 	}
 }
 
-// Story: a user complains that an answer was late, or stood still. The engineer on call
-// needs to see in one line whether the call waited for a place, its group was slow to
-// begin, it paused, or the group was lost and how long each step of the move took.
+// Guards against a line that does not show why a call was late: no slot, a slow first event,
+// a pause or a lost group.
 func TestLogLineExplainsLateCall(t *testing.T) {
 	const step = 50 * time.Millisecond
 	cases := map[string]struct {
@@ -94,7 +93,7 @@
 				fields := logFields(s.exchange, 200, nil)
 				for _, field := range c.absent {
 					if _, ok := fields[field]; ok {
-						t.Errorf("%s is told of a call that was on time", field)
+						t.Errorf("%s is logged for a call that was on time", field)
 					}
 				}
 				for field, want := range c.want {
@@ -107,9 +106,8 @@
 	}
 }
 
-// Story: a group is lost under a stream, which goes on at another one. Its line tells
-// how long the loss took to be seen, how long the next place took to be found, and how
-// long the prompt took to be read again.
+// Guards against a line without the steps of a move: detection of the loss, placement and
+// second prefill.
 func TestLogLineListsAttemptsOfMovedCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newLoggedStream(t)
@@ -138,20 +136,20 @@
 		logged := fields["attempts"].([]emitter.Attempt)
 		lost, next := logged[0], logged[1]
 		if lost.SilentMS != 550 || lost.PauseMS != 40 || lost.FirstMS != 100 || lost.Phase != garnetworks.PhaseWait {
-			t.Errorf("the lost attempt is told as %+v", lost)
+			t.Errorf("the lost attempt is logged as %+v", lost)
 		}
 		if next.Why != emitter.AttemptMoved || next.PlacedMS != 30 || next.FirstMS != 160 || next.Phase != garnetworks.PhaseDone {
-			t.Errorf("the next attempt is told as %+v", next)
+			t.Errorf("the next attempt is logged as %+v", next)
 		}
 	})
 }
 
-// Story: first events of one group are late, and nobody waits. The line of a late call
-// tells how many calls and how many prompt tokens the group had before it.
+// Guards against late first events without the group's earlier load in the line: its calls
+// and pending prompt tokens.
 func TestLogLineShowsGroupLoadBeforeCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newLoggedStream(t)
-		s.call.PromptTokens = 0 // it was placed before it had a size
+		s.call.PromptTokens = 0 // it was placed before its prompt length was known
 		before := &stream{exchange: &exchange{Gateway: s.Gateway, call: &garnetworks.ProxiedCall{Model: "m", PromptTokens: 5900}, route: s.route, service: s.service}}
 		if _, decided := s.scheduler.Arrive(time.Now(), scheduler.Call{ID: "other", Model: "m", PromptTokens: 5900, Arrived: time.Now(), Objective: time.Second, Tried: []garnetworks.GroupID{"b-well"}}); !decided {
 			t.Fatal("the other call was not placed")
@@ -166,13 +164,12 @@
 		before.releaseSlot("a-grey")
 		s.releaseSlot("a-grey")
 		if left := s.scheduler.PendingPrefill("m", "a-grey"); left != 0 {
-			t.Errorf("%d prompt tokens stay counted", left)
+			t.Errorf("%d prompt tokens are still counted", left)
 		}
 	})
 }
 
-// Story: a log holds the same cause twice in each line of a failed call, and is full
-// sooner. The attempt tells the cause; the call's error leaves it out.
+// Guards against log volume from a cause that is in both the call's error and its attempt.
 func TestErrorOmitsCauseOfLastAttempt(t *testing.T) {
 	x := &exchange{}
 	failure := &garnetworks.AttemptError{Phase: garnetworks.PhaseWait, Cause: errors.New("i/o timeout")}
@@ -186,8 +183,7 @@
 	}
 }
 
-// Story: an instance was frozen for two seconds, and all its calls were late. Their
-// lines must say so, or engineers look for the cause at the groups.
+// Guards against a line that does not show that the node itself was frozen when a call was late.
 func TestStallOfTheNodeIsCounted(t *testing.T) {
 	var s stalls
 	s.tick(25*time.Millisecond, advanceInterval)
--- a/gateway/age_test.go
+++ b/gateway/age_test.go
@@ -18,7 +18,7 @@
 	"github.com/garnetworks/garnetworks/meter"
 )
 
-// objects is an object API that holds one routing and one server, and can be cut off.
+// fakeObjectAPI holds one routing and one server, and can be made unavailable.
 type fakeObjectAPI struct {
 	garnetworks.ObjectAPI
 	down atomic.Bool
@@ -45,7 +45,7 @@
 	return nil, 1, o.answer(interval)
 }
 
-// siteReader reads the same routing and server from each object.
+// siteReader decodes every object to the same routing or server.
 type siteReader struct{}
 
 func (siteReader) RoutingKey() string   { return "routing" }
@@ -73,21 +73,21 @@
 	return s, nil
 }
 
-// callReader takes the key from the header Key.
+// callReader reads the workspace key from the header Key.
 type callReader struct{}
 
 func (callReader) ReadCall(r *http.Request) (*garnetworks.ProxiedCall, error) {
 	return &garnetworks.ProxiedCall{ID: "c", Method: r.Method, Host: r.Host, Target: r.URL.Path, WorkspaceKey: r.Header.Get("Key"), Received: time.Now()}, nil
 }
 
-// passer answers each call with success.
+// okProxy answers each call with success.
 type okProxy struct{}
 
 func (okProxy) Send(context.Context, string, *garnetworks.ProxiedAttempt) (*garnetworks.ProxiedResponse, error) {
 	return &garnetworks.ProxiedResponse{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("x")), FromServer: true}, nil
 }
 
-// unheld is a quarantine that keeps nothing from servers.
+// noQuarantine quarantines nothing.
 type noQuarantine struct{}
 
 func (noQuarantine) Quarantined(context.Context, garnetworks.ContentDigest) (time.Duration, bool) {
@@ -101,7 +101,7 @@
 
 func (noRecorder) Record(garnetworks.Event) {}
 
-// newFollowing returns a gateway whose follower reads the object API until ctx ends.
+// newFollowingGateway returns a gateway whose follower reads the object API until ctx ends.
 func newFollowingGateway(ctx context.Context, api garnetworks.ObjectAPI, bounds garnetworks.SiteBounds) *Gateway {
 	f := follower.New(follower.Options{Objects: api, Reader: siteReader{}, Recorder: noRecorder{}})
 	g := New(Options{
@@ -111,7 +111,7 @@
 	return g
 }
 
-// Guards against a definite refusal of a call that a newer routing than the node's allows.
+// Guards against a permanent refusal of a call that a newer routing than the node's allows.
 func TestStaleRoutingRefusesNothingPermanently(t *testing.T) {
 	const (
 		young = time.Second
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -10,7 +10,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// defaultBodyBytes bounds a body where the routing names no bound.
+// defaultBodyBytes limits a body if the routing sets no limit.
 const defaultBodyBytes = 4 << 20
 
 func random() float64 { return rand.Float64() }
@@ -21,8 +21,8 @@
 	return e, ok
 }
 
-// readBody reads the whole body, so that the call can be sent again and reaches
-// a server only when the client has sent all of it.
+// readBody reads the whole body, so that the call can be sent again and reaches a server only
+// after the client has sent all of it.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	if limit <= 0 {
 		limit = defaultBodyBytes
@@ -42,5 +42,5 @@
 	if errors.As(err, &tooLarge) {
 		return nil, garnetworks.WrapError(garnetworks.KindTooLarge, err, "the body is too large")
 	}
-	return nil, garnetworks.WrapError(garnetworks.KindInvalidRequest, err, "the body broke off")
+	return nil, garnetworks.WrapError(garnetworks.KindInvalidRequest, err, "the body is incomplete")
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -24,27 +24,27 @@
 )
 
 const (
-	// advanceInterval is how often calls that wait are looked through; it bounds how
-	// much longer than its patience a call waits.
+	// advanceInterval is the time between two checks of the waiting calls; it bounds how much
+	// longer than its limit a call waits.
 	advanceInterval = 20 * time.Millisecond
-	// progressWindow is how long after an event a group counts as moving. It is shorter
-	// than the time in which a lost member is found, so that no group is kept for
-	// what it gave before its loss.
+	// progressWindow is how long after an event a group counts as progressing. It is shorter
+	// than the detection time of a lost member, so that a group is not kept because of events
+	// from before the loss.
 	progressWindow = 250 * time.Millisecond
-	// eventRetention is how long a group's last event is remembered. It is longer than
-	// any silence that makes a difference.
+	// eventRetention is how long the time of a group's last event is kept. It is longer than
+	// any silence that a decision depends on.
 	eventRetention = 10 * time.Second
-	// revokeMargin is the part of RevokeTime after which keys are no longer
-	// honoured; the rest covers the way of a call to its server.
+	// revokeMargin is the fraction of RevokeTime after which keys are no longer accepted; the
+	// rest covers the time until a call reaches its server.
 	revokeMargin = 0.9
-	// minRetryNodes is the number of nodes that share the site's retries at least: what
-	// other nodes don't use is not used by fewer nodes that each know of few.
+	// minRetryNodes is the least number of nodes among which the site's retries are divided, so
+	// that a node that sees few others does not take too large a share.
 	minRetryNodes = 6
-	// nodeCountRetention is how long a number of nodes counts for sharing the site's retries
-	// after a lower one was heard; partitions last some minutes.
+	// nodeCountRetention is how long a node count is kept after a lower one was reported. It is
+	// longer than a usual partition.
 	nodeCountRetention = 5 * time.Minute
-	// retryShare is the part of the site's bound on retries that nodes use
-	// together. A node that starts anew does not know what it used before.
+	// retryShare is the fraction of the site's retry limit that the nodes use together. The rest
+	// covers nodes that restarted and don't know what they used before.
 	retryShare = 0.8
 )
 
@@ -56,31 +56,32 @@
 	Reader   garnetworks.CallReader
 	Proxy    garnetworks.CallProxy
 	Meter    *meter.Meter
-	// Suspect is told of groups that seem to stand still.
+	// Suspect is called for groups that seem to stall.
 	Suspect    func(garnetworks.GroupID)
 	Quarantine garnetworks.Quarantine
 	Logger     hclog.Logger
 }
 
-// head is where a group takes calls.
+// head is the address and incarnation of a group's head, which takes the group's calls.
 type head struct {
 	incarnation garnetworks.Incarnation
 	address     string
 }
 
-// Gateway is the handler of callers' requests.
+// Gateway is the HTTP handler for client calls.
 type Gateway struct {
 	options  Options
 	changed  <-chan struct{}
 	stopping atomic.Bool
 	bounds   atomic.Pointer[garnetworks.SiteBounds]
 	sequence atomic.Uint64
-	// successLines and failureLines bound the lines of calls.
+	// successLines and failureLines limit the log lines of calls.
 	successLines, failureLines *emitter.Folder
 	stalls                     stalls
-	// onTimeCalls counts the calls that were on time, for sampled.
+	// onTimeCalls counts the calls that were on time, to sample them for detailed lines.
 	onTimeCalls atomic.Uint64
 
+	// mu guards the fields below.
 	mu             sync.Mutex
 	scheduler      *scheduler.Scheduler
 	picker         *picker.Picker
@@ -88,15 +89,15 @@
 	heads          map[garnetworks.GroupID]head
 	lastGroupEvent map[garnetworks.GroupID]time.Time
 	retryWindows   map[garnetworks.ServiceName]*retrier.Window
-	// nodes is the number of nodes that share the site's retries: the highest heard
-	// within nodesMemory, last at nodesSeen.
+	// nodes is the number of nodes among which the site's retries are divided: the highest one
+	// reported within nodeCountRetention, at nodesUpdated.
 	nodes        int
 	nodesUpdated time.Time
-	// others is the last report on the other nodes.
+	// peers is the last load report of the other nodes.
 	peers garnetworks.LoadReport
 }
 
-// New returns a gateway; it is called before the follower runs.
+// New returns a gateway. It must be called before the follower runs.
 func New(options Options) *Gateway {
 	g := &Gateway{
 		options:        options,
@@ -114,7 +115,7 @@
 	return g
 }
 
-// SetBounds takes the site's bounds.
+// SetBounds replaces the site's bounds.
 func (g *Gateway) SetBounds(bounds garnetworks.SiteBounds) {
 	g.bounds.Store(&bounds)
 	g.mu.Lock()
@@ -122,8 +123,7 @@
 	g.updateRetryLimits()
 }
 
-// Run keeps the groups up to date and looks after the calls that wait, until ctx
-// ends.
+// Run keeps the groups up to date and advances the waiting calls until ctx ends.
 func (g *Gateway) Run(ctx context.Context) error {
 	ticker := time.NewTicker(advanceInterval)
 	defer ticker.Stop()
@@ -143,25 +143,25 @@
 	}
 }
 
-// Stop makes the gateway tell clients to open their next connection elsewhere.
+// Stop makes responses close their connections, so that clients reconnect to other nodes.
 func (g *Gateway) Stop() { g.stopping.Store(true) }
 
-// Ready reports whether the node should get new connections: it knows the
-// routing, and may honour keys.
+// Ready reports whether the node should get new connections: it has a routing that is
+// recent enough to accept keys, and is not stopping.
 func (g *Gateway) Ready() bool {
 	return !g.stopping.Load() && g.options.Follower.Ready() && g.acceptsKeys(g.RoutingAge())
 }
 
-// RoutingAge returns how long ago the routing was last known to be the newest one.
+// RoutingAge returns the time since the routing was last confirmed as the newest.
 func (g *Gateway) RoutingAge() time.Duration { return time.Since(g.options.Follower.Confirmed()) }
 
-// honoursKeys reports whether keys are honoured by a routing of an age (rule W4).
+// acceptsKeys reports whether keys are accepted with a routing of this age (rule W4).
 func (g *Gateway) acceptsKeys(age time.Duration) bool {
 	return age < time.Duration(float64(g.bounds.Load().RevokeTime)*revokeMargin)
 }
 
-// refusesForGood reports whether what a routing of an age lacks refuses a call for good (rule
-// A3). A site that states no time for changes has the one in which keys are to be dead.
+// rejectsPermanently reports whether a routing of this age may reject calls permanently (rule
+// A3). Without an ApplyTime the limit is that of acceptsKeys.
 func (g *Gateway) rejectsPermanently(age time.Duration) bool {
 	if bound := g.bounds.Load().ApplyTime; bound > 0 {
 		return age < bound
@@ -169,7 +169,7 @@
 	return g.acceptsKeys(age)
 }
 
-// refresh takes the groups that serve now.
+// refresh updates the serving groups from the registered servers.
 func (g *Gateway) refresh(now time.Time) {
 	index := g.options.Follower.Index()
 	if index == nil {
@@ -194,7 +194,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	// A group whose head's entry has gone may still give events.
+	// A group may still send events after its head's entry has disappeared.
 	maps.DeleteFunc(g.lastGroupEvent, func(_ garnetworks.GroupID, at time.Time) bool { return now.Sub(at) > eventRetention })
 	for id := range g.heads {
 		if _, ok := heads[id]; !ok {
@@ -206,7 +206,7 @@
 	g.deliver(g.scheduler.SetGroups(now, serving))
 }
 
-// readRate returns the prompt tokens that a group of the model reads in a second.
+// prefillRate returns the number of prompt tokens that a group of the model reads per second.
 func prefillRate(profile *garnetworks.EngineProfile, model garnetworks.ModelName) float64 {
 	for i := range profile.Models {
 		if m := &profile.Models[i]; m.Name == model && m.TimeFactor > 0 {
@@ -224,7 +224,7 @@
 	}
 }
 
-// deliver hands decisions to the calls that wait for them; g.mu is held.
+// deliver passes decisions to the calls that wait for them; g.mu is held.
 func (g *Gateway) deliver(decisions []scheduler.Decision) {
 	for _, d := range decisions {
 		if c := g.waiters[d.Call]; c != nil {
@@ -234,14 +234,14 @@
 	}
 }
 
-// Load returns what the node has at each group, for the other nodes.
+// Load returns this node's load at each group, to be reported to the other nodes.
 func (g *Gateway) Load() garnetworks.LoadReport {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.load(time.Now())
 }
 
-// load is Load; g.mu is held.
+// load implements Load; g.mu is held.
 func (g *Gateway) load(now time.Time) garnetworks.LoadReport {
 	report := g.scheduler.Load(now)
 	for i := range report.Groups {
@@ -252,8 +252,8 @@
 	return report
 }
 
-// Progressing returns the groups that gave an event to some node a moment ago. Nothing
-// moves in a group of which a member is lost.
+// Progressing returns the groups that sent an event to any node within progressWindow. A
+// group that has lost a member makes no progress.
 func (g *Gateway) Progressing() garnetworks.Set[garnetworks.GroupID] {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -268,15 +268,15 @@
 	return progressing
 }
 
-// OfferedLoad returns the number of calls that each model's arrivals would keep running.
+// OfferedLoad returns for each model the number of calls that would be running if all
+// arrivals were served.
 func (g *Gateway) OfferedLoad() map[garnetworks.ModelName]float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.scheduler.OfferedLoad(time.Now())
 }
 
-// SetPeerLoad takes what the other nodes have at each group; known is false if
-// nothing is known of them.
+// SetPeerLoad sets the load of the other nodes; known is false if there is no report.
 func (g *Gateway) SetPeerLoad(peers garnetworks.LoadReport, known bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -287,11 +287,10 @@
 	g.deliver(g.scheduler.SetPeerLoad(time.Now(), peers, known))
 }
 
-// countNodes takes the number of nodes that share the site's retries; g.mu is held.
+// setNodeCount sets the number of nodes that share the site's retries; g.mu is held.
 //
-// Failure: an availability zone is cut off, and the nodes on each side divide the
-// site's retries among themselves; together they may use them twice. So a lower
-// number counts only once it has been the highest for nodesMemory.
+// A lower number takes effect only after nodeCountRetention: during a partition the nodes on
+// each side would divide the site's retries among themselves and exceed its limit together.
 func (g *Gateway) setNodeCount(now time.Time, nodes int) {
 	if nodes < g.nodes && now.Sub(g.nodesUpdated) < nodeCountRetention {
 		return
@@ -303,7 +302,7 @@
 	}
 }
 
-// window returns the count of a service's retries; g.mu is held.
+// retryWindow returns the retry window of a service; g.mu is held.
 func (g *Gateway) retryWindow(now time.Time, service garnetworks.ServiceName) *retrier.Window {
 	w := g.retryWindows[service]
 	if w == nil {
@@ -313,7 +312,7 @@
 	return w
 }
 
-// retryLimits is this node's part of the site's bound; g.mu is held.
+// retryLimits returns this node's share of the site's retry limits; g.mu is held.
 func (g *Gateway) retryLimits() retrier.WindowLimits {
 	bounds := g.bounds.Load()
 	return retrier.WindowLimits{
@@ -323,8 +322,7 @@
 	}
 }
 
-// divideRetries brings all services' limits to the present number of nodes; g.mu is
-// held.
+// updateRetryLimits applies the current limits to all services; g.mu is held.
 func (g *Gateway) updateRetryLimits() {
 	limits := g.retryLimits()
 	for _, w := range g.retryWindows {
@@ -332,7 +330,7 @@
 	}
 }
 
-// mayRetry takes a retry, if the service's calls of late allow it.
+// takeRetry takes a retry from the service's window and reports whether it allowed one.
 func (g *Gateway) takeRetry(service garnetworks.ServiceName) bool {
 	now := time.Now()
 	g.mu.Lock()
@@ -347,7 +345,7 @@
 	g.retryWindow(now, service).RecordCall(now)
 }
 
-// ServeHTTP serves one call.
+// ServeHTTP proxies one call.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	x, err := g.read(w, r)
 	if err != nil {
@@ -363,7 +361,7 @@
 	x.callService()
 }
 
-// exchange is one call of a client.
+// exchange is one client call and its response.
 type exchange struct {
 	*Gateway
 	callLog
@@ -376,18 +374,18 @@
 	content   garnetworks.ContentDigest
 	priority  int
 	service   *garnetworks.RoutedService
-	// until is when the call is given up at the latest.
+	// deadline is when the call fails at the latest.
 	deadline time.Time
 }
 
-// read finds out what a request asks for.
+// read reads a request, and finds its route, workspace and service.
 func (g *Gateway) read(w http.ResponseWriter, r *http.Request) (*exchange, error) {
 	x := &exchange{Gateway: g, w: w}
 	x.stallsBefore = g.stalls.total()
 	age := g.RoutingAge() // rule A5
 	index := g.options.Follower.Index()
 	if index == nil { // rule A4
-		return x, garnetworks.Errorf(garnetworks.KindNotReady, "the node knows no routing yet")
+		return x, garnetworks.Errorf(garnetworks.KindNotReady, "the node has no routing yet")
 	}
 	x.hasRouting, x.routing, x.routingAge = true, index.Version, age
 	call, err := g.options.Reader.ReadCall(r)
@@ -409,7 +407,7 @@
 		x.service, ok = index.Service(target)
 	}
 	if !ok {
-		return x, garnetworks.Errorf(garnetworks.KindNoBackend, "the route %s leads to no service", x.route.Name)
+		return x, garnetworks.Errorf(garnetworks.KindNoBackend, "route %s has no target service", x.route.Name)
 	}
 	x.deadline = call.Received.Add(x.route.Timeout)
 	if !call.Deadline.IsZero() && call.Deadline.Before(x.deadline) {
@@ -423,11 +421,11 @@
 	return x, nil
 }
 
-// authorize finds the call's route and workspace.
+// authorize finds the call's route and workspace and checks its key.
 func (x *exchange) authorize(index *matcher.Index) error {
 	route, ok := index.Route(x.call.Host, x.call.Target)
 	if !ok {
-		return x.routingRefusal(garnetworks.Errorf(garnetworks.KindUnknownService, "no route leads there"))
+		return x.routingRefusal(garnetworks.Errorf(garnetworks.KindUnknownService, "no route matches the host and path"))
 	}
 	x.route, x.priority = route, route.Priority
 	if route.Public {
@@ -445,8 +443,8 @@
 	return nil
 }
 
-// lacking returns the refusal of a call whose routing does not allow it: for good, or for now
-// (rule A3).
+// routingRefusal returns the error for a call that the routing does not allow: permanent or
+// temporary, depending on the routing's age (rule A3).
 func (x *exchange) routingRefusal(refusal error) error {
 	if x.rejectsPermanently(x.routingAge) {
 		return refusal
@@ -454,7 +452,7 @@
 	return garnetworks.WrapError(garnetworks.KindStaleRouting, refusal, fmt.Sprintf("routing %d was last known to be the newest one %s ago", x.routing, x.routingAge.Round(time.Millisecond)))
 }
 
-// refuse answers a call that was not passed on.
+// refuse answers a call with an error of the node's own.
 func (g *Gateway) refuse(w http.ResponseWriter, x *exchange, err error) {
 	kind := garnetworks.KindOf(err)
 	answer := garnetworks.ErrorResponseFor(kind)
@@ -473,6 +471,6 @@
 	text := answer.Title + "\n"
 	h.Set("Content-Length", strconv.Itoa(len(text)))
 	w.WriteHeader(answer.Status)
-	_, _ = w.Write([]byte(text)) // the client may have left
+	_, _ = w.Write([]byte(text)) // fails if the client has disconnected
 	x.recordEnd(answer.Status, outcomeOf(answer.Status), err)
 }
--- a/gateway/guard.go
+++ b/gateway/guard.go
@@ -8,21 +8,19 @@
 	"github.com/garnetworks/garnetworks/scheduler"
 )
 
-// moveAgain is the time between two looks for a place elsewhere while a group stands
-// still; places come free some ten times a second.
+// moveRetryInterval is the time between two attempts to reserve a slot elsewhere while a group
+// stalls.
 const moveRetryInterval = 100 * time.Millisecond
 
-// guard moves a call from a group that stands still to another one.
+// watchdog moves a call from a stalled group to another one.
 //
-// Failure: a member of a group dies or is cut off. The head goes on accepting
-// calls and gives no more events until it breaks, seconds later; a client leaves
-// before. It shows as silence on all calls of the group at once: a group that
-// gives events to other calls is only slow with this one.
+// Failure: a member of a group dies or is cut off. The head still accepts calls but sends no
+// events until it breaks, seconds later. All calls of the group are silent then; a group that
+// sends events to other calls is not stalled, only slow with this one.
 //
-// Failure: a group stands still for a second and goes on, while no other group has a
-// place or the retries are used up. A call that is ended for the silence is lost
-// then, and would have been answered. So it is ended only when it has a place
-// elsewhere.
+// Failure: a group stalls briefly and recovers while no other group has a free slot or the
+// retries are used up. Cancelling the call would lose an answer that still comes, so a call is
+// cancelled only after a slot elsewhere is reserved.
 type watchdog struct {
 	stream  *stream
 	group   garnetworks.GroupID
@@ -30,17 +28,17 @@
 	timer   *time.Timer
 	started time.Time
 	limit   time.Duration
-	// begun says that the call has had an event here, late that it has had none for
-	// the scheduler's BeginTime.
+	// hadEvent says that the call has had an event from the group, reportedFailed that it had
+	// none within the scheduler's FirstEventTimeout and was reported as failed.
 	hadEvent, reportedFailed bool
-	// movable says that the route allows another attempt after this one, and work is
-	// what the call then asks the scheduler for.
+	// movable says that the route allows another attempt after this one, and request is the
+	// scheduler request for it.
 	movable bool
 	request scheduler.Call
 	stopped bool
 }
 
-// guard begins to look after an attempt.
+// newWatchdog starts a watchdog for an attempt at the group.
 func (s *stream) newWatchdog(group garnetworks.GroupID, cancel context.CancelCauseFunc) *watchdog {
 	w := &watchdog{
 		stream: s, group: group, cancel: cancel, started: time.Now(), limit: firstEventStallTimeout,
@@ -54,7 +52,7 @@
 	return w
 }
 
-// event notes that the group gave an event.
+// recordEvent records an event of the group.
 func (w *watchdog) recordEvent() {
 	now := time.Now()
 	w.stream.mu.Lock()
@@ -65,7 +63,7 @@
 	w.timer.Reset(suspectTimeout)
 }
 
-// stop ends the guard; no place is taken after it.
+// stop stops the watchdog; it reserves no slot afterwards.
 func (w *watchdog) stop() {
 	w.stream.mu.Lock()
 	defer w.stream.mu.Unlock()
@@ -73,7 +71,7 @@
 	w.timer.Stop()
 }
 
-// check runs when this call has had no event for some time.
+// check runs when the call has had no event for some time.
 func (w *watchdog) check() {
 	silent, moved := w.evaluate(time.Now())
 	if silent {
@@ -84,8 +82,8 @@
 	}
 }
 
-// judge tells whether the group is quiet, and whether the call has a place elsewhere
-// for that; if not, it sets the timer anew.
+// evaluate reports whether the group is silent, and whether a slot elsewhere was reserved so
+// that the call moves; if not, it resets the timer.
 func (w *watchdog) evaluate(now time.Time) (silent, moved bool) {
 	w.stream.mu.Lock()
 	defer w.stream.mu.Unlock()
@@ -121,12 +119,11 @@
 	return true, false
 }
 
-// neverBegins tells that the group has not begun the call for so long that it counts
-// as failed; the lock is held.
+// firstEventOverdue reports whether the call has had no event for so long that it counts as
+// failed, and reports that to the scheduler once; the lock is held.
 //
-// Failure: an engine answers a part of its calls and never begins the others, while
-// its health is good and its group gives events. It shows as calls without a first
-// event; their clients left after two seconds, and new calls went there all the same.
+// Failure: an engine answers some of its calls and never begins others, while its health
+// checks pass and the group sends events.
 func (w *watchdog) firstEventOverdue(now time.Time) bool {
 	if w.hadEvent || now.Sub(w.started) < w.stream.scheduler.FirstEventTimeout(w.stream.call.Model) {
 		return false
@@ -138,8 +135,7 @@
 	return true
 }
 
-// reserve takes a place at another group and a retry, if there are both; the lock is
-// held.
+// reserve takes a slot at another group and a retry, if both are available; the lock is held.
 func (s *stream) reserve(now time.Time, request scheduler.Call) bool {
 	retries := s.retryWindow(now, s.service.Name)
 	if retries.Available(now) < 1 {
@@ -153,7 +149,7 @@
 	return retries.Take(now)
 }
 
-// takeReserved returns the place that was taken elsewhere, if there is one.
+// takeReserved returns and clears the reserved slot, if there is one.
 func (s *stream) takeReserved() (scheduler.Decision, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,8 +158,8 @@
 	return scheduler.Decision{Group: group}, group != ""
 }
 
-// giveBack gives a reserved place back that the call does not need, because its
-// group gave the end of the answer after all.
+// releaseReserved frees a reserved slot that the call does not use because its group completed
+// the answer.
 func (s *stream) releaseReserved() {
 	d, ok := s.takeReserved()
 	if !ok {
--- a/gateway/guard_test.go
+++ b/gateway/guard_test.go
@@ -11,7 +11,7 @@
 	"github.com/garnetworks/garnetworks/scheduler"
 )
 
-// newGuarded returns a gateway with two groups, and a call that was sent to the first.
+// newWatchedStream returns a gateway with two groups and a call that was placed at the first.
 func newWatchedStream(t *testing.T) (*Gateway, *stream) {
 	t.Helper()
 	g := &Gateway{
@@ -37,7 +37,7 @@
 	return g, s
 }
 
-// keepMoving lets a group give events to other calls.
+// emitEvents lets a group send events to other calls for the duration d.
 func (g *Gateway) emitEvents(group garnetworks.GroupID, d time.Duration) {
 	const interval = 50 * time.Millisecond
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(interval) {
@@ -47,9 +47,8 @@
 	}
 }
 
-// Story: an engine answers a part of its calls and never begins the others. Its health
-// is good, and its group gives events all the time. The calls that it did not begin
-// waited there until their clients left after two seconds.
+// Guards against calls that wait at an engine that never begins them, while its health checks
+// pass and its group sends events.
 func TestCallWithoutFirstEventMoves(t *testing.T) {
 	cases := map[string]struct {
 		begins bool
@@ -85,9 +84,8 @@
 	}
 }
 
-// Story: a group stands still, and its call takes a place elsewhere; at that moment
-// the group gives the end of the answer after all. The place was never given back, and
-// each such call left the other group one place less.
+// Guards against a slot leak: a call reserves a slot elsewhere, then its stalled group completes
+// the answer.
 func TestUnusedReservationIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, s := newWatchedStream(t)
@@ -106,9 +104,8 @@
 	})
 }
 
-// Story: a group's instances all went dark, and the holder of the lease has told so. Calls
-// without an event there waited for 1.2 s, those in the middle for 0.55, as if only this
-// node's view spoke; a call that still gets events there stays.
+// Guards against calls that stay at a group that the lease holder reports lost, until this
+// node's own longer timeout.
 func TestCallLeavesGroupReportedLost(t *testing.T) {
 	cases := map[string]struct {
 		reported, events bool
--- a/gateway/hold.go
+++ b/gateway/hold.go
@@ -2,9 +2,9 @@
 
 import "github.com/garnetworks/garnetworks"
 
-// heldBack returns an error of kind KindCallQuarantined if calls like this one are kept from
-// servers now. It is asked before each attempt: other nodes may have found out while the
-// call waited or ran.
+// checkQuarantine returns an error of kind KindCallQuarantined if calls with this content are
+// quarantined. It is checked before each attempt, because other nodes may have reported the
+// content while the call waited or ran.
 func (x *exchange) checkQuarantine() error {
 	left, quarantined := x.options.Quarantine.Quarantined(x.ctx, x.content)
 	if !quarantined {
@@ -13,8 +13,8 @@
 	return garnetworks.QuarantinedError(left)
 }
 
-// endHeld answers a call that is held back: as one that did not run only if that is so
-// (rule W2), though an attempt before may have been what ended a server.
+// endQuarantined answers a quarantined call: as not run only if no attempt may have run (rule
+// W2).
 func (x *exchange) endQuarantined(mayHaveRun bool, err error) {
 	if mayHaveRun {
 		x.refuseUnanswered(true, garnetworks.KindBackendLost, err)
@@ -23,10 +23,10 @@
 	x.refuse(x.w, x, err)
 }
 
-// brokeOff tells the quarantine of an attempt that got no whole answer, unless the client
-// or the time ended it, or the server was known to leave: one that is stopped as planned
-// ends under calls that have no part in it. A later life at the server's identifier is no
-// such sign; it shows that the asked one has ended.
+// reportInterrupted reports an attempt without a whole answer to the quarantine, unless the
+// call's context ended it or the server was known to be leaving: a planned stop interrupts
+// calls that did not cause it. A later incarnation under the server's identifier does not
+// count as leaving; it proves that this one has ended.
 func (x *exchange) reportInterrupted(incarnation garnetworks.Incarnation, failure *garnetworks.AttemptError) {
 	if x.ctx.Err() != nil || !failure.Phase.Interrupted() {
 		return
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -15,37 +15,36 @@
 )
 
 const (
-	// maxWholeAnswer bounds an answer that is read before it is given on, so that
-	// a call whose answer breaks off can be repeated.
+	// maxBufferedBytes limits a response that is read completely before it is sent to the
+	// client, so that an interrupted call can be repeated.
 	maxBufferedBytes = 8 << 20
-	// maxFree bounds the attempts that reached no server.
+	// maxFreeAttempts limits the attempts that do not count against the route's limit.
 	maxFreeAttempts = 4
-	// firstAttemptPart is the part of the time left that the first attempt of a
-	// call that may be repeated gets: a server that hangs then leaves time for
-	// another one.
+	// firstAttemptFraction is the fraction of the remaining time that an attempt gets if the call
+	// may be repeated, so that a hanging server leaves time for another one.
 	firstAttemptFraction = 0.45
-	// plainConnectTime bounds a connect to a plain service. Within a site a server
-	// that lives accepts within milliseconds.
+	// plainConnectTime bounds the connection setup to a plain service. Within a site a live server
+	// accepts within milliseconds.
 	plainConnectTime = 200 * time.Millisecond
 )
 
-// whole is an answer that was read to its end.
+// bufferedResponse is a response with its complete body.
 type bufferedResponse struct {
 	*garnetworks.ProxiedResponse
 	body []byte
 }
 
-// errOtherServer says that another server has the address now.
+// errMisdirected says that another server now has the address.
 var errMisdirected = errors.New("another server has the address")
 
-// reachedNone reports whether an attempt reached no server of the service, so that
-// it is none of those that the route allows: nobody answered, or the address was
-// given to a server of another service, which says so and runs nothing.
+// reachedNoServer reports whether an attempt reached no server of the service, so that it does
+// not count against the route's limit: the connection failed, or the address now belongs to a
+// server of another service, which refused the call.
 func reachedNoServer(failure *garnetworks.AttemptError) bool {
 	return failure.Phase == garnetworks.PhaseConnect || errors.Is(failure.Cause, errMisdirected)
 }
 
-// repeatability says what the route's kind allows.
+// repeatability returns what the route's kind permits.
 func (x *exchange) repeatability() retrier.Repeatability {
 	if x.route.Idempotent() {
 		return retrier.Repeatable
@@ -53,7 +52,7 @@
 	return retrier.NotRepeatable
 }
 
-// passOn passes a call to a plain service.
+// callService sends a call to a plain service.
 func (x *exchange) callService() {
 	history := retrier.History{Repeatability: x.repeatability(), MaxAttempts: x.route.MaxAttempts}
 	repeatable := history.Repeatability == retrier.Repeatable
@@ -62,7 +61,7 @@
 	for {
 		server, ok := x.pick(tried)
 		if !ok {
-			x.refuseUnanswered(history.MayHaveRun, garnetworks.KindNoBackend, errors.New("no server takes the call"))
+			x.refuseUnanswered(history.MayHaveRun, garnetworks.KindNoBackend, errors.New("no server is available"))
 			return
 		}
 		if err := x.checkQuarantine(); err != nil {
@@ -76,7 +75,7 @@
 			x.writeResponse(answer)
 			return
 		}
-		if failure == nil { // a failed run that may be repeated
+		if failure == nil { // an error response to a call that may be repeated
 			if !granted && !x.takeRetry(x.service.Name) {
 				x.writeResponse(answer)
 				return
@@ -109,15 +108,14 @@
 	return x.picker.Pick(time.Now(), servers, tried)
 }
 
-// errSlow says that an attempt was ended to leave time for another one.
-var errSlow = errors.New("the server takes too long")
+// errSlow is the cause of cancelling an attempt to leave time for another one.
+var errSlow = errors.New("the server is too slow")
 
-// attemptPlain sends the call to one server and reads the whole answer. If more
-// attempts are allowed, it ends a slow one once it has a retry, which it returns as
-// granted.
+// attemptPlain sends the call to one server and reads the whole response. If more attempts
+// are allowed, it cancels a slow one, but only after taking a retry, which granted reports.
 //
-// Failure: servers are slow and the retries are used up. An attempt that is ended
-// all the same loses an answer that would have come in time.
+// Failure: servers are slow and the retries are used up. Cancelling the attempt without a
+// retry loses an answer that would have come in time.
 func (x *exchange) attemptPlain(server *garnetworks.RegisteredServer, mayRepeat bool) (answer *bufferedResponse, granted bool, failure *garnetworks.AttemptError) {
 	started := time.Now()
 	ctx, cancel := context.WithCancelCause(x.ctx)
@@ -153,7 +151,7 @@
 	return answer, context.Cause(ctx) == errSlow, failure
 }
 
-// readWhole reads an answer's body and judges the answer.
+// readResponse reads the body and checks that the response is a whole one of a server.
 func readResponse(answer *garnetworks.ProxiedResponse, err error) (*bufferedResponse, *garnetworks.AttemptError) {
 	if err != nil {
 		return nil, asAttemptError(err)
@@ -168,7 +166,7 @@
 	case err != nil:
 		return nil, &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: err}
 	case len(body) > maxBufferedBytes:
-		return nil, &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: errors.New("the answer is too large")}
+		return nil, &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: errors.New("the response is too large")}
 	case !answer.FromServer || answer.Header.Get("Content-Encoding") != "":
 		return nil, &garnetworks.AttemptError{Phase: garnetworks.PhaseHeaders, Cause: errors.Errorf("an answer with status %d is not a server's own", answer.Status)}
 	}
@@ -183,16 +181,16 @@
 	return &garnetworks.AttemptError{Phase: garnetworks.PhaseWait, Cause: err}
 }
 
-// write gives a server's answer to the client unchanged.
+// writeResponse sends a server's response to the client unchanged.
 func (x *exchange) writeResponse(answer *bufferedResponse) {
 	h := x.copyHeader(answer.Header)
 	h.Set("Content-Length", strconv.Itoa(len(answer.body)))
 	x.w.WriteHeader(answer.Status)
-	_, _ = x.w.Write(answer.body) // the client may have left
+	_, _ = x.w.Write(answer.body) // fails if the client has disconnected
 	x.recordEnd(answer.Status, garnetworks.OutcomeCompleted, nil)
 }
 
-// noteAttempt takes the end of an attempt into the call's line and the metrics.
+// recordAttempt adds an ended attempt to the call's log line and the metrics.
 func (x *exchange) recordAttempt(group garnetworks.GroupID, instance garnetworks.InstanceID, started time.Time, failure *garnetworks.AttemptError) *emitter.Attempt {
 	var err error
 	if failure != nil {
@@ -203,14 +201,14 @@
 	return attempt
 }
 
-// copyHeader takes over an answer's headers.
+// copyHeader copies a response's headers.
 func (x *exchange) copyHeader(from http.Header) http.Header {
 	h := x.w.Header()
 	for name, values := range from {
 		h[name] = values
 	}
 	if _, ok := from["Content-Type"]; !ok {
-		h["Content-Type"] = nil // keeps the server from guessing one
+		h["Content-Type"] = nil // prevents content sniffing
 	}
 	if x.stopping.Load() {
 		h.Set("Connection", "close")
@@ -218,9 +216,8 @@
 	return h
 }
 
-// endOf returns the error kind of a call whose context has ended: the client has left,
-// or the time is over. Logs that take the one for the other send engineers to servers
-// that did nothing wrong.
+// contextErrorKind returns the error kind of a call whose context has ended, so that the log
+// tells a client's disconnect from a server's timeout.
 func contextErrorKind(err error) garnetworks.Kind {
 	if errors.Is(err, context.Canceled) {
 		return garnetworks.KindCancelled
@@ -228,7 +225,7 @@
 	return garnetworks.KindBackendTimeout
 }
 
-// giveUp answers a call that got no answer from a server (rules W2 and W6).
+// refuseUnanswered answers a call that got no response from a server (rules W2 and W6).
 func (x *exchange) refuseUnanswered(mayHaveRun bool, kind garnetworks.Kind, cause error) {
 	if mayHaveRun {
 		kind = garnetworks.KindBackendLost
--- a/gateway/stall.go
+++ b/gateway/stall.go
@@ -5,16 +5,15 @@
 	"time"
 )
 
-// leastStall is the time by which a tick must be late to count as a stall of the node.
-// A process that shares a core with others is set aside for some ten milliseconds now
-// and then, which nobody notices.
+// minStall is the least delay of a tick that counts as a stall. Shorter delays are common
+// when processes share a core.
 const minStall = 100 * time.Millisecond
 
-// stalls sums the times in which the process did not run: the instance was frozen, or
-// its processor was taken away. A call that was late meanwhile is late for that.
+// stalls sums the times in which the process did not run, because the instance was frozen or
+// the CPU was taken away. They explain calls that were late for no other reason.
 type stalls struct{ sum atomic.Int64 }
 
-// tick takes the time between two ticks that were due after a time.
+// tick records the time that elapsed between two ticks, which were due every interval.
 func (s *stalls) tick(elapsed, interval time.Duration) {
 	if late := elapsed - interval; late >= minStall {
 		s.sum.Add(int64(late))
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -15,77 +15,74 @@
 	"github.com/garnetworks/garnetworks/splicer"
 )
 
-// Times of streams.
+// Timeouts and limits of streams.
 const (
-	// quietTime is how long a group that has calls of this node may give none of
-	// them an event before it is suspected, which only asks its members whether
-	// they live. A pass of a full batch with a long prompt takes 0.3 s at most.
+	// suspectTimeout is how long a group may send no event to any of this node's calls before
+	// it is suspected, which only causes its members to be probed. It is not shorter than
+	// a pass of a full batch with a long prompt.
 	suspectTimeout = 300 * time.Millisecond
-	// stillTime is the same before the node takes its calls elsewhere. A call that
-	// was moved is read again from its beginning, so this is longer.
+	// stallTimeout is the silence after which the node moves its calls to other groups. It is
+	// longer because a moved call needs another prefill.
 	stallTimeout = 550 * time.Millisecond
-	// stillFirst is the same for a call that has no event yet.
+	// firstEventStallTimeout is the same for a call without an event yet.
 	firstEventStallTimeout = 1200 * time.Millisecond
-	// streamConnectTime bounds a connect to a group's head. Within a site one takes
-	// some milliseconds; a lost packet is sent again after a second only, so that
-	// waiting for it helps nobody. A call whose connect fails after 0.1 s can still
-	// begin in time elsewhere, as first events take 0.2 s.
+	// streamConnectTime bounds the connection setup to a group's head. It takes milliseconds
+	// within a site and a lost packet is resent only after a second; a call that fails sooner
+	// can still be on time at another group.
 	streamConnectTime = 100 * time.Millisecond
-	// streamAckTime is how long the bytes of a call that may be repeated can stay
-	// unacknowledged. A live host acknowledges within some milliseconds, and a lost
-	// packet is sent again after 0.2 s.
+	// streamAckTime is how long sent bytes of a repeatable call may stay unacknowledged. It
+	// allows for one retransmission.
 	streamAckTime = 300 * time.Millisecond
-	// readBytes is the size of a read from a stream; an event is smaller.
+	// readBufferBytes is the size of a read from a stream; an event is smaller.
 	readBufferBytes = 4 << 10
-	// Urgencies at the engine: a resumed stream's client waits between two events.
+	// Urgencies at the engine: the client of a resumed stream waits in the middle of an answer.
 	urgencyResumed = 2
 	urgencyFirst   = 4
 )
 
 var errStalled = errors.New("the group gives no events")
 
-// stream is the state of a call to a model over its attempts.
+// stream is the state of a model call over its attempts.
 type stream struct {
 	*exchange
 	splicer splicer.Splicer
-	// done says that the answer was whole.
+	// complete says that the answer was whole.
 	complete bool
-	// begun says that the answer's headers are with the client.
+	// headersSent says that the response headers were sent to the client.
 	headersSent bool
-	// mayHaveRun says that an attempt ended without proof that the call did not
-	// run.
+	// mayHaveRun says that an attempt ended without proof that the call did not run.
 	mayHaveRun bool
 	tried      []garnetworks.GroupID
-	// attempts counts those that may have run, free those that surely did not.
+	// attempts counts those that may have run, freeAttempts those that surely did not.
 	attempts, freeAttempts int
 	resuming               bool
-	// moved says that the present place was taken while the group before stood still.
+	// moved says that the current slot was reserved while the previous group stalled.
 	moved bool
-	// reserved is a place that was taken elsewhere for a call whose group stands
-	// still; the gateway's lock guards it.
+	// reserved is the group with a slot that was reserved because the current group stalls;
+	// guarded by the gateway's lock.
 	reserved garnetworks.GroupID
-	// run is the present attempt.
+	// current is the current attempt.
 	current attemptState
 }
 
-// run is what is known of an attempt while it runs.
+// attemptState is what is known of a running attempt.
 type attemptState struct {
 	incarnation garnetworks.Incarnation
 	started     time.Time
-	// first is the time to its first event, 0 before it; last is when the last one
-	// came, or the start, and pause the longest time between two.
+	// firstEventAfter is the time to the first event, 0 before it; lastEvent is when the last
+	// one came, or the start, and maxPause the longest time between two.
 	firstEventAfter time.Duration
 	lastEvent       time.Time
 	maxPause        time.Duration
-	// calls and reading are what the group had before the attempt: calls, and
-	// prompt tokens of this node.
+	// groupCalls and pendingPrefill are the group's load before the attempt: its calls, and
+	// the prompt tokens of this node that it has yet to read.
 	groupCalls, pendingPrefill int
 	reason                     emitter.AttemptReason
-	// placed is the time from the end of the attempt before to the start.
+	// placementTime is the time from the end of the previous attempt to the start.
 	placementTime time.Duration
 }
 
-// event notes that an event came.
+// recordEvent records the arrival of an event.
 func (r *attemptState) recordEvent(now time.Time) {
 	if r.firstEventAfter == 0 {
 		r.firstEventAfter = now.Sub(r.started)
@@ -95,7 +92,7 @@
 	r.lastEvent = now
 }
 
-// describe takes the attempt into the call's line.
+// describe copies the attempt's measurements to its log entry.
 func (r *attemptState) describe(attempt *emitter.Attempt, events int, failed bool) {
 	attempt.Why, attempt.PlacedMS = r.reason, milliseconds(r.placementTime)
 	attempt.FirstMS, attempt.PauseMS, attempt.Events = milliseconds(r.firstEventAfter), milliseconds(r.maxPause), events
@@ -105,7 +102,7 @@
 	}
 }
 
-// generate passes a call to a group, and on to another one if the first is lost.
+// generate sends a call to a group, and to another one if the first is lost.
 func (x *exchange) generate() {
 	s := &stream{exchange: x}
 	defer s.releaseReserved()
@@ -123,7 +120,7 @@
 			return
 		}
 		if d.Group == "" {
-			s.end(d.Kind, &garnetworks.Error{Kind: d.Kind, Detail: "no place in time", RetryAfter: d.RetryAfter})
+			s.end(d.Kind, &garnetworks.Error{Kind: d.Kind, Detail: "no slot was free in time", RetryAfter: d.RetryAfter})
 			return
 		}
 		again, failure := s.attempt(d.Group)
@@ -140,7 +137,7 @@
 	}
 }
 
-// newRun returns the state of the next attempt, whose place took some time.
+// newAttemptState returns the state of the next attempt, whose placement took some time.
 func (s *stream) newAttemptState(took time.Duration) attemptState {
 	if len(s.attemptLog) == 0 {
 		return attemptState{}
@@ -152,7 +149,7 @@
 	return r
 }
 
-// work returns what the call asks the scheduler for.
+// schedulerCall returns the call's request to the scheduler.
 func (s *stream) schedulerCall() scheduler.Call {
 	request := scheduler.Call{
 		ID:    garnetworks.CallID(strconv.FormatUint(s.sequence.Add(1), 10)),
@@ -165,7 +162,7 @@
 	return request
 }
 
-// place waits for a group. It returns false if the client left or time ran out.
+// place waits for a slot. It returns false if the client disconnected or time ran out.
 func (s *stream) place() (scheduler.Decision, bool) {
 	d, ok := s.takeReserved()
 	s.moved = ok
@@ -194,7 +191,7 @@
 		s.scheduler.Cancel(id, s.call.Model)
 		select {
 		case d := <-waiter:
-			// The decision crossed the client's leaving; its place goes back.
+			// The decision came at the same time; its slot is freed.
 			if d.Group != "" {
 				s.scheduler.PrefillDone(s.call.Model, d.Group, s.call.PromptTokens)
 				s.deliver(s.scheduler.Finished(time.Now(), s.call.Model, d.Group, 0, false))
@@ -205,8 +202,8 @@
 	}
 }
 
-// attempt runs the call at one group. It returns no failure if the client has got
-// its answer, and otherwise whether another group may go on.
+// attempt sends the call to one group. It returns no failure if the client has got its
+// answer, and otherwise whether another group may be tried.
 func (s *stream) attempt(group garnetworks.GroupID) (again bool, failure error) {
 	defer s.releaseSlot(group)
 	h, ok := s.beginAttempt(group)
@@ -216,7 +213,7 @@
 	s.tried = append(s.tried, group)
 	if !ok {
 		s.freeAttempts++
-		return s.freeAttempts <= maxFreeAttempts, errors.New("the group is gone")
+		return s.freeAttempts <= maxFreeAttempts, errors.New("the group no longer exists")
 	}
 	ctx, cancel := context.WithCancelCause(s.ctx)
 	defer cancel(nil)
@@ -257,7 +254,7 @@
 	return s.relay(group, answer, wd, func() error { return context.Cause(ctx) })
 }
 
-// enter counts the call at a group, and returns the group's head if it has one.
+// beginAttempt records the group's load and returns its head, if it has one.
 func (s *stream) beginAttempt(group garnetworks.GroupID) (head, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -270,7 +267,7 @@
 	return h, ok
 }
 
-// leave gives the call's place at a group back.
+// releaseSlot frees the call's slot at a group.
 func (s *stream) releaseSlot(group garnetworks.GroupID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -281,7 +278,7 @@
 	s.deliver(s.scheduler.Finished(now, s.call.Model, group, now.Sub(s.current.started), s.current.firstEventAfter > 0))
 }
 
-// refused takes an engine's word that it did not begin the call.
+// handleRefusal handles a response that says that the engine did not begin the call.
 func (s *stream) handleRefusal(group garnetworks.GroupID, answer *garnetworks.ProxiedResponse) (bool, error) {
 	s.mu.Lock()
 	now := time.Now()
@@ -297,7 +294,7 @@
 	return s.freeAttempts <= maxFreeAttempts && s.attempts < s.route.MaxAttempts && s.claimRetry(), err
 }
 
-// failed takes the failure of an attempt before its answer.
+// handleFailure handles an attempt that failed before its response.
 func (s *stream) handleFailure(group garnetworks.GroupID, failure *garnetworks.AttemptError, cause error) (bool, error) {
 	if s.ctx.Err() != nil {
 		s.mayHaveRun = s.mayHaveRun || failure.Phase != garnetworks.PhaseConnect
@@ -313,7 +310,7 @@
 	return s.tryResume(errors.Wrap(failure, causeText(cause)))
 }
 
-// still takes that a group gave no answer, or broke one off.
+// reportStall reports that a group did not answer or interrupted an answer.
 func (s *stream) reportStall(group garnetworks.GroupID) {
 	now := time.Now()
 	s.mu.Lock()
@@ -330,7 +327,7 @@
 	return cause.Error()
 }
 
-// goOn decides whether a call whose attempt was lost may go on at another group.
+// tryResume decides whether a call may continue at another group after a lost attempt.
 func (s *stream) tryResume(failure error) (bool, error) {
 	if !s.route.Idempotent() || s.attempts >= s.route.MaxAttempts {
 		return false, failure
@@ -339,8 +336,8 @@
 	return s.claimRetry(), failure
 }
 
-// retry reports whether the call has a retry: with the place that was taken for it,
-// or by the service's calls of late.
+// claimRetry reports whether the call has a retry: the one taken with its reserved slot, or a
+// new one from the service's window.
 func (s *stream) claimRetry() bool {
 	s.mu.Lock()
 	reserved := s.reserved != ""
@@ -348,7 +345,7 @@
 	return reserved || s.takeRetry(s.service.Name)
 }
 
-// error gives an engine's own error to the client, unless another group may try.
+// handleErrorResponse sends an engine's error to the client, unless another group may try.
 func (s *stream) handleErrorResponse(group garnetworks.GroupID, answer *garnetworks.ProxiedResponse) (bool, error) {
 	s.attempts++
 	s.mayHaveRun = true
@@ -368,7 +365,7 @@
 	return false, nil
 }
 
-// failedThere counts an engine's own failure against its group.
+// recordGroupFailure counts an engine's server error against its group.
 func (s *stream) recordGroupFailure(group garnetworks.GroupID, status int) {
 	if status < http.StatusInternalServerError {
 		return
@@ -378,7 +375,7 @@
 	s.scheduler.Failed(s.call.Model, group)
 }
 
-// relay gives the events on as they come.
+// relay copies the events to the client as they arrive.
 func (s *stream) relay(group garnetworks.GroupID, answer *garnetworks.ProxiedResponse, wd *watchdog, cause func() error) (bool, error) {
 	buffer := make([]byte, readBufferBytes)
 	var events []byte
@@ -422,7 +419,7 @@
 	s.scheduler.FirstEvent(time.Now(), s.call.Model, group, took, s.route.Objective)
 }
 
-// broken takes the end of a stream before its last event.
+// handleBrokenStream handles a stream that ended before its last event.
 func (s *stream) handleBrokenStream(group garnetworks.GroupID, err, cause error) (bool, error) {
 	s.mayHaveRun = true
 	s.reportInterrupted(s.current.incarnation, &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: err})
@@ -433,7 +430,7 @@
 	return s.tryResume(errors.Wrap(err, causeText(cause)))
 }
 
-// begin sends the answer's headers; later runs keep those of the first one.
+// sendHeaders sends the response headers; those of later attempts are ignored.
 func (s *stream) sendHeaders(answer *garnetworks.ProxiedResponse) {
 	if s.headersSent {
 		return
@@ -447,16 +444,16 @@
 	s.sendHeaders(answer)
 	started := time.Now()
 	if _, err := s.w.Write(events); err != nil {
-		return errors.Wrap(err, "the client has left")
+		return errors.Wrap(err, "the client has disconnected")
 	}
 	if err := http.NewResponseController(s.w).Flush(); err != nil {
-		return errors.Wrap(err, "the client has left")
+		return errors.Wrap(err, "the client has disconnected")
 	}
 	s.recordEvent(s.call.Received, started)
 	return nil
 }
 
-// finish ends an answer that is whole.
+// finish ends a whole answer.
 func (s *stream) finish(answer *garnetworks.ProxiedResponse) error {
 	s.sendHeaders(answer)
 	s.complete = true
@@ -471,7 +468,7 @@
 		if s.ctx.Err() != nil {
 			kind = garnetworks.KindCancelled
 		}
-		s.recordEnd(0, garnetworks.OutcomeUnknown, garnetworks.WrapError(kind, cause, "the stream broke off"))
+		s.recordEnd(0, garnetworks.OutcomeUnknown, garnetworks.WrapError(kind, cause, "the stream was interrupted"))
 		panic(http.ErrAbortHandler)
 	}
 	if e, ok := asError(cause); ok && !s.mayHaveRun {
@@ -484,7 +481,7 @@
 	s.refuseUnanswered(s.mayHaveRun, kind, cause)
 }
 
-// asFailure returns the failure of an attempt, or nil.
+// attemptErrorOf returns an attempt's error as an *AttemptError, or nil if there is none.
 func attemptErrorOf(err error) *garnetworks.AttemptError {
 	if err == nil {
 		return nil
