--- a/forwarder/events.go
+++ b/forwarder/events.go
@@ -39,7 +39,7 @@
 	if l.recorder == nil {
 		return
 	}
-	skipped, ok := l.pass(event.Kind)
+	skipped, ok := l.allow(event.Kind)
 	if !ok {
 		return
 	}
@@ -49,7 +49,7 @@
 	l.recorder.Record(event)
 }
 
-func (l *EventLimiter) pass(kind garnetworks.EventKind) (skipped int, ok bool) {
+func (l *EventLimiter) allow(kind garnetworks.EventKind) (skipped int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w := l.windows[kind]
@@ -71,7 +71,7 @@
 
 // ended records how a call failed; completed calls and those that their callers
 // cancelled make no event.
-func (f *Forwarder) ended(call garnetworks.CallID, group garnetworks.GroupID, instance garnetworks.InstanceID, err error) {
+func (f *Forwarder) recordFailure(call garnetworks.CallID, group garnetworks.GroupID, instance garnetworks.InstanceID, err error) {
 	if err == nil || garnetworks.IsKind(err, garnetworks.KindCancelled) {
 		return
 	}
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -138,11 +138,11 @@
 type Forwarder struct {
 	options Options
 	// start is the origin of the times in pulses.
-	start  time.Time
-	events *EventLimiter
-	pulses pulses
-	usual  usual
-	tasks  Tasks
+	start       time.Time
+	events      *EventLimiter
+	activity    activityTracker
+	firstTokens firstTokenWaits
+	tasks       Tasks
 
 	budgetMu sync.Mutex
 	budget   *retrier.Budget
@@ -177,7 +177,7 @@
 	return f.budget.Available(time.Now())
 }
 
-func (f *Forwarder) countCall() {
+func (f *Forwarder) recordCall() {
 	f.budgetMu.Lock()
 	defer f.budgetMu.Unlock()
 	f.budget.RecordCall(time.Now())
@@ -210,10 +210,10 @@
 // Failure: an answer that nobody thought of makes an adapter panic. The attempt
 // runs on a goroutine of its own, where no HTTP server recovers, so the process
 // would end, and with it some hundred other calls.
-func guard(run func() error) (err error) {
+func recoverPanic(run func() error) (err error) {
 	defer func() {
-		if reason := recover(); reason != nil {
-			err = errors.Errorf("the adapter panicked: %v", reason)
+		if value := recover(); value != nil {
+			err = errors.Errorf("the adapter panicked: %v", value)
 		}
 	}()
 	return run()
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -34,7 +34,7 @@
 		d := transcript{maxTokens: len(words)}
 		delivered := ""
 		for range rapid.IntRange(1, 6).Draw(t, "attempts") {
-			d.begin()
+			d.beginAttempt()
 			index := max(0, d.tokens-rapid.IntRange(0, 6).Draw(t, "back"))
 			// A chunk that follows one that was taken is taken, if it is true.
 			follows := false
@@ -42,16 +42,16 @@
 				count := rapid.IntRange(1, min(4, len(words)-index)).Draw(t, "count")
 				text := strings.Join(words[index:index+count], "")
 				repeated := index < d.tokens && strings.Join(words[index:min(index+count, d.tokens)], "") != ""
-				lie := repeated && rapid.IntRange(0, 4).Draw(t, "lie") == 0
-				if lie {
+				wrong := repeated && rapid.IntRange(0, 4).Draw(t, "lie") == 0
+				if wrong {
 					text = "lie"
 				}
 				skipped := index > d.tokens
-				part, err := d.take(&garnetworks.Chunk{Index: index, Tokens: count, Text: text})
-				if err == nil && (lie || skipped) {
+				part, err := d.accept(&garnetworks.Chunk{Index: index, Tokens: count, Text: text})
+				if err == nil && (wrong || skipped) {
 					t.Fatalf("taken: %q at %d after %d tokens", text, index, d.tokens)
 				}
-				if err != nil && follows && !lie {
+				if err != nil && follows && !wrong {
 					t.Fatalf("refused: %q at %d after %d tokens", text, index, d.tokens)
 				}
 				if err != nil {
@@ -81,116 +81,116 @@
 // A connection goes dead while new ones work, or an engine takes long over a
 // batch. Cutting the second off costs a second prefill, waiting for the first
 // costs the tech the answer.
-func TestJudge(t *testing.T) {
+func TestDiagnoseStall(t *testing.T) {
 	started := time.Unix(1000, 0)
-	alive := func(change func(e *evidence)) evidence {
-		e := evidence{begun: true, started: started, group: "g1", probed: true}
+	alive := func(change func(e *stallEvidence)) stallEvidence {
+		e := stallEvidence{hasToken: true, started: started, group: "g1", probed: true}
 		e.status = garnetworks.EngineStatus{Group: "g1"}
 		e.status.Load = garnetworks.EngineLoad{Running: 3, At: started.Add(time.Second)}
 		change(&e)
 		return e
 	}
 	tests := map[string]struct {
-		e    evidence
+		e    stallEvidence
 		want error
 	}{
-		"busy engine":                 {alive(func(*evidence) {}), nil},
-		"no new connection":           {alive(func(e *evidence) { e.probeError = errors.New("refused") }), errEngineLost},
-		"re-formed meanwhile":         {alive(func(e *evidence) { e.status.Group = "g2" }), errEngineChanged},
-		"released meanwhile":          {alive(func(e *evidence) { e.status.Group = "" }), errEngineChanged},
-		"others progress":             {alive(func(e *evidence) { e.othersProgressed = true }), errSilent},
-		"others, but this one queues": {alive(func(e *evidence) { e.othersProgressed, e.begun = true, false }), nil},
-		"engine without work":         {alive(func(e *evidence) { e.status.Load.Running = 0 }), errSilent},
-		"without work, but measured before": {alive(func(e *evidence) {
+		"busy engine":                 {alive(func(*stallEvidence) {}), nil},
+		"no new connection":           {alive(func(e *stallEvidence) { e.probeError = errors.New("refused") }), errEngineLost},
+		"re-formed meanwhile":         {alive(func(e *stallEvidence) { e.status.Group = "g2" }), errEngineChanged},
+		"released meanwhile":          {alive(func(e *stallEvidence) { e.status.Group = "" }), errEngineChanged},
+		"others progress":             {alive(func(e *stallEvidence) { e.othersProgressed = true }), errConnectionStalled},
+		"others, but this one queues": {alive(func(e *stallEvidence) { e.othersProgressed, e.hasToken = true, false }), nil},
+		"engine without work":         {alive(func(e *stallEvidence) { e.status.Load.Running = 0 }), errConnectionStalled},
+		"without work, but measured before": {alive(func(e *stallEvidence) {
 			e.status.Load.Running, e.status.Load.At = 0, started.Add(-time.Second)
 		}), nil},
-		"early, engine without work": {alive(func(e *evidence) {
-			e.early, e.begun, e.status.Load.Running = true, false, 0
+		"early, engine without work": {alive(func(e *stallEvidence) {
+			e.early, e.hasToken, e.status.Load.Running = true, false, 0
 		}), nil},
-		"early, no new connection": {alive(func(e *evidence) {
+		"early, no new connection": {alive(func(e *stallEvidence) {
 			e.early, e.probeError = true, errors.New("refused")
 		}), errEngineLost},
-		"waiting in its queue":    {alive(func(e *evidence) { e.status.Load.Running, e.status.Load.Waiting = 0, 1 }), nil},
-		"overtaken, nobody waits": {alive(func(e *evidence) { e.overtaken, e.begun = true, false }), errSilent},
-		"overtaken, some wait": {alive(func(e *evidence) {
-			e.overtaken, e.begun, e.status.Load.Waiting = true, false, 1
+		"waiting in its queue":    {alive(func(e *stallEvidence) { e.status.Load.Running, e.status.Load.Waiting = 0, 1 }), nil},
+		"overtaken, nobody waits": {alive(func(e *stallEvidence) { e.overtaken, e.hasToken = true, false }), errConnectionStalled},
+		"overtaken, some wait": {alive(func(e *stallEvidence) {
+			e.overtaken, e.hasToken, e.status.Load.Waiting = true, false, 1
 		}), nil},
-		"younger ones begun, as is this one": {alive(func(e *evidence) { e.overtaken = true }), nil},
-		"no prober":                          {evidence{begun: true, started: started, group: "g1"}, nil},
+		"younger ones begun, as is this one": {alive(func(e *stallEvidence) { e.overtaken = true }), nil},
+		"no prober":                          {stallEvidence{hasToken: true, started: started, group: "g1"}, nil},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			if got := judge(tt.e); got != tt.want {
+			if got := diagnoseStall(tt.e); got != tt.want {
 				t.Errorf("judged %v, want %v", got, tt.want)
 			}
 		})
 	}
 }
 
-const quickTokens = 1000
+const fastTokens = 1000
 
 // quick is a group whose engine brings tokens as fast as they are taken.
-type quick struct {
+type fastEngine struct {
 	sent      int
 	cancelled bool
 	results   []garnetworks.AttemptResult
 	refuse    bool
 }
 
-func (q *quick) Choose(time.Time, *garnetworks.CallRequest, []garnetworks.GroupID) (garnetworks.GroupView, error) {
+func (e *fastEngine) Choose(time.Time, *garnetworks.CallRequest, []garnetworks.GroupID) (garnetworks.GroupView, error) {
 	return garnetworks.GroupView{ID: "g1"}, nil
 }
-func (q *quick) AttemptStarted(time.Time, *garnetworks.CallRequest, garnetworks.GroupID) {}
-func (q *quick) AttemptFinished(_ time.Time, _ *garnetworks.CallRequest, _ garnetworks.GroupID, r garnetworks.AttemptResult) {
-	q.results = append(q.results, r)
+func (e *fastEngine) AttemptStarted(time.Time, *garnetworks.CallRequest, garnetworks.GroupID) {}
+func (e *fastEngine) AttemptFinished(_ time.Time, _ *garnetworks.CallRequest, _ garnetworks.GroupID, r garnetworks.AttemptResult) {
+	e.results = append(e.results, r)
 }
-func (q *quick) ReportLoad(time.Time, garnetworks.GroupID, garnetworks.EngineLoad) {}
+func (e *fastEngine) ReportLoad(time.Time, garnetworks.GroupID, garnetworks.EngineLoad) {}
 
-func (q *quick) Generate(ctx context.Context, _ string, call *garnetworks.EngineCall) (garnetworks.EngineStream, error) {
-	if q.refuse {
+func (e *fastEngine) Generate(ctx context.Context, _ string, call *garnetworks.EngineCall) (garnetworks.EngineStream, error) {
+	if e.refuse {
 		return nil, &garnetworks.AttemptError{Phase: garnetworks.PhaseRefused, RetryAfter: 7 * time.Second}
 	}
-	return &quickStream{q, ctx, call.Attempt}, nil
+	return &fastStream{e, ctx, call.Attempt}, nil
 }
 
-type quickStream struct {
-	*quick
+type fastStream struct {
+	*fastEngine
 	ctx     context.Context
 	attempt garnetworks.CallID
 }
 
-func (s *quickStream) Next(c *garnetworks.Chunk) error {
+func (s *fastStream) Next(c *garnetworks.Chunk) error {
 	if s.ctx.Err() != nil {
 		return &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: s.ctx.Err()}
 	}
 	*c = garnetworks.Chunk{Attempt: s.attempt, Index: s.sent, Text: "x", Tokens: 1}
 	s.sent++
-	if s.sent == quickTokens {
+	if s.sent == fastTokens {
 		c.End, c.FinishReason = true, "stop"
 	}
 	return nil
 }
 
-func (s *quickStream) Close() error {
+func (s *fastStream) Close() error {
 	s.cancelled = true
 	return nil
 }
 
 // stuckSink takes one part and then nothing until it is let go.
-type stuckSink struct {
+type stallingSink struct {
 	taken int
-	hold  time.Duration
+	stall time.Duration
 }
 
-func (s *stuckSink) Write(Part) error {
+func (s *stallingSink) Write(Part) error {
 	s.taken++
 	if s.taken == 2 {
-		time.Sleep(s.hold)
+		time.Sleep(s.stall)
 	}
 	return nil
 }
-func (s *stuckSink) Flush() error { return nil }
-func (s *stuckSink) Idle() error  { return nil }
+func (s *stallingSink) Flush() error { return nil }
+func (s *stallingSink) Idle() error  { return nil }
 
 func callFor(d time.Duration) *garnetworks.CallRequest {
 	now := time.Now()
@@ -201,42 +201,42 @@
 // buffer, hold the engine back meanwhile, and give the caller up in time.
 func TestSlowCallerIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := &quick{}
-		f := New(Options{Engines: q, Groups: q})
-		sink := &stuckSink{hold: 15 * time.Second}
+		e := &fastEngine{}
+		f := New(Options{Engines: e, Groups: e})
+		sink := &stallingSink{stall: 15 * time.Second}
 		begin := time.Now()
 		go func() {
 			time.Sleep(9 * time.Second)
 			synctest.Wait()
-			if q.sent > 3*BufferParts {
-				t.Errorf("%d tokens were read for a caller who took %d", q.sent, sink.taken)
+			if e.sent > 3*BufferParts {
+				t.Errorf("%d tokens were read for a caller who took %d", e.sent, sink.taken)
 			}
 		}()
 		_, err := f.Generate(context.Background(), callFor(time.Minute), sink)
-		if !garnetworks.IsKind(err, garnetworks.KindCancelled) || !q.cancelled {
-			t.Errorf("%v, cancelled at the engine: %t", err, q.cancelled)
+		if !garnetworks.IsKind(err, garnetworks.KindCancelled) || !e.cancelled {
+			t.Errorf("%v, cancelled at the engine: %t", err, e.cancelled)
 		}
 		if took := time.Since(begin); took > 16*time.Second {
 			t.Errorf("given up after %s", took)
 		}
-		if len(q.results) != 1 || !q.results[0].Cancelled {
-			t.Errorf("the group is blamed: %+v", q.results)
+		if len(e.results) != 1 || !e.results[0].Cancelled {
+			t.Errorf("the group is blamed: %+v", e.results)
 		}
 	})
 }
 
 // A slow caller that reads on in time gets the whole answer, and the engine that
 // was held back meanwhile is not taken for dead.
-func TestPausedEngineIsNotSilent(t *testing.T) {
+func TestBackpressuredEngineIsNotStalled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := &quick{}
-		f := New(Options{Engines: q, Groups: q, Timeouts: Timeouts{SlowBetweenTokens: time.Second}})
+		e := &fastEngine{}
+		f := New(Options{Engines: e, Groups: e, Timeouts: Timeouts{SlowBetweenTokens: time.Second}})
 		ctx, cancel := context.WithTimeout(context.Background(), 9*time.Second)
 		defer cancel()
-		sink := &stuckSink{hold: 8 * time.Second}
+		sink := &stallingSink{stall: 8 * time.Second}
 		_, err := f.Generate(ctx, callFor(time.Minute), sink)
-		if err != nil || len(q.results) != 1 || q.results[0].Stalled || sink.taken != quickTokens {
-			t.Errorf("%v, taken %d, %+v", err, sink.taken, q.results)
+		if err != nil || len(e.results) != 1 || e.results[0].Stalled || sink.taken != fastTokens {
+			t.Errorf("%v, taken %d, %+v", err, sink.taken, e.results)
 		}
 	})
 }
@@ -245,18 +245,18 @@
 // together stay within the budget, and the caller is told when to come back.
 func TestNoRetryStorm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := &quick{refuse: true}
-		f := New(Options{Engines: q, Groups: q})
+		e := &fastEngine{refuse: true}
+		f := New(Options{Engines: e, Groups: e})
 		const calls = 500
 		for range calls {
-			_, err := f.Generate(context.Background(), callFor(time.Minute), &stuckSink{})
+			_, err := f.Generate(context.Background(), callFor(time.Minute), &stallingSink{})
 			var e *garnetworks.Error
 			if !errors.As(err, &e) || e.Kind != garnetworks.KindBackendRefused || e.RetryAfter != 7*time.Second {
 				t.Fatalf("%v", err)
 			}
 		}
 		limits := f.options.Budget
-		retries := len(q.results) - calls
+		retries := len(e.results) - calls
 		t.Logf("%d retries for %d calls that were all refused", retries, calls)
 		if bound := int(limits.Burst + limits.Fraction*calls); retries > bound || retries < bound/2 {
 			t.Errorf("%d retries for %d calls, bound %d", retries, calls, bound)
@@ -266,19 +266,19 @@
 
 // busy is an engine with a full batch. The first attempt of call c1 goes silent
 // after some tokens; all others get a token every 40 ms.
-type busy struct {
-	quick
-	after int
+type busyEngine struct {
+	fastEngine
+	stallAfter int
 }
 
-func (b *busy) Status(context.Context, string) (garnetworks.EngineStatus, error) {
+func (b *busyEngine) Status(context.Context, string) (garnetworks.EngineStatus, error) {
 	load := garnetworks.EngineLoad{Running: 8, At: time.Now()}
 	return garnetworks.EngineStatus{Group: "g1", Load: load}, nil
 }
 
-func (b *busy) Generate(ctx context.Context, _ string, call *garnetworks.EngineCall) (garnetworks.EngineStream, error) {
-	return &paced{call, call.ResumeFrom, func(next int) error {
-		if call.Attempt == "c1.1" && next == b.after {
+func (b *busyEngine) Generate(ctx context.Context, _ string, call *garnetworks.EngineCall) (garnetworks.EngineStream, error) {
+	return &pacedStream{call, call.ResumeFrom, func(next int) error {
+		if call.Attempt == "c1.1" && next == b.stallAfter {
 			return sleep(ctx, time.Hour)
 		}
 		return sleep(ctx, 40*time.Millisecond)
@@ -286,13 +286,13 @@
 }
 
 // paced brings a token whenever wait returns.
-type paced struct {
+type pacedStream struct {
 	call *garnetworks.EngineCall
 	next int
 	wait func(next int) error
 }
 
-func (s *paced) Next(c *garnetworks.Chunk) error {
+func (s *pacedStream) Next(c *garnetworks.Chunk) error {
 	if err := s.wait(s.next); err != nil {
 		return &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: err}
 	}
@@ -302,7 +302,7 @@
 	return nil
 }
 
-func (s *paced) Close() error { return nil }
+func (s *pacedStream) Close() error { return nil }
 
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
@@ -318,7 +318,7 @@
 // the others go on does, long before the slow bounds of 5 s and 10 s.
 func TestDeadConnectionToBusyEngine(t *testing.T) {
 	const tokens = 100
-	plain := tokens * 40 * time.Millisecond
+	undisturbed := tokens * 40 * time.Millisecond
 	for name, tt := range map[string]struct {
 		after int
 		bound time.Duration
@@ -328,20 +328,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := &busy{after: tt.after}
+				b := &busyEngine{stallAfter: tt.after}
 				f := New(Options{Engines: b, Groups: b, Prober: b})
 				start := time.Now()
 				generate := func(id garnetworks.CallID) (Summary, error) {
 					call := callFor(time.Minute)
 					call.ID, call.MaxTokens = id, tokens
-					return f.Generate(context.Background(), call, &stuckSink{})
+					return f.Generate(context.Background(), call, &stallingSink{})
 				}
 				go func() {
 					time.Sleep(100 * time.Millisecond)
 					_, _ = generate("c2")
 				}()
 				summary, err := generate("c1")
-				took := time.Since(start) - plain
+				took := time.Since(start) - undisturbed
 				t.Logf("the dead connection cost %s", took)
 				if err != nil || summary.Tokens != tokens || summary.Attempts != 2 || took > tt.bound {
 					t.Errorf("%v, %+v, cost %s, bound %s", err, summary, took, tt.bound)
@@ -351,20 +351,20 @@
 	}
 }
 
-func (b *busy) AttemptFinished(time.Time, *garnetworks.CallRequest, garnetworks.GroupID, garnetworks.AttemptResult) {
+func (b *busyEngine) AttemptFinished(time.Time, *garnetworks.CallRequest, garnetworks.GroupID, garnetworks.AttemptResult) {
 }
 
 // zones is eight groups in eight zones; calls go round. Zone 0 goes dark at a
 // time, and the chooser does not learn of it.
-type zones struct {
-	busy
+type eightZones struct {
+	busyEngine
 	mu       sync.Mutex
 	next     int
-	dark     context.Context
+	outage   context.Context
 	attempts int
 }
 
-func (z *zones) Choose(_ time.Time, _ *garnetworks.CallRequest, tried []garnetworks.GroupID) (garnetworks.GroupView, error) {
+func (z *eightZones) Choose(_ time.Time, _ *garnetworks.CallRequest, tried []garnetworks.GroupID) (garnetworks.GroupView, error) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	for {
@@ -376,17 +376,17 @@
 	}
 }
 
-func (z *zones) Generate(ctx context.Context, address string, call *garnetworks.EngineCall) (garnetworks.EngineStream, error) {
+func (z *eightZones) Generate(ctx context.Context, address string, call *garnetworks.EngineCall) (garnetworks.EngineStream, error) {
 	z.mu.Lock()
 	z.attempts++
 	z.mu.Unlock()
-	if address == "g0" && z.dark.Err() != nil {
+	if address == "g0" && z.outage.Err() != nil {
 		return nil, &garnetworks.AttemptError{Phase: garnetworks.PhaseConnect}
 	}
 	if address == "g0" {
-		ctx = z.dark
+		ctx = z.outage
 	}
-	return z.busy.Generate(ctx, address, call)
+	return z.busyEngine.Generate(ctx, address, call)
 }
 
 // One of eight zones goes dark under the load of a node of the design size: 15
@@ -394,14 +394,14 @@
 // a storm, and the broken streams must go on elsewhere.
 func TestZoneLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		z := &zones{}
-		z.after = -1
-		var darken context.CancelFunc
-		z.dark, darken = context.WithCancel(context.Background())
+		z := &eightZones{}
+		z.stallAfter = -1
+		var startOutage context.CancelFunc
+		z.outage, startOutage = context.WithCancel(context.Background())
 		f := New(Options{Engines: z, Groups: z, Prober: z})
 		const perSecond, seconds, tokens = 15, 40, 330
 		var running sync.WaitGroup
-		var whole, inFlight atomic.Int64
+		var completed, inFlight atomic.Int64
 		var longest time.Duration
 		for i := range perSecond * seconds {
 			running.Go(func() {
@@ -410,8 +410,8 @@
 				call.MaxTokens = tokens
 				inFlight.Add(1)
 				defer inFlight.Add(-1)
-				if _, err := f.Generate(context.Background(), call, &stuckSink{}); err == nil {
-					whole.Add(1)
+				if _, err := f.Generate(context.Background(), call, &stallingSink{}); err == nil {
+					completed.Add(1)
 				}
 				z.mu.Lock()
 				defer z.mu.Unlock()
@@ -420,13 +420,13 @@
 		}
 		time.Sleep(20 * time.Second)
 		before := inFlight.Load()
-		darken()
+		startOutage()
 		running.Wait()
 		calls := perSecond * seconds
 		delay := longest - tokens*40*time.Millisecond
-		t.Logf("%d in flight at the loss, %d of %d whole, %d retries, longest delay %s", before, whole.Load(), calls, z.attempts-calls, delay)
-		if int(whole.Load()) != calls || delay > f.options.Timeouts.ResumeWait+time.Second {
-			t.Errorf("%d of %d are whole, longest delay %s", whole.Load(), calls, delay)
+		t.Logf("%d in flight at the loss, %d of %d whole, %d retries, longest delay %s", before, completed.Load(), calls, z.attempts-calls, delay)
+		if int(completed.Load()) != calls || delay > f.options.Timeouts.ResumeWait+time.Second {
+			t.Errorf("%d of %d are whole, longest delay %s", completed.Load(), calls, delay)
 		}
 	})
 }
--- a/forwarder/hold_test.go
+++ b/forwarder/hold_test.go
@@ -14,47 +14,47 @@
 
 // crashing is engines that end under each call with a certain prompt, and are back at once
 // under another token.
-type crashing struct {
-	quick
-	ended int
+type crashingEngines struct {
+	fastEngine
+	crashes int
 }
 
-func (c *crashing) Choose(_ time.Time, _ *garnetworks.CallRequest, tried []garnetworks.GroupID) (garnetworks.GroupView, error) {
+func (c *crashingEngines) Choose(_ time.Time, _ *garnetworks.CallRequest, tried []garnetworks.GroupID) (garnetworks.GroupView, error) {
 	for n := range 8 {
 		if id := garnetworks.GroupID(fmt.Sprint("g", n)); !slices.Contains(tried, id) {
-			return garnetworks.GroupView{ID: id, Token: garnetworks.FencingToken(1 + c.ended), Members: []garnetworks.InstanceID{"i"}}, nil
+			return garnetworks.GroupView{ID: id, Token: garnetworks.FencingToken(1 + c.crashes), Members: []garnetworks.InstanceID{"i"}}, nil
 		}
 	}
 	return garnetworks.GroupView{}, garnetworks.Errorf(garnetworks.KindNoGroup, "none is left")
 }
 
-func (c *crashing) Generate(ctx context.Context, address string, call *garnetworks.EngineCall) (garnetworks.EngineStream, error) {
+func (c *crashingEngines) Generate(ctx context.Context, address string, call *garnetworks.EngineCall) (garnetworks.EngineStream, error) {
 	if call.Prompt == "crash" {
-		c.ended++
+		c.crashes++
 		return nil, &garnetworks.AttemptError{Phase: garnetworks.PhaseWait}
 	}
 	c.sent = 0
-	return c.quick.Generate(ctx, address, call)
+	return c.fastEngine.Generate(ctx, address, call)
 }
 
 // A call ended each engine that began to run it, and each copy of it ended as many as a
 // call has attempts, three, since nothing remembered the copies before it.
-func TestCallThatEndsEnginesReachesThree(t *testing.T) {
+func TestCrashingCallReachesThreeEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &crashing{}
+		c := &crashingEngines{}
 		quarantine := quarantiner.New(quarantiner.Options{
 			Probe: func(context.Context, garnetworks.Incarnation, bool) garnetworks.CrashState {
 				return garnetworks.CrashProven
 			},
-			Objects: nowhere{}, Reads: func() bool { return false },
+			Objects: unavailableObjects{}, Reads: func() bool { return false },
 		})
 		ctx, stop := context.WithCancel(t.Context())
 		go func() { _ = quarantine.Run(ctx) }()
 		f := New(Options{Engines: c, Groups: c, Quarantine: quarantine})
 		generate := func(prompt string) error {
 			call := callFor(time.Minute)
-			call.Prompt, call.MaxTokens = prompt, quickTokens
-			_, err := f.Generate(t.Context(), call, &stuckSink{})
+			call.Prompt, call.MaxTokens = prompt, fastTokens
+			_, err := f.Generate(t.Context(), call, &stallingSink{})
 			time.Sleep(time.Second)
 			return err
 		}
@@ -64,8 +64,8 @@
 				t.Errorf("copy %d ended with %v", n, err)
 			}
 		}
-		if c.ended != quarantiner.CrashThreshold {
-			t.Errorf("%d engines ended, want %d", c.ended, quarantiner.CrashThreshold)
+		if c.crashes != quarantiner.CrashThreshold {
+			t.Errorf("%d engines ended, want %d", c.crashes, quarantiner.CrashThreshold)
 		}
 		if err := generate("sound"); garnetworks.IsKind(err, garnetworks.KindCallQuarantined) {
 			t.Errorf("a sound call ended with %v", err)
@@ -76,8 +76,8 @@
 }
 
 // nowhere is an object API that can't be reached.
-type nowhere struct{ garnetworks.ObjectAPI }
+type unavailableObjects struct{ garnetworks.ObjectAPI }
 
-func (nowhere) Get(context.Context, string) (garnetworks.Object, error) {
+func (unavailableObjects) Get(context.Context, string) (garnetworks.Object, error) {
 	return garnetworks.Object{}, garnetworks.Errorf(garnetworks.KindObjectAPIDown, "nowhere")
 }
--- a/forwarder/model.go
+++ b/forwarder/model.go
@@ -42,7 +42,7 @@
 
 // backoff is the least pause before a broken stream asks again for a retry or for
 // a group; the most is twice that.
-const backoff = 50 * time.Millisecond
+const resumeBackoff = 50 * time.Millisecond
 
 // modelCall is one call to a model. Its fields belong to the goroutine that
 // runs the attempts.
@@ -58,7 +58,7 @@
 	// another one.
 	tried []garnetworks.GroupID
 	// last is the last attempt's failure.
-	last *failure
+	lastFailure *failure
 }
 
 // failure is how an attempt failed.
@@ -69,7 +69,7 @@
 	// timedOut says that the watchdog ended the attempt.
 	timedOut bool
 	// connectionOnly says that the group itself is fit for another attempt.
-	connectionOnly bool
+	connectionStalled bool
 	// refusal is the kind of the server's answer; with phases other than refused
 	// it means nothing.
 	refusal garnetworks.Kind
@@ -79,7 +79,7 @@
 // error means that the answer is not whole, whatever the sink has taken; its
 // kind says what is known of the call.
 func (f *Forwarder) Generate(ctx context.Context, call *garnetworks.CallRequest, sink Sink) (Summary, error) {
-	f.countCall()
+	f.recordCall()
 	ctx, cancelDeadline := context.WithDeadline(ctx, call.Deadline)
 	defer cancelDeadline()
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -98,16 +98,16 @@
 		m.ring.close()
 		result <- err
 	})
-	gone := m.deliver(sink)
-	if gone != nil {
-		cancel(gone)
+	sinkErr := m.deliver(sink)
+	if sinkErr != nil {
+		cancel(sinkErr)
 	}
 	err := <-result
-	if gone != nil {
-		err = garnetworks.WrapError(garnetworks.KindCancelled, gone, "the caller went away")
+	if sinkErr != nil {
+		err = garnetworks.WrapError(garnetworks.KindCancelled, sinkErr, "the caller went away")
 	}
 	m.summary.Tokens = m.transcript.tokens
-	f.ended(call.ID, m.summary.Group, "", err)
+	f.recordFailure(call.ID, m.summary.Group, "", err)
 	return m.summary, err
 }
 
@@ -117,18 +117,18 @@
 	parts := make([]Part, 0, BufferParts)
 	idle := time.NewTimer(m.options.Timeouts.Idle)
 	defer idle.Stop()
-	lastIdle := time.Now()
+	lastWrite := time.Now()
 	for {
 		select {
 		case <-m.ring.ready:
 		case <-idle.C:
-			if time.Since(lastIdle) >= m.options.Timeouts.Idle {
+			if time.Since(lastWrite) >= m.options.Timeouts.Idle {
 				if err := sink.Idle(); err != nil {
 					return err
 				}
-				lastIdle = time.Now()
+				lastWrite = time.Now()
 			}
-			idle.Reset(m.options.Timeouts.Idle - time.Since(lastIdle))
+			idle.Reset(m.options.Timeouts.Idle - time.Since(lastWrite))
 			continue
 		}
 		var open bool
@@ -139,7 +139,7 @@
 		if !open {
 			return nil
 		}
-		lastIdle = time.Now()
+		lastWrite = time.Now()
 	}
 }
 
@@ -158,24 +158,24 @@
 // run makes attempts until the answer is whole or the call is given up.
 func (m *modelCall) run(ctx context.Context) error {
 	for {
-		if err := m.heldBack(ctx, m.content); err != nil {
-			return m.giveUp(ctx, err)
+		if err := m.checkQuarantine(ctx, m.content); err != nil {
+			return m.callError(ctx, err)
 		}
-		group, err := m.choose(ctx)
+		group, err := m.chooseGroup(ctx)
 		if err != nil {
-			return m.giveUp(ctx, err)
+			return m.callError(ctx, err)
 		}
-		m.last = m.attempt(ctx, &group)
-		m.tellEnd(ctx, m.content, lifeOf(&group), m.last)
-		if m.last == nil {
+		m.lastFailure = m.attempt(ctx, &group)
+		m.reportToQuarantine(ctx, m.content, headIncarnation(&group), m.lastFailure)
+		if m.lastFailure == nil {
 			return nil
 		}
 		delivered := m.transcript.tokens > 0
-		verdict := m.history.RecordFailure(retrier.Failure{Phase: m.last.phase, Refusal: m.last.refusal, Delivered: delivered})
-		if ctx.Err() != nil || m.last.cause == errSlowCaller || !verdict.Retry || !m.mayRetry(ctx, verdict) {
-			return m.giveUp(ctx, m.last.cause)
+		decision := m.history.RecordFailure(retrier.Failure{Phase: m.lastFailure.phase, Refusal: m.lastFailure.refusal, Delivered: delivered})
+		if ctx.Err() != nil || m.lastFailure.cause == errSlowCaller || !decision.Retry || !m.awaitRetry(ctx, decision) {
+			return m.callError(ctx, m.lastFailure.cause)
 		}
-		if !m.last.connectionOnly {
+		if !m.lastFailure.connectionStalled {
 			m.tried = append(m.tried, group.ID)
 		}
 	}
@@ -186,16 +186,16 @@
 // Failure: the loss of a zone breaks a share of all streams at one moment. They
 // must not all be resumed at once, and need not be given up either: each waits
 // for its turn in the budget, within a bound.
-func (m *modelCall) mayRetry(ctx context.Context, verdict retrier.Decision) bool {
-	if verdict.Free {
+func (m *modelCall) awaitRetry(ctx context.Context, decision retrier.Decision) bool {
+	if decision.Free {
 		return true
 	}
-	until := time.Now().Add(m.options.Timeouts.ResumeWait)
+	deadline := time.Now().Add(m.options.Timeouts.ResumeWait)
 	for !m.takeRetry() {
-		if !verdict.Resume || time.Now().After(until) {
+		if !decision.Resume || time.Now().After(deadline) {
 			return false
 		}
-		if !m.pause(ctx) {
+		if !m.backOff(ctx) {
 			return false
 		}
 	}
@@ -204,7 +204,7 @@
 
 // choose returns the group of the next attempt. If no untried one is left, a
 // broken stream is resumed on one that was tried.
-func (m *modelCall) choose(ctx context.Context) (garnetworks.GroupView, error) {
+func (m *modelCall) chooseGroup(ctx context.Context) (garnetworks.GroupView, error) {
 	now := time.Now()
 	if ctx.Err() != nil {
 		return garnetworks.GroupView{}, context.Cause(ctx)
@@ -218,7 +218,7 @@
 	if err == nil || m.transcript.tokens == 0 {
 		return group, err
 	}
-	return m.chooseAgain(ctx)
+	return m.chooseAnyGroup(ctx)
 }
 
 // chooseAgain looks for any group to resume a broken stream on, tried or not,
@@ -227,21 +227,21 @@
 // Failure: the model's only group is lost, or a lost probe takes away its
 // confirmation for a moment. Most of the answer is with the caller already;
 // ended now, it would be generated again from its start.
-func (m *modelCall) chooseAgain(ctx context.Context) (garnetworks.GroupView, error) {
-	until := time.Now().Add(m.options.Timeouts.ResumeWait)
+func (m *modelCall) chooseAnyGroup(ctx context.Context) (garnetworks.GroupView, error) {
+	deadline := time.Now().Add(m.options.Timeouts.ResumeWait)
 	for {
 		now := time.Now()
 		group, err := m.options.Groups.Choose(now, m.call, nil)
-		if err == nil || now.After(until) || !m.pause(ctx) {
+		if err == nil || now.After(deadline) || !m.backOff(ctx) {
 			return group, err
 		}
 	}
 }
 
 // pause waits for a moment, and reports whether the call goes on.
-func (m *modelCall) pause(ctx context.Context) bool {
+func (m *modelCall) backOff(ctx context.Context) bool {
 	select {
-	case <-time.After(backoff + rand.N(backoff)):
+	case <-time.After(resumeBackoff + rand.N(resumeBackoff)):
 		return true
 	case <-ctx.Done():
 		return false
@@ -251,10 +251,10 @@
 // attempt runs one attempt and returns nil if the answer is whole.
 func (m *modelCall) attempt(ctx context.Context, group *garnetworks.GroupView) *failure {
 	started := time.Now()
-	before := m.transcript.tokens
+	delivered := m.transcript.tokens
 	m.summary.Attempts++
 	m.summary.Group = group.ID
-	if before > 0 {
+	if delivered > 0 {
 		m.summary.Resumed++
 	}
 	attemptCtx, cancel := context.WithCancelCause(ctx)
@@ -264,44 +264,44 @@
 		Attempt:     attemptID(m.call.ID, m.summary.Attempts),
 		Group:       group.ID,
 		Token:       group.Token,
-		ResumeFrom:  before,
+		ResumeFrom:  delivered,
 		Delivered:   string(m.transcript.text),
 	}
 	m.options.Groups.AttemptStarted(started, m.call, group.ID)
-	dog := m.watch(attemptCtx, cancel, group, m.call)
+	wd := m.watch(attemptCtx, cancel, group, m.call)
 	result := garnetworks.AttemptResult{Phase: garnetworks.PhaseDone}
-	err := guard(func() error { return m.stream(attemptCtx, group, call, dog, &result) })
-	dog.stop()
-	result.Tokens = m.transcript.tokens - before
-	var fail *failure
+	err := recoverPanic(func() error { return m.readStream(attemptCtx, group, call, wd, &result) })
+	wd.stop()
+	result.Tokens = m.transcript.tokens - delivered
+	var failed *failure
 	if err != nil {
-		fail = classify(attemptCtx, err)
-		result.Phase = fail.phase
-		if fail.cause == errEngineLost {
+		failed = classify(attemptCtx, err)
+		result.Phase = failed.phase
+		if failed.cause == errEngineLost {
 			// What became of the call stays open, but the chooser learns that a new
 			// connection does not reach the engine now.
 			result.Phase = garnetworks.PhaseConnect
 		}
-		result.Stalled = fail.connectionOnly
-		result.StaleToken = fail.refusal == garnetworks.KindStaleToken
-		result.Leaving = fail.refusal == garnetworks.KindShuttingDown
+		result.Stalled = failed.connectionStalled
+		result.StaleToken = failed.refusal == garnetworks.KindStaleToken
+		result.Leaving = failed.refusal == garnetworks.KindShuttingDown
 		result.Cancelled = cancelled(ctx) || errors.Is(err, errSlowCaller)
 	}
 	now := time.Now()
 	result.Elapsed = now.Sub(started)
 	m.options.Groups.AttemptFinished(now, m.call, group.ID, result)
-	return fail
+	return failed
 }
 
 // stream reads one attempt's answer into the ring.
-func (m *modelCall) stream(ctx context.Context, group *garnetworks.GroupView, call *garnetworks.EngineCall, dog *watchdog, result *garnetworks.AttemptResult) error {
+func (m *modelCall) readStream(ctx context.Context, group *garnetworks.GroupView, call *garnetworks.EngineCall, wd *watchdog, result *garnetworks.AttemptResult) error {
 	stream, err := m.options.Engines.Generate(ctx, group.Address, call)
 	if err != nil {
 		return err
 	}
 	// Closing an attempt that is not whole cancels it at the engine (rule F6).
 	defer stream.Close()
-	m.transcript.begin()
+	m.transcript.beginAttempt()
 	var chunk garnetworks.Chunk
 	for {
 		chunk = garnetworks.Chunk{}
@@ -316,19 +316,19 @@
 				Cause: errors.Errorf("the answer echoes attempt %q", chunk.Attempt),
 			}
 		}
-		dog.progress(chunk.Tokens)
-		m.note(group, &chunk, dog, result)
-		if err := m.pass(ctx, &chunk, dog); err != nil {
+		wd.recordProgress(chunk.Tokens)
+		m.recordChunk(group, &chunk, wd, result)
+		if err := m.enqueue(ctx, &chunk, wd); err != nil {
 			return err
 		}
 		if chunk.End {
-			return m.end(&chunk)
+			return m.finish(&chunk)
 		}
 	}
 }
 
 // note takes the load and the time of the first token.
-func (m *modelCall) note(group *garnetworks.GroupView, chunk *garnetworks.Chunk, dog *watchdog, result *garnetworks.AttemptResult) {
+func (m *modelCall) recordChunk(group *garnetworks.GroupView, chunk *garnetworks.Chunk, wd *watchdog, result *garnetworks.AttemptResult) {
 	if load, ok := chunk.Load.Get(); ok {
 		m.options.Groups.ReportLoad(time.Now(), group.ID, load)
 	}
@@ -336,7 +336,7 @@
 		return
 	}
 	if result.FirstToken == 0 {
-		result.FirstToken = max(time.Since(dog.base), 1)
+		result.FirstToken = max(time.Since(wd.started), 1)
 	}
 	if m.summary.FirstToken == 0 {
 		m.summary.FirstToken = max(time.Since(m.call.Received), 1)
@@ -344,24 +344,24 @@
 }
 
 // pass puts what is new of the chunk into the ring.
-func (m *modelCall) pass(ctx context.Context, chunk *garnetworks.Chunk, dog *watchdog) error {
-	part, err := m.transcript.take(chunk)
+func (m *modelCall) enqueue(ctx context.Context, chunk *garnetworks.Chunk, wd *watchdog) error {
+	part, err := m.transcript.accept(chunk)
 	if err != nil {
 		return &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: err}
 	}
 	if part.Tokens == 0 && part.Text == "" {
 		return nil
 	}
-	if m.ring.offer(part) {
+	if m.ring.tryPush(part) {
 		return nil
 	}
-	dog.pause()
-	defer dog.resume()
+	wd.pause()
+	defer wd.resume()
 	return m.ring.push(ctx, part, m.options.Timeouts.SlowCaller)
 }
 
 // end checks the end marker (rule F2).
-func (m *modelCall) end(chunk *garnetworks.Chunk) error {
+func (m *modelCall) finish(chunk *garnetworks.Chunk) error {
 	if chunk.FinishReason == finishError {
 		return &garnetworks.AttemptError{
 			Phase: garnetworks.PhaseBody,
@@ -371,7 +371,7 @@
 	// Failure: a resumed attempt ends before it has come to the point where the
 	// first one broke off. Its end marker is another text's.
 	if chunk.Index+chunk.Tokens < m.transcript.tokens {
-		return &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: errContradiction}
+		return &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: errContradictingChunk}
 	}
 	m.summary.FinishReason = chunk.FinishReason
 	return nil
@@ -387,26 +387,26 @@
 
 // classify turns an attempt's error into a failure.
 func classify(ctx context.Context, err error) *failure {
-	fail := &failure{phase: garnetworks.PhaseWait, cause: err}
+	failed := &failure{phase: garnetworks.PhaseWait, cause: err}
 	var attempt *garnetworks.AttemptError
 	if errors.As(err, &attempt) {
-		fail.phase = attempt.Phase
-		fail.retryAfter = attempt.RetryAfter
-		fail.timedOut = attempt.Stalled
-		fail.connectionOnly = attempt.Stalled
+		failed.phase = attempt.Phase
+		failed.retryAfter = attempt.RetryAfter
+		failed.timedOut = attempt.Stalled
+		failed.connectionStalled = attempt.Stalled
 	}
 	// Failure: an adapter reports the end of an answer that had no end marker as
 	// done. No error is PhaseDone.
-	if fail.phase == garnetworks.PhaseDone {
-		fail.phase = garnetworks.PhaseBody
+	if failed.phase == garnetworks.PhaseDone {
+		failed.phase = garnetworks.PhaseBody
 	}
-	if cause := endedByWatchdog(ctx); cause != nil {
-		fail.cause = cause
-		fail.timedOut = true
-		fail.connectionOnly = cause == errSilent
+	if cause := watchdogCause(ctx); cause != nil {
+		failed.cause = cause
+		failed.timedOut = true
+		failed.connectionStalled = cause == errConnectionStalled
 	}
-	fail.refusal = garnetworks.KindOf(err)
-	return fail
+	failed.refusal = garnetworks.KindOf(err)
+	return failed
 }
 
 // cancelled reports whether the call was ended from outside by something else
@@ -417,41 +417,41 @@
 
 // giveUp returns the call's error. It is of a kind whose outcome is no stronger
 // than what the attempts have shown (rule R3).
-func (m *modelCall) giveUp(ctx context.Context, cause error) error {
+func (m *modelCall) callError(ctx context.Context, cause error) error {
 	if errors.Is(cause, errSlowCaller) {
 		return garnetworks.WrapError(garnetworks.KindCancelled, cause, "the call was ended")
 	}
 	if ctx.Err() != nil {
-		return m.stopped(context.Cause(ctx))
+		return m.contextError(context.Cause(ctx))
 	}
 	if m.transcript.tokens > 0 {
 		return garnetworks.WrapError(garnetworks.KindStreamBroken, cause, "the answer broke off and could not be resumed")
 	}
-	return endError(&m.history, m.last, cause)
+	return attemptsFailedError(&m.history, m.lastFailure, cause)
 }
 
 // stopped returns the error of a call that was ended from outside.
-func (m *modelCall) stopped(cause error) error {
+func (m *modelCall) contextError(cause error) error {
 	switch {
 	case errors.Is(cause, context.Canceled):
 		return garnetworks.WrapError(garnetworks.KindCancelled, cause, "the caller cancelled the call")
 	case m.transcript.tokens > 0:
 		return garnetworks.WrapError(garnetworks.KindStreamBroken, cause, "the answer was cut off")
 	}
-	return stoppedError(&m.history, cause)
+	return contextEndError(&m.history, cause)
 }
 
 // stoppedError returns the error of a call without an answer that was ended from
 // outside: by its deadline or by the end of the node's grace period.
-func stoppedError(history *retrier.History, cause error) error {
-	ran := history.Outcome() != garnetworks.OutcomeNotRun
+func contextEndError(history *retrier.History, cause error) error {
+	mayHaveRun := history.Outcome() != garnetworks.OutcomeNotRun
 	graceEnded := errors.Is(cause, ErrGraceEnded)
 	switch {
-	case graceEnded && ran:
+	case graceEnded && mayHaveRun:
 		return garnetworks.WrapError(garnetworks.KindBackendLost, cause, "the node stopped before the answer came")
 	case graceEnded:
 		return garnetworks.WrapError(garnetworks.KindShuttingDown, cause, "the node stopped before the call was sent")
-	case ran:
+	case mayHaveRun:
 		return garnetworks.WrapError(garnetworks.KindBackendTimeout, cause, "the deadline passed before the answer came")
 	}
 	return garnetworks.WrapError(garnetworks.KindDeadlineUnreachable, cause, "the deadline passed before the call was sent")
@@ -459,7 +459,7 @@
 
 // endError returns the error of a call without an answer whose attempts failed,
 // or that found nobody to send it to.
-func endError(history *retrier.History, last *failure, cause error) error {
+func attemptsFailedError(history *retrier.History, last *failure, cause error) error {
 	if history.Outcome() == garnetworks.OutcomeUnknown {
 		if last != nil && last.timedOut {
 			return garnetworks.WrapError(garnetworks.KindBackendTimeout, cause, "the backend server made no progress")
--- a/forwarder/ring.go
+++ b/forwarder/ring.go
@@ -37,7 +37,7 @@
 }
 
 // offer appends the part if there is room.
-func (r *ring) offer(p Part) bool {
+func (r *ring) tryPush(p Part) bool {
 	r.mu.Lock()
 	full := r.count == BufferParts || (r.count > 0 && r.bytes+len(p.Text) > BufferBytes)
 	if !full {
@@ -54,7 +54,7 @@
 
 // push appends the part, waiting for room up to limit.
 func (r *ring) push(ctx context.Context, p Part, limit time.Duration) error {
-	if r.offer(p) {
+	if r.tryPush(p) {
 		return nil
 	}
 	timer := time.NewTimer(limit)
@@ -67,7 +67,7 @@
 		case <-timer.C:
 			return errSlowCaller
 		}
-		if r.offer(p) {
+		if r.tryPush(p) {
 			return nil
 		}
 	}
--- a/forwarder/service.go
+++ b/forwarder/service.go
@@ -23,12 +23,12 @@
 // serviceCall is one call to a plain service.
 type serviceCall struct {
 	*Forwarder
-	call    *garnetworks.ServiceCall
-	content garnetworks.ContentDigest
-	spec    *garnetworks.ServiceSpec
-	history retrier.History
-	tried   []garnetworks.InstanceID
-	last    *failure
+	call        *garnetworks.ServiceCall
+	content     garnetworks.ContentDigest
+	spec        *garnetworks.ServiceSpec
+	history     retrier.History
+	tried       []garnetworks.InstanceID
+	lastFailure *failure
 	// instance is the server of the last attempt.
 	instance garnetworks.InstanceID
 }
@@ -36,19 +36,19 @@
 // CallService runs the call and returns the service's whole answer, or an error
 // whose kind says what is known of the call.
 func (f *Forwarder) CallService(ctx context.Context, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
-	f.countCall()
+	f.recordCall()
 	s, err := f.newServiceCall(call)
 	if err != nil {
-		f.ended(call.ID, "", "", err)
+		f.recordFailure(call.ID, "", "", err)
 		return garnetworks.ServiceResponse{}, err
 	}
 	if s.history.Repeatability == retrier.Keyed {
-		return s.detached(ctx)
+		return s.runDetached(ctx)
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.spec.Timeout)
 	defer cancel()
 	answer, err := s.run(ctx)
-	f.ended(call.ID, "", s.instance, err)
+	f.recordFailure(call.ID, "", s.instance, err)
 	return answer, err
 }
 
@@ -111,7 +111,7 @@
 // Failure: a caller loses its connection while its call runs, and repeats it
 // with the same key. Had the first call been cut off, nobody could say whether
 // it ran. So it is finished and recorded, and the repetition gets the answer.
-func (s *serviceCall) detached(ctx context.Context) (garnetworks.ServiceResponse, error) {
+func (s *serviceCall) runDetached(ctx context.Context) (garnetworks.ServiceResponse, error) {
 	type result struct {
 		answer garnetworks.ServiceResponse
 		err    error
@@ -126,8 +126,8 @@
 	s.tasks.Run(func() {
 		defer cancel(nil)
 		defer stop()
-		answer, err := s.claimed(detachedCtx)
-		s.ended(s.call.ID, "", s.instance, err)
+		answer, err := s.runClaimed(detachedCtx)
+		s.recordFailure(s.call.ID, "", s.instance, err)
 		results <- result{answer, err}
 	})
 	select {
@@ -144,7 +144,7 @@
 }
 
 // claimed runs a keyed call under its claim (rule F7).
-func (s *serviceCall) claimed(ctx context.Context) (garnetworks.ServiceResponse, error) {
+func (s *serviceCall) runClaimed(ctx context.Context) (garnetworks.ServiceResponse, error) {
 	claimed, err := s.claim(ctx)
 	if err != nil {
 		return garnetworks.ServiceResponse{}, err
@@ -152,7 +152,7 @@
 	if recorded, ok := claimed.Recorded.Get(); ok {
 		return recorded, nil
 	}
-	answer, err := s.underClaim(ctx, claimed.Claim)
+	answer, err := s.runUnderClaim(ctx, claimed.Claim)
 	if err != nil {
 		s.abandon(ctx, claimed.Claim, s.history.Outcome())
 		return garnetworks.ServiceResponse{}, err
@@ -193,7 +193,7 @@
 	}
 }
 
-func (s *serviceCall) underClaim(ctx context.Context, claim garnetworks.Claim) (garnetworks.ServiceResponse, error) {
+func (s *serviceCall) runUnderClaim(ctx context.Context, claim garnetworks.Claim) (garnetworks.ServiceResponse, error) {
 	// Failure: the node is paused between claiming and forwarding, until after
 	// others have begun to answer "unknown" for the key. Running the call now
 	// would still be the first time, but nobody would wait for it any more.
@@ -220,24 +220,24 @@
 // while the recording goes on: the answer is true, and a store that is down must
 // not hold it back.
 func (s *serviceCall) record(ctx context.Context, claim garnetworks.Claim, answer *garnetworks.ServiceResponse) {
-	recorded := make(chan struct{})
-	kept := *answer
+	done := make(chan struct{})
+	recordedAnswer := *answer
 	s.tasks.Run(func() {
-		defer close(recorded)
-		s.keepRecording(context.WithoutCancel(ctx), claim, &kept)
+		defer close(done)
+		s.complete(context.WithoutCancel(ctx), claim, &recordedAnswer)
 	})
 	wait := time.NewTimer(s.options.Timeouts.RecordWait)
 	defer wait.Stop()
 	select {
-	case <-recorded:
+	case <-done:
 	case <-wait.C:
 	}
 }
 
-func (s *serviceCall) keepRecording(ctx context.Context, claim garnetworks.Claim, answer *garnetworks.ServiceResponse) {
+func (s *serviceCall) complete(ctx context.Context, claim garnetworks.Claim, answer *garnetworks.ServiceResponse) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.Timeouts.Record)
 	defer cancel()
-	err := s.persist(ctx, func() error { return s.options.Claims.Complete(ctx, claim, answer) })
+	err := s.retryWhileUnavailable(ctx, func() error { return s.options.Claims.Complete(ctx, claim, answer) })
 	if err == nil || ctx.Err() != nil {
 		return
 	}
@@ -254,12 +254,12 @@
 		defer cancel()
 		// If this never succeeds, the claim ends at Until as unknown, which is
 		// weaker than "not run" and as true.
-		_ = s.persist(ctx, func() error { return s.options.Claims.Abandon(ctx, claim, outcome) })
+		_ = s.retryWhileUnavailable(ctx, func() error { return s.options.Claims.Abandon(ctx, claim, outcome) })
 	})
 }
 
 // persist repeats write while the store is away.
-func (s *serviceCall) persist(ctx context.Context, write func() error) error {
+func (s *serviceCall) retryWhileUnavailable(ctx context.Context, write func() error) error {
 	for {
 		err := write()
 		if !garnetworks.IsKind(err, garnetworks.KindClaimsUnavailable, garnetworks.KindObjectAPIDown,
@@ -278,29 +278,29 @@
 func (s *serviceCall) run(ctx context.Context) (garnetworks.ServiceResponse, error) {
 	for {
 		if ctx.Err() != nil {
-			return garnetworks.ServiceResponse{}, s.stopped(ctx)
+			return garnetworks.ServiceResponse{}, s.contextError(ctx)
 		}
-		if err := s.heldBack(ctx, s.content); err != nil {
-			return garnetworks.ServiceResponse{}, endError(&s.history, s.last, err)
+		if err := s.checkQuarantine(ctx, s.content); err != nil {
+			return garnetworks.ServiceResponse{}, attemptsFailedError(&s.history, s.lastFailure, err)
 		}
-		server, err := s.choose()
+		server, err := s.chooseServer()
 		if err != nil {
-			return garnetworks.ServiceResponse{}, endError(&s.history, s.last, err)
+			return garnetworks.ServiceResponse{}, attemptsFailedError(&s.history, s.lastFailure, err)
 		}
 		var answer garnetworks.ServiceResponse
-		attemptCtx, cancel := s.bound(ctx)
-		answer, s.last = s.attempt(attemptCtx, &server)
+		attemptCtx, cancel := s.attemptContext(ctx)
+		answer, s.lastFailure = s.attempt(attemptCtx, &server)
 		cancel()
-		s.tellEnd(ctx, s.content, garnetworks.Incarnation{Instance: server.Instance}, s.last)
-		if s.last == nil {
+		s.reportToQuarantine(ctx, s.content, garnetworks.Incarnation{Instance: server.Instance}, s.lastFailure)
+		if s.lastFailure == nil {
 			return answer, nil
 		}
-		verdict := s.history.RecordFailure(retrier.Failure{Phase: s.last.phase, Refusal: s.last.refusal})
+		decision := s.history.RecordFailure(retrier.Failure{Phase: s.lastFailure.phase, Refusal: s.lastFailure.refusal})
 		if ctx.Err() != nil {
-			return garnetworks.ServiceResponse{}, s.stopped(ctx)
+			return garnetworks.ServiceResponse{}, s.contextError(ctx)
 		}
-		if !verdict.Retry || (!verdict.Free && !s.takeRetry()) {
-			return garnetworks.ServiceResponse{}, endError(&s.history, s.last, s.last.cause)
+		if !decision.Retry || (!decision.Free && !s.takeRetry()) {
+			return garnetworks.ServiceResponse{}, attemptsFailedError(&s.history, s.lastFailure, s.lastFailure.cause)
 		}
 		s.tried = append(s.tried, server.Instance)
 	}
@@ -308,7 +308,7 @@
 
 // choose returns the server of the next attempt. A call that may be repeated goes
 // to one that was tried if there is no other, on a new connection.
-func (s *serviceCall) choose() (garnetworks.ServerView, error) {
+func (s *serviceCall) chooseServer() (garnetworks.ServerView, error) {
 	now := time.Now()
 	server, err := s.options.Servers.ChooseServer(now, s.call.Service, s.tried)
 	if err == nil || len(s.tried) == 0 || s.history.Repeatability != retrier.Repeatable {
@@ -323,7 +323,7 @@
 // shows no progress before its answer, so nothing tells it from a slow one, and
 // the call would wait for its whole time. If it may be repeated, an attempt gets
 // half of the time that is left, and another one the rest.
-func (s *serviceCall) bound(ctx context.Context) (context.Context, context.CancelFunc) {
+func (s *serviceCall) attemptContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
 	last := s.history.Attempts+1 >= s.history.MaxAttempts
 	if !ok || last || s.history.Repeatability != retrier.Repeatable {
@@ -340,7 +340,7 @@
 	call.ID = attemptID(s.call.ID, s.history.Attempts+1)
 	s.options.Servers.ServerCallStarted(started, s.call.Service, server.Instance)
 	var answer garnetworks.ServiceResponse
-	err := guard(func() (err error) {
+	err := recoverPanic(func() (err error) {
 		answer, err = s.options.Services.Call(ctx, server.Address, &call)
 		return err
 	})
@@ -351,25 +351,25 @@
 		}
 	}
 	result := garnetworks.AttemptResult{Phase: garnetworks.PhaseDone}
-	var fail *failure
+	var failed *failure
 	if err != nil {
-		fail = classify(ctx, err)
-		result.Phase = fail.phase
-		result.Stalled = fail.timedOut || errors.Is(ctx.Err(), context.DeadlineExceeded)
-		result.Leaving = fail.refusal == garnetworks.KindShuttingDown
+		failed = classify(ctx, err)
+		result.Phase = failed.phase
+		result.Stalled = failed.timedOut || errors.Is(ctx.Err(), context.DeadlineExceeded)
+		result.Leaving = failed.refusal == garnetworks.KindShuttingDown
 		result.Cancelled = cancelled(ctx)
 	}
 	now := time.Now()
 	result.Elapsed = now.Sub(started)
 	s.options.Servers.ServerCallFinished(now, s.call.Service, server.Instance, result)
 	answer.ID = s.call.ID
-	return answer, fail
+	return answer, failed
 }
 
-func (s *serviceCall) stopped(ctx context.Context) error {
+func (s *serviceCall) contextError(ctx context.Context) error {
 	cause := context.Cause(ctx)
 	if errors.Is(cause, context.Canceled) {
 		return garnetworks.WrapError(garnetworks.KindCancelled, cause, "the caller cancelled the call")
 	}
-	return stoppedError(&s.history, cause)
+	return contextEndError(&s.history, cause)
 }
--- a/forwarder/service_test.go
+++ b/forwarder/service_test.go
@@ -55,7 +55,7 @@
 // long asked another node, which may answer that the outcome is unknown, and the
 // tech has looked the visit up and logged it under a new key. If the first node
 // sends the call all the same when it resumes, the visit is logged twice.
-func TestNoCallAfterTheClaimsEnd(t *testing.T) {
+func TestNoCallAfterClaimEnds(t *testing.T) {
 	tests := map[string]struct {
 		pause time.Duration
 		calls int
--- a/forwarder/silence.go
+++ b/forwarder/silence.go
@@ -17,15 +17,15 @@
 	// errEngineChanged: the engine answers, but is no longer the attempt's.
 	errEngineChanged = errors.New("the engine is no longer in the group of the attempt")
 	// errSilent: the engine works, but nothing comes on the attempt's connection.
-	errSilent = errors.New("the connection went silent while the engine works")
+	errConnectionStalled = errors.New("the connection went silent while the engine works")
 	// errTooSlow: the slow bound is over.
 	errTooSlow = errors.New("the engine made no progress within the slow bound")
 )
 
 // evidence is what is known of an attempt without progress.
-type evidence struct {
+type stallEvidence struct {
 	// begun says that the attempt has brought tokens.
-	begun bool
+	hasToken bool
 	// started is when the attempt began.
 	started time.Time
 	group   garnetworks.GroupID
@@ -63,7 +63,7 @@
 //	    first probe comes at twice the wait of 95 in 100 calls. So early, only S1
 //	    and S2 judge: the engine may not have got to a slow call yet. A second
 //	    probe comes at the bound that suits any engine.
-func judge(e evidence) error {
+func diagnoseStall(e stallEvidence) error {
 	if e.probed && e.probeError != nil {
 		return errEngineLost // S1
 	}
@@ -73,71 +73,71 @@
 	if e.early {
 		return nil // S7
 	}
-	if e.begun && e.othersProgressed {
-		return errSilent // S3
+	if e.hasToken && e.othersProgressed {
+		return errConnectionStalled // S3
 	}
 	load := e.status.Load
 	if !e.probed || load.Waiting > 0 || !load.At.After(e.started) {
 		return nil // S6
 	}
-	if !e.begun && e.overtaken {
-		return errSilent // S4
+	if !e.hasToken && e.overtaken {
+		return errConnectionStalled // S4
 	}
 	if load.Running == 0 {
-		return errSilent // S5
+		return errConnectionStalled // S5
 	}
 	return nil // S6
 }
 
 // pulses know when each group's streams at this node last brought a token, for
 // rule S3.
-type pulses struct {
+type activityTracker struct {
 	mu     sync.Mutex
-	groups map[garnetworks.GroupID]*pulse
+	groups map[garnetworks.GroupID]*groupActivity
 }
 
 // pulse is one group's. It exists while an attempt uses it.
-type pulse struct {
-	users int
+type groupActivity struct {
+	refs int
 	// last is when the newest token came, and begun the start of the youngest
 	// attempt that has its first token, in nanoseconds of the monotonic clock
 	// since Forwarder.start.
-	last  atomic.Int64
-	begun atomic.Int64
+	lastToken   atomic.Int64
+	latestStart atomic.Int64
 }
 
 // begin notes that an attempt which started at the time has its first token.
-func (p *pulse) begin(started int64) {
+func (a *groupActivity) recordFirstToken(started int64) {
 	for {
-		known := p.begun.Load()
-		if known >= started || p.begun.CompareAndSwap(known, started) {
+		known := a.latestStart.Load()
+		if known >= started || a.latestStart.CompareAndSwap(known, started) {
 			return
 		}
 	}
 }
 
-func (p *pulses) join(group garnetworks.GroupID) *pulse {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.groups == nil {
-		p.groups = map[garnetworks.GroupID]*pulse{}
+func (t *activityTracker) acquire(group garnetworks.GroupID) *groupActivity {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.groups == nil {
+		t.groups = map[garnetworks.GroupID]*groupActivity{}
 	}
-	u := p.groups[group]
-	if u == nil {
-		u = &pulse{}
-		p.groups[group] = u
+	a := t.groups[group]
+	if a == nil {
+		a = &groupActivity{}
+		t.groups[group] = a
 	}
-	u.users++
-	return u
+	a.refs++
+	return a
 }
 
-func (p *pulses) leave(group garnetworks.GroupID) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	u := p.groups[group]
-	u.users--
-	if u.users == 0 {
-		delete(p.groups, group)
+func (t *activityTracker) release(group garnetworks.GroupID) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	a := t.groups[group]
+	a.refs--
+	if a.refs == 0 {
+		delete(t.groups, group)
 	}
 }
 
@@ -152,23 +152,23 @@
 	call  garnetworks.CallID
 	model garnetworks.ModelName
 	// ctx is the attempt's; cancel ends it.
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	pulse  *pulse
-	base   time.Time
+	ctx      context.Context
+	cancel   context.CancelCauseFunc
+	activity *groupActivity
+	started  time.Time
 	// offset is base in nanoseconds since Forwarder.start.
-	offset int64
+	startOffset int64
 	// prefill is added to the bound of the first token for the prompt's length.
-	prefill time.Duration
+	prefillAllowance time.Duration
 	// early is the wait for the first token before the first probe (rule S7); 0
 	// if there is no such probe.
-	early time.Duration
+	earlyProbe time.Duration
 
 	// sign and token are the times of the last sign of life and of the last
 	// token, in nanoseconds since base.
-	sign  atomic.Int64
-	token atomic.Int64
-	begun atomic.Bool
+	lastActivity atomic.Int64
+	lastToken    atomic.Int64
+	hasToken     atomic.Bool
 	// paused says that the attempt waits for the caller, not for the engine.
 	paused atomic.Bool
 
@@ -179,8 +179,8 @@
 	// judged is the sign up to which the silence was probed and found slow; -1
 	// before the first probe. It belongs to the holder of checking, as does
 	// judgedEarly, which says that the early probe is done.
-	judged      int64
-	judgedEarly bool
+	probedActivity int64
+	earlyProbeDone bool
 }
 
 // prefillBytesPerSecond is a low estimate of how fast engines read prompts: about
@@ -189,21 +189,21 @@
 
 func (f *Forwarder) watch(ctx context.Context, cancel context.CancelCauseFunc, group *garnetworks.GroupView, call *garnetworks.CallRequest) *watchdog {
 	w := &watchdog{
-		f:       f,
-		group:   group,
-		call:    call.ID,
-		model:   call.Model,
-		ctx:     ctx,
-		cancel:  cancel,
-		pulse:   f.pulses.join(group.ID),
-		base:    time.Now(),
-		prefill: time.Duration(len(call.Prompt)) * time.Second / prefillBytesPerSecond,
-		judged:  -1,
+		f:                f,
+		group:            group,
+		call:             call.ID,
+		model:            call.Model,
+		ctx:              ctx,
+		cancel:           cancel,
+		activity:         f.activity.acquire(group.ID),
+		started:          time.Now(),
+		prefillAllowance: time.Duration(len(call.Prompt)) * time.Second / prefillBytesPerSecond,
+		probedActivity:   -1,
 	}
-	w.offset = int64(w.base.Sub(f.start))
-	first := f.options.Timeouts.FirstToken + w.prefill
-	if early, ok := f.usual.early(call.Model, w.prefill); ok && early < first && f.options.Prober != nil {
-		w.early = early
+	w.startOffset = int64(w.started.Sub(f.start))
+	first := f.options.Timeouts.FirstToken + w.prefillAllowance
+	if early, ok := f.firstTokens.earlyProbe(call.Model, w.prefillAllowance); ok && early < first && f.options.Prober != nil {
+		w.earlyProbe = early
 		first = early
 	}
 	// The timer's goroutine reads w.timer, so it is set before the timer runs.
@@ -218,24 +218,24 @@
 
 func (w *watchdog) stop() {
 	w.timer.Stop()
-	w.f.pulses.leave(w.group.ID)
+	w.f.activity.release(w.group.ID)
 }
 
 // progress notes a chunk with the given number of tokens.
-func (w *watchdog) progress(tokens int) {
-	elapsed := int64(time.Since(w.base))
-	w.sign.Store(elapsed)
+func (w *watchdog) recordProgress(tokens int) {
+	elapsed := int64(time.Since(w.started))
+	w.lastActivity.Store(elapsed)
 	if tokens == 0 {
 		return
 	}
-	w.token.Store(elapsed)
-	w.pulse.last.Store(w.offset + elapsed)
-	if !w.begun.Load() {
-		w.pulse.begin(w.offset)
-		w.f.usual.took(w.model, time.Duration(elapsed))
+	w.lastToken.Store(elapsed)
+	w.activity.lastToken.Store(w.startOffset + elapsed)
+	if !w.hasToken.Load() {
+		w.activity.recordFirstToken(w.startOffset)
+		w.f.firstTokens.record(w.model, time.Duration(elapsed))
 		// From here on the shorter bound holds, and the timer still runs for the
 		// longer one.
-		w.begun.Store(true)
+		w.hasToken.Store(true)
 		w.timer.Reset(w.f.options.Timeouts.BetweenTokens)
 	}
 }
@@ -244,22 +244,22 @@
 func (w *watchdog) pause() { w.paused.Store(true) }
 
 func (w *watchdog) resume() {
-	elapsed := int64(time.Since(w.base))
-	w.sign.Store(elapsed)
-	w.token.Store(elapsed)
+	elapsed := int64(time.Since(w.started))
+	w.lastActivity.Store(elapsed)
+	w.lastToken.Store(elapsed)
 	w.paused.Store(false)
 }
 
 // limits returns the bounds that hold now.
-func (w *watchdog) limits() (quiet, slow time.Duration) {
+func (w *watchdog) timeouts() (silence, slow time.Duration) {
 	t := &w.f.options.Timeouts
-	if w.begun.Load() {
+	if w.hasToken.Load() {
 		return t.BetweenTokens, t.SlowBetweenTokens
 	}
-	if w.early > 0 && !w.judgedEarly {
-		return w.early, t.SlowFirstToken + w.prefill
+	if w.earlyProbe > 0 && !w.earlyProbeDone {
+		return w.earlyProbe, t.SlowFirstToken + w.prefillAllowance
 	}
-	return t.FirstToken + w.prefill, t.SlowFirstToken + w.prefill
+	return t.FirstToken + w.prefillAllowance, t.SlowFirstToken + w.prefillAllowance
 }
 
 // check runs on the timer's goroutine. It looks at the clock in place of a timer
@@ -270,41 +270,41 @@
 	if w.ctx.Err() != nil {
 		return
 	}
-	quietLimit, slowLimit := w.limits()
+	silenceLimit, slowLimit := w.timeouts()
 	if w.paused.Load() {
-		w.timer.Reset(quietLimit)
+		w.timer.Reset(silenceLimit)
 		return
 	}
-	elapsed := time.Since(w.base)
-	sign := w.sign.Load()
-	slow := elapsed - time.Duration(w.token.Load())
-	if slow >= slowLimit {
-		w.end(errTooSlow)
+	elapsed := time.Since(w.started)
+	activity := w.lastActivity.Load()
+	sinceToken := elapsed - time.Duration(w.lastToken.Load())
+	if sinceToken >= slowLimit {
+		w.endAttempt(errTooSlow)
 		return
 	}
-	quiet := elapsed - time.Duration(sign)
-	if quiet < quietLimit {
-		w.timer.Reset(min(quietLimit-quiet, slowLimit-slow))
+	silence := elapsed - time.Duration(activity)
+	if silence < silenceLimit {
+		w.timer.Reset(min(silenceLimit-silence, slowLimit-sinceToken))
 		return
 	}
-	if sign != w.judged {
-		w.probe(sign)
+	if activity != w.probedActivity {
+		w.probe(activity)
 		return
 	}
-	w.timer.Reset(slowLimit - slow)
+	w.timer.Reset(slowLimit - sinceToken)
 }
 
 // probe asks the engine on a new connection and acts on the judgement.
-func (w *watchdog) probe(sign int64) {
-	e := evidence{
-		begun:   w.begun.Load(),
-		started: w.base,
-		group:   w.group.ID,
+func (w *watchdog) probe(activity int64) {
+	e := stallEvidence{
+		hasToken: w.hasToken.Load(),
+		started:  w.started,
+		group:    w.group.ID,
 	}
-	e.early = !e.begun && w.early > 0 && !w.judgedEarly
-	half := (int64(time.Since(w.base)) - sign) / 2
-	e.othersProgressed = w.pulse.last.Load() > w.offset+sign+half
-	e.overtaken = w.pulse.begun.Load() > w.offset
+	e.early = !e.hasToken && w.earlyProbe > 0 && !w.earlyProbeDone
+	half := (int64(time.Since(w.started)) - activity) / 2
+	e.othersProgressed = w.activity.lastToken.Load() > w.startOffset+activity+half
+	e.overtaken = w.activity.latestStart.Load() > w.startOffset
 	if w.f.options.Prober != nil {
 		ctx, cancel := context.WithTimeout(w.ctx, w.f.options.Timeouts.Probe)
 		e.status, e.probeError = w.f.options.Prober.Status(ctx, w.group.Address)
@@ -314,21 +314,21 @@
 	if w.ctx.Err() != nil {
 		return
 	}
-	if w.sign.Load() == sign {
-		if cause := judge(e); cause != nil {
-			w.end(cause)
+	if w.lastActivity.Load() == activity {
+		if cause := diagnoseStall(e); cause != nil {
+			w.endAttempt(cause)
 			return
 		}
 		if e.early {
-			w.judgedEarly = true
+			w.earlyProbeDone = true
 		} else {
-			w.judged = sign
+			w.probedActivity = activity
 		}
 	}
 	w.timer.Reset(time.Nanosecond)
 }
 
-func (w *watchdog) end(cause error) {
+func (w *watchdog) endAttempt(cause error) {
 	w.cancel(cause)
 	w.f.events.Record(garnetworks.Event{
 		Kind:   garnetworks.EventStalledConnection,
@@ -340,10 +340,10 @@
 }
 
 // endedByWatchdog returns the watchdog's cause, or nil.
-func endedByWatchdog(ctx context.Context) error {
+func watchdogCause(ctx context.Context) error {
 	cause := context.Cause(ctx)
 	switch cause {
-	case errEngineLost, errEngineChanged, errSilent, errTooSlow:
+	case errEngineLost, errEngineChanged, errConnectionStalled, errTooSlow:
 		return cause
 	}
 	return nil
--- a/forwarder/transcript.go
+++ b/forwarder/transcript.go
@@ -6,7 +6,7 @@
 )
 
 // errContradiction says that a chunk does not fit what was delivered.
-var errContradiction = errors.New("the chunk contradicts the delivered answer")
+var errContradictingChunk = errors.New("the chunk contradicts the delivered answer")
 
 // MaxAnswerBytes bounds the text of one answer, which a node keeps until its end
 // to be able to resume it.
@@ -21,45 +21,45 @@
 	// text is the delivered text.
 	text []byte
 	// marks remember where the latest chunks began, newest last.
-	marks [markCount]mark
+	starts [maxStarts]position
 	// cursor is the end of the last overlapping chunk of the attempt.
-	cursor mark
+	cursor position
 }
 
 // markCount is the number of chunk starts that an overlap can begin at, besides
 // the start of the answer: engines resume from a checkpoint a few tokens back.
-const markCount = 32
+const maxStarts = 32
 
 // mark pairs a token's index with the offset of its text.
-type mark struct {
+type position struct {
 	index  int
 	offset int
 }
 
 // begin starts a new attempt.
-func (t *transcript) begin() { t.cursor = mark{} }
+func (t *transcript) beginAttempt() { t.cursor = position{} }
 
 // take returns what of the chunk is new. The part is empty for a chunk that
 // repeats delivered tokens or brings none.
-func (t *transcript) take(c *garnetworks.Chunk) (Part, error) {
+func (t *transcript) accept(c *garnetworks.Chunk) (Part, error) {
 	if c.Tokens < 0 || c.Index < 0 || c.Index+c.Tokens > t.maxTokens {
-		return Part{}, errContradiction
+		return Part{}, errContradictingChunk
 	}
 	if c.Tokens == 0 && c.Text == "" {
 		return Part{}, nil
 	}
 	if len(t.text)+len(c.Text) > MaxAnswerBytes {
-		return Part{}, errContradiction
+		return Part{}, errContradictingChunk
 	}
 	switch {
 	case c.Index > t.tokens:
 		// Failure: an engine skips tokens when it resumes; the caller would read
 		// an answer with a hole in it that looks whole.
-		return Part{}, errContradiction
+		return Part{}, errContradictingChunk
 	case c.Index < t.tokens:
 		return t.overlap(c)
 	}
-	return t.add(c.Text, c.Tokens), nil
+	return t.extend(c.Text, c.Tokens), nil
 }
 
 // overlap handles a chunk that begins before the end of what was delivered.
@@ -70,21 +70,21 @@
 func (t *transcript) overlap(c *garnetworks.Chunk) (Part, error) {
 	offset, ok := t.offset(c.Index)
 	if !ok {
-		return Part{}, errContradiction
+		return Part{}, errContradictingChunk
 	}
 	delivered := string(t.text[offset:])
 	end := c.Index + c.Tokens
 	if end <= t.tokens {
 		if len(c.Text) > len(delivered) || delivered[:len(c.Text)] != c.Text {
-			return Part{}, errContradiction
+			return Part{}, errContradictingChunk
 		}
-		t.cursor = mark{index: end, offset: offset + len(c.Text)}
+		t.cursor = position{index: end, offset: offset + len(c.Text)}
 		return Part{}, nil
 	}
 	if len(delivered) > len(c.Text) || c.Text[:len(delivered)] != delivered {
-		return Part{}, errContradiction
+		return Part{}, errContradictingChunk
 	}
-	return t.add(c.Text[len(delivered):], end-t.tokens), nil
+	return t.extend(c.Text[len(delivered):], end-t.tokens), nil
 }
 
 // offset returns where the text of the token begins.
@@ -95,7 +95,7 @@
 	if index == t.cursor.index {
 		return t.cursor.offset, true
 	}
-	for _, m := range t.marks {
+	for _, m := range t.starts {
 		if m.index == index {
 			return m.offset, true
 		}
@@ -103,8 +103,8 @@
 	return 0, false
 }
 
-func (t *transcript) add(text string, tokens int) Part {
-	t.marks[t.tokens%markCount] = mark{index: t.tokens, offset: len(t.text)}
+func (t *transcript) extend(text string, tokens int) Part {
+	t.starts[t.tokens%maxStarts] = position{index: t.tokens, offset: len(t.text)}
 	t.tokens += tokens
 	t.text = append(t.text, text...)
 	return Part{Text: text, Tokens: tokens}
--- a/forwarder/usual.go
+++ b/forwarder/usual.go
@@ -12,10 +12,10 @@
 const (
 	// usualSamples is the number of a model's latest first tokens that count; so
 	// many must be known before any bound follows from them.
-	usualSamples = 64
+	waitSamples = 64
 	// usualFactor is how far above the wait of 95 in 100 calls a wait must be to
 	// be worth a probe.
-	usualFactor = 2
+	earlyProbeFactor = 2
 	// minEarlyProbe is the least wait: a lost packet on the way costs 200 ms.
 	minEarlyProbe = 300 * time.Millisecond
 )
@@ -23,48 +23,48 @@
 // usual knows how long attempts at each model have waited for their first token
 // at this node. It keeps one small record for each model of the manifest. Models,
 // not groups: a node sends a group too few calls to know it.
-type usual struct {
-	mu     sync.Mutex
-	models map[garnetworks.ModelName]*waits
+type firstTokenWaits struct {
+	mu      sync.Mutex
+	byModel map[garnetworks.ModelName]*modelWaits
 }
 
 // waits are the latest waits of one model.
-type waits struct {
-	ring  [usualSamples]time.Duration
-	count int
+type modelWaits struct {
+	samples [waitSamples]time.Duration
+	count   int
 	// most is what 95 in 100 of the ring don't exceed; 0 while too few are known.
-	most time.Duration
+	p95 time.Duration
 }
 
 // took notes an attempt's wait for its first token.
-func (u *usual) took(model garnetworks.ModelName, wait time.Duration) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.models == nil {
-		u.models = map[garnetworks.ModelName]*waits{}
+func (f *firstTokenWaits) record(model garnetworks.ModelName, wait time.Duration) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.byModel == nil {
+		f.byModel = map[garnetworks.ModelName]*modelWaits{}
 	}
-	w := u.models[model]
+	w := f.byModel[model]
 	if w == nil {
-		w = &waits{}
-		u.models[model] = w
+		w = &modelWaits{}
+		f.byModel[model] = w
 	}
-	w.ring[w.count%usualSamples] = wait
+	w.samples[w.count%waitSamples] = wait
 	w.count++
-	if w.count >= usualSamples {
-		sorted := w.ring
+	if w.count >= waitSamples {
+		sorted := w.samples
 		slices.Sort(sorted[:])
-		w.most = sorted[usualSamples*95/100]
+		w.p95 = sorted[waitSamples*95/100]
 	}
 }
 
 // early returns the wait after which an attempt with the given allowance for its
 // prompt is probed for the first time; false if too little is known.
-func (u *usual) early(model garnetworks.ModelName, prefill time.Duration) (time.Duration, bool) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	w := u.models[model]
-	if w == nil || w.most == 0 {
+func (f *firstTokenWaits) earlyProbe(model garnetworks.ModelName, prefillAllowance time.Duration) (time.Duration, bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	w := f.byModel[model]
+	if w == nil || w.p95 == 0 {
 		return 0, false
 	}
-	return max(usualFactor*w.most, minEarlyProbe+prefill), true
+	return max(earlyProbeFactor*w.p95, minEarlyProbe+prefillAllowance), true
 }
