--- a/forwarder/events.go
+++ b/forwarder/events.go
@@ -8,14 +8,12 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// eventsPerSecond bounds the events of one kind. An overload refuses thousands
-// of calls a second; without the bound they would push everything else out of
-// the time line's ring.
+// eventsPerSecond limits the events of one kind, so that a flood of refused calls does not
+// displace all other events from the time line's ring.
 const eventsPerSecond = 10
 
-// EventLimiter is a Recorder that passes events on to another one, and counts
-// those that it leaves out in the next one's detail. It is safe for concurrent
-// use.
+// EventLimiter is a Recorder that limits the events it passes to another one, and adds the
+// number of dropped events to the detail of the next one. It is safe for concurrent use.
 type EventLimiter struct {
 	recorder garnetworks.Recorder
 	mu       sync.Mutex
@@ -33,8 +31,7 @@
 	return &EventLimiter{recorder: recorder, windows: map[garnetworks.EventKind]eventWindow{}}
 }
 
-// Record passes the event on, if its kind has not yet had its share of the
-// second.
+// Record records the event unless its kind has reached the limit for the current second.
 func (l *EventLimiter) Record(event garnetworks.Event) {
 	if l.recorder == nil {
 		return
@@ -69,8 +66,7 @@
 	return skipped, true
 }
 
-// ended records how a call failed; completed calls and those that their callers
-// cancelled make no event.
+// recordFailure records a failed call as an event, except one that its caller cancelled.
 func (f *Forwarder) recordFailure(call garnetworks.CallID, group garnetworks.GroupID, instance garnetworks.InstanceID, err error) {
 	if err == nil || garnetworks.IsKind(err, garnetworks.KindCancelled) {
 		return
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -1,33 +1,32 @@
-// Package forwarder carries admitted calls to backend servers and their answers
-// back: calls to models as streams of tokens, calls to plain services as whole
-// answers.
+// Package forwarder sends admitted calls to backend servers and returns their answers:
+// calls to models as streams of tokens, calls to plain services as whole answers.
 //
-//	F1  Each attempt has an identifier of its own, which the answer must echo.
-//	    What echoes another one is dropped, the connection closed, and the
-//	    attempt counts as crossed (rule G7).
-//	F2  An answer is whole only with its end marker; whatever else ends an
-//	    attempt is a failure, and package retrier decides what follows.
-//	F3  Tokens reach the caller in order, none twice and none left out, over all
+//	F1  Each attempt has its own identifier, which the answer must echo. An answer
+//	    with another identifier is discarded, its connection closed, and the
+//	    attempt fails as mismatched (rule G7).
+//	F2  An answer is whole only with its end marker; any other end of an attempt
+//	    is a failure, and package retrier decides what follows.
+//	F3  Tokens reach the caller in order, without duplicates or gaps, over all
 //	    attempts: positions and texts of overlapping chunks are compared with
-//	    what was delivered, and a chunk that contradicts it fails the attempt.
+//	    what was delivered, and a contradicting chunk fails the attempt.
 //	F4  An attempt without progress is probed on a new connection, once, or twice
-//	    before its first token, and ended if the probe shows that the connection
-//	    or the engine is dead, or if the slow bound is over. The bounds are in
-//	    Timeouts and in rule S7.
+//	    before its first token. It is cancelled if the probe shows that the
+//	    connection or the engine is dead, or when the slow timeout expires. See
+//	    Timeouts and rule S7 for the times.
 //	F5  A call buffers at most BufferParts parts and BufferBytes bytes. While the
-//	    buffer is full the engine's stream is not read, so that the engine is
-//	    held back by the connection; a caller who takes nothing for SlowCaller
-//	    loses the call.
+//	    buffer is full the engine's stream is not read, so that backpressure
+//	    reaches the engine; a caller that reads nothing for SlowCaller loses the
+//	    call.
 //	F6  A cancelled call to a model is cancelled at the engine at once. A claimed
-//	    call goes on without its caller, so that its answer is recorded and a
+//	    call continues without its caller, so that its answer is recorded and a
 //	    repetition of the call receives it.
-//	F7  A call that may not be repeated and carries a key is claimed before its
-//	    first attempt (rule G6). Without a claim it is not forwarded.
-//	F8  A retry takes from the node's budget unless it is free (rules R5, R6).
-//	    Calls without delivered tokens don't wait for the budget; broken streams
-//	    wait up to ResumeWait.
-//	F9  A call under which servers end is kept from further ones; package quarantiner
-//	    decides that. It is asked before each attempt.
+//	F7  A call that may not be repeated and has an idempotency key is claimed before
+//	    its first attempt (rule G6). Without a claim it is not forwarded.
+//	F8  A retry is taken from the node's budget unless it is free (rules R5, R6).
+//	    Calls without delivered tokens don't wait for the budget; interrupted
+//	    streams wait up to ResumeWait.
+//	F9  A call under which servers crash is kept from further ones by package
+//	    quarantiner, which is asked before each attempt.
 package forwarder
 
 import (
@@ -41,58 +40,54 @@
 	"github.com/pkg/errors"
 )
 
-// ErrGraceEnded is the cause with which a stopping node cancels the calls that
-// are left when its grace period is over.
+// ErrGraceEnded is the cause with which a stopping node cancels the calls that still run when
+// its grace period is over.
 var ErrGraceEnded = errors.New("the node's grace period is over")
 
-// Bounds of a call's buffer (rule F5).
+// Limits of a call's buffer (rule F5).
 const (
-	// BufferParts is the most parts that wait for a slow caller.
+	// BufferParts is the maximum number of buffered parts.
 	BufferParts = 128
-	// BufferBytes is the most bytes of text that wait for a slow caller; one
-	// part alone may be larger.
+	// BufferBytes is the maximum number of bytes of buffered text; a single part may be larger.
 	BufferBytes = 64 << 10
 )
 
-// Prober asks an engine for its status on a new connection.
-// garnetworks.EngineOrders is a Prober if it opens one for each call or for
-// Status alone.
+// Prober requests an engine's status on a new connection. garnetworks.EngineOrders is a Prober
+// if it opens a connection for each call, or at least for Status.
 type Prober interface {
 	Status(ctx context.Context, address string) (garnetworks.EngineStatus, error)
 }
 
-// Timeouts are the bounds on waiting. Zero fields take the value of
-// DefaultTimeouts.
+// Timeouts are the limits on waiting. Zero fields have the value of DefaultTimeouts.
 type Timeouts struct {
-	// FirstToken is the silence before the first token of an attempt after which
-	// the engine is probed, if it was not found lost by an early probe (rule S7).
+	// FirstToken is the silence before the first token of an attempt after which the engine is
+	// probed, unless an early probe has found it lost (rule S7).
 	FirstToken time.Duration
-	// BetweenTokens is the silence between tokens after which the engine is
-	// probed.
+	// BetweenTokens is the silence between tokens after which the engine is probed.
 	BetweenTokens time.Duration
-	// Probe bounds the probe.
+	// Probe limits a probe.
 	Probe time.Duration
-	// SlowFirstToken and SlowBetweenTokens bound the wait for a token from an
-	// engine that the probe found alive.
+	// SlowFirstToken and SlowBetweenTokens limit the wait for a token from an engine that the
+	// probe found alive.
 	SlowFirstToken    time.Duration
 	SlowBetweenTokens time.Duration
-	// SlowCaller bounds the time that the buffer stays full.
+	// SlowCaller limits the time for which the buffer may stay full.
 	SlowCaller time.Duration
 	// Idle is the time without tokens after which Sink.Idle is called.
 	Idle time.Duration
-	// ResumeWait bounds the wait of a broken stream for the retry budget.
+	// ResumeWait limits how long an interrupted stream waits for the retry budget, and then for
+	// a group.
 	ResumeWait time.Duration
-	// Claim bounds the claim of a keyed call.
+	// Claim limits the claiming of a keyed call.
 	Claim time.Duration
-	// RecordWait is how long a keyed call's answer waits to be recorded before it
-	// goes to the caller all the same; Record bounds the recording.
+	// RecordWait limits how long the answer of a keyed call is held back for its recording,
+	// Record the recording itself.
 	RecordWait time.Duration
 	Record     time.Duration
 }
 
-// DefaultTimeouts return the bounds for the design size: tokens come every 46 ms
-// and first tokens within 0.84 s for 95 of 100 calls, so silence of over 20
-// tokens or two first tokens is worth a probe.
+// DefaultTimeouts returns timeouts for engines with several tokens per second and first tokens
+// within about a second.
 func DefaultTimeouts() Timeouts {
 	return Timeouts{
 		FirstToken:        2 * time.Second,
@@ -109,10 +104,10 @@
 	}
 }
 
-// DefaultMaxAttempts bounds the attempts of one call.
+// DefaultMaxAttempts limits the attempts of one call.
 const DefaultMaxAttempts = 3
 
-// Options join a Forwarder with the rest of the node.
+// Options configure a Forwarder.
 type Options struct {
 	Engines  garnetworks.EngineCaller
 	Services garnetworks.ServiceCaller
@@ -120,12 +115,12 @@
 	Servers  garnetworks.ServerChooser
 	// Claims may be nil; keyed calls are then refused as not run.
 	Claims garnetworks.Claimer
-	// Prober may be nil; silent attempts then end at the slow bounds.
+	// Prober may be nil; silent attempts are then cancelled at the slow timeouts.
 	Prober Prober
 	// Recorder may be nil.
 	Recorder garnetworks.Recorder
 	Manifest garnetworks.ManifestSource
-	// Quarantine may be nil; no call is then kept from servers (rule F9).
+	// Quarantine may be nil; no call is then quarantined (rule F9).
 	Quarantine garnetworks.Quarantine
 	Timeouts   Timeouts
 	// Budget with a Burst of 0 means retrier.DefaultBudgetLimits.
@@ -137,7 +132,7 @@
 // Forwarder forwards calls. It is safe for concurrent use.
 type Forwarder struct {
 	options Options
-	// start is the origin of the times in pulses.
+	// start is the origin of the times in activity.
 	start       time.Time
 	events      *EventLimiter
 	activity    activityTracker
@@ -148,8 +143,8 @@
 	budget   *retrier.Budget
 }
 
-// New returns a Forwarder. Engines and Groups, and Services and Servers, may be
-// nil together if no such calls come.
+// New returns a Forwarder. Engines and Groups may both be nil if there are no calls to models,
+// Services and Servers if there are none to plain services.
 func New(options Options) *Forwarder {
 	options.Timeouts = options.Timeouts.withDefaults()
 	if options.Budget.Burst == 0 {
@@ -166,8 +161,8 @@
 	}
 }
 
-// Wait returns when no attempt and no recording of an answer is left, or when
-// ctx ends. Calls whose callers went away are among them (rule F6).
+// Wait returns when no attempt and no recording of an answer is in progress, or when ctx ends.
+// It includes calls whose callers have disconnected (rule F6).
 func (f *Forwarder) Wait(ctx context.Context) error { return f.tasks.Wait(ctx) }
 
 // RetriesLeft returns the number of retries that the budget allows now.
@@ -205,11 +200,10 @@
 	return t
 }
 
-// guard runs an adapter and turns its panic into an error.
+// recoverPanic calls run and returns its panic as an error.
 //
-// Failure: an answer that nobody thought of makes an adapter panic. The attempt
-// runs on a goroutine of its own, where no HTTP server recovers, so the process
-// would end, and with it some hundred other calls.
+// Failure: an adapter panics on an unexpected answer. Attempts run on their own goroutines,
+// where the HTTP server does not recover, so the panic would end the process and all its calls.
 func recoverPanic(run func() error) (err error) {
 	defer func() {
 		if value := recover(); value != nil {
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -25,9 +25,8 @@
 	os.Exit(m.Run())
 }
 
-// A stream is resumed from a checkpoint a few tokens back, in chunks that are cut
-// in another way, or by an engine that made up another text. The caller must read
-// a beginning of the one true text, whatever comes in whichever order.
+// Guards against an answer that is not a prefix of the true text after a resumption with
+// overlapping, differently cut or contradicting chunks.
 func TestTranscriptDeliversOnlyTheText(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		words := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "bb", "", "é", "abc"}), 1, 40).Draw(t, "words")
@@ -36,7 +35,7 @@
 		for range rapid.IntRange(1, 6).Draw(t, "attempts") {
 			d.beginAttempt()
 			index := max(0, d.tokens-rapid.IntRange(0, 6).Draw(t, "back"))
-			// A chunk that follows one that was taken is taken, if it is true.
+			// A correct chunk that directly follows an accepted one must be accepted.
 			follows := false
 			for index < len(words) {
 				count := rapid.IntRange(1, min(4, len(words)-index)).Draw(t, "count")
@@ -78,9 +77,8 @@
 	})
 }
 
-// A connection goes dead while new ones work, or an engine takes long over a
-// batch. Cutting the second off costs a second prefill, waiting for the first
-// costs the tech the answer.
+// Guards against cancelling an attempt at a slow engine, which costs a second prefill, and
+// against waiting on a dead connection.
 func TestDiagnoseStall(t *testing.T) {
 	started := time.Unix(1000, 0)
 	alive := func(change func(e *stallEvidence)) stallEvidence {
@@ -129,7 +127,7 @@
 
 const fastTokens = 1000
 
-// quick is a group whose engine brings tokens as fast as they are taken.
+// fastEngine is a group whose engine produces tokens as fast as they are read.
 type fastEngine struct {
 	sent      int
 	cancelled bool
@@ -176,7 +174,7 @@
 	return nil
 }
 
-// stuckSink takes one part and then nothing until it is let go.
+// stallingSink blocks for stall when it receives its second part.
 type stallingSink struct {
 	taken int
 	stall time.Duration
@@ -197,8 +195,8 @@
 	return &garnetworks.CallRequest{ID: "c1", MaxTokens: 1 << 20, Received: now, FirstTokenBy: now.Add(d), Deadline: now.Add(d)}
 }
 
-// A caller stops reading its answer. The node must hold no more of it than the
-// buffer, hold the engine back meanwhile, and give the caller up in time.
+// Guards against unbounded buffering for a caller that stops reading: the engine must see
+// backpressure and the call must end in time.
 func TestSlowCallerIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &fastEngine{}
@@ -225,8 +223,7 @@
 	})
 }
 
-// A slow caller that reads on in time gets the whole answer, and the engine that
-// was held back meanwhile is not taken for dead.
+// Guards against diagnosing a stall in an engine that is only held back by a slow caller.
 func TestBackpressuredEngineIsNotStalled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &fastEngine{}
@@ -241,8 +238,8 @@
 	})
 }
 
-// A zone's engines refuse everything. Each call is sent to few groups, all calls
-// together stay within the budget, and the caller is told when to come back.
+// Guards against a retry storm when all engines of a zone refuse: retries stay within the budget
+// and the caller gets a RetryAfter.
 func TestNoRetryStorm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &fastEngine{refuse: true}
@@ -264,8 +261,8 @@
 	})
 }
 
-// busy is an engine with a full batch. The first attempt of call c1 goes silent
-// after some tokens; all others get a token every 40 ms.
+// busyEngine is an engine with a full batch. The first attempt of call c1 stalls after
+// stallAfter tokens; all others get a token every 40 ms.
 type busyEngine struct {
 	fastEngine
 	stallAfter int
@@ -285,7 +282,7 @@
 	}}, nil
 }
 
-// paced brings a token whenever wait returns.
+// pacedStream produces a token whenever wait returns.
 type pacedStream struct {
 	call *garnetworks.EngineCall
 	next int
@@ -313,9 +310,8 @@
 	}
 }
 
-// One connection to a busy engine dies, before or after its first token, while
-// those of other callers go on. The engine's status alone can't show it; that
-// the others go on does, long before the slow bounds of 5 s and 10 s.
+// Guards against waiting for the slow timeouts when one connection to a busy engine dies, which
+// only the progress of the engine's other streams shows.
 func TestDeadConnectionToBusyEngine(t *testing.T) {
 	const tokens = 100
 	undisturbed := tokens * 40 * time.Millisecond
@@ -354,13 +350,13 @@
 func (b *busyEngine) AttemptFinished(time.Time, *garnetworks.CallRequest, garnetworks.GroupID, garnetworks.AttemptResult) {
 }
 
-// zones is eight groups in eight zones; calls go round. Zone 0 goes dark at a
-// time, and the chooser does not learn of it.
+// eightZones is eight groups in eight zones, chosen in turn. Zone 0 becomes unreachable when
+// zone0 is cancelled, unnoticed by the chooser.
 type eightZones struct {
 	busyEngine
 	mu       sync.Mutex
 	next     int
-	outage   context.Context
+	zone0    context.Context
 	attempts int
 }
 
@@ -380,24 +376,23 @@
 	z.mu.Lock()
 	z.attempts++
 	z.mu.Unlock()
-	if address == "g0" && z.outage.Err() != nil {
+	if address == "g0" && z.zone0.Err() != nil {
 		return nil, &garnetworks.AttemptError{Phase: garnetworks.PhaseConnect}
 	}
 	if address == "g0" {
-		ctx = z.outage
+		ctx = z.zone0
 	}
 	return z.busyEngine.Generate(ctx, address, call)
 }
 
-// One of eight zones goes dark under the load of a node of the design size: 15
-// calls a second, 200 streams in flight. A tenth of all calls must not turn into
-// a storm, and the broken streams must go on elsewhere.
+// Guards against a retry storm and against failed streams after the loss of one of eight zones
+// under full load.
 func TestZoneLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := &eightZones{}
 		z.stallAfter = -1
-		var startOutage context.CancelFunc
-		z.outage, startOutage = context.WithCancel(context.Background())
+		var loseZone0 context.CancelFunc
+		z.zone0, loseZone0 = context.WithCancel(context.Background())
 		f := New(Options{Engines: z, Groups: z, Prober: z})
 		const perSecond, seconds, tokens = 15, 40, 330
 		var running sync.WaitGroup
@@ -420,7 +415,7 @@
 		}
 		time.Sleep(20 * time.Second)
 		before := inFlight.Load()
-		startOutage()
+		loseZone0()
 		running.Wait()
 		calls := perSecond * seconds
 		delay := longest - tokens*40*time.Millisecond
--- a/forwarder/frozen_test.go
+++ b/forwarder/frozen_test.go
@@ -13,9 +13,9 @@
 	"github.com/garnetworks/garnetworks/router"
 )
 
-// site is three groups of one zone behind a router. The engine of g0 stands still
-// from freezes to thaws, or refuses all calls meanwhile. The group's confirmation
-// ends only when the bound for it is over.
+// threeGroups is a router with three groups in one zone. The engine of g0 freezes, or refuses
+// all calls, from frozenFrom until frozenUntil. Its confirmation lapses only after
+// ConfirmationBound.
 type threeGroups struct {
 	*router.Router
 	frozenFrom, frozenUntil time.Time
@@ -30,7 +30,7 @@
 	return s
 }
 
-// report gives the router a view of the zone each half second.
+// report reports the zone's groups to the router every half second.
 func (s *threeGroups) report(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := time.Now()
@@ -48,13 +48,13 @@
 	}
 }
 
-// ill reports whether the engine at the address is not well now.
+// unhealthy reports whether the engine at the address is frozen or refuses calls now.
 func (s *threeGroups) unhealthy(address string) bool {
 	now := time.Now()
 	return address == "g0" && !now.Before(s.frozenFrom) && now.Before(s.frozenUntil)
 }
 
-// work takes the given time, and longer while the engine is frozen.
+// respond waits for d, and longer while the engine is frozen.
 func (s *threeGroups) respond(ctx context.Context, address string, d time.Duration) error {
 	err := sleep(ctx, d)
 	if err == nil && s.unhealthy(address) && !s.refusing {
@@ -79,12 +79,12 @@
 		if next > call.ResumeFrom {
 			return s.respond(ctx, address, 40*time.Millisecond)
 		}
-		// Prompts differ, and so do the times to the first token.
+		// The prompts differ, and so do the times to the first token.
 		return s.respond(ctx, address, time.Duration(80+call.Received.UnixNano()%97)*time.Millisecond)
 	}}, nil
 }
 
-// siteResult is what the callers saw of the calls that came while g0 was not well.
+// callResults are the results of the calls that were received once g0 became unhealthy.
 type callResults struct {
 	mu               sync.Mutex
 	completed, calls int
@@ -93,7 +93,7 @@
 	firstTokens []time.Duration
 }
 
-// callAll sends perSecond calls of one second each until g0 is well again.
+// runCalls sends perSecond calls a second until g0 is healthy again.
 func (s *threeGroups) runCalls(f *Forwarder, perSecond int) *callResults {
 	ctx, cancel := context.WithCancel(context.Background())
 	var reporter sync.WaitGroup
@@ -128,10 +128,8 @@
 	return result
 }
 
-// The engine of one of three groups stands still for 4 s: its connections open,
-// and nothing comes. Until the group's confirmation is over, a third of the calls
-// goes there. The node knows how soon first tokens come here, and need not wait
-// for the bound that would suit any engine.
+// Guards against late first tokens while an engine is frozen with open connections and its
+// group is still confirmed: the early probe must find it.
 func TestFrozenEngineBarelyDelaysFirstTokens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newThreeGroups()
@@ -140,16 +138,15 @@
 		count := len(got.firstTokens)
 		median, p95, longest := got.firstTokens[count/2], got.firstTokens[count*95/100], got.firstTokens[count-1]
 		t.Logf("%d of %d calls whole, first token: median %s, p95 %s, longest %s", got.completed, got.calls, median, p95, longest)
-		// 0.84 s is the users' bound for 95 in 100 calls.
+		// Users accept a 95th percentile of 840 ms.
 		if got.completed != got.calls || p95 > 840*time.Millisecond || longest > 1200*time.Millisecond {
 			t.Errorf("%d of %d calls whole, first token: p95 %s, longest %s", got.completed, got.calls, p95, longest)
 		}
 	})
 }
 
-// The engine of one of three groups refuses all calls for some seconds, as one
-// does that misses a member. Each refusal proves that the call did not run, and
-// two other groups would take it.
+// Guards against failing a call that one group refused as not run while other groups would
+// serve it.
 func TestRefusedCallsRunElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newThreeGroups()
--- a/forwarder/hold.go
+++ b/forwarder/hold.go
@@ -6,8 +6,8 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// heldBack returns an error of kind KindCallQuarantined if calls with the content are kept from
-// servers now (rule F9).
+// checkQuarantine returns an error of kind KindCallQuarantined if calls with the content are
+// quarantined (rule F9).
 func (f *Forwarder) checkQuarantine(ctx context.Context, content garnetworks.ContentDigest) error {
 	if f.options.Quarantine == nil {
 		return nil
@@ -19,8 +19,8 @@
 	return garnetworks.QuarantinedError(left)
 }
 
-// tellEnd tells the quarantine how an attempt ended, unless the call was ended from
-// outside.
+// reportToQuarantine reports the end of an attempt to the quarantine. An interruption is not
+// reported if ctx ended.
 func (f *Forwarder) reportToQuarantine(ctx context.Context, content garnetworks.ContentDigest, incarnation garnetworks.Incarnation, failed *failure) {
 	switch {
 	case f.options.Quarantine == nil:
@@ -31,8 +31,8 @@
 	}
 }
 
-// lifeOf is the life that a group's head has as such: under the group's token. One that
-// starts again, or joins another group, has another token.
+// headIncarnation returns the incarnation of a group's head, identified by the group's token:
+// after a restart or in another group the head has another token.
 func headIncarnation(group *garnetworks.GroupView) garnetworks.Incarnation {
 	incarnation := garnetworks.Incarnation{StartMS: int64(group.Token)}
 	if len(group.Members) > 0 {
--- a/forwarder/hold_test.go
+++ b/forwarder/hold_test.go
@@ -12,8 +12,8 @@
 	"github.com/garnetworks/garnetworks/quarantiner"
 )
 
-// crashing is engines that end under each call with a certain prompt, and are back at once
-// under another token.
+// crashingEngines are engines that crash on each call with the prompt "crash" and return at
+// once under another token.
 type crashingEngines struct {
 	fastEngine
 	crashes int
@@ -37,8 +37,8 @@
 	return c.fastEngine.Generate(ctx, address, call)
 }
 
-// A call ended each engine that began to run it, and each copy of it ended as many as a
-// call has attempts, three, since nothing remembered the copies before it.
+// Guards against a call that crashes each engine it reaches, when each copy of the call is
+// retried on further engines.
 func TestCrashingCallReachesThreeEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &crashingEngines{}
@@ -75,7 +75,7 @@
 	})
 }
 
-// nowhere is an object API that can't be reached.
+// unavailableObjects is an object API that is unavailable.
 type unavailableObjects struct{ garnetworks.ObjectAPI }
 
 func (unavailableObjects) Get(context.Context, string) (garnetworks.Object, error) {
--- a/forwarder/model.go
+++ b/forwarder/model.go
@@ -11,27 +11,24 @@
 	"github.com/pkg/errors"
 )
 
-// Sink takes the answer of a call to a model. Its methods are called by the
-// goroutine that called Generate; an error ends the call as cancelled.
+// Sink receives the answer of a call to a model. Its methods are called by the goroutine that
+// called Generate; an error cancels the call.
 type Sink interface {
-	// Write takes the next part.
+	// Write writes the next part.
 	Write(part Part) error
-	// Flush is called after the parts that are there now were written.
+	// Flush is called after all parts that are available have been written.
 	Flush() error
-	// Idle is called when no part came for a while, for a sign of life to the
-	// caller.
+	// Idle is called when no part has come for a while, to send a keep-alive to the caller.
 	Idle() error
 }
 
-// Summary describes a call to a model that ended, whole or not.
+// Summary describes a call to a model that has ended, whole or not.
 type Summary struct {
-	// Tokens is the number of tokens that the sink took or that wait for it.
+	// Tokens is the number of delivered tokens, buffered ones included.
 	Tokens int
-	// FinishReason is the engine's: stop or length. It is empty unless the
-	// answer is whole.
+	// FinishReason is the engine's: stop or length. It is empty unless the answer is whole.
 	FinishReason string
-	// Attempts counts attempts, Resumed those that went on after delivered
-	// tokens.
+	// Attempts counts attempts, Resumed those that continued after delivered tokens.
 	Attempts int
 	Resumed  int
 	// FirstToken is the time from CallRequest.Received to the first token.
@@ -40,11 +37,11 @@
 	Group garnetworks.GroupID
 }
 
-// backoff is the least pause before a broken stream asks again for a retry or for
-// a group; the most is twice that.
+// resumeBackoff is the minimum pause before an interrupted stream asks again for a retry or a
+// group; the maximum is twice that.
 const resumeBackoff = 50 * time.Millisecond
 
-// modelCall is one call to a model. Its fields belong to the goroutine that
+// modelCall is one call to a model. Its fields, except for ring, belong to the goroutine that
 // runs the attempts.
 type modelCall struct {
 	*Forwarder
@@ -54,10 +51,9 @@
 	transcript transcript
 	history    retrier.History
 	summary    Summary
-	// tried are the groups that failed and are not asked again while there is
-	// another one.
+	// tried are the groups that failed and are not chosen again while there is another one.
 	tried []garnetworks.GroupID
-	// last is the last attempt's failure.
+	// lastFailure is the last attempt's failure.
 	lastFailure *failure
 }
 
@@ -68,16 +64,15 @@
 	retryAfter time.Duration
 	// timedOut says that the watchdog ended the attempt.
 	timedOut bool
-	// connectionOnly says that the group itself is fit for another attempt.
+	// connectionStalled says that only the connection failed: the group may be tried again.
 	connectionStalled bool
-	// refusal is the kind of the server's answer; with phases other than refused
-	// it means nothing.
+	// refusal is the kind of the server's error; meaningful only in the refused phase.
 	refusal garnetworks.Kind
 }
 
-// Generate runs the call and writes its answer to sink until it is whole. An
-// error means that the answer is not whole, whatever the sink has taken; its
-// kind says what is known of the call.
+// Generate runs the call and writes its answer to sink until it is whole. An error means that
+// the answer is not whole, whatever was written to sink; its kind states what is known of the
+// call.
 func (f *Forwarder) Generate(ctx context.Context, call *garnetworks.CallRequest, sink Sink) (Summary, error) {
 	f.recordCall()
 	ctx, cancelDeadline := context.WithDeadline(ctx, call.Deadline)
@@ -111,8 +106,7 @@
 	return m.summary, err
 }
 
-// deliver writes parts to the sink until the ring is closed. It returns the
-// sink's error.
+// deliver writes parts to the sink until the ring is closed. It returns the sink's error.
 func (m *modelCall) deliver(sink Sink) error {
 	parts := make([]Part, 0, BufferParts)
 	idle := time.NewTimer(m.options.Timeouts.Idle)
@@ -155,7 +149,7 @@
 	return sink.Flush()
 }
 
-// run makes attempts until the answer is whole or the call is given up.
+// run makes attempts until the answer is whole or the call fails.
 func (m *modelCall) run(ctx context.Context) error {
 	for {
 		if err := m.checkQuarantine(ctx, m.content); err != nil {
@@ -181,11 +175,10 @@
 	}
 }
 
-// mayRetry takes a retry from the budget (rule F8).
+// awaitRetry takes a retry from the budget (rule F8).
 //
-// Failure: the loss of a zone breaks a share of all streams at one moment. They
-// must not all be resumed at once, and need not be given up either: each waits
-// for its turn in the budget, within a bound.
+// Failure: the loss of a zone interrupts many streams at once. They must not all be resumed
+// at the same time, so each waits for the budget, up to ResumeWait.
 func (m *modelCall) awaitRetry(ctx context.Context, decision retrier.Decision) bool {
 	if decision.Free {
 		return true
@@ -202,15 +195,15 @@
 	return true
 }
 
-// choose returns the group of the next attempt. If no untried one is left, a
-// broken stream is resumed on one that was tried.
+// chooseGroup returns the group of the next attempt. If no untried one is left, an interrupted
+// stream is resumed on one that was tried.
 func (m *modelCall) chooseGroup(ctx context.Context) (garnetworks.GroupView, error) {
 	now := time.Now()
 	if ctx.Err() != nil {
 		return garnetworks.GroupView{}, context.Cause(ctx)
 	}
-	// A call that can't make its first token any more is refused while that is
-	// still the whole truth: nothing was sent.
+	// A call that can no longer meet its first-token deadline is refused before anything is
+	// sent, while it is certain that it did not run.
 	if m.history.Attempts == 0 && now.After(m.call.FirstTokenBy) {
 		return garnetworks.GroupView{}, garnetworks.Errorf(garnetworks.KindDeadlineUnreachable, "the first token's deadline has passed")
 	}
@@ -221,12 +214,12 @@
 	return m.chooseAnyGroup(ctx)
 }
 
-// chooseAgain looks for any group to resume a broken stream on, tried or not,
-// for as long as ResumeWait.
+// chooseAnyGroup waits up to ResumeWait for a group to resume an interrupted stream on, tried
+// or not.
 //
-// Failure: the model's only group is lost, or a lost probe takes away its
-// confirmation for a moment. Most of the answer is with the caller already;
-// ended now, it would be generated again from its start.
+// Failure: the model's only group is lost, or a lost probe removes its confirmation for a
+// moment. The caller has part of the answer already, which would be generated again from the
+// start.
 func (m *modelCall) chooseAnyGroup(ctx context.Context) (garnetworks.GroupView, error) {
 	deadline := time.Now().Add(m.options.Timeouts.ResumeWait)
 	for {
@@ -238,7 +231,7 @@
 	}
 }
 
-// pause waits for a moment, and reports whether the call goes on.
+// backOff waits for the backoff time and reports whether ctx is still active.
 func (m *modelCall) backOff(ctx context.Context) bool {
 	select {
 	case <-time.After(resumeBackoff + rand.N(resumeBackoff)):
@@ -248,7 +241,7 @@
 	}
 }
 
-// attempt runs one attempt and returns nil if the answer is whole.
+// attempt makes one attempt and returns nil if the answer is whole.
 func (m *modelCall) attempt(ctx context.Context, group *garnetworks.GroupView) *failure {
 	started := time.Now()
 	delivered := m.transcript.tokens
@@ -278,8 +271,8 @@
 		failed = classify(attemptCtx, err)
 		result.Phase = failed.phase
 		if failed.cause == errEngineLost {
-			// What became of the call stays open, but the chooser learns that a new
-			// connection does not reach the engine now.
+			// The outcome of the call stays unknown, but for the group chooser the engine is
+			// unreachable.
 			result.Phase = garnetworks.PhaseConnect
 		}
 		result.Stalled = failed.connectionStalled
@@ -293,13 +286,13 @@
 	return failed
 }
 
-// stream reads one attempt's answer into the ring.
+// readStream reads one attempt's answer into the ring.
 func (m *modelCall) readStream(ctx context.Context, group *garnetworks.GroupView, call *garnetworks.EngineCall, wd *watchdog, result *garnetworks.AttemptResult) error {
 	stream, err := m.options.Engines.Generate(ctx, group.Address, call)
 	if err != nil {
 		return err
 	}
-	// Closing an attempt that is not whole cancels it at the engine (rule F6).
+	// Closing the stream of an incomplete answer cancels it at the engine (rule F6).
 	defer stream.Close()
 	m.transcript.beginAttempt()
 	var chunk garnetworks.Chunk
@@ -309,8 +302,8 @@
 			return err
 		}
 		if chunk.Attempt != call.Attempt {
-			// F1: also where the adapter has checked; a crossed answer is the one
-			// failure that nobody downstream can see.
+			// Rule F1. The adapter may have checked it as well, but nothing after this point can
+			// detect a mismatched answer.
 			return &garnetworks.AttemptError{
 				Phase: garnetworks.PhaseMismatched,
 				Cause: errors.Errorf("the answer echoes attempt %q", chunk.Attempt),
@@ -327,7 +320,7 @@
 	}
 }
 
-// note takes the load and the time of the first token.
+// recordChunk records the engine's load and the time of the first token.
 func (m *modelCall) recordChunk(group *garnetworks.GroupView, chunk *garnetworks.Chunk, wd *watchdog, result *garnetworks.AttemptResult) {
 	if load, ok := chunk.Load.Get(); ok {
 		m.options.Groups.ReportLoad(time.Now(), group.ID, load)
@@ -343,7 +336,7 @@
 	}
 }
 
-// pass puts what is new of the chunk into the ring.
+// enqueue puts the new part of the chunk into the ring.
 func (m *modelCall) enqueue(ctx context.Context, chunk *garnetworks.Chunk, wd *watchdog) error {
 	part, err := m.transcript.accept(chunk)
 	if err != nil {
@@ -360,7 +353,7 @@
 	return m.ring.push(ctx, part, m.options.Timeouts.SlowCaller)
 }
 
-// end checks the end marker (rule F2).
+// finish checks the end marker (rule F2).
 func (m *modelCall) finish(chunk *garnetworks.Chunk) error {
 	if chunk.FinishReason == finishError {
 		return &garnetworks.AttemptError{
@@ -368,8 +361,8 @@
 			Cause: errors.New("the engine ended the answer with an error"),
 		}
 	}
-	// Failure: a resumed attempt ends before it has come to the point where the
-	// first one broke off. Its end marker is another text's.
+	// Failure: a resumed attempt ends before the position at which the first one was
+	// interrupted, so its end marker belongs to another text.
 	if chunk.Index+chunk.Tokens < m.transcript.tokens {
 		return &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: errContradictingChunk}
 	}
@@ -385,7 +378,7 @@
 	return call + "." + garnetworks.CallID(strconv.Itoa(n))
 }
 
-// classify turns an attempt's error into a failure.
+// classify converts an attempt's error to a failure.
 func classify(ctx context.Context, err error) *failure {
 	failed := &failure{phase: garnetworks.PhaseWait, cause: err}
 	var attempt *garnetworks.AttemptError
@@ -395,8 +388,8 @@
 		failed.timedOut = attempt.Stalled
 		failed.connectionStalled = attempt.Stalled
 	}
-	// Failure: an adapter reports the end of an answer that had no end marker as
-	// done. No error is PhaseDone.
+	// Failure: an adapter reports an answer without an end marker as done. An error is never
+	// PhaseDone.
 	if failed.phase == garnetworks.PhaseDone {
 		failed.phase = garnetworks.PhaseBody
 	}
@@ -409,14 +402,14 @@
 	return failed
 }
 
-// cancelled reports whether the call was ended from outside by something else
-// than its deadline, so that the attempt tells nothing about the server.
+// cancelled reports whether ctx was ended by something other than its deadline, so that the
+// attempt says nothing about the server.
 func cancelled(ctx context.Context) bool {
 	return ctx.Err() != nil && !errors.Is(context.Cause(ctx), context.DeadlineExceeded)
 }
 
-// giveUp returns the call's error. It is of a kind whose outcome is no stronger
-// than what the attempts have shown (rule R3).
+// callError returns the call's error. The outcome that its kind states is no stronger than
+// what the attempts have proven (rule R3).
 func (m *modelCall) callError(ctx context.Context, cause error) error {
 	if errors.Is(cause, errSlowCaller) {
 		return garnetworks.WrapError(garnetworks.KindCancelled, cause, "the call was ended")
@@ -430,7 +423,7 @@
 	return attemptsFailedError(&m.history, m.lastFailure, cause)
 }
 
-// stopped returns the error of a call that was ended from outside.
+// contextError returns the error of a call whose context has ended.
 func (m *modelCall) contextError(cause error) error {
 	switch {
 	case errors.Is(cause, context.Canceled):
@@ -441,8 +434,8 @@
 	return contextEndError(&m.history, cause)
 }
 
-// stoppedError returns the error of a call without an answer that was ended from
-// outside: by its deadline or by the end of the node's grace period.
+// contextEndError returns the error of a call without an answer whose context was ended by its
+// deadline or by the end of the node's grace period.
 func contextEndError(history *retrier.History, cause error) error {
 	mayHaveRun := history.Outcome() != garnetworks.OutcomeNotRun
 	graceEnded := errors.Is(cause, ErrGraceEnded)
@@ -457,8 +450,8 @@
 	return garnetworks.WrapError(garnetworks.KindDeadlineUnreachable, cause, "the deadline passed before the call was sent")
 }
 
-// endError returns the error of a call without an answer whose attempts failed,
-// or that found nobody to send it to.
+// attemptsFailedError returns the error of a call without an answer whose attempts failed or
+// for which no backend server was found.
 func attemptsFailedError(history *retrier.History, last *failure, cause error) error {
 	if history.Outcome() == garnetworks.OutcomeUnknown {
 		if last != nil && last.timedOut {
--- a/forwarder/ring.go
+++ b/forwarder/ring.go
@@ -8,26 +8,26 @@
 	"github.com/pkg/errors"
 )
 
-// errSlowCaller says that the caller took nothing for too long.
+// errSlowCaller says that the caller read nothing for too long.
 var errSlowCaller = errors.New("the caller did not read its answer")
 
-// Part is a piece of an answer for the caller.
+// Part is a part of an answer for the caller.
 type Part struct {
 	Text   string
 	Tokens int
 }
 
-// ring is a bounded queue of parts from the goroutine that reads the engine to
-// the one that writes to the caller (rule F5).
+// ring is a bounded queue of parts from the goroutine that reads from the engine to the one
+// that writes to the caller (rule F5).
 type ring struct {
 	mu    sync.Mutex
 	parts [BufferParts]Part
 	head  int
 	count int
 	bytes int
-	// closed is set by the reading side after its last part.
+	// closed is set by the goroutine that reads from the engine after its last part.
 	closed bool
-	// ready and space hold at most one wake-up each.
+	// ready and space hold at most one signal each.
 	ready chan struct{}
 	space chan struct{}
 }
@@ -36,7 +36,7 @@
 	return &ring{ready: make(chan struct{}, 1), space: make(chan struct{}, 1)}
 }
 
-// offer appends the part if there is room.
+// tryPush appends the part if there is space.
 func (r *ring) tryPush(p Part) bool {
 	r.mu.Lock()
 	full := r.count == BufferParts || (r.count > 0 && r.bytes+len(p.Text) > BufferBytes)
@@ -52,7 +52,7 @@
 	return !full
 }
 
-// push appends the part, waiting for room up to limit.
+// push appends the part, waiting up to limit for space.
 func (r *ring) push(ctx context.Context, p Part, limit time.Duration) error {
 	if r.tryPush(p) {
 		return nil
@@ -73,7 +73,7 @@
 	}
 }
 
-// drain moves all parts to the end of into, and reports whether more can come.
+// drain appends all parts to into and reports whether more can come.
 func (r *ring) drain(into []Part) ([]Part, bool) {
 	r.mu.Lock()
 	for ; r.count > 0; r.count-- {
@@ -88,7 +88,7 @@
 	return into, open
 }
 
-// close marks the last part.
+// close marks the end of the parts.
 func (r *ring) close() {
 	r.mu.Lock()
 	r.closed = true
--- a/forwarder/service.go
+++ b/forwarder/service.go
@@ -13,11 +13,10 @@
 	"github.com/pkg/errors"
 )
 
-// claimMargin is added to the time at which a claim ends, for the pauses of a
-// node between claiming and forwarding.
+// claimMargin extends a claim to allow for pauses of the node between claiming and forwarding.
 const claimMargin = time.Second
 
-// recordBackoff is the pause between two tries to record an answer.
+// recordBackoff is the pause between two attempts to record an answer.
 const recordBackoff = 250 * time.Millisecond
 
 // serviceCall is one call to a plain service.
@@ -33,8 +32,8 @@
 	instance garnetworks.InstanceID
 }
 
-// CallService runs the call and returns the service's whole answer, or an error
-// whose kind says what is known of the call.
+// CallService runs the call and returns the service's whole answer, or an error whose kind
+// states what is known of the call.
 func (f *Forwarder) CallService(ctx context.Context, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
 	f.recordCall()
 	s, err := f.newServiceCall(call)
@@ -90,8 +89,8 @@
 	return nil
 }
 
-// MatchCall returns the first rule of the service that matches the call; a call
-// that matches none is not repeatable. The query of path does not count.
+// MatchCall returns the first rule of the service that matches the call; a call that matches
+// none is not repeatable. The query of path is ignored.
 func MatchCall(spec *garnetworks.ServiceSpec, method, path string) garnetworks.ServiceCallSpec {
 	path, _, _ = strings.Cut(path, "?")
 	for _, c := range spec.Calls {
@@ -105,12 +104,11 @@
 	return garnetworks.ServiceCallSpec{}
 }
 
-// detached runs a keyed call on a goroutine of its own, which outlives the
-// caller (rule F6).
+// runDetached runs a keyed call on its own goroutine, which outlives the caller (rule F6).
 //
-// Failure: a caller loses its connection while its call runs, and repeats it
-// with the same key. Had the first call been cut off, nobody could say whether
-// it ran. So it is finished and recorded, and the repetition gets the answer.
+// Failure: a caller disconnects while its call runs, and repeats it with the same key. If the
+// first call were cancelled, its outcome would be unknown. So it is finished and recorded, and
+// the repetition gets the answer.
 func (s *serviceCall) runDetached(ctx context.Context) (garnetworks.ServiceResponse, error) {
 	type result struct {
 		answer garnetworks.ServiceResponse
@@ -143,7 +141,7 @@
 		"the caller went away; the call goes on and its answer is recorded under its key")
 }
 
-// claimed runs a keyed call under its claim (rule F7).
+// runClaimed claims a keyed call, runs it and records its answer (rule F7).
 func (s *serviceCall) runClaimed(ctx context.Context) (garnetworks.ServiceResponse, error) {
 	claimed, err := s.claim(ctx)
 	if err != nil {
@@ -161,9 +159,8 @@
 	return answer, nil
 }
 
-// claim asks for the claim. Whatever fails, the call is not forwarded, so each
-// error may say "not run" of this call; those that speak of an earlier call with
-// the key come from the claimer as they are.
+// claim claims the call. After any error the call is not forwarded, so each error may say "not
+// run" of this call; errors about an earlier call with the key are returned unchanged.
 func (s *serviceCall) claim(ctx context.Context) (garnetworks.ClaimResult, error) {
 	if s.options.Claims == nil {
 		return garnetworks.ClaimResult{}, garnetworks.Errorf(garnetworks.KindClaimsUnavailable, "this node has no claims")
@@ -194,9 +191,8 @@
 }
 
 func (s *serviceCall) runUnderClaim(ctx context.Context, claim garnetworks.Claim) (garnetworks.ServiceResponse, error) {
-	// Failure: the node is paused between claiming and forwarding, until after
-	// others have begun to answer "unknown" for the key. Running the call now
-	// would still be the first time, but nobody would wait for it any more.
+	// Failure: the node is paused between claiming and forwarding until other nodes answer
+	// "unknown" for the key. The call would still run only once, but nobody waits for it.
 	if !claimer.MayForward(time.Now(), &claim) {
 		return garnetworks.ServiceResponse{}, garnetworks.Errorf(garnetworks.KindDeadlineUnreachable, "the claim ended before the call was sent")
 	}
@@ -205,7 +201,7 @@
 	return s.run(ctx)
 }
 
-// hashCall covers all that tells one call from another with the same key.
+// hashCall hashes everything that distinguishes calls with the same key.
 func hashCall(call *garnetworks.ServiceCall) [sha256.Size]byte {
 	h := sha256.New()
 	for _, part := range []string{call.Method, call.Path, call.ContentType} {
@@ -216,9 +212,8 @@
 	return [sha256.Size]byte(h.Sum(nil))
 }
 
-// record records the answer. It returns when that is done, or after RecordWait,
-// while the recording goes on: the answer is true, and a store that is down must
-// not hold it back.
+// record records the answer. It returns when that is done or after RecordWait, while the
+// recording continues: an unavailable store must not hold the answer back.
 func (s *serviceCall) record(ctx context.Context, claim garnetworks.Claim, answer *garnetworks.ServiceResponse) {
 	done := make(chan struct{})
 	recordedAnswer := *answer
@@ -241,8 +236,8 @@
 	if err == nil || ctx.Err() != nil {
 		return
 	}
-	// An answer that can't be recorded, for instance because it is too large,
-	// leaves a key whose call ran: later calls must not run.
+	// If an answer can't be recorded, for instance because it is too large, the key must not
+	// run another call.
 	s.abandon(ctx, claim, garnetworks.OutcomeUnknown)
 }
 
@@ -252,13 +247,13 @@
 	s.tasks.Run(func() {
 		ctx, cancel := context.WithTimeout(ctx, s.options.Timeouts.Record)
 		defer cancel()
-		// If this never succeeds, the claim ends at Until as unknown, which is
-		// weaker than "not run" and as true.
+		// If this never succeeds, the claim ends at Until as unknown, which is weaker than "not
+		// run" but also correct.
 		_ = s.retryWhileUnavailable(ctx, func() error { return s.options.Claims.Abandon(ctx, claim, outcome) })
 	})
 }
 
-// persist repeats write while the store is away.
+// retryWhileUnavailable repeats write while the store is unavailable.
 func (s *serviceCall) retryWhileUnavailable(ctx context.Context, write func() error) error {
 	for {
 		err := write()
@@ -274,7 +269,7 @@
 	}
 }
 
-// run makes attempts until the answer is whole or the call is given up.
+// run makes attempts until the answer is whole or the call fails.
 func (s *serviceCall) run(ctx context.Context) (garnetworks.ServiceResponse, error) {
 	for {
 		if ctx.Err() != nil {
@@ -306,8 +301,8 @@
 	}
 }
 
-// choose returns the server of the next attempt. A call that may be repeated goes
-// to one that was tried if there is no other, on a new connection.
+// chooseServer returns the server of the next attempt. A repeatable call is sent to a server
+// that was already tried if there is no other.
 func (s *serviceCall) chooseServer() (garnetworks.ServerView, error) {
 	now := time.Now()
 	server, err := s.options.Servers.ChooseServer(now, s.call.Service, s.tried)
@@ -317,12 +312,12 @@
 	return s.options.Servers.ChooseServer(now, s.call.Service, nil)
 }
 
-// bound returns the context of an attempt.
+// attemptContext returns the context of an attempt.
 //
-// Failure: a server takes the connection and says nothing more. A plain service
-// shows no progress before its answer, so nothing tells it from a slow one, and
-// the call would wait for its whole time. If it may be repeated, an attempt gets
-// half of the time that is left, and another one the rest.
+// Failure: a server accepts the connection and does not answer. A plain service shows no
+// progress before its answer, so it can't be told from a slow one, and the call would use up
+// its whole time. An attempt of a repeatable call, except the last, gets half of the
+// remaining time.
 func (s *serviceCall) attemptContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
 	last := s.history.Attempts+1 >= s.history.MaxAttempts
--- a/forwarder/service_test.go
+++ b/forwarder/service_test.go
@@ -9,8 +9,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// pausedNode is a claimer on a node that stands still for a time after the claim
-// was made, and the service behind it.
+// pausedNode is a claimer whose node pauses after a claim, and the service behind it.
 type pausedNode struct {
 	pause    time.Duration
 	calls    int
@@ -51,10 +50,8 @@
 	return &m, true
 }
 
-// A node is paused between claiming a key and sending the call. Its caller has
-// long asked another node, which may answer that the outcome is unknown, and the
-// tech has looked the visit up and logged it under a new key. If the first node
-// sends the call all the same when it resumes, the visit is logged twice.
+// Guards against sending a call after its claim has ended: another node may have answered that
+// the outcome is unknown, and the caller may have repeated the action under a new key.
 func TestNoCallAfterClaimEnds(t *testing.T) {
 	tests := map[string]struct {
 		pause time.Duration
--- a/forwarder/silence.go
+++ b/forwarder/silence.go
@@ -10,33 +10,32 @@
 	"github.com/pkg/errors"
 )
 
-// Causes with which the watchdog ends an attempt.
+// Causes with which the watchdog cancels an attempt.
 var (
-	// errEngineLost: a new connection does not reach the engine either.
+	// errEngineLost: the engine is unreachable on a new connection as well.
 	errEngineLost = errors.New("the engine does not answer on a new connection")
-	// errEngineChanged: the engine answers, but is no longer the attempt's.
+	// errEngineChanged: the engine answers, but is no longer in the attempt's group.
 	errEngineChanged = errors.New("the engine is no longer in the group of the attempt")
-	// errSilent: the engine works, but nothing comes on the attempt's connection.
+	// errConnectionStalled: the engine works, but nothing arrives on the attempt's connection.
 	errConnectionStalled = errors.New("the connection went silent while the engine works")
-	// errTooSlow: the slow bound is over.
+	// errTooSlow: the slow timeout expired.
 	errTooSlow = errors.New("the engine made no progress within the slow bound")
 )
 
-// evidence is what is known of an attempt without progress.
+// stallEvidence is what is known of an attempt without progress.
 type stallEvidence struct {
-	// begun says that the attempt has brought tokens.
+	// hasToken says that the attempt has received a token.
 	hasToken bool
-	// started is when the attempt began.
+	// started is when the attempt started.
 	started time.Time
 	group   garnetworks.GroupID
-	// othersProgressed says that other streams of the group brought tokens in
-	// the second half of the silence.
+	// othersProgressed says that other streams of the group received tokens in the second half
+	// of the silence.
 	othersProgressed bool
-	// overtaken says that an attempt that started later at the group has its
-	// first token.
+	// overtaken says that an attempt at the group that started later has its first token.
 	overtaken bool
-	// early says that the silence is longer than usual, but within the bound that
-	// suits any engine.
+	// early says that the silence is longer than usual for the model, but not longer than
+	// Timeouts.FirstToken allows.
 	early bool
 	// probed says that there is a Prober; probeError and status are its result.
 	probed     bool
@@ -44,25 +43,25 @@
 	status     garnetworks.EngineStatus
 }
 
-// judge says whether a silent attempt is ended, and with which cause; nil keeps
-// it until the slow bound. It is pure.
+// diagnoseStall returns the cause with which a silent attempt is cancelled, or nil if it
+// continues until the slow timeout. It is pure.
 //
-//	S1  An engine that a new connection does not reach is lost.
-//	S2  An engine that now is in another group has dropped the attempt. Names of
-//	    groups are not used again, so the name is enough.
-//	S3  Engines batch continuously: one step brings a token to every running
-//	    request. If other streams of the group go on while this one stands
-//	    still, its connection is dead.
+//	S1  An engine that is unreachable on a new connection is lost.
+//	S2  An engine that is now in another group has dropped the attempt. Group IDs
+//	    are never reused, so comparing them is enough.
+//	S3  Engines batch continuously: each step produces a token for every running
+//	    request. If other streams of the group progress while this one is silent,
+//	    its connection is dead.
 //	S4  If, before the first token, an attempt that started later has its first
-//	    token, and the engine has measured since this one started that none
-//	    waits, then the engine does not have this one: its connection is dead.
-//	S5  An engine that measured, since the attempt began, neither running nor
+//	    token, and the engine has measured since this one started that no request
+//	    waits, the engine does not have this one: its connection is dead.
+//	S5  An engine that measured, since the attempt started, neither running nor
 //	    waiting requests does not have the attempt: its connection is dead.
-//	S6  Everything else can be a slow engine and gets the slow bound.
-//	S7  Once the node knows how long a model's first tokens usually take here, the
-//	    first probe comes at twice the wait of 95 in 100 calls. So early, only S1
-//	    and S2 judge: the engine may not have got to a slow call yet. A second
-//	    probe comes at the bound that suits any engine.
+//	S6  In all other cases the engine may be slow, and the slow timeout applies.
+//	S7  Once the node knows a model's usual time to the first token, the first
+//	    probe comes at twice the 95th percentile. At that time only S1 and S2
+//	    apply, because the engine may not have reached the call yet. A second
+//	    probe comes at the timeout that suits any engine.
 func diagnoseStall(e stallEvidence) error {
 	if e.probed && e.probeError != nil {
 		return errEngineLost // S1
@@ -89,24 +88,23 @@
 	return nil // S6
 }
 
-// pulses know when each group's streams at this node last brought a token, for
-// rule S3.
+// activityTracker records when each group's streams at this node last received a token, for
+// rules S3 and S4.
 type activityTracker struct {
 	mu     sync.Mutex
 	groups map[garnetworks.GroupID]*groupActivity
 }
 
-// pulse is one group's. It exists while an attempt uses it.
+// groupActivity is the activity of one group. It exists while an attempt refers to it.
 type groupActivity struct {
 	refs int
-	// last is when the newest token came, and begun the start of the youngest
-	// attempt that has its first token, in nanoseconds of the monotonic clock
-	// since Forwarder.start.
+	// lastToken is when the newest token arrived, latestStart the latest start of an attempt
+	// that has its first token, both in nanoseconds of monotonic time since Forwarder.start.
 	lastToken   atomic.Int64
 	latestStart atomic.Int64
 }
 
-// begin notes that an attempt which started at the time has its first token.
+// recordFirstToken records that an attempt with this start time has its first token.
 func (a *groupActivity) recordFirstToken(started int64) {
 	for {
 		known := a.latestStart.Load()
@@ -141,11 +139,11 @@
 	}
 }
 
-// watchdog ends one attempt that makes no progress (rule F4).
+// watchdog cancels an attempt that makes no progress (rule F4).
 //
-// Failure: something between node and engine loses track of an open connection.
-// Reads on it wait for good, and nothing fails. Only the absence of progress
-// shows it, and only a new connection tells it from a slow engine.
+// Failure: a device between the node and the engine drops the state of an open connection.
+// Reads on it block forever without an error. Only the missing progress shows it, and only a
+// new connection distinguishes it from a slow engine.
 type watchdog struct {
 	f     *Forwarder
 	group *garnetworks.GroupView
@@ -156,16 +154,16 @@
 	cancel   context.CancelCauseFunc
 	activity *groupActivity
 	started  time.Time
-	// offset is base in nanoseconds since Forwarder.start.
+	// startOffset is started in nanoseconds since Forwarder.start.
 	startOffset int64
-	// prefill is added to the bound of the first token for the prompt's length.
+	// prefillAllowance is added to the first-token timeouts for the prompt's length.
 	prefillAllowance time.Duration
-	// early is the wait for the first token before the first probe (rule S7); 0
-	// if there is no such probe.
+	// earlyProbe is the wait for the first token before the early probe (rule S7); 0 if there
+	// is no such probe.
 	earlyProbe time.Duration
 
-	// sign and token are the times of the last sign of life and of the last
-	// token, in nanoseconds since base.
+	// lastActivity and lastToken are the times of the last chunk and of the last token, or of
+	// resume if that was later, in nanoseconds since started.
 	lastActivity atomic.Int64
 	lastToken    atomic.Int64
 	hasToken     atomic.Bool
@@ -173,18 +171,17 @@
 	paused atomic.Bool
 
 	timer *time.Timer
-	// checking is held by check: a token that sets the timer anew while a probe
-	// runs must not start a second one beside it.
+	// checking is held by check: a token that resets the timer during a probe must not start a
+	// second probe in parallel.
 	checking sync.Mutex
-	// judged is the sign up to which the silence was probed and found slow; -1
-	// before the first probe. It belongs to the holder of checking, as does
-	// judgedEarly, which says that the early probe is done.
+	// probedActivity is the value of lastActivity at which the silence was probed and found
+	// slow; -1 before the first probe. earlyProbeDone says that the early probe is done.
+	// checking guards both.
 	probedActivity int64
 	earlyProbeDone bool
 }
 
-// prefillBytesPerSecond is a low estimate of how fast engines read prompts: about
-// 5000 tokens a second.
+// prefillBytesPerSecond is a low estimate of the rate at which engines prefill prompts.
 const prefillBytesPerSecond = 20_000
 
 func (f *Forwarder) watch(ctx context.Context, cancel context.CancelCauseFunc, group *garnetworks.GroupView, call *garnetworks.CallRequest) *watchdog {
@@ -206,7 +203,7 @@
 		w.earlyProbe = early
 		first = early
 	}
-	// The timer's goroutine reads w.timer, so it is set before the timer runs.
+	// The timer's function reads w.timer, so it waits until w.timer is set.
 	ready := make(chan struct{})
 	w.timer = time.AfterFunc(first, func() {
 		<-ready
@@ -221,7 +218,7 @@
 	w.f.activity.release(w.group.ID)
 }
 
-// progress notes a chunk with the given number of tokens.
+// recordProgress records a chunk with the given number of tokens.
 func (w *watchdog) recordProgress(tokens int) {
 	elapsed := int64(time.Since(w.started))
 	w.lastActivity.Store(elapsed)
@@ -233,14 +230,13 @@
 	if !w.hasToken.Load() {
 		w.activity.recordFirstToken(w.startOffset)
 		w.f.firstTokens.record(w.model, time.Duration(elapsed))
-		// From here on the shorter bound holds, and the timer still runs for the
-		// longer one.
+		// The shorter timeout applies from now on; the timer still runs for the longer one.
 		w.hasToken.Store(true)
 		w.timer.Reset(w.f.options.Timeouts.BetweenTokens)
 	}
 }
 
-// pause and resume frame the time in which the caller holds the attempt up.
+// pause and resume enclose the time in which the attempt waits for the caller.
 func (w *watchdog) pause() { w.paused.Store(true) }
 
 func (w *watchdog) resume() {
@@ -250,7 +246,7 @@
 	w.paused.Store(false)
 }
 
-// limits returns the bounds that hold now.
+// timeouts returns the timeouts that apply now.
 func (w *watchdog) timeouts() (silence, slow time.Duration) {
 	t := &w.f.options.Timeouts
 	if w.hasToken.Load() {
@@ -262,8 +258,8 @@
 	return t.FirstToken + w.prefillAllowance, t.SlowFirstToken + w.prefillAllowance
 }
 
-// check runs on the timer's goroutine. It looks at the clock in place of a timer
-// that is set anew for each token.
+// check runs on the timer's goroutine. It compares the clock with the recorded times, so that
+// the timer need not be reset for each token.
 func (w *watchdog) check() {
 	w.checking.Lock()
 	defer w.checking.Unlock()
@@ -294,7 +290,7 @@
 	w.timer.Reset(slowLimit - sinceToken)
 }
 
-// probe asks the engine on a new connection and acts on the judgement.
+// probe requests the engine's status on a new connection and acts on the diagnosis.
 func (w *watchdog) probe(activity int64) {
 	e := stallEvidence{
 		hasToken: w.hasToken.Load(),
@@ -339,7 +335,7 @@
 	})
 }
 
-// endedByWatchdog returns the watchdog's cause, or nil.
+// watchdogCause returns the cause with which the watchdog cancelled ctx, or nil.
 func watchdogCause(ctx context.Context) error {
 	cause := context.Cause(ctx)
 	switch cause {
--- a/forwarder/tasks.go
+++ b/forwarder/tasks.go
@@ -5,16 +5,16 @@
 	"sync"
 )
 
-// Tasks counts what is in flight. It is a WaitGroup whose wait ends with a
-// context, and that may grow while it is waited for. The zero value is empty.
+// Tasks counts tasks in flight. Unlike a sync.WaitGroup, its Wait ends with a context, and
+// tasks may begin during Wait. The zero value is empty.
 type Tasks struct {
 	mu    sync.Mutex
 	count int
-	// idle is closed when count falls to 0 while somebody waits.
+	// idle is closed when count falls to 0 during a Wait.
 	idle chan struct{}
 }
 
-// Begin counts a task; End follows it.
+// Begin counts a task; End must follow.
 func (t *Tasks) Begin() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -32,7 +32,7 @@
 	}
 }
 
-// Run runs a task on a goroutine of its own.
+// Run runs a task on its own goroutine.
 func (t *Tasks) Run(task func()) {
 	t.Begin()
 	go func() {
@@ -48,7 +48,7 @@
 	return t.count
 }
 
-// Wait returns nil once no task is in flight, or the cause of ctx's end.
+// Wait returns nil when no task is in flight, or the cause of ctx's end.
 func (t *Tasks) Wait(ctx context.Context) error {
 	t.mu.Lock()
 	if t.count == 0 {
--- a/forwarder/transcript.go
+++ b/forwarder/transcript.go
@@ -5,42 +5,42 @@
 	"github.com/pkg/errors"
 )
 
-// errContradiction says that a chunk does not fit what was delivered.
+// errContradictingChunk says that a chunk does not fit the delivered answer.
 var errContradictingChunk = errors.New("the chunk contradicts the delivered answer")
 
-// MaxAnswerBytes bounds the text of one answer, which a node keeps until its end
-// to be able to resume it.
+// MaxAnswerBytes limits the text of one answer, which a node keeps until the end to be able to
+// resume it.
 const MaxAnswerBytes = 4 << 20
 
-// transcript is the delivered part of an answer over all attempts; it keeps
-// rule F3. It is pure and belongs to one goroutine.
+// transcript is the delivered part of an answer over all attempts; it implements rule F3. It
+// does no I/O and is not safe for concurrent use.
 type transcript struct {
 	maxTokens int
-	// tokens is the number of delivered tokens, and the index of the next one.
+	// tokens is the number of delivered tokens and the index of the next one.
 	tokens int
 	// text is the delivered text.
 	text []byte
-	// marks remember where the latest chunks began, newest last.
+	// starts holds the starts of the latest chunks as a ring buffer.
 	starts [maxStarts]position
-	// cursor is the end of the last overlapping chunk of the attempt.
+	// cursor is the end of the attempt's last chunk that only repeated delivered tokens.
 	cursor position
 }
 
-// markCount is the number of chunk starts that an overlap can begin at, besides
-// the start of the answer: engines resume from a checkpoint a few tokens back.
+// maxStarts is the number of chunk starts at which an overlap can begin, in addition to the
+// start of the answer: engines resume from a checkpoint a few tokens back.
 const maxStarts = 32
 
-// mark pairs a token's index with the offset of its text.
+// position is a token's index and the byte offset of its text.
 type position struct {
 	index  int
 	offset int
 }
 
-// begin starts a new attempt.
+// beginAttempt starts a new attempt.
 func (t *transcript) beginAttempt() { t.cursor = position{} }
 
-// take returns what of the chunk is new. The part is empty for a chunk that
-// repeats delivered tokens or brings none.
+// accept checks a chunk and returns its new part, which is empty if the chunk only repeats
+// delivered tokens or has none.
 func (t *transcript) accept(c *garnetworks.Chunk) (Part, error) {
 	if c.Tokens < 0 || c.Index < 0 || c.Index+c.Tokens > t.maxTokens {
 		return Part{}, errContradictingChunk
@@ -53,8 +53,8 @@
 	}
 	switch {
 	case c.Index > t.tokens:
-		// Failure: an engine skips tokens when it resumes; the caller would read
-		// an answer with a hole in it that looks whole.
+		// Failure: an engine skips tokens when it resumes; the caller would get an answer with a
+		// gap that looks whole.
 		return Part{}, errContradictingChunk
 	case c.Index < t.tokens:
 		return t.overlap(c)
@@ -62,11 +62,11 @@
 	return t.extend(c.Text, c.Tokens), nil
 }
 
-// overlap handles a chunk that begins before the end of what was delivered.
+// overlap handles a chunk that begins before the end of the delivered answer.
 //
-// Failure: an engine ignores the point of resumption and generates the answer
-// anew, which differs where sampling is random; cut by position alone, two
-// different texts would be joined. So the repeated text must be the same.
+// Failure: an engine ignores the resume position and generates the answer again, which differs
+// if sampling is random. Cut by position alone, two different texts would be joined, so the
+// repeated text must match.
 func (t *transcript) overlap(c *garnetworks.Chunk) (Part, error) {
 	offset, ok := t.offset(c.Index)
 	if !ok {
@@ -87,7 +87,7 @@
 	return t.extend(c.Text[len(delivered):], end-t.tokens), nil
 }
 
-// offset returns where the text of the token begins.
+// offset returns the byte offset of the token's text, if it is known.
 func (t *transcript) offset(index int) (int, bool) {
 	if index == 0 {
 		return 0, true
--- a/forwarder/usual.go
+++ b/forwarder/usual.go
@@ -8,35 +8,33 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Bounds of what is taken for a usual wait for the first token (rule S7).
+// Parameters of the early probe (rule S7).
 const (
-	// usualSamples is the number of a model's latest first tokens that count; so
-	// many must be known before any bound follows from them.
+	// waitSamples is the number of a model's latest waits that are kept; there is no early
+	// probe until there are as many.
 	waitSamples = 64
-	// usualFactor is how far above the wait of 95 in 100 calls a wait must be to
-	// be worth a probe.
+	// earlyProbeFactor times the 95th percentile is the wait after which a probe is sent.
 	earlyProbeFactor = 2
-	// minEarlyProbe is the least wait: a lost packet on the way costs 200 ms.
+	// minEarlyProbe is the shortest wait before a probe; it allows for one retransmission.
 	minEarlyProbe = 300 * time.Millisecond
 )
 
-// usual knows how long attempts at each model have waited for their first token
-// at this node. It keeps one small record for each model of the manifest. Models,
-// not groups: a node sends a group too few calls to know it.
+// firstTokenWaits records how long attempts at each model have waited for their first token at
+// this node. It is kept by model because a group gets too few calls from one node.
 type firstTokenWaits struct {
 	mu      sync.Mutex
 	byModel map[garnetworks.ModelName]*modelWaits
 }
 
-// waits are the latest waits of one model.
+// modelWaits are the latest waits of one model.
 type modelWaits struct {
 	samples [waitSamples]time.Duration
 	count   int
-	// most is what 95 in 100 of the ring don't exceed; 0 while too few are known.
+	// p95 is the 95th percentile of samples; 0 until there are enough.
 	p95 time.Duration
 }
 
-// took notes an attempt's wait for its first token.
+// record records an attempt's wait for its first token.
 func (f *firstTokenWaits) record(model garnetworks.ModelName, wait time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -57,8 +55,8 @@
 	}
 }
 
-// early returns the wait after which an attempt with the given allowance for its
-// prompt is probed for the first time; false if too little is known.
+// earlyProbe returns the wait after which an attempt is probed early, given the allowance for
+// prefilling its prompt; false while there are too few samples.
 func (f *firstTokenWaits) earlyProbe(model garnetworks.ModelName, prefillAllowance time.Duration) (time.Duration, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/gateway/account_test.go
+++ b/gateway/account_test.go
@@ -183,7 +183,7 @@
 	}
 }
 
-// Guards against a line that does not show that the node itself was frozen when a call was late.
+// Guards against a line that does not show that the node was frozen when a call was late.
 func TestStallOfTheNodeIsCounted(t *testing.T) {
 	var s stalls
 	s.tick(25*time.Millisecond, advanceInterval)
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -20,11 +20,11 @@
 	maxBufferedBytes = 8 << 20
 	// maxFreeAttempts limits the attempts that do not count against the route's limit.
 	maxFreeAttempts = 4
-	// firstAttemptFraction is the fraction of the remaining time that an attempt gets if the call
-	// may be repeated, so that a hanging server leaves time for another one.
+	// firstAttemptFraction is the fraction of the remaining time that an attempt gets if
+	// more attempts are allowed, so that a hanging server leaves time for another one.
 	firstAttemptFraction = 0.45
-	// plainConnectTime bounds the connection setup to a plain service. Within a site a live server
-	// accepts within milliseconds.
+	// plainConnectTime bounds the connection setup to a plain service. Within a site a live
+	// server accepts within milliseconds.
 	plainConnectTime = 200 * time.Millisecond
 )
 
