--- a/gateway/account.go
+++ b/gateway/account.go
@@ -58,12 +58,12 @@
 
 // addAttempt appends an attempt that has ended.
 func (a *callLog) addAttempt(group garnetworks.GroupID, instance garnetworks.InstanceID, started time.Time, failure error) *emitter.Attempt {
-	t := emitter.Attempt{Group: group, Instance: instance, Phase: garnetworks.PhaseDone, TookMS: milliseconds(time.Since(started))}
+	attempt := emitter.Attempt{Group: group, Instance: instance, Phase: garnetworks.PhaseDone, TookMS: milliseconds(time.Since(started))}
 	if failure != nil {
-		t.Phase = asAttemptError(failure).Phase
-		t.Cause = failure.Error()
+		attempt.Phase = asAttemptError(failure).Phase
+		attempt.Cause = failure.Error()
 	}
-	a.attemptLog = append(a.attemptLog, t)
+	a.attemptLog = append(a.attemptLog, attempt)
 	return &a.attemptLog[len(a.attemptLog)-1]
 }
 
@@ -207,11 +207,11 @@
 }
 
 // loggedAttempts returns the attempts to log: for a call on time only the server that answered.
-func loggedAttempts(trials []emitter.Attempt, detailed bool) []emitter.Attempt {
+func loggedAttempts(attempts []emitter.Attempt, detailed bool) []emitter.Attempt {
 	if detailed {
-		return trials
+		return attempts
 	}
-	last := trials[len(trials)-1]
+	last := attempts[len(attempts)-1]
 	return []emitter.Attempt{{Group: last.Group, Instance: last.Instance, Events: last.Events}}
 }
 
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -22,7 +22,7 @@
 	maxFreeAttempts = 4
 	// firstAttemptFraction is the fraction of the remaining time that an attempt gets if
 	// more attempts are allowed, so that a hanging server leaves time for another one.
-	firstAttemptFraction = 0.45
+	attemptFraction = 0.45
 	// plainConnectTime bounds the connection setup to a plain service. Within a site a live
 	// server accepts within milliseconds.
 	plainConnectTime = 200 * time.Millisecond
@@ -87,8 +87,8 @@
 			freeAttempts++
 			continue
 		}
-		verdict := history.RecordFailure(retrier.Failure{Phase: failure.Phase})
-		if x.ctx.Err() != nil || !verdict.Retry || !granted && !x.takeRetry(x.service.Name) {
+		decision := history.RecordFailure(retrier.Failure{Phase: failure.Phase})
+		if x.ctx.Err() != nil || !decision.Retry || !granted && !x.takeRetry(x.service.Name) {
 			x.refuseUnanswered(history.MayHaveRun, garnetworks.KindBackendRefused, failure)
 			return
 		}
@@ -121,7 +121,7 @@
 	ctx, cancel := context.WithCancelCause(x.ctx)
 	defer cancel(nil)
 	if mayRepeat {
-		timeout := time.Duration(float64(time.Until(x.deadline)) * firstAttemptFraction)
+		timeout := time.Duration(float64(time.Until(x.deadline)) * attemptFraction)
 		slow := time.AfterFunc(timeout, func() {
 			if x.takeRetry(x.service.Name) {
 				cancel(errSlow)
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -219,10 +219,10 @@
 	defer cancel(nil)
 	wd := s.newWatchdog(group, cancel)
 	defer wd.stop()
-	before := s.splicer.Events
+	eventsBefore := s.splicer.Events
 	defer func() {
 		attempt := s.recordAttempt(group, h.incarnation.Instance, s.current.started, attemptErrorOf(failure))
-		s.current.describe(attempt, s.splicer.Events-before, failure != nil)
+		s.current.describe(attempt, s.splicer.Events-eventsBefore, failure != nil)
 	}()
 	urgency := urgencyFirst
 	resumeAfter := s.call.LastEvent
