--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -83,22 +83,22 @@
 }
 
 // recordEvent records the arrival of an event.
-func (r *attemptState) recordEvent(now time.Time) {
-	if r.firstEventAfter == 0 {
-		r.firstEventAfter = now.Sub(r.started)
+func (a *attemptState) recordEvent(now time.Time) {
+	if a.firstEventAfter == 0 {
+		a.firstEventAfter = now.Sub(a.started)
 	} else {
-		r.maxPause = max(r.maxPause, now.Sub(r.lastEvent))
+		a.maxPause = max(a.maxPause, now.Sub(a.lastEvent))
 	}
-	r.lastEvent = now
+	a.lastEvent = now
 }
 
 // describe copies the attempt's measurements to its log entry.
-func (r *attemptState) describe(attempt *emitter.Attempt, events int, failed bool) {
-	attempt.Why, attempt.PlacedMS = r.reason, milliseconds(r.placementTime)
-	attempt.FirstMS, attempt.PauseMS, attempt.Events = milliseconds(r.firstEventAfter), milliseconds(r.maxPause), events
-	attempt.Calls, attempt.Reading = r.groupCalls, r.pendingPrefill
+func (a *attemptState) describe(attempt *emitter.Attempt, events int, failed bool) {
+	attempt.Why, attempt.PlacedMS = a.reason, milliseconds(a.placementTime)
+	attempt.FirstMS, attempt.PauseMS, attempt.Events = milliseconds(a.firstEventAfter), milliseconds(a.maxPause), events
+	attempt.Calls, attempt.Reading = a.groupCalls, a.pendingPrefill
 	if failed {
-		attempt.SilentMS = milliseconds(time.Since(r.lastEvent))
+		attempt.SilentMS = milliseconds(time.Since(a.lastEvent))
 	}
 }
 
