--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -48,7 +48,7 @@
 				skipped := index > d.tokens
 				part, err := d.accept(&garnetworks.Chunk{Index: index, Tokens: count, Text: text})
 				if err == nil && (wrong || skipped) {
-					t.Fatalf("taken: %q at %d after %d tokens", text, index, d.tokens)
+					t.Fatalf("accepted: %q at %d after %d tokens", text, index, d.tokens)
 				}
 				if err != nil && follows && !wrong {
 					t.Fatalf("refused: %q at %d after %d tokens", text, index, d.tokens)
@@ -92,13 +92,13 @@
 		e    stallEvidence
 		want error
 	}{
-		"busy engine":                 {alive(func(*stallEvidence) {}), nil},
-		"no new connection":           {alive(func(e *stallEvidence) { e.probeError = errors.New("refused") }), errEngineLost},
-		"re-formed meanwhile":         {alive(func(e *stallEvidence) { e.status.Group = "g2" }), errEngineChanged},
-		"released meanwhile":          {alive(func(e *stallEvidence) { e.status.Group = "" }), errEngineChanged},
-		"others progress":             {alive(func(e *stallEvidence) { e.othersProgressed = true }), errConnectionStalled},
-		"others, but this one queues": {alive(func(e *stallEvidence) { e.othersProgressed, e.hasToken = true, false }), nil},
-		"engine without work":         {alive(func(e *stallEvidence) { e.status.Load.Running = 0 }), errConnectionStalled},
+		"busy engine":                            {alive(func(*stallEvidence) {}), nil},
+		"no new connection":                      {alive(func(e *stallEvidence) { e.probeError = errors.New("refused") }), errEngineLost},
+		"re-formed meanwhile":                    {alive(func(e *stallEvidence) { e.status.Group = "g2" }), errEngineChanged},
+		"released meanwhile":                     {alive(func(e *stallEvidence) { e.status.Group = "" }), errEngineChanged},
+		"others progress":                        {alive(func(e *stallEvidence) { e.othersProgressed = true }), errConnectionStalled},
+		"others progress, this one has no token": {alive(func(e *stallEvidence) { e.othersProgressed, e.hasToken = true, false }), nil},
+		"engine without work":                    {alive(func(e *stallEvidence) { e.status.Load.Running = 0 }), errConnectionStalled},
 		"without work, but measured before": {alive(func(e *stallEvidence) {
 			e.status.Load.Running, e.status.Load.At = 0, started.Add(-time.Second)
 		}), nil},
@@ -113,13 +113,13 @@
 		"overtaken, some wait": {alive(func(e *stallEvidence) {
 			e.overtaken, e.hasToken, e.status.Load.Waiting = true, false, 1
 		}), nil},
-		"younger ones begun, as is this one": {alive(func(e *stallEvidence) { e.overtaken = true }), nil},
-		"no prober":                          {stallEvidence{hasToken: true, started: started, group: "g1"}, nil},
+		"later attempts have tokens, as has this one": {alive(func(e *stallEvidence) { e.overtaken = true }), nil},
+		"no prober": {stallEvidence{hasToken: true, started: started, group: "g1"}, nil},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			if got := diagnoseStall(tt.e); got != tt.want {
-				t.Errorf("judged %v, want %v", got, tt.want)
+				t.Errorf("diagnosed %v, want %v", got, tt.want)
 			}
 		})
 	}
@@ -215,10 +215,10 @@
 			t.Errorf("%v, cancelled at the engine: %t", err, e.cancelled)
 		}
 		if took := time.Since(begin); took > 16*time.Second {
-			t.Errorf("given up after %s", took)
+			t.Errorf("cancelled after %s", took)
 		}
 		if len(e.results) != 1 || !e.results[0].Cancelled {
-			t.Errorf("the group is blamed: %+v", e.results)
+			t.Errorf("the attempt counts against the group: %+v", e.results)
 		}
 	})
 }
--- a/gateway/account.go
+++ b/gateway/account.go
@@ -67,7 +67,7 @@
 	return &a.attemptLog[len(a.attemptLog)-1]
 }
 
-// recordEvent records an event that has been written to the client since began.
+// recordEvent records an event whose write to the client began at started and has ended.
 func (a *callLog) recordEvent(received, started time.Time) {
 	now := time.Now()
 	a.maxWrite = max(a.maxWrite, now.Sub(started))
--- a/gateway/account_test.go
+++ b/gateway/account_test.go
@@ -53,7 +53,7 @@
 		absent []string
 		want   map[string]any
 	}{
-		"on time, in short": {
+		"on time": {
 			run: func(s *stream) {
 				s.beginAttempt("a-grey")
 				s.giveEvents(step, step, step)
@@ -62,7 +62,7 @@
 			absent: []string{"waited-ms", "objective-ms", "pause-ms"},
 			want:   map[string]any{"prompt": 1400, "answer": 90, "first-ms": int64(50)},
 		},
-		"waited for a place": {
+		"waited for a slot": {
 			run: func(s *stream) {
 				s.waited = 380 * time.Millisecond
 				time.Sleep(s.waited)
@@ -157,7 +157,7 @@
 		before.beginAttempt("a-grey")
 		s.beginAttempt("a-grey")
 		if s.current.groupCalls != 1 || s.current.pendingPrefill != 5900 {
-			t.Errorf("the group had %d calls and %d prompt tokens before", s.current.groupCalls, s.current.pendingPrefill)
+			t.Errorf("the group had %d calls and %d prompt tokens before the call", s.current.groupCalls, s.current.pendingPrefill)
 		}
 		before.current.recordEvent(time.Now().Add(time.Millisecond))
 		before.scheduler.PrefillDone("m", "a-grey", 5900)
@@ -189,7 +189,7 @@
 	s.tick(25*time.Millisecond, advanceInterval)
 	s.tick(90*time.Millisecond, advanceInterval)
 	if s.total() != 0 {
-		t.Errorf("ticks a little late count as a stall of %s", s.total())
+		t.Errorf("slightly late ticks count as a stall of %s", s.total())
 	}
 	s.tick(2*time.Second+advanceInterval, advanceInterval)
 	if s.total() != 2*time.Second {
--- a/gateway/age_test.go
+++ b/gateway/age_test.go
@@ -114,9 +114,9 @@
 // Guards against a permanent refusal of a call that a newer routing than the node's allows.
 func TestStaleRoutingRefusesNothingPermanently(t *testing.T) {
 	const (
-		young = time.Second
-		old   = 3 * time.Second
-		aged  = 20 * time.Second
+		fresh   = time.Second
+		stale   = 3 * time.Second
+		expired = 20 * time.Second
 	)
 	cases := map[string]struct {
 		cutFor     time.Duration
@@ -124,21 +124,21 @@
 		key, body  string
 		want       int
 	}{
-		"unknown host, young":         {young, "b.example", "/keyed/x", "k", "", http.StatusNotFound},
-		"unknown host, old":           {old, "b.example", "/keyed/x", "k", "", http.StatusServiceUnavailable},
-		"unknown path, old":           {old, "a.example", "/none/x", "k", "", http.StatusServiceUnavailable},
-		"unknown path, aged":          {aged, "a.example", "/none/x", "k", "", http.StatusServiceUnavailable},
-		"unknown key, young":          {young, "a.example", "/keyed/x", "other", "", http.StatusUnauthorized},
-		"unknown key, old":            {old, "a.example", "/keyed/x", "other", "", http.StatusServiceUnavailable},
-		"body over the limit, young":  {young, "a.example", "/keyed/x", "k", "longer", http.StatusRequestEntityTooLarge},
-		"body over the limit, old":    {old, "a.example", "/keyed/x", "k", "longer", http.StatusServiceUnavailable},
-		"known key, young":            {young, "a.example", "/keyed/x", "k", "", http.StatusOK},
-		"known key, old":              {old, "a.example", "/keyed/x", "k", "", http.StatusOK},
-		"known key, aged":             {aged, "a.example", "/keyed/x", "k", "", http.StatusServiceUnavailable},
-		"known route, no key, old":    {old, "a.example", "/public/x", "", "", http.StatusOK},
-		"known route, no key, aged":   {aged, "a.example", "/public/x", "", "", http.StatusOK},
-		"public, unknown key, aged":   {aged, "a.example", "/public/x", "other", "", http.StatusOK},
-		"unknown host, no key, young": {young, "b.example", "/x", "", "", http.StatusNotFound},
+		"unknown host, fresh":          {fresh, "b.example", "/keyed/x", "k", "", http.StatusNotFound},
+		"unknown host, stale":          {stale, "b.example", "/keyed/x", "k", "", http.StatusServiceUnavailable},
+		"unknown path, stale":          {stale, "a.example", "/none/x", "k", "", http.StatusServiceUnavailable},
+		"unknown path, expired":        {expired, "a.example", "/none/x", "k", "", http.StatusServiceUnavailable},
+		"unknown key, fresh":           {fresh, "a.example", "/keyed/x", "other", "", http.StatusUnauthorized},
+		"unknown key, stale":           {stale, "a.example", "/keyed/x", "other", "", http.StatusServiceUnavailable},
+		"body over the limit, fresh":   {fresh, "a.example", "/keyed/x", "k", "longer", http.StatusRequestEntityTooLarge},
+		"body over the limit, stale":   {stale, "a.example", "/keyed/x", "k", "longer", http.StatusServiceUnavailable},
+		"known key, fresh":             {fresh, "a.example", "/keyed/x", "k", "", http.StatusOK},
+		"known key, stale":             {stale, "a.example", "/keyed/x", "k", "", http.StatusOK},
+		"known key, expired":           {expired, "a.example", "/keyed/x", "k", "", http.StatusServiceUnavailable},
+		"known route, no key, stale":   {stale, "a.example", "/public/x", "", "", http.StatusOK},
+		"known route, no key, expired": {expired, "a.example", "/public/x", "", "", http.StatusOK},
+		"public, unknown key, expired": {expired, "a.example", "/public/x", "other", "", http.StatusOK},
+		"unknown host, no key, fresh":  {fresh, "b.example", "/x", "", "", http.StatusNotFound},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/gateway/guard_test.go
+++ b/gateway/guard_test.go
@@ -55,9 +55,9 @@
 		full   bool
 		moves  bool
 	}{
-		"never begins":                          {moves: true},
-		"begins, and pauses":                    {begins: true},
-		"never begins, with no place elsewhere": {full: true},
+		"no first event":                    {moves: true},
+		"first event, then a pause":         {begins: true},
+		"no first event, no slot elsewhere": {full: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -77,7 +77,7 @@
 					t.Errorf("the call has moved: %t", moved)
 				}
 				if c.moves && s.reserved != "b-well" {
-					t.Errorf("it has a place at %q", s.reserved)
+					t.Errorf("it reserved a slot at %q", s.reserved)
 				}
 			})
 		})
@@ -93,12 +93,12 @@
 		time.Sleep(3 * time.Second)
 		wd.stop()
 		if s.reserved != "b-well" {
-			t.Fatalf("the call has a place at %q", s.reserved)
+			t.Fatalf("the call reserved a slot at %q", s.reserved)
 		}
 		s.releaseReserved()
 		for _, p := range g.scheduler.Load(time.Now()).Groups {
 			if p.Group == "b-well" {
-				t.Errorf("%d calls hold places there", p.Running)
+				t.Errorf("%d calls hold slots there", p.Running)
 			}
 		}
 	})
@@ -112,10 +112,10 @@
 		within           time.Duration
 		moves            bool
 	}{
-		"told":                  {reported: true, within: suspectTimeout + moveRetryInterval, moves: true},
-		"told, but gives event": {reported: true, events: true, within: suspectTimeout + moveRetryInterval},
-		"not told":              {within: suspectTimeout + moveRetryInterval},
-		"not told, for long":    {within: firstEventStallTimeout + moveRetryInterval, moves: true},
+		"reported lost":                   {reported: true, within: suspectTimeout + moveRetryInterval, moves: true},
+		"reported lost, but sends events": {reported: true, events: true, within: suspectTimeout + moveRetryInterval},
+		"not reported":                    {within: suspectTimeout + moveRetryInterval},
+		"not reported, long silence":      {within: firstEventStallTimeout + moveRetryInterval, moves: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -20,8 +20,8 @@
 	maxBufferedBytes = 8 << 20
 	// maxFreeAttempts limits the attempts that do not count against the route's limit.
 	maxFreeAttempts = 4
-	// firstAttemptFraction is the fraction of the remaining time that an attempt gets if
-	// more attempts are allowed, so that a hanging server leaves time for another one.
+	// attemptFraction is the fraction of the remaining time that an attempt gets if more
+	// attempts are allowed, so that a hanging server leaves time for another one.
 	attemptFraction = 0.45
 	// plainConnectTime bounds the connection setup to a plain service. Within a site a live
 	// server accepts within milliseconds.
@@ -151,7 +151,7 @@
 	return answer, context.Cause(ctx) == errSlow, failure
 }
 
-// readResponse reads the body and checks that the response is a whole one of a server.
+// readResponse reads the body and checks that the response is complete and the server's own.
 func readResponse(answer *garnetworks.ProxiedResponse, err error) (*bufferedResponse, *garnetworks.AttemptError) {
 	if err != nil {
 		return nil, asAttemptError(err)
@@ -217,7 +217,7 @@
 }
 
 // contextErrorKind returns the error kind of a call whose context has ended, so that the log
-// tells a client's disconnect from a server's timeout.
+// distinguishes a client's disconnect from a server's timeout.
 func contextErrorKind(err error) garnetworks.Kind {
 	if errors.Is(err, context.Canceled) {
 		return garnetworks.KindCancelled
--- a/gateway/stall.go
+++ b/gateway/stall.go
@@ -10,7 +10,7 @@
 const minStall = 100 * time.Millisecond
 
 // stalls sums the times in which the process did not run, because the instance was frozen or
-// the CPU was taken away. They explain calls that were late for no other reason.
+// the CPU was taken away. A call during a stall is late because of it.
 type stalls struct{ sum atomic.Int64 }
 
 // tick records the time that elapsed between two ticks, which were due every interval.
