--- a/forwarder/model.go
+++ b/forwarder/model.go
@@ -11,27 +11,24 @@
 	"github.com/pkg/errors"
 )
 
-// Sink takes the answer of a call to a model. Its methods are called by the
-// goroutine that called Generate; an error ends the call as cancelled.
+// Sink receives the answer of a call to a model. Its methods are called by the goroutine that
+// called Generate; an error cancels the call.
 type Sink interface {
-	// Write takes the next part.
+	// Write writes the next part.
 	Write(part Part) error
-	// Flush is called after the parts that are there now were written.
+	// Flush is called after all parts that are available have been written.
 	Flush() error
-	// Idle is called when no part came for a while, for a sign of life to the
-	// caller.
+	// Idle is called when no part has come for a while, to send a keep-alive to the caller.
 	Idle() error
 }
 
-// Summary describes a call to a model that ended, whole or not.
+// Summary describes a call to a model that has ended, whole or not.
 type Summary struct {
-	// Tokens is the number of tokens that the sink took or that wait for it.
+	// Tokens is the number of delivered tokens, buffered ones included.
 	Tokens int
-	// FinishReason is the engine's: stop or length. It is empty unless the
-	// answer is whole.
+	// FinishReason is the engine's: stop or length. It is empty unless the answer is whole.
 	FinishReason string
-	// Attempts counts attempts, Resumed those that went on after delivered
-	// tokens.
+	// Attempts counts attempts, Resumed those that continued after delivered tokens.
 	Attempts int
 	Resumed  int
 	// FirstToken is the time from CallRequest.Received to the first token.
@@ -40,11 +37,11 @@
 	Group garnetworks.GroupID
 }
 
-// backoff is the least pause before a broken stream asks again for a retry or for
-// a group; the most is twice that.
-const backoff = 50 * time.Millisecond
+// resumeBackoff is the minimum pause before an interrupted stream asks again for a retry or a
+// group; the maximum is twice that.
+const resumeBackoff = 50 * time.Millisecond
 
-// modelCall is one call to a model. Its fields belong to the goroutine that
+// modelCall is one call to a model. Its fields, except for ring, belong to the goroutine that
 // runs the attempts.
 type modelCall struct {
 	*Forwarder
@@ -54,11 +51,10 @@
 	transcript transcript
 	history    retrier.History
 	summary    Summary
-	// tried are the groups that failed and are not asked again while there is
-	// another one.
+	// tried are the groups that failed and are not chosen again while there is another one.
 	tried []garnetworks.GroupID
-	// last is the last attempt's failure.
-	last *failure
+	// lastFailure is the last attempt's failure.
+	lastFailure *failure
 }
 
 // failure is how an attempt failed.
@@ -68,18 +64,17 @@
 	retryAfter time.Duration
 	// timedOut says that the watchdog ended the attempt.
 	timedOut bool
-	// connectionOnly says that the group itself is fit for another attempt.
-	connectionOnly bool
-	// refusal is the kind of the server's answer; with phases other than refused
-	// it means nothing.
+	// connectionStalled says that only the connection failed: the group may be tried again.
+	connectionStalled bool
+	// refusal is the kind of the server's error; meaningful only in the refused phase.
 	refusal garnetworks.Kind
 }
 
-// Generate runs the call and writes its answer to sink until it is whole. An
-// error means that the answer is not whole, whatever the sink has taken; its
-// kind says what is known of the call.
+// Generate runs the call and writes its answer to sink until it is whole. An error means that
+// the answer is not whole, whatever was written to sink; its kind states what is known of the
+// call.
 func (f *Forwarder) Generate(ctx context.Context, call *garnetworks.CallRequest, sink Sink) (Summary, error) {
-	f.countCall()
+	f.recordCall()
 	ctx, cancelDeadline := context.WithDeadline(ctx, call.Deadline)
 	defer cancelDeadline()
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -98,37 +93,36 @@
 		m.ring.close()
 		result <- err
 	})
-	gone := m.deliver(sink)
-	if gone != nil {
-		cancel(gone)
+	sinkErr := m.deliver(sink)
+	if sinkErr != nil {
+		cancel(sinkErr)
 	}
 	err := <-result
-	if gone != nil {
-		err = garnetworks.WrapError(garnetworks.KindCancelled, gone, "the caller went away")
+	if sinkErr != nil {
+		err = garnetworks.WrapError(garnetworks.KindCancelled, sinkErr, "the caller went away")
 	}
 	m.summary.Tokens = m.transcript.tokens
-	f.ended(call.ID, m.summary.Group, "", err)
+	f.recordFailure(call.ID, m.summary.Group, "", err)
 	return m.summary, err
 }
 
-// deliver writes parts to the sink until the ring is closed. It returns the
-// sink's error.
+// deliver writes parts to the sink until the ring is closed. It returns the sink's error.
 func (m *modelCall) deliver(sink Sink) error {
 	parts := make([]Part, 0, BufferParts)
 	idle := time.NewTimer(m.options.Timeouts.Idle)
 	defer idle.Stop()
-	lastIdle := time.Now()
+	lastWrite := time.Now()
 	for {
 		select {
 		case <-m.ring.ready:
 		case <-idle.C:
-			if time.Since(lastIdle) >= m.options.Timeouts.Idle {
+			if time.Since(lastWrite) >= m.options.Timeouts.Idle {
 				if err := sink.Idle(); err != nil {
 					return err
 				}
-				lastIdle = time.Now()
+				lastWrite = time.Now()
 			}
-			idle.Reset(m.options.Timeouts.Idle - time.Since(lastIdle))
+			idle.Reset(m.options.Timeouts.Idle - time.Since(lastWrite))
 			continue
 		}
 		var open bool
@@ -139,7 +133,7 @@
 		if !open {
 			return nil
 		}
-		lastIdle = time.Now()
+		lastWrite = time.Now()
 	}
 }
 
@@ -155,62 +149,61 @@
 	return sink.Flush()
 }
 
-// run makes attempts until the answer is whole or the call is given up.
+// run makes attempts until the answer is whole or the call fails.
 func (m *modelCall) run(ctx context.Context) error {
 	for {
-		if err := m.heldBack(ctx, m.content); err != nil {
-			return m.giveUp(ctx, err)
+		if err := m.checkQuarantine(ctx, m.content); err != nil {
+			return m.callError(ctx, err)
 		}
-		group, err := m.choose(ctx)
+		group, err := m.chooseGroup(ctx)
 		if err != nil {
-			return m.giveUp(ctx, err)
+			return m.callError(ctx, err)
 		}
-		m.last = m.attempt(ctx, &group)
-		m.tellEnd(ctx, m.content, lifeOf(&group), m.last)
-		if m.last == nil {
+		m.lastFailure = m.attempt(ctx, &group)
+		m.reportToQuarantine(ctx, m.content, headIncarnation(&group), m.lastFailure)
+		if m.lastFailure == nil {
 			return nil
 		}
 		delivered := m.transcript.tokens > 0
-		verdict := m.history.RecordFailure(retrier.Failure{Phase: m.last.phase, Refusal: m.last.refusal, Delivered: delivered})
-		if ctx.Err() != nil || m.last.cause == errSlowCaller || !verdict.Retry || !m.mayRetry(ctx, verdict) {
-			return m.giveUp(ctx, m.last.cause)
+		decision := m.history.RecordFailure(retrier.Failure{Phase: m.lastFailure.phase, Refusal: m.lastFailure.refusal, Delivered: delivered})
+		if ctx.Err() != nil || m.lastFailure.cause == errSlowCaller || !decision.Retry || !m.awaitRetry(ctx, decision) {
+			return m.callError(ctx, m.lastFailure.cause)
 		}
-		if !m.last.connectionOnly {
+		if !m.lastFailure.connectionStalled {
 			m.tried = append(m.tried, group.ID)
 		}
 	}
 }
 
-// mayRetry takes a retry from the budget (rule F8).
+// awaitRetry takes a retry from the budget (rule F8).
 //
-// Failure: the loss of a zone breaks a share of all streams at one moment. They
-// must not all be resumed at once, and need not be given up either: each waits
-// for its turn in the budget, within a bound.
-func (m *modelCall) mayRetry(ctx context.Context, verdict retrier.Decision) bool {
-	if verdict.Free {
+// Failure: the loss of a zone interrupts many streams at once. They must not all be resumed
+// at the same time, so each waits for the budget, up to ResumeWait.
+func (m *modelCall) awaitRetry(ctx context.Context, decision retrier.Decision) bool {
+	if decision.Free {
 		return true
 	}
-	until := time.Now().Add(m.options.Timeouts.ResumeWait)
+	deadline := time.Now().Add(m.options.Timeouts.ResumeWait)
 	for !m.takeRetry() {
-		if !verdict.Resume || time.Now().After(until) {
+		if !decision.Resume || time.Now().After(deadline) {
 			return false
 		}
-		if !m.pause(ctx) {
+		if !m.backOff(ctx) {
 			return false
 		}
 	}
 	return true
 }
 
-// choose returns the group of the next attempt. If no untried one is left, a
-// broken stream is resumed on one that was tried.
-func (m *modelCall) choose(ctx context.Context) (garnetworks.GroupView, error) {
+// chooseGroup returns the group of the next attempt. If no untried one is left, an interrupted
+// stream is resumed on one that was tried.
+func (m *modelCall) chooseGroup(ctx context.Context) (garnetworks.GroupView, error) {
 	now := time.Now()
 	if ctx.Err() != nil {
 		return garnetworks.GroupView{}, context.Cause(ctx)
 	}
-	// A call that can't make its first token any more is refused while that is
-	// still the whole truth: nothing was sent.
+	// A call that can no longer meet its first-token deadline is refused before anything is
+	// sent, while it is certain that it did not run.
 	if m.history.Attempts == 0 && now.After(m.call.FirstTokenBy) {
 		return garnetworks.GroupView{}, garnetworks.Errorf(garnetworks.KindDeadlineUnreachable, "the first token's deadline has passed")
 	}
@@ -218,43 +211,43 @@
 	if err == nil || m.transcript.tokens == 0 {
 		return group, err
 	}
-	return m.chooseAgain(ctx)
+	return m.chooseAnyGroup(ctx)
 }
 
-// chooseAgain looks for any group to resume a broken stream on, tried or not,
-// for as long as ResumeWait.
+// chooseAnyGroup waits up to ResumeWait for a group to resume an interrupted stream on, tried
+// or not.
 //
-// Failure: the model's only group is lost, or a lost probe takes away its
-// confirmation for a moment. Most of the answer is with the caller already;
-// ended now, it would be generated again from its start.
-func (m *modelCall) chooseAgain(ctx context.Context) (garnetworks.GroupView, error) {
-	until := time.Now().Add(m.options.Timeouts.ResumeWait)
+// Failure: the model's only group is lost, or a lost probe removes its confirmation for a
+// moment. The caller has part of the answer already, which would be generated again from the
+// start.
+func (m *modelCall) chooseAnyGroup(ctx context.Context) (garnetworks.GroupView, error) {
+	deadline := time.Now().Add(m.options.Timeouts.ResumeWait)
 	for {
 		now := time.Now()
 		group, err := m.options.Groups.Choose(now, m.call, nil)
-		if err == nil || now.After(until) || !m.pause(ctx) {
+		if err == nil || now.After(deadline) || !m.backOff(ctx) {
 			return group, err
 		}
 	}
 }
 
-// pause waits for a moment, and reports whether the call goes on.
-func (m *modelCall) pause(ctx context.Context) bool {
+// backOff waits for the backoff time and reports whether ctx is still active.
+func (m *modelCall) backOff(ctx context.Context) bool {
 	select {
-	case <-time.After(backoff + rand.N(backoff)):
+	case <-time.After(resumeBackoff + rand.N(resumeBackoff)):
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// attempt runs one attempt and returns nil if the answer is whole.
+// attempt makes one attempt and returns nil if the answer is whole.
 func (m *modelCall) attempt(ctx context.Context, group *garnetworks.GroupView) *failure {
 	started := time.Now()
-	before := m.transcript.tokens
+	delivered := m.transcript.tokens
 	m.summary.Attempts++
 	m.summary.Group = group.ID
-	if before > 0 {
+	if delivered > 0 {
 		m.summary.Resumed++
 	}
 	attemptCtx, cancel := context.WithCancelCause(ctx)
@@ -264,44 +257,44 @@
 		Attempt:     attemptID(m.call.ID, m.summary.Attempts),
 		Group:       group.ID,
 		Token:       group.Token,
-		ResumeFrom:  before,
+		ResumeFrom:  delivered,
 		Delivered:   string(m.transcript.text),
 	}
 	m.options.Groups.AttemptStarted(started, m.call, group.ID)
-	dog := m.watch(attemptCtx, cancel, group, m.call)
+	wd := m.watch(attemptCtx, cancel, group, m.call)
 	result := garnetworks.AttemptResult{Phase: garnetworks.PhaseDone}
-	err := guard(func() error { return m.stream(attemptCtx, group, call, dog, &result) })
-	dog.stop()
-	result.Tokens = m.transcript.tokens - before
-	var fail *failure
+	err := recoverPanic(func() error { return m.readStream(attemptCtx, group, call, wd, &result) })
+	wd.stop()
+	result.Tokens = m.transcript.tokens - delivered
+	var failed *failure
 	if err != nil {
-		fail = classify(attemptCtx, err)
-		result.Phase = fail.phase
-		if fail.cause == errEngineLost {
-			// What became of the call stays open, but the chooser learns that a new
-			// connection does not reach the engine now.
+		failed = classify(attemptCtx, err)
+		result.Phase = failed.phase
+		if failed.cause == errEngineLost {
+			// The outcome of the call stays unknown, but for the group chooser the engine is
+			// unreachable.
 			result.Phase = garnetworks.PhaseConnect
 		}
-		result.Stalled = fail.connectionOnly
-		result.StaleToken = fail.refusal == garnetworks.KindStaleToken
-		result.Leaving = fail.refusal == garnetworks.KindShuttingDown
+		result.Stalled = failed.connectionStalled
+		result.StaleToken = failed.refusal == garnetworks.KindStaleToken
+		result.Leaving = failed.refusal == garnetworks.KindShuttingDown
 		result.Cancelled = cancelled(ctx) || errors.Is(err, errSlowCaller)
 	}
 	now := time.Now()
 	result.Elapsed = now.Sub(started)
 	m.options.Groups.AttemptFinished(now, m.call, group.ID, result)
-	return fail
+	return failed
 }
 
-// stream reads one attempt's answer into the ring.
-func (m *modelCall) stream(ctx context.Context, group *garnetworks.GroupView, call *garnetworks.EngineCall, dog *watchdog, result *garnetworks.AttemptResult) error {
+// readStream reads one attempt's answer into the ring.
+func (m *modelCall) readStream(ctx context.Context, group *garnetworks.GroupView, call *garnetworks.EngineCall, wd *watchdog, result *garnetworks.AttemptResult) error {
 	stream, err := m.options.Engines.Generate(ctx, group.Address, call)
 	if err != nil {
 		return err
 	}
-	// Closing an attempt that is not whole cancels it at the engine (rule F6).
+	// Closing the stream of an incomplete answer cancels it at the engine (rule F6).
 	defer stream.Close()
-	m.transcript.begin()
+	m.transcript.beginAttempt()
 	var chunk garnetworks.Chunk
 	for {
 		chunk = garnetworks.Chunk{}
@@ -309,26 +302,26 @@
 			return err
 		}
 		if chunk.Attempt != call.Attempt {
-			// F1: also where the adapter has checked; a crossed answer is the one
-			// failure that nobody downstream can see.
+			// Rule F1. The adapter may have checked it as well, but nothing after this point can
+			// detect a mismatched answer.
 			return &garnetworks.AttemptError{
 				Phase: garnetworks.PhaseMismatched,
 				Cause: errors.Errorf("the answer echoes attempt %q", chunk.Attempt),
 			}
 		}
-		dog.progress(chunk.Tokens)
-		m.note(group, &chunk, dog, result)
-		if err := m.pass(ctx, &chunk, dog); err != nil {
+		wd.recordProgress(chunk.Tokens)
+		m.recordChunk(group, &chunk, wd, result)
+		if err := m.enqueue(ctx, &chunk, wd); err != nil {
 			return err
 		}
 		if chunk.End {
-			return m.end(&chunk)
+			return m.finish(&chunk)
 		}
 	}
 }
 
-// note takes the load and the time of the first token.
-func (m *modelCall) note(group *garnetworks.GroupView, chunk *garnetworks.Chunk, dog *watchdog, result *garnetworks.AttemptResult) {
+// recordChunk records the engine's load and the time of the first token.
+func (m *modelCall) recordChunk(group *garnetworks.GroupView, chunk *garnetworks.Chunk, wd *watchdog, result *garnetworks.AttemptResult) {
 	if load, ok := chunk.Load.Get(); ok {
 		m.options.Groups.ReportLoad(time.Now(), group.ID, load)
 	}
@@ -336,42 +329,42 @@
 		return
 	}
 	if result.FirstToken == 0 {
-		result.FirstToken = max(time.Since(dog.base), 1)
+		result.FirstToken = max(time.Since(wd.started), 1)
 	}
 	if m.summary.FirstToken == 0 {
 		m.summary.FirstToken = max(time.Since(m.call.Received), 1)
 	}
 }
 
-// pass puts what is new of the chunk into the ring.
-func (m *modelCall) pass(ctx context.Context, chunk *garnetworks.Chunk, dog *watchdog) error {
-	part, err := m.transcript.take(chunk)
+// enqueue puts the new part of the chunk into the ring.
+func (m *modelCall) enqueue(ctx context.Context, chunk *garnetworks.Chunk, wd *watchdog) error {
+	part, err := m.transcript.accept(chunk)
 	if err != nil {
 		return &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: err}
 	}
 	if part.Tokens == 0 && part.Text == "" {
 		return nil
 	}
-	if m.ring.offer(part) {
+	if m.ring.tryPush(part) {
 		return nil
 	}
-	dog.pause()
-	defer dog.resume()
+	wd.pause()
+	defer wd.resume()
 	return m.ring.push(ctx, part, m.options.Timeouts.SlowCaller)
 }
 
-// end checks the end marker (rule F2).
-func (m *modelCall) end(chunk *garnetworks.Chunk) error {
+// finish checks the end marker (rule F2).
+func (m *modelCall) finish(chunk *garnetworks.Chunk) error {
 	if chunk.FinishReason == finishError {
 		return &garnetworks.AttemptError{
 			Phase: garnetworks.PhaseBody,
 			Cause: errors.New("the engine ended the answer with an error"),
 		}
 	}
-	// Failure: a resumed attempt ends before it has come to the point where the
-	// first one broke off. Its end marker is another text's.
+	// Failure: a resumed attempt ends before the position at which the first one was
+	// interrupted, so its end marker belongs to another text.
 	if chunk.Index+chunk.Tokens < m.transcript.tokens {
-		return &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: errContradiction}
+		return &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: errContradictingChunk}
 	}
 	m.summary.FinishReason = chunk.FinishReason
 	return nil
@@ -385,81 +378,81 @@
 	return call + "." + garnetworks.CallID(strconv.Itoa(n))
 }
 
-// classify turns an attempt's error into a failure.
+// classify converts an attempt's error to a failure.
 func classify(ctx context.Context, err error) *failure {
-	fail := &failure{phase: garnetworks.PhaseWait, cause: err}
+	failed := &failure{phase: garnetworks.PhaseWait, cause: err}
 	var attempt *garnetworks.AttemptError
 	if errors.As(err, &attempt) {
-		fail.phase = attempt.Phase
-		fail.retryAfter = attempt.RetryAfter
-		fail.timedOut = attempt.Stalled
-		fail.connectionOnly = attempt.Stalled
-	}
-	// Failure: an adapter reports the end of an answer that had no end marker as
-	// done. No error is PhaseDone.
-	if fail.phase == garnetworks.PhaseDone {
-		fail.phase = garnetworks.PhaseBody
-	}
-	if cause := endedByWatchdog(ctx); cause != nil {
-		fail.cause = cause
-		fail.timedOut = true
-		fail.connectionOnly = cause == errSilent
-	}
-	fail.refusal = garnetworks.KindOf(err)
-	return fail
+		failed.phase = attempt.Phase
+		failed.retryAfter = attempt.RetryAfter
+		failed.timedOut = attempt.Stalled
+		failed.connectionStalled = attempt.Stalled
+	}
+	// Failure: an adapter reports an answer without an end marker as done. An error is never
+	// PhaseDone.
+	if failed.phase == garnetworks.PhaseDone {
+		failed.phase = garnetworks.PhaseBody
+	}
+	if cause := watchdogCause(ctx); cause != nil {
+		failed.cause = cause
+		failed.timedOut = true
+		failed.connectionStalled = cause == errConnectionStalled
+	}
+	failed.refusal = garnetworks.KindOf(err)
+	return failed
 }
 
-// cancelled reports whether the call was ended from outside by something else
-// than its deadline, so that the attempt tells nothing about the server.
+// cancelled reports whether ctx was ended by something other than its deadline, so that the
+// attempt says nothing about the server.
 func cancelled(ctx context.Context) bool {
 	return ctx.Err() != nil && !errors.Is(context.Cause(ctx), context.DeadlineExceeded)
 }
 
-// giveUp returns the call's error. It is of a kind whose outcome is no stronger
-// than what the attempts have shown (rule R3).
-func (m *modelCall) giveUp(ctx context.Context, cause error) error {
+// callError returns the call's error. The outcome that its kind states is no stronger than
+// what the attempts have proven (rule R3).
+func (m *modelCall) callError(ctx context.Context, cause error) error {
 	if errors.Is(cause, errSlowCaller) {
 		return garnetworks.WrapError(garnetworks.KindCancelled, cause, "the call was ended")
 	}
 	if ctx.Err() != nil {
-		return m.stopped(context.Cause(ctx))
+		return m.contextError(context.Cause(ctx))
 	}
 	if m.transcript.tokens > 0 {
 		return garnetworks.WrapError(garnetworks.KindStreamBroken, cause, "the answer broke off and could not be resumed")
 	}
-	return endError(&m.history, m.last, cause)
+	return attemptsFailedError(&m.history, m.lastFailure, cause)
 }
 
-// stopped returns the error of a call that was ended from outside.
-func (m *modelCall) stopped(cause error) error {
+// contextError returns the error of a call whose context has ended.
+func (m *modelCall) contextError(cause error) error {
 	switch {
 	case errors.Is(cause, context.Canceled):
 		return garnetworks.WrapError(garnetworks.KindCancelled, cause, "the caller cancelled the call")
 	case m.transcript.tokens > 0:
 		return garnetworks.WrapError(garnetworks.KindStreamBroken, cause, "the answer was cut off")
 	}
-	return stoppedError(&m.history, cause)
+	return contextEndError(&m.history, cause)
 }
 
-// stoppedError returns the error of a call without an answer that was ended from
-// outside: by its deadline or by the end of the node's grace period.
-func stoppedError(history *retrier.History, cause error) error {
-	ran := history.Outcome() != garnetworks.OutcomeNotRun
+// contextEndError returns the error of a call without an answer whose context was ended by its
+// deadline or by the end of the node's grace period.
+func contextEndError(history *retrier.History, cause error) error {
+	mayHaveRun := history.Outcome() != garnetworks.OutcomeNotRun
 	graceEnded := errors.Is(cause, ErrGraceEnded)
 	switch {
-	case graceEnded && ran:
+	case graceEnded && mayHaveRun:
 		return garnetworks.WrapError(garnetworks.KindBackendLost, cause, "the node stopped before the answer came")
 	case graceEnded:
 		return garnetworks.WrapError(garnetworks.KindShuttingDown, cause, "the node stopped before the call was sent")
-	case ran:
+	case mayHaveRun:
 		return garnetworks.WrapError(garnetworks.KindBackendTimeout, cause, "the deadline passed before the answer came")
 	}
 	return garnetworks.WrapError(garnetworks.KindDeadlineUnreachable, cause, "the deadline passed before the call was sent")
 }
 
-// endError returns the error of a call without an answer whose attempts failed,
-// or that found nobody to send it to.
-func endError(history *retrier.History, last *failure, cause error) error {
+// attemptsFailedError returns the error of a call without an answer whose attempts failed or
+// for which no backend server was found.
+func attemptsFailedError(history *retrier.History, last *failure, cause error) error {
 	if history.Outcome() == garnetworks.OutcomeUnknown {
 		if last != nil && last.timedOut {
 			return garnetworks.WrapError(garnetworks.KindBackendTimeout, cause, "the backend server made no progress")
--- a/gateway/account.go
+++ b/gateway/account.go
@@ -10,89 +10,87 @@
 	"github.com/garnetworks/garnetworks/scheduler"
 )
 
-// Bounds of the log. A node at the design size gets about 15 calls a second.
+// Limits of the log.
 const (
-	// EndedWell and EndedBadly are the lines that a node writes in a second of
-	// calls that ended well, and of each cause of calls that did not.
-	EndedWell  = 50
-	EndedBadly = 20
+	// SuccessLinesPerSecond and FailureLinesPerSecond limit a node's lines per second: those of
+	// successful calls, and those of failed calls for each cause.
+	SuccessLinesPerSecond = 50
+	FailureLinesPerSecond = 20
 )
 
-// detailPart is the part of the objective, or of the allowed pause, from which a call's
-// line tells details. It is below 1, since the client measures a little more than the
-// node: the way of its request and of the events.
-const detailPart = 0.9
+// detailFraction is the fraction of the objective, or of the allowed pause, from which a call
+// is logged in detail. It is below 1 because the client also measures the network latency.
+const detailFraction = 0.9
 
-// leastWriting is the time from which a write to the client is told. Shorter ones are
-// the socket's buffer being filled.
-const leastWriting = 10 * time.Millisecond
+// minLoggedWrite is the shortest write to the client that is logged; shorter ones only fill
+// the socket buffer.
+const minLoggedWrite = 10 * time.Millisecond
 
-// sampled is the number of calls of which one is told in detail though it was on time,
-// so that the others' lines have something to be held against, and the terms of routes
-// without any late call are told as well. One in 20 adds 2 in 100 to the log.
-const sampled = 20
+// sampleInterval is the number of calls on time of which one is logged in detail, for
+// comparison with late calls and so that the limits of every route appear in the log.
+const sampleInterval = 20
 
-// account gathers what one call's line tells.
-type account struct {
-	trials []emitter.Attempt
-	// waited is how long the call waited for its first place.
+// callLog collects what is logged about one call.
+type callLog struct {
+	attemptLog []emitter.Attempt
+	// waited is how long the call waited for its first slot.
 	waited time.Duration
-	// decision is the last one of the scheduler.
+	// decision is the scheduler's last one.
 	decision scheduler.Decision
-	// matched says that the node knew a routing when the call came: version routing,
-	// last known to be the newest one routingAge before.
-	matched    bool
+	// hasRouting says that the node had a routing when the call arrived: of version routing,
+	// last confirmed as the newest routingAge before.
+	hasRouting bool
 	routing    uint64
 	routingAge time.Duration
-	// first is the time from the call's receipt to its first event; 0 before it.
-	first time.Duration
-	// lastEvent is when the last event was with the client, pause the longest time
-	// between two, over all attempts.
+	// firstEventAfter is the time from the call's receipt to its first event; 0 before it.
+	firstEventAfter time.Duration
+	// lastEvent is when the last event was written to the client, maxPause the longest time
+	// between two events over all attempts.
 	lastEvent time.Time
-	pause     time.Duration
-	// writing is the longest time that an event took to be written.
-	writing time.Duration
-	// stalled is what the node's stalls came to when the call was received.
-	stalled time.Duration
+	maxPause  time.Duration
+	// maxWrite is the longest time that writing an event took.
+	maxWrite time.Duration
+	// stallsBefore is the node's total stall time when the call was received.
+	stallsBefore time.Duration
 }
 
 func milliseconds(d time.Duration) int64 { return d.Milliseconds() }
 
-// tried notes the end of an attempt.
-func (a *account) tried(group garnetworks.GroupID, instance garnetworks.InstanceID, began time.Time, failure error) *emitter.Attempt {
-	t := emitter.Attempt{Group: group, Instance: instance, Phase: garnetworks.PhaseDone, TookMS: milliseconds(time.Since(began))}
+// addAttempt appends an attempt that has ended.
+func (a *callLog) addAttempt(group garnetworks.GroupID, instance garnetworks.InstanceID, started time.Time, failure error) *emitter.Attempt {
+	attempt := emitter.Attempt{Group: group, Instance: instance, Phase: garnetworks.PhaseDone, TookMS: milliseconds(time.Since(started))}
 	if failure != nil {
-		t.Phase = asAttempt(failure).Phase
-		t.Cause = failure.Error()
+		attempt.Phase = asAttemptError(failure).Phase
+		attempt.Cause = failure.Error()
 	}
-	a.trials = append(a.trials, t)
-	return &a.trials[len(a.trials)-1]
+	a.attemptLog = append(a.attemptLog, attempt)
+	return &a.attemptLog[len(a.attemptLog)-1]
 }
 
-// event notes that an event is with the client, whose write began at a time.
-func (a *account) event(received, began time.Time) {
+// recordEvent records an event whose write to the client began at started and has ended.
+func (a *callLog) recordEvent(received, started time.Time) {
 	now := time.Now()
-	a.writing = max(a.writing, now.Sub(began))
+	a.maxWrite = max(a.maxWrite, now.Sub(started))
 	if a.lastEvent.IsZero() {
-		a.first = now.Sub(received)
+		a.firstEventAfter = now.Sub(received)
 	} else {
-		a.pause = max(a.pause, now.Sub(a.lastEvent))
+		a.maxPause = max(a.maxPause, now.Sub(a.lastEvent))
 	}
 	a.lastEvent = now
 }
 
-// ended writes the call's line and counts it. A call that ended well has one line
-// at most; lines of calls that did not are bounded by their cause.
-func (x *exchange) ended(status int, outcome garnetworks.Outcome, err error) {
+// recordEnd counts a call that has ended and logs it, within the limits for successful calls
+// or for the failure's cause.
+func (x *exchange) recordEnd(status int, outcome garnetworks.Outcome, err error) {
 	kind := garnetworks.KindOf(err)
 	route := ""
 	if x.route != nil {
 		route = x.route.Name
 	}
 	x.options.Meter.PassedCall(route, outcome, kind)
-	bound, cause := x.badly, string(kind)+route
+	bound, cause := x.failureLines, string(kind)+route
 	if err == nil {
-		bound, cause = x.well, "well"
+		bound, cause = x.successLines, "well"
 	}
 	folded, ok := bound.Allow(time.Now(), cause)
 	if !ok {
@@ -101,15 +99,15 @@
 	x.options.Logger.Info(emitter.CallEnded, x.fields(status, outcome, err, folded)...)
 }
 
-// fields are the line's fields; docs/OPERATIONS.md explains them. A call that was
-// surely on time is told in short, so that the log's volume goes to the others.
+// fields returns the key-value pairs of the call's line, which docs/OPERATIONS.md describes. A
+// call that was clearly on time gets a short line, to leave the log's volume to the others.
 func (x *exchange) fields(status int, outcome garnetworks.Outcome, err error, folded int) []any {
 	list := []any{"status", status, "outcome", outcome}
-	detailed := err != nil || status >= http.StatusBadRequest || x.nearlyLate() || x.told.Add(1)%sampled == 0
+	detailed := err != nil || status >= http.StatusBadRequest || x.nearlyLate() || x.onTimeCalls.Add(1)%sampleInterval == 0
 	if x.call != nil {
 		list = x.appendCall(list, detailed)
 	}
-	if x.matched {
+	if x.hasRouting {
 		list = x.appendRouting(list, detailed)
 	}
 	if x.route != nil {
@@ -122,8 +120,8 @@
 		list = append(list, "ahead", d.Ahead, "expected-wait-ms", milliseconds(d.ExpectedWait), "may-wait-ms", milliseconds(d.Patience),
 			"groups", d.Groups, "spare", d.Spare)
 	}
-	if len(x.trials) > 0 {
-		list = append(list, "attempts", attempts(x.trials, detailed))
+	if len(x.attemptLog) > 0 {
+		list = append(list, "attempts", loggedAttempts(x.attemptLog, detailed))
 	}
 	if err != nil {
 		list = append(list, "kind", garnetworks.KindOf(err), "error", x.errorText(err))
@@ -134,23 +132,23 @@
 	return list
 }
 
-// nearlyLate reports whether the client may have found the answer late.
+// nearlyLate reports whether the client may have measured the answer as late.
 func (x *exchange) nearlyLate() bool {
-	first := x.first
-	if first == 0 { // the answer came whole
+	first := x.firstEventAfter
+	if first == 0 { // the answer was not streamed
 		first = time.Since(x.call.Received)
 	}
-	if float64(first) > detailPart*float64(x.route.Objective) || len(x.trials) > 1 {
+	if float64(first) > detailFraction*float64(x.route.Objective) || len(x.attemptLog) > 1 {
 		return true
 	}
-	return x.route.MaxGap > 0 && float64(x.pause) > detailPart*float64(x.route.MaxGap)
+	return x.route.MaxGap > 0 && float64(x.maxPause) > detailFraction*float64(x.route.MaxGap)
 }
 
-// appendCall appends what the call asked for and how long it took.
+// appendCall appends the call's parameters and durations.
 func (x *exchange) appendCall(list []any, detailed bool) []any {
 	list = append(list, "call", x.call.ID, "took-ms", milliseconds(time.Since(x.call.Received)))
-	if x.first > 0 {
-		list = append(list, "first-ms", milliseconds(x.first))
+	if x.firstEventAfter > 0 {
+		list = append(list, "first-ms", milliseconds(x.firstEventAfter))
 	}
 	if x.call.Model != "" {
 		list = append(list, "model", x.call.Model, "prompt", x.call.PromptTokens, "answer", x.call.ExpectedTokens())
@@ -164,25 +162,25 @@
 		list = append(list, "content", x.content)
 	}
 	list = append(list, "waited-ms", milliseconds(x.waited))
-	if !x.until.IsZero() {
-		list = append(list, "left-ms", milliseconds(time.Until(x.until)))
+	if !x.deadline.IsZero() {
+		list = append(list, "left-ms", milliseconds(time.Until(x.deadline)))
 	}
 	if !x.call.Deadline.IsZero() {
 		list = append(list, "deadline-ms", milliseconds(x.call.Deadline.Sub(x.call.Received)))
 	}
-	if x.pause > 0 {
-		list = append(list, "pause-ms", milliseconds(x.pause))
+	if x.maxPause > 0 {
+		list = append(list, "pause-ms", milliseconds(x.maxPause))
 	}
-	if x.writing >= leastWriting {
-		list = append(list, "write-ms", milliseconds(x.writing))
+	if x.maxWrite >= minLoggedWrite {
+		list = append(list, "write-ms", milliseconds(x.maxWrite))
 	}
-	if stalled := x.stalls.total() - x.stalled; stalled > 0 {
+	if stalled := x.stalls.total() - x.stallsBefore; stalled > 0 {
 		list = append(list, "stalled-ms", milliseconds(stalled))
 	}
 	return list
 }
 
-// appendRouting appends which routing the call was matched by.
+// appendRouting appends the routing that the call was matched with.
 func (x *exchange) appendRouting(list []any, detailed bool) []any {
 	list = append(list, "routing", x.routing)
 	if !detailed {
@@ -191,7 +189,7 @@
 	return append(list, "routing-age-ms", milliseconds(x.routingAge))
 }
 
-// appendRoute appends the route and its terms.
+// appendRoute appends the route and its limits.
 func (x *exchange) appendRoute(list []any, detailed bool) []any {
 	list = append(list, "route", x.route.Name)
 	if !detailed {
@@ -208,27 +206,26 @@
 	return list
 }
 
-// attempts are those that the line tells: of a call that was on time only who
-// answered.
-func attempts(trials []emitter.Attempt, detailed bool) []emitter.Attempt {
+// loggedAttempts returns the attempts to log: for a call on time only the server that answered.
+func loggedAttempts(attempts []emitter.Attempt, detailed bool) []emitter.Attempt {
 	if detailed {
-		return trials
+		return attempts
 	}
-	last := trials[len(trials)-1]
+	last := attempts[len(attempts)-1]
 	return []emitter.Attempt{{Group: last.Group, Instance: last.Instance, Events: last.Events}}
 }
 
-// errorText is the error's text without the cause that the last attempt tells.
+// errorText returns the error's text without the cause, which the last attempt already has.
 func (x *exchange) errorText(err error) string {
 	text := err.Error()
-	if n := len(x.trials); n > 0 && x.trials[n-1].Cause != "" {
-		text = strings.TrimSuffix(text, x.trials[n-1].Cause)
+	if n := len(x.attemptLog); n > 0 && x.attemptLog[n-1].Cause != "" {
+		text = strings.TrimSuffix(text, x.attemptLog[n-1].Cause)
 		text = strings.TrimSuffix(text, ": ")
 	}
 	return text
 }
 
-// outcomeOf is what an answer of the node's own says of the call.
+// outcomeOf returns the outcome that an error status of the node implies for the call.
 func outcomeOf(status int) garnetworks.Outcome {
 	switch status {
 	case http.StatusBadGateway, http.StatusGatewayTimeout, garnetworks.ErrorResponseFor(garnetworks.KindCancelled).Status, 0:
--- a/gateway/age_test.go
+++ b/gateway/age_test.go
@@ -18,21 +18,21 @@
 	"github.com/garnetworks/garnetworks/meter"
 )
 
-// objects is an object API that holds one routing and one server, and can be cut off.
-type objects struct {
+// fakeObjectAPI holds one routing and one server, and can be made unavailable.
+type fakeObjectAPI struct {
 	garnetworks.ObjectAPI
-	cut atomic.Bool
+	down atomic.Bool
 }
 
-func (o *objects) answer(wait time.Duration) error {
+func (o *fakeObjectAPI) answer(wait time.Duration) error {
 	time.Sleep(wait)
-	if o.cut.Load() {
+	if o.down.Load() {
 		return garnetworks.Errorf(garnetworks.KindObjectAPIDown, "cut")
 	}
 	return nil
 }
 
-func (o *objects) List(_ context.Context, prefix string) ([]garnetworks.Object, garnetworks.Revision, error) {
+func (o *fakeObjectAPI) List(_ context.Context, prefix string) ([]garnetworks.Object, garnetworks.Revision, error) {
 	key := prefix
 	if strings.HasSuffix(prefix, "/") {
 		key += "s"
@@ -40,12 +40,12 @@
 	return []garnetworks.Object{{Key: key, Revision: 1}}, 1, o.answer(0)
 }
 
-func (o *objects) Watch(context.Context, string, garnetworks.Revision, time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
-	const often = 100 * time.Millisecond
-	return nil, 1, o.answer(often)
+func (o *fakeObjectAPI) Watch(context.Context, string, garnetworks.Revision, time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
+	const interval = 100 * time.Millisecond
+	return nil, 1, o.answer(interval)
 }
 
-// siteReader reads the same routing and server from each object.
+// siteReader decodes every object to the same routing or server.
 type siteReader struct{}
 
 func (siteReader) RoutingKey() string   { return "routing" }
@@ -73,50 +73,50 @@
 	return s, nil
 }
 
-// callReader takes the key from the header Key.
+// callReader reads the workspace key from the header Key.
 type callReader struct{}
 
 func (callReader) ReadCall(r *http.Request) (*garnetworks.ProxiedCall, error) {
 	return &garnetworks.ProxiedCall{ID: "c", Method: r.Method, Host: r.Host, Target: r.URL.Path, WorkspaceKey: r.Header.Get("Key"), Received: time.Now()}, nil
 }
 
-// passer answers each call with success.
-type passer struct{}
+// okProxy answers each call with success.
+type okProxy struct{}
 
-func (passer) Send(context.Context, string, *garnetworks.ProxiedAttempt) (*garnetworks.ProxiedResponse, error) {
+func (okProxy) Send(context.Context, string, *garnetworks.ProxiedAttempt) (*garnetworks.ProxiedResponse, error) {
 	return &garnetworks.ProxiedResponse{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("x")), FromServer: true}, nil
 }
 
-// unheld is a quarantine that keeps nothing from servers.
-type unheld struct{}
+// noQuarantine quarantines nothing.
+type noQuarantine struct{}
 
-func (unheld) Quarantined(context.Context, garnetworks.ContentDigest) (time.Duration, bool) {
+func (noQuarantine) Quarantined(context.Context, garnetworks.ContentDigest) (time.Duration, bool) {
 	return 0, false
 }
 
-func (unheld) ReportInterrupted(garnetworks.ContentDigest, garnetworks.Incarnation) {}
-func (unheld) ReportCompleted(garnetworks.ContentDigest)                            {}
+func (noQuarantine) ReportInterrupted(garnetworks.ContentDigest, garnetworks.Incarnation) {}
+func (noQuarantine) ReportCompleted(garnetworks.ContentDigest)                            {}
 
-type unrecorded struct{}
+type noRecorder struct{}
 
-func (unrecorded) Record(garnetworks.Event) {}
+func (noRecorder) Record(garnetworks.Event) {}
 
-// newFollowing returns a gateway whose follower reads the object API until ctx ends.
-func newFollowing(ctx context.Context, api garnetworks.ObjectAPI, bounds garnetworks.SiteBounds) *Gateway {
-	f := follower.New(follower.Options{Objects: api, Reader: siteReader{}, Recorder: unrecorded{}})
+// newFollowingGateway returns a gateway whose follower reads the object API until ctx ends.
+func newFollowingGateway(ctx context.Context, api garnetworks.ObjectAPI, bounds garnetworks.SiteBounds) *Gateway {
+	f := follower.New(follower.Options{Objects: api, Reader: siteReader{}, Recorder: noRecorder{}})
 	g := New(Options{
-		Bounds: bounds, Follower: f, Reader: callReader{}, Passer: passer{}, Meter: meter.New(), Quarantine: unheld{}, Logger: hclog.NewNullLogger(),
+		Bounds: bounds, Follower: f, Reader: callReader{}, Proxy: okProxy{}, Meter: meter.New(), Quarantine: noQuarantine{}, Logger: hclog.NewNullLogger(),
 	})
 	go func() { _ = f.Run(ctx) }() // ends with ctx
 	return g
 }
 
-// Guards against a definite refusal of a call that a newer routing than the node's allows.
-func TestOldRoutingRefusesNothingForGood(t *testing.T) {
+// Guards against a permanent refusal of a call that a newer routing than the node's allows.
+func TestStaleRoutingRefusesNothingPermanently(t *testing.T) {
 	const (
-		young = time.Second
-		old   = 3 * time.Second
-		aged  = 20 * time.Second
+		fresh   = time.Second
+		stale   = 3 * time.Second
+		expired = 20 * time.Second
 	)
 	cases := map[string]struct {
 		cutFor     time.Duration
@@ -124,30 +124,30 @@
 		key, body  string
 		want       int
 	}{
-		"unknown host, young":         {young, "b.example", "/keyed/x", "k", "", http.StatusNotFound},
-		"unknown host, old":           {old, "b.example", "/keyed/x", "k", "", http.StatusServiceUnavailable},
-		"unknown path, old":           {old, "a.example", "/none/x", "k", "", http.StatusServiceUnavailable},
-		"unknown path, aged":          {aged, "a.example", "/none/x", "k", "", http.StatusServiceUnavailable},
-		"unknown key, young":          {young, "a.example", "/keyed/x", "other", "", http.StatusUnauthorized},
-		"unknown key, old":            {old, "a.example", "/keyed/x", "other", "", http.StatusServiceUnavailable},
-		"body over the limit, young":  {young, "a.example", "/keyed/x", "k", "longer", http.StatusRequestEntityTooLarge},
-		"body over the limit, old":    {old, "a.example", "/keyed/x", "k", "longer", http.StatusServiceUnavailable},
-		"known key, young":            {young, "a.example", "/keyed/x", "k", "", http.StatusOK},
-		"known key, old":              {old, "a.example", "/keyed/x", "k", "", http.StatusOK},
-		"known key, aged":             {aged, "a.example", "/keyed/x", "k", "", http.StatusServiceUnavailable},
-		"known route, no key, old":    {old, "a.example", "/public/x", "", "", http.StatusOK},
-		"known route, no key, aged":   {aged, "a.example", "/public/x", "", "", http.StatusOK},
-		"public, unknown key, aged":   {aged, "a.example", "/public/x", "other", "", http.StatusOK},
-		"unknown host, no key, young": {young, "b.example", "/x", "", "", http.StatusNotFound},
+		"unknown host, fresh":          {fresh, "b.example", "/keyed/x", "k", "", http.StatusNotFound},
+		"unknown host, stale":          {stale, "b.example", "/keyed/x", "k", "", http.StatusServiceUnavailable},
+		"unknown path, stale":          {stale, "a.example", "/none/x", "k", "", http.StatusServiceUnavailable},
+		"unknown path, expired":        {expired, "a.example", "/none/x", "k", "", http.StatusServiceUnavailable},
+		"unknown key, fresh":           {fresh, "a.example", "/keyed/x", "other", "", http.StatusUnauthorized},
+		"unknown key, stale":           {stale, "a.example", "/keyed/x", "other", "", http.StatusServiceUnavailable},
+		"body over the limit, fresh":   {fresh, "a.example", "/keyed/x", "k", "longer", http.StatusRequestEntityTooLarge},
+		"body over the limit, stale":   {stale, "a.example", "/keyed/x", "k", "longer", http.StatusServiceUnavailable},
+		"known key, fresh":             {fresh, "a.example", "/keyed/x", "k", "", http.StatusOK},
+		"known key, stale":             {stale, "a.example", "/keyed/x", "k", "", http.StatusOK},
+		"known key, expired":           {expired, "a.example", "/keyed/x", "k", "", http.StatusServiceUnavailable},
+		"known route, no key, stale":   {stale, "a.example", "/public/x", "", "", http.StatusOK},
+		"known route, no key, expired": {expired, "a.example", "/public/x", "", "", http.StatusOK},
+		"public, unknown key, expired": {expired, "a.example", "/public/x", "other", "", http.StatusOK},
+		"unknown host, no key, fresh":  {fresh, "b.example", "/x", "", "", http.StatusNotFound},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				api := &objects{}
+				api := &fakeObjectAPI{}
 				ctx, stop := context.WithCancel(t.Context())
-				g := newFollowing(ctx, api, garnetworks.SiteBounds{ApplyTime: 2 * time.Second, RevokeTime: 5 * time.Second})
+				g := newFollowingGateway(ctx, api, garnetworks.SiteBounds{ApplyTime: 2 * time.Second, RevokeTime: 5 * time.Second})
 				time.Sleep(time.Second)
-				api.cut.Store(true)
+				api.down.Store(true)
 				time.Sleep(c.cutFor)
 				r := httptest.NewRequest(http.MethodPost, c.path, strings.NewReader(c.body))
 				r.Host = c.host
--- a/gateway/guard_test.go
+++ b/gateway/guard_test.go
@@ -11,15 +11,15 @@
 	"github.com/garnetworks/garnetworks/scheduler"
 )
 
-// newGuarded returns a gateway with two groups, and a call that was sent to the first.
-func newGuarded(t *testing.T) (*Gateway, *stream) {
+// newWatchedStream returns a gateway with two groups and a call that was placed at the first.
+func newWatchedStream(t *testing.T) (*Gateway, *stream) {
 	t.Helper()
 	g := &Gateway{
-		options:   Options{Suspect: func(garnetworks.GroupID) {}},
-		scheduler: scheduler.New("z", func() float64 { return 0 }),
-		progress:  make(map[garnetworks.GroupID]time.Time),
-		retries:   make(map[garnetworks.ServiceName]*retrier.Window),
-		waiters:   make(map[garnetworks.CallID]chan scheduler.Decision),
+		options:        Options{Suspect: func(garnetworks.GroupID) {}},
+		scheduler:      scheduler.New("z", func() float64 { return 0 }),
+		lastGroupEvent: make(map[garnetworks.GroupID]time.Time),
+		retryWindows:   make(map[garnetworks.ServiceName]*retrier.Window),
+		waiters:        make(map[garnetworks.CallID]chan scheduler.Decision),
 	}
 	g.bounds.Store(&garnetworks.SiteBounds{RetryWindow: 10 * time.Second, RetrySlack: 100})
 	g.scheduler.SetGroups(time.Now(), []scheduler.Group{{ID: "a-grey", Model: "m", Slots: 26}, {ID: "b-well", Model: "m", Slots: 26}})
@@ -37,106 +37,103 @@
 	return g, s
 }
 
-// keepMoving lets a group give events to other calls.
-func (g *Gateway) keepMoving(group garnetworks.GroupID, d time.Duration) {
-	const often = 50 * time.Millisecond
-	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(often) {
+// emitEvents lets a group send events to other calls for the duration d.
+func (g *Gateway) emitEvents(group garnetworks.GroupID, d time.Duration) {
+	const interval = 50 * time.Millisecond
+	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(interval) {
 		g.mu.Lock()
-		g.progress[group] = time.Now()
+		g.lastGroupEvent[group] = time.Now()
 		g.mu.Unlock()
 	}
 }
 
-// Story: an engine answers a part of its calls and never begins the others. Its health
-// is good, and its group gives events all the time. The calls that it did not begin
-// waited there until their clients left after two seconds.
-func TestCallThatNeverBeginsMoves(t *testing.T) {
+// Guards against calls that wait at an engine that never begins them, while its health checks
+// pass and its group sends events.
+func TestCallWithoutFirstEventMoves(t *testing.T) {
 	cases := map[string]struct {
 		begins bool
 		full   bool
 		moves  bool
 	}{
-		"never begins":                          {moves: true},
-		"begins, and pauses":                    {begins: true},
-		"never begins, with no place elsewhere": {full: true},
+		"no first event":                    {moves: true},
+		"first event, then a pause":         {begins: true},
+		"no first event, no slot elsewhere": {full: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g, s := newGuarded(t)
+				g, s := newWatchedStream(t)
 				if c.full {
 					g.scheduler.SetGroups(time.Now(), []scheduler.Group{{ID: "a-grey", Model: "m", Slots: 26}})
 				}
 				ctx, cancel := context.WithCancelCause(t.Context())
-				guard := s.guard("a-grey", cancel)
-				defer guard.stop()
+				wd := s.newWatchdog("a-grey", cancel)
+				defer wd.stop()
 				if c.begins {
-					guard.event()
+					wd.recordEvent()
 				}
-				g.keepMoving("a-grey", 1900*time.Millisecond)
-				if moved := context.Cause(ctx) == errStill; moved != c.moves {
+				g.emitEvents("a-grey", 1900*time.Millisecond)
+				if moved := context.Cause(ctx) == errStalled; moved != c.moves {
 					t.Errorf("the call has moved: %t", moved)
 				}
 				if c.moves && s.reserved != "b-well" {
-					t.Errorf("it has a place at %q", s.reserved)
+					t.Errorf("it reserved a slot at %q", s.reserved)
 				}
 			})
 		})
 	}
 }
 
-// Story: a group stands still, and its call takes a place elsewhere; at that moment
-// the group gives the end of the answer after all. The place was never given back, and
-// each such call left the other group one place less.
-func TestUnusedPlaceIsGivenBack(t *testing.T) {
+// Guards against a slot leak: a call reserves a slot elsewhere, then its stalled group completes
+// the answer.
+func TestUnusedReservationIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, s := newGuarded(t)
-		guard := s.guard("a-grey", func(error) {})
+		g, s := newWatchedStream(t)
+		wd := s.newWatchdog("a-grey", func(error) {})
 		time.Sleep(3 * time.Second)
-		guard.stop()
+		wd.stop()
 		if s.reserved != "b-well" {
-			t.Fatalf("the call has a place at %q", s.reserved)
+			t.Fatalf("the call reserved a slot at %q", s.reserved)
 		}
-		s.giveBack()
+		s.releaseReserved()
 		for _, p := range g.scheduler.Load(time.Now()).Groups {
 			if p.Group == "b-well" {
-				t.Errorf("%d calls hold places there", p.Running)
+				t.Errorf("%d calls hold slots there", p.Running)
 			}
 		}
 	})
 }
 
-// Story: a group's instances all went dark, and the holder of the lease has told so. Calls
-// without an event there waited for 1.2 s, those in the middle for 0.55, as if only this
-// node's view spoke; a call that still gets events there stays.
-func TestCallLeavesAGroupThatIsToldLost(t *testing.T) {
+// Guards against calls that stay at a group that the lease holder reports lost, until this
+// node's own longer timeout.
+func TestCallLeavesGroupReportedLost(t *testing.T) {
 	cases := map[string]struct {
-		told, events bool
-		within       time.Duration
-		moves        bool
+		reported, events bool
+		within           time.Duration
+		moves            bool
 	}{
-		"told":                  {told: true, within: quietTime + moveAgain, moves: true},
-		"told, but gives event": {told: true, events: true, within: quietTime + moveAgain},
-		"not told":              {within: quietTime + moveAgain},
-		"not told, for long":    {within: stillFirst + moveAgain, moves: true},
+		"reported lost":                   {reported: true, within: suspectTimeout + moveRetryInterval, moves: true},
+		"reported lost, but sends events": {reported: true, events: true, within: suspectTimeout + moveRetryInterval},
+		"not reported":                    {within: suspectTimeout + moveRetryInterval},
+		"not reported, long silence":      {within: firstEventStallTimeout + moveRetryInterval, moves: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g, s := newGuarded(t)
+				g, s := newWatchedStream(t)
 				ctx, cancel := context.WithCancelCause(t.Context())
-				guard := s.guard("a-grey", cancel)
-				defer guard.stop()
-				if c.told {
-					g.SetOthers(garnetworks.LoadReport{Lost: []garnetworks.GroupID{"a-grey"}}, true)
+				wd := s.newWatchdog("a-grey", cancel)
+				defer wd.stop()
+				if c.reported {
+					g.SetPeerLoad(garnetworks.LoadReport{Lost: []garnetworks.GroupID{"a-grey"}}, true)
 				}
-				for end := time.Now().Add(c.within); time.Now().Before(end); time.Sleep(moveAgain / 2) {
+				for end := time.Now().Add(c.within); time.Now().Before(end); time.Sleep(moveRetryInterval / 2) {
 					if c.events {
-						guard.event()
+						wd.recordEvent()
 					}
 				}
 				synctest.Wait()
-				if moved := context.Cause(ctx) == errStill; moved != c.moves {
+				if moved := context.Cause(ctx) == errStalled; moved != c.moves {
 					t.Errorf("the call has moved: %t", moved)
 				}
 			})
