--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -171,7 +171,7 @@
 	}
 	l.follower = follower.New(follower.Options{
 		Objects: l.peers.relayer, Confirmed: l.peers.relayer.Confirmed, Woke: clocks.Woke, Reader: options.Reader, Recorder: events,
-		Acting: func() bool { return l.peers.leading() }, Alone: l.peers.relayer.Alone,
+		Acting: func() bool { return l.peers.leading() }, Alone: l.peers.relayer.Isolated,
 	})
 	l.lease, err = leaser.New(leaser.Options{
 		Self: site.Node, Key: leaseKey, Objects: objects, Settings: leaseSettings(), Recorder: events, Zone: site.Zone, Processor: site.MilliCPU,
--- a/launcher/peers.go
+++ b/launcher/peers.go
@@ -61,7 +61,7 @@
 		Publish: p.distributor.Publish, Hold: p.distributor.Hold,
 		Passengers: []tracker.Passenger{p.distributor}, Log: log("membership"),
 	})
-	p.relayer = relayer.New(relayer.Options{Objects: objects, Peers: p.client, Relays: p.relays, Spares: p.spares, Chained: p.chained, Woke: woke, Prefixes: prefixes, ChangeTime: site.Bounds.ApplyTime, FirstStart: site.FirstStart})
+	p.relayer = relayer.New(relayer.Options{Objects: objects, Peers: p.client, Relays: p.relays, Fallbacks: p.spares, Chained: p.chained, Woke: woke, Prefixes: prefixes, ApplyTime: site.Bounds.ApplyTime, FirstStart: site.FirstStart})
 	var err error
 	p.server, err = messenger.NewServer(messenger.ServerOptions{Handler: &peerHandler{p}, Clock: timeline, Log: log("peer call")})
 	return p, err
--- a/relayer/backoff.go
+++ b/relayer/backoff.go
@@ -25,71 +25,71 @@
 // Failure: a node's relays are lost, or refused by the object API as well, and after one failed
 // call it waited for seconds for others to detect the object API's return.
 func (r *Relayer) backingOff(c *cache) bool {
-	relies := len(r.options.Relays()) > 0
+	hasRelays := len(r.options.Relays()) > 0
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !now.Before(c.backoffUntil) {
 		return false
 	}
-	return relies && r.answered || now.Sub(c.helped) < MaxAge
+	return hasRelays && r.relayResponded || now.Sub(c.lastPeerSuccess) < MaxAge
 }
 
-// called notes the end of a call to the object API itself (rule Y5).
+// recordCall notes the end of a call to the object API itself (rule Y5).
 //
 // Load pattern: the object API is away for eight seconds, and each of 95 nodes calls it
 // for two prefixes, up to eight times a second in all: some 500 calls a second that find
 // nothing, and as many in the moment of its return.
 //
 // The call had the time of call, a part of its caller's ctx.
-func (r *Relayer) called(ctx, call context.Context, c *cache, err error) {
+func (r *Relayer) recordCall(ctx, call context.Context, c *cache, err error) {
 	relays := r.options.Relays()
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
 	case err == nil, garnetworks.IsKind(err, garnetworks.KindCompacted):
-		c.failures, c.backoffUntil, c.helper, c.own = 0, time.Time{}, "", true
+		c.failures, c.backoffUntil, c.fallback, c.direct = 0, time.Time{}, "", true
 	case !errors.Is(ctx.Err(), context.Canceled):
 		if c.failures == 0 {
-			c.failedSince = now
+			c.firstFailure = now
 		}
 		c.failures++
 		if errors.Is(call.Err(), context.DeadlineExceeded) {
-			c.failures = max(c.failures, failuresAway)
+			c.failures = max(c.failures, fallbackThreshold)
 		}
-		mean := outageWait
-		if r.readsLocked(now, relays) {
-			mean = readerWait
+		mean := meanBackoff
+		if r.readsForOthersLocked(now, relays) {
+			mean = meanReaderBackoff
 		}
-		part := 0.5 + r.options.Random()
-		c.backoffUntil = now.Add(time.Duration(part * float64(mean)))
+		jitter := 0.5 + r.options.Random()
+		c.backoffUntil = now.Add(time.Duration(jitter * float64(mean)))
 	}
 }
 
-// readsLocked reports whether the node reads the object API for others: it has no relays, or
+// readsForOthersLocked reports whether the node reads the object API for others: it has no relays, or
 // nodes follow it.
-func (r *Relayer) readsLocked(now time.Time, relays []string) bool {
-	return len(relays) == 0 || now.Sub(r.asked) < FailedFor
+func (r *Relayer) readsForOthersLocked(now time.Time, relays []string) bool {
+	return len(relays) == 0 || now.Sub(r.lastFollowed) < PeerRetryDelay
 }
 
-// helpedBy notes that a node gave contents, which are certain since a time.
-func (r *Relayer) helpedBy(c *cache, address string, confirmed time.Time) {
-	spare := !slices.Contains(r.options.Relays(), address)
+// recordPeerResponse notes that a node gave contents, which are certain since a time.
+func (r *Relayer) recordPeerResponse(c *cache, address string, confirmed time.Time) {
+	isFallback := !slices.Contains(r.options.Relays(), address)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c.helper, c.own = "", false
-	if spare {
-		c.helper = address
+	c.fallback, c.direct = "", false
+	if isFallback {
+		c.fallback = address
 	}
-	if c.failures > 0 && confirmed.After(c.failedSince) {
-		c.helped = time.Now()
+	if c.failures > 0 && confirmed.After(c.firstFailure) {
+		c.lastPeerSuccess = time.Now()
 	}
 }
 
-// helpedBySpare reports whether what the cache holds came from a spare.
-func (r *Relayer) helpedBySpare(c *cache) bool {
+// fromFallback reports whether what the cache holds came from a spare.
+func (r *Relayer) fromFallback(c *cache) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return c.helper != ""
+	return c.fallback != ""
 }
--- a/relayer/cache.go
+++ b/relayer/cache.go
@@ -13,31 +13,31 @@
 type cache struct {
 	prefix  string
 	objects map[string]garnetworks.Object
-	// gone holds the revisions of deletions since the revision since.
-	gone  map[string]garnetworks.Revision
-	since garnetworks.Revision
+	// tombstones holds the revisions of deletions since the revision since.
+	tombstones   map[string]garnetworks.Revision
+	historyStart garnetworks.Revision
 	// revision is the object API's that the cache reflects; 0 before the first
 	// list.
 	revision garnetworks.Revision
 	// confirmed is a time at which the cache was the newest state for certain, own says that
 	// the node knows that from the object API itself.
 	confirmed time.Time
-	own       bool
+	direct    bool
 	// failures counts the calls that the object API failed in a row, backoffUntil is the end
 	// of the node's backoff after the last one (rule Y5).
 	failures     int
 	backoffUntil time.Time
-	// failedSince is when the first of these calls ended.
-	failedSince time.Time
-	// helper is the spare that the contents come from; empty if they come from elsewhere.
+	// firstFailure is when the first of these calls ended.
+	firstFailure time.Time
+	// fallback is the spare that the contents come from; empty if they come from elsewhere.
 	// helped is when a node last gave contents that were certain since failedSince, so that
 	// some node reaches the object API.
-	helper  string
-	helped  time.Time
-	changed chan struct{}
+	fallback        string
+	lastPeerSuccess time.Time
+	changed         chan struct{}
 }
 
-func (r *Relayer) listed(c *cache, objects []garnetworks.Object, revision garnetworks.Revision, confirmed time.Time) {
+func (r *Relayer) storeSnapshot(c *cache, objects []garnetworks.Object, revision garnetworks.Revision, confirmed time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if revision < c.revision {
@@ -47,11 +47,11 @@
 	for _, o := range objects {
 		c.objects[o.Key] = o
 	}
-	c.gone, c.since = make(map[string]garnetworks.Revision), revision
+	c.tombstones, c.historyStart = make(map[string]garnetworks.Revision), revision
 	c.advance(revision, confirmed)
 }
 
-func (r *Relayer) changed(c *cache, objects []garnetworks.Object, revision garnetworks.Revision, confirmed time.Time) {
+func (r *Relayer) applyChanges(c *cache, objects []garnetworks.Object, revision garnetworks.Revision, confirmed time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if c.revision == 0 || revision < c.revision {
@@ -60,14 +60,14 @@
 	for _, o := range objects {
 		if !o.Deleted {
 			c.objects[o.Key] = o
-			delete(c.gone, o.Key)
+			delete(c.tombstones, o.Key)
 			continue
 		}
 		delete(c.objects, o.Key)
-		c.gone[o.Key] = max(o.Revision, c.revision+1)
+		c.tombstones[o.Key] = max(o.Revision, c.revision+1)
 	}
-	if len(c.gone) > maxGone {
-		c.gone, c.since = make(map[string]garnetworks.Revision), revision
+	if len(c.tombstones) > maxTombstones {
+		c.tombstones, c.historyStart = make(map[string]garnetworks.Revision), revision
 	}
 	c.advance(revision, confirmed)
 }
@@ -86,14 +86,14 @@
 	}
 }
 
-// answer returns what a reader at a revision lacks, and whether that is anything.
-func (c *cache) answer(after garnetworks.Revision) (*garnetworks.FollowResponse, bool) {
+// response returns what a reader at a revision lacks, and whether that is anything.
+func (c *cache) response(after garnetworks.Revision) (*garnetworks.FollowResponse, bool) {
 	a := &garnetworks.FollowResponse{Revision: c.revision}
 	if c.revision == 0 || after > c.revision {
 		// The reader's revision is newer; this node waits until it has caught up.
 		return a, false
 	}
-	if after == 0 || after < c.since { // rule Y4
+	if after == 0 || after < c.historyStart { // rule Y4
 		a.Snapshot = true
 		for _, key := range slices.Sorted(maps.Keys(c.objects)) {
 			a.Objects = append(a.Objects, c.objects[key])
@@ -105,7 +105,7 @@
 			a.Objects = append(a.Objects, o)
 		}
 	}
-	for key, revision := range c.gone {
+	for key, revision := range c.tombstones {
 		if revision > after {
 			a.Objects = append(a.Objects, garnetworks.Object{Key: key, Revision: revision, Deleted: true})
 		}
--- a/relayer/follow.go
+++ b/relayer/follow.go
@@ -13,32 +13,32 @@
 	if c == nil {
 		return nil, garnetworks.Errorf(garnetworks.KindInvalidRequest, "the node does not follow %q", request.Prefix)
 	}
-	began := time.Now()
-	wait := min(time.Duration(request.WaitMS)*time.Millisecond, askWait)
+	start := time.Now()
+	wait := min(time.Duration(request.WaitMS)*time.Millisecond, followWait)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	if r.helpedBySpare(c) {
+	if r.fromFallback(c) {
 		return nil, garnetworks.Errorf(garnetworks.KindNotReady, "the node has its contents from others (rule Y7)")
 	}
 	stale := false
-	for over := wait <= 0; ; {
+	for timedOut := wait <= 0; ; {
 		r.mu.Lock()
 		if wait > 0 { // a node that follows this one, not one that only looks for a spare
-			r.asked = began
+			r.lastFollowed = start
 		}
-		back := stale && time.Since(c.confirmed) < MaxAge
+		recovered := stale && time.Since(c.confirmed) < MaxAge
 		stale = time.Since(c.confirmed) >= MaxAge
 		changed := c.changed
-		answer, ready := c.answer(request.After)
+		response, ready := c.response(request.After)
 		confirmed := c.confirmed
 		r.mu.Unlock()
-		if ready || over || back {
-			return r.finish(answer, began, confirmed)
+		if ready || timedOut || recovered {
+			return r.finish(response, start, confirmed)
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			over = true
+			timedOut = true
 		case <-ctx.Done():
 			return nil, garnetworks.WrapError(garnetworks.KindCancelled, ctx.Err(), "the call ended")
 		}
@@ -49,16 +49,16 @@
 //
 // Load pattern: the object API is away for all, and each node polls others several times a
 // second; each answer held all objects, which the asker dropped for their age.
-func (r *Relayer) finish(answer *garnetworks.FollowResponse, began, confirmed time.Time) (*garnetworks.FollowResponse, error) {
+func (r *Relayer) finish(response *garnetworks.FollowResponse, start, confirmed time.Time) (*garnetworks.FollowResponse, error) {
 	now := time.Now()
-	if answer.Revision == 0 || !confirmed.After(r.options.Woke(now)) {
+	if response.Revision == 0 || !confirmed.After(r.options.Woke(now)) {
 		return nil, garnetworks.Errorf(garnetworks.KindNotReady, "the node knows nothing yet, or was suspended since it did")
 	}
 	if age := now.Sub(confirmed); age >= MaxAge {
 		return nil, garnetworks.Errorf(garnetworks.KindNotReady, "the node's contents are %s old", age)
 	}
-	answer.WaitedMS = now.Sub(began).Milliseconds()
+	response.WaitedMS = now.Sub(start).Milliseconds()
 	// Rounded up, so that no age is understated.
-	answer.AgeMS = now.Sub(confirmed).Milliseconds() + 1
-	return answer, nil
+	response.AgeMS = now.Sub(confirmed).Milliseconds() + 1
+	return response, nil
 }
--- a/relayer/model_test.go
+++ b/relayer/model_test.go
@@ -22,35 +22,35 @@
 
 // Flags of the model test, for runs by hand.
 var (
-	schedules    = flag.Int("schedules", 2000, "number of random schedules")
-	firstSeed    = flag.Uint64("first-seed", 1, "seed of the first schedule; 0 takes a fresh one")
-	drops        = flag.Bool("drops", false, "nodes are judged beside a drop of the history, too")
-	scheduleFile = flag.String("schedule", "", "file with one schedule to play instead")
+	schedules       = flag.Int("schedules", 2000, "number of random schedules")
+	firstSeed       = flag.Uint64("first-seed", 1, "seed of the first schedule; 0 takes a fresh one")
+	checkCompaction = flag.Bool("drops", false, "nodes are judged beside a drop of the history, too")
+	scheduleFile    = flag.String("schedule", "", "file with one schedule to play instead")
 )
 
 // Bounds of the model.
 const (
 	// applyTime is the site's time for changes.
 	applyTime = 2 * time.Second
-	// calmTime is how long a node has been undisturbed before its routing is judged.
-	calmTime = 3 * time.Second
-	// lossTime is how long a killed node stays in the others' views.
-	lossTime = 4 * time.Second
-	// forgetTime is how long watches get nothing before the history is dropped.
-	forgetTime = time.Second
+	// undisturbedTime is how long a node has been undisturbed before its routing is judged.
+	undisturbedTime = 3 * time.Second
+	// detectionTime is how long a killed node stays in the others' views.
+	detectionTime = 4 * time.Second
+	// compactionDelay is how long watches get nothing before the history is dropped.
+	compactionDelay = time.Second
 	// settleTime is the time from the start to the first fault.
 	settleTime = 4 * time.Second
-	// storeTime and peerTime are the usual times of an answer.
-	storeTime = 4 * time.Millisecond
-	peerTime  = time.Millisecond
-	// judgeEvery is how often all nodes are judged.
-	judgeEvery = 50 * time.Millisecond
+	// objectAPILatency and peerTime are the usual times of an answer.
+	objectAPILatency = 4 * time.Millisecond
+	peerLatency      = time.Millisecond
+	// checkInterval is how often all nodes are judged.
+	checkInterval = 50 * time.Millisecond
 )
 
-// world plays a schedule.
-type world struct {
+// simulation plays a schedule.
+type simulation struct {
 	schedule *schedule
-	began    time.Time
+	epoch    time.Time
 
 	mu      sync.Mutex
 	version int
@@ -58,20 +58,20 @@
 	acknowledged []time.Time
 	// compacted is the first revision that watches may go on from, cut the channel that
 	// closes when waiting watches are cut.
-	compacted garnetworks.Revision
-	cut       chan struct{}
-	woken     chan struct{}
-	nodes     []*modelNode
+	compacted  garnetworks.Revision
+	watchReset chan struct{}
+	changed    chan struct{}
+	nodes      []*modelNode
 }
 
 // modelNode is one incarnation of a node.
 type modelNode struct {
-	*world
-	index    int
-	since    time.Time
-	relayer  *relayer.Relayer
-	follower *follower.Follower
-	stop     context.CancelFunc
+	*simulation
+	index     int
+	startedAt time.Time
+	relayer   *relayer.Relayer
+	follower  *follower.Follower
+	stop      context.CancelFunc
 	// highest is the highest version that was in force.
 	highest uint64
 
@@ -87,14 +87,14 @@
 }
 
 // now returns the time since the start.
-func (w *world) now() time.Duration { return time.Since(w.began) }
+func (sim *simulation) now() time.Duration { return time.Since(sim.epoch) }
 
 // active returns the faults of a kind that are under way.
-func (w *world) active(holds func(*fault) bool) bool {
-	now := w.now()
-	for i := range w.schedule.faults {
-		f := &w.schedule.faults[i]
-		if f.at <= now && now < f.at+f.span && holds(f) {
+func (sim *simulation) active(matches func(*fault) bool) bool {
+	now := sim.now()
+	for i := range sim.schedule.faults {
+		f := &sim.schedule.faults[i]
+		if f.at <= now && now < f.at+f.span && matches(f) {
 			return true
 		}
 	}
@@ -102,46 +102,46 @@
 }
 
 // info describes a node to the others.
-func (w *world) info(i int) garnetworks.NodeInfo {
+func (sim *simulation) info(i int) garnetworks.NodeInfo {
 	return garnetworks.NodeInfo{
-		ID: garnetworks.NodeID(fmt.Sprintf("n%d", i)), Address: strconv.Itoa(i), Zone: garnetworks.ZoneID(fmt.Sprintf("z%d", w.schedule.zone(i))), Region: "r",
+		ID: garnetworks.NodeID(fmt.Sprintf("n%d", i)), Address: strconv.Itoa(i), Zone: garnetworks.ZoneID(fmt.Sprintf("z%d", sim.schedule.zone(i))), Region: "r",
 	}
 }
 
 // peers returns the nodes in a node's view: those that run, or ended less than lossTime ago.
-func (w *world) peers(self int) []garnetworks.NodeInfo {
+func (sim *simulation) peers(self int) []garnetworks.NodeInfo {
 	var list []garnetworks.NodeInfo
-	now := w.now()
-	for i := range w.schedule.nodes {
-		gone := slices.ContainsFunc(w.schedule.faults, func(f fault) bool {
-			return f.kind == faultKill && f.node == i && f.at+lossTime <= now && now < f.at+f.span
+	now := sim.now()
+	for i := range sim.schedule.nodes {
+		removed := slices.ContainsFunc(sim.schedule.faults, func(f fault) bool {
+			return f.kind == faultKill && f.node == i && f.at+detectionTime <= now && now < f.at+f.span
 		})
-		if i != self && !gone {
-			list = append(list, w.info(i))
+		if i != self && !removed {
+			list = append(list, sim.info(i))
 		}
 	}
 	return list
 }
 
-// frozen reports whether a node stands still.
-func (w *world) frozen(node int) bool {
-	return w.active(func(f *fault) bool { return f.kind == faultSuspend && f.node == node })
+// suspended reports whether a node stands still.
+func (sim *simulation) suspended(node int) bool {
+	return sim.active(func(f *fault) bool { return f.kind == faultSuspend && f.node == node })
 }
 
-// thaw waits until a node that stands still goes on.
-func (w *world) thaw(node int) {
-	for w.frozen(node) {
-		time.Sleep(judgeEvery)
+// awaitResume waits until a node that stands still goes on.
+func (sim *simulation) awaitResume(node int) {
+	for sim.suspended(node) {
+		time.Sleep(checkInterval)
 	}
 }
 
-// arrive waits until a node takes a message, or ctx ends.
-func (w *world) arrive(ctx context.Context, node int) error {
-	for w.frozen(node) {
+// deliver waits until a node takes a message, or ctx ends.
+func (sim *simulation) deliver(ctx context.Context, node int) error {
+	for sim.suspended(node) {
 		if ctx.Err() != nil {
 			return garnetworks.Errorf(garnetworks.KindUnreachable, "no answer")
 		}
-		time.Sleep(judgeEvery)
+		time.Sleep(checkInterval)
 	}
 	return nil
 }
@@ -151,8 +151,8 @@
 	var last time.Time
 	now := n.now()
 	for _, f := range n.schedule.faults {
-		if end := f.at + f.span; f.kind == faultSuspend && f.node == n.index && end <= now && n.began.Add(end).After(last) {
-			last = n.began.Add(end)
+		if end := f.at + f.span; f.kind == faultSuspend && f.node == n.index && end <= now && n.epoch.Add(end).After(last) {
+			last = n.epoch.Add(end)
 		}
 	}
 	return last
@@ -161,8 +161,8 @@
 // Follow passes a question of the node on to another one.
 func (n *modelNode) Follow(ctx context.Context, address string, request *garnetworks.FollowRequest) (*garnetworks.FollowResponse, error) {
 	to, _ := strconv.Atoi(address)
-	n.thaw(n.index)
-	if err := n.travel(ctx, n.index, to); err != nil {
+	n.awaitResume(n.index)
+	if err := n.transmit(ctx, n.index, to); err != nil {
 		return nil, err
 	}
 	n.mu.Lock()
@@ -171,32 +171,32 @@
 	if other == nil {
 		return nil, garnetworks.Errorf(garnetworks.KindUnreachable, "refused")
 	}
-	if err := n.arrive(ctx, to); err != nil {
-		n.thaw(n.index)
+	if err := n.deliver(ctx, to); err != nil {
+		n.awaitResume(n.index)
 		return nil, err
 	}
-	answer, err := other.relayer.Follow(ctx, request)
-	lost := cmp.Or(n.arrive(ctx, to), n.travel(ctx, to, n.index))
-	n.thaw(n.index)
+	response, err := other.relayer.Follow(ctx, request)
+	lost := cmp.Or(n.deliver(ctx, to), n.transmit(ctx, to, n.index))
+	n.awaitResume(n.index)
 	if lost != nil {
 		return nil, lost
 	}
-	return answer, err
+	return response, err
 }
 
-// travel takes a message from one node to another, or loses it.
-func (n *modelNode) travel(ctx context.Context, from, to int) error {
-	time.Sleep(peerTime)
+// transmit takes a message from one node to another, or loses it.
+func (n *modelNode) transmit(ctx context.Context, from, to int) error {
+	time.Sleep(peerLatency)
 	lost := n.active(func(f *fault) bool {
 		switch f.kind {
-		case faultCutOut:
+		case faultOneWayLoss:
 			return f.node == from && f.other == to
-		case faultCutOff:
+		case faultIsolate:
 			return f.node == from || f.node == to
-		case faultZone:
+		case faultZonePartition:
 			return (n.schedule.zone(f.node) == n.schedule.zone(from)) != (n.schedule.zone(f.node) == n.schedule.zone(to))
 		case faultLossy:
-			return (f.node == from || f.node == to) && n.lossy()
+			return (f.node == from || f.node == to) && n.losesMessage()
 		}
 		return false
 	})
@@ -210,30 +210,30 @@
 	return nil
 }
 
-// lossy draws whether one message of a lossy link is lost.
-func (n *modelNode) lossy() bool {
+// losesMessage draws whether one message of a losesMessage link is lost.
+func (n *modelNode) losesMessage() bool {
 	const share = 0.3
 	return n.float() < share
 }
 
-// enter takes a call of a node to the object API.
-func (n *modelNode) enter(ctx context.Context) error {
-	n.thaw(n.index)
+// reachObjectAPI takes a call of a node to the object API.
+func (n *modelNode) reachObjectAPI(ctx context.Context) error {
+	n.awaitResume(n.index)
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	silent := n.active(func(f *fault) bool {
-		return f.kind == faultMute || f.kind == faultSilent && f.node == n.index || f.kind == faultZone && n.schedule.zone(f.node) == n.schedule.zone(n.index)
+	timesOut := n.active(func(f *fault) bool {
+		return f.kind == faultTimeoutAll || f.kind == faultTimeout && f.node == n.index || f.kind == faultZonePartition && n.schedule.zone(f.node) == n.schedule.zone(n.index)
 	})
-	if silent {
+	if timesOut {
 		<-ctx.Done()
 		return garnetworks.Errorf(garnetworks.KindObjectAPIDown, "no answer")
 	}
-	pause := storeTime
+	latency := objectAPILatency
 	if n.active(func(f *fault) bool { return f.kind == faultSlow }) {
-		pause *= 50
+		latency *= 50
 	}
-	time.Sleep(pause)
+	time.Sleep(latency)
 	if n.active(func(f *fault) bool { return f.kind == faultDown || f.kind == faultRefuse && f.node == n.index }) {
 		return garnetworks.Errorf(garnetworks.KindObjectAPIDown, "refused")
 	}
@@ -247,12 +247,12 @@
 }
 
 // routing returns the one object that there is.
-func (w *world) routing() garnetworks.Object {
-	return garnetworks.Object{Key: siteReader{}.RoutingKey(), Value: []byte(strconv.Itoa(w.version)), Revision: garnetworks.Revision(w.version)}
+func (sim *simulation) routing() garnetworks.Object {
+	return garnetworks.Object{Key: siteReader{}.RoutingKey(), Value: []byte(strconv.Itoa(sim.version)), Revision: garnetworks.Revision(sim.version)}
 }
 
 func (o objectAPI) List(ctx context.Context, prefix string) ([]garnetworks.Object, garnetworks.Revision, error) {
-	if err := o.enter(ctx); err != nil {
+	if err := o.reachObjectAPI(ctx); err != nil {
 		return nil, 0, err
 	}
 	o.mu.Lock()
@@ -264,24 +264,24 @@
 }
 
 func (o objectAPI) Watch(ctx context.Context, prefix string, after garnetworks.Revision, wait time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
-	if err := o.enter(ctx); err != nil {
+	if err := o.reachObjectAPI(ctx); err != nil {
 		return nil, 0, err
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	ticker := time.NewTicker(judgeEvery)
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
-	for over := false; ; {
+	for timedOut := false; ; {
 		o.mu.Lock()
-		version, compacted, woken, cut := garnetworks.Revision(o.version), o.compacted, o.woken, o.cut
+		version, compacted, changed, watchReset := garnetworks.Revision(o.version), o.compacted, o.changed, o.watchReset
 		object := o.routing()
 		o.mu.Unlock()
-		switch hushed := o.active(func(f *fault) bool { return f.kind == faultForget }); {
-		case hushed: // no watch gets an answer
+		switch compacting := o.active(func(f *fault) bool { return f.kind == faultCompact }); {
+		case compacting: // no watch gets an answer
 		case after < compacted:
 			return nil, 0, garnetworks.Errorf(garnetworks.KindCompacted, "dropped")
-		case over || version > after:
-			o.thaw(o.index)
+		case timedOut || version > after:
+			o.awaitResume(o.index)
 			if prefix != (siteReader{}).RoutingKey() || version <= after {
 				return nil, version, nil
 			}
@@ -290,17 +290,17 @@
 		select {
 		case <-ctx.Done():
 			return nil, 0, garnetworks.Errorf(garnetworks.KindObjectAPIDown, "no answer")
-		case <-cut:
+		case <-watchReset:
 			return nil, 0, garnetworks.Errorf(garnetworks.KindObjectAPIDown, "cut")
 		case <-timer.C:
-			over = true
+			timedOut = true
 		case <-ticker.C:
 			if o.active(func(f *fault) bool {
-				return f.kind == faultDown || f.kind == faultMute || (f.kind == faultRefuse || f.kind == faultSilent) && f.node == o.index
+				return f.kind == faultDown || f.kind == faultTimeoutAll || (f.kind == faultRefuse || f.kind == faultTimeout) && f.node == o.index
 			}) {
 				return nil, 0, garnetworks.Errorf(garnetworks.KindObjectAPIDown, "cut")
 			}
-		case <-woken:
+		case <-changed:
 		}
 	}
 }
@@ -320,13 +320,13 @@
 	return garnetworks.RegisteredServer{}, nil
 }
 
-type unrecorded struct{}
+type discardRecorder struct{}
 
-func (unrecorded) Record(garnetworks.Event) {}
+func (discardRecorder) Record(garnetworks.Event) {}
 
 // start starts an incarnation of a node.
-func (w *world) start(ctx context.Context, running *sync.WaitGroup, index int) {
-	n := &modelNode{world: w, index: index, since: time.Now(), random: rand.New(rand.NewPCG(w.schedule.seed, uint64(index)))}
+func (sim *simulation) start(ctx context.Context, running *sync.WaitGroup, index int) {
+	n := &modelNode{simulation: sim, index: index, startedAt: time.Now(), random: rand.New(rand.NewPCG(sim.schedule.seed, uint64(index)))}
 	var mu sync.Mutex
 	var found exchanger.Upstream
 	var foundAt time.Time
@@ -335,21 +335,21 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if foundAt.IsZero() || time.Since(foundAt) >= every {
-			found, foundAt = exchanger.FindUpstream(w.info(index), w.peers(index)), time.Now()
+			found, foundAt = exchanger.FindUpstream(sim.info(index), sim.peers(index)), time.Now()
 		}
 		return found
 	}
 	n.relayer = relayer.New(relayer.Options{
-		Objects: objectAPI{modelNode: n}, Peers: n, Woke: n.woke, ChangeTime: applyTime,
+		Objects: objectAPI{modelNode: n}, Peers: n, Woke: n.woke, ApplyTime: applyTime,
 		Prefixes: []string{siteReader{}.RoutingKey(), siteReader{}.ServerPrefix()},
 		Relays: func() []string {
-			if index == w.schedule.leader {
+			if index == sim.schedule.leader {
 				return nil
 			}
 			return upstream().Relays
 		},
-		Spares: func() []string {
-			if index == w.schedule.leader {
+		Fallbacks: func() []string {
+			if index == sim.schedule.leader {
 				return slices.Concat(upstream().Relays, upstream().Spares)
 			}
 			return upstream().Spares
@@ -357,42 +357,42 @@
 		Chained: func() bool { return upstream().Several }, Random: n.float,
 	})
 	n.follower = follower.New(follower.Options{
-		Objects: n.relayer, Confirmed: n.relayer.Confirmed, Woke: n.woke, Reader: siteReader{}, Recorder: unrecorded{}, Alone: n.relayer.Alone, Random: n.float,
+		Objects: n.relayer, Confirmed: n.relayer.Confirmed, Woke: n.woke, Reader: siteReader{}, Recorder: discardRecorder{}, Alone: n.relayer.Isolated, Random: n.float,
 	})
 	ctx, n.stop = context.WithCancel(ctx)
-	w.mu.Lock()
-	w.nodes[index] = n
-	w.mu.Unlock()
+	sim.mu.Lock()
+	sim.nodes[index] = n
+	sim.mu.Unlock()
 	running.Go(func() { _ = n.follower.Run(ctx) }) // ends with ctx
 }
 
 // kill ends a node's process.
-func (w *world) kill(index int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if n := w.nodes[index]; n != nil {
+func (sim *simulation) kill(index int) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if n := sim.nodes[index]; n != nil {
 		n.stop()
-		w.nodes[index] = nil
+		sim.nodes[index] = nil
 	}
 }
 
 // change acknowledges a new version.
-func (w *world) change() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.version++
-	w.acknowledged = append(w.acknowledged, time.Now())
-	close(w.woken)
-	w.woken = make(chan struct{})
+func (sim *simulation) change() {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.version++
+	sim.acknowledged = append(sim.acknowledged, time.Now())
+	close(sim.changed)
+	sim.changed = make(chan struct{})
 }
 
-// forget drops the history and cuts the watches that wait.
-func (w *world) forget() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.compacted = garnetworks.Revision(w.version)
-	close(w.cut)
-	w.cut = make(chan struct{})
+// compact drops the history and cuts the watches that wait.
+func (sim *simulation) compact() {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.compacted = garnetworks.Revision(sim.version)
+	close(sim.watchReset)
+	sim.watchReset = make(chan struct{})
 }
 
 // step is something that happens at a time.
@@ -401,24 +401,24 @@
 	do func()
 }
 
-// play plays the schedule and returns what broke, empty if nothing did.
-func (s *schedule) play(t *testing.T) (broken string) {
+// simulate plays the schedule and returns what broke, empty if nothing did.
+func (s *schedule) simulate(t *testing.T) (violation string) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{
-			schedule: s, began: time.Now(), version: 1, acknowledged: []time.Time{time.Now()},
-			cut: make(chan struct{}), woken: make(chan struct{}), nodes: make([]*modelNode, s.nodes),
+		sim := &simulation{
+			schedule: s, epoch: time.Now(), version: 1, acknowledged: []time.Time{time.Now()},
+			watchReset: make(chan struct{}), changed: make(chan struct{}), nodes: make([]*modelNode, s.nodes),
 		}
 		ctx, stop := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		for i := range s.nodes {
-			w.start(ctx, &running, i)
+			sim.start(ctx, &running, i)
 		}
-		for _, x := range w.steps(ctx, &running) {
-			for w.now() < x.at && broken == "" {
-				time.Sleep(min(judgeEvery, x.at-w.now()))
-				broken = w.judge()
+		for _, x := range sim.steps(ctx, &running) {
+			for sim.now() < x.at && violation == "" {
+				time.Sleep(min(checkInterval, x.at-sim.now()))
+				violation = sim.checkNodes()
 			}
-			if broken != "" {
+			if violation != "" {
 				break
 			}
 			x.do()
@@ -426,21 +426,21 @@
 		stop()
 		running.Wait()
 	})
-	return broken
+	return violation
 }
 
 // steps returns what happens, in order.
-func (w *world) steps(ctx context.Context, running *sync.WaitGroup) []step {
-	steps := []step{{w.schedule.end(), func() {}}}
-	for _, c := range w.schedule.changes {
-		steps = append(steps, step{c, w.change})
+func (sim *simulation) steps(ctx context.Context, running *sync.WaitGroup) []step {
+	steps := []step{{sim.schedule.end(), func() {}}}
+	for _, c := range sim.schedule.changes {
+		steps = append(steps, step{c, sim.change})
 	}
-	for _, f := range w.schedule.faults {
+	for _, f := range sim.schedule.faults {
 		switch f.kind {
 		case faultKill:
-			steps = append(steps, step{f.at, func() { w.kill(f.node) }}, step{f.at + f.span, func() { w.restart(ctx, running, f.node) }})
-		case faultForget:
-			steps = append(steps, step{f.at + f.span, w.forget})
+			steps = append(steps, step{f.at, func() { sim.kill(f.node) }}, step{f.at + f.span, func() { sim.restart(ctx, running, f.node) }})
+		case faultCompact:
+			steps = append(steps, step{f.at + f.span, sim.compact})
 		}
 	}
 	slices.SortStableFunc(steps, func(x, y step) int { return cmp.Compare(x.at, y.at) })
@@ -448,50 +448,50 @@
 }
 
 // restart starts a node anew, unless another fault still keeps it down.
-func (w *world) restart(ctx context.Context, running *sync.WaitGroup, index int) {
-	w.mu.Lock()
-	up := w.nodes[index] != nil
-	w.mu.Unlock()
-	if up || w.active(func(f *fault) bool { return f.kind == faultKill && f.node == index }) {
+func (sim *simulation) restart(ctx context.Context, running *sync.WaitGroup, index int) {
+	sim.mu.Lock()
+	up := sim.nodes[index] != nil
+	sim.mu.Unlock()
+	if up || sim.active(func(f *fault) bool { return f.kind == faultKill && f.node == index }) {
 		return
 	}
-	w.start(ctx, running, index)
+	sim.start(ctx, running, index)
 }
 
-// calm reports whether no fault that counts for a node was under way in calmTime before now.
-func (n *modelNode) calm(counts func(f *fault, s *schedule, node int) bool) bool {
+// undisturbed reports whether no fault that counts for a node was under way in calmTime before now.
+func (n *modelNode) undisturbed(affects func(f *fault, s *schedule, node int) bool) bool {
 	now := n.now()
-	return time.Since(n.since) >= calmTime && !slices.ContainsFunc(n.schedule.faults, func(f fault) bool {
-		return counts(&f, n.schedule, n.index) && f.at <= now && f.at+f.span > now-calmTime
+	return time.Since(n.startedAt) >= undisturbedTime && !slices.ContainsFunc(n.schedule.faults, func(f fault) bool {
+		return affects(&f, n.schedule, n.index) && f.at <= now && f.at+f.span > now-undisturbedTime
 	})
 }
 
-// owed reports whether the node must know each change in time: it was undisturbed, and
+// mustBeCurrent reports whether the node must know each change in time: it was undisturbed, and
 // reached the object API, or a node that did.
-func (n *modelNode) owed(nodes []*modelNode) bool {
-	return n.calm((*fault).disturbs) && slices.ContainsFunc(nodes, func(o *modelNode) bool {
-		return o != nil && o.calm((*fault).disturbs) && o.calm((*fault).keepsOut)
+func (n *modelNode) mustBeCurrent(nodes []*modelNode) bool {
+	return n.undisturbed((*fault).affectsNode) && slices.ContainsFunc(nodes, func(o *modelNode) bool {
+		return o != nil && o.undisturbed((*fault).affectsNode) && o.undisturbed((*fault).affectsObjectAPI)
 	})
 }
 
-// judge holds all nodes against what must be true of them.
-func (w *world) judge() string {
-	w.mu.Lock()
-	nodes, acknowledged := slices.Clone(w.nodes), slices.Clone(w.acknowledged)
-	w.mu.Unlock()
+// checkNodes holds all nodes against what must be true of them.
+func (sim *simulation) checkNodes() string {
+	sim.mu.Lock()
+	nodes, acknowledged := slices.Clone(sim.nodes), slices.Clone(sim.acknowledged)
+	sim.mu.Unlock()
 	for _, n := range nodes {
 		if n == nil {
 			continue
 		}
-		if broken := n.judge(nodes, acknowledged); broken != "" {
-			return fmt.Sprintf("%s: node %d: %s", w.now(), n.index, broken)
+		if violation := n.check(nodes, acknowledged); violation != "" {
+			return fmt.Sprintf("%s: node %d: %s", sim.now(), n.index, violation)
 		}
 	}
 	return ""
 }
 
-func (n *modelNode) judge(nodes []*modelNode, acknowledged []time.Time) string {
-	if n.frozen(n.index) {
+func (n *modelNode) check(nodes []*modelNode, acknowledged []time.Time) string {
+	if n.suspended(n.index) {
 		return "" // it answers nothing
 	}
 	confirmed := n.follower.Confirmed()
@@ -503,16 +503,16 @@
 		return fmt.Sprintf("version %d after %d", held, n.highest)
 	}
 	n.highest = held
-	owed := n.owed(nodes)
+	current := n.mustBeCurrent(nodes)
 	for i, at := range acknowledged {
 		version := uint64(i + 1)
 		if version <= held {
 			continue
 		}
 		if confirmed.After(at) {
-			return fmt.Sprintf("version %d counts as the newest one of %s, when %d was acknowledged", held, confirmed.Sub(n.began), version)
+			return fmt.Sprintf("version %d counts as the newest one of %s, when %d was acknowledged", held, confirmed.Sub(n.epoch), version)
 		}
-		if time.Since(at) > applyTime && owed {
+		if time.Since(at) > applyTime && current {
 			return fmt.Sprintf("version %d was acknowledged %s ago, and %d is in force", version, time.Since(at), held)
 		}
 	}
@@ -521,30 +521,30 @@
 
 // shrink returns the schedule without what the failure does not need.
 func (s *schedule) shrink(t *testing.T) *schedule {
-	least := s
-	for again := true; again; {
-		again = false
-		for i := range least.faults {
-			c := *least
-			c.faults = slices.Delete(slices.Clone(least.faults), i, i+1)
-			if c.play(t) != "" {
-				least, again = &c, true
+	minimal := s
+	for reduced := true; reduced; {
+		reduced = false
+		for i := range minimal.faults {
+			c := *minimal
+			c.faults = slices.Delete(slices.Clone(minimal.faults), i, i+1)
+			if c.simulate(t) != "" {
+				minimal, reduced = &c, true
 				break
 			}
 		}
-		for i := range least.changes {
-			if len(least.changes) == 1 {
+		for i := range minimal.changes {
+			if len(minimal.changes) == 1 {
 				break
 			}
-			c := *least
-			c.changes = slices.Delete(slices.Clone(least.changes), i, i+1)
-			if c.play(t) != "" {
-				least, again = &c, true
+			c := *minimal
+			c.changes = slices.Delete(slices.Clone(minimal.changes), i, i+1)
+			if c.simulate(t) != "" {
+				minimal, reduced = &c, true
 				break
 			}
 		}
 	}
-	return least
+	return minimal
 }
 
 // Guards against combinations of faults under which a node learns of a change too late, or goes back.
@@ -558,8 +558,8 @@
 		if err != nil {
 			t.Fatalf("%s: %v", *scheduleFile, err)
 		}
-		if broken := s.play(t); broken != "" {
-			t.Errorf("%s\n%s", broken, s)
+		if violation := s.simulate(t); violation != "" {
+			t.Errorf("%s\n%s", violation, s)
 		}
 		return
 	}
@@ -576,27 +576,27 @@
 		t.Run(fmt.Sprintf("from seed %d", seed+uint64(first)), func(t *testing.T) {
 			t.Parallel()
 			for i := first; i < min(first+shard, count); i++ {
-				drawSchedule(seed + uint64(i)).hold(t)
+				generateSchedule(seed + uint64(i)).verify(t)
 			}
 		})
 	}
 }
 
-// hold plays the schedule, and shows its least part that fails as a time line.
-func (s *schedule) hold(t *testing.T) {
+// verify plays the schedule, and shows its least part that fails as a time line.
+func (s *schedule) verify(t *testing.T) {
 	t.Helper()
-	if broken := s.play(t); broken != "" {
-		least := s.shrink(t)
-		t.Errorf("%s; shrunk:\n%s", broken, least)
+	if violation := s.simulate(t); violation != "" {
+		minimal := s.shrink(t)
+		t.Errorf("%s; shrunk:\n%s", violation, minimal)
 	}
 }
 
 // Guards against a change just before a drop of the history reaching a node late beside further faults.
 func TestChangeBesideADroppedHistoryIsInForceInTime(t *testing.T) {
-	const plays = 5 // goroutines of one moment run in any order
-	for range plays {
-		s := drawSchedule(2357)
-		s.drops = true
-		s.hold(t)
+	const runs = 5 // goroutines of one moment run in any order
+	for range runs {
+		s := generateSchedule(2357)
+		s.checkCompaction = true
+		s.verify(t)
 	}
 }
--- a/relayer/relayer.go
+++ b/relayer/relayer.go
@@ -15,54 +15,54 @@
 	// most; with this bound, and a question that is not answered, a reader lags by
 	// less than the two seconds within which sites expect changes to be used.
 	MaxAge = 1200 * time.Millisecond
-	// AnswerMargin is how long past its wait an answer may take on one connection.
-	AnswerMargin = 150 * time.Millisecond
-	// connections is the number of connections that a question may take: a kept one
+	// ResponseMargin is how long past its wait an answer may take on one connection.
+	ResponseMargin = 150 * time.Millisecond
+	// connectionAttempts is the number of connectionAttempts that a question may take: a kept one
 	// may have gone silent, and the messenger then opens another in the time left.
-	connections = 2
-	// failuresAway is the number of failed calls in a row from which a node that reads for
+	connectionAttempts = 2
+	// fallbackThreshold is the number of failed calls in a row from which a node that reads for
 	// others asks spares. One can be a watch that was cut, and an unanswered one counts for as many.
-	failuresAway = 2
-	// askedAtOnce bounds the nodes that are asked one after the other for all objects.
-	askedAtOnce = 3
-	// FailedFor is how long a node that did not answer is not asked again.
-	FailedFor = 2 * time.Second
-	// spareFailedFor is the same for a spare, and staleFor for a node that answers that it
+	fallbackThreshold = 2
+	// maxListAttempts bounds the nodes that are asked one after the other for all objects.
+	maxListAttempts = 3
+	// PeerRetryDelay is how long a node that did not answer is not asked again.
+	PeerRetryDelay = 2 * time.Second
+	// fallbackRetryDelay is the same for a spare, and staleFor for a node that answers that it
 	// is stale, during a backoff from the object API.
-	spareFailedFor = time.Second
-	staleFor       = 300 * time.Millisecond
-	// readWait bounds the wait of a watch, and so how old a node's contents get: two
+	fallbackRetryDelay = time.Second
+	staleRetryDelay    = 300 * time.Millisecond
+	// watchWait bounds the wait of a watch, and so how old a node's contents get: two
 	// waits. chainedWait is the same for a node whose contents pass through two others,
 	// each of which adds askWait: 0.5 s and twice 0.3 s are below MaxAge.
-	readWait    = 500 * time.Millisecond
-	chainedWait = 250 * time.Millisecond
+	watchWait        = 500 * time.Millisecond
+	chainedWatchWait = 250 * time.Millisecond
 	// watchMargin is how long past its wait a watch of the object API may take to answer.
 	watchMargin = 450 * time.Millisecond
-	// listTime is how long a list of the object API may take while other nodes may help.
-	listTime = time.Second
-	// soonWait is the wait of a watch whose answer is wanted at once.
-	soonWait = 10 * time.Millisecond
-	// askWait bounds the wait of an answer, and so how late a reader finds that a
+	// listTimeout is how long a list of the object API may take while other nodes may help.
+	listTimeout = time.Second
+	// staleWatchWait is the wait of a watch whose answer is wanted at once.
+	staleWatchWait = 10 * time.Millisecond
+	// followWait bounds the wait of an answer, and so how late a reader finds that a
 	// node does not answer.
-	askWait = 300 * time.Millisecond
-	// firstWait is how long a node whose site starts for the first time waits to learn which
+	followWait = 300 * time.Millisecond
+	// discoveryWait is how long a node whose site starts for the first time waits to learn which
 	// nodes there are, and firstAsked how long it then asks them before it reads for itself
 	// (Y6). Calls come ten seconds after the start.
-	firstWait  = 1200 * time.Millisecond
-	firstAsked = 1700 * time.Millisecond
-	firstEvery = 100 * time.Millisecond
-	// twiceAsked is the age of what a node knows that reads for itself after it has asked
+	discoveryWait     = 1200 * time.Millisecond
+	firstReadDelay    = 1700 * time.Millisecond
+	firstReadInterval = 100 * time.Millisecond
+	// retriedAge is the age of what a node knows that reads for itself after it has asked
 	// another one twice. Where changes are to be used sooner than spareTime after that, it asks once.
-	twiceAsked = MaxAge + 2*askWait + AnswerMargin
-	spareTime  = 500 * time.Millisecond
-	// outageWait is the mean backoff from an object API that failed a node with relays. It
+	retriedAge   = MaxAge + 2*followWait + ResponseMargin
+	retryReserve = 500 * time.Millisecond
+	// meanBackoff is the mean backoff from an object API that failed a node with relays. It
 	// bounds how late a node detects that it alone is served again; otherwise the reader
 	// detects that within its own retries.
-	outageWait = 2500 * time.Millisecond
-	// readerWait is the same for a node that reads for others.
-	readerWait = 800 * time.Millisecond
-	// maxGone bounds the deletions that are remembered of a prefix.
-	maxGone = 1024
+	meanBackoff = 2500 * time.Millisecond
+	// meanReaderBackoff is the same for a node that reads for others.
+	meanReaderBackoff = 800 * time.Millisecond
+	// maxTombstones bounds the deletions that are remembered of a prefix.
+	maxTombstones = 1024
 )
 
 // Options describe a relayer.
@@ -73,15 +73,15 @@
 	// Relays returns the addresses of the nodes to ask, in order of preference; none if this
 	// node is to read the object API.
 	Relays func() []string
-	// Spares returns the addresses of further nodes, in any order (Y7); it may be nil.
-	Spares func() []string
+	// Fallbacks returns the addresses of further nodes, in any order (Y7); it may be nil.
+	Fallbacks func() []string
 	// Chained reports whether those that ask this node are asked by others in turn; it
 	// may be nil.
 	Chained func() bool
 	// Woke returns when the instance was last found to have been suspended.
 	Woke func(now time.Time) time.Time
-	// ChangeTime is the time within which a site expects changes to be used.
-	ChangeTime time.Duration
+	// ApplyTime is the time within which a site expects changes to be used.
+	ApplyTime time.Duration
 	// FirstStart is set when the whole site starts for the first time.
 	FirstStart bool
 	// Prefixes are those that are read for others.
@@ -99,13 +99,13 @@
 	mu     sync.Mutex
 	caches map[string]*cache
 	// failed holds the nodes that are not asked again about a prefix for a while.
-	failed map[question]failure
+	failed map[failureKey]failure
 	// started is when the relayer was made.
 	started time.Time
-	// asked is when another node last asked this one.
-	asked time.Time
-	// answered says that the relay that was asked last answered.
-	answered bool
+	// lastFollowed is when another node last lastFollowed this one.
+	lastFollowed time.Time
+	// relayResponded says that the relay that was asked last relayResponded.
+	relayResponded bool
 }
 
 // New returns a relayer.
@@ -113,7 +113,7 @@
 	if options.Random == nil {
 		options.Random = rand.Float64
 	}
-	r := &Relayer{ObjectAPI: options.Objects, options: options, caches: make(map[string]*cache), failed: make(map[question]failure), started: time.Now()}
+	r := &Relayer{ObjectAPI: options.Objects, options: options, caches: make(map[string]*cache), failed: make(map[failureKey]failure), started: time.Now()}
 	for _, prefix := range options.Prefixes {
 		r.caches[prefix] = &cache{prefix: prefix, changed: make(chan struct{})}
 	}
@@ -126,64 +126,64 @@
 	if c == nil {
 		return r.ObjectAPI.List(ctx, prefix)
 	}
-	for r.first(ctx, c) {
-		if objects, revision, ok := r.listOfOthers(ctx, c, prefix); ok {
+	for r.deferFirstRead(ctx, c) {
+		if objects, revision, ok := r.listFromPeers(ctx, c, prefix); ok {
 			return objects, revision, nil
 		}
 	}
-	if objects, revision, ok := r.listOfOthers(ctx, c, prefix); ok {
+	if objects, revision, ok := r.listFromPeers(ctx, c, prefix); ok {
 		return objects, revision, nil
 	}
 	if r.backingOff(c) {
 		return nil, 0, errBackingOff
 	}
-	call, cancel := r.boundList(ctx, c)
+	call, cancel := r.listContext(ctx, c)
 	defer cancel()
 	sent := time.Now()
 	objects, revision, err := r.ObjectAPI.List(call, prefix)
-	r.called(ctx, call, c, err)
+	r.recordCall(ctx, call, c, err)
 	if err == nil {
-		r.listed(c, objects, revision, sent)
+		r.storeSnapshot(c, objects, revision, sent)
 	}
 	return objects, revision, err
 }
 
-// boundList bounds a list of the object API by less than its caller does while other nodes may
+// listContext bounds a list of the object API by less than its caller does while other nodes may
 // help: while it has not failed often, one has just helped, or one is still to be asked.
 // Otherwise a slow object API gets the caller's time, so that a list succeeds in the end.
-func (r *Relayer) boundList(ctx context.Context, c *cache) (context.Context, context.CancelFunc) {
-	spares := r.spares()
+func (r *Relayer) listContext(ctx context.Context, c *cache) (context.Context, context.CancelFunc) {
+	fallbacks := r.fallbacks()
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(spares) > 0 && c.failures < failuresAway || now.Sub(c.helped) < FailedFor || len(r.untriedLocked(now, c, spares)) > 0 {
-		return context.WithTimeout(ctx, listTime)
+	if len(fallbacks) > 0 && c.failures < fallbackThreshold || now.Sub(c.lastPeerSuccess) < PeerRetryDelay || len(r.availableLocked(now, c, fallbacks)) > 0 {
+		return context.WithTimeout(ctx, listTimeout)
 	}
 	return context.WithCancel(ctx)
 }
 
-// first waits for a moment while the first reading is left to other nodes (Y6), and returns
+// deferFirstRead waits for a moment while the deferFirstRead reading is left to other nodes (Y6), and returns
 // false once it is not, or is no longer.
 //
 // Load pattern: 88 nodes start at once. Each listed and watched both prefixes until it knew
 // the others: 600 of the 4,000 calls of a day, for what one node reads.
-func (r *Relayer) first(ctx context.Context, c *cache) bool {
+func (r *Relayer) deferFirstRead(ctx context.Context, c *cache) bool {
 	since := time.Since(r.started)
-	most := firstWait
+	limit := discoveryWait
 	if len(r.options.Relays()) > 0 {
-		most = firstAsked
+		limit = firstReadDelay
 	}
 	r.mu.Lock()
-	known := c.revision > 0
-	waits := r.options.FirstStart && !known && since < most
-	if waits {
+	hasContents := c.revision > 0
+	deferred := r.options.FirstStart && !hasContents && since < limit
+	if deferred {
 		clear(r.failed) // nodes that know nothing yet will
 	}
 	r.mu.Unlock()
-	if !waits {
+	if !deferred {
 		return false
 	}
-	timer := time.NewTimer(firstEvery)
+	timer := time.NewTimer(firstReadInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -202,56 +202,56 @@
 	// Failure: two nodes that read for the others are partitioned at once. Asking one
 	// after the other takes longer than a change may take, so one is asked, and the
 	// object API next.
-	if address, ok := r.whom(c); ok {
-		answer, confirmed, _ := r.ask(ctx, address, prefix, after, min(wait, askWait))
-		if answer == nil {
-			return r.watch(ctx, c, prefix, after, wait)
+	if address, ok := r.selectPeer(c); ok {
+		response, confirmed, _ := r.fetch(ctx, address, prefix, after, min(wait, followWait))
+		if response == nil {
+			return r.watchDirect(ctx, c, prefix, after, wait)
 		}
-		if answer.Snapshot {
+		if response.Snapshot {
 			// The node has no changes from that far back; a list gets its objects.
 			return nil, 0, garnetworks.Errorf(garnetworks.KindCompacted, "the node %s remembers less", address)
 		}
-		r.changed(c, answer.Objects, answer.Revision, confirmed)
-		r.helpedBy(c, address, confirmed)
-		return answer.Objects, answer.Revision, nil
+		r.applyChanges(c, response.Objects, response.Revision, confirmed)
+		r.recordPeerResponse(c, address, confirmed)
+		return response.Objects, response.Revision, nil
 	}
-	return r.watch(ctx, c, prefix, after, wait)
+	return r.watchDirect(ctx, c, prefix, after, wait)
 }
 
-// watch watches the object API itself.
-func (r *Relayer) watch(ctx context.Context, c *cache, prefix string, after garnetworks.Revision, wait time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
+// watchDirect watches the object API itself.
+func (r *Relayer) watchDirect(ctx context.Context, c *cache, prefix string, after garnetworks.Revision, wait time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
 	if r.backingOff(c) {
 		return nil, 0, errBackingOff
 	}
-	alone := r.alone(c)
+	isolated := r.isolated(c)
 	switch {
-	case r.stale(c, alone):
+	case r.stale(c, isolated):
 		// A stale node, and its askers, must learn changes at once.
-		wait = min(wait, soonWait)
-	case alone:
+		wait = min(wait, staleWatchWait)
+	case isolated:
 	case r.options.Chained != nil && r.options.Chained():
-		wait = min(wait, chainedWait)
+		wait = min(wait, chainedWatchWait)
 	default:
-		wait = min(wait, readWait)
+		wait = min(wait, watchWait)
 	}
 	// Without an answer the watch would last for the caller's wait, not for its own.
 	call, cancel := context.WithTimeout(ctx, wait+watchMargin)
 	defer cancel()
 	sent := time.Now()
 	objects, revision, err := r.ObjectAPI.Watch(call, prefix, after, wait)
-	r.called(ctx, call, c, err)
+	r.recordCall(ctx, call, c, err)
 	if err == nil {
-		r.changed(c, objects, revision, sent)
+		r.applyChanges(c, objects, revision, sent)
 	}
 	return objects, revision, err
 }
 
 // stale reports whether a watch is to answer at once, since what the node knows is too old. A
 // node that reads for itself only, and did so the last time, waits as long as it always does.
-func (r *Relayer) stale(c *cache, alone bool) bool {
+func (r *Relayer) stale(c *cache, isolated bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return time.Since(c.confirmed) > MaxAge && !(alone && c.own)
+	return time.Since(c.confirmed) > MaxAge && !(isolated && c.direct)
 }
 
 // Confirmed returns a time at which what was last read of the prefix was the
--- a/relayer/relayer_test.go
+++ b/relayer/relayer_test.go
@@ -12,8 +12,8 @@
 	"github.com/garnetworks/garnetworks/relayer"
 )
 
-// store is an object API with a counter of calls and a switch.
-type store struct {
+// fakeAPI is an object API with a counter of calls and a switch.
+type fakeAPI struct {
 	garnetworks.ObjectAPI
 	mu       sync.Mutex
 	objects  map[string]garnetworks.Object
@@ -21,14 +21,14 @@
 	revision garnetworks.Revision
 	calls    int
 	down     bool
-	wake     chan struct{}
+	changed  chan struct{}
 }
 
-func newStore() *store {
-	return &store{objects: make(map[string]garnetworks.Object), revision: 1, wake: make(chan struct{})}
+func newFakeAPI() *fakeAPI {
+	return &fakeAPI{objects: make(map[string]garnetworks.Object), revision: 1, changed: make(chan struct{})}
 }
 
-func (s *store) put(key, value string) {
+func (s *fakeAPI) put(key, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
@@ -39,28 +39,28 @@
 		s.objects[key] = o
 	}
 	s.history = append(s.history, o)
-	close(s.wake)
-	s.wake = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 // callsIn returns the calls that are made while time passes.
-func (s *store) callsIn(while time.Duration) int {
+func (s *fakeAPI) callsIn(period time.Duration) int {
 	s.mu.Lock()
 	before := s.calls
 	s.mu.Unlock()
-	time.Sleep(while)
+	time.Sleep(period)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls - before
 }
 
-func (s *store) setDown(down bool) {
+func (s *fakeAPI) setDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 }
 
-func (s *store) count() error {
+func (s *fakeAPI) countCall() error {
 	s.calls++
 	if s.down {
 		return garnetworks.Errorf(garnetworks.KindObjectAPIDown, "down")
@@ -68,10 +68,10 @@
 	return nil
 }
 
-func (s *store) List(context.Context, string) ([]garnetworks.Object, garnetworks.Revision, error) {
+func (s *fakeAPI) List(context.Context, string) ([]garnetworks.Object, garnetworks.Revision, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.count(); err != nil {
+	if err := s.countCall(); err != nil {
 		return nil, 0, err
 	}
 	var list []garnetworks.Object
@@ -81,13 +81,13 @@
 	return list, s.revision, nil
 }
 
-func (s *store) Watch(ctx context.Context, _ string, after garnetworks.Revision, wait time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
+func (s *fakeAPI) Watch(ctx context.Context, _ string, after garnetworks.Revision, wait time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	s.mu.Lock()
-	err := s.count()
+	err := s.countCall()
 	s.mu.Unlock()
-	for over := false; ; {
+	for timedOut := false; ; {
 		s.mu.Lock()
 		var events []garnetworks.Object
 		for _, o := range s.history {
@@ -95,18 +95,18 @@
 				events = append(events, o)
 			}
 		}
-		revision, wake, down := s.revision, s.wake, s.down
+		revision, changed, down := s.revision, s.changed, s.down
 		s.mu.Unlock()
 		if err != nil || down {
 			return nil, 0, garnetworks.Errorf(garnetworks.KindObjectAPIDown, "down")
 		}
-		if over || len(events) > 0 {
+		if timedOut || len(events) > 0 {
 			return events, revision, nil
 		}
 		select {
-		case <-wake:
+		case <-changed:
 		case <-timer.C:
-			over = true
+			timedOut = true
 		case <-ctx.Done():
 			return nil, 0, ctx.Err()
 		}
@@ -115,15 +115,15 @@
 
 // network lets nodes ask each other by name.
 type network struct {
-	mu    sync.Mutex
-	nodes map[string]*relayer.Relayer
-	cut   map[string]bool
+	mu          sync.Mutex
+	nodes       map[string]*relayer.Relayer
+	partitioned map[string]bool
 }
 
 func (n *network) Follow(ctx context.Context, address string, request *garnetworks.FollowRequest) (*garnetworks.FollowResponse, error) {
 	n.mu.Lock()
 	node := n.nodes[address]
-	if n.cut[address] {
+	if n.partitioned[address] {
 		node = nil
 	}
 	n.mu.Unlock()
@@ -140,17 +140,17 @@
 	n.nodes[name] = r
 }
 
-func (n *network) cutOff(name string) {
+func (n *network) partition(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[name] = true
+	n.partitioned[name] = true
 }
 
 const prefix = "servers/"
 
 // star returns nodes of which all ask the first one.
-func star(s *store, count int, woke func(time.Time) time.Time) (*network, []*relayer.Relayer) {
-	n := &network{nodes: make(map[string]*relayer.Relayer), cut: make(map[string]bool)}
+func star(s *fakeAPI, count int, woke func(time.Time) time.Time) (*network, []*relayer.Relayer) {
+	n := &network{nodes: make(map[string]*relayer.Relayer), partitioned: make(map[string]bool)}
 	var nodes []*relayer.Relayer
 	for i := range count {
 		r := relayer.New(relayer.Options{
@@ -168,11 +168,11 @@
 	return n, nodes
 }
 
-func awake(time.Time) time.Time { return time.Time{} }
+func neverSuspended(time.Time) time.Time { return time.Time{} }
 
 // follow keeps a node reading until ctx ends, as a watcher does, and returns what
 // it knows.
-func follow(ctx context.Context, r *relayer.Relayer, known map[string]string, mu *sync.Mutex) {
+func follow(ctx context.Context, r *relayer.Relayer, contents map[string]string, mu *sync.Mutex) {
 	after := garnetworks.Revision(0)
 	for ctx.Err() == nil {
 		var objects []garnetworks.Object
@@ -180,7 +180,7 @@
 		if after == 0 {
 			if objects, after, err = r.List(ctx, prefix); err == nil {
 				mu.Lock()
-				clear(known)
+				clear(contents)
 				mu.Unlock()
 			}
 		} else {
@@ -197,10 +197,10 @@
 		mu.Lock()
 		for _, o := range objects {
 			if o.Deleted {
-				delete(known, o.Key)
+				delete(contents, o.Key)
 				continue
 			}
-			known[o.Key] = string(o.Value)
+			contents[o.Key] = string(o.Value)
 		}
 		mu.Unlock()
 	}
@@ -211,32 +211,32 @@
 // changes are everywhere at once.
 func TestOneNodeReadsForAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStore()
+		s := newFakeAPI()
 		s.put("servers/a", "1")
-		_, nodes := star(s, 3, awake)
+		_, nodes := star(s, 3, neverSuspended)
 		ctx, stop := context.WithCancel(t.Context())
 		var mu sync.Mutex
-		known := make([]map[string]string, len(nodes))
+		contents := make([]map[string]string, len(nodes))
 		var running sync.WaitGroup
 		for i, r := range nodes {
-			known[i] = make(map[string]string)
-			running.Go(func() { follow(ctx, r, known[i], &mu) })
+			contents[i] = make(map[string]string)
+			running.Go(func() { follow(ctx, r, contents[i], &mu) })
 			time.Sleep(100 * time.Millisecond)
 		}
 		s.put("servers/b", "2")
 		s.put("servers/a", "")
 		time.Sleep(10 * time.Millisecond)
 		mu.Lock()
-		for i := range known {
-			if len(known[i]) != 1 || known[i]["servers/b"] != "2" {
-				t.Errorf("node %d knows %v", i, known[i])
+		for i := range contents {
+			if len(contents[i]) != 1 || contents[i]["servers/b"] != "2" {
+				t.Errorf("node %d knows %v", i, contents[i])
 			}
 		}
 		mu.Unlock()
 		const minute = time.Minute
 		calls := s.callsIn(minute)
-		if most := int(minute/(500*time.Millisecond)) + 1; calls > most {
-			t.Errorf("three nodes made %d calls in a minute, one makes %d", calls, most)
+		if limit := int(minute/(500*time.Millisecond)) + 1; calls > limit {
+			t.Errorf("three nodes made %d calls in a minute, one makes %d", calls, limit)
 		}
 		for i, r := range nodes {
 			if age := time.Since(r.Confirmed(prefix)); age > relayer.MaxAge {
@@ -252,21 +252,21 @@
 // others read for themselves within a second or so, and none of them takes old
 // contents for new ones.
 func TestReaderIsLost(t *testing.T) {
-	cases := map[string]func(*network, *store){
-		"it does not answer": func(n *network, _ *store) { n.cut["0"] = true },
-		"it was suspended":   func(*network, *store) {},
+	cases := map[string]func(*network, *fakeAPI){
+		"it does not answer": func(n *network, _ *fakeAPI) { n.partitioned["0"] = true },
+		"it was suspended":   func(*network, *fakeAPI) {},
 	}
-	for name, strike := range cases {
+	for name, inject := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newStore()
+				s := newFakeAPI()
 				s.put("servers/a", "1")
 				var mu sync.Mutex
-				slept := time.Time{}
+				resumed := time.Time{}
 				n, nodes := star(s, 2, func(time.Time) time.Time {
 					mu.Lock()
 					defer mu.Unlock()
-					return slept
+					return resumed
 				})
 				if _, _, err := nodes[0].List(t.Context(), prefix); err != nil {
 					t.Fatal(err)
@@ -274,10 +274,10 @@
 				if _, _, err := nodes[1].List(t.Context(), prefix); err != nil {
 					t.Fatal(err)
 				}
-				strike(n, s)
+				inject(n, s)
 				if name == "it was suspended" {
 					mu.Lock()
-					slept = time.Now()
+					resumed = time.Now()
 					mu.Unlock()
 				}
 				s.put("servers/a", "2")
@@ -294,25 +294,25 @@
 // away; whoever asks one and then the other learns of it later than users allow.
 func TestTwoLostReadersDelayLittle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStore()
+		s := newFakeAPI()
 		s.put("servers/a", "1")
-		n, _ := star(s, 2, awake)
+		n, _ := star(s, 2, neverSuspended)
 		reader := relayer.New(relayer.Options{
-			Objects: s, Peers: n, Prefixes: []string{prefix}, Woke: awake, Relays: func() []string { return []string{"0", "1"} },
+			Objects: s, Peers: n, Prefixes: []string{prefix}, Woke: neverSuspended, Relays: func() []string { return []string{"0", "1"} },
 		})
 		_, after, err := reader.List(t.Context(), prefix)
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.cut["0"], n.cut["1"] = true, true
+		n.partitioned["0"], n.partitioned["1"] = true, true
 		s.put("servers/a", "2")
-		asked := time.Now()
+		start := time.Now()
 		objects, _, err := reader.Watch(t.Context(), prefix, after, time.Second)
 		if err != nil || len(objects) != 1 {
 			t.Fatalf("got %v, %v", objects, err)
 		}
-		const most = time.Second
-		if took := time.Since(asked); took > most {
+		const limit = time.Second
+		if took := time.Since(start); took > limit {
 			t.Errorf("the change was known after %s", took)
 		}
 	})
@@ -323,23 +323,23 @@
 // zone's first node. Ages add up, and stay below the bound at the end of the chain.
 func TestOneNodeReadsForARegion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStore()
+		s := newFakeAPI()
 		s.put("servers/a", "1")
-		n := &network{nodes: make(map[string]*relayer.Relayer), cut: make(map[string]bool)}
+		n := &network{nodes: make(map[string]*relayer.Relayer), partitioned: make(map[string]bool)}
 		chain := map[string][]string{"region": nil, "zone": {"region"}, "node": {"zone"}}
 		var mu sync.Mutex
 		var running sync.WaitGroup
-		known := make(map[string]map[string]string)
+		contents := make(map[string]map[string]string)
 		ctx, stop := context.WithCancel(t.Context())
 		for _, name := range []string{"region", "zone", "node"} {
 			r := relayer.New(relayer.Options{
-				Objects: s, Peers: n, Prefixes: []string{prefix}, Woke: awake,
+				Objects: s, Peers: n, Prefixes: []string{prefix}, Woke: neverSuspended,
 				Relays: func() []string { return chain[name] }, Chained: func() bool { return true },
 			})
 			n.add(name, r)
-			known[name] = make(map[string]string)
-			mine := known[name]
-			running.Go(func() { follow(ctx, r, mine, &mu) })
+			contents[name] = make(map[string]string)
+			nodeContents := contents[name]
+			running.Go(func() { follow(ctx, r, nodeContents, &mu) })
 			time.Sleep(100 * time.Millisecond)
 		}
 		oldest := time.Duration(0)
@@ -354,8 +354,8 @@
 		s.mu.Lock()
 		calls := s.calls - before
 		s.mu.Unlock()
-		if most := rounds*int(round/time.Millisecond)/250 + 1; calls > most {
-			t.Errorf("three nodes made %d calls in a minute, one makes %d", calls, most)
+		if limit := rounds*int(round/time.Millisecond)/250 + 1; calls > limit {
+			t.Errorf("three nodes made %d calls in a minute, one makes %d", calls, limit)
 		}
 		if oldest > relayer.MaxAge {
 			t.Errorf("what the last node knows was %s old", oldest)
@@ -363,17 +363,17 @@
 		s.put("servers/b", "2")
 		time.Sleep(10 * time.Millisecond)
 		mu.Lock()
-		if known["node"]["servers/b"] != "2" {
-			t.Errorf("the last node knows %v", known["node"])
+		if contents["node"]["servers/b"] != "2" {
+			t.Errorf("the last node knows %v", contents["node"])
 		}
 		mu.Unlock()
 		// The region's node is lost: the zone's reads for itself within a second.
-		n.cutOff("region")
+		n.partition("region")
 		s.put("servers/b", "3")
 		time.Sleep(time.Second)
 		mu.Lock()
-		if known["node"]["servers/b"] != "3" {
-			t.Errorf("the last node knows %v a second after the region's reader was lost", known["node"])
+		if contents["node"]["servers/b"] != "3" {
+			t.Errorf("the last node knows %v a second after the region's reader was lost", contents["node"])
 		}
 		mu.Unlock()
 		stop()
@@ -384,12 +384,12 @@
 // Story: the store is away for eight seconds. Each of 95 nodes called it up to eight times
 // a second for two kinds of objects, and all of them at once at its return. Now the
 // reader's calls find its return, and the others know of it within the next second.
-func TestOutageIsWaitedOutByTheReader(t *testing.T) {
+func TestNodesBackOffDuringAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const count, outage = 20, 8 * time.Second
-		s := newStore()
+		s := newFakeAPI()
 		s.put("servers/a", "1")
-		_, nodes := star(s, count, awake)
+		_, nodes := star(s, count, neverSuspended)
 		ctx, stop := context.WithCancel(t.Context())
 		var mu sync.Mutex
 		var running sync.WaitGroup
@@ -401,7 +401,7 @@
 		s.setDown(true)
 		calls := s.callsIn(outage)
 		// The reader retries every 50 ms here; each other node calls once in 2.5 s.
-		if most := int(outage/(50*time.Millisecond)) + count*8; calls > most {
+		if limit := int(outage/(50*time.Millisecond)) + count*8; calls > limit {
 			t.Errorf("%d calls in an outage of %s", calls, outage)
 		}
 		s.setDown(false)
@@ -419,17 +419,17 @@
 
 // Story: a node rests from a store that failed it, as one of many, and takes the lease a
 // moment after the store's return. It must read at once, since it has nobody to ask now.
-func TestNodeThatMustReadItselfDoesNotRest(t *testing.T) {
+func TestNodeWithoutRelaysDoesNotBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStore()
+		s := newFakeAPI()
 		s.put("servers/a", "1")
 		s.setDown(true)
-		n := &network{nodes: make(map[string]*relayer.Relayer), cut: make(map[string]bool)}
+		n := &network{nodes: make(map[string]*relayer.Relayer), partitioned: make(map[string]bool)}
 		relays := []string{"0"}
 		// The node to ask answers that it knows nothing yet.
-		n.add("0", relayer.New(relayer.Options{Objects: s, Peers: n, Prefixes: []string{prefix}, Woke: awake, Relays: func() []string { return nil }}))
+		n.add("0", relayer.New(relayer.Options{Objects: s, Peers: n, Prefixes: []string{prefix}, Woke: neverSuspended, Relays: func() []string { return nil }}))
 		r := relayer.New(relayer.Options{
-			Objects: s, Peers: n, Prefixes: []string{prefix}, Woke: awake, Relays: func() []string { return relays },
+			Objects: s, Peers: n, Prefixes: []string{prefix}, Woke: neverSuspended, Relays: func() []string { return relays },
 		})
 		if _, _, err := r.List(t.Context(), prefix); !garnetworks.IsKind(err, garnetworks.KindObjectAPIDown) {
 			t.Fatalf("got %v from a store that is down", err)
@@ -450,17 +450,17 @@
 // another node asks it, it reads as often as one that reads for others.
 func TestNodeThatReadsForItselfOnlyCallsRarely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStore()
+		s := newFakeAPI()
 		s.put("servers/a", "1")
-		n, nodes := star(s, 3, awake)
-		n.cut["0"], n.cut["2"] = true, true
+		n, nodes := star(s, 3, neverSuspended)
+		n.partitioned["0"], n.partitioned["2"] = true, true
 		ctx, stop := context.WithCancel(t.Context())
 		var mu sync.Mutex
 		var running sync.WaitGroup
 		running.Go(func() { follow(ctx, nodes[1], make(map[string]string), &mu) })
-		const while = 30 * time.Second
+		const period = 30 * time.Second
 		time.Sleep(5 * time.Second)
-		if calls := s.callsIn(while); calls > 30 {
+		if calls := s.callsIn(period); calls > 30 {
 			t.Errorf("a node that reads for itself made %d calls in 30 s", calls)
 		}
 		running.Go(func() {
@@ -470,7 +470,7 @@
 		})
 		time.Sleep(5 * time.Second)
 		// It asks the lost node every two seconds, for most of a second.
-		if calls := s.callsIn(while); calls < 36 {
+		if calls := s.callsIn(period); calls < 36 {
 			t.Errorf("a node that another one asks made %d calls in 30 s", calls)
 		}
 		if age := time.Since(nodes[1].Confirmed(prefix)); age > relayer.MaxAge {
@@ -486,9 +486,9 @@
 // it for good.
 func TestOldContentsAreNotTakenForNewOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStore()
+		s := newFakeAPI()
 		s.put("servers/a", "1")
-		_, nodes := star(s, 2, awake)
+		_, nodes := star(s, 2, neverSuspended)
 		_, after, err := nodes[0].List(t.Context(), prefix)
 		if err != nil {
 			t.Fatal(err)
@@ -497,13 +497,13 @@
 			t.Fatal(err)
 		}
 		s.setDown(true)
-		asked := time.Now()
-		for time.Since(asked) < 10*time.Second {
+		start := time.Now()
+		for time.Since(start) < 10*time.Second {
 			if _, _, err := nodes[1].Watch(t.Context(), prefix, after, time.Second); err != nil {
 				time.Sleep(100 * time.Millisecond)
 			}
 		}
-		if confirmed := nodes[1].Confirmed(prefix); confirmed.After(asked) {
+		if confirmed := nodes[1].Confirmed(prefix); confirmed.After(start) {
 			t.Errorf("contents from %s before are held for certain", time.Since(confirmed))
 		}
 	})
@@ -515,8 +515,8 @@
 func TestFirstReadingIsLeftToOneNode(t *testing.T) {
 	const nodes = 40
 	cases := map[string]struct {
-		known time.Duration
-		most  int
+		discovery time.Duration
+		limit     int
 	}{
 		"nodes know each other soon":  {500 * time.Millisecond, 2 * nodes / 10},
 		"nodes know each other never": {time.Hour, 6 * nodes},
@@ -524,10 +524,10 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newStore()
+				s := newFakeAPI()
 				s.put("servers/a", "1")
-				n := &network{nodes: make(map[string]*relayer.Relayer), cut: make(map[string]bool)}
-				began := time.Now()
+				n := &network{nodes: make(map[string]*relayer.Relayer), partitioned: make(map[string]bool)}
+				start := time.Now()
 				ctx, stop := context.WithCancel(t.Context())
 				var mu sync.Mutex
 				var running sync.WaitGroup
@@ -535,9 +535,9 @@
 				for i := range nodes {
 					all[i] = make(map[string]string)
 					r := relayer.New(relayer.Options{
-						Objects: s, Peers: n, Prefixes: []string{prefix}, Woke: awake, FirstStart: true,
+						Objects: s, Peers: n, Prefixes: []string{prefix}, Woke: neverSuspended, FirstStart: true,
 						Relays: func() []string {
-							if i == 0 || time.Since(began) < c.known {
+							if i == 0 || time.Since(start) < c.discovery {
 								return nil
 							}
 							return []string{"0"}
@@ -546,13 +546,13 @@
 					n.add(fmt.Sprint(i), r)
 					running.Go(func() { follow(ctx, r, all[i], &mu) })
 				}
-				if calls := s.callsIn(2 * time.Second); calls > c.most {
-					t.Errorf("%d calls in the first two seconds, want %d at most", calls, c.most)
+				if calls := s.callsIn(2 * time.Second); calls > c.limit {
+					t.Errorf("%d calls in the first two seconds, want %d at most", calls, c.limit)
 				}
 				mu.Lock()
-				for i, known := range all {
-					if known["servers/a"] != "1" {
-						t.Errorf("node %d knows %v", i, known)
+				for i, contents := range all {
+					if contents["servers/a"] != "1" {
+						t.Errorf("node %d knows %v", i, contents)
 					}
 				}
 				mu.Unlock()
@@ -569,25 +569,25 @@
 // takes contents that are older than may be for new ones.
 func TestSilentReaderIsReplacedByFewNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const cells, each = 4, 10
-		s, silent := newStore(), &silentStore{}
+		const cells, perCell = 4, 10
+		s, silent := newFakeAPI(), &silentAPI{}
 		s.put("servers/a", "1")
-		silent.store = s
-		n := &network{nodes: make(map[string]*relayer.Relayer), cut: make(map[string]bool)}
+		silent.fakeAPI = s
+		n := &network{nodes: make(map[string]*relayer.Relayer), partitioned: make(map[string]bool)}
 		ctx, stop := context.WithCancel(t.Context())
 		var mu sync.Mutex
 		var running sync.WaitGroup
 		var nodes []*relayer.Relayer
-		for i := range cells * each {
+		for i := range cells * perCell {
 			var objects garnetworks.ObjectAPI = s
-			relays := []string{fmt.Sprint(i / each * each)}
+			relays := []string{fmt.Sprint(i / perCell * perCell)}
 			switch {
 			case i == 0:
 				objects, relays = silent, nil
-			case i%each == 0:
+			case i%perCell == 0:
 				relays = []string{"0"}
 			}
-			r := relayer.New(relayer.Options{Objects: objects, Peers: n, Prefixes: []string{prefix}, Woke: awake, ChangeTime: 3 * time.Second, Relays: func() []string { return relays }})
+			r := relayer.New(relayer.Options{Objects: objects, Peers: n, Prefixes: []string{prefix}, Woke: neverSuspended, ApplyTime: 3 * time.Second, Relays: func() []string { return relays }})
 			n.add(fmt.Sprint(i), r)
 			nodes = append(nodes, r)
 			running.Go(func() { follow(ctx, r, make(map[string]string), &mu) })
@@ -595,12 +595,12 @@
 		time.Sleep(3 * time.Second)
 		silent.set(true)
 		// The cells' first nodes read twice a second each, as they do for as long.
-		if calls, most := s.callsIn(4*time.Second), cells*4*3; calls > most {
-			t.Errorf("%d calls in four seconds, want %d at most", calls, most)
+		if calls, limit := s.callsIn(4*time.Second), cells*4*3; calls > limit {
+			t.Errorf("%d calls in four seconds, want %d at most", calls, limit)
 		}
-		for i, r := range nodes[each:] {
+		for i, r := range nodes[perCell:] {
 			if age := time.Since(r.Confirmed(prefix)); age > 2*time.Second {
-				t.Errorf("what node %d knows may be %s old", each+i, age)
+				t.Errorf("what node %d knows may be %s old", perCell+i, age)
 			}
 		}
 		stop()
@@ -608,20 +608,20 @@
 	})
 }
 
-// silentStore is one that may give no answers.
-type silentStore struct {
-	*store
+// silentAPI is one that may give no answers.
+type silentAPI struct {
+	*fakeAPI
 	mu     sync.Mutex
 	silent bool
 }
 
-func (s *silentStore) set(silent bool) {
+func (s *silentAPI) set(silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.silent = silent
 }
 
-func (s *silentStore) lost(ctx context.Context, wait time.Duration) error {
+func (s *silentAPI) block(ctx context.Context, wait time.Duration) error {
 	s.mu.Lock()
 	silent := s.silent
 	s.mu.Unlock()
@@ -635,18 +635,18 @@
 	return garnetworks.Errorf(garnetworks.KindObjectAPIDown, "no answer")
 }
 
-func (s *silentStore) List(ctx context.Context, prefix string) ([]garnetworks.Object, garnetworks.Revision, error) {
-	if err := s.lost(ctx, 0); err != nil {
+func (s *silentAPI) List(ctx context.Context, prefix string) ([]garnetworks.Object, garnetworks.Revision, error) {
+	if err := s.block(ctx, 0); err != nil {
 		return nil, 0, err
 	}
-	return s.store.List(ctx, prefix)
+	return s.fakeAPI.List(ctx, prefix)
 }
 
-func (s *silentStore) Watch(ctx context.Context, prefix string, after garnetworks.Revision, wait time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
-	if err := s.lost(ctx, wait); err != nil {
+func (s *silentAPI) Watch(ctx context.Context, prefix string, after garnetworks.Revision, wait time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
+	if err := s.block(ctx, wait); err != nil {
 		return nil, 0, err
 	}
-	return s.store.Watch(ctx, prefix, after, wait)
+	return s.fakeAPI.Watch(ctx, prefix, after, wait)
 }
 
 // Story: the store forgets its history and turns nodes away for three seconds, while the
@@ -654,31 +654,31 @@
 // store; one left the store alone for 2 s more, as others were to find its return, and asked
 // only the node that was cut off, again and again ("watch of config/main" back at 12.165 s,
 // the store at 10.0 s). It answered 404 for a route that had been added 4.7 s before.
-func TestRestingNodeAsksThoseThatAnswer(t *testing.T) {
+func TestBackingOffNodeAsksRespondingNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, away := newStore(), &silentStore{}
-		away.store = s
+		s, unresponsive := newFakeAPI(), &silentAPI{}
+		unresponsive.fakeAPI = s
 		s.put("servers/a", "1")
-		site := newFollowing(t)
-		site.n.cutOff("cut")
+		site := newTestSite(t)
+		site.n.partition("cut")
 		site.start("reader", s, nil, nil)
-		known := site.start("late", away, []string{"cut", "reader"}, nil)
+		contents := site.start("late", unresponsive, []string{"cut", "reader"}, nil)
 		time.Sleep(3 * time.Second)
 		s.setDown(true)
-		away.set(true)
+		unresponsive.set(true)
 		time.Sleep(3 * time.Second)
 		s.setDown(false)
 		s.put("servers/b", "2")
 		time.Sleep(1500 * time.Millisecond)
-		if value := site.value(known, "servers/b"); value != "2" {
+		if value := site.value(contents, "servers/b"); value != "2" {
 			t.Errorf("1.5 s after the store's return the node knows %q", value)
 		}
 		site.end()
 	})
 }
 
-// following is a site whose nodes follow each other.
-type following struct {
+// testSite is a site whose nodes follow each other.
+type testSite struct {
 	n       *network
 	ctx     context.Context
 	stop    context.CancelFunc
@@ -686,65 +686,65 @@
 	mu      sync.Mutex
 }
 
-func newFollowing(t *testing.T) *following {
-	f := &following{n: &network{nodes: make(map[string]*relayer.Relayer), cut: make(map[string]bool)}}
-	f.ctx, f.stop = context.WithCancel(t.Context())
-	return f
+func newTestSite(t *testing.T) *testSite {
+	s := &testSite{n: &network{nodes: make(map[string]*relayer.Relayer), partitioned: make(map[string]bool)}}
+	s.ctx, s.stop = context.WithCancel(t.Context())
+	return s
 }
 
 // start starts a node, and returns what it will know.
-func (f *following) start(name string, objects garnetworks.ObjectAPI, relays, spares []string) map[string]string {
-	known := make(map[string]string)
+func (s *testSite) start(name string, objects garnetworks.ObjectAPI, relays, fallbacks []string) map[string]string {
+	contents := make(map[string]string)
 	r := relayer.New(relayer.Options{
-		Objects: objects, Peers: f.n, Prefixes: []string{prefix}, Woke: awake,
-		Relays: func() []string { return relays }, Spares: func() []string { return spares },
+		Objects: objects, Peers: s.n, Prefixes: []string{prefix}, Woke: neverSuspended,
+		Relays: func() []string { return relays }, Fallbacks: func() []string { return fallbacks },
 	})
-	f.n.add(name, r)
-	f.running.Go(func() { follow(f.ctx, r, known, &f.mu) })
-	return known
+	s.n.add(name, r)
+	s.running.Go(func() { follow(s.ctx, r, contents, &s.mu) })
+	return contents
 }
 
 // value returns what a node knows of a key.
-func (f *following) value(known map[string]string, key string) string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return known[key]
+func (s *testSite) value(contents map[string]string, key string) string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return contents[key]
 }
 
-func (f *following) end() {
-	f.stop()
-	f.running.Wait()
+func (s *testSite) end() {
+	s.stop()
+	s.running.Wait()
 }
 
 // Guards against a node that backs off from the store while no relay answers it.
 func TestNodeThatNoRelayAnswersDoesNotBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStore()
+		s := newFakeAPI()
 		s.put("servers/a", "1")
 		s.setDown(true)
-		n := &network{nodes: make(map[string]*relayer.Relayer), cut: map[string]bool{"0": true, "1": true}}
+		n := &network{nodes: make(map[string]*relayer.Relayer), partitioned: map[string]bool{"0": true, "1": true}}
 		r := relayer.New(relayer.Options{
-			Objects: s, Peers: n, Prefixes: []string{prefix}, Woke: awake, Relays: func() []string { return []string{"0", "1"} },
+			Objects: s, Peers: n, Prefixes: []string{prefix}, Woke: neverSuspended, Relays: func() []string { return []string{"0", "1"} },
 		})
 		if _, _, err := r.List(t.Context(), prefix); !garnetworks.IsKind(err, garnetworks.KindObjectAPIDown) {
 			t.Fatalf("got %v from a store that is down", err)
 		}
 		s.setDown(false)
-		const most = time.Second
-		back := time.Now()
+		const limit = time.Second
+		returned := time.Now()
 		for {
 			if _, _, err := r.List(t.Context(), prefix); err == nil {
 				break
 			}
-			if time.Since(back) > most {
-				t.Fatalf("it has not read the store %s after its return", time.Since(back))
+			if time.Since(returned) > limit {
+				t.Fatalf("it has not read the store %s after its return", time.Since(returned))
 			}
 		}
 	})
 }
 
 // Guards against a node that the store refuses polling only its relays while other nodes know more.
-func TestNodeThatTheStoreRefusesAsksAnyOther(t *testing.T) {
+func TestNodeRefusedByTheObjectAPIAsksOthers(t *testing.T) {
 	cases := map[string][]string{
 		"the reader":              nil,
 		"its relays are lost":     {"lost-1", "lost-2"},
@@ -753,21 +753,21 @@
 	for name, relays := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s, refusing := newStore(), &silentStore{}
-				refusing.store = s
+				s, refusing := newFakeAPI(), &silentAPI{}
+				refusing.fakeAPI = s
 				s.put("servers/a", "1")
-				site := newFollowing(t)
-				site.n.cutOff("lost-1")
-				site.n.cutOff("lost-2")
+				site := newTestSite(t)
+				site.n.partition("lost-1")
+				site.n.partition("lost-2")
 				site.start("refused", refusing, nil, nil)
 				site.start("well", s, []string{"refused"}, nil)
-				known := site.start("asked", refusing, relays, []string{"refused", "well"})
+				contents := site.start("asked", refusing, relays, []string{"refused", "well"})
 				time.Sleep(3 * time.Second)
 				refusing.set(true)
 				time.Sleep(4 * time.Second)
 				s.put("servers/b", "2")
 				time.Sleep(2 * time.Second)
-				if value := site.value(known, "servers/b"); value != "2" {
+				if value := site.value(contents, "servers/b"); value != "2" {
 					t.Errorf("2 s after a change the node knows %q", value)
 				}
 				site.end()
@@ -779,17 +779,17 @@
 // Guards against stale nodes that send all their objects to each node that polls them in an outage.
 func TestStaleNodeSendsNoObjects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStore()
+		s := newFakeAPI()
 		s.put("servers/a", "1")
-		_, nodes := star(s, 1, awake)
+		_, nodes := star(s, 1, neverSuspended)
 		if _, _, err := nodes[0].List(t.Context(), prefix); err != nil {
 			t.Fatal(err)
 		}
 		for age, fresh := range map[time.Duration]bool{0: true, relayer.MaxAge: false} {
 			time.Sleep(age)
-			answer, err := nodes[0].Follow(t.Context(), &garnetworks.FollowRequest{Prefix: prefix})
-			if fresh && (err != nil || len(answer.Objects) != 1) || !fresh && !garnetworks.IsKind(err, garnetworks.KindNotReady) {
-				t.Errorf("after %s: got %v, %v", age, answer, err)
+			response, err := nodes[0].Follow(t.Context(), &garnetworks.FollowRequest{Prefix: prefix})
+			if fresh && (err != nil || len(response.Objects) != 1) || !fresh && !garnetworks.IsKind(err, garnetworks.KindNotReady) {
+				t.Errorf("after %s: got %v, %v", age, response, err)
 			}
 			if _, _, err := nodes[0].List(t.Context(), prefix); err != nil {
 				t.Fatal(err)
--- a/relayer/schedule_test.go
+++ b/relayer/schedule_test.go
@@ -13,23 +13,23 @@
 
 // Kinds of faults in a schedule.
 const (
-	faultKill    = "kill"    // node: its process ends; it starts anew after the span
-	faultSuspend = "suspend" // node: it stands still
-	faultRefuse  = "refuse"  // node: the object API refuses its calls
-	faultSilent  = "silent"  // node: the object API gives it no answers
-	faultCutOut  = "cut-out" // node, other: what node sends other gets lost
-	faultCutOff  = "cut-off" // node: it reaches no node, and none reaches it
-	faultZone    = "zone"    // node's zone: it reaches neither other zones nor the object API
-	faultLossy   = "lossy"   // node: three in ten of its messages are lost
-	faultDown    = "down"    // the object API refuses all calls
-	faultMute    = "mute"    // the object API gives no answers at all
-	faultSlow    = "slow"    // the object API takes 50 times as long
-	faultForget  = "forget"  // watches get nothing, then the history is dropped and they are cut
+	faultKill          = "kill"    // node: its process ends; it starts anew after the span
+	faultSuspend       = "suspend" // node: it stands still
+	faultRefuse        = "refuse"  // node: the object API refuses its calls
+	faultTimeout       = "silent"  // node: the object API gives it no answers
+	faultOneWayLoss    = "cut-out" // node, other: what node sends other gets lost
+	faultIsolate       = "cut-off" // node: it reaches no node, and none reaches it
+	faultZonePartition = "zone"    // node's zone: it reaches neither other zones nor the object API
+	faultLossy         = "lossy"   // node: three in ten of its messages are lost
+	faultDown          = "down"    // the object API refuses all calls
+	faultTimeoutAll    = "mute"    // the object API gives no answers at all
+	faultSlow          = "slow"    // the object API takes 50 times as long
+	faultCompact       = "forget"  // watches get nothing, then the history is dropped and they are cut
 )
 
 var faultKinds = []string{
-	faultKill, faultKill, faultSuspend, faultRefuse, faultRefuse, faultSilent, faultCutOut, faultCutOff, faultZone, faultLossy, faultDown, faultMute, faultSlow,
-	faultForget, faultForget,
+	faultKill, faultKill, faultSuspend, faultRefuse, faultRefuse, faultTimeout, faultOneWayLoss, faultIsolate, faultZonePartition, faultLossy, faultDown, faultTimeoutAll, faultSlow,
+	faultCompact, faultCompact,
 }
 
 // fault is one entry of a schedule.
@@ -43,30 +43,30 @@
 	return fmt.Sprintf("fault %s %s %s %d %d", f.kind, f.at, f.span, f.node, f.other)
 }
 
-// disturbs reports whether the fault disturbs a node, or its way to other nodes.
-func (f *fault) disturbs(s *schedule, node int) bool {
+// affectsNode reports whether the fault affectsNode a node, or its way to other nodes.
+func (f *fault) affectsNode(s *schedule, node int) bool {
 	switch f.kind {
-	case faultKill, faultSuspend, faultCutOff, faultLossy:
+	case faultKill, faultSuspend, faultIsolate, faultLossy:
 		return f.node == node
-	case faultZone:
+	case faultZonePartition:
 		return s.zone(f.node) == s.zone(node)
-	case faultCutOut:
+	case faultOneWayLoss:
 		return f.node == node || f.other == node
 	}
 	return false
 }
 
-// keepsOut reports whether the fault disturbs a node's way to the object API. A drop of the
+// affectsObjectAPI reports whether the fault disturbs a node's way to the object API. A drop of the
 // history counts as an outage of the object API, as for the site's rules.
-func (f *fault) keepsOut(s *schedule, node int) bool {
+func (f *fault) affectsObjectAPI(s *schedule, node int) bool {
 	switch f.kind {
-	case faultForget:
-		return !s.drops
-	case faultDown, faultMute, faultSlow:
+	case faultCompact:
+		return !s.checkCompaction
+	case faultDown, faultTimeoutAll, faultSlow:
 		return true
-	case faultRefuse, faultSilent:
+	case faultRefuse, faultTimeout:
 		return f.node == node
-	case faultZone:
+	case faultZonePartition:
 		return s.zone(f.node) == s.zone(node)
 	}
 	return false
@@ -81,7 +81,7 @@
 	changes []time.Duration
 	faults  []fault
 	// drops says that nodes are judged beside drops of the history as at other times.
-	drops bool
+	checkCompaction bool
 }
 
 func (s *schedule) zone(node int) int { return node % s.zones }
@@ -118,7 +118,7 @@
 
 // parseSchedule reads what String writes. Errors name the line.
 func parseSchedule(text string) (*schedule, error) {
-	s := &schedule{drops: *drops}
+	s := &schedule{checkCompaction: *checkCompaction}
 	for i, line := range strings.Split(strings.TrimSpace(text), "\n") {
 		if err := s.parseLine(strings.Fields(line)); err != nil {
 			return nil, fmt.Errorf("line %d, %q: %w", i+1, line, err)
@@ -161,10 +161,10 @@
 }
 
 // drawSchedule draws a schedule from a seed.
-func drawSchedule(seed uint64) *schedule {
+func generateSchedule(seed uint64) *schedule {
 	r := rand.New(rand.NewPCG(seed, 0))
 	const tick = 50 * time.Millisecond
-	s := &schedule{seed: seed, zones: 1 + r.IntN(3), nodes: 3 + r.IntN(7), drops: *drops}
+	s := &schedule{seed: seed, zones: 1 + r.IntN(3), nodes: 3 + r.IntN(7), checkCompaction: *checkCompaction}
 	s.leader = r.IntN(s.nodes+1) - 1 // -1: no node holds the lease
 	length := 8 * time.Second
 	at := func() time.Duration { return settleTime + time.Duration(r.Int64N(int64(length/tick)))*tick }
@@ -173,8 +173,8 @@
 	}
 	for range 1 + r.IntN(6) {
 		f := fault{kind: faultKinds[r.IntN(len(faultKinds))], at: at(), span: time.Duration(4+r.IntN(100)) * tick, node: r.IntN(s.nodes), other: r.IntN(s.nodes)}
-		if f.kind == faultForget {
-			f.span = forgetTime
+		if f.kind == faultCompact {
+			f.span = compactionDelay
 		}
 		s.faults = append(s.faults, f)
 	}
@@ -184,7 +184,7 @@
 // Guards against a schedule file that is read as something else than it says.
 func TestScheduleIsReadAsWritten(t *testing.T) {
 	for seed := range uint64(50) {
-		s := drawSchedule(seed)
+		s := generateSchedule(seed)
 		read, err := parseSchedule(s.String())
 		if err != nil || read.String() != s.String() {
 			t.Errorf("read %v, %v\nwant %v", read, err, s)
