--- a/relayer/ask.go
+++ b/relayer/ask.go
@@ -9,13 +9,13 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// failureKey is what a node is asked about.
+// failureKey identifies a peer and the prefix that it failed to return.
 type failureKey struct{ address, prefix string }
 
-// failure is when a node did not help, and until when it is not asked again.
+// failure records when a request to a peer failed, and until when the peer is not asked again.
 type failure struct{ at, until time.Time }
 
-// fallbacks returns the addresses of further nodes to ask (Y7).
+// fallbacks returns the addresses of the fallback nodes (rule Y7).
 func (r *Relayer) fallbacks() []string {
 	if r.options.Fallbacks == nil {
 		return nil
@@ -23,8 +23,8 @@
 	return r.options.Fallbacks()
 }
 
-// listFromPeers asks other nodes for all objects: the next one at once if one answers that it
-// is stale, or does not answer while the object API fails.
+// listFromPeers requests all objects from up to maxListAttempts other nodes. It goes on to the
+// next one if a node responds that it is stale, or does not respond while the object API fails.
 func (r *Relayer) listFromPeers(ctx context.Context, c *cache, prefix string) ([]garnetworks.Object, garnetworks.Revision, bool) {
 	for range maxListAttempts {
 		address, ok := r.selectPeer(c)
@@ -44,12 +44,9 @@
 	return nil, 0, false
 }
 
-// Isolated reports whether the node reads some prefix for itself only: there are nodes to ask,
-// none of them answers, and none has asked this one for a while.
-//
-// Load pattern: a sixth of the nodes is cut off from the others and reaches the object
-// API. Each of them read as often as one that reads for twenty: 7 cut nodes of 20 made
-// some 40 of 55 calls a second. No other node waits for what such a node reads.
+// Isolated reports whether the node reads some prefix for itself only: it has relays, none of
+// them is available, and no node has followed this one for PeerRetryDelay. Such a node doesn't
+// have to call the object API as often as one that reads for others.
 func (r *Relayer) Isolated() bool {
 	for _, c := range r.caches {
 		if r.isolated(c) {
@@ -59,7 +56,7 @@
 	return false
 }
 
-// isolated is Alone for one prefix.
+// isolated is Isolated for one prefix.
 func (r *Relayer) isolated(c *cache) bool {
 	relays := r.options.Relays()
 	now := time.Now()
@@ -68,14 +65,13 @@
 	return len(relays) > 0 && len(r.availableLocked(now, c, relays)) == 0 && now.Sub(r.lastFollowed) > PeerRetryDelay
 }
 
-// selectPeer returns the node to ask now for what the cache holds, if there is one: a relay that has
-// not failed to help a moment ago. During a backoff from the object API, the spare that helped
-// last is preferred to it; without a relay it is any spare that has not failed (rule Y7), or the
-// node that failed longest ago.
+// selectPeer returns the peer to request the cache's prefix from: the first available relay, if
+// there is one. During a backoff from the object API, the fallback that responded last comes
+// before it, and if no relay is available, selectPeer returns a random available fallback (rule
+// Y7), or else the relay or fallback that failed longest ago.
 //
-// Failure: the preferred relay is partitioned, and a node that backed off from the object API
-// polled only that relay until the end of its backoff, with a stale routing, while another node
-// had the newest one.
+// Without fallbacks, a node that backs off while its preferred relay is partitioned would keep a
+// stale routing until the backoff ends, though other nodes have the newest one.
 func (r *Relayer) selectPeer(c *cache) (string, bool) {
 	now := time.Now()
 	relays, fallbacks := r.options.Relays(), r.fallbacks()
@@ -104,8 +100,8 @@
 	return slices.MinFunc(slices.Concat(relays, fallbacks), func(a, b string) int { return failedAt(a).Compare(failedAt(b)) }), true
 }
 
-// availableLocked returns the nodes that have not failed to help with the cache's prefix a moment
-// ago.
+// availableLocked returns those of the addresses that have not recently failed to return the
+// cache's prefix. It removes expired failures. r.mu must be held.
 func (r *Relayer) availableLocked(now time.Time, c *cache, addresses []string) []string {
 	maps.DeleteFunc(r.failed, func(_ failureKey, f failure) bool { return now.After(f.until) })
 	return slices.DeleteFunc(slices.Clone(addresses), func(address string) bool {
@@ -114,13 +110,13 @@
 	})
 }
 
-// fetch asks a node, and returns its answer, since when that is certain, and whether the node
-// answered at all. An answer that is too old does not count (rule Y3).
+// fetch requests a prefix from a peer. It returns the response, or nil if there is none or it
+// is too old (rule Y3), the time as of which its contents are confirmed, and whether the peer
+// responded at all.
 //
-// Load pattern: the node that reads for a region is cut off from the object API in silence.
-// Its contents grow stale at all nodes in the same moment, and each of 88 read for itself,
-// 800 calls in eight seconds, though the node that it asks does so for it. So a node that
-// no other node asks repeats its question once, if the site leaves it the time.
+// A leaf repeats a request that got no usable response if the apply time allows it. When a
+// region's reader loses the object API, the contents of all nodes become stale at once; without
+// the second request, each node would call the object API instead of its relay.
 func (r *Relayer) fetch(ctx context.Context, address, prefix string, after garnetworks.Revision, wait time.Duration) (*garnetworks.FollowResponse, time.Time, bool) {
 	response, confirmed, responded := r.fetchOnce(ctx, address, prefix, after, wait)
 	if response == nil && responded && wait > 0 && r.options.ApplyTime >= retriedAge+retryReserve && r.leaf() {
@@ -138,7 +134,8 @@
 	return response, confirmed, responded
 }
 
-// recordFailureLocked notes that a node did not help: with one prefix if it answered, else with all.
+// recordFailureLocked records that a peer did not return contents: of one prefix if it
+// responded, of all prefixes if it did not. r.mu must be held.
 func (r *Relayer) recordFailureLocked(address, prefix string, relay, responded bool) {
 	now := time.Now()
 	until := now.Add(PeerRetryDelay)
@@ -155,8 +152,7 @@
 	}
 }
 
-// fetchOnce is ask with one question; answered says that the node answered, if only that it
-// is stale.
+// fetchOnce sends one request; responded is also true if the peer responds that it is not ready.
 func (r *Relayer) fetchOnce(ctx context.Context, address, prefix string, after garnetworks.Revision, wait time.Duration) (response *garnetworks.FollowResponse, confirmed time.Time, responded bool) {
 	call, cancel := context.WithTimeout(ctx, connectionAttempts*(wait+ResponseMargin))
 	defer cancel()
@@ -165,7 +161,7 @@
 	if ctx.Err() != nil || err != nil {
 		return nil, time.Time{}, garnetworks.IsKind(err, garnetworks.KindNotReady)
 	}
-	// The answer left the node HeldMS after it was asked, or later (rule Y2).
+	// The peer responded WaitedMS after the request was sent, or later (rule Y2).
 	confirmed = sent.Add(time.Duration(response.WaitedMS-response.AgeMS) * time.Millisecond)
 	if response.Revision < after || time.Since(confirmed) >= MaxAge {
 		return nil, time.Time{}, true
@@ -173,7 +169,7 @@
 	return response, confirmed, true
 }
 
-// leaf reports whether no other node relies on what this one reads.
+// leaf reports whether no node has followed this one for PeerRetryDelay.
 func (r *Relayer) leaf() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/relayer/backoff.go
+++ b/relayer/backoff.go
@@ -9,21 +9,19 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// failing reports whether the object API failed the last call.
+// failing reports whether the object API failed the last call for the cache's prefix.
 func (r *Relayer) failing(c *cache) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return c.failures > 0
 }
 
-// errBackingOff is the error of a call that was not made (rule Y5).
-var errBackingOff = garnetworks.Errorf(garnetworks.KindObjectAPIDown, "the object API failed a moment ago, and no node that was asked reaches it either")
+// errBackingOff is returned in place of a call to the object API (rule Y5).
+var errBackingOff = garnetworks.Errorf(garnetworks.KindObjectAPIDown, "the object API failed recently, and no node that was asked has fresh contents")
 
 // backingOff reports whether the node backs off from the object API now (rule Y5): the relay
-// that it asked last answered, or a spare has just helped it.
-//
-// Failure: a node's relays are lost, or refused by the object API as well, and after one failed
-// call it waited for seconds for others to detect the object API's return.
+// that it asked last responded, or a peer has just returned fresh contents. Other nodes keep
+// calling, since no peer would detect the object API's return for them.
 func (r *Relayer) backingOff(c *cache) bool {
 	hasRelays := len(r.options.Relays()) > 0
 	now := time.Now()
@@ -35,13 +33,12 @@
 	return hasRelays && r.relayResponded || now.Sub(c.lastPeerSuccess) < MaxAge
 }
 
-// recordCall notes the end of a call to the object API itself (rule Y5).
-//
-// Load pattern: the object API is away for eight seconds, and each of 95 nodes calls it
-// for two prefixes, up to eight times a second in all: some 500 calls a second that find
-// nothing, and as many in the moment of its return.
+// recordCall records the result of a call to the object API, and starts or ends the backoff
+// (rule Y5). Without a backoff, all nodes would call a failing object API at their full rate,
+// and all at once when it returns.
 //
-// The call had the time of call, a part of its caller's ctx.
+// call is the context of the call, derived from its caller's ctx. A call that timed out raises
+// the failures to fallbackThreshold at least; one that the caller cancelled doesn't count.
 func (r *Relayer) recordCall(ctx, call context.Context, c *cache, err error) {
 	relays := r.options.Relays()
 	now := time.Now()
@@ -67,13 +64,13 @@
 	}
 }
 
-// readsForOthersLocked reports whether the node reads the object API for others: it has no relays, or
-// nodes follow it.
+// readsForOthersLocked reports whether other nodes may depend on what this node reads: it has no
+// relays, or a node has followed it within PeerRetryDelay. r.mu must be held.
 func (r *Relayer) readsForOthersLocked(now time.Time, relays []string) bool {
 	return len(relays) == 0 || now.Sub(r.lastFollowed) < PeerRetryDelay
 }
 
-// recordPeerResponse notes that a node gave contents, which are certain since a time.
+// recordPeerResponse records that a peer returned contents confirmed at the given time.
 func (r *Relayer) recordPeerResponse(c *cache, address string, confirmed time.Time) {
 	isFallback := !slices.Contains(r.options.Relays(), address)
 	r.mu.Lock()
@@ -87,7 +84,7 @@
 	}
 }
 
-// fromFallback reports whether what the cache holds came from a spare.
+// fromFallback reports whether the cache's contents came from a fallback node.
 func (r *Relayer) fromFallback(c *cache) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/relayer/cache.go
+++ b/relayer/cache.go
@@ -9,34 +9,35 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// cache is what is known of a prefix.
+// cache holds the objects under a prefix and the state of the calls that read them. Relayer.mu
+// guards all fields but prefix.
 type cache struct {
 	prefix  string
 	objects map[string]garnetworks.Object
-	// tombstones holds the revisions of deletions since the revision since.
+	// tombstones maps deleted keys to the revisions of their deletions since historyStart.
 	tombstones   map[string]garnetworks.Revision
 	historyStart garnetworks.Revision
-	// revision is the object API's that the cache reflects; 0 before the first
-	// list.
+	// revision is the object API's revision that the cache reflects; 0 before the first list.
 	revision garnetworks.Revision
-	// confirmed is a time at which the cache was the newest state for certain, own says that
-	// the node knows that from the object API itself.
+	// confirmed is a time as of which the cache was known to be current; direct is set if the
+	// node learned that from the object API itself.
 	confirmed time.Time
 	direct    bool
-	// failures counts the calls that the object API failed in a row, backoffUntil is the end
-	// of the node's backoff after the last one (rule Y5).
+	// failures counts the consecutive failed calls to the object API, backoffUntil is the end of
+	// the node's backoff after the last one (rule Y5).
 	failures     int
 	backoffUntil time.Time
 	// firstFailure is when the first of these calls ended.
 	firstFailure time.Time
-	// fallback is the spare that the contents come from; empty if they come from elsewhere.
-	// helped is when a node last gave contents that were certain since failedSince, so that
-	// some node reaches the object API.
+	// fallback is the fallback node that the contents came from; empty if they came from a relay
+	// or the object API. lastPeerSuccess is when a peer last returned contents confirmed after
+	// firstFailure, which shows that some node reaches the object API.
 	fallback        string
 	lastPeerSuccess time.Time
 	changed         chan struct{}
 }
 
+// storeSnapshot replaces the cache's contents, unless they are newer than the snapshot.
 func (r *Relayer) storeSnapshot(c *cache, objects []garnetworks.Object, revision garnetworks.Revision, confirmed time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -51,6 +52,7 @@
 	c.advance(revision, confirmed)
 }
 
+// applyChanges applies the changes up to a revision, unless the cache is newer or empty.
 func (r *Relayer) applyChanges(c *cache, objects []garnetworks.Object, revision garnetworks.Revision, confirmed time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -72,10 +74,10 @@
 	c.advance(revision, confirmed)
 }
 
-// advance takes a newer state; the relayer's lock is held.
+// advance moves the cache's revision and confirmation time forward. Relayer.mu must be held.
 func (c *cache) advance(revision garnetworks.Revision, confirmed time.Time) {
-	// Askers that wait learn of changes, and that what did not change has become certain
-	// again after an outage.
+	// Waiting followers are woken by changes, and when unchanged contents are fresh again after
+	// an outage.
 	if revision > c.revision || confirmed.Sub(c.confirmed) > MaxAge {
 		c.revision = revision
 		close(c.changed)
@@ -86,11 +88,12 @@
 	}
 }
 
-// response returns what a reader at a revision lacks, and whether that is anything.
+// response returns what a follower at revision after lacks, and whether there is anything
+// to send.
 func (c *cache) response(after garnetworks.Revision) (*garnetworks.FollowResponse, bool) {
 	a := &garnetworks.FollowResponse{Revision: c.revision}
 	if c.revision == 0 || after > c.revision {
-		// The reader's revision is newer; this node waits until it has caught up.
+		// Until this node has contents, and is as new as the follower, there is nothing to send.
 		return a, false
 	}
 	if after == 0 || after < c.historyStart { // rule Y4
--- a/relayer/doc.go
+++ b/relayer/doc.go
@@ -1,24 +1,26 @@
-// Package relayer lets the nodes of a cell read the object API once for all. The
-// first node of the cell reads it; the others ask that node, and read for
-// themselves when it does not answer or is out of touch.
+// Package relayer lets nodes share their reads of the object API. A node reads through its
+// relays, the nodes that Options.Relays returns, and is a follower of theirs. It calls the
+// object API itself only if it has no relays, or if none responds with fresh contents.
 //
-// A store counts each call, and a waiting watch as one, so the calls of a site in
-// which every node watches grow with its nodes, and so does what they cost.
+// The object API counts each call, and a waiting watch as one. If each node watched it, the
+// calls and their cost would grow with the number of nodes.
 //
-//	Y1  Any node answers with what it knows; none is appointed. Two nodes that
-//	    disagree on who is first cost some calls and no correctness.
-//	Y2  An answer states the age of its contents at most, and ages add up from
-//	    node to node, so that a reader knows a bound whatever the way.
-//	Y3  A node whose contents are older than MaxAge is stale: it refuses to answer, and
-//	    its askers read the object API themselves.
-//	Y4  Objects keep their revisions. A reader at an older revision than a node
-//	    remembers gets all objects instead of changes.
-//	Y5  While the object API fails a node, and a relay answers it, it backs off from the
-//	    object API: others find its return. A node that no relay answers keeps calling.
-//	Y6  While a whole site starts for the first time, and no call comes yet, a node leaves
-//	    the first reading to those that it will ask.
-//	Y7  While the object API fails a node, and no relay helps, it asks its spares, any
-//	    other nodes, one at random until one helps, and that one from then on. It does
-//	    not pass on what it has from a spare: the spare may be asking it. A node that
-//	    reads for others tries the object API once more first.
+//	Y1  Each node serves the contents that it has; there is no election. If two nodes
+//	    disagree on which one reads the object API, that costs calls, not correctness.
+//	Y2  A response states the maximum age of its contents. Ages add up from node to
+//	    node, so that a reader knows a bound on any path.
+//	Y3  A node whose contents are older than MaxAge is stale: it refuses requests, and
+//	    its followers read the object API themselves.
+//	Y4  Objects keep their revisions. A follower whose revision precedes the node's
+//	    change history gets all objects instead of changes.
+//	Y5  While the object API fails a node, and a relay responds to it, the node backs
+//	    off from the object API: other nodes detect its return. A node to which no
+//	    relay responds keeps calling.
+//	Y6  While a whole site starts for the first time, and no calls arrive yet, a node
+//	    leaves the first read to its relays.
+//	Y7  While the object API fails a node, and no relay helps, the node asks its
+//	    fallbacks, which are any other nodes: one at random until one responds with
+//	    fresh contents, and that one from then on. It doesn't pass on the contents of
+//	    a fallback, since the fallback may be following it. A node that reads for
+//	    others retries the object API once before that.
 package relayer
--- a/relayer/follow.go
+++ b/relayer/follow.go
@@ -11,19 +11,19 @@
 func (r *Relayer) Follow(ctx context.Context, request *garnetworks.FollowRequest) (*garnetworks.FollowResponse, error) {
 	c := r.caches[request.Prefix]
 	if c == nil {
-		return nil, garnetworks.Errorf(garnetworks.KindInvalidRequest, "the node does not follow %q", request.Prefix)
+		return nil, garnetworks.Errorf(garnetworks.KindInvalidRequest, "the node does not follow the prefix %q", request.Prefix)
 	}
 	start := time.Now()
 	wait := min(time.Duration(request.WaitMS)*time.Millisecond, followWait)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	if r.fromFallback(c) {
-		return nil, garnetworks.Errorf(garnetworks.KindNotReady, "the node has its contents from others (rule Y7)")
+		return nil, garnetworks.Errorf(garnetworks.KindNotReady, "the node's contents come from a fallback node (rule Y7)")
 	}
 	stale := false
 	for timedOut := wait <= 0; ; {
 		r.mu.Lock()
-		if wait > 0 { // a node that follows this one, not one that only looks for a spare
+		if wait > 0 { // a request without a wait may only look for a fallback
 			r.lastFollowed = start
 		}
 		recovered := stale && time.Since(c.confirmed) < MaxAge
@@ -45,20 +45,19 @@
 	}
 }
 
-// finish adds the ages to an answer, or refuses to answer with stale contents (rule Y3).
-//
-// Load pattern: the object API is away for all, and each node polls others several times a
-// second; each answer held all objects, which the asker dropped for their age.
+// finish adds the ages to a response, or refuses to respond with stale contents (rule Y3). In an
+// outage, nodes poll each other often; without the refusal, each response would carry all
+// objects to a node that drops them for their age.
 func (r *Relayer) finish(response *garnetworks.FollowResponse, start, confirmed time.Time) (*garnetworks.FollowResponse, error) {
 	now := time.Now()
 	if response.Revision == 0 || !confirmed.After(r.options.Woke(now)) {
-		return nil, garnetworks.Errorf(garnetworks.KindNotReady, "the node knows nothing yet, or was suspended since it did")
+		return nil, garnetworks.Errorf(garnetworks.KindNotReady, "the node has no contents confirmed since it started or was last suspended")
 	}
 	if age := now.Sub(confirmed); age >= MaxAge {
-		return nil, garnetworks.Errorf(garnetworks.KindNotReady, "the node's contents are %s old", age)
+		return nil, garnetworks.Errorf(garnetworks.KindNotReady, "the node's contents are stale: %s old", age)
 	}
 	response.WaitedMS = now.Sub(start).Milliseconds()
-	// Rounded up, so that no age is understated.
+	// Rounded up, so that the age is never understated.
 	response.AgeMS = now.Sub(confirmed).Milliseconds() + 1
 	return response, nil
 }
--- a/relayer/model_test.go
+++ b/relayer/model_test.go
@@ -20,44 +20,44 @@
 	"github.com/garnetworks/garnetworks/relayer"
 )
 
-// Flags of the model test, for runs by hand.
+// Flags of the model test, for manual runs.
 var (
 	schedules       = flag.Int("schedules", 2000, "number of random schedules")
-	firstSeed       = flag.Uint64("first-seed", 1, "seed of the first schedule; 0 takes a fresh one")
-	checkCompaction = flag.Bool("drops", false, "nodes are judged beside a drop of the history, too")
-	scheduleFile    = flag.String("schedule", "", "file with one schedule to play instead")
+	firstSeed       = flag.Uint64("first-seed", 1, "seed of the first schedule; 0 uses the current time")
+	checkCompaction = flag.Bool("drops", false, "also check nodes around a compaction of the history")
+	scheduleFile    = flag.String("schedule", "", "file with a single schedule to run instead")
 )
 
-// Bounds of the model.
+// Times of the simulation.
 const (
-	// applyTime is the site's time for changes.
+	// applyTime is the time within which changes must apply.
 	applyTime = 2 * time.Second
-	// undisturbedTime is how long a node has been undisturbed before its routing is judged.
+	// undisturbedTime is how long a node must be free of faults before its routing is checked.
 	undisturbedTime = 3 * time.Second
-	// detectionTime is how long a killed node stays in the others' views.
+	// detectionTime is how long a killed node stays in the others' membership views.
 	detectionTime = 4 * time.Second
-	// compactionDelay is how long watches get nothing before the history is dropped.
+	// compactionDelay is how long watches get no response before the history is compacted.
 	compactionDelay = time.Second
 	// settleTime is the time from the start to the first fault.
 	settleTime = 4 * time.Second
-	// objectAPILatency and peerTime are the usual times of an answer.
+	// objectAPILatency and peerLatency are the usual times of a response.
 	objectAPILatency = 4 * time.Millisecond
 	peerLatency      = time.Millisecond
-	// checkInterval is how often all nodes are judged.
+	// checkInterval is how often all nodes are checked.
 	checkInterval = 50 * time.Millisecond
 )
 
-// simulation plays a schedule.
+// simulation runs the nodes of a schedule against a simulated object API and network.
 type simulation struct {
 	schedule *schedule
 	epoch    time.Time
 
 	mu      sync.Mutex
 	version int
-	// acknowledged holds when each version was acknowledged; version 1 at the start.
+	// acknowledged holds when each version was acknowledged, from version 1 on.
 	acknowledged []time.Time
-	// compacted is the first revision that watches may go on from, cut the channel that
-	// closes when waiting watches are cut.
+	// compacted is the oldest revision that watches may continue from; watchReset is closed to
+	// interrupt waiting watches.
 	compacted  garnetworks.Revision
 	watchReset chan struct{}
 	changed    chan struct{}
@@ -79,7 +79,7 @@
 	random   *rand.Rand
 }
 
-// float returns a value in [0, 1).
+// float returns a random value in [0, 1).
 func (n *modelNode) float() float64 {
 	n.randomMu.Lock()
 	defer n.randomMu.Unlock()
@@ -89,7 +89,7 @@
 // now returns the time since the start.
 func (sim *simulation) now() time.Duration { return time.Since(sim.epoch) }
 
-// active returns the faults of a kind that are under way.
+// active reports whether a matching fault is under way.
 func (sim *simulation) active(matches func(*fault) bool) bool {
 	now := sim.now()
 	for i := range sim.schedule.faults {
@@ -101,14 +101,14 @@
 	return false
 }
 
-// info describes a node to the others.
+// info describes a node to its peers.
 func (sim *simulation) info(i int) garnetworks.NodeInfo {
 	return garnetworks.NodeInfo{
 		ID: garnetworks.NodeID(fmt.Sprintf("n%d", i)), Address: strconv.Itoa(i), Zone: garnetworks.ZoneID(fmt.Sprintf("z%d", sim.schedule.zone(i))), Region: "r",
 	}
 }
 
-// peers returns the nodes in a node's view: those that run, or ended less than lossTime ago.
+// peers returns a node's membership view: nodes that run, or ended less than detectionTime ago.
 func (sim *simulation) peers(self int) []garnetworks.NodeInfo {
 	var list []garnetworks.NodeInfo
 	now := sim.now()
@@ -123,30 +123,30 @@
 	return list
 }
 
-// suspended reports whether a node stands still.
+// suspended reports whether a node is suspended.
 func (sim *simulation) suspended(node int) bool {
 	return sim.active(func(f *fault) bool { return f.kind == faultSuspend && f.node == node })
 }
 
-// awaitResume waits until a node that stands still goes on.
+// awaitResume waits while a node is suspended.
 func (sim *simulation) awaitResume(node int) {
 	for sim.suspended(node) {
 		time.Sleep(checkInterval)
 	}
 }
 
-// deliver waits until a node takes a message, or ctx ends.
+// deliver waits until a node is not suspended and takes a message, or ctx ends.
 func (sim *simulation) deliver(ctx context.Context, node int) error {
 	for sim.suspended(node) {
 		if ctx.Err() != nil {
-			return garnetworks.Errorf(garnetworks.KindUnreachable, "no answer")
+			return garnetworks.Errorf(garnetworks.KindUnreachable, "no response")
 		}
 		time.Sleep(checkInterval)
 	}
 	return nil
 }
 
-// woke returns when the node last went on after standing still.
+// woke returns when the node last resumed from a suspension.
 func (n *modelNode) woke(time.Time) time.Time {
 	var last time.Time
 	now := n.now()
@@ -158,7 +158,7 @@
 	return last
 }
 
-// Follow passes a question of the node on to another one.
+// Follow sends a request of the node to another one.
 func (n *modelNode) Follow(ctx context.Context, address string, request *garnetworks.FollowRequest) (*garnetworks.FollowResponse, error) {
 	to, _ := strconv.Atoi(address)
 	n.awaitResume(n.index)
@@ -201,7 +201,7 @@
 		return false
 	})
 	n.mu.Lock()
-	unpowered := n.nodes[to] == nil && n.schedule.seed%2 == 0 // the instance lost power with it
+	unpowered := n.nodes[to] == nil && n.schedule.seed%2 == 0 // powered off too: no connection is refused
 	n.mu.Unlock()
 	if lost || unpowered {
 		<-ctx.Done()
@@ -210,13 +210,13 @@
 	return nil
 }
 
-// losesMessage draws whether one message of a losesMessage link is lost.
+// losesMessage draws whether a message on a lossy link is lost.
 func (n *modelNode) losesMessage() bool {
 	const share = 0.3
 	return n.float() < share
 }
 
-// reachObjectAPI takes a call of a node to the object API.
+// reachObjectAPI takes a node's call to the object API, with its latency and faults.
 func (n *modelNode) reachObjectAPI(ctx context.Context) error {
 	n.awaitResume(n.index)
 	if ctx.Err() != nil {
@@ -227,7 +227,7 @@
 	})
 	if timesOut {
 		<-ctx.Done()
-		return garnetworks.Errorf(garnetworks.KindObjectAPIDown, "no answer")
+		return garnetworks.Errorf(garnetworks.KindObjectAPIDown, "no response")
 	}
 	latency := objectAPILatency
 	if n.active(func(f *fault) bool { return f.kind == faultSlow }) {
@@ -246,7 +246,7 @@
 	*modelNode
 }
 
-// routing returns the one object that there is.
+// routing returns the only object.
 func (sim *simulation) routing() garnetworks.Object {
 	return garnetworks.Object{Key: siteReader{}.RoutingKey(), Value: []byte(strconv.Itoa(sim.version)), Revision: garnetworks.Revision(sim.version)}
 }
@@ -277,9 +277,9 @@
 		object := o.routing()
 		o.mu.Unlock()
 		switch compacting := o.active(func(f *fault) bool { return f.kind == faultCompact }); {
-		case compacting: // no watch gets an answer
+		case compacting: // no watch gets a response
 		case after < compacted:
-			return nil, 0, garnetworks.Errorf(garnetworks.KindCompacted, "dropped")
+			return nil, 0, garnetworks.Errorf(garnetworks.KindCompacted, "history compacted")
 		case timedOut || version > after:
 			o.awaitResume(o.index)
 			if prefix != (siteReader{}).RoutingKey() || version <= after {
@@ -289,23 +289,23 @@
 		}
 		select {
 		case <-ctx.Done():
-			return nil, 0, garnetworks.Errorf(garnetworks.KindObjectAPIDown, "no answer")
+			return nil, 0, garnetworks.Errorf(garnetworks.KindObjectAPIDown, "no response")
 		case <-watchReset:
-			return nil, 0, garnetworks.Errorf(garnetworks.KindObjectAPIDown, "cut")
+			return nil, 0, garnetworks.Errorf(garnetworks.KindObjectAPIDown, "interrupted")
 		case <-timer.C:
 			timedOut = true
 		case <-ticker.C:
 			if o.active(func(f *fault) bool {
 				return f.kind == faultDown || f.kind == faultTimeoutAll || (f.kind == faultRefuse || f.kind == faultTimeout) && f.node == o.index
 			}) {
-				return nil, 0, garnetworks.Errorf(garnetworks.KindObjectAPIDown, "cut")
+				return nil, 0, garnetworks.Errorf(garnetworks.KindObjectAPIDown, "interrupted")
 			}
 		case <-changed:
 		}
 	}
 }
 
-// siteReader reads a routing of which only the version counts.
+// siteReader reads routings that consist of a version.
 type siteReader struct{}
 
 func (siteReader) RoutingKey() string   { return "config/main" }
@@ -386,7 +386,7 @@
 	sim.changed = make(chan struct{})
 }
 
-// compact drops the history and cuts the watches that wait.
+// compact drops the history and interrupts waiting watches.
 func (sim *simulation) compact() {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -395,13 +395,13 @@
 	sim.watchReset = make(chan struct{})
 }
 
-// step is something that happens at a time.
+// step is an action at a time since the start.
 type step struct {
 	at time.Duration
 	do func()
 }
 
-// simulate plays the schedule and returns what broke, empty if nothing did.
+// simulate runs the schedule and returns the first violation, empty if there is none.
 func (s *schedule) simulate(t *testing.T) (violation string) {
 	synctest.Test(t, func(t *testing.T) {
 		sim := &simulation{
@@ -429,7 +429,7 @@
 	return violation
 }
 
-// steps returns what happens, in order.
+// steps returns the schedule's actions in order of time.
 func (sim *simulation) steps(ctx context.Context, running *sync.WaitGroup) []step {
 	steps := []step{{sim.schedule.end(), func() {}}}
 	for _, c := range sim.schedule.changes {
@@ -447,7 +447,7 @@
 	return steps
 }
 
-// restart starts a node anew, unless another fault still keeps it down.
+// restart starts a node anew, unless it runs or another fault keeps it down.
 func (sim *simulation) restart(ctx context.Context, running *sync.WaitGroup, index int) {
 	sim.mu.Lock()
 	up := sim.nodes[index] != nil
@@ -458,7 +458,7 @@
 	sim.start(ctx, running, index)
 }
 
-// undisturbed reports whether no fault that counts for a node was under way in calmTime before now.
+// undisturbed reports whether no fault that affects the node was active within undisturbedTime.
 func (n *modelNode) undisturbed(affects func(f *fault, s *schedule, node int) bool) bool {
 	now := n.now()
 	return time.Since(n.startedAt) >= undisturbedTime && !slices.ContainsFunc(n.schedule.faults, func(f fault) bool {
@@ -466,15 +466,15 @@
 	})
 }
 
-// mustBeCurrent reports whether the node must know each change in time: it was undisturbed, and
-// reached the object API, or a node that did.
+// mustBeCurrent reports whether the node must apply each change in time: it was undisturbed, and
+// some undisturbed node, itself or another, had access to the object API.
 func (n *modelNode) mustBeCurrent(nodes []*modelNode) bool {
 	return n.undisturbed((*fault).affectsNode) && slices.ContainsFunc(nodes, func(o *modelNode) bool {
 		return o != nil && o.undisturbed((*fault).affectsNode) && o.undisturbed((*fault).affectsObjectAPI)
 	})
 }
 
-// checkNodes holds all nodes against what must be true of them.
+// checkNodes checks the invariants of all nodes and returns the first violation.
 func (sim *simulation) checkNodes() string {
 	sim.mu.Lock()
 	nodes, acknowledged := slices.Clone(sim.nodes), slices.Clone(sim.acknowledged)
@@ -490,9 +490,11 @@
 	return ""
 }
 
+// check checks that the node's version does not go back, that no outdated version counts as
+// current, and that each change is in force in time.
 func (n *modelNode) check(nodes []*modelNode, acknowledged []time.Time) string {
 	if n.suspended(n.index) {
-		return "" // it answers nothing
+		return "" // it serves no calls
 	}
 	confirmed := n.follower.Confirmed()
 	held := uint64(0)
@@ -500,7 +502,7 @@
 		held = index.Version
 	}
 	if held < n.highest {
-		return fmt.Sprintf("version %d after %d", held, n.highest)
+		return fmt.Sprintf("version %d is in force after version %d", held, n.highest)
 	}
 	n.highest = held
 	current := n.mustBeCurrent(nodes)
@@ -510,7 +512,7 @@
 			continue
 		}
 		if confirmed.After(at) {
-			return fmt.Sprintf("version %d counts as the newest one of %s, when %d was acknowledged", held, confirmed.Sub(n.epoch), version)
+			return fmt.Sprintf("version %d counts as current at %s, after version %d was acknowledged", held, confirmed.Sub(n.epoch), version)
 		}
 		if time.Since(at) > applyTime && current {
 			return fmt.Sprintf("version %d was acknowledged %s ago, and %d is in force", version, time.Since(at), held)
@@ -519,7 +521,7 @@
 	return ""
 }
 
-// shrink returns the schedule without what the failure does not need.
+// shrink returns the schedule without the faults and changes that the violation does not need.
 func (s *schedule) shrink(t *testing.T) *schedule {
 	minimal := s
 	for reduced := true; reduced; {
@@ -547,7 +549,8 @@
 	return minimal
 }
 
-// Guards against combinations of faults under which a node learns of a change too late, or goes back.
+// Guards against combinations of faults under which a node applies a change late, or goes back
+// to an older version.
 func TestEachChangeIsInForceInTime(t *testing.T) {
 	if *scheduleFile != "" {
 		text, err := os.ReadFile(*scheduleFile)
@@ -582,7 +585,7 @@
 	}
 }
 
-// verify plays the schedule, and shows its least part that fails as a time line.
+// verify simulates the schedule, and reports a violation with the least schedule that shows it.
 func (s *schedule) verify(t *testing.T) {
 	t.Helper()
 	if violation := s.simulate(t); violation != "" {
@@ -591,9 +594,10 @@
 	}
 }
 
-// Guards against a change just before a drop of the history reaching a node late beside further faults.
+// Guards against a change just before a compaction reaching a node late when other faults
+// coincide.
 func TestChangeBesideADroppedHistoryIsInForceInTime(t *testing.T) {
-	const runs = 5 // goroutines of one moment run in any order
+	const runs = 5 // the order of goroutines at one instant varies
 	for range runs {
 		s := generateSchedule(2357)
 		s.checkCompaction = true
--- a/relayer/relayer.go
+++ b/relayer/relayer.go
@@ -10,105 +10,109 @@
 )
 
 const (
-	// MaxAge is the age from which a node's contents don't serve others (Y3). A
-	// node that reads the object API knows them to be two waits of its watch old at
-	// most; with this bound, and a question that is not answered, a reader lags by
-	// less than the two seconds within which sites expect changes to be used.
+	// MaxAge is the age from which a node's contents are stale and not served to others (rule
+	// Y3). Those of a node that reads the object API are at most two waits of its watch old.
+	// With this bound and one unanswered request, a follower stays below the two seconds
+	// within which sites expect changes to apply.
 	MaxAge = 1200 * time.Millisecond
-	// ResponseMargin is how long past its wait an answer may take on one connection.
+	// ResponseMargin is how long past its wait a response may take on one connection.
 	ResponseMargin = 150 * time.Millisecond
-	// connectionAttempts is the number of connectionAttempts that a question may take: a kept one
-	// may have gone silent, and the messenger then opens another in the time left.
+	// connectionAttempts is the number of connections that a request may need: if a kept-alive
+	// one is dead, the messenger opens another in the time left.
 	connectionAttempts = 2
-	// fallbackThreshold is the number of failed calls in a row from which a node that reads for
-	// others asks spares. One can be a watch that was cut, and an unanswered one counts for as many.
+	// fallbackThreshold is the number of consecutive failed calls from which a node that reads
+	// for others asks fallbacks. One failure may be an interrupted watch; a call that timed out
+	// counts as fallbackThreshold failures.
 	fallbackThreshold = 2
-	// maxListAttempts bounds the nodes that are asked one after the other for all objects.
+	// maxListAttempts bounds the peers that one list asks in turn.
 	maxListAttempts = 3
-	// PeerRetryDelay is how long a node that did not answer is not asked again.
+	// PeerRetryDelay is how long a peer that did not respond is not asked again, and how long
+	// after its last request a node still counts as a follower.
 	PeerRetryDelay = 2 * time.Second
-	// fallbackRetryDelay is the same for a spare, and staleFor for a node that answers that it
-	// is stale, during a backoff from the object API.
+	// fallbackRetryDelay is the same for a fallback, staleRetryDelay for a peer that responds
+	// but is stale while this node backs off from the object API.
 	fallbackRetryDelay = time.Second
 	staleRetryDelay    = 300 * time.Millisecond
-	// watchWait bounds the wait of a watch, and so how old a node's contents get: two
-	// waits. chainedWait is the same for a node whose contents pass through two others,
-	// each of which adds askWait: 0.5 s and twice 0.3 s are below MaxAge.
+	// watchWait bounds the wait of a watch, and so the age of a node's contents: two waits.
+	// chainedWatchWait is the same for a node whose contents pass through two others, each of
+	// which adds followWait: 2*chainedWatchWait + 2*followWait is below MaxAge.
 	watchWait        = 500 * time.Millisecond
 	chainedWatchWait = 250 * time.Millisecond
-	// watchMargin is how long past its wait a watch of the object API may take to answer.
+	// watchMargin is how long past its wait a watch of the object API may take.
 	watchMargin = 450 * time.Millisecond
-	// listTimeout is how long a list of the object API may take while other nodes may help.
+	// listTimeout bounds a list of the object API while other nodes may help.
 	listTimeout = time.Second
-	// staleWatchWait is the wait of a watch whose answer is wanted at once.
+	// staleWatchWait is the wait of a watch by a stale node, which needs changes at once.
 	staleWatchWait = 10 * time.Millisecond
-	// followWait bounds the wait of an answer, and so how late a reader finds that a
-	// node does not answer.
+	// followWait bounds the wait of a request to a peer, and so how late a follower detects
+	// that the peer does not respond.
 	followWait = 300 * time.Millisecond
-	// discoveryWait is how long a node whose site starts for the first time waits to learn which
-	// nodes there are, and firstAsked how long it then asks them before it reads for itself
-	// (Y6). Calls come ten seconds after the start.
+	// A node of a site that starts for the first time reads the object API itself discoveryWait
+	// after its start if it has found no relays, else firstReadDelay after its start (rule Y6).
+	// Calls arrive about ten seconds after the start. firstReadInterval is the pause between
+	// its requests to the relays until then.
 	discoveryWait     = 1200 * time.Millisecond
 	firstReadDelay    = 1700 * time.Millisecond
 	firstReadInterval = 100 * time.Millisecond
-	// retriedAge is the age of what a node knows that reads for itself after it has asked
-	// another one twice. Where changes are to be used sooner than spareTime after that, it asks once.
+	// retriedAge is the age of a node's contents when it reads the object API after two requests
+	// to a peer. If the apply time leaves less than retryReserve after that, it sends one.
 	retriedAge   = MaxAge + 2*followWait + ResponseMargin
 	retryReserve = 500 * time.Millisecond
-	// meanBackoff is the mean backoff from an object API that failed a node with relays. It
-	// bounds how late a node detects that it alone is served again; otherwise the reader
-	// detects that within its own retries.
+	// meanBackoff is the mean backoff of a node with relays from an object API that failed it. It
+	// bounds how late the node detects the end of a failure that affects no other node; the
+	// reader's own retries detect the end of an outage.
 	meanBackoff = 2500 * time.Millisecond
 	// meanReaderBackoff is the same for a node that reads for others.
 	meanReaderBackoff = 800 * time.Millisecond
-	// maxTombstones bounds the deletions that are remembered of a prefix.
+	// maxTombstones bounds the deletions that are kept of a prefix.
 	maxTombstones = 1024
 )
 
-// Options describe a relayer.
+// Options configure a Relayer.
 type Options struct {
 	// Objects is the object API itself.
 	Objects garnetworks.ObjectAPI
-	Peers   garnetworks.FollowCaller
-	// Relays returns the addresses of the nodes to ask, in order of preference; none if this
-	// node is to read the object API.
+	// Peers sends requests to other nodes.
+	Peers garnetworks.FollowCaller
+	// Relays returns the addresses of the nodes to read from, in order of preference; none if
+	// this node is to read the object API itself.
 	Relays func() []string
-	// Fallbacks returns the addresses of further nodes, in any order (Y7); it may be nil.
+	// Fallbacks returns the addresses of further nodes, in any order (rule Y7); it may be nil.
 	Fallbacks func() []string
-	// Chained reports whether those that ask this node are asked by others in turn; it
-	// may be nil.
+	// Chained reports whether followers of this node have followers in turn; it may be nil.
 	Chained func() bool
 	// Woke returns when the instance was last found to have been suspended.
 	Woke func(now time.Time) time.Time
-	// ApplyTime is the time within which a site expects changes to be used.
+	// ApplyTime is the time within which the site expects changes to apply.
 	ApplyTime time.Duration
 	// FirstStart is set when the whole site starts for the first time.
 	FirstStart bool
-	// Prefixes are those that are read for others.
+	// Prefixes are those that are read through other nodes and served to them.
 	Prefixes []string
-	// Random returns values in [0, 1); nil takes the runtime's generator.
+	// Random returns values in [0, 1); nil uses math/rand/v2.
 	Random func() float64
 }
 
-// Relayer is an object API whose lists and watches of some prefixes go through
-// other nodes. It answers other nodes about the same prefixes.
+// Relayer is an object API whose lists and watches of some prefixes go through other nodes. It
+// serves the same prefixes to other nodes.
 type Relayer struct {
 	garnetworks.ObjectAPI
 	options Options
 
+	// mu guards failed, lastFollowed, relayResponded and the contents of the caches.
 	mu     sync.Mutex
 	caches map[string]*cache
-	// failed holds the nodes that are not asked again about a prefix for a while.
+	// failed holds the peers that are not asked for a prefix until their failure expires.
 	failed map[failureKey]failure
-	// started is when the relayer was made.
+	// started is when the Relayer was created.
 	started time.Time
-	// lastFollowed is when another node last lastFollowed this one.
+	// lastFollowed is when the last request of a follower arrived.
 	lastFollowed time.Time
-	// relayResponded says that the relay that was asked last relayResponded.
+	// relayResponded is set if the relay that was asked last responded.
 	relayResponded bool
 }
 
-// New returns a relayer.
+// New returns a Relayer with the given options.
 func New(options Options) *Relayer {
 	if options.Random == nil {
 		options.Random = rand.Float64
@@ -148,9 +152,10 @@
 	return objects, revision, err
 }
 
-// listContext bounds a list of the object API by less than its caller does while other nodes may
-// help: while it has not failed often, one has just helped, or one is still to be asked.
-// Otherwise a slow object API gets the caller's time, so that a list succeeds in the end.
+// listContext bounds a list of the object API by listTimeout while other nodes may help: the
+// object API has not failed often and there are fallbacks, a peer has just succeeded, or a
+// fallback is available. Otherwise a slow object API gets the caller's time, so that a list
+// succeeds in the end.
 func (r *Relayer) listContext(ctx context.Context, c *cache) (context.Context, context.CancelFunc) {
 	fallbacks := r.fallbacks()
 	now := time.Now()
@@ -162,11 +167,9 @@
 	return context.WithCancel(ctx)
 }
 
-// deferFirstRead waits for a moment while the deferFirstRead reading is left to other nodes (Y6), and returns
-// false once it is not, or is no longer.
-//
-// Load pattern: 88 nodes start at once. Each listed and watched both prefixes until it knew
-// the others: 600 of the 4,000 calls of a day, for what one node reads.
+// deferFirstRead waits for firstReadInterval while the first read is left to other nodes (rule
+// Y6), and returns false when it no longer is. Without it, each node of a new site would list
+// and watch the object API until it knows the others.
 func (r *Relayer) deferFirstRead(ctx context.Context, c *cache) bool {
 	since := time.Since(r.started)
 	limit := discoveryWait
@@ -177,7 +180,7 @@
 	hasContents := c.revision > 0
 	deferred := r.options.FirstStart && !hasContents && since < limit
 	if deferred {
-		clear(r.failed) // nodes that know nothing yet will
+		clear(r.failed) // peers that have no contents yet soon will
 	}
 	r.mu.Unlock()
 	if !deferred {
@@ -199,17 +202,16 @@
 	if c == nil {
 		return r.ObjectAPI.Watch(ctx, prefix, after, wait)
 	}
-	// Failure: two nodes that read for the others are partitioned at once. Asking one
-	// after the other takes longer than a change may take, so one is asked, and the
-	// object API next.
+	// Only one peer is asked before the object API. If two readers are partitioned at once,
+	// asking both in turn takes longer than a change may take to apply.
 	if address, ok := r.selectPeer(c); ok {
 		response, confirmed, _ := r.fetch(ctx, address, prefix, after, min(wait, followWait))
 		if response == nil {
 			return r.watchDirect(ctx, c, prefix, after, wait)
 		}
 		if response.Snapshot {
-			// The node has no changes from that far back; a list gets its objects.
-			return nil, 0, garnetworks.Errorf(garnetworks.KindCompacted, "the node %s remembers less", address)
+			// The peer's change history starts later; the caller lists again.
+			return nil, 0, garnetworks.Errorf(garnetworks.KindCompacted, "node %s has no change history that far back", address)
 		}
 		r.applyChanges(c, response.Objects, response.Revision, confirmed)
 		r.recordPeerResponse(c, address, confirmed)
@@ -218,7 +220,7 @@
 	return r.watchDirect(ctx, c, prefix, after, wait)
 }
 
-// watchDirect watches the object API itself.
+// watchDirect watches the object API itself, unless the node backs off from it.
 func (r *Relayer) watchDirect(ctx context.Context, c *cache, prefix string, after garnetworks.Revision, wait time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
 	if r.backingOff(c) {
 		return nil, 0, errBackingOff
@@ -226,7 +228,7 @@
 	isolated := r.isolated(c)
 	switch {
 	case r.stale(c, isolated):
-		// A stale node, and its askers, must learn changes at once.
+		// A stale node and its followers need changes at once.
 		wait = min(wait, staleWatchWait)
 	case isolated:
 	case r.options.Chained != nil && r.options.Chained():
@@ -234,7 +236,7 @@
 	default:
 		wait = min(wait, watchWait)
 	}
-	// Without an answer the watch would last for the caller's wait, not for its own.
+	// The timeout bounds an unanswered watch by its own wait, not the caller's.
 	call, cancel := context.WithTimeout(ctx, wait+watchMargin)
 	defer cancel()
 	sent := time.Now()
@@ -246,16 +248,16 @@
 	return objects, revision, err
 }
 
-// stale reports whether a watch is to answer at once, since what the node knows is too old. A
-// node that reads for itself only, and did so the last time, waits as long as it always does.
+// stale reports whether a watch must return at once because the contents are too old. An
+// isolated node that last read the object API itself keeps its usual wait.
 func (r *Relayer) stale(c *cache, isolated bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return time.Since(c.confirmed) > MaxAge && !(isolated && c.direct)
 }
 
-// Confirmed returns a time at which what was last read of the prefix was the
-// newest state for certain; zero before the first list.
+// Confirmed returns a time as of which the prefix's contents were known to be current; zero
+// before the first list.
 func (r *Relayer) Confirmed(prefix string) time.Time {
 	c := r.caches[prefix]
 	if c == nil {
--- a/relayer/relayer_test.go
+++ b/relayer/relayer_test.go
@@ -12,7 +12,7 @@
 	"github.com/garnetworks/garnetworks/relayer"
 )
 
-// fakeAPI is an object API with a counter of calls and a switch.
+// fakeAPI is an object API in memory that counts its calls and can be set to fail.
 type fakeAPI struct {
 	garnetworks.ObjectAPI
 	mu       sync.Mutex
@@ -43,7 +43,7 @@
 	s.changed = make(chan struct{})
 }
 
-// callsIn returns the calls that are made while time passes.
+// callsIn returns the number of calls that are made during a period.
 func (s *fakeAPI) callsIn(period time.Duration) int {
 	s.mu.Lock()
 	before := s.calls
@@ -113,7 +113,7 @@
 	}
 }
 
-// network lets nodes ask each other by name.
+// network passes requests between nodes by name; a partitioned node does not respond.
 type network struct {
 	mu          sync.Mutex
 	nodes       map[string]*relayer.Relayer
@@ -129,7 +129,7 @@
 	n.mu.Unlock()
 	if node == nil {
 		<-ctx.Done()
-		return nil, garnetworks.Errorf(garnetworks.KindUnreachable, "cut")
+		return nil, garnetworks.Errorf(garnetworks.KindUnreachable, "partitioned")
 	}
 	return node.Follow(ctx, request)
 }
@@ -148,7 +148,7 @@
 
 const prefix = "servers/"
 
-// star returns nodes of which all ask the first one.
+// star returns nodes that all have the first one as their relay.
 func star(s *fakeAPI, count int, woke func(time.Time) time.Time) (*network, []*relayer.Relayer) {
 	n := &network{nodes: make(map[string]*relayer.Relayer), partitioned: make(map[string]bool)}
 	var nodes []*relayer.Relayer
@@ -170,8 +170,8 @@
 
 func neverSuspended(time.Time) time.Time { return time.Time{} }
 
-// follow keeps a node reading until ctx ends, as a watcher does, and returns what
-// it knows.
+// follow lists and watches through a node until ctx ends, as a watcher does, and keeps the
+// objects' values in contents.
 func follow(ctx context.Context, r *relayer.Relayer, contents map[string]string, mu *sync.Mutex) {
 	after := garnetworks.Revision(0)
 	for ctx.Err() == nil {
@@ -206,9 +206,8 @@
 	}
 }
 
-// Story: 78 nodes watch the store, each for itself, and a day costs 24,000 calls.
-// With one node that reads for the others, the calls don't grow with the nodes, and
-// changes are everywhere at once.
+// Guards against calls that grow with the number of nodes, and changes that reach followers
+// late.
 func TestOneNodeReadsForAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeAPI()
@@ -229,7 +228,7 @@
 		mu.Lock()
 		for i := range contents {
 			if len(contents[i]) != 1 || contents[i]["servers/b"] != "2" {
-				t.Errorf("node %d knows %v", i, contents[i])
+				t.Errorf("node %d has %v", i, contents[i])
 			}
 		}
 		mu.Unlock()
@@ -240,7 +239,7 @@
 		}
 		for i, r := range nodes {
 			if age := time.Since(r.Confirmed(prefix)); age > relayer.MaxAge {
-				t.Errorf("what node %d knows may be %s old", i, age)
+				t.Errorf("the contents of node %d may be %s old", i, age)
 			}
 		}
 		stop()
@@ -248,9 +247,8 @@
 	})
 }
 
-// Story: the node that reads for the others dies, or is cut off from the store. The
-// others read for themselves within a second or so, and none of them takes old
-// contents for new ones.
+// Guards against followers that get old contents, or none, when their reader does not respond or
+// was suspended.
 func TestReaderIsLost(t *testing.T) {
 	cases := map[string]func(*network, *fakeAPI){
 		"it does not answer": func(n *network, _ *fakeAPI) { n.partitioned["0"] = true },
@@ -290,8 +288,8 @@
 	}
 }
 
-// Story: both nodes that read for the others are cut off at once. A key is taken
-// away; whoever asks one and then the other learns of it later than users allow.
+// Guards against a follower that waits for both of its lost readers before it calls the object
+// API.
 func TestTwoLostReadersDelayLittle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeAPI()
@@ -313,14 +311,13 @@
 		}
 		const limit = time.Second
 		if took := time.Since(start); took > limit {
-			t.Errorf("the change was known after %s", took)
+			t.Errorf("the change arrived after %s", took)
 		}
 	})
 }
 
-// Story: each of five zones had a node that read the store for the others, and the calls
-// grew with the zones. Now one node reads for the region; what it knows passes through the
-// zone's first node. Ages add up, and stay below the bound at the end of the chain.
+// Guards against calls that grow with the zones, and a chain of relays that exceeds MaxAge or
+// outlasts the loss of its reader.
 func TestOneNodeReadsForARegion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeAPI()
@@ -358,22 +355,22 @@
 			t.Errorf("three nodes made %d calls in a minute, one makes %d", calls, limit)
 		}
 		if oldest > relayer.MaxAge {
-			t.Errorf("what the last node knows was %s old", oldest)
+			t.Errorf("the last node's contents were %s old", oldest)
 		}
 		s.put("servers/b", "2")
 		time.Sleep(10 * time.Millisecond)
 		mu.Lock()
 		if contents["node"]["servers/b"] != "2" {
-			t.Errorf("the last node knows %v", contents["node"])
+			t.Errorf("the last node has %v", contents["node"])
 		}
 		mu.Unlock()
-		// The region's node is lost: the zone's reads for itself within a second.
+		// When the region's reader is lost, the zone's node reads for itself within a second.
 		n.partition("region")
 		s.put("servers/b", "3")
 		time.Sleep(time.Second)
 		mu.Lock()
 		if contents["node"]["servers/b"] != "3" {
-			t.Errorf("the last node knows %v a second after the region's reader was lost", contents["node"])
+			t.Errorf("the last node has %v a second after the region's reader was lost", contents["node"])
 		}
 		mu.Unlock()
 		stop()
@@ -381,9 +378,7 @@
 	})
 }
 
-// Story: the store is away for eight seconds. Each of 95 nodes called it up to eight times
-// a second for two kinds of objects, and all of them at once at its return. Now the
-// reader's calls find its return, and the others know of it within the next second.
+// Guards against all nodes polling the object API in an outage, or learning late of its return.
 func TestNodesBackOffDuringAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const count, outage = 20, 8 * time.Second
@@ -400,7 +395,7 @@
 		time.Sleep(3 * time.Second)
 		s.setDown(true)
 		calls := s.callsIn(outage)
-		// The reader retries every 50 ms here; each other node calls once in 2.5 s.
+		// The reader retries every 50 ms here; each other node calls about once in 2.5 s.
 		if limit := int(outage/(50*time.Millisecond)) + count*8; calls > limit {
 			t.Errorf("%d calls in an outage of %s", calls, outage)
 		}
@@ -409,7 +404,7 @@
 		time.Sleep(time.Second)
 		for i, r := range nodes {
 			if !r.Confirmed(prefix).After(returned.Add(-relayer.MaxAge)) {
-				t.Errorf("node %d does not know the store's contents for certain a second after its return", i)
+				t.Errorf("node %d has no fresh contents a second after the object API's return", i)
 			}
 		}
 		stop()
@@ -417,8 +412,7 @@
 	})
 }
 
-// Story: a node rests from a store that failed it, as one of many, and takes the lease a
-// moment after the store's return. It must read at once, since it has nobody to ask now.
+// Guards against a node that still backs off from the object API when it no longer has relays.
 func TestNodeWithoutRelaysDoesNotBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeAPI()
@@ -426,28 +420,27 @@
 		s.setDown(true)
 		n := &network{nodes: make(map[string]*relayer.Relayer), partitioned: make(map[string]bool)}
 		relays := []string{"0"}
-		// The node to ask answers that it knows nothing yet.
+		// The relay responds that it has no contents yet.
 		n.add("0", relayer.New(relayer.Options{Objects: s, Peers: n, Prefixes: []string{prefix}, Woke: neverSuspended, Relays: func() []string { return nil }}))
 		r := relayer.New(relayer.Options{
 			Objects: s, Peers: n, Prefixes: []string{prefix}, Woke: neverSuspended, Relays: func() []string { return relays },
 		})
 		if _, _, err := r.List(t.Context(), prefix); !garnetworks.IsKind(err, garnetworks.KindObjectAPIDown) {
-			t.Fatalf("got %v from a store that is down", err)
+			t.Fatalf("got %v from an object API that is down", err)
 		}
 		s.setDown(false)
 		if _, _, err := r.List(t.Context(), prefix); err == nil {
-			t.Error("a node that has others to ask called the store at once")
+			t.Error("a node with a relay called the object API during its backoff")
 		}
 		relays = nil
 		if _, _, err := r.List(t.Context(), prefix); err != nil {
-			t.Errorf("a node that has nobody to ask got %v", err)
+			t.Errorf("a node without relays got %v", err)
 		}
 	})
 }
 
-// Story: a sixth of a site's nodes is cut off from the others and reaches the store. Each
-// of them asked the store twice a second for itself, as if twenty nodes relied on it. Once
-// another node asks it, it reads as often as one that reads for others.
+// Guards against an isolated node that calls the object API as often as one that reads for
+// others, and one with a follower that calls as rarely as an isolated node.
 func TestNodeThatReadsForItselfOnlyCallsRarely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeAPI()
@@ -461,7 +454,7 @@
 		const period = 30 * time.Second
 		time.Sleep(5 * time.Second)
 		if calls := s.callsIn(period); calls > 30 {
-			t.Errorf("a node that reads for itself made %d calls in 30 s", calls)
+			t.Errorf("an isolated node made %d calls in 30 s", calls)
 		}
 		running.Go(func() {
 			for ctx.Err() == nil {
@@ -469,21 +462,20 @@
 			}
 		})
 		time.Sleep(5 * time.Second)
-		// It asks the lost node every two seconds, for most of a second.
+		// It asks the partitioned relay every two seconds, for most of a second.
 		if calls := s.callsIn(period); calls < 36 {
-			t.Errorf("a node that another one asks made %d calls in 30 s", calls)
+			t.Errorf("a node with a follower made %d calls in 30 s", calls)
 		}
 		if age := time.Since(nodes[1].Confirmed(prefix)); age > relayer.MaxAge {
-			t.Errorf("what it knows may be %s old", age)
+			t.Errorf("its contents may be %s old", age)
 		}
 		stop()
 		running.Wait()
 	})
 }
 
-// Story: a node is cut off from the store and goes on answering the others from
-// what it knew. A key is taken away meanwhile; whoever believes the answers honours
-// it for good.
+// Guards against a follower that takes the contents of a node without access to the object API
+// for current ones.
 func TestOldContentsAreNotTakenForNewOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeAPI()
@@ -504,14 +496,13 @@
 			}
 		}
 		if confirmed := nodes[1].Confirmed(prefix); confirmed.After(start) {
-			t.Errorf("contents from %s before are held for certain", time.Since(confirmed))
+			t.Errorf("contents count as current %s ago, when the object API was down", time.Since(confirmed))
 		}
 	})
 }
 
-// Story: a site of 40 nodes starts for the first time. Each of them listed and watched the
-// store until it knew the others, half a second later; now the first one reads, after a
-// wait, and the others ask it. Where nobody is to be asked, each reads soon.
+// Guards against each node of a new site reading the object API before it knows the others, and
+// nodes that read nothing because they know no other.
 func TestFirstReadingIsLeftToOneNode(t *testing.T) {
 	const nodes = 40
 	cases := map[string]struct {
@@ -552,7 +543,7 @@
 				mu.Lock()
 				for i, contents := range all {
 					if contents["servers/a"] != "1" {
-						t.Errorf("node %d knows %v", i, contents)
+						t.Errorf("node %d has %v", i, contents)
 					}
 				}
 				mu.Unlock()
@@ -563,10 +554,8 @@
 	}
 }
 
-// Story: the node that reads for a region is cut off from the store in silence. What it told
-// grows too old at all nodes in the same moment, and each of 40 read the store for itself.
-// Those that others ask do so; the others ask once more and get it from them, and nobody
-// takes contents that are older than may be for new ones.
+// Guards against all nodes calling the object API at once when a region's reader gets no
+// response from it, and against contents older than 2 s.
 func TestSilentReaderIsReplacedByFewNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const cells, perCell = 4, 10
@@ -594,13 +583,13 @@
 		}
 		time.Sleep(3 * time.Second)
 		silent.set(true)
-		// The cells' first nodes read twice a second each, as they do for as long.
+		// Only the cells' first nodes call the object API, each about twice a second.
 		if calls, limit := s.callsIn(4*time.Second), cells*4*3; calls > limit {
 			t.Errorf("%d calls in four seconds, want %d at most", calls, limit)
 		}
 		for i, r := range nodes[perCell:] {
 			if age := time.Since(r.Confirmed(prefix)); age > 2*time.Second {
-				t.Errorf("what node %d knows may be %s old", perCell+i, age)
+				t.Errorf("the contents of node %d may be %s old", perCell+i, age)
 			}
 		}
 		stop()
@@ -608,7 +597,7 @@
 	})
 }
 
-// silentAPI is one that may give no answers.
+// silentAPI is a fakeAPI that can stop responding.
 type silentAPI struct {
 	*fakeAPI
 	mu     sync.Mutex
@@ -621,6 +610,7 @@
 	s.silent = silent
 }
 
+// block returns an error after a timeout if the API is silent.
 func (s *silentAPI) block(ctx context.Context, wait time.Duration) error {
 	s.mu.Lock()
 	silent := s.silent
@@ -632,7 +622,7 @@
 	case <-ctx.Done():
 	case <-time.After(wait + time.Second):
 	}
-	return garnetworks.Errorf(garnetworks.KindObjectAPIDown, "no answer")
+	return garnetworks.Errorf(garnetworks.KindObjectAPIDown, "no response")
 }
 
 func (s *silentAPI) List(ctx context.Context, prefix string) ([]garnetworks.Object, garnetworks.Revision, error) {
@@ -649,11 +639,8 @@
 	return s.fakeAPI.Watch(ctx, prefix, after, wait)
 }
 
-// Story: the store forgets its history and turns nodes away for three seconds, while the
-// first node that others ask is cut off. Most nodes were back a tenth of a second after the
-// store; one left the store alone for 2 s more, as others were to find its return, and asked
-// only the node that was cut off, again and again ("watch of config/main" back at 12.165 s,
-// the store at 10.0 s). It answered 404 for a route that had been added 4.7 s before.
+// Guards against a node that backs off and asks only a partitioned relay while another one
+// responds.
 func TestBackingOffNodeAsksRespondingNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, unresponsive := newFakeAPI(), &silentAPI{}
@@ -671,13 +658,13 @@
 		s.put("servers/b", "2")
 		time.Sleep(1500 * time.Millisecond)
 		if value := site.value(contents, "servers/b"); value != "2" {
-			t.Errorf("1.5 s after the store's return the node knows %q", value)
+			t.Errorf("1.5 s after the object API's return the node has %q", value)
 		}
 		site.end()
 	})
 }
 
-// testSite is a site whose nodes follow each other.
+// testSite is a site whose nodes read through each other.
 type testSite struct {
 	n       *network
 	ctx     context.Context
@@ -692,7 +679,7 @@
 	return s
 }
 
-// start starts a node, and returns what it will know.
+// start starts a node, and returns the map that holds its contents.
 func (s *testSite) start(name string, objects garnetworks.ObjectAPI, relays, fallbacks []string) map[string]string {
 	contents := make(map[string]string)
 	r := relayer.New(relayer.Options{
@@ -704,7 +691,7 @@
 	return contents
 }
 
-// value returns what a node knows of a key.
+// value returns a node's value of a key.
 func (s *testSite) value(contents map[string]string, key string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -716,7 +703,7 @@
 	s.running.Wait()
 }
 
-// Guards against a node that backs off from the store while no relay answers it.
+// Guards against a node that backs off from the object API while no relay responds to it.
 func TestNodeThatNoRelayAnswersDoesNotBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeAPI()
@@ -727,7 +714,7 @@
 			Objects: s, Peers: n, Prefixes: []string{prefix}, Woke: neverSuspended, Relays: func() []string { return []string{"0", "1"} },
 		})
 		if _, _, err := r.List(t.Context(), prefix); !garnetworks.IsKind(err, garnetworks.KindObjectAPIDown) {
-			t.Fatalf("got %v from a store that is down", err)
+			t.Fatalf("got %v from an object API that is down", err)
 		}
 		s.setDown(false)
 		const limit = time.Second
@@ -737,13 +724,14 @@
 				break
 			}
 			if time.Since(returned) > limit {
-				t.Fatalf("it has not read the store %s after its return", time.Since(returned))
+				t.Fatalf("the node has not read the object API %s after its return", time.Since(returned))
 			}
 		}
 	})
 }
 
-// Guards against a node that the store refuses polling only its relays while other nodes know more.
+// Guards against a node that the object API does not serve asking only its relays while other
+// nodes have newer contents.
 func TestNodeRefusedByTheObjectAPIAsksOthers(t *testing.T) {
 	cases := map[string][]string{
 		"the reader":              nil,
@@ -768,7 +756,7 @@
 				s.put("servers/b", "2")
 				time.Sleep(2 * time.Second)
 				if value := site.value(contents, "servers/b"); value != "2" {
-					t.Errorf("2 s after a change the node knows %q", value)
+					t.Errorf("2 s after a change the node has %q", value)
 				}
 				site.end()
 			})
@@ -776,7 +764,7 @@
 	}
 }
 
-// Guards against stale nodes that send all their objects to each node that polls them in an outage.
+// Guards against stale nodes that send all objects to each node that polls them in an outage.
 func TestStaleNodeSendsNoObjects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeAPI()
--- a/relayer/schedule_test.go
+++ b/relayer/schedule_test.go
@@ -13,18 +13,18 @@
 
 // Kinds of faults in a schedule.
 const (
-	faultKill          = "kill"    // node: its process ends; it starts anew after the span
-	faultSuspend       = "suspend" // node: it stands still
+	faultKill          = "kill"    // node: its process ends, and starts anew after the span
+	faultSuspend       = "suspend" // node: it is suspended
 	faultRefuse        = "refuse"  // node: the object API refuses its calls
-	faultTimeout       = "silent"  // node: the object API gives it no answers
-	faultOneWayLoss    = "cut-out" // node, other: what node sends other gets lost
-	faultIsolate       = "cut-off" // node: it reaches no node, and none reaches it
-	faultZonePartition = "zone"    // node's zone: it reaches neither other zones nor the object API
-	faultLossy         = "lossy"   // node: three in ten of its messages are lost
+	faultTimeout       = "silent"  // node: its calls to the object API time out
+	faultOneWayLoss    = "cut-out" // node, other: messages from node to other are lost
+	faultIsolate       = "cut-off" // node: messages to and from all other nodes are lost
+	faultZonePartition = "zone"    // node's zone: partitioned from other zones and the object API
+	faultLossy         = "lossy"   // node: 30% of its messages are lost
 	faultDown          = "down"    // the object API refuses all calls
-	faultTimeoutAll    = "mute"    // the object API gives no answers at all
+	faultTimeoutAll    = "mute"    // all calls to the object API time out
 	faultSlow          = "slow"    // the object API takes 50 times as long
-	faultCompact       = "forget"  // watches get nothing, then the history is dropped and they are cut
+	faultCompact       = "forget"  // watches get no response, then the history is compacted and they are interrupted
 )
 
 var faultKinds = []string{
@@ -32,7 +32,7 @@
 	faultCompact, faultCompact,
 }
 
-// fault is one entry of a schedule.
+// fault is one fault of a schedule, active from at for span.
 type fault struct {
 	kind        string
 	at, span    time.Duration
@@ -43,7 +43,7 @@
 	return fmt.Sprintf("fault %s %s %s %d %d", f.kind, f.at, f.span, f.node, f.other)
 }
 
-// affectsNode reports whether the fault affectsNode a node, or its way to other nodes.
+// affectsNode reports whether the fault affects a node, or its connections to other nodes.
 func (f *fault) affectsNode(s *schedule, node int) bool {
 	switch f.kind {
 	case faultKill, faultSuspend, faultIsolate, faultLossy:
@@ -56,8 +56,8 @@
 	return false
 }
 
-// affectsObjectAPI reports whether the fault disturbs a node's way to the object API. A drop of the
-// history counts as an outage of the object API, as for the site's rules.
+// affectsObjectAPI reports whether the fault affects a node's access to the object API. A
+// compaction counts as an outage of the object API unless checkCompaction is set.
 func (f *fault) affectsObjectAPI(s *schedule, node int) bool {
 	switch f.kind {
 	case faultCompact:
@@ -72,15 +72,15 @@
 	return false
 }
 
-// schedule is what happens in one run.
+// schedule is the input of one simulation.
 type schedule struct {
 	seed         uint64
 	nodes, zones int
-	// leader reads the object API for itself, as the holder of the lease does.
+	// leader is the node that holds the lease and reads the object API itself; -1 for none.
 	leader  int
 	changes []time.Duration
 	faults  []fault
-	// drops says that nodes are judged beside drops of the history as at other times.
+	// checkCompaction says that nodes are checked around compactions as at other times.
 	checkCompaction bool
 }
 
@@ -107,7 +107,7 @@
 	return b.String()
 }
 
-// end is when the last change has been judged.
+// end returns the time at which the last change has been checked.
 func (s *schedule) end() time.Duration {
 	last := settleTime
 	for _, c := range s.changes {
@@ -116,7 +116,7 @@
 	return last + applyTime + time.Second
 }
 
-// parseSchedule reads what String writes. Errors name the line.
+// parseSchedule parses the output of String.
 func parseSchedule(text string) (*schedule, error) {
 	s := &schedule{checkCompaction: *checkCompaction}
 	for i, line := range strings.Split(strings.TrimSpace(text), "\n") {
@@ -129,7 +129,7 @@
 	}
 	for _, f := range s.faults {
 		if f.node < 0 || f.node >= s.nodes || f.other < 0 || f.other >= s.nodes {
-			return nil, fmt.Errorf("%q names a node that there is not", f)
+			return nil, fmt.Errorf("%q names a node that does not exist", f)
 		}
 	}
 	return s, nil
@@ -155,12 +155,12 @@
 	case len(words) == 6 && words[0] == "fault" && slices.Contains(faultKinds, words[1]):
 		s.faults = append(s.faults, fault{kind: words[1], at: span(2), span: span(3), node: number(4), other: number(5)})
 	default:
-		return fmt.Errorf("no site, change or fault")
+		return fmt.Errorf("not a valid site, change or fault")
 	}
 	return err
 }
 
-// drawSchedule draws a schedule from a seed.
+// generateSchedule generates a random schedule from a seed.
 func generateSchedule(seed uint64) *schedule {
 	r := rand.New(rand.NewPCG(seed, 0))
 	const tick = 50 * time.Millisecond
@@ -181,7 +181,8 @@
 	return s
 }
 
-// Guards against a schedule file that is read as something else than it says.
+// Guards against schedules that change when they are written and parsed, and invalid ones that
+// are accepted.
 func TestScheduleIsReadAsWritten(t *testing.T) {
 	for seed := range uint64(50) {
 		s := generateSchedule(seed)
