--- a/distributor/site_test.go
+++ b/distributor/site_test.go
@@ -113,7 +113,7 @@
 	})
 	e.tracker = tracker.New(tracker.Options{
 		Self: e.info, Seeds: seeds, Objects: objects, Peers: client, Recorder: line,
-		Publish: e.distributor.Publish, Hold: e.distributor.Hold, Passengers: []tracker.Passenger{e.distributor},
+		Publish: e.distributor.Publish, Hold: e.distributor.Hold, Piggybackers: []tracker.Piggybacker{e.distributor},
 	})
 	server, err := messenger.NewServer(messenger.ServerOptions{Handler: e, Clock: line, Traffic: e.traffic})
 	if err != nil {
--- a/launcher/peers.go
+++ b/launcher/peers.go
@@ -59,7 +59,7 @@
 	p.tracker = tracker.New(tracker.Options{
 		Self: p.self, Seeds: site.Seeds, Objects: objects, Peers: p.client, Recorder: events,
 		Publish: p.distributor.Publish, Hold: p.distributor.Hold,
-		Passengers: []tracker.Passenger{p.distributor}, Log: log("membership"),
+		Piggybackers: []tracker.Piggybacker{p.distributor}, Log: log("membership"),
 	})
 	p.relayer = relayer.New(relayer.Options{Objects: objects, Peers: p.client, Relays: p.relays, Spares: p.spares, Chained: p.chained, Woke: woke, Prefixes: prefixes, ChangeTime: site.Bounds.ApplyTime, FirstStart: site.FirstStart})
 	var err error
--- a/runner/join.go
+++ b/runner/join.go
@@ -73,16 +73,16 @@
 		Log:   func(err error) { r.log.Debug("distribution", "error", err) },
 	})
 	r.tracker = tracker.New(tracker.Options{
-		Self:       r.self,
-		Seeds:      r.settings.Seeds,
-		Objects:    r.platform.Objects,
-		Peers:      r.client,
-		Recorder:   r.events,
-		Publish:    r.distributor.Publish,
-		Hold:       r.distributor.Hold,
-		Passengers: []tracker.Passenger{r.distributor},
-		Superseded: func() { close(r.superseded) },
-		Log:        func(err error) { r.log.Warn("membership", "error", err) },
+		Self:         r.self,
+		Seeds:        r.settings.Seeds,
+		Objects:      r.platform.Objects,
+		Peers:        r.client,
+		Recorder:     r.events,
+		Publish:      r.distributor.Publish,
+		Hold:         r.distributor.Hold,
+		Piggybackers: []tracker.Piggybacker{r.distributor},
+		Superseded:   func() { close(r.superseded) },
+		Log:          func(err error) { r.log.Warn("membership", "error", err) },
 	})
 	r.committer = committer.New(committer.Options{
 		Node:        r.self.ID,
--- a/tracker/beat.go
+++ b/tracker/beat.go
@@ -11,17 +11,17 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// beat sends this round's heartbeats (rule T1).
-func (s *State) beat(now time.Time, d *Decisions) {
-	if now.Before(s.nextBeat) {
+// sendHeartbeats sends this round's heartbeats (rule T1).
+func (s *State) sendHeartbeats(now time.Time, d *Decisions) {
+	if now.Before(s.nextRound) {
 		return
 	}
-	s.nextBeat = s.nextBeat.Add(HeartbeatEvery)
-	if s.nextBeat.Before(now) {
+	s.nextRound = s.nextRound.Add(HeartbeatInterval)
+	if s.nextRound.Before(now) {
 		// The process was paused; the rounds it missed are not made up for.
-		s.nextBeat = now.Add(HeartbeatEvery)
+		s.nextRound = now.Add(HeartbeatInterval)
 	}
-	s.beats++
+	s.rounds++
 	targets := map[string]garnetworks.NodeInfo{}
 	add := func(nodes ...garnetworks.NodeInfo) {
 		for _, n := range nodes {
@@ -30,13 +30,13 @@
 	}
 	near := s.neighbours()
 	add(near...)
-	add(s.farTargets(now, len(near))...)
+	add(s.remoteTargets(now, len(near))...)
 	suspects := s.suspects()
-	if !s.unlisted.IsZero() || len(suspects) > 0 {
+	if !s.unlistedSince.IsZero() || len(suspects) > 0 {
 		add(s.candidates()...)
 	}
 	if len(suspects) > 0 {
-		add(s.witnesses()...)
+		add(s.indirectProbers()...)
 	}
 	if len(targets) == 0 || !s.heardAnyone(now) {
 		count := 1
@@ -47,7 +47,7 @@
 	}
 	delete(targets, s.self.Address)
 	for _, address := range slices.Sorted(maps.Keys(targets)) {
-		d.Probes = append(d.Probes, Probe{Node: targets[address], From: s.self, Ask: except(suspects, targets[address].ID)})
+		d.Probes = append(d.Probes, Probe{Node: targets[address], From: s.self, IndirectProbes: except(suspects, targets[address].ID)})
 	}
 }
 
@@ -59,13 +59,13 @@
 // among them, so that their return is seen, but do not count.
 func (s *State) neighbours() []garnetworks.NodeInfo {
 	var near []garnetworks.NodeInfo
-	sound := 0
+	healthy := 0
 	for _, m := range s.ring() {
 		near = append(near, m.info)
-		if m.suspected.IsZero() {
-			sound++
+		if m.suspectedSince.IsZero() {
+			healthy++
 		}
-		if sound == Neighbours || len(near) == 2*Neighbours {
+		if healthy == Neighbours || len(near) == 2*Neighbours {
 			break
 		}
 	}
@@ -90,27 +90,27 @@
 
 func ringHash(id garnetworks.NodeID) uint64 { return xxhash.Sum64String(string(id)) }
 
-// farTargets returns a node of another zone when one is due. Zones and nodes
+// remoteTargets returns a node of another zone when one is due. Zones and nodes
 // take turns.
-func (s *State) farTargets(now time.Time, near int) []garnetworks.NodeInfo {
-	if now.Before(s.nextFar) {
+func (s *State) remoteTargets(now time.Time, near int) []garnetworks.NodeInfo {
+	if now.Before(s.nextRemote) {
 		return nil
 	}
-	s.nextFar = now.Add(FarEvery)
+	s.nextRemote = now.Add(RemoteHeartbeatInterval)
 	if near < Neighbours {
-		s.nextFar = now.Add(FarEverySmall)
+		s.nextRemote = now.Add(RemoteHeartbeatIntervalSmall)
 	}
-	s.farBeats++
-	if far, ok := s.farNode(s.farBeats); ok {
-		return []garnetworks.NodeInfo{far}
+	s.remoteRounds++
+	if node, ok := s.remoteNode(s.remoteRounds); ok {
+		return []garnetworks.NodeInfo{node}
 	}
 	// At the first start of a site no zone knows another one; the seeds join
 	// them.
 	return s.seedTargets(1)
 }
 
-// farNode returns a node of another zone by turn.
-func (s *State) farNode(turn uint64) (garnetworks.NodeInfo, bool) {
+// remoteNode returns a node of another zone by turn.
+func (s *State) remoteNode(turn uint64) (garnetworks.NodeInfo, bool) {
 	var zones []garnetworks.ZoneID
 	for z, r := range s.rosters {
 		if z != s.self.Zone && len(r.Nodes) > 0 {
@@ -126,19 +126,19 @@
 	return nodes[(start/7+turn/uint64(len(zones)))%uint64(len(nodes))], true
 }
 
-// witnesses are nodes to ask about suspects: the nearest sound ones and one of
+// indirectProbers are nodes to ask about suspects: the nearest sound ones and one of
 // another zone.
-func (s *State) witnesses() []garnetworks.NodeInfo {
-	var witnesses []garnetworks.NodeInfo
+func (s *State) indirectProbers() []garnetworks.NodeInfo {
+	var probers []garnetworks.NodeInfo
 	for _, m := range s.ring() {
-		if m.suspected.IsZero() && len(witnesses) < Neighbours {
-			witnesses = append(witnesses, m.info)
+		if m.suspectedSince.IsZero() && len(probers) < Neighbours {
+			probers = append(probers, m.info)
 		}
 	}
-	if far, ok := s.farNode(s.beats); ok {
-		witnesses = append(witnesses, far)
+	if node, ok := s.remoteNode(s.rounds); ok {
+		probers = append(probers, node)
 	}
-	return witnesses
+	return probers
 }
 
 // suspects are the nodes that this node suspects, as many as may be asked about
@@ -147,7 +147,7 @@
 	var suspects []garnetworks.NodeInfo
 	for _, id := range slices.Sorted(maps.Keys(s.members)) {
 		m := s.members[id]
-		if !m.suspected.IsZero() && !m.gone() && len(suspects) < maxQuestions {
+		if !m.suspectedSince.IsZero() && !m.gone() && len(suspects) < maxIndirectProbes {
 			suspects = append(suspects, m.info)
 		}
 	}
@@ -157,7 +157,7 @@
 // heardAnyone reports whether any node of the zone was heard of late.
 func (s *State) heardAnyone(now time.Time) bool {
 	for _, m := range s.members {
-		if now.Sub(m.heard) <= unlistedFor {
+		if now.Sub(m.heardAt) <= unlistedTTL {
 			return true
 		}
 	}
@@ -169,23 +169,23 @@
 func (s *State) seedTargets(count int) []garnetworks.NodeInfo {
 	var targets []garnetworks.NodeInfo
 	for i := range min(count, len(s.seeds)) {
-		address := s.seeds[(s.beats+uint64(i))%uint64(len(s.seeds))]
+		address := s.seeds[(s.rounds+uint64(i))%uint64(len(s.seeds))]
 		targets = append(targets, garnetworks.NodeInfo{Address: address})
 	}
 	return targets
 }
 
-// inquire tries the nodes that others asked about.
-func (s *State) inquire(now time.Time, d *Decisions) {
+// sendIndirectProbes tries the nodes that others asked about.
+func (s *State) sendIndirectProbes(now time.Time, d *Decisions) {
 	count := 0
-	for _, all := range []map[garnetworks.NodeID]*member{s.members, s.strangers} {
+	for _, all := range []map[garnetworks.NodeID]*member{s.members, s.remoteMembers} {
 		for _, id := range slices.Sorted(maps.Keys(all)) {
 			m := all[id]
-			asked := !m.asked.IsZero() && now.Sub(m.asked) < 2*HeartbeatEvery
-			if !asked || now.Sub(m.tried) < HeartbeatEvery || count == maxQuestions {
+			asked := !m.askedAt.IsZero() && now.Sub(m.askedAt) < 2*HeartbeatInterval
+			if !asked || now.Sub(m.probedAt) < HeartbeatInterval || count == maxIndirectProbes {
 				continue
 			}
-			m.tried = now
+			m.probedAt = now
 			count++
 			d.Probes = append(d.Probes, Probe{Node: m.info, From: s.self})
 		}
--- a/tracker/evidence.go
+++ b/tracker/evidence.go
@@ -7,9 +7,9 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// learn takes direct evidence of a node of the own zone. It reports false for
+// recordAlive takes direct evidence of a node of the own zone. It reports false for
 // an incarnation that was replaced.
-func (s *State) learn(now time.Time, n garnetworks.NodeInfo, d *Decisions) bool {
+func (s *State) recordAlive(now time.Time, n garnetworks.NodeInfo, d *Decisions) bool {
 	m, ok := s.members[n.ID]
 	if !ok {
 		m = &member{}
@@ -26,65 +26,65 @@
 		m.lost, m.displaced = false, false
 		d.Changed = true
 	}
-	if !m.left.IsZero() && now.Sub(m.left) > SuspectAfter {
+	if !m.leftAt.IsZero() && now.Sub(m.leftAt) > SuspectAfter {
 		// It said goodbye and yet lives on; earlier words may have overtaken it.
-		m.left = time.Time{}
+		m.leftAt = time.Time{}
 		d.Changed = true
 	}
 	if m.info != n {
 		m.info = n
 		d.Changed = true
 	}
-	m.heard = now
+	m.heardAt = now
 	return true
 }
 
-func (s *State) answered(now time.Time, o Answered, d *Decisions) {
+func (s *State) handleAnswered(now time.Time, o Answered, d *Decisions) {
 	if o.From.ID == s.self.ID {
 		return
 	}
-	if s.outranked(now, o.Heard, d) {
+	if s.checkIncarnation(now, o.Alive, d) {
 		return
 	}
-	s.read = true
-	s.takeHeard(now, o)
-	if stranger, ok := s.strangers[o.From.ID]; ok {
-		stranger.heard = now
+	s.synced = true
+	s.recordAliveNodes(now, o)
+	if remote, ok := s.remoteMembers[o.From.ID]; ok {
+		remote.heardAt = now
 	}
 	if o.Node.ID != "" && o.Node.ID != o.From.ID {
-		s.displace(now, o.Node, d)
+		s.markDisplaced(now, o.Node, d)
 	}
 	if o.From.Zone != s.self.Zone {
 		return
 	}
-	if !s.learn(now, o.From, d) {
-		s.failed(now, o.Node)
+	if !s.recordAlive(now, o.From, d) {
+		s.recordFailure(now, o.Node)
 		return
 	}
 	m := s.members[o.From.ID]
-	m.failing, m.displaced = time.Time{}, false
+	m.failingSince, m.displaced = time.Time{}, false
 }
 
-// outranked handles a peer's word that this node's name has a higher
+// checkIncarnation handles a peer's word that this node's name has a higher
 // incarnation (rule T5).
-func (s *State) outranked(now time.Time, heard []garnetworks.AliveNode, d *Decisions) bool {
+func (s *State) checkIncarnation(now time.Time, heard []garnetworks.AliveNode, d *Decisions) bool {
 	for _, h := range heard {
 		if h.ID == s.self.ID && h.Incarnation > s.self.Incarnation {
-			s.outrankedBy(now, h.Incarnation, d)
+			s.handleHigherIncarnation(now, h.Incarnation, d)
 			return true
 		}
 	}
 	return false
 }
 
-// outrankedBy raises the incarnation of a process that has just started, whose
+// handleHigherIncarnation raises the incarnation of a process that has just started, whose
 // clock may be behind that of the one before. One that was accepted has been
 // replaced while it was paused or cut off: going on would show as two nodes
 // that answer in one name.
-func (s *State) outrankedBy(now time.Time, incarnation uint64, d *Decisions) {
+func (s *State) handleHigherIncarnation(now time.Time, incarnation uint64, d *Decisions) {
 	if !s.accepted {
 		s.self.Incarnation = incarnation + 1
-		s.noteListing(now)
+		s.updateListing(now)
 		d.Changed = true
 		return
 	}
@@ -93,83 +93,83 @@
 	d.Events = append(d.Events, s.event(garnetworks.EventNodeSuperseded, s.self, fmt.Sprintf("incarnation %d is known", incarnation)))
 }
 
-// takeHeard takes the words of a node that was asked about suspects.
-func (s *State) takeHeard(now time.Time, o Answered) {
+// recordAliveNodes takes the words of a node that was asked about suspects.
+func (s *State) recordAliveNodes(now time.Time, o Answered) {
 	heard := garnetworks.NewSet[garnetworks.NodeID]()
-	for _, h := range o.Heard {
+	for _, h := range o.Alive {
 		m, ok := s.members[h.ID]
 		if !ok || h.Incarnation < m.info.Incarnation {
 			continue
 		}
-		if at := now.Add(-h.Age); at.After(m.told) {
-			m.told = at
+		if at := now.Add(-h.Age); at.After(m.reportedAt) {
+			m.reportedAt = at
 		}
 		if h.Age < SuspectAfter {
 			heard.Add(h.ID)
 		}
 	}
-	if !o.Asked {
+	if !o.Indirect {
 		return
 	}
 	for id, m := range s.members {
 		// The asked node needs the time to try for itself.
-		tried := !m.suspected.IsZero() && now.Sub(m.suspected) >= ConfirmBound
-		if tried && !heard.Has(id) && id != o.From.ID {
-			m.denied = true
+		hadTime := !m.suspectedSince.IsZero() && now.Sub(m.suspectedSince) >= ConfirmTimeout
+		if hadTime && !heard.Has(id) && id != o.From.ID {
+			m.lossConfirmed = true
 		}
 	}
 }
 
-// displace takes the word of another node at the address of n (rule T6).
-func (s *State) displace(now time.Time, n garnetworks.NodeInfo, d *Decisions) {
+// markDisplaced takes the word of another node at the address of n (rule T6).
+func (s *State) markDisplaced(now time.Time, n garnetworks.NodeInfo, d *Decisions) {
 	m, ok := s.members[n.ID]
 	if !ok || m.info.Address != n.Address || m.displaced {
 		return
 	}
 	m.displaced = true
-	if m.failing.IsZero() {
-		m.failing = now
+	if m.failingSince.IsZero() {
+		m.failingSince = now
 	}
 	d.Events = append(d.Events, s.event(garnetworks.EventNodeSuspected, m.info, "another node answers at its address"))
 }
 
-func (s *State) unanswered(now time.Time, o Unanswered, d *Decisions) {
-	if !isSilence(o.Kind) {
-		s.refused(now, o, d)
+func (s *State) handleUnanswered(now time.Time, o Unanswered, d *Decisions) {
+	if !isNoAnswer(o.Kind) {
+		s.handleRefused(now, o, d)
 		return
 	}
 	if o.Node.Zone != s.self.Zone {
 		// Another zone's node gets the next turn at once, so that a few lost
 		// nodes do not keep this one from hearing of other zones.
-		s.nextFar = now
+		s.nextRemote = now
 		return
 	}
-	s.failed(now, o.Node)
+	s.recordFailure(now, o.Node)
 }
 
-// isSilence reports whether an error says nothing but that no answer came. Any
+// isNoAnswer reports whether an error says nothing but that no answer came. Any
 // other is an answer: somebody lives there.
-func isSilence(k garnetworks.Kind) bool {
+func isNoAnswer(k garnetworks.Kind) bool {
 	return k == garnetworks.KindUnreachable || k == garnetworks.KindResponseLost
 }
 
-func (s *State) failed(now time.Time, n garnetworks.NodeInfo) {
+func (s *State) recordFailure(now time.Time, n garnetworks.NodeInfo) {
 	m, ok := s.members[n.ID]
-	if ok && m.failing.IsZero() {
-		m.failing = now
+	if ok && m.failingSince.IsZero() {
+		m.failingSince = now
 	}
 }
 
-func (s *State) refused(now time.Time, o Unanswered, d *Decisions) {
-	if o.Kind != garnetworks.KindConflict || now.Sub(s.conflicts[o.Node.Address]) < conflictEvery {
+func (s *State) handleRefused(now time.Time, o Unanswered, d *Decisions) {
+	if o.Kind != garnetworks.KindConflict || now.Sub(s.conflicts[o.Node.Address]) < conflictEventInterval {
 		return
 	}
-	s.noteConflict(now, o.Node.Address)
+	s.recordConflict(now, o.Node.Address)
 	d.Events = append(d.Events, s.event(garnetworks.EventAddressConflict, s.self, "refused by "+o.Node.Address+": "+o.Detail))
 }
 
-func (s *State) noteConflict(now time.Time, address string) {
-	if len(s.conflicts) >= maxStrangers {
+func (s *State) recordConflict(now time.Time, address string) {
+	if len(s.conflicts) >= maxRemoteMembers {
 		clear(s.conflicts)
 	}
 	s.conflicts[address] = now
--- a/tracker/judge.go
+++ b/tracker/judge.go
@@ -8,36 +8,36 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// judge decides on suspicion and loss (rules T2 and T3).
-func (s *State) judge(now time.Time, d *Decisions) {
+// detectFailures decides on suspicion and loss (rules T2 and T3).
+func (s *State) detectFailures(now time.Time, d *Decisions) {
 	candidate := s.isCandidate()
 	for _, id := range slices.Sorted(maps.Keys(s.members)) {
 		m := s.members[id]
 		if m.gone() {
 			continue
 		}
-		s.suspect(now, m, d)
+		s.updateSuspicion(now, m, d)
 		if candidate && s.isLost(now, m) {
 			m.lost = true
-			s.noteLoss(now, id)
+			s.recordLoss(now, id)
 			d.Changed = true
 		}
 	}
 }
 
-func (s *State) suspect(now time.Time, m *member, d *Decisions) {
-	silent := !m.failing.IsZero() && now.Sub(m.evidence()) >= SuspectAfter
-	asked := !m.asked.IsZero() && now.Sub(m.asked) < SuspectAfter
+func (s *State) updateSuspicion(now time.Time, m *member, d *Decisions) {
+	silent := !m.failingSince.IsZero() && now.Sub(m.lastEvidence()) >= SuspectAfter
+	asked := !m.askedAt.IsZero() && now.Sub(m.askedAt) < SuspectAfter
 	switch {
 	case !silent:
-		if !m.suspected.IsZero() {
-			m.suspected, m.denied = time.Time{}, false
+		if !m.suspectedSince.IsZero() {
+			m.suspectedSince, m.lossConfirmed = time.Time{}, false
 			d.Changed = true
 		}
-	case m.suspected.IsZero() && (asked || now.Sub(m.failing) >= SuspectAfter):
-		m.suspected = now
+	case m.suspectedSince.IsZero() && (asked || now.Sub(m.failingSince) >= SuspectAfter):
+		m.suspectedSince = now
 		d.Changed = true
-		d.Events = append(d.Events, s.event(garnetworks.EventNodeSuspected, m.info, "no answer since "+m.failing.UTC().Format(time.TimeOnly)))
+		d.Events = append(d.Events, s.event(garnetworks.EventNodeSuspected, m.info, "no answer since "+m.failingSince.UTC().Format(time.TimeOnly)))
 	}
 }
 
@@ -48,31 +48,31 @@
 	if m.displaced {
 		return true
 	}
-	if m.suspected.IsZero() || now.Sub(m.suspected) < s.confirmBound(now, m) {
+	if m.suspectedSince.IsZero() || now.Sub(m.suspectedSince) < s.confirmTimeout(now, m) {
 		return false
 	}
-	return m.denied || s.onlyOther(m) // rules T3, T4
+	return m.lossConfirmed || s.onlyOther(m) // rules T3, T4
 }
 
-// confirmBound grows for nodes that come and go, so that a node at the edge of
+// confirmTimeout grows for nodes that come and go, so that a node at the edge of
 // reach does not cause a roster write each few seconds.
-func (s *State) confirmBound(now time.Time, m *member) time.Duration {
-	l := s.lost[m.info.ID]
-	if now.Sub(l.last) > forgetLosses {
-		return ConfirmBound
+func (s *State) confirmTimeout(now time.Time, m *member) time.Duration {
+	l := s.losses[m.info.ID]
+	if now.Sub(l.last) > lossTTL {
+		return ConfirmTimeout
 	}
-	return ConfirmBound << min(l.count, maxFlaps)
+	return ConfirmTimeout << min(l.count, maxConfirmDoublings)
 }
 
-func (s *State) noteLoss(now time.Time, id garnetworks.NodeID) {
-	l := s.lost[id]
-	if now.Sub(l.last) > forgetLosses {
+func (s *State) recordLoss(now time.Time, id garnetworks.NodeID) {
+	l := s.losses[id]
+	if now.Sub(l.last) > lossTTL {
 		l.count = 0
 	}
-	if len(s.lost) >= maxLosses {
-		clear(s.lost)
+	if len(s.losses) >= maxLossHistories {
+		clear(s.losses)
 	}
-	s.lost[id] = losses{count: l.count + 1, last: now}
+	s.losses[id] = lossHistory{count: l.count + 1, last: now}
 }
 
 // onlyOther reports whether no node is known but this one and m.
@@ -82,6 +82,6 @@
 			return false
 		}
 	}
-	_, far := s.farNode(0)
-	return !far && s.read
+	_, remote := s.remoteNode(0)
+	return !remote && s.synced
 }
--- a/tracker/observation.go
+++ b/tracker/observation.go
@@ -14,9 +14,9 @@
 	// Answered says that a heartbeat to Node was answered by From.
 	Answered struct {
 		Node, From garnetworks.NodeInfo
-		// Asked says that the heartbeat asked about nodes.
-		Asked bool
-		Heard []garnetworks.AliveNode
+		// Indirect says that the heartbeat asked about nodes.
+		Indirect bool
+		Alive    []garnetworks.AliveNode
 	}
 	// Unanswered says that a heartbeat to Node failed.
 	Unanswered struct {
@@ -28,8 +28,8 @@
 	RosterLearned struct{ Roster garnetworks.Roster }
 	// RostersRead says that all rosters were read once.
 	RostersRead struct{}
-	// Written says how a roster write went.
-	Written struct {
+	// RosterWritten says how a roster write went.
+	RosterWritten struct {
 		Patch  Patch
 		Roster garnetworks.Roster
 		Err    error
@@ -50,7 +50,7 @@
 
 func (RostersRead) observation() {}
 
-func (Written) observation() {}
+func (RosterWritten) observation() {}
 
 func (ReadySet) observation() {}
 
@@ -59,9 +59,9 @@
 // Probe is a heartbeat to be sent.
 type Probe struct {
 	// Node is the receiver; only its address is known if ID is empty.
-	Node garnetworks.NodeInfo
-	From garnetworks.NodeInfo
-	Ask  []garnetworks.NodeInfo
+	Node           garnetworks.NodeInfo
+	From           garnetworks.NodeInfo
+	IndirectProbes []garnetworks.NodeInfo
 	// Leaving says goodbye.
 	Leaving bool
 }
@@ -81,7 +81,7 @@
 
 // Reply is the state's part of the answer to a heartbeat.
 type Reply struct {
-	Heard []garnetworks.AliveNode
+	Alive []garnetworks.AliveNode
 	// Refusal is not nil if the heartbeat is refused.
 	Refusal error
 }
--- a/tracker/patch.go
+++ b/tracker/patch.go
@@ -16,8 +16,8 @@
 	Set []garnetworks.NodeInfo
 	// Remove are nodes to take out, sorted by ID.
 	Remove []Removal
-	// Above is the highest version known; the new one is higher (rule T8).
-	Above uint64
+	// KnownVersion is the highest version known; the new one is higher (rule T8).
+	KnownVersion uint64
 }
 
 // Removal takes a node out unless it is listed with a higher incarnation.
@@ -56,7 +56,7 @@
 	if !changed {
 		return r, false
 	}
-	next := garnetworks.Roster{Zone: p.Zone, Version: max(r.Version, p.Above) + 1}
+	next := garnetworks.Roster{Zone: p.Zone, Version: max(r.Version, p.KnownVersion) + 1}
 	for _, n := range nodes {
 		next.Nodes = append(next.Nodes, n)
 	}
--- a/tracker/receive.go
+++ b/tracker/receive.go
@@ -17,39 +17,39 @@
 	from := q.From
 	switch {
 	case from.ID == s.self.ID:
-		r.Heard = s.receiveNamesake(now, from, &d)
+		r.Alive = s.receiveSameID(now, from, &d)
 		return r, d
 	case from.Zone == s.self.Zone:
 		r.Refusal = s.checkAddress(now, from, &d)
 		if r.Refusal != nil {
 			return r, d
 		}
-		if !s.learn(now, from, &d) {
+		if !s.recordAlive(now, from, &d) {
 			m := s.members[from.ID]
-			r.Heard = append(r.Heard, garnetworks.AliveNode{ID: from.ID, Incarnation: m.info.Incarnation, Age: now.Sub(m.evidence())})
+			r.Alive = append(r.Alive, garnetworks.AliveNode{ID: from.ID, Incarnation: m.info.Incarnation, Age: now.Sub(m.lastEvidence())})
 			return r, d
 		}
 		if q.Leaving {
-			s.members[from.ID].left = now
+			s.members[from.ID].leftAt = now
 			d.Changed = true
 		}
 	}
-	for _, n := range q.IndirectProbes[:min(len(q.IndirectProbes), maxQuestions)] {
-		if h, ok := s.ask(now, n); ok {
-			r.Heard = append(r.Heard, h)
+	for _, n := range q.IndirectProbes[:min(len(q.IndirectProbes), maxIndirectProbes)] {
+		if h, ok := s.answerIndirectProbe(now, n); ok {
+			r.Alive = append(r.Alive, h)
 		}
 	}
 	return r, d
 }
 
-// receiveNamesake answers a process with this node's own name. A node whose
+// receiveSameID answers a process with this node's own name. A node whose
 // seeds name it reaches itself, which says nothing.
-func (s *State) receiveNamesake(now time.Time, from garnetworks.NodeInfo, d *Decisions) []garnetworks.AliveNode {
+func (s *State) receiveSameID(now time.Time, from garnetworks.NodeInfo, d *Decisions) []garnetworks.AliveNode {
 	if from.Incarnation == s.self.Incarnation && from.Address == s.self.Address {
 		return nil
 	}
 	if from.Incarnation > s.self.Incarnation {
-		s.outrankedBy(now, from.Incarnation, d)
+		s.handleHigherIncarnation(now, from.Incarnation, d)
 		return nil
 	}
 	return []garnetworks.AliveNode{{ID: s.self.ID, Incarnation: s.self.Incarnation + 1}}
@@ -63,9 +63,9 @@
 		if id == from.ID || m.info.Address != from.Address || m.gone() || m.displaced {
 			continue
 		}
-		m.asked = now
-		if now.Sub(s.conflicts[from.Address]) >= conflictEvery {
-			s.noteConflict(now, from.Address)
+		m.askedAt = now
+		if now.Sub(s.conflicts[from.Address]) >= conflictEventInterval {
+			s.recordConflict(now, from.Address)
 			d.Events = append(d.Events, s.event(garnetworks.EventAddressConflict, from, "the address is that of "+string(id)))
 		}
 		return garnetworks.Errorf(garnetworks.KindConflict, "address %s is that of node %s", from.Address, id)
@@ -73,36 +73,36 @@
 	return nil
 }
 
-// ask notes a question about a node and answers it from what is known.
-func (s *State) ask(now time.Time, n garnetworks.NodeInfo) (garnetworks.AliveNode, bool) {
+// answerIndirectProbe notes a question about a node and answers it from what is known.
+func (s *State) answerIndirectProbe(now time.Time, n garnetworks.NodeInfo) (garnetworks.AliveNode, bool) {
 	if n.ID == s.self.ID {
 		return garnetworks.AliveNode{ID: n.ID, Incarnation: s.self.Incarnation}, true
 	}
-	m := s.inQuestion(n)
+	m := s.probedMember(n)
 	if m == nil {
 		return garnetworks.AliveNode{}, false
 	}
-	m.asked = now
-	if m.heard.IsZero() {
+	m.askedAt = now
+	if m.heardAt.IsZero() {
 		return garnetworks.AliveNode{}, false
 	}
-	return garnetworks.AliveNode{ID: n.ID, Incarnation: m.info.Incarnation, Age: now.Sub(m.heard)}, true
+	return garnetworks.AliveNode{ID: n.ID, Incarnation: m.info.Incarnation, Age: now.Sub(m.heardAt)}, true
 }
 
-// inQuestion returns the record of a node that was asked about; nil if there is
+// probedMember returns the record of a node that was asked about; nil if there is
 // none and no room for one.
-func (s *State) inQuestion(n garnetworks.NodeInfo) *member {
+func (s *State) probedMember(n garnetworks.NodeInfo) *member {
 	if n.Zone == s.self.Zone {
 		return s.members[n.ID]
 	}
-	m, ok := s.strangers[n.ID]
+	m, ok := s.remoteMembers[n.ID]
 	if ok {
 		return m
 	}
-	if len(s.strangers) >= maxStrangers {
+	if len(s.remoteMembers) >= maxRemoteMembers {
 		return nil
 	}
 	m = &member{info: n}
-	s.strangers[n.ID] = m
+	s.remoteMembers[n.ID] = m
 	return m
 }
--- a/tracker/roster.go
+++ b/tracker/roster.go
@@ -31,7 +31,7 @@
 		ids = append(ids, s.self.ID)
 	}
 	for id, m := range s.members {
-		if !m.gone() && m.suspected.IsZero() {
+		if !m.gone() && m.suspectedSince.IsZero() {
 			ids = append(ids, id)
 		}
 	}
@@ -57,19 +57,19 @@
 	return nodes[i], true
 }
 
-// noteListing notes since when the roster does not list this node as it is.
-func (s *State) noteListing(now time.Time) {
+// updateListing notes since when the roster does not list this node as it is.
+func (s *State) updateListing(now time.Time) {
 	listed, _ := s.listed(s.self.ID)
 	switch {
 	case listed == s.self:
-		s.unlisted = time.Time{}
+		s.unlistedSince = time.Time{}
 		s.accepted = true
-	case s.unlisted.IsZero():
-		s.unlisted = now
+	case s.unlistedSince.IsZero():
+		s.unlistedSince = now
 	}
 }
 
-func (s *State) learnRoster(now time.Time, r garnetworks.Roster, d *Decisions) {
+func (s *State) applyRoster(now time.Time, r garnetworks.Roster, d *Decisions) {
 	if r.Version <= s.rosters[r.Zone].Version {
 		return
 	}
@@ -84,18 +84,18 @@
 	for _, n := range r.Nodes {
 		if n.ID == s.self.ID {
 			if n.Incarnation > s.self.Incarnation || (n.Incarnation == s.self.Incarnation && n.Address != s.self.Address) {
-				s.outrankedBy(now, n.Incarnation, d)
+				s.handleHigherIncarnation(now, n.Incarnation, d)
 			}
 			continue
 		}
-		s.learnListed(now, n)
+		s.applyListed(now, n)
 	}
-	s.noteListing(now)
+	s.updateListing(now)
 }
 
-// learnListed takes the roster's word on a node of the own zone, which is older
+// applyListed takes the roster's word on a node of the own zone, which is older
 // than what was heard from the node itself.
-func (s *State) learnListed(now time.Time, n garnetworks.NodeInfo) {
+func (s *State) applyListed(now time.Time, n garnetworks.NodeInfo) {
 	m, ok := s.members[n.ID]
 	switch {
 	case !ok:
@@ -104,8 +104,8 @@
 		*m = member{info: n}
 	case n.Incarnation == m.info.Incarnation && m.lost && !m.displaced:
 		// The writer has heard it after this node had given it up.
-		m.lost, m.suspected, m.denied = false, time.Time{}, false
-		m.told = now
+		m.lost, m.suspectedSince, m.lossConfirmed = false, time.Time{}, false
+		m.reportedAt = now
 	}
 }
 
@@ -113,45 +113,45 @@
 	if now.Before(s.nextReread) {
 		return
 	}
-	s.nextReread = now.Add(RereadEvery)
+	s.nextReread = now.Add(RereadInterval)
 	d.Reread = s.rank() == 0
 }
 
-// considerWrite decides whether this node changes the roster now (rule T7).
-func (s *State) considerWrite(now time.Time, d *Decisions) {
+// decideWrite decides whether this node changes the roster now (rule T7).
+func (s *State) decideWrite(now time.Time, d *Decisions) {
 	rank := s.rank()
 	var patch Patch
 	switch {
 	case s.leaving:
 		// The others were told; they take this node out.
 		return
-	case !s.read && now.Sub(s.unlisted) < JoinBound:
+	case !s.synced && now.Sub(s.unlistedSince) < JoinTimeout:
 		// The first read shows who writes.
 		return
 	case rank < Candidates:
-		patch = s.wanted(now)
-	case !s.unlisted.IsZero() && now.Sub(s.unlisted) >= JoinBound:
+		patch = s.desiredPatch(now)
+	case !s.unlistedSince.IsZero() && now.Sub(s.unlistedSince) >= JoinTimeout:
 		patch = Patch{Zone: s.self.Zone, Set: []garnetworks.NodeInfo{s.self}}
 		rank = 0
 	}
 	if patch.Empty() {
-		s.pending = time.Time{}
+		s.pendingSince = time.Time{}
 		return
 	}
-	if s.pending.IsZero() {
-		s.pending = now
+	if s.pendingSince.IsZero() {
+		s.pendingSince = now
 	}
-	due := s.pending.Add(BatchDelay + time.Duration(rank)*RankDelay)
+	due := s.pendingSince.Add(BatchDelay + time.Duration(rank)*RankDelay)
 	if s.writing || now.Before(due) || now.Before(s.nextWrite) {
 		return
 	}
-	patch.Above = s.rosters[s.self.Zone].Version
+	patch.KnownVersion = s.rosters[s.self.Zone].Version
 	s.writing = true
 	d.Write = garnetworks.Some(patch)
 }
 
-// wanted is what the roster lacks by this node's direct evidence.
-func (s *State) wanted(now time.Time) Patch {
+// desiredPatch is what the roster lacks by this node's direct evidence.
+func (s *State) desiredPatch(now time.Time) Patch {
 	p := Patch{Zone: s.self.Zone}
 	for _, id := range slices.Sorted(maps.Keys(s.members)) {
 		m := s.members[id]
@@ -161,7 +161,7 @@
 			if ok && listed.Incarnation <= m.info.Incarnation {
 				p.Remove = append(p.Remove, Removal{ID: id, Incarnation: m.info.Incarnation, Left: !m.lost})
 			}
-		case now.Sub(m.heard) > SuspectAfter || m.displaced:
+		case now.Sub(m.heardAt) > SuspectAfter || m.displaced:
 		case !ok || (listed != m.info && listed.Incarnation <= m.info.Incarnation):
 			p.Set = append(p.Set, m.info)
 		}
@@ -173,7 +173,7 @@
 	return p
 }
 
-func (s *State) written(now time.Time, o Written, d *Decisions) {
+func (s *State) handleWritten(now time.Time, o RosterWritten, d *Decisions) {
 	s.writing = false
 	if o.Err != nil {
 		s.backoff = min(max(2*s.backoff, time.Second), maxBackoff)
@@ -184,14 +184,14 @@
 	before := s.rosters[s.self.Zone]
 	if before.Version == 0 {
 		// At the first start of a site, the other zones list themselves now, too.
-		s.nextReread = now.Add(FirstReread)
+		s.nextReread = now.Add(FirstRereadDelay)
 	}
-	s.learnRoster(now, o.Roster, d)
-	s.tell(before, o, d)
+	s.applyRoster(now, o.Roster, d)
+	s.recordWriteEvents(before, o, d)
 }
 
-// tell gives the events of a roster write.
-func (s *State) tell(before garnetworks.Roster, o Written, d *Decisions) {
+// recordWriteEvents gives the events of a roster write.
+func (s *State) recordWriteEvents(before garnetworks.Roster, o RosterWritten, d *Decisions) {
 	if o.Roster.Version <= before.Version {
 		return
 	}
@@ -205,12 +205,12 @@
 		}
 	}
 	for _, r := range o.Patch.Remove {
-		how := "lost"
+		reason := "lost"
 		if r.Left {
-			how = "left"
+			reason = "left"
 		}
 		if n, ok := known[r.ID]; ok {
-			d.Events = append(d.Events, s.event(garnetworks.EventNodeLost, n, how))
+			d.Events = append(d.Events, s.event(garnetworks.EventNodeLost, n, reason))
 		}
 	}
 	d.Events = append(d.Events, garnetworks.Event{
--- a/tracker/sim_test.go
+++ b/tracker/sim_test.go
@@ -20,36 +20,36 @@
 	superseded bool
 }
 
-// world runs states against each other in virtual time. Calls take no time;
-// what fails is decided by the world's faults.
-type world struct {
-	t   failer
+// simulation runs states against each other in virtual time. Calls take no time;
+// what fails is decided by the simulation's faults.
+type simulation struct {
+	t   testReporter
 	now time.Time
 	// at holds the running process of each address.
-	at map[string]*process
+	processes map[string]*process
 	// cut holds the pairs of addresses whose calls fail, by direction.
 	cut map[[2]string]bool
 	// stored are the roster objects.
 	stored map[garnetworks.ZoneID]garnetworks.Roster
 	// down refuses all calls to the object API; loseAnswer lets the next write
 	// take effect and fail.
-	down, loseAnswer bool
-	writes, probes   int
+	apiDown, loseResponse bool
+	writes, probes        int
 	// removed counts how often each node was taken out of its roster.
 	removed     map[garnetworks.NodeID]int
 	events      []garnetworks.Event
 	incarnation uint64
 }
 
-// failer is what *testing.T and *rapid.T have in common here.
-type failer interface {
+// testReporter is what *testing.T and *rapid.T have in common here.
+type testReporter interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-func newWorld(t failer) *world {
-	return &world{
-		t: t, now: start, at: map[string]*process{}, cut: map[[2]string]bool{},
+func newSimulation(t testReporter) *simulation {
+	return &simulation{
+		t: t, now: start, processes: map[string]*process{}, cut: map[[2]string]bool{},
 		stored:  map[garnetworks.ZoneID]garnetworks.Roster{},
 		removed: map[garnetworks.NodeID]int{},
 	}
@@ -62,7 +62,7 @@
 func address(i int) string { return fmt.Sprintf("10.0.0.%d:7000", i) }
 
 // start runs a new process of node i in one of the zones.
-func (w *world) start(i, zones int) *process {
+func (w *simulation) start(i, zones int) *process {
 	w.incarnation++
 	return w.startAs(garnetworks.NodeInfo{
 		ID: garnetworks.NodeID(fmt.Sprintf("entry-%03d", i)), Incarnation: w.incarnation, Address: address(i),
@@ -70,10 +70,10 @@
 	})
 }
 
-func (w *world) startAs(n garnetworks.NodeInfo) *process {
+func (w *simulation) startAs(n garnetworks.NodeInfo) *process {
 	p := &process{state: NewState(n, []string{address(0), address(1)}, w.now)}
-	w.at[n.Address] = p
-	if !w.down {
+	w.processes[n.Address] = p
+	if !w.apiDown {
 		for _, z := range slices.Sorted(maps.Keys(w.stored)) {
 			p.state.Step(w.now, RosterLearned{Roster: w.stored[z]})
 		}
@@ -83,7 +83,7 @@
 }
 
 // cutBetween cuts or heals calls between two sets of addresses.
-func (w *world) cutBetween(from, to []string, cut bool) {
+func (w *simulation) cutBetween(from, to []string, cut bool) {
 	for _, a := range from {
 		for _, b := range to {
 			if a != b {
@@ -94,17 +94,17 @@
 }
 
 // run lets virtual time pass.
-func (w *world) run(d time.Duration) {
-	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(Tick) {
-		for _, a := range slices.Sorted(maps.Keys(w.at)) {
-			if p := w.at[a]; !p.paused {
-				w.carryOut(p, p.state.Step(w.now, Ticked{}))
+func (w *simulation) run(d time.Duration) {
+	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(TickInterval) {
+		for _, a := range slices.Sorted(maps.Keys(w.processes)) {
+			if p := w.processes[a]; !p.paused {
+				w.execute(p, p.state.Step(w.now, Ticked{}))
 			}
 		}
 	}
 }
 
-func (w *world) carryOut(p *process, d Decisions) {
+func (w *simulation) execute(p *process, d Decisions) {
 	w.events = append(w.events, d.Events...)
 	p.superseded = p.superseded || d.Superseded
 	for _, probe := range d.Probes {
@@ -113,35 +113,35 @@
 	if patch, ok := d.Write.Get(); ok {
 		w.write(p, patch)
 	}
-	if d.Reread && !w.down {
+	if d.Reread && !w.apiDown {
 		for _, z := range slices.Sorted(maps.Keys(w.stored)) {
-			w.carryOut(p, p.state.Step(w.now, RosterLearned{Roster: w.stored[z]}))
+			w.execute(p, p.state.Step(w.now, RosterLearned{Roster: w.stored[z]}))
 		}
 	}
 }
 
-func (w *world) probe(p *process, probe Probe) {
+func (w *simulation) probe(p *process, probe Probe) {
 	w.probes++
-	target, ok := w.at[probe.Node.Address]
+	target, ok := w.processes[probe.Node.Address]
 	if !ok || target.paused || w.cut[[2]string{p.state.self.Address, probe.Node.Address}] {
-		w.carryOut(p, p.state.Step(w.now, Unanswered{Node: probe.Node, Kind: garnetworks.KindUnreachable}))
+		w.execute(p, p.state.Step(w.now, Unanswered{Node: probe.Node, Kind: garnetworks.KindUnreachable}))
 		return
 	}
-	reply, d := target.state.Receive(w.now, &garnetworks.HeartbeatRequest{From: probe.From, IndirectProbes: probe.Ask, Leaving: probe.Leaving})
-	w.carryOut(target, d)
+	reply, d := target.state.Receive(w.now, &garnetworks.HeartbeatRequest{From: probe.From, IndirectProbes: probe.IndirectProbes, Leaving: probe.Leaving})
+	w.execute(target, d)
 	if reply.Refusal != nil {
-		w.carryOut(p, p.state.Step(w.now, Unanswered{Node: probe.Node, Kind: garnetworks.KindOf(reply.Refusal)}))
+		w.execute(p, p.state.Step(w.now, Unanswered{Node: probe.Node, Kind: garnetworks.KindOf(reply.Refusal)}))
 		return
 	}
-	w.carryOut(p, p.state.Step(w.now, Answered{Node: probe.Node, From: target.state.Self(), Asked: len(probe.Ask) > 0, Heard: reply.Heard}))
+	w.execute(p, p.state.Step(w.now, Answered{Node: probe.Node, From: target.state.Self(), Indirect: len(probe.IndirectProbes) > 0, Alive: reply.Alive}))
 	for _, z := range slices.Sorted(maps.Keys(target.state.rosters)) {
-		w.carryOut(p, p.state.Step(w.now, RosterLearned{Roster: target.state.rosters[z]}))
+		w.execute(p, p.state.Step(w.now, RosterLearned{Roster: target.state.rosters[z]}))
 	}
 }
 
-func (w *world) write(p *process, patch Patch) {
-	if w.down {
-		w.carryOut(p, p.state.Step(w.now, Written{Patch: patch, Err: garnetworks.Errorf(garnetworks.KindObjectAPIDown, "outage")}))
+func (w *simulation) write(p *process, patch Patch) {
+	if w.apiDown {
+		w.execute(p, p.state.Step(w.now, RosterWritten{Patch: patch, Err: garnetworks.Errorf(garnetworks.KindObjectAPIDown, "outage")}))
 		return
 	}
 	current := w.stored[patch.Zone]
@@ -151,26 +151,26 @@
 		w.checkWrite(current, next)
 		w.stored[patch.Zone] = next
 	}
-	if w.loseAnswer {
-		w.loseAnswer = false
-		w.carryOut(p, p.state.Step(w.now, Written{Patch: patch, Err: garnetworks.Errorf(garnetworks.KindResponseLost, "lost")}))
+	if w.loseResponse {
+		w.loseResponse = false
+		w.execute(p, p.state.Step(w.now, RosterWritten{Patch: patch, Err: garnetworks.Errorf(garnetworks.KindResponseLost, "lost")}))
 		return
 	}
-	w.carryOut(p, p.state.Step(w.now, Written{Patch: patch, Roster: next}))
-	w.spread(p, next)
+	w.execute(p, p.state.Step(w.now, RosterWritten{Patch: patch, Roster: next}))
+	w.distribute(p, next)
 }
 
-// spread takes the distributor's place.
-func (w *world) spread(from *process, r garnetworks.Roster) {
-	for _, a := range slices.Sorted(maps.Keys(w.at)) {
-		if p := w.at[a]; !p.paused && !w.cut[[2]string{from.state.self.Address, a}] {
-			w.carryOut(p, p.state.Step(w.now, RosterLearned{Roster: r}))
+// distribute takes the distributor's place.
+func (w *simulation) distribute(from *process, r garnetworks.Roster) {
+	for _, a := range slices.Sorted(maps.Keys(w.processes)) {
+		if p := w.processes[a]; !p.paused && !w.cut[[2]string{from.state.self.Address, a}] {
+			w.execute(p, p.state.Step(w.now, RosterLearned{Roster: r}))
 		}
 	}
 }
 
 // checkWrite holds the rules that each roster write keeps.
-func (w *world) checkWrite(before, after garnetworks.Roster) {
+func (w *simulation) checkWrite(before, after garnetworks.Roster) {
 	if after.Version <= before.Version {
 		w.t.Fatalf("roster version went from %d to %d", before.Version, after.Version)
 	}
@@ -189,10 +189,10 @@
 	}
 }
 
-// living are the processes that run and were not superseded.
-func (w *world) living(zone garnetworks.ZoneID) []garnetworks.NodeInfo {
+// liveNodes are the processes that run and were not superseded.
+func (w *simulation) liveNodes(zone garnetworks.ZoneID) []garnetworks.NodeInfo {
 	var nodes []garnetworks.NodeInfo
-	for _, p := range w.at {
+	for _, p := range w.processes {
 		if n := p.state.Self(); n.Zone == zone && !p.superseded && !p.paused && !p.state.leaving {
 			nodes = append(nodes, n)
 		}
@@ -201,16 +201,16 @@
 	return nodes
 }
 
-// settled reports whether each zone's roster lists just the living nodes, and
+// checkConverged reports whether each zone's roster lists just the living nodes, and
 // each of them knows it.
-func (w *world) settled(zones int) error {
+func (w *simulation) checkConverged(zones int) error {
 	for z := range zones {
 		zone := zoneOf(z, zones)
-		want := w.living(zone)
+		want := w.liveNodes(zone)
 		if got := w.stored[zone].Nodes; !slices.Equal(got, want) {
 			return garnetworks.Errorf(garnetworks.KindInternal, "%s lists %v, want %v", zone, names(got), names(want))
 		}
-		for _, p := range w.at {
+		for _, p := range w.processes {
 			if p.superseded || p.paused {
 				continue
 			}
@@ -231,7 +231,7 @@
 	return all
 }
 
-func (w *world) count(kind garnetworks.EventKind) int {
+func (w *simulation) count(kind garnetworks.EventKind) int {
 	n := 0
 	for _, e := range w.events {
 		if e.Kind == kind {
--- a/tracker/state.go
+++ b/tracker/state.go
@@ -11,63 +11,63 @@
 
 // Bounds of the state.
 const (
-	// unlistedFor is how long a node that is in no roster counts after it was
+	// unlistedTTL is how long a node that is in no roster counts after it was
 	// last heard.
-	unlistedFor = 10 * time.Second
-	// maxQuestions bounds the nodes that are asked about and tried at once.
-	maxQuestions = 8
-	// maxStrangers bounds the nodes of other zones that were asked about.
-	maxStrangers = 64
+	unlistedTTL = 10 * time.Second
+	// maxIndirectProbes bounds the nodes that are asked about and tried at once.
+	maxIndirectProbes = 8
+	// maxRemoteMembers bounds the nodes of other zones that were asked about.
+	maxRemoteMembers = 64
 	// maxBackoff bounds the delay after failed roster writes.
 	maxBackoff = 15 * time.Second
-	// maxFlaps bounds the growth of the time to decide on a node that comes and
+	// maxConfirmDoublings bounds the growth of the time to decide on a node that comes and
 	// goes.
-	maxFlaps = 6
-	// forgetLosses is the time after which a loss no longer counts, maxLosses the
+	maxConfirmDoublings = 6
+	// lossTTL is the time after which a loss no longer counts, maxLosses the
 	// number of nodes whose losses are counted.
-	forgetLosses = 10 * time.Minute
-	maxLosses    = 256
-	// conflictEvery is the time between two events about one address.
-	conflictEvery = time.Minute
+	lossTTL          = 10 * time.Minute
+	maxLossHistories = 256
+	// conflictEventInterval is the time between two events about one address.
+	conflictEventInterval = time.Minute
 )
 
 // member is what is known of another node.
 type member struct {
 	info garnetworks.NodeInfo
-	// heard is the last direct evidence, told the last one from others.
-	heard, told time.Time
-	// failing is the start of the run of unanswered heartbeats; zero if the last
+	// heardAt is the last direct evidence, reportedAt the last one from others.
+	heardAt, reportedAt time.Time
+	// failingSince is the start of the run of unanswered heartbeats; zero if the last
 	// one was answered.
-	failing time.Time
-	// asked is when another node last asked about it.
-	asked time.Time
-	// tried is when it was last tried because of that.
-	tried time.Time
-	// suspected is since when this node suspects it; zero if it does not.
-	suspected time.Time
-	// denied says that an asked node had not heard it either.
-	denied bool
+	failingSince time.Time
+	// askedAt is when another node last askedAt about it.
+	askedAt time.Time
+	// probedAt is when it was last probedAt because of that.
+	probedAt time.Time
+	// suspectedSince is since when this node suspects it; zero if it does not.
+	suspectedSince time.Time
+	// lossConfirmed says that an asked node had not heard it either.
+	lossConfirmed bool
 	// displaced says that another node answers at its address.
 	displaced bool
 	lost      bool
-	// left is when it said goodbye; zero if it did not.
-	left time.Time
+	// leftAt is when it said goodbye; zero if it did not.
+	leftAt time.Time
 }
 
-// losses counts how often a node was lost of late.
-type losses struct {
+// lossHistory counts how often a node was lost of late.
+type lossHistory struct {
 	count int
 	last  time.Time
 }
 
-func (m *member) evidence() time.Time {
-	if m.told.After(m.heard) {
-		return m.told
+func (m *member) lastEvidence() time.Time {
+	if m.reportedAt.After(m.heardAt) {
+		return m.reportedAt
 	}
-	return m.heard
+	return m.heardAt
 }
 
-func (m *member) gone() bool { return m.lost || !m.left.IsZero() }
+func (m *member) gone() bool { return m.lost || !m.leftAt.IsZero() }
 
 // State is the pure core of the tracker: it takes observations and the time,
 // and returns decisions. It is not safe for concurrent use.
@@ -78,28 +78,28 @@
 	rosters map[garnetworks.ZoneID]garnetworks.Roster
 	// members are the other nodes of the own zone.
 	members map[garnetworks.NodeID]*member
-	// strangers are nodes of other zones that were asked about.
-	strangers map[garnetworks.NodeID]*member
+	// remoteMembers are nodes of other zones that were asked about.
+	remoteMembers map[garnetworks.NodeID]*member
 	// accepted says that peers know this incarnation of this node (rule T5).
 	accepted   bool
 	superseded bool
 	leaving    bool
-	// read says that the object API was read, or that a peer has answered.
-	read bool
-
-	nextBeat, nextFar, nextReread time.Time
-	// beats counts heartbeat rounds, farBeats those to other zones.
-	beats, farBeats uint64
-	// unlisted is since when this node is not listed as it is; zero if it is.
-	unlisted time.Time
-	// pending is since when a change of the roster is wanted; zero if none is.
-	pending time.Time
-	writing bool
+	// synced says that the object API was synced, or that a peer has answered.
+	synced bool
+
+	nextRound, nextRemote, nextReread time.Time
+	// rounds counts heartbeat rounds, remoteRounds those to other zones.
+	rounds, remoteRounds uint64
+	// unlistedSince is since when this node is not listed as it is; zero if it is.
+	unlistedSince time.Time
+	// pendingSince is since when a change of the roster is wanted; zero if none is.
+	pendingSince time.Time
+	writing      bool
 	// backoff and nextWrite delay writes after failures.
 	backoff   time.Duration
 	nextWrite time.Time
-	// lost counts losses by node.
-	lost map[garnetworks.NodeID]losses
+	// losses counts losses by node.
+	losses map[garnetworks.NodeID]lossHistory
 	// conflicts holds when an event about an address was last given.
 	conflicts map[string]time.Time
 }
@@ -107,19 +107,19 @@
 // NewState returns the state of a node that has just started.
 func NewState(self garnetworks.NodeInfo, seeds []string, now time.Time) *State {
 	// Nodes that start together would otherwise beat and reread together.
-	phase := time.Duration(ringHash(self.ID) % uint64(HeartbeatEvery))
+	phase := time.Duration(ringHash(self.ID) % uint64(HeartbeatInterval))
 	s := &State{
-		self:       self,
-		seeds:      seeds,
-		rosters:    map[garnetworks.ZoneID]garnetworks.Roster{},
-		members:    map[garnetworks.NodeID]*member{},
-		strangers:  map[garnetworks.NodeID]*member{},
-		nextBeat:   now.Add(phase / 4),
-		nextFar:    now.Add(phase),
-		nextReread: now.Add(RereadEvery),
-		unlisted:   now,
-		lost:       map[garnetworks.NodeID]losses{},
-		conflicts:  map[string]time.Time{},
+		self:          self,
+		seeds:         seeds,
+		rosters:       map[garnetworks.ZoneID]garnetworks.Roster{},
+		members:       map[garnetworks.NodeID]*member{},
+		remoteMembers: map[garnetworks.NodeID]*member{},
+		nextRound:     now.Add(phase / 4),
+		nextRemote:    now.Add(phase),
+		nextReread:    now.Add(RereadInterval),
+		unlistedSince: now,
+		losses:        map[garnetworks.NodeID]lossHistory{},
+		conflicts:     map[string]time.Time{},
 	}
 	return s
 }
@@ -137,19 +137,19 @@
 	case Ticked:
 		s.tick(now, &d)
 	case Answered:
-		s.answered(now, o, &d)
+		s.handleAnswered(now, o, &d)
 	case Unanswered:
-		s.unanswered(now, o, &d)
+		s.handleUnanswered(now, o, &d)
 	case RosterLearned:
-		s.learnRoster(now, o.Roster, &d)
+		s.applyRoster(now, o.Roster, &d)
 	case RostersRead:
-		s.read = true
-	case Written:
-		s.written(now, o, &d)
+		s.synced = true
+	case RosterWritten:
+		s.handleWritten(now, o, &d)
 	case ReadySet:
 		d.Changed = s.self.Ready != o.Ready
 		s.self.Ready = o.Ready
-		s.noteListing(now)
+		s.updateListing(now)
 	case Leave:
 		s.leave(now, &d)
 	}
@@ -158,26 +158,26 @@
 
 func (s *State) tick(now time.Time, d *Decisions) {
 	s.prune(now, d)
-	s.judge(now, d)
+	s.detectFailures(now, d)
 	if !s.leaving {
-		s.beat(now, d)
-		s.inquire(now, d)
+		s.sendHeartbeats(now, d)
+		s.sendIndirectProbes(now, d)
 		s.reread(now, d)
 	}
-	s.considerWrite(now, d)
+	s.decideWrite(now, d)
 }
 
 // prune forgets nodes that no roster lists and that were not heard for long.
 func (s *State) prune(now time.Time, d *Decisions) {
 	for id, m := range s.members {
-		if _, listed := s.listed(id); !listed && now.Sub(m.evidence()) > unlistedFor {
+		if _, listed := s.listed(id); !listed && now.Sub(m.lastEvidence()) > unlistedTTL {
 			delete(s.members, id)
 			d.Changed = true
 		}
 	}
-	for id, m := range s.strangers {
-		if now.Sub(m.asked) > unlistedFor {
-			delete(s.strangers, id)
+	for id, m := range s.remoteMembers {
+		if now.Sub(m.askedAt) > unlistedTTL {
+			delete(s.remoteMembers, id)
 		}
 	}
 }
@@ -198,15 +198,15 @@
 	for _, address := range slices.Sorted(maps.Keys(targets)) {
 		d.Probes = append(d.Probes, Probe{Node: targets[address], From: s.self, Leaving: true})
 	}
-	s.noteListing(now)
+	s.updateListing(now)
 }
 
 // View returns what is known now.
 func (s *State) View() *View {
-	v := &View{Self: s.self, Rosters: maps.Clone(s.rosters), Listed: s.unlisted.IsZero()}
+	v := &View{Self: s.self, Rosters: maps.Clone(s.rosters), Listed: s.unlistedSince.IsZero()}
 	for _, id := range slices.Sorted(maps.Keys(s.members)) {
 		m := s.members[id]
-		if !m.suspected.IsZero() {
+		if !m.suspectedSince.IsZero() {
 			v.Suspected = append(v.Suspected, id)
 		}
 		if !m.gone() {
--- a/tracker/state_test.go
+++ b/tracker/state_test.go
@@ -26,13 +26,13 @@
 }
 
 // site starts nodes in zones and lets them find each other.
-func site(t failer, nodes, zones int) *world {
-	w := newWorld(t)
+func startSite(t testReporter, nodes, zones int) *simulation {
+	w := newSimulation(t)
 	for i := range nodes {
 		w.start(i, zones)
 	}
 	w.run(20 * time.Second)
-	if err := w.settled(zones); err != nil {
+	if err := w.checkConverged(zones); err != nil {
 		t.Fatalf("after the start: %v", err)
 	}
 	w.events, w.writes, w.probes = nil, 0, 0
@@ -53,47 +53,47 @@
 		return all
 	}
 	tests := map[string]struct {
-		story string
-		fault func(w *world)
+		scenario string
+		fault    func(w *simulation)
 		// check looks at the world after a minute; what it changes is healed
 		// before the site must settle.
-		check func(t *testing.T, w *world)
-		heal  func(w *world)
+		check func(t *testing.T, w *simulation)
+		heal  func(w *simulation)
 	}{
 		"crash": {
-			story: "A node's process dies. Updates would go to it first, again and again.",
-			fault: func(w *world) { delete(w.at, address(3)) },
-			check: func(t *testing.T, w *world) { wantNodes(t, w, "zone-0", 1) },
+			scenario: "A node's process dies. Updates would go to it first, again and again.",
+			fault:    func(w *simulation) { delete(w.processes, address(3)) },
+			check:    func(t *testing.T, w *simulation) { wantNodes(t, w, "zone-0", 1) },
 		},
 		"instance replaced at the same address": {
-			story: "An instance is replaced; the new node has another name and got the old address.",
-			fault: func(w *world) {
+			scenario: "An instance is replaced; the new node has another name and got the old address.",
+			fault: func(w *simulation) {
 				w.startAs(garnetworks.NodeInfo{ID: "entry-new", Incarnation: 99, Address: address(3), Zone: "zone-0", Ready: true})
 				w.run(5 * time.Second)
 				wantNodes(w.t, w, "zone-0", 2)
 			},
-			check: func(t *testing.T, w *world) {
-				if _, ok := w.at[address(0)].state.listed("entry-new"); !ok {
+			check: func(t *testing.T, w *simulation) {
+				if _, ok := w.processes[address(0)].state.listed("entry-new"); !ok {
 					t.Error("the new node is not listed")
 				}
 			},
 		},
 		"process restarted": {
-			story: "A node's process restarts within a second, before anybody noticed.",
-			fault: func(w *world) { w.start(3, zones) },
-			check: func(t *testing.T, w *world) { wantNodes(t, w, "zone-0", 2) },
+			scenario: "A node's process restarts within a second, before anybody noticed.",
+			fault:    func(w *simulation) { w.start(3, zones) },
+			check:    func(t *testing.T, w *simulation) { wantNodes(t, w, "zone-0", 2) },
 		},
 		"process restarted with a clock that is behind": {
-			story: "A node is restarted on an instance whose clock is hours behind. Its incarnation would be refused for hours.",
-			fault: func(w *world) {
+			scenario: "A node is restarted on an instance whose clock is hours behind. Its incarnation would be refused for hours.",
+			fault: func(w *simulation) {
 				w.startAs(garnetworks.NodeInfo{ID: "entry-003", Incarnation: 1, Address: address(3), Zone: "zone-0", Ready: true})
 			},
-			check: func(t *testing.T, w *world) { wantNodes(t, w, "zone-0", 2) },
+			check: func(t *testing.T, w *simulation) { wantNodes(t, w, "zone-0", 2) },
 		},
 		"old process returns after its replacement": {
-			story: "A paused process is replaced by one of its own name at another address, and then runs on as if nothing had happened.",
-			fault: func(w *world) {
-				old := w.at[address(3)]
+			scenario: "A paused process is replaced by one of its own name at another address, and then runs on as if nothing had happened.",
+			fault: func(w *simulation) {
+				old := w.processes[address(3)]
 				old.paused = true
 				w.run(20 * time.Second)
 				n := old.state.Self()
@@ -102,20 +102,20 @@
 				w.run(20 * time.Second)
 				old.paused = false
 			},
-			check: func(t *testing.T, w *world) {
-				if !w.at[address(3)].superseded {
+			check: func(t *testing.T, w *simulation) {
+				if !w.processes[address(3)].superseded {
 					t.Error("the old process was not told that it was replaced")
 				}
-				if n, _ := w.at[address(0)].state.listed("entry-003"); n.Incarnation != 99 {
+				if n, _ := w.processes[address(0)].state.listed("entry-003"); n.Incarnation != 99 {
 					t.Errorf("incarnation %d is listed, want 99", n.Incarnation)
 				}
 			},
 		},
 		"old process returns during an outage": {
-			story: "As before, but the object API is down, so that no roster tells of the new process; only heartbeats do.",
-			fault: func(w *world) {
-				w.down = true
-				old := w.at[address(3)]
+			scenario: "As before, but the object API is down, so that no roster tells of the new process; only heartbeats do.",
+			fault: func(w *simulation) {
+				w.apiDown = true
+				old := w.processes[address(3)]
 				old.paused = true
 				n := old.state.Self()
 				n.Incarnation, n.Address = 99, "10.0.1.3:7000"
@@ -123,101 +123,101 @@
 				w.run(20 * time.Second)
 				old.paused = false
 			},
-			check: func(t *testing.T, w *world) {
-				if !w.at[address(3)].superseded {
+			check: func(t *testing.T, w *simulation) {
+				if !w.processes[address(3)].superseded {
 					t.Error("the old process was not told that it was replaced")
 				}
-				if got := w.at[address(0)].state.members["entry-003"].info.Incarnation; got != 99 {
+				if got := w.processes[address(0)].state.members["entry-003"].info.Incarnation; got != 99 {
 					t.Errorf("incarnation %d counts at the neighbour, want 99", got)
 				}
 			},
-			heal: func(w *world) { w.down = false },
+			heal: func(w *simulation) { w.apiDown = false },
 		},
 		"two nodes claim one address": {
-			story: "A copied setting gives a new node the address of a living one, which goes on answering there.",
-			fault: func(w *world) {
+			scenario: "A copied setting gives a new node the address of a living one, which goes on answering there.",
+			fault: func(w *simulation) {
 				n := garnetworks.NodeInfo{ID: "entry-copy", Incarnation: 99, Address: address(3), Zone: "zone-0", Ready: true}
 				claimant := &process{state: NewState(n, nil, w.now)}
-				claimant.state.read = true
-				w.at["claimant"] = claimant
+				claimant.state.synced = true
+				w.processes["claimant"] = claimant
 			},
-			check: func(t *testing.T, w *world) {
+			check: func(t *testing.T, w *simulation) {
 				wantNodes(t, w, "zone-0", 2)
-				if _, ok := w.at[address(0)].state.listed("entry-003"); !ok {
+				if _, ok := w.processes[address(0)].state.listed("entry-003"); !ok {
 					t.Error("the node that answers at the address was taken out")
 				}
 				if w.count(garnetworks.EventAddressConflict) == 0 {
 					t.Error("nobody reported the conflict")
 				}
 			},
-			heal: func(w *world) { delete(w.at, "claimant") },
+			heal: func(w *simulation) { delete(w.processes, "claimant") },
 		},
 		"half-open partition": {
-			story: "Nobody can call node 3, but its own calls get through. It serves callers; taking it out would be wrong.",
-			fault: func(w *world) { w.cutBetween(everyone(3), []string{address(3)}, true) },
-			check: func(t *testing.T, w *world) { wantNodes(t, w, "zone-0", 2) },
-			heal:  func(w *world) { clear(w.cut) },
+			scenario: "Nobody can call node 3, but its own calls get through. It serves callers; taking it out would be wrong.",
+			fault:    func(w *simulation) { w.cutBetween(everyone(3), []string{address(3)}, true) },
+			check:    func(t *testing.T, w *simulation) { wantNodes(t, w, "zone-0", 2) },
+			heal:     func(w *simulation) { clear(w.cut) },
 		},
 		"only the neighbour is cut off": {
-			story: "The one neighbour of a node can't reach it, both ways; all others can.",
-			fault: func(w *world) {
+			scenario: "The one neighbour of a node can't reach it, both ways; all others can.",
+			fault: func(w *simulation) {
 				w.cutBetween([]string{address(0)}, []string{address(3)}, true)
 				w.cutBetween([]string{address(3)}, []string{address(0)}, true)
 			},
-			check: func(t *testing.T, w *world) { wantNodes(t, w, "zone-0", 2) },
-			heal:  func(w *world) { clear(w.cut) },
+			check: func(t *testing.T, w *simulation) { wantNodes(t, w, "zone-0", 2) },
+			heal:  func(w *simulation) { clear(w.cut) },
 		},
 		"a node is cut off from all peers but not from the object API": {
-			story: "A node's network to its peers fails. To it, all others seem lost; it must not take them out.",
-			fault: func(w *world) {
+			scenario: "A node's network to its peers fails. To it, all others seem lost; it must not take them out.",
+			fault: func(w *simulation) {
 				w.cutBetween(everyone(0), []string{address(0)}, true)
 				w.cutBetween([]string{address(0)}, everyone(0), true)
 			},
-			check: func(t *testing.T, w *world) {
+			check: func(t *testing.T, w *simulation) {
 				if w.removed["entry-003"] > 0 {
 					t.Error("the cut-off node took out a living one")
 				}
 			},
-			heal: func(w *world) { clear(w.cut) },
+			heal: func(w *simulation) { clear(w.cut) },
 		},
 		"zone cut off": {
-			story: "A zone is cut off from the others and from the object API, and goes on with the last known rosters.",
-			fault: func(w *world) {
+			scenario: "A zone is cut off from the others and from the object API, and goes on with the last known rosters.",
+			fault: func(w *simulation) {
 				zone := []string{address(0), address(3)}
 				w.cutBetween(zone, everyone(0, 3), true)
 				w.cutBetween(everyone(0, 3), zone, true)
-				w.down = true
+				w.apiDown = true
 			},
-			check: func(t *testing.T, w *world) {
-				if got := len(w.at[address(0)].state.View().Peers); got != nodes-1 {
+			check: func(t *testing.T, w *simulation) {
+				if got := len(w.processes[address(0)].state.View().Peers); got != nodes-1 {
 					t.Errorf("a node of the zone knows %d peers, want %d", got, nodes-1)
 				}
 				wantNodes(t, w, "zone-0", 2)
 			},
-			heal: func(w *world) { clear(w.cut); w.down = false },
+			heal: func(w *simulation) { clear(w.cut); w.apiDown = false },
 		},
 		"start during an outage": {
-			story: "The object API is down while an instance is replaced. The new node must find its peers by its seeds and be served.",
-			fault: func(w *world) {
-				w.down = true
-				delete(w.at, address(3))
+			scenario: "The object API is down while an instance is replaced. The new node must find its peers by its seeds and be served.",
+			fault: func(w *simulation) {
+				w.apiDown = true
+				delete(w.processes, address(3))
 				w.startAs(garnetworks.NodeInfo{ID: "entry-new", Incarnation: 99, Address: address(9), Zone: "zone-0", Ready: true})
 			},
-			check: func(t *testing.T, w *world) {
-				if got := len(w.at[address(9)].state.View().Peers); got < nodes-1 {
+			check: func(t *testing.T, w *simulation) {
+				if got := len(w.processes[address(9)].state.View().Peers); got < nodes-1 {
 					t.Errorf("the new node knows %d peers", got)
 				}
-				known := slices.ContainsFunc(w.at[address(0)].state.View().Ready, func(n garnetworks.NodeInfo) bool { return n.ID == "entry-new" })
+				known := slices.ContainsFunc(w.processes[address(0)].state.View().Ready, func(n garnetworks.NodeInfo) bool { return n.ID == "entry-new" })
 				if !known {
 					t.Error("its neighbour does not know the new node")
 				}
 			},
-			heal: func(w *world) { w.down = false },
+			heal: func(w *simulation) { w.apiDown = false },
 		},
 		"answer of a roster write lost": {
-			story: "A write takes effect but its answer is lost. The writer must neither undo it nor write it again and again.",
-			fault: func(w *world) { w.loseAnswer = true; delete(w.at, address(3)) },
-			check: func(t *testing.T, w *world) {
+			scenario: "A write takes effect but its answer is lost. The writer must neither undo it nor write it again and again.",
+			fault:    func(w *simulation) { w.loseResponse = true; delete(w.processes, address(3)) },
+			check: func(t *testing.T, w *simulation) {
 				wantNodes(t, w, "zone-0", 1)
 				if w.writes != 1 {
 					t.Errorf("%d writes, want 1", w.writes)
@@ -225,14 +225,14 @@
 			},
 		},
 		"planned stop": {
-			story: "A node stops as planned; its place must be free at once, without suspicion.",
-			fault: func(w *world) {
-				p := w.at[address(3)]
-				w.carryOut(p, p.state.Step(w.now, Leave{}))
-				delete(w.at, address(3))
+			scenario: "A node stops as planned; its place must be free at once, without suspicion.",
+			fault: func(w *simulation) {
+				p := w.processes[address(3)]
+				w.execute(p, p.state.Step(w.now, Leave{}))
+				delete(w.processes, address(3))
 				w.run(2 * time.Second)
 			},
-			check: func(t *testing.T, w *world) {
+			check: func(t *testing.T, w *simulation) {
 				wantNodes(t, w, "zone-0", 1)
 				if w.count(garnetworks.EventNodeSuspected) != 0 {
 					t.Error("a node that said goodbye was suspected")
@@ -242,7 +242,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			w := site(t, nodes, zones)
+			w := startSite(t, nodes, zones)
 			test.fault(w)
 			w.run(time.Minute)
 			test.check(t, w)
@@ -250,40 +250,40 @@
 				test.heal(w)
 			}
 			w.run(time.Minute)
-			if err := w.settled(zones); err != nil {
+			if err := w.checkConverged(zones); err != nil {
 				t.Errorf("after healing: %v", err)
 			}
 		})
 	}
 }
 
-func wantNodes(t failer, w *world, zone garnetworks.ZoneID, want int) {
+func wantNodes(t testReporter, w *simulation, zone garnetworks.ZoneID, want int) {
 	t.Helper()
 	if got := w.stored[zone].Nodes; len(got) != want {
 		t.Fatalf("%s lists %v, want %d nodes", zone, names(got), want)
 	}
 }
 
-// TestUnreachableWritersKeepNobodyOut: A new node of a larger zone can't reach
+// TestJoinWithUnreachableWriters: A new node of a larger zone can't reach
 // the nodes that write the roster, but others and the object API. It would
 // serve callers for good without anybody counting it.
-func TestUnreachableWritersKeepNobodyOut(t *testing.T) {
-	w := site(t, 6, 1)
+func TestJoinWithUnreachableWriters(t *testing.T) {
+	w := startSite(t, 6, 1)
 	writers := []string{address(0), address(1), address(2)}
 	w.cutBetween([]string{address(7)}, writers, true)
 	w.cutBetween(writers, []string{address(7)}, true)
 	w.start(7, 1)
 	w.run(20 * time.Second)
-	if err := w.settled(1); err != nil {
+	if err := w.checkConverged(1); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestFlappingNodeCostsFewWrites: A node at the edge of reach is cut off and
+// TestFlappingNodeCausesFewWrites: A node at the edge of reach is cut off and
 // heard again every quarter of a minute. Each time would cost two writes of the
 // roster, and an update to all nodes.
-func TestFlappingNodeCostsFewWrites(t *testing.T) {
-	w := site(t, 6, 1)
+func TestFlappingNodeCausesFewWrites(t *testing.T) {
+	w := startSite(t, 6, 1)
 	others := []string{address(0), address(1), address(2), address(3), address(4)}
 	for i := range 40 {
 		w.cutBetween([]string{address(5)}, others, i%2 == 0)
@@ -293,7 +293,7 @@
 	if w.writes > 8 {
 		t.Errorf("%d roster writes for 20 short absences, want 8 at most", w.writes)
 	}
-	if err := w.settled(1); err != nil {
+	if err := w.checkConverged(1); err != nil {
 		t.Error(err)
 	}
 }
@@ -316,7 +316,7 @@
 		"removal":                    {Patch{Remove: []Removal{{ID: "a", Incarnation: 5}}}, []string{"c#5"}, 5},
 		"removal of old incarnation": {Patch{Remove: []Removal{{ID: "a", Incarnation: 4}}}, []string{"a#5", "c#5"}, 4},
 		"removal of unknown":         {Patch{Remove: []Removal{{ID: "b", Incarnation: 4}}}, []string{"a#5", "c#5"}, 4},
-		"above a deleted object":     {Patch{Remove: []Removal{{ID: "a", Incarnation: 9}}, Above: 70}, []string{"c#5"}, 71},
+		"above a deleted object":     {Patch{Remove: []Removal{{ID: "a", Incarnation: 9}}, KnownVersion: 70}, []string{"c#5"}, 71},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -339,82 +339,82 @@
 func TestStateMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const nodes, zones = 9, 2
-		w := newWorld(t)
+		w := newSimulation(t)
 		for i := range nodes {
 			w.start(i, zones)
 		}
 		w.run(15 * time.Second)
 		// touched are nodes that some fault has concerned.
-		touched := garnetworks.NewSet[string]()
+		affected := garnetworks.NewSet[string]()
 		restarted := garnetworks.NewSet[string]()
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			i := rapid.IntRange(0, nodes-1).Draw(t, "node")
 			a := address(i)
 			switch rapid.SampledFrom([]string{"crash", "restart", "pause", "resume", "cut", "isolate", "heal", "outage", "back", "lose", "leave", "wait"}).Draw(t, "action") {
 			case "crash":
-				delete(w.at, a)
-				touched.Add(a)
+				delete(w.processes, a)
+				affected.Add(a)
 			case "restart":
 				w.start(i, zones)
-				touched.Add(a)
+				affected.Add(a)
 				restarted.Add(a)
 			case "pause", "resume":
-				if p, ok := w.at[a]; ok {
+				if p, ok := w.processes[a]; ok {
 					p.paused = !p.paused
-					touched.Add(a)
+					affected.Add(a)
 				}
 			case "isolate":
 				for j := range nodes {
 					w.cutBetween([]string{a}, []string{address(j)}, true)
 					w.cutBetween([]string{address(j)}, []string{a}, true)
 				}
-				touched.Add(a)
+				affected.Add(a)
 			case "cut":
 				b := address(rapid.IntRange(0, nodes-1).Draw(t, "other"))
 				w.cutBetween([]string{a}, []string{b}, true)
 				if rapid.Bool().Draw(t, "both ways") {
 					w.cutBetween([]string{b}, []string{a}, true)
 				}
-				touched.Add(a)
-				touched.Add(b)
+				affected.Add(a)
+				affected.Add(b)
 			case "heal":
 				clear(w.cut)
 			case "outage":
-				w.down = true
+				w.apiDown = true
 			case "back":
-				w.down = false
+				w.apiDown = false
 			case "lose":
-				w.loseAnswer = true
+				w.loseResponse = true
 			case "leave":
-				if p, ok := w.at[a]; ok && !p.paused {
-					w.carryOut(p, p.state.Step(w.now, Leave{}))
-					delete(w.at, a)
-					touched.Add(a)
+				if p, ok := w.processes[a]; ok && !p.paused {
+					w.execute(p, p.state.Step(w.now, Leave{}))
+					delete(w.processes, a)
+					affected.Add(a)
 				}
 			case "wait":
 			}
 			w.run(time.Duration(rapid.IntRange(0, 20_000).Draw(t, "ms")) * time.Millisecond)
-			checkUntouched(t, w, touched)
+			checkUnaffected(t, w, affected)
 		}
 		clear(w.cut)
-		w.down, w.loseAnswer = false, false
-		for a, p := range w.at {
+		w.apiDown, w.loseResponse = false, false
+		for a, p := range w.processes {
 			p.paused = false
 			if p.superseded && !restarted.Has(a) {
 				t.Fatalf("%s was superseded though nobody took its name", a)
 			}
 		}
 		w.run(3 * time.Minute)
-		if err := w.settled(zones); err != nil {
+		if err := w.checkConverged(zones); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-func checkUntouched(t *rapid.T, w *world, touched garnetworks.Set[string]) {
-	for a, p := range w.at {
+func checkUnaffected(t *rapid.T, w *simulation, affected garnetworks.Set[string]) {
+	for a, p := range w.processes {
 		n := p.state.Self()
-		if touched.Has(a) {
+		if affected.Has(a) {
 			continue
 		}
 		if w.removed[n.ID] > 0 || !slices.Contains(w.stored[n.Zone].Nodes, n) {
--- a/tracker/store.go
+++ b/tracker/store.go
@@ -10,13 +10,13 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// maxConflicts bounds the tries of one roster write against other writers.
-const maxConflicts = 3
+// maxWriteAttempts bounds the tries of one roster write against other writers.
+const maxWriteAttempts = 3
 
-// learnRosters reads all rosters once, and tries until that has worked.
-func (t *Tracker) learnRosters(ctx context.Context) {
-	for delay := time.Second; ; delay = min(2*delay, RereadEvery) {
-		err := t.list(ctx)
+// loadRosters reads all rosters once, and tries until that has worked.
+func (t *Tracker) loadRosters(ctx context.Context) {
+	for delay := time.Second; ; delay = min(2*delay, RereadInterval) {
+		err := t.listRosters(ctx)
 		if err == nil || ctx.Err() != nil {
 			return
 		}
@@ -29,8 +29,8 @@
 	}
 }
 
-func (t *Tracker) list(ctx context.Context) error {
-	bounded, cancel := context.WithTimeout(ctx, StoreBound)
+func (t *Tracker) listRosters(ctx context.Context) error {
+	bounded, cancel := context.WithTimeout(ctx, StoreTimeout)
 	defer cancel()
 	t.reads.Add(1)
 	objects, _, err := t.options.Objects.List(bounded, RosterPrefix)
@@ -43,36 +43,36 @@
 			t.options.Log(err)
 			continue
 		}
-		t.learn(ctx, roster)
+		t.handleReadRoster(ctx, roster)
 	}
 	t.step(ctx, RostersRead{})
 	return nil
 }
 
-// learn takes a roster that was read. If it is newer than a known one, its
+// handleReadRoster takes a roster that was read. If it is newer than a known one, its
 // writer may have died before it could spread it; this node does so in its
 // place. One of a zone that was not known is only held for peers that ask:
 // when a whole site starts, each node reads all rosters at once, and would send
 // each of them to all others.
-func (t *Tracker) learn(ctx context.Context, roster garnetworks.Roster) {
+func (t *Tracker) handleReadRoster(ctx context.Context, roster garnetworks.Roster) {
 	known, ok := t.Roster(roster.Zone)
 	t.step(ctx, RosterLearned{Roster: roster})
 	switch {
 	case !ok:
-		t.hand(roster, t.options.Hold)
+		t.distribute(roster, t.options.Hold)
 	case known.Version < roster.Version:
-		t.hand(roster, t.options.Publish)
+		t.distribute(roster, t.options.Publish)
 	}
 }
 
-// hand gives a roster to the distribution.
-func (t *Tracker) hand(roster garnetworks.Roster, take func(garnetworks.Update) error) {
+// distribute gives a roster to the distribution.
+func (t *Tracker) distribute(roster garnetworks.Roster, send func(garnetworks.Update) error) {
 	body, err := json.Marshal(roster)
 	if err != nil {
 		t.options.Log(errors.Wrap(err, "can't encode a roster"))
 		return
 	}
-	err = take(garnetworks.Update{
+	err = send(garnetworks.Update{
 		Topic:   garnetworks.TopicRoster + garnetworks.Topic(roster.Zone),
 		Version: garnetworks.UpdateVersion{Sequence: roster.Version},
 		Body:    body,
@@ -83,9 +83,9 @@
 	}
 }
 
-// read returns the zone's roster, an empty one if there is none.
-func (t *Tracker) read(ctx context.Context, zone garnetworks.ZoneID) (garnetworks.Roster, garnetworks.Revision, error) {
-	ctx, cancel := context.WithTimeout(ctx, StoreBound)
+// readRoster returns the zone's roster, an empty one if there is none.
+func (t *Tracker) readRoster(ctx context.Context, zone garnetworks.ZoneID) (garnetworks.Roster, garnetworks.Revision, error) {
+	ctx, cancel := context.WithTimeout(ctx, StoreTimeout)
 	defer cancel()
 	t.reads.Add(1)
 	object, err := t.options.Objects.Get(ctx, RosterPrefix+string(zone))
@@ -107,23 +107,23 @@
 	return roster, nil
 }
 
-// write applies the patch to the roster in the object API, and tells the state
+// writeRoster applies the patch to the roster in the object API, and tells the state
 // how it went.
-func (t *Tracker) write(ctx context.Context, patch Patch) {
-	roster, err := t.store(ctx, patch)
-	t.step(ctx, Written{Patch: patch, Roster: roster, Err: err})
+func (t *Tracker) writeRoster(ctx context.Context, patch Patch) {
+	roster, err := t.storePatch(ctx, patch)
+	t.step(ctx, RosterWritten{Patch: patch, Roster: roster, Err: err})
 	if err != nil {
 		t.options.Log(err)
 		return
 	}
-	t.hand(roster, t.options.Publish)
+	t.distribute(roster, t.options.Publish)
 }
 
-func (t *Tracker) store(ctx context.Context, patch Patch) (garnetworks.Roster, error) {
+func (t *Tracker) storePatch(ctx context.Context, patch Patch) (garnetworks.Roster, error) {
 	var err error
-	for range maxConflicts {
+	for range maxWriteAttempts {
 		var roster garnetworks.Roster
-		roster, err = t.storeOnce(ctx, patch)
+		roster, err = t.storePatchOnce(ctx, patch)
 		if !garnetworks.IsKind(err, garnetworks.KindConflict) {
 			return roster, err
 		}
@@ -131,8 +131,8 @@
 	return garnetworks.Roster{}, err
 }
 
-func (t *Tracker) storeOnce(ctx context.Context, patch Patch) (garnetworks.Roster, error) {
-	current, revision, err := t.read(ctx, patch.Zone)
+func (t *Tracker) storePatchOnce(ctx context.Context, patch Patch) (garnetworks.Roster, error) {
+	current, revision, err := t.readRoster(ctx, patch.Zone)
 	if err != nil {
 		return current, err
 	}
@@ -153,7 +153,7 @@
 }
 
 func (t *Tracker) put(ctx context.Context, key string, body []byte, after garnetworks.Revision) error {
-	ctx, cancel := context.WithTimeout(ctx, StoreBound)
+	ctx, cancel := context.WithTimeout(ctx, StoreTimeout)
 	defer cancel()
 	t.writes.Add(1)
 	_, err := t.options.Objects.Put(ctx, key, body, after)
@@ -163,13 +163,13 @@
 // readBack finds out whether a write whose answer was lost took effect (rule
 // G11). Without it, a node that was listed would be reported as not listed, and
 // the next writer would build on a guess.
-func (t *Tracker) readBack(ctx context.Context, written garnetworks.Roster, lost error) error {
-	current, _, err := t.read(ctx, written.Zone)
+func (t *Tracker) readBack(ctx context.Context, written garnetworks.Roster, cause error) error {
+	current, _, err := t.readRoster(ctx, written.Zone)
 	if err != nil {
-		return lost
+		return cause
 	}
 	if current.WriteID == written.WriteID {
 		return nil
 	}
-	return garnetworks.WrapError(garnetworks.KindConflict, lost, "the roster was not written")
+	return garnetworks.WrapError(garnetworks.KindConflict, cause, "the roster was not written")
 }
--- a/tracker/store_test.go
+++ b/tracker/store_test.go
@@ -10,17 +10,17 @@
 	"github.com/garnetworks/garnetworks/faker"
 )
 
-// racedObjects lets another writer in before the first writes.
-type racedObjects struct {
+// contendedObjects lets another writer in before the first writes.
+type contendedObjects struct {
 	garnetworks.ObjectAPI
-	races int
-	rival func()
+	conflicts       int
+	concurrentWrite func()
 }
 
-func (o *racedObjects) Put(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
-	if o.races > 0 {
-		o.races--
-		o.rival()
+func (o *contendedObjects) Put(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
+	if o.conflicts > 0 {
+		o.conflicts--
+		o.concurrentWrite()
 	}
 	return o.ObjectAPI.Put(ctx, key, value, after)
 }
@@ -34,33 +34,33 @@
 	}
 	patch := Patch{Zone: "zone-0", Set: []garnetworks.NodeInfo{node("b")}, Remove: []Removal{{ID: "c", Incarnation: 5}}}
 	tests := map[string]struct {
-		faults faker.FaultPlan
-		races  int
-		kind   garnetworks.Kind
-		nodes  []string
-		writes uint64
+		faults    faker.FaultPlan
+		conflicts int
+		kind      garnetworks.Kind
+		nodes     []string
+		writes    uint64
 	}{
 		"sound":             {nodes: []string{"a#5", "b#5"}, writes: 1},
 		"answer lost":       {faults: faker.FaultPlan{LoseAnswers: 1, Methods: []string{faker.MethodPut}}, nodes: []string{"a#5", "b#5"}, writes: 1},
-		"unavailable":       {faults: faker.FaultPlan{Unavailable: true, Methods: []string{faker.MethodPut}}, kind: garnetworks.KindConflict, nodes: []string{"a#5", "c#5"}, writes: maxConflicts},
+		"unavailable":       {faults: faker.FaultPlan{Unavailable: true, Methods: []string{faker.MethodPut}}, kind: garnetworks.KindConflict, nodes: []string{"a#5", "c#5"}, writes: maxWriteAttempts},
 		"down":              {faults: faker.FaultPlan{Unavailable: true}, kind: garnetworks.KindObjectAPIDown, nodes: []string{"a#5", "c#5"}},
-		"rival":             {races: 1, nodes: []string{"a#5", "b#5", "r#5"}, writes: 2},
-		"rivals every time": {races: maxConflicts, kind: garnetworks.KindConflict, nodes: []string{"a#5", "c#5", "r#5"}, writes: maxConflicts},
+		"rival":             {conflicts: 1, nodes: []string{"a#5", "b#5", "r#5"}, writes: 2},
+		"rivals every time": {conflicts: maxWriteAttempts, kind: garnetworks.KindConflict, nodes: []string{"a#5", "c#5", "r#5"}, writes: maxWriteAttempts},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			objects := faker.NewObjects(faker.ObjectsOptions{})
 			change := func(change func(*garnetworks.Roster)) { changeRoster(t, objects, change) }
 			change(func(r *garnetworks.Roster) { r.Nodes = []garnetworks.NodeInfo{node("a"), node("c")} })
-			raced := &racedObjects{ObjectAPI: objects, races: test.races, rival: func() {
+			contended := &contendedObjects{ObjectAPI: objects, conflicts: test.conflicts, concurrentWrite: func() {
 				change(func(r *garnetworks.Roster) {
 					r.Nodes = slices.DeleteFunc(r.Nodes, func(n garnetworks.NodeInfo) bool { return n.ID == "r" })
 					r.Nodes = append(r.Nodes, node("r"))
 				})
 			}}
-			tracker := New(Options{Self: node("a"), Objects: raced})
+			tracker := New(Options{Self: node("a"), Objects: contended})
 			objects.SetFaults(test.faults)
-			roster, err := tracker.store(t.Context(), patch)
+			roster, err := tracker.storePatch(t.Context(), patch)
 			objects.SetFaults(faker.FaultPlan{})
 			if got := garnetworks.KindOf(err); got != test.kind {
 				t.Errorf("got %v, want kind %q", err, test.kind)
@@ -86,7 +86,7 @@
 	objects := faker.NewObjects(faker.ObjectsOptions{})
 	written := changeRoster(t, objects, func(r *garnetworks.Roster) { r.Nodes = []garnetworks.NodeInfo{{ID: "a"}} })
 	var held, published []uint64
-	note := func(versions *[]uint64) func(garnetworks.Update) error {
+	record := func(versions *[]uint64) func(garnetworks.Update) error {
 		return func(u garnetworks.Update) error {
 			*versions = append(*versions, u.Version.Sequence)
 			return nil
@@ -94,15 +94,15 @@
 	}
 	tracker := New(Options{
 		Self: garnetworks.NodeInfo{ID: "z", Zone: "zone-1"}, Objects: objects,
-		Publish: note(&published), Hold: note(&held),
+		Publish: record(&published), Hold: record(&held),
 	})
 	for range 2 {
-		if err := tracker.list(t.Context()); err != nil {
+		if err := tracker.listRosters(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 	}
 	newer := changeRoster(t, objects, func(*garnetworks.Roster) {})
-	if err := tracker.list(t.Context()); err != nil {
+	if err := tracker.listRosters(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	if !slices.Equal(held, []uint64{written.Version}) || !slices.Equal(published, []uint64{newer.Version}) {
--- a/tracker/tracker.go
+++ b/tracker/tracker.go
@@ -48,44 +48,44 @@
 
 // Timings of the tracker.
 const (
-	// HeartbeatEvery is the time between two heartbeats to a neighbour.
-	HeartbeatEvery = time.Second
+	// HeartbeatInterval is the time between two heartbeats to a neighbour.
+	HeartbeatInterval = time.Second
 	// Neighbours is the number of nodes of the zone that a node sends to.
 	Neighbours = 2
-	// FarEvery is the time between two heartbeats to other zones; FarEverySmall
+	// RemoteHeartbeatInterval is the time between two heartbeats to other zones; FarEverySmall
 	// in zones with too few nodes for Neighbours.
-	FarEvery      = 5 * time.Second
-	FarEverySmall = 2 * time.Second
+	RemoteHeartbeatInterval      = 5 * time.Second
+	RemoteHeartbeatIntervalSmall = 2 * time.Second
 	// SuspectAfter is the silence after which a node is suspected.
 	SuspectAfter = 3 * time.Second
-	// ConfirmBound is the time that a node which decides on a loss asks around.
-	ConfirmBound = 2 * time.Second
+	// ConfirmTimeout is the time that a node which decides on a loss asks around.
+	ConfirmTimeout = 2 * time.Second
 	// BatchDelay is the time for which the roster's writer gathers changes.
 	BatchDelay = 500 * time.Millisecond
 	// RankDelay is the time that each further candidate gives the one before.
 	RankDelay = 2 * time.Second
 	// Candidates is the number of nodes that hear of changes.
 	Candidates = 3
-	// JoinBound is the time after which an unlisted node lists itself.
-	JoinBound = 10 * time.Second
-	// RereadEvery is the time between two readings of the rosters by a zone.
-	RereadEvery = 60 * time.Second
-	// FirstReread is the time from a zone's first roster to the next reading.
-	FirstReread = 3 * time.Second
-	// ProbeBound bounds one heartbeat.
-	ProbeBound = time.Second
-	// StoreBound bounds one call to the object API.
-	StoreBound = 5 * time.Second
-	// Tick is the time between two looks at the state.
-	Tick = 250 * time.Millisecond
+	// JoinTimeout is the time after which an unlisted node lists itself.
+	JoinTimeout = 10 * time.Second
+	// RereadInterval is the time between two readings of the rosters by a zone.
+	RereadInterval = 60 * time.Second
+	// FirstRereadDelay is the time from a zone's first roster to the next reading.
+	FirstRereadDelay = 3 * time.Second
+	// ProbeTimeout bounds one heartbeat.
+	ProbeTimeout = time.Second
+	// StoreTimeout bounds one call to the object API.
+	StoreTimeout = 5 * time.Second
+	// TickInterval is the time between two looks at the state.
+	TickInterval = 250 * time.Millisecond
 )
 
 // RosterPrefix is the prefix of the rosters' keys in the object API.
 const RosterPrefix = "roster/"
 
-// Passenger rides on heartbeats: it adds to requests and answers, and takes
+// Piggybacker rides on heartbeats: it adds to requests and answers, and takes
 // what came back. The distributor is one.
-type Passenger interface {
+type Piggybacker interface {
 	FillRequest(request *garnetworks.HeartbeatRequest)
 	FillResponse(request *garnetworks.HeartbeatRequest, response *garnetworks.HeartbeatResponse)
 	// TakeResponse may wait; it runs on the heartbeat's own goroutine.
@@ -108,8 +108,8 @@
 	Publish func(garnetworks.Update) error
 	// Hold keeps a roster that was read for peers that ask; the distributor's
 	// Hold. It may be nil.
-	Hold       func(garnetworks.Update) error
-	Passengers []Passenger
+	Hold         func(garnetworks.Update) error
+	Piggybackers []Piggybacker
 	// Superseded is called once when another process took this node's name; the
 	// process should stop. It may be nil.
 	Superseded func()
@@ -126,14 +126,14 @@
 
 	view atomic.Pointer[View]
 	// busy holds a token for each heartbeat on its way.
-	busy  chan struct{}
-	group sync.WaitGroup
+	inFlight chan struct{}
+	group    sync.WaitGroup
 	// writes counts roster writes; reads counts reads of the object API.
 	writes, reads atomic.Uint64
 }
 
 // maxBusy bounds the heartbeats on their way; more are left to the next beat.
-const maxBusy = 64
+const maxInFlight = 64
 
 // New returns a tracker; Run starts its work.
 func New(options Options) *Tracker {
@@ -153,9 +153,9 @@
 		options.Superseded = func() {}
 	}
 	t := &Tracker{
-		options: options,
-		state:   NewState(options.Self, options.Seeds, time.Now()),
-		busy:    make(chan struct{}, maxBusy),
+		options:  options,
+		state:    NewState(options.Self, options.Seeds, time.Now()),
+		inFlight: make(chan struct{}, maxInFlight),
 	}
 	t.view.Store(t.state.View())
 	return t
@@ -168,8 +168,8 @@
 // Run tracks until ctx ends; it returns when all its work has ended.
 func (t *Tracker) Run(ctx context.Context) {
 	defer t.group.Wait()
-	t.group.Go(func() { t.learnRosters(ctx) })
-	ticker := time.NewTicker(Tick)
+	t.group.Go(func() { t.loadRosters(ctx) })
+	ticker := time.NewTicker(TickInterval)
 	defer ticker.Stop()
 	for {
 		t.step(ctx, Ticked{})
@@ -187,7 +187,7 @@
 	d := t.state.Step(time.Now(), o)
 	t.publishView(d)
 	t.mu.Unlock()
-	t.carryOut(ctx, d)
+	t.execute(ctx, d)
 }
 
 // publishView makes a changed view visible. The caller holds mu.
@@ -197,7 +197,7 @@
 	}
 }
 
-func (t *Tracker) carryOut(ctx context.Context, d Decisions) {
+func (t *Tracker) execute(ctx context.Context, d Decisions) {
 	for _, e := range d.Events {
 		t.options.Recorder.Record(e)
 	}
@@ -208,7 +208,7 @@
 		t.probe(ctx, p)
 	}
 	if patch, ok := d.Write.Get(); ok {
-		t.group.Go(func() { t.write(ctx, patch) })
+		t.group.Go(func() { t.writeRoster(ctx, patch) })
 	}
 	if d.Reread {
 		t.group.Go(func() { t.reread(ctx) })
@@ -217,7 +217,7 @@
 
 // reread lists the rosters again (rule T10).
 func (t *Tracker) reread(ctx context.Context) {
-	if err := t.list(ctx); err != nil {
+	if err := t.listRosters(ctx); err != nil {
 		t.options.Log(err)
 	}
 }
@@ -226,19 +226,19 @@
 // heartbeat is left out and counts as not sent.
 func (t *Tracker) probe(ctx context.Context, p Probe) {
 	select {
-	case t.busy <- struct{}{}:
+	case t.inFlight <- struct{}{}:
 	default:
 		return
 	}
 	t.group.Go(func() {
-		defer func() { <-t.busy }()
-		t.beat(ctx, p)
+		defer func() { <-t.inFlight }()
+		t.sendHeartbeat(ctx, p)
 	})
 }
 
-func (t *Tracker) beat(ctx context.Context, p Probe) {
-	request := &garnetworks.HeartbeatRequest{From: p.From, IndirectProbes: p.Ask, Leaving: p.Leaving}
-	for _, r := range t.options.Passengers {
+func (t *Tracker) sendHeartbeat(ctx context.Context, p Probe) {
+	request := &garnetworks.HeartbeatRequest{From: p.From, IndirectProbes: p.IndirectProbes, Leaving: p.Leaving}
+	for _, r := range t.options.Piggybackers {
 		r.FillRequest(request)
 	}
 	response, err := t.call(ctx, p.Node.Address, request)
@@ -248,14 +248,14 @@
 		}
 		return
 	}
-	t.step(ctx, Answered{Node: p.Node, From: response.From, Asked: len(p.Ask) > 0, Heard: response.Alive})
-	for _, r := range t.options.Passengers {
+	t.step(ctx, Answered{Node: p.Node, From: response.From, Indirect: len(p.IndirectProbes) > 0, Alive: response.Alive})
+	for _, r := range t.options.Piggybackers {
 		r.TakeResponse(ctx, p.Node.Address, response)
 	}
 }
 
 func (t *Tracker) call(ctx context.Context, address string, request *garnetworks.HeartbeatRequest) (*garnetworks.HeartbeatResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, ProbeBound)
+	ctx, cancel := context.WithTimeout(ctx, ProbeTimeout)
 	defer cancel()
 	return t.options.Peers.Heartbeat(ctx, address, request)
 }
@@ -273,8 +273,8 @@
 	if reply.Refusal != nil {
 		return nil, reply.Refusal
 	}
-	response := &garnetworks.HeartbeatResponse{From: self, Alive: reply.Heard}
-	for _, r := range t.options.Passengers {
+	response := &garnetworks.HeartbeatResponse{From: self, Alive: reply.Alive}
+	for _, r := range t.options.Piggybackers {
 		r.FillResponse(request, response)
 	}
 	return response, nil
@@ -313,7 +313,7 @@
 	var group sync.WaitGroup
 	defer group.Wait()
 	for _, p := range d.Probes {
-		group.Go(func() { t.beat(ctx, p) })
+		group.Go(func() { t.sendHeartbeat(ctx, p) })
 	}
 }
 
