--- a/tracker/beat.go
+++ b/tracker/beat.go
@@ -11,14 +11,14 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// sendHeartbeats sends this round's heartbeats (rule T1).
+// sendHeartbeats sends the heartbeats of one round if it is due (rule T1).
 func (s *State) sendHeartbeats(now time.Time, d *Decisions) {
 	if now.Before(s.nextRound) {
 		return
 	}
 	s.nextRound = s.nextRound.Add(HeartbeatInterval)
 	if s.nextRound.Before(now) {
-		// The process was paused; the rounds it missed are not made up for.
+		// The process was paused; missed rounds are skipped.
 		s.nextRound = now.Add(HeartbeatInterval)
 	}
 	s.rounds++
@@ -51,12 +51,13 @@
 	}
 }
 
+// except returns nodes without the one named id.
 func except(nodes []garnetworks.NodeInfo, id garnetworks.NodeID) []garnetworks.NodeInfo {
 	return slices.DeleteFunc(slices.Clone(nodes), func(n garnetworks.NodeInfo) bool { return n.ID == id })
 }
 
-// neighbours returns the next living nodes on the ring. Suspected ones stay
-// among them, so that their return is seen, but do not count.
+// neighbours returns the node's live successors on the ring. Suspected nodes are
+// included, so that their recovery is noticed, but don't count towards Neighbours.
 func (s *State) neighbours() []garnetworks.NodeInfo {
 	var near []garnetworks.NodeInfo
 	healthy := 0
@@ -72,7 +73,7 @@
 	return near
 }
 
-// ring returns the members that are not gone, in ring order from this node on.
+// ring returns the members that are not lost or leaving, in ring order after this node.
 func (s *State) ring() []*member {
 	var all []*member
 	for _, m := range s.members {
@@ -82,16 +83,17 @@
 	}
 	own := ringHash(s.self.ID)
 	slices.SortFunc(all, func(a, b *member) int {
-		// The distance from this node, round the ring.
+		// Distance from this node along the ring; the subtraction wraps around.
 		return cmp.Compare(ringHash(a.info.ID)-own, ringHash(b.info.ID)-own)
 	})
 	return all
 }
 
+// ringHash returns the position of a node on the ring.
 func ringHash(id garnetworks.NodeID) uint64 { return xxhash.Sum64String(string(id)) }
 
-// remoteTargets returns a node of another zone when one is due. Zones and nodes
-// take turns.
+// remoteTargets returns one node of another zone if a heartbeat to one is due. Zones and
+// their nodes are chosen in turn. The argument near is the number of neighbours.
 func (s *State) remoteTargets(now time.Time, near int) []garnetworks.NodeInfo {
 	if now.Before(s.nextRemote) {
 		return nil
@@ -104,12 +106,11 @@
 	if node, ok := s.remoteNode(s.remoteRounds); ok {
 		return []garnetworks.NodeInfo{node}
 	}
-	// At the first start of a site no zone knows another one; the seeds join
-	// them.
+	// No other zone is known when a site first starts; the seeds connect the zones.
 	return s.seedTargets(1)
 }
 
-// remoteNode returns a node of another zone by turn.
+// remoteNode returns a node of another zone, chosen in turn.
 func (s *State) remoteNode(turn uint64) (garnetworks.NodeInfo, bool) {
 	var zones []garnetworks.ZoneID
 	for z, r := range s.rosters {
@@ -126,8 +127,8 @@
 	return nodes[(start/7+turn/uint64(len(zones)))%uint64(len(nodes))], true
 }
 
-// indirectProbers are nodes to ask about suspects: the nearest sound ones and one of
-// another zone.
+// indirectProbers returns the nodes to ask about suspects: the nearest ones that are not
+// suspected and one of another zone.
 func (s *State) indirectProbers() []garnetworks.NodeInfo {
 	var probers []garnetworks.NodeInfo
 	for _, m := range s.ring() {
@@ -141,8 +142,7 @@
 	return probers
 }
 
-// suspects are the nodes that this node suspects, as many as may be asked about
-// at once.
+// suspects returns the nodes that this node suspects, at most maxIndirectProbes.
 func (s *State) suspects() []garnetworks.NodeInfo {
 	var suspects []garnetworks.NodeInfo
 	for _, id := range slices.Sorted(maps.Keys(s.members)) {
@@ -154,7 +154,8 @@
 	return suspects
 }
 
-// heardAnyone reports whether any node of the zone was heard of late.
+// heardAnyone reports whether any node of the zone was heard within unlistedTTL. It is true
+// for an accepted node that is alone in its zone.
 func (s *State) heardAnyone(now time.Time) bool {
 	for _, m := range s.members {
 		if now.Sub(m.heardAt) <= unlistedTTL {
@@ -164,8 +165,8 @@
 	return len(s.members) == 0 && s.accepted
 }
 
-// seedTargets are count of the seeds, by turn: some at the start, later one, as
-// a way back for a node that lost sight of all others.
+// seedTargets returns up to count seeds, chosen in turn. Seeds also let a node that has lost
+// contact with all others find them again.
 func (s *State) seedTargets(count int) []garnetworks.NodeInfo {
 	var targets []garnetworks.NodeInfo
 	for i := range min(count, len(s.seeds)) {
@@ -175,7 +176,7 @@
 	return targets
 }
 
-// sendIndirectProbes tries the nodes that others asked about.
+// sendIndirectProbes probes the nodes that peers have asked about.
 func (s *State) sendIndirectProbes(now time.Time, d *Decisions) {
 	count := 0
 	for _, all := range []map[garnetworks.NodeID]*member{s.members, s.remoteMembers} {
--- a/tracker/evidence.go
+++ b/tracker/evidence.go
@@ -7,8 +7,8 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// recordAlive takes direct evidence of a node of the own zone. It reports false for
-// an incarnation that was replaced.
+// recordAlive records direct evidence that a node of the own zone is alive. It returns false
+// if the incarnation is lower than the known one.
 func (s *State) recordAlive(now time.Time, n garnetworks.NodeInfo, d *Decisions) bool {
 	m, ok := s.members[n.ID]
 	if !ok {
@@ -19,7 +19,7 @@
 		return false
 	}
 	if n.Incarnation > m.info.Incarnation && ok {
-		// A new process: what was held against the old one says nothing of it.
+		// A new process: the state of the old one does not apply to it.
 		*m = member{}
 	}
 	if m.lost {
@@ -27,7 +27,8 @@
 		d.Changed = true
 	}
 	if !m.leftAt.IsZero() && now.Sub(m.leftAt) > SuspectAfter {
-		// It said goodbye and yet lives on; earlier words may have overtaken it.
+		// It announced that it was leaving but is still alive. Heartbeats within SuspectAfter
+		// don't cancel the announcement, since they may have been sent before it.
 		m.leftAt = time.Time{}
 		d.Changed = true
 	}
@@ -39,6 +40,7 @@
 	return true
 }
 
+// handleAnswered handles the response to a heartbeat.
 func (s *State) handleAnswered(now time.Time, o Answered, d *Decisions) {
 	if o.From.ID == s.self.ID {
 		return
@@ -65,8 +67,8 @@
 	m.failingSince, m.displaced = time.Time{}, false
 }
 
-// checkIncarnation handles a peer's word that this node's name has a higher
-// incarnation (rule T5).
+// checkIncarnation handles a peer's report of a higher incarnation of this node's name
+// (rule T5). It reports whether there was one.
 func (s *State) checkIncarnation(now time.Time, heard []garnetworks.AliveNode, d *Decisions) bool {
 	for _, h := range heard {
 		if h.ID == s.self.ID && h.Incarnation > s.self.Incarnation {
@@ -77,10 +79,10 @@
 	return false
 }
 
-// handleHigherIncarnation raises the incarnation of a process that has just started, whose
-// clock may be behind that of the one before. One that was accepted has been
-// replaced while it was paused or cut off: going on would show as two nodes
-// that answer in one name.
+// handleHigherIncarnation handles a higher incarnation of this node's name. A process that
+// was not yet accepted raises its own, since its clock may be behind that of its predecessor.
+// An accepted one was replaced while it was paused or cut off; if it continued, two nodes
+// would answer under one name.
 func (s *State) handleHigherIncarnation(now time.Time, incarnation uint64, d *Decisions) {
 	if !s.accepted {
 		s.self.Incarnation = incarnation + 1
@@ -93,7 +95,8 @@
 	d.Events = append(d.Events, s.event(garnetworks.EventNodeSuperseded, s.self, fmt.Sprintf("incarnation %d is known", incarnation)))
 }
 
-// recordAliveNodes takes the words of a node that was asked about suspects.
+// recordAliveNodes records which suspects the answering node has heard. If it was asked, the
+// loss of those that it has not heard is confirmed.
 func (s *State) recordAliveNodes(now time.Time, o Answered) {
 	heard := garnetworks.NewSet[garnetworks.NodeID]()
 	for _, h := range o.Alive {
@@ -112,7 +115,7 @@
 		return
 	}
 	for id, m := range s.members {
-		// The asked node needs the time to try for itself.
+		// The node that was asked needs ConfirmTimeout to probe the suspect itself.
 		hadTime := !m.suspectedSince.IsZero() && now.Sub(m.suspectedSince) >= ConfirmTimeout
 		if hadTime && !heard.Has(id) && id != o.From.ID {
 			m.lossConfirmed = true
@@ -120,7 +123,7 @@
 	}
 }
 
-// markDisplaced takes the word of another node at the address of n (rule T6).
+// markDisplaced records that another node answers at the address of n (rule T6).
 func (s *State) markDisplaced(now time.Time, n garnetworks.NodeInfo, d *Decisions) {
 	m, ok := s.members[n.ID]
 	if !ok || m.info.Address != n.Address || m.displaced {
@@ -133,26 +136,28 @@
 	d.Events = append(d.Events, s.event(garnetworks.EventNodeSuspected, m.info, "another node answers at its address"))
 }
 
+// handleUnanswered handles a failed heartbeat.
 func (s *State) handleUnanswered(now time.Time, o Unanswered, d *Decisions) {
 	if !isNoAnswer(o.Kind) {
 		s.handleRefused(now, o, d)
 		return
 	}
 	if o.Node.Zone != s.self.Zone {
-		// Another zone's node gets the next turn at once, so that a few lost
-		// nodes do not keep this one from hearing of other zones.
+		// Retry at once with the next node, so that a few lost nodes don't cut this node
+		// off from other zones.
 		s.nextRemote = now
 		return
 	}
 	s.recordFailure(now, o.Node)
 }
 
-// isNoAnswer reports whether an error says nothing but that no answer came. Any
-// other is an answer: somebody lives there.
+// isNoAnswer reports whether an error means that no response arrived. Any other error was
+// sent by a process that is alive.
 func isNoAnswer(k garnetworks.Kind) bool {
 	return k == garnetworks.KindUnreachable || k == garnetworks.KindResponseLost
 }
 
+// recordFailure records when heartbeats to n began to fail.
 func (s *State) recordFailure(now time.Time, n garnetworks.NodeInfo) {
 	m, ok := s.members[n.ID]
 	if ok && m.failingSince.IsZero() {
@@ -160,6 +165,7 @@
 	}
 }
 
+// handleRefused reports an address conflict if the peer refused the heartbeat for that.
 func (s *State) handleRefused(now time.Time, o Unanswered, d *Decisions) {
 	if o.Kind != garnetworks.KindConflict || now.Sub(s.conflicts[o.Node.Address]) < conflictEventInterval {
 		return
@@ -168,6 +174,7 @@
 	d.Events = append(d.Events, s.event(garnetworks.EventAddressConflict, s.self, "refused by "+o.Node.Address+": "+o.Detail))
 }
 
+// recordConflict records when a conflict over the address was last reported.
 func (s *State) recordConflict(now time.Time, address string) {
 	if len(s.conflicts) >= maxRemoteMembers {
 		clear(s.conflicts)
--- a/tracker/judge.go
+++ b/tracker/judge.go
@@ -8,7 +8,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// detectFailures decides on suspicion and loss (rules T2 and T3).
+// detectFailures updates suspicions and marks lost nodes (rules T2 and T3).
 func (s *State) detectFailures(now time.Time, d *Decisions) {
 	candidate := s.isCandidate()
 	for _, id := range slices.Sorted(maps.Keys(s.members)) {
@@ -25,6 +25,8 @@
 	}
 }
 
+// updateSuspicion starts or ends the suspicion of m. A node that a peer has asked about is
+// suspected without waiting for SuspectAfter of failed heartbeats.
 func (s *State) updateSuspicion(now time.Time, m *member, d *Decisions) {
 	silent := !m.failingSince.IsZero() && now.Sub(m.lastEvidence()) >= SuspectAfter
 	asked := !m.askedAt.IsZero() && now.Sub(m.askedAt) < SuspectAfter
@@ -41,9 +43,8 @@
 	}
 }
 
-// isLost keeps rule T3. Deciding on the own failure alone would take out half a
-// zone when the deciding node's own network fails; the asked node's word shows
-// that others can still be heard.
+// isLost applies rule T3. Confirmation by another node is required because all nodes seem
+// silent to one whose own network has failed, and it would remove them from the roster.
 func (s *State) isLost(now time.Time, m *member) bool {
 	if m.displaced {
 		return true
@@ -54,8 +55,8 @@
 	return m.lossConfirmed || s.onlyOther(m) // rules T3, T4
 }
 
-// confirmTimeout grows for nodes that come and go, so that a node at the edge of
-// reach does not cause a roster write each few seconds.
+// confirmTimeout returns how long m must be suspected before it is declared lost. It doubles
+// with each recent loss, so that a flapping node does not cause frequent roster writes.
 func (s *State) confirmTimeout(now time.Time, m *member) time.Duration {
 	l := s.losses[m.info.ID]
 	if now.Sub(l.last) > lossTTL {
@@ -64,6 +65,7 @@
 	return ConfirmTimeout << min(l.count, maxConfirmDoublings)
 }
 
+// recordLoss counts a loss of the node.
 func (s *State) recordLoss(now time.Time, id garnetworks.NodeID) {
 	l := s.losses[id]
 	if now.Sub(l.last) > lossTTL {
@@ -75,7 +77,7 @@
 	s.losses[id] = lossHistory{count: l.count + 1, last: now}
 }
 
-// onlyOther reports whether no node is known but this one and m.
+// onlyOther reports whether m is the only other node known, in any zone.
 func (s *State) onlyOther(m *member) bool {
 	for id, other := range s.members {
 		if id != m.info.ID && !other.gone() {
--- a/tracker/observation.go
+++ b/tracker/observation.go
@@ -4,39 +4,39 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Observation is something that happened at a node.
+// Observation is an input to State.Step.
 type Observation interface{ observation() }
 
-// The observations.
+// Observations.
 type (
-	// Ticked says that time has passed.
+	// Ticked reports that time has passed.
 	Ticked struct{}
-	// Answered says that a heartbeat to Node was answered by From.
+	// Answered reports that From responded to a heartbeat sent to Node.
 	Answered struct {
 		Node, From garnetworks.NodeInfo
-		// Indirect says that the heartbeat asked about nodes.
+		// Indirect is true if the heartbeat carried indirect probes.
 		Indirect bool
 		Alive    []garnetworks.AliveNode
 	}
-	// Unanswered says that a heartbeat to Node failed.
+	// Unanswered reports that a heartbeat to Node failed.
 	Unanswered struct {
 		Node   garnetworks.NodeInfo
 		Kind   garnetworks.Kind
 		Detail string
 	}
-	// RosterLearned brings a zone's roster, read or distributed.
+	// RosterLearned carries a zone's roster, read from the object API or distributed.
 	RosterLearned struct{ Roster garnetworks.Roster }
-	// RostersRead says that all rosters were read once.
+	// RostersRead reports that all rosters have been read once.
 	RostersRead struct{}
-	// RosterWritten says how a roster write went.
+	// RosterWritten reports the result of a roster write.
 	RosterWritten struct {
 		Patch  Patch
 		Roster garnetworks.Roster
 		Err    error
 	}
-	// ReadySet says whether this node takes calls from now on.
+	// ReadySet sets whether this node takes calls.
 	ReadySet struct{ Ready bool }
-	// Leave says that this node stops.
+	// Leave reports that this node is stopping.
 	Leave struct{}
 )
 
@@ -56,48 +56,48 @@
 
 func (Leave) observation() {}
 
-// Probe is a heartbeat to be sent.
+// Probe is a heartbeat to send.
 type Probe struct {
 	// Node is the receiver; only its address is known if ID is empty.
 	Node           garnetworks.NodeInfo
 	From           garnetworks.NodeInfo
 	IndirectProbes []garnetworks.NodeInfo
-	// Leaving says goodbye.
+	// Leaving announces that the sender is stopping.
 	Leaving bool
 }
 
-// Decisions are what a step decided.
+// Decisions are the actions that a step requests.
 type Decisions struct {
 	Probes []Probe
 	Write  garnetworks.Option[Patch]
-	// Reread asks to list the rosters again.
+	// Reread requests that the rosters be listed again.
 	Reread bool
 	Events []garnetworks.Event
-	// Changed says that the view has changed.
+	// Changed is true if the view has changed.
 	Changed bool
-	// Superseded is set once, when another process took this node's name.
+	// Superseded is set once, when another process has taken this node's name.
 	Superseded bool
 }
 
-// Reply is the state's part of the answer to a heartbeat.
+// Reply is the tracker's part of the response to a heartbeat.
 type Reply struct {
 	Alive []garnetworks.AliveNode
-	// Refusal is not nil if the heartbeat is refused.
+	// Refusal is non-nil if the heartbeat is refused.
 	Refusal error
 }
 
-// View is what a node knows of the site. It is never changed once made.
+// View is what a node knows of the site. It is immutable.
 type View struct {
 	Self garnetworks.NodeInfo
-	// Rosters are the last known ones.
+	// Rosters are the last known rosters.
 	Rosters map[garnetworks.ZoneID]garnetworks.Roster
-	// Peers are all nodes that are not known to be lost, without Self, sorted by
-	// zone and name.
+	// Peers are all nodes not known to be lost, except Self, sorted by ID within each zone;
+	// the own zone comes first.
 	Peers []garnetworks.NodeInfo
-	// Ready are those of Peers that take calls, and Self if it does.
+	// Ready are the Peers that take calls, and Self if it does.
 	Ready []garnetworks.NodeInfo
-	// Listed says that the roster lists this node as it is.
+	// Listed is true if the roster lists this node with its current description.
 	Listed bool
-	// Suspected are nodes of the own zone that this node suspects, sorted.
+	// Suspected are the nodes of the own zone that this node suspects, sorted.
 	Suspected []garnetworks.NodeID
 }
--- a/tracker/patch.go
+++ b/tracker/patch.go
@@ -7,31 +7,30 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Patch is a change of a zone's roster. Applied to any version of the roster,
-// it never takes a node's incarnation back (rule T5), so candidates that decide
-// at once do no harm.
+// Patch is a change to a zone's roster. It never lowers a node's incarnation, whichever
+// version it is applied to (rule T5), so concurrent writers are safe.
 type Patch struct {
 	Zone garnetworks.ZoneID
-	// Set are nodes to list as described, sorted by ID.
+	// Set are the nodes to add or replace, sorted by ID.
 	Set []garnetworks.NodeInfo
-	// Remove are nodes to take out, sorted by ID.
+	// Remove are the nodes to remove, sorted by ID.
 	Remove []Removal
-	// KnownVersion is the highest version known; the new one is higher (rule T8).
+	// KnownVersion is the highest version known; the new version is higher (rule T8).
 	KnownVersion uint64
 }
 
-// Removal takes a node out unless it is listed with a higher incarnation.
+// Removal removes a node unless it is listed with a higher incarnation.
 type Removal struct {
 	ID          garnetworks.NodeID
 	Incarnation uint64
-	// Left says that the node said itself that it was stopping.
+	// Left is true if the node announced that it was stopping.
 	Left bool
 }
 
-// Empty reports whether the patch changes nothing anywhere.
+// Empty reports whether the patch contains no changes.
 func (p Patch) Empty() bool { return len(p.Set) == 0 && len(p.Remove) == 0 }
 
-// Apply returns the changed roster, and whether it differs from r.
+// Apply returns the patched roster and whether it differs from r.
 func (p Patch) Apply(r garnetworks.Roster) (garnetworks.Roster, bool) {
 	nodes := map[garnetworks.NodeID]garnetworks.NodeInfo{}
 	for _, n := range r.Nodes {
--- a/tracker/receive.go
+++ b/tracker/receive.go
@@ -6,7 +6,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Receive takes a peer's heartbeat.
+// Receive handles a heartbeat from a peer.
 func (s *State) Receive(now time.Time, q *garnetworks.HeartbeatRequest) (Reply, Decisions) {
 	var r Reply
 	var d Decisions
@@ -42,8 +42,8 @@
 	return r, d
 }
 
-// receiveSameID answers a process with this node's own name. A node whose
-// seeds name it reaches itself, which says nothing.
+// receiveSameID handles a heartbeat from a process with this node's ID. A node listed among
+// its own seeds sends heartbeats to itself; these are ignored.
 func (s *State) receiveSameID(now time.Time, from garnetworks.NodeInfo, d *Decisions) []garnetworks.AliveNode {
 	if from.Incarnation == s.self.Incarnation && from.Address == s.self.Address {
 		return nil
@@ -55,9 +55,9 @@
 	return []garnetworks.AliveNode{{ID: s.self.ID, Incarnation: s.self.Incarnation + 1}}
 }
 
-// checkAddress refuses a node that claims the address of another one (rule
-// T6), and has the address tried: if the newcomer answers there, the other one
-// is displaced and the next heartbeat accepted.
+// checkAddress refuses a node that claims another node's address (rule T6) and requests a
+// probe of that address. If the newcomer answers there, the other node is displaced and the
+// next heartbeat is accepted.
 func (s *State) checkAddress(now time.Time, from garnetworks.NodeInfo, d *Decisions) error {
 	for id, m := range s.members {
 		if id == from.ID || m.info.Address != from.Address || m.gone() || m.displaced {
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// answerIndirectProbe notes a question about a node and answers it from what is known.
+// answerIndirectProbe schedules a probe of n and returns what is known of it.
 func (s *State) answerIndirectProbe(now time.Time, n garnetworks.NodeInfo) (garnetworks.AliveNode, bool) {
 	if n.ID == s.self.ID {
 		return garnetworks.AliveNode{ID: n.ID, Incarnation: s.self.Incarnation}, true
@@ -89,8 +89,8 @@
 	return garnetworks.AliveNode{ID: n.ID, Incarnation: m.info.Incarnation, Age: now.Sub(m.heardAt)}, true
 }
 
-// probedMember returns the record of a node that was asked about; nil if there is
-// none and no room for one.
+// probedMember returns the record of a node that a peer asks about, or nil if there is none
+// and maxRemoteMembers are already recorded.
 func (s *State) probedMember(n garnetworks.NodeInfo) *member {
 	if n.Zone == s.self.Zone {
 		return s.members[n.ID]
--- a/tracker/roster.go
+++ b/tracker/roster.go
@@ -10,7 +10,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// candidates are the first nodes that may write the roster, without this one.
+// candidates returns the first Candidates nodes that may write the roster, except this one.
 func (s *State) candidates() []garnetworks.NodeInfo {
 	var first []garnetworks.NodeInfo
 	for _, id := range s.writers() {
@@ -24,7 +24,7 @@
 	return first
 }
 
-// writers are the zone's living nodes in the order in which they write.
+// writers returns the zone's live nodes in the order in which they may write the roster.
 func (s *State) writers() []garnetworks.NodeID {
 	var ids []garnetworks.NodeID
 	if !s.leaving {
@@ -39,15 +39,16 @@
 	return ids
 }
 
-// rank is this node's place among the writers; -1 if it is none.
+// rank returns this node's position among the writers, or -1.
 func (s *State) rank() int { return slices.Index(s.writers(), s.self.ID) }
 
+// isCandidate reports whether this node may write the roster.
 func (s *State) isCandidate() bool {
 	r := s.rank()
 	return r >= 0 && r < Candidates
 }
 
-// listed returns the roster's description of a node of the own zone.
+// listed returns the roster's entry for a node of the own zone.
 func (s *State) listed(id garnetworks.NodeID) (garnetworks.NodeInfo, bool) {
 	nodes := s.rosters[s.self.Zone].Nodes
 	i, ok := slices.BinarySearchFunc(nodes, id, func(n garnetworks.NodeInfo, id garnetworks.NodeID) int { return cmp.Compare(n.ID, id) })
@@ -57,7 +58,7 @@
 	return nodes[i], true
 }
 
-// updateListing notes since when the roster does not list this node as it is.
+// updateListing updates since when the roster has not listed this node's current description.
 func (s *State) updateListing(now time.Time) {
 	listed, _ := s.listed(s.self.ID)
 	switch {
@@ -69,6 +70,7 @@
 	}
 }
 
+// applyRoster records a roster if it is newer than the known one.
 func (s *State) applyRoster(now time.Time, r garnetworks.Roster, d *Decisions) {
 	if r.Version <= s.rosters[r.Zone].Version {
 		return
@@ -93,8 +95,8 @@
 	s.updateListing(now)
 }
 
-// applyListed takes the roster's word on a node of the own zone, which is older
-// than what was heard from the node itself.
+// applyListed applies a roster entry of the own zone. It does not replace direct evidence
+// of the same or a higher incarnation.
 func (s *State) applyListed(now time.Time, n garnetworks.NodeInfo) {
 	m, ok := s.members[n.ID]
 	switch {
@@ -103,12 +105,14 @@
 	case n.Incarnation > m.info.Incarnation:
 		*m = member{info: n}
 	case n.Incarnation == m.info.Incarnation && m.lost && !m.displaced:
-		// The writer has heard it after this node had given it up.
+		// The roster's writer heard the node after this node had declared it lost.
 		m.lost, m.suspectedSince, m.lossConfirmed = false, time.Time{}, false
 		m.reportedAt = now
 	}
 }
 
+// reread requests that the rosters be listed again if that is due; the first writer does so
+// for its zone.
 func (s *State) reread(now time.Time, d *Decisions) {
 	if now.Before(s.nextReread) {
 		return
@@ -117,16 +121,16 @@
 	d.Reread = s.rank() == 0
 }
 
-// decideWrite decides whether this node changes the roster now (rule T7).
+// decideWrite decides whether this node writes the roster now (rule T7).
 func (s *State) decideWrite(now time.Time, d *Decisions) {
 	rank := s.rank()
 	var patch Patch
 	switch {
 	case s.leaving:
-		// The others were told; they take this node out.
+		// Peers were notified and remove this node.
 		return
 	case !s.synced && now.Sub(s.unlistedSince) < JoinTimeout:
-		// The first read shows who writes.
+		// The writers are unknown until the first read.
 		return
 	case rank < Candidates:
 		patch = s.desiredPatch(now)
@@ -150,7 +154,7 @@
 	d.Write = garnetworks.Some(patch)
 }
 
-// desiredPatch is what the roster lacks by this node's direct evidence.
+// desiredPatch returns the changes that this node's direct evidence requires.
 func (s *State) desiredPatch(now time.Time) Patch {
 	p := Patch{Zone: s.self.Zone}
 	for _, id := range slices.Sorted(maps.Keys(s.members)) {
@@ -173,6 +177,7 @@
 	return p
 }
 
+// handleWritten handles the result of a roster write.
 func (s *State) handleWritten(now time.Time, o RosterWritten, d *Decisions) {
 	s.writing = false
 	if o.Err != nil {
@@ -183,14 +188,14 @@
 	s.backoff = 0
 	before := s.rosters[s.self.Zone]
 	if before.Version == 0 {
-		// At the first start of a site, the other zones list themselves now, too.
+		// When a site first starts, the other zones write their rosters at the same time.
 		s.nextReread = now.Add(FirstRereadDelay)
 	}
 	s.applyRoster(now, o.Roster, d)
 	s.recordWriteEvents(before, o, d)
 }
 
-// recordWriteEvents gives the events of a roster write.
+// recordWriteEvents emits the events of a roster write.
 func (s *State) recordWriteEvents(before garnetworks.Roster, o RosterWritten, d *Decisions) {
 	if o.Roster.Version <= before.Version {
 		return
--- a/tracker/sim_test.go
+++ b/tracker/sim_test.go
@@ -16,32 +16,32 @@
 type process struct {
 	state  *State
 	paused bool
-	// superseded is set when its state said so.
+	// superseded is set when the state has reported that the process was replaced.
 	superseded bool
 }
 
-// simulation runs states against each other in virtual time. Calls take no time;
-// what fails is decided by the simulation's faults.
+// simulation runs several States against each other in virtual time. Calls take no time;
+// the configured faults decide which of them fail.
 type simulation struct {
 	t   testReporter
 	now time.Time
-	// at holds the running process of each address.
+	// processes holds the running process at each address.
 	processes map[string]*process
-	// cut holds the pairs of addresses whose calls fail, by direction.
+	// cut holds the directed pairs of addresses whose calls fail.
 	cut map[[2]string]bool
-	// stored are the roster objects.
+	// stored holds the roster objects.
 	stored map[garnetworks.ZoneID]garnetworks.Roster
-	// down refuses all calls to the object API; loseAnswer lets the next write
-	// take effect and fail.
+	// apiDown fails all calls to the object API; loseResponse makes the next write take
+	// effect but return an error.
 	apiDown, loseResponse bool
 	writes, probes        int
-	// removed counts how often each node was taken out of its roster.
+	// removed counts how often each node was removed from its roster.
 	removed     map[garnetworks.NodeID]int
 	events      []garnetworks.Event
 	incarnation uint64
 }
 
-// testReporter is what *testing.T and *rapid.T have in common here.
+// testReporter is the common subset of *testing.T and *rapid.T.
 type testReporter interface {
 	Helper()
 	Fatalf(format string, args ...any)
@@ -61,7 +61,7 @@
 
 func address(i int) string { return fmt.Sprintf("10.0.0.%d:7000", i) }
 
-// start runs a new process of node i in one of the zones.
+// start starts a new process of node i in one of the zones.
 func (w *simulation) start(i, zones int) *process {
 	w.incarnation++
 	return w.startAs(garnetworks.NodeInfo{
@@ -82,7 +82,7 @@
 	return p
 }
 
-// cutBetween cuts or heals calls between two sets of addresses.
+// cutBetween sets whether calls from one set of addresses to another fail.
 func (w *simulation) cutBetween(from, to []string, cut bool) {
 	for _, a := range from {
 		for _, b := range to {
@@ -93,7 +93,7 @@
 	}
 }
 
-// run lets virtual time pass.
+// run advances virtual time by d.
 func (w *simulation) run(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(TickInterval) {
 		for _, a := range slices.Sorted(maps.Keys(w.processes)) {
@@ -160,7 +160,7 @@
 	w.distribute(p, next)
 }
 
-// distribute takes the distributor's place.
+// distribute stands in for the distributor.
 func (w *simulation) distribute(from *process, r garnetworks.Roster) {
 	for _, a := range slices.Sorted(maps.Keys(w.processes)) {
 		if p := w.processes[a]; !p.paused && !w.cut[[2]string{from.state.self.Address, a}] {
@@ -169,7 +169,7 @@
 	}
 }
 
-// checkWrite holds the rules that each roster write keeps.
+// checkWrite fails the test if the version does not grow or an incarnation decreases.
 func (w *simulation) checkWrite(before, after garnetworks.Roster) {
 	if after.Version <= before.Version {
 		w.t.Fatalf("roster version went from %d to %d", before.Version, after.Version)
@@ -189,7 +189,7 @@
 	}
 }
 
-// liveNodes are the processes that run and were not superseded.
+// liveNodes returns the zone's nodes that are neither paused, leaving nor superseded.
 func (w *simulation) liveNodes(zone garnetworks.ZoneID) []garnetworks.NodeInfo {
 	var nodes []garnetworks.NodeInfo
 	for _, p := range w.processes {
@@ -201,8 +201,8 @@
 	return nodes
 }
 
-// checkConverged reports whether each zone's roster lists just the living nodes, and
-// each of them knows it.
+// checkConverged returns an error unless each zone's roster lists exactly the live nodes and
+// all of them know its newest version.
 func (w *simulation) checkConverged(zones int) error {
 	for z := range zones {
 		zone := zoneOf(z, zones)
--- a/tracker/state.go
+++ b/tracker/state.go
@@ -9,57 +9,58 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Bounds of the state.
+// Limits of the state.
 const (
-	// unlistedTTL is how long a node that is in no roster counts after it was
-	// last heard.
+	// unlistedTTL is how long a node that no roster lists is kept after it was last heard.
 	unlistedTTL = 10 * time.Second
-	// maxIndirectProbes bounds the nodes that are asked about and tried at once.
+	// maxIndirectProbes limits the nodes that one heartbeat asks about, and the nodes probed
+	// for peers in one tick.
 	maxIndirectProbes = 8
-	// maxRemoteMembers bounds the nodes of other zones that were asked about.
+	// maxRemoteMembers limits the recorded nodes of other zones.
 	maxRemoteMembers = 64
-	// maxBackoff bounds the delay after failed roster writes.
+	// maxBackoff limits the delay after failed roster writes.
 	maxBackoff = 15 * time.Second
-	// maxConfirmDoublings bounds the growth of the time to decide on a node that comes and
-	// goes.
+	// maxConfirmDoublings limits the growth of the confirmation timeout of a flapping node.
 	maxConfirmDoublings = 6
-	// lossTTL is the time after which a loss no longer counts, maxLosses the
+	// lossTTL is the time after which losses are forgotten. maxLossHistories limits the
 	// number of nodes whose losses are counted.
 	lossTTL          = 10 * time.Minute
 	maxLossHistories = 256
-	// conflictEventInterval is the time between two events about one address.
+	// conflictEventInterval is the minimum time between conflict events for one address.
 	conflictEventInterval = time.Minute
 )
 
-// member is what is known of another node.
+// member is the state kept for another node.
 type member struct {
 	info garnetworks.NodeInfo
-	// heardAt is the last direct evidence, reportedAt the last one from others.
+	// heardAt is the time of the last direct evidence, reportedAt that of the last evidence
+	// reported by others.
 	heardAt, reportedAt time.Time
-	// failingSince is the start of the run of unanswered heartbeats; zero if the last
-	// one was answered.
+	// failingSince is when consecutive heartbeats began to fail; zero if the last one
+	// was answered.
 	failingSince time.Time
-	// askedAt is when another node last askedAt about it.
+	// askedAt is when a peer last asked about it.
 	askedAt time.Time
-	// probedAt is when it was last probedAt because of that.
+	// probedAt is when it was last probed on behalf of a peer.
 	probedAt time.Time
-	// suspectedSince is since when this node suspects it; zero if it does not.
+	// suspectedSince is when this node began to suspect it; zero if it is not suspected.
 	suspectedSince time.Time
-	// lossConfirmed says that an asked node had not heard it either.
+	// lossConfirmed is true if another node that was asked has not heard it either.
 	lossConfirmed bool
-	// displaced says that another node answers at its address.
+	// displaced is true if another node answers at its address.
 	displaced bool
 	lost      bool
-	// leftAt is when it said goodbye; zero if it did not.
+	// leftAt is when it announced that it was stopping; zero if it has not.
 	leftAt time.Time
 }
 
-// lossHistory counts how often a node was lost of late.
+// lossHistory counts a node's recent losses.
 type lossHistory struct {
 	count int
 	last  time.Time
 }
 
+// lastEvidence returns the time of the newest evidence, direct or reported.
 func (m *member) lastEvidence() time.Time {
 	if m.reportedAt.After(m.heardAt) {
 		return m.reportedAt
@@ -67,46 +68,48 @@
 	return m.heardAt
 }
 
+// gone reports whether the node is lost or has announced that it is stopping.
 func (m *member) gone() bool { return m.lost || !m.leftAt.IsZero() }
 
-// State is the pure core of the tracker: it takes observations and the time,
-// and returns decisions. It is not safe for concurrent use.
+// State is the tracker's state machine: it takes observations and the current time and
+// returns decisions, without I/O. It is not safe for concurrent use.
 type State struct {
 	self  garnetworks.NodeInfo
 	seeds []string
-	// rosters are the last known ones by zone (rule T9).
+	// rosters are the last known rosters by zone (rule T9).
 	rosters map[garnetworks.ZoneID]garnetworks.Roster
 	// members are the other nodes of the own zone.
 	members map[garnetworks.NodeID]*member
-	// remoteMembers are nodes of other zones that were asked about.
+	// remoteMembers are nodes of other zones that peers have asked about.
 	remoteMembers map[garnetworks.NodeID]*member
-	// accepted says that peers know this incarnation of this node (rule T5).
+	// accepted is true once peers know this incarnation of this node (rule T5).
 	accepted   bool
 	superseded bool
 	leaving    bool
-	// synced says that the object API was synced, or that a peer has answered.
+	// synced is true once the rosters have been read or a peer has answered.
 	synced bool
 
 	nextRound, nextRemote, nextReread time.Time
 	// rounds counts heartbeat rounds, remoteRounds those to other zones.
 	rounds, remoteRounds uint64
-	// unlistedSince is since when this node is not listed as it is; zero if it is.
+	// unlistedSince is since when the roster has not listed this node's current
+	// description; zero if it does.
 	unlistedSince time.Time
-	// pendingSince is since when a change of the roster is wanted; zero if none is.
+	// pendingSince is since when the roster needs a change; zero if it needs none.
 	pendingSince time.Time
 	writing      bool
 	// backoff and nextWrite delay writes after failures.
 	backoff   time.Duration
 	nextWrite time.Time
-	// losses counts losses by node.
+	// losses holds the loss histories by node.
 	losses map[garnetworks.NodeID]lossHistory
-	// conflicts holds when an event about an address was last given.
+	// conflicts holds when a conflict over an address was last reported.
 	conflicts map[string]time.Time
 }
 
 // NewState returns the state of a node that has just started.
 func NewState(self garnetworks.NodeInfo, seeds []string, now time.Time) *State {
-	// Nodes that start together would otherwise beat and reread together.
+	// Spread the heartbeats of nodes that start together.
 	phase := time.Duration(ringHash(self.ID) % uint64(HeartbeatInterval))
 	s := &State{
 		self:          self,
@@ -124,10 +127,10 @@
 	return s
 }
 
-// Self describes this node.
+// Self returns this node's description.
 func (s *State) Self() garnetworks.NodeInfo { return s.self }
 
-// Step takes an observation.
+// Step applies an observation and returns the resulting decisions.
 func (s *State) Step(now time.Time, o Observation) Decisions {
 	var d Decisions
 	if s.superseded {
@@ -167,7 +170,7 @@
 	s.decideWrite(now, d)
 }
 
-// prune forgets nodes that no roster lists and that were not heard for long.
+// prune forgets nodes that no roster lists and that were not heard within unlistedTTL.
 func (s *State) prune(now time.Time, d *Decisions) {
 	for id, m := range s.members {
 		if _, listed := s.listed(id); !listed && now.Sub(m.lastEvidence()) > unlistedTTL {
@@ -186,7 +189,7 @@
 	return garnetworks.Event{Kind: kind, Zone: n.Zone, Detail: fmt.Sprintf("node %s incarnation %d at %s: %s", n.ID, n.Incarnation, n.Address, detail)}
 }
 
-// leave says goodbye to the neighbours and to those that write the roster.
+// leave notifies the neighbours and the candidates that this node is stopping.
 func (s *State) leave(now time.Time, d *Decisions) {
 	s.leaving = true
 	s.self.Ready = false
@@ -201,7 +204,7 @@
 	s.updateListing(now)
 }
 
-// View returns what is known now.
+// View returns a snapshot of what is known.
 func (s *State) View() *View {
 	v := &View{Self: s.self, Rosters: maps.Clone(s.rosters), Listed: s.unlistedSince.IsZero()}
 	for _, id := range slices.Sorted(maps.Keys(s.members)) {
--- a/tracker/state_test.go
+++ b/tracker/state_test.go
@@ -25,7 +25,7 @@
 	os.Exit(m.Run())
 }
 
-// site starts nodes in zones and lets them find each other.
+// startSite starts nodes in zones and waits until the rosters have converged.
 func startSite(t testReporter, nodes, zones int) *simulation {
 	w := newSimulation(t)
 	for i := range nodes {
@@ -39,8 +39,7 @@
 	return w
 }
 
-// TestFailures plays the cases of the issue at today's size: 6 nodes in 3
-// zones, nodes 0 and 3 in zone-0.
+// TestFailures runs failure scenarios on 6 nodes in 3 zones; nodes 0 and 3 are in zone-0.
 func TestFailures(t *testing.T) {
 	const nodes, zones = 6, 3
 	everyone := func(but ...int) []string {
@@ -55,18 +54,18 @@
 	tests := map[string]struct {
 		scenario string
 		fault    func(w *simulation)
-		// check looks at the world after a minute; what it changes is healed
-		// before the site must settle.
+		// check runs a minute after the fault; heal then ends the fault, before the site must
+		// converge.
 		check func(t *testing.T, w *simulation)
 		heal  func(w *simulation)
 	}{
 		"crash": {
-			scenario: "A node's process dies. Updates would go to it first, again and again.",
+			scenario: "A node's process crashes; it must be removed from the roster.",
 			fault:    func(w *simulation) { delete(w.processes, address(3)) },
 			check:    func(t *testing.T, w *simulation) { wantNodes(t, w, "zone-0", 1) },
 		},
 		"instance replaced at the same address": {
-			scenario: "An instance is replaced; the new node has another name and got the old address.",
+			scenario: "An instance is replaced; the new node has another name and the old address.",
 			fault: func(w *simulation) {
 				w.startAs(garnetworks.NodeInfo{ID: "entry-new", Incarnation: 99, Address: address(3), Zone: "zone-0", Ready: true})
 				w.run(5 * time.Second)
@@ -79,19 +78,19 @@
 			},
 		},
 		"process restarted": {
-			scenario: "A node's process restarts within a second, before anybody noticed.",
+			scenario: "A node's process restarts before any peer suspects it.",
 			fault:    func(w *simulation) { w.start(3, zones) },
 			check:    func(t *testing.T, w *simulation) { wantNodes(t, w, "zone-0", 2) },
 		},
 		"process restarted with a clock that is behind": {
-			scenario: "A node is restarted on an instance whose clock is hours behind. Its incarnation would be refused for hours.",
+			scenario: "A node restarts on an instance whose clock is behind; its lower incarnation must not be refused for good.",
 			fault: func(w *simulation) {
 				w.startAs(garnetworks.NodeInfo{ID: "entry-003", Incarnation: 1, Address: address(3), Zone: "zone-0", Ready: true})
 			},
 			check: func(t *testing.T, w *simulation) { wantNodes(t, w, "zone-0", 2) },
 		},
 		"old process returns after its replacement": {
-			scenario: "A paused process is replaced by one of its own name at another address, and then runs on as if nothing had happened.",
+			scenario: "A paused process is replaced by one of the same name at another address, and then resumes.",
 			fault: func(w *simulation) {
 				old := w.processes[address(3)]
 				old.paused = true
@@ -112,7 +111,7 @@
 			},
 		},
 		"old process returns during an outage": {
-			scenario: "As before, but the object API is down, so that no roster tells of the new process; only heartbeats do.",
+			scenario: "As before, but during an outage of the object API, so that only heartbeats announce the new process.",
 			fault: func(w *simulation) {
 				w.apiDown = true
 				old := w.processes[address(3)]
@@ -134,7 +133,7 @@
 			heal: func(w *simulation) { w.apiDown = false },
 		},
 		"two nodes claim one address": {
-			scenario: "A copied setting gives a new node the address of a living one, which goes on answering there.",
+			scenario: "A new node is misconfigured with the address of a live one, which continues to answer there.",
 			fault: func(w *simulation) {
 				n := garnetworks.NodeInfo{ID: "entry-copy", Incarnation: 99, Address: address(3), Zone: "zone-0", Ready: true}
 				claimant := &process{state: NewState(n, nil, w.now)}
@@ -144,7 +143,7 @@
 			check: func(t *testing.T, w *simulation) {
 				wantNodes(t, w, "zone-0", 2)
 				if _, ok := w.processes[address(0)].state.listed("entry-003"); !ok {
-					t.Error("the node that answers at the address was taken out")
+					t.Error("the node that answers at the address was removed")
 				}
 				if w.count(garnetworks.EventAddressConflict) == 0 {
 					t.Error("nobody reported the conflict")
@@ -153,13 +152,13 @@
 			heal: func(w *simulation) { delete(w.processes, "claimant") },
 		},
 		"half-open partition": {
-			scenario: "Nobody can call node 3, but its own calls get through. It serves callers; taking it out would be wrong.",
+			scenario: "Calls to node 3 fail, but its own calls succeed; it still serves and must not be removed.",
 			fault:    func(w *simulation) { w.cutBetween(everyone(3), []string{address(3)}, true) },
 			check:    func(t *testing.T, w *simulation) { wantNodes(t, w, "zone-0", 2) },
 			heal:     func(w *simulation) { clear(w.cut) },
 		},
 		"only the neighbour is cut off": {
-			scenario: "The one neighbour of a node can't reach it, both ways; all others can.",
+			scenario: "A node and its only neighbour can't reach each other; all other nodes can reach both.",
 			fault: func(w *simulation) {
 				w.cutBetween([]string{address(0)}, []string{address(3)}, true)
 				w.cutBetween([]string{address(3)}, []string{address(0)}, true)
@@ -168,20 +167,20 @@
 			heal:  func(w *simulation) { clear(w.cut) },
 		},
 		"a node is cut off from all peers but not from the object API": {
-			scenario: "A node's network to its peers fails. To it, all others seem lost; it must not take them out.",
+			scenario: "A node loses its network to all peers; it must not remove them as lost.",
 			fault: func(w *simulation) {
 				w.cutBetween(everyone(0), []string{address(0)}, true)
 				w.cutBetween([]string{address(0)}, everyone(0), true)
 			},
 			check: func(t *testing.T, w *simulation) {
 				if w.removed["entry-003"] > 0 {
-					t.Error("the cut-off node took out a living one")
+					t.Error("the cut-off node removed a live one")
 				}
 			},
 			heal: func(w *simulation) { clear(w.cut) },
 		},
 		"zone cut off": {
-			scenario: "A zone is cut off from the others and from the object API, and goes on with the last known rosters.",
+			scenario: "A zone is cut off from the others during an outage of the object API, and continues with the last known rosters.",
 			fault: func(w *simulation) {
 				zone := []string{address(0), address(3)}
 				w.cutBetween(zone, everyone(0, 3), true)
@@ -197,7 +196,7 @@
 			heal: func(w *simulation) { clear(w.cut); w.apiDown = false },
 		},
 		"start during an outage": {
-			scenario: "The object API is down while an instance is replaced. The new node must find its peers by its seeds and be served.",
+			scenario: "An instance is replaced during an outage of the object API; the new node must find its peers through the seeds.",
 			fault: func(w *simulation) {
 				w.apiDown = true
 				delete(w.processes, address(3))
@@ -215,7 +214,7 @@
 			heal: func(w *simulation) { w.apiDown = false },
 		},
 		"answer of a roster write lost": {
-			scenario: "A write takes effect but its answer is lost. The writer must neither undo it nor write it again and again.",
+			scenario: "A write takes effect but its response is lost; the writer must neither undo nor repeat it.",
 			fault:    func(w *simulation) { w.loseResponse = true; delete(w.processes, address(3)) },
 			check: func(t *testing.T, w *simulation) {
 				wantNodes(t, w, "zone-0", 1)
@@ -225,7 +224,7 @@
 			},
 		},
 		"planned stop": {
-			scenario: "A node stops as planned; its place must be free at once, without suspicion.",
+			scenario: "A node stops as planned; it must be removed at once, without being suspected.",
 			fault: func(w *simulation) {
 				p := w.processes[address(3)]
 				w.execute(p, p.state.Step(w.now, Leave{}))
@@ -235,7 +234,7 @@
 			check: func(t *testing.T, w *simulation) {
 				wantNodes(t, w, "zone-0", 1)
 				if w.count(garnetworks.EventNodeSuspected) != 0 {
-					t.Error("a node that said goodbye was suspected")
+					t.Error("a node that announced its stop was suspected")
 				}
 			},
 		},
@@ -264,9 +263,8 @@
 	}
 }
 
-// TestJoinWithUnreachableWriters: A new node of a larger zone can't reach
-// the nodes that write the roster, but others and the object API. It would
-// serve callers for good without anybody counting it.
+// A new node that can't reach the roster's writers must still be listed through the other
+// nodes and the object API.
 func TestJoinWithUnreachableWriters(t *testing.T) {
 	w := startSite(t, 6, 1)
 	writers := []string{address(0), address(1), address(2)}
@@ -279,9 +277,8 @@
 	}
 }
 
-// TestFlappingNodeCausesFewWrites: A node at the edge of reach is cut off and
-// heard again every quarter of a minute. Each time would cost two writes of the
-// roster, and an update to all nodes.
+// A node that is cut off and heard again repeatedly must not cause two roster writes, and
+// their distribution to all nodes, each time.
 func TestFlappingNodeCausesFewWrites(t *testing.T) {
 	w := startSite(t, 6, 1)
 	others := []string{address(0), address(1), address(2), address(3), address(4)}
@@ -331,11 +328,8 @@
 	}
 }
 
-// TestStateMachine plays random faults against an oracle: versions and
-// incarnations only grow (checked at each write), no living process is told
-// that it was superseded unless another one took its name, no node that all
-// others reach is ever taken out, and once all is healed each roster lists just
-// the living nodes.
+// TestStateMachine runs random faults. Unaffected nodes must stay listed, only replaced
+// processes be superseded, and after healing each roster list exactly the live nodes.
 func TestStateMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const nodes, zones = 9, 2
@@ -344,7 +338,7 @@
 			w.start(i, zones)
 		}
 		w.run(15 * time.Second)
-		// touched are nodes that some fault has concerned.
+		// affected are the addresses of nodes that a fault has concerned.
 		affected := garnetworks.NewSet[string]()
 		restarted := garnetworks.NewSet[string]()
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
@@ -401,7 +395,7 @@
 		for a, p := range w.processes {
 			p.paused = false
 			if p.superseded && !restarted.Has(a) {
-				t.Fatalf("%s was superseded though nobody took its name", a)
+				t.Fatalf("%s was superseded though no process took its name", a)
 			}
 		}
 		w.run(3 * time.Minute)
@@ -418,7 +412,7 @@
 			continue
 		}
 		if w.removed[n.ID] > 0 || !slices.Contains(w.stored[n.Zone].Nodes, n) {
-			t.Fatalf("%s was taken out though nothing happened to it", n.ID)
+			t.Fatalf("%s was removed though no fault affected it", n.ID)
 		}
 	}
 }
--- a/tracker/store.go
+++ b/tracker/store.go
@@ -10,10 +10,10 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// maxWriteAttempts bounds the tries of one roster write against other writers.
+// maxWriteAttempts limits the attempts at one roster write that conflicts with other writers.
 const maxWriteAttempts = 3
 
-// loadRosters reads all rosters once, and tries until that has worked.
+// loadRosters reads all rosters, and retries until that has succeeded.
 func (t *Tracker) loadRosters(ctx context.Context) {
 	for delay := time.Second; ; delay = min(2*delay, RereadInterval) {
 		err := t.listRosters(ctx)
@@ -29,13 +29,14 @@
 	}
 }
 
+// listRosters reads all rosters once.
 func (t *Tracker) listRosters(ctx context.Context) error {
 	bounded, cancel := context.WithTimeout(ctx, StoreTimeout)
 	defer cancel()
 	t.reads.Add(1)
 	objects, _, err := t.options.Objects.List(bounded, RosterPrefix)
 	if err != nil {
-		return errors.Wrap(err, "can't list the rosters")
+		return errors.Wrap(err, "list rosters")
 	}
 	for _, o := range objects {
 		roster, err := decodeRoster(o)
@@ -49,11 +50,10 @@
 	return nil
 }
 
-// handleReadRoster takes a roster that was read. If it is newer than a known one, its
-// writer may have died before it could spread it; this node does so in its
-// place. One of a zone that was not known is only held for peers that ask:
-// when a whole site starts, each node reads all rosters at once, and would send
-// each of them to all others.
+// handleReadRoster applies a roster read from the object API. One that is newer than the
+// known version is published, since its writer may have failed before it published it. One
+// of an unknown zone is only held for peers that ask: at the start of a site every node
+// reads all rosters, and publishing them would send each roster to every node many times.
 func (t *Tracker) handleReadRoster(ctx context.Context, roster garnetworks.Roster) {
 	known, ok := t.Roster(roster.Zone)
 	t.step(ctx, RosterLearned{Roster: roster})
@@ -65,11 +65,11 @@
 	}
 }
 
-// distribute gives a roster to the distribution.
+// distribute passes a roster to the distributor.
 func (t *Tracker) distribute(roster garnetworks.Roster, send func(garnetworks.Update) error) {
 	body, err := json.Marshal(roster)
 	if err != nil {
-		t.options.Log(errors.Wrap(err, "can't encode a roster"))
+		t.options.Log(errors.Wrap(err, "encode roster"))
 		return
 	}
 	err = send(garnetworks.Update{
@@ -77,13 +77,13 @@
 		Version: garnetworks.UpdateVersion{Sequence: roster.Version},
 		Body:    body,
 	})
-	// A newer one that came by distribution in between is no failure.
+	// A newer version that was distributed in the meantime is not an error.
 	if err != nil && !garnetworks.IsKind(err, garnetworks.KindConflict) {
 		t.options.Log(err)
 	}
 }
 
-// readRoster returns the zone's roster, an empty one if there is none.
+// readRoster returns the zone's roster, or an empty one if there is none.
 func (t *Tracker) readRoster(ctx context.Context, zone garnetworks.ZoneID) (garnetworks.Roster, garnetworks.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, StoreTimeout)
 	defer cancel()
@@ -107,8 +107,8 @@
 	return roster, nil
 }
 
-// writeRoster applies the patch to the roster in the object API, and tells the state
-// how it went.
+// writeRoster applies the patch to the stored roster, reports the result to the state and
+// publishes the new roster.
 func (t *Tracker) writeRoster(ctx context.Context, patch Patch) {
 	roster, err := t.storePatch(ctx, patch)
 	t.step(ctx, RosterWritten{Patch: patch, Roster: roster, Err: err})
@@ -119,6 +119,7 @@
 	t.distribute(roster, t.options.Publish)
 }
 
+// storePatch applies the patch to the stored roster, and retries after conflicts.
 func (t *Tracker) storePatch(ctx context.Context, patch Patch) (garnetworks.Roster, error) {
 	var err error
 	for range maxWriteAttempts {
@@ -143,7 +144,7 @@
 	next.WriteID = newWriteID()
 	body, err := json.Marshal(next)
 	if err != nil {
-		return current, errors.Wrap(err, "can't encode a roster")
+		return current, errors.Wrap(err, "encode roster")
 	}
 	err = t.put(ctx, RosterPrefix+string(patch.Zone), body, revision)
 	if !garnetworks.IsKind(err, garnetworks.KindResponseLost, garnetworks.KindObjectAPIDown) {
@@ -160,9 +161,8 @@
 	return err
 }
 
-// readBack finds out whether a write whose answer was lost took effect (rule
-// G11). Without it, a node that was listed would be reported as not listed, and
-// the next writer would build on a guess.
+// readBack determines whether a write took effect whose response was lost (rule G11).
+// Otherwise a successful write would be reported as failed, and the node as not listed.
 func (t *Tracker) readBack(ctx context.Context, written garnetworks.Roster, cause error) error {
 	current, _, err := t.readRoster(ctx, written.Zone)
 	if err != nil {
--- a/tracker/store_test.go
+++ b/tracker/store_test.go
@@ -10,7 +10,7 @@
 	"github.com/garnetworks/garnetworks/faker"
 )
 
-// contendedObjects lets another writer in before the first writes.
+// contendedObjects runs concurrentWrite before each of the first conflicts writes.
 type contendedObjects struct {
 	garnetworks.ObjectAPI
 	conflicts       int
@@ -25,9 +25,8 @@
 	return o.ObjectAPI.Put(ctx, key, value, after)
 }
 
-// TestStore writes a roster against a failing object API. A lost answer must
-// not be taken for a failure, or the roster would be written again and events
-// would tell of a node twice; a rival's change must not be undone.
+// TestStore writes a roster with faults of the object API. A lost response must not be
+// treated as a failure, nor a concurrent change be overwritten.
 func TestStore(t *testing.T) {
 	node := func(id garnetworks.NodeID) garnetworks.NodeInfo {
 		return garnetworks.NodeInfo{ID: id, Incarnation: 5, Zone: "zone-0"}
@@ -40,12 +39,12 @@
 		nodes     []string
 		writes    uint64
 	}{
-		"sound":             {nodes: []string{"a#5", "b#5"}, writes: 1},
-		"answer lost":       {faults: faker.FaultPlan{LoseAnswers: 1, Methods: []string{faker.MethodPut}}, nodes: []string{"a#5", "b#5"}, writes: 1},
-		"unavailable":       {faults: faker.FaultPlan{Unavailable: true, Methods: []string{faker.MethodPut}}, kind: garnetworks.KindConflict, nodes: []string{"a#5", "c#5"}, writes: maxWriteAttempts},
-		"down":              {faults: faker.FaultPlan{Unavailable: true}, kind: garnetworks.KindObjectAPIDown, nodes: []string{"a#5", "c#5"}},
-		"rival":             {conflicts: 1, nodes: []string{"a#5", "b#5", "r#5"}, writes: 2},
-		"rivals every time": {conflicts: maxWriteAttempts, kind: garnetworks.KindConflict, nodes: []string{"a#5", "c#5", "r#5"}, writes: maxWriteAttempts},
+		"no fault":                   {nodes: []string{"a#5", "b#5"}, writes: 1},
+		"answer lost":                {faults: faker.FaultPlan{LoseAnswers: 1, Methods: []string{faker.MethodPut}}, nodes: []string{"a#5", "b#5"}, writes: 1},
+		"unavailable":                {faults: faker.FaultPlan{Unavailable: true, Methods: []string{faker.MethodPut}}, kind: garnetworks.KindConflict, nodes: []string{"a#5", "c#5"}, writes: maxWriteAttempts},
+		"down":                       {faults: faker.FaultPlan{Unavailable: true}, kind: garnetworks.KindObjectAPIDown, nodes: []string{"a#5", "c#5"}},
+		"concurrent write":           {conflicts: 1, nodes: []string{"a#5", "b#5", "r#5"}, writes: 2},
+		"concurrent write each time": {conflicts: maxWriteAttempts, kind: garnetworks.KindConflict, nodes: []string{"a#5", "c#5", "r#5"}, writes: maxWriteAttempts},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -79,9 +78,8 @@
 	}
 }
 
-// TestReadRosters: A whole site starts again, and each of its nodes reads the
-// rosters of all zones. Spread by each, they would be sent hundreds of
-// thousands of times; but one whose writer died before it spread it must be.
+// When a site starts, every node reads all rosters and must not publish them again, except
+// for a version whose writer failed before it published it.
 func TestReadRosters(t *testing.T) {
 	objects := faker.NewObjects(faker.ObjectsOptions{})
 	written := changeRoster(t, objects, func(r *garnetworks.Roster) { r.Nodes = []garnetworks.NodeInfo{{ID: "a"}} })
@@ -110,7 +108,7 @@
 	}
 }
 
-// changeRoster changes the stored roster, if change is not nil, and returns it.
+// changeRoster applies change, if not nil, to the stored roster and returns the result.
 func changeRoster(t *testing.T, objects garnetworks.ObjectAPI, change func(*garnetworks.Roster)) garnetworks.Roster {
 	t.Helper()
 	roster := garnetworks.Roster{Zone: "zone-0"}
--- a/tracker/tracker.go
+++ b/tracker/tracker.go
@@ -1,36 +1,37 @@
-// Package tracker knows the site's entry nodes: who is there, in which zone,
-// and who was lost. It keeps one roster object for each zone in the object API.
+// Package tracker maintains the membership of a site's entry nodes and detects node
+// failures. It keeps one roster object for each zone in the object API.
 //
-// Its rules:
+// Rules:
 //
-//	T1  Each node sends heartbeats to Neighbours nodes that follow it on its
-//	    zone's ring, and now and then to one of another zone, so that a node's
+//	T1  Each node sends heartbeats to the Neighbours nodes that follow it on its
+//	    zone's ring, and less often to one node of another zone, so that a node's
 //	    traffic does not grow with the site.
-//	T2  Only evidence counts: a node lives if it was heard within SuspectAfter,
-//	    by a heartbeat of its own or by an answer from its address, here or at a
+//	T2  A node is alive if there is evidence of it within SuspectAfter: a
+//	    heartbeat from it or a response from its address, received here or by a
 //	    node that was asked.
-//	T3  A node is lost when it was suspected by a neighbour, did not answer the
-//	    deciding node itself, and another node that was asked after that had not
-//	    heard it either. A node that hears nobody decides nothing: it may be the
-//	    one that is cut off. Only where no other node is known, it decides alone.
-//	T4  A node that one side hears and the other does not (a half-open
-//	    partition) stays in the roster.
-//	T5  The higher incarnation of a node wins everywhere. A process that learns
-//	    of a higher one of its own name after it was accepted is superseded, and
-//	    stops taking part; one that was not yet accepted raises its own above it.
-//	T6  An address belongs to the node that answers there. Whoever else claims
-//	    it is refused.
-//	T7  The roster is written by the first of the zone's living nodes in order
-//	    of names, after BatchDelay, so that changes that come together cost one
-//	    write; the next ones follow by RankDelay each. A node that stays unlisted
-//	    for JoinBound lists itself.
-//	T8  A roster is changed by conditional update on what was read, with an
-//	    identifier that is read back when the answer is lost (rule G11). Its
-//	    version only grows, also over a deleted object.
-//	T9  During an outage of the object API all work goes on with the last known
-//	    rosters and with what was heard directly.
-//	T10 The rosters are listed once at the start, and once in RereadEvery by one
-//	    node of each zone; everything else comes by distribution.
+//	T3  A node is lost if a neighbour suspected it, it did not answer the deciding
+//	    node, and another node that was asked afterwards had not heard it
+//	    either. A node that hears nobody makes no decision, since it may itself
+//	    be cut off. If no other node is known, the node decides alone.
+//	T4  A node that only some nodes can reach (a half-open partition) stays in
+//	    the roster.
+//	T5  The higher incarnation of a node always wins. A process that learns of a
+//	    higher incarnation of its own name after it was accepted is superseded
+//	    and stops participating; one that was not yet accepted raises its own
+//	    incarnation above it.
+//	T6  An address belongs to the node that answers there. Any other node that
+//	    claims it is refused.
+//	T7  The roster is written by the first of the zone's live nodes in order of
+//	    ID, after BatchDelay, so that simultaneous changes need one write; each
+//	    further candidate waits RankDelay longer. A node that stays unlisted for
+//	    JoinTimeout lists itself.
+//	T8  A roster is changed by conditional update, with a write ID that is read
+//	    back if the response is lost (rule G11). Its version only grows, even if
+//	    the object was deleted.
+//	T9  During an outage of the object API all work continues with the last known
+//	    rosters and direct evidence.
+//	T10 The rosters are listed once at the start, and once per RereadInterval by
+//	    one node of each zone; all other updates are distributed.
 package tracker
 
 import (
@@ -46,78 +47,77 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Timings of the tracker.
+// Timing and size parameters of the tracker.
 const (
 	// HeartbeatInterval is the time between two heartbeats to a neighbour.
 	HeartbeatInterval = time.Second
-	// Neighbours is the number of nodes of the zone that a node sends to.
+	// Neighbours is the number of ring successors that a node sends heartbeats to.
 	Neighbours = 2
-	// RemoteHeartbeatInterval is the time between two heartbeats to other zones; FarEverySmall
-	// in zones with too few nodes for Neighbours.
+	// RemoteHeartbeatInterval is the time between two heartbeats to other zones,
+	// RemoteHeartbeatIntervalSmall the one in zones with fewer neighbours than Neighbours.
 	RemoteHeartbeatInterval      = 5 * time.Second
 	RemoteHeartbeatIntervalSmall = 2 * time.Second
-	// SuspectAfter is the silence after which a node is suspected.
+	// SuspectAfter is the time without evidence after which a node is suspected.
 	SuspectAfter = 3 * time.Second
-	// ConfirmTimeout is the time that a node which decides on a loss asks around.
+	// ConfirmTimeout is the minimum time between suspecting a node and declaring it lost, in
+	// which other nodes probe it.
 	ConfirmTimeout = 2 * time.Second
-	// BatchDelay is the time for which the roster's writer gathers changes.
+	// BatchDelay is the time for which the roster's writer collects changes.
 	BatchDelay = 500 * time.Millisecond
-	// RankDelay is the time that each further candidate gives the one before.
+	// RankDelay is the additional delay of each further candidate.
 	RankDelay = 2 * time.Second
-	// Candidates is the number of nodes that hear of changes.
+	// Candidates is the number of nodes that may write the roster.
 	Candidates = 3
 	// JoinTimeout is the time after which an unlisted node lists itself.
 	JoinTimeout = 10 * time.Second
-	// RereadInterval is the time between two readings of the rosters by a zone.
+	// RereadInterval is the time between two reads of the rosters by a zone.
 	RereadInterval = 60 * time.Second
-	// FirstRereadDelay is the time from a zone's first roster to the next reading.
+	// FirstRereadDelay is the time from a zone's first roster to the next read.
 	FirstRereadDelay = 3 * time.Second
-	// ProbeTimeout bounds one heartbeat.
+	// ProbeTimeout limits one heartbeat.
 	ProbeTimeout = time.Second
-	// StoreTimeout bounds one call to the object API.
+	// StoreTimeout limits one call to the object API.
 	StoreTimeout = 5 * time.Second
-	// TickInterval is the time between two looks at the state.
+	// TickInterval is the time between two steps of the state.
 	TickInterval = 250 * time.Millisecond
 )
 
 // RosterPrefix is the prefix of the rosters' keys in the object API.
 const RosterPrefix = "roster/"
 
-// Piggybacker rides on heartbeats: it adds to requests and answers, and takes
-// what came back. The distributor is one.
+// Piggybacker adds data to heartbeat requests and responses and handles the data received.
+// The distributor implements it.
 type Piggybacker interface {
 	FillRequest(request *garnetworks.HeartbeatRequest)
 	FillResponse(request *garnetworks.HeartbeatRequest, response *garnetworks.HeartbeatResponse)
-	// TakeResponse may wait; it runs on the heartbeat's own goroutine.
+	// TakeResponse may block; it runs on the heartbeat's own goroutine.
 	TakeResponse(ctx context.Context, address string, response *garnetworks.HeartbeatResponse)
 }
 
-// Options are what a tracker needs.
+// Options configure a Tracker.
 type Options struct {
-	// Self describes this node. Incarnation may be raised at the start; Self()
-	// tells what it became.
+	// Self describes this node. Its incarnation may be raised at the start; Tracker.Self
+	// returns the current description.
 	Self garnetworks.NodeInfo
-	// Seeds are addresses to ask before any roster is known.
+	// Seeds are addresses to contact before any roster is known.
 	Seeds   []string
 	Objects garnetworks.ObjectAPI
 	Peers   garnetworks.PeerCaller
 	// Recorder may be nil.
 	Recorder garnetworks.Recorder
-	// Publish spreads a roster that was written; the distributor's Publish. It
-	// may be nil.
+	// Publish distributes a written roster; it is the distributor's Publish. It may be nil.
 	Publish func(garnetworks.Update) error
-	// Hold keeps a roster that was read for peers that ask; the distributor's
-	// Hold. It may be nil.
+	// Hold keeps a roster for peers that ask; it is the distributor's Hold. It may be nil.
 	Hold         func(garnetworks.Update) error
 	Piggybackers []Piggybacker
-	// Superseded is called once when another process took this node's name; the
+	// Superseded is called once when another process has taken this node's name; the
 	// process should stop. It may be nil.
 	Superseded func()
 	// Log may be nil.
 	Log func(error)
 }
 
-// Tracker knows the site's nodes. It is safe for concurrent use.
+// Tracker maintains the membership of the site. It is safe for concurrent use.
 type Tracker struct {
 	options Options
 
@@ -125,17 +125,17 @@
 	state *State
 
 	view atomic.Pointer[View]
-	// busy holds a token for each heartbeat on its way.
+	// inFlight is a semaphore for heartbeats in flight.
 	inFlight chan struct{}
 	group    sync.WaitGroup
 	// writes counts roster writes; reads counts reads of the object API.
 	writes, reads atomic.Uint64
 }
 
-// maxBusy bounds the heartbeats on their way; more are left to the next beat.
+// maxInFlight limits concurrent heartbeats; further ones are skipped.
 const maxInFlight = 64
 
-// New returns a tracker; Run starts its work.
+// New returns a tracker; call Run to start it.
 func New(options Options) *Tracker {
 	if options.Recorder == nil {
 		options.Recorder = noRecorder{}
@@ -165,7 +165,7 @@
 
 func (noRecorder) Record(garnetworks.Event) {}
 
-// Run tracks until ctx ends; it returns when all its work has ended.
+// Run runs the tracker until ctx ends and all its goroutines have returned.
 func (t *Tracker) Run(ctx context.Context) {
 	defer t.group.Wait()
 	t.group.Go(func() { t.loadRosters(ctx) })
@@ -181,7 +181,7 @@
 	}
 }
 
-// step feeds the state and carries out what it decides.
+// step applies an observation to the state and executes the decisions.
 func (t *Tracker) step(ctx context.Context, o Observation) {
 	t.mu.Lock()
 	d := t.state.Step(time.Now(), o)
@@ -190,13 +190,14 @@
 	t.execute(ctx, d)
 }
 
-// publishView makes a changed view visible. The caller holds mu.
+// publishView stores the new view if it changed. The caller holds mu.
 func (t *Tracker) publishView(d Decisions) {
 	if d.Changed {
 		t.view.Store(t.state.View())
 	}
 }
 
+// execute carries out decisions. The caller does not hold mu.
 func (t *Tracker) execute(ctx context.Context, d Decisions) {
 	for _, e := range d.Events {
 		t.options.Recorder.Record(e)
@@ -222,8 +223,8 @@
 	}
 }
 
-// probe sends a heartbeat on a goroutine of its own. With all in use, the
-// heartbeat is left out and counts as not sent.
+// probe sends a heartbeat on its own goroutine. It skips the heartbeat if maxInFlight are
+// in flight; that does not count as a failure.
 func (t *Tracker) probe(ctx context.Context, p Probe) {
 	select {
 	case t.inFlight <- struct{}{}:
@@ -236,6 +237,7 @@
 	})
 }
 
+// sendHeartbeat sends a heartbeat and applies the response.
 func (t *Tracker) sendHeartbeat(ctx context.Context, p Probe) {
 	request := &garnetworks.HeartbeatRequest{From: p.From, IndirectProbes: p.IndirectProbes, Leaving: p.Leaving}
 	for _, r := range t.options.Piggybackers {
@@ -260,7 +262,7 @@
 	return t.options.Peers.Heartbeat(ctx, address, request)
 }
 
-// HandleHeartbeat answers a peer's heartbeat.
+// HandleHeartbeat answers a heartbeat from a peer.
 func (t *Tracker) HandleHeartbeat(request *garnetworks.HeartbeatRequest) (*garnetworks.HeartbeatResponse, error) {
 	t.mu.Lock()
 	reply, d := t.state.Receive(time.Now(), request)
@@ -280,7 +282,7 @@
 	return response, nil
 }
 
-// Apply takes a roster that came by distribution; other topics are ignored.
+// Apply applies a distributed roster; it ignores other topics.
 func (t *Tracker) Apply(ctx context.Context, update garnetworks.Update) {
 	zone, ok := strings.CutPrefix(string(update.Topic), string(garnetworks.TopicRoster))
 	if !ok {
@@ -298,13 +300,13 @@
 	t.step(ctx, RosterLearned{Roster: roster})
 }
 
-// SetReady says whether this node takes calls.
+// SetReady sets whether this node takes calls.
 func (t *Tracker) SetReady(ctx context.Context, ready bool) {
 	t.step(ctx, ReadySet{Ready: ready})
 }
 
-// Leave tells the neighbours and the roster's writer that this node stops, and
-// returns when they were told or ctx ends. Run must still be running.
+// Leave notifies the neighbours and the roster's writers that this node is stopping. It
+// returns when all were notified or ctx ends. Run must still be running.
 func (t *Tracker) Leave(ctx context.Context) {
 	t.mu.Lock()
 	d := t.state.Step(time.Now(), Leave{})
@@ -317,16 +319,16 @@
 	}
 }
 
-// Self describes this node as its peers know it.
+// Self returns this node's description as its peers know it.
 func (t *Tracker) Self() garnetworks.NodeInfo { return t.view.Load().Self }
 
-// View returns what is known now; it must not be changed.
+// View returns the current view; the caller must not modify it.
 func (t *Tracker) View() *View { return t.view.Load() }
 
-// Nodes returns the nodes that take calls, this one included if it does.
+// Nodes returns the nodes that take calls, including this one if it does.
 func (t *Tracker) Nodes() []garnetworks.NodeInfo { return t.view.Load().Ready }
 
-// Peers returns all nodes that are not known to be lost, but this one.
+// Peers returns all nodes not known to be lost, except this one.
 func (t *Tracker) Peers() []garnetworks.NodeInfo { return t.view.Load().Peers }
 
 // Roster returns a zone's last known roster.
@@ -335,8 +337,8 @@
 	return r, ok
 }
 
-// StoreCalls counts this node's writes and reads of rosters.
+// StoreCalls returns the number of writes and reads of rosters by this node.
 func (t *Tracker) StoreCalls() (writes, reads uint64) { return t.writes.Load(), t.reads.Load() }
 
-// newWriteID identifies one roster write.
+// newWriteID returns a unique identifier for a roster write.
 func newWriteID() string { return ulid.Make().String() }
