--- a/claimer/bench_test.go
+++ b/claimer/bench_test.go
@@ -35,7 +35,7 @@
 		}
 		return list
 	}
-	s, _, _ := (&Shard{}).Apply(someTime, none, ops(OpComplete, records))
+	s, _, _ := (&Shard{}).Apply(baseTime, emptyLookup, ops(OpComplete, records))
 	value, err := encode(s)
 	if err != nil {
 		b.Fatal(err)
@@ -50,8 +50,8 @@
 				b.Fatal(err)
 			}
 		}
-		next, results, _ := read.Apply(someTime, none, group)
-		if results[0].Verdict != VerdictFresh {
+		next, results, _ := read.Apply(baseTime, emptyLookup, group)
+		if results[0].Verdict != VerdictGranted {
 			b.Fatal("not fresh")
 		}
 		if _, err := encode(next); err != nil {
--- a/claimer/claimer.go
+++ b/claimer/claimer.go
@@ -23,8 +23,8 @@
 	DefaultClaimTimeout = 2 * time.Second
 	// DefaultCallTimeout bounds one call to the object API.
 	DefaultCallTimeout = time.Second
-	// queueBound is the most operations that wait for one shard at one node.
-	queueBound = 2048
+	// maxPending is the most operations that wait for one shard at one node.
+	maxPending = 2048
 )
 
 // Forwarder hands operations to another node, which commits them together with
@@ -69,9 +69,9 @@
 type Claimer struct {
 	options Options
 	workers [Shards]*worker
-	// refusing counts the workers that refuse claims, so that an outage stands on
+	// refusingWorkers counts the workers that refuse claims, so that an outage stands on
 	// the time line once for a node and not once for each shard.
-	refusing atomic.Int32
+	refusingWorkers atomic.Int32
 
 	mu    sync.Mutex
 	nodes []garnetworks.NodeInfo
@@ -129,15 +129,15 @@
 	ctx, cancel := context.WithTimeout(ctx, c.options.ClaimTimeout)
 	defer cancel()
 	op := claimOp(OpClaim, &request)
-	result, err := c.worker(op.Key).do(ctx, op)
+	result, err := c.worker(op.Key).submitAndWait(ctx, op)
 	if err != nil {
 		return garnetworks.ClaimResult{}, err
 	}
 	if result.Verdict == VerdictRecorded {
-		return c.recorded(ctx, &result.Record)
+		return c.recordedResult(ctx, &result.Record)
 	}
-	if result.Verdict != VerdictFresh {
-		return garnetworks.ClaimResult{}, refusal(&result, time.Now())
+	if result.Verdict != VerdictGranted {
+		return garnetworks.ClaimResult{}, verdictError(&result, time.Now())
 	}
 	claim := garnetworks.Claim{ClaimRequest: request}
 	if !MayForward(time.Now(), &claim) {
@@ -151,8 +151,8 @@
 // error of kind KindResponseLost, and the answer goes on being recorded.
 func (c *Claimer) Complete(ctx context.Context, claim garnetworks.Claim, answer *garnetworks.ServiceResponse) error {
 	op := claimOp(OpComplete, &claim.ClaimRequest)
-	op.Answer = c.keep(ctx, op.Key, claim.Call, answer)
-	return c.finish(ctx, op)
+	op.Answer = c.storeAnswer(ctx, op.Key, claim.Call, answer)
+	return c.submitOutcome(ctx, op)
 }
 
 // Abandon implements garnetworks.Claimer. If ctx ends first, it returns an
@@ -160,23 +160,23 @@
 func (c *Claimer) Abandon(ctx context.Context, claim garnetworks.Claim, outcome garnetworks.Outcome) error {
 	switch outcome {
 	case garnetworks.OutcomeNotRun:
-		return c.finish(ctx, claimOp(OpRelease, &claim.ClaimRequest))
+		return c.submitOutcome(ctx, claimOp(OpRelease, &claim.ClaimRequest))
 	case garnetworks.OutcomeUnknown:
-		return c.finish(ctx, claimOp(OpUnknown, &claim.ClaimRequest))
+		return c.submitOutcome(ctx, claimOp(OpUnknown, &claim.ClaimRequest))
 	}
 	return garnetworks.Errorf(garnetworks.KindInternal, "a claim can't be abandoned as %q", outcome)
 }
 
-// finish submits an operation that has to be recorded sooner or later, and
+// submitOutcome submits an operation that has to be recorded sooner or later, and
 // waits for it as long as ctx allows.
-func (c *Claimer) finish(ctx context.Context, op Op) error {
+func (c *Claimer) submitOutcome(ctx context.Context, op Op) error {
 	t := c.worker(op.Key).submit(op)
 	select {
 	case <-t.done:
 	case <-ctx.Done():
 		return garnetworks.WrapError(garnetworks.KindResponseLost, ctx.Err(), "the outcome of the claimed call is not recorded yet")
 	}
-	if t.result.Verdict == VerdictLost {
+	if t.result.Verdict == VerdictSuperseded {
 		return garnetworks.Errorf(garnetworks.KindInternal, "the key of call %s belongs to call %s", op.Call, t.result.Record.Call)
 	}
 	return nil
@@ -187,7 +187,7 @@
 func (c *Claimer) Flush(ctx context.Context) error {
 	const poll = 10 * time.Millisecond
 	for _, w := range c.workers {
-		for w.owed() > 0 {
+		for w.unrecorded() > 0 {
 			if ctx.Err() != nil {
 				return garnetworks.WrapError(garnetworks.KindResponseLost, ctx.Err(), "outcomes of claimed calls are not recorded")
 			}
@@ -197,9 +197,9 @@
 	return nil
 }
 
-// Serve commits operations that another node has handed over. Its Forwarder
+// CommitForwarded commits operations that another node has handed over. Its Forwarder
 // brings the results back.
-func (c *Claimer) Serve(ctx context.Context, shard int, ops []Op) ([]Result, error) {
+func (c *Claimer) CommitForwarded(ctx context.Context, shard int, ops []Op) ([]Result, error) {
 	if shard < 0 || shard >= Shards {
 		return nil, garnetworks.Errorf(garnetworks.KindInvalidRequest, "no shard %d", shard)
 	}
@@ -208,7 +208,7 @@
 			return nil, garnetworks.Errorf(garnetworks.KindInvalidRequest, "operation %d is of shard %d, not %d", i, ops[i].Key.Shard(), shard)
 		}
 	}
-	return c.workers[shard].serve(ctx, ops)
+	return c.workers[shard].commitForwarded(ctx, ops)
 }
 
 // Stats are counters of a claimer since its start, and its state now.
@@ -216,12 +216,12 @@
 	// Writes, Conflicts and Failures count tries to write a shard by their end;
 	// Forwarded counts groups that another node has committed.
 	Writes, Conflicts, Failures, Forwarded uint64
-	// Moves counts the buckets that were written.
-	Moves uint64
-	// Owed is the number of outcomes that are not recorded yet.
-	Owed int
-	// Down is the number of shards whose claims are refused now.
-	Down int
+	// BucketWrites counts the buckets that were written.
+	BucketWrites uint64
+	// Unrecorded is the number of outcomes that are not recorded yet.
+	Unrecorded int
+	// RefusingShards is the number of shards whose claims are refused now.
+	RefusingShards int
 	// LargestShard is the size in bytes of the largest shard known.
 	LargestShard int
 }
@@ -234,11 +234,11 @@
 		total.Conflicts += w.conflicted.Load()
 		total.Failures += w.failed.Load()
 		total.Forwarded += w.forwarded.Load()
-		total.Moves += w.moves.Load()
-		total.Owed += w.owed()
+		total.BucketWrites += w.bucketWrites.Load()
+		total.Unrecorded += w.unrecorded()
 		total.LargestShard = max(total.LargestShard, int(w.bytes.Load()))
-		if w.refuses() {
-			total.Down++
+		if w.refusesClaims() {
+			total.RefusingShards++
 		}
 	}
 	return total
@@ -254,8 +254,8 @@
 	}
 }
 
-// refusal is the error for a verdict that gives no claim.
-func refusal(r *Result, now time.Time) error {
+// verdictError is the error for a verdict that gives no claim.
+func verdictError(r *Result, now time.Time) error {
 	switch r.Verdict {
 	case VerdictInProgress:
 		const low, high = time.Second, 5 * time.Second
@@ -278,8 +278,8 @@
 	return garnetworks.Errorf(garnetworks.KindClaimsUnavailable, "%s", detail)
 }
 
-// keep decides where the answer is kept, and stores a large one.
-func (c *Claimer) keep(ctx context.Context, key Digest, call garnetworks.CallID, answer *garnetworks.ServiceResponse) Answer {
+// storeAnswer decides where the answer is kept, and stores a large one.
+func (c *Claimer) storeAnswer(ctx context.Context, key Digest, call garnetworks.CallID, answer *garnetworks.ServiceResponse) Answer {
 	kept := Answer{Form: AnswerInline, Status: answer.Status, ContentType: answer.ContentType, Body: answer.Body}
 	if len(answer.Body)+len(answer.ContentType) <= MaxInlineAnswer {
 		return kept
@@ -309,13 +309,13 @@
 	return Answer{Form: AnswerStored, Status: answer.Status, Revision: revision}
 }
 
-// recorded returns the answer that a record holds or points to.
-func (c *Claimer) recorded(ctx context.Context, r *Record) (garnetworks.ClaimResult, error) {
+// recordedResult returns the answer that a record holds or points to.
+func (c *Claimer) recordedResult(ctx context.Context, r *Record) (garnetworks.ClaimResult, error) {
 	answer := r.Answer
 	if answer.Form == AnswerStored {
 		stored, err := c.options.API.Get(ctx, answerKey(r.Key, r.Call))
 		if err != nil && !garnetworks.IsKind(err, garnetworks.KindNotFound) {
-			return garnetworks.ClaimResult{}, inProgressWhileAway()
+			return garnetworks.ClaimResult{}, answerUnreadable()
 		}
 		if err != nil || decode(stored.Value, &answer) != nil {
 			answer.Form = AnswerDropped
@@ -330,9 +330,9 @@
 	})}, nil
 }
 
-// inProgressWhileAway tells a caller to come back for an answer that exists but
+// errAnswerUnreadable tells a caller to come back for an answer that exists but
 // can't be read now. KindClaimsUnavailable would say that the call did not run.
-func inProgressWhileAway() error {
+func answerUnreadable() error {
 	return &garnetworks.Error{
 		Kind: garnetworks.KindInProgress, Detail: "the first call with the key completed; its answer can't be read now",
 		RetryAfter: 2 * time.Second,
--- a/claimer/claimer_test.go
+++ b/claimer/claimer_test.go
@@ -12,26 +12,26 @@
 	"pgregory.net/rapid"
 )
 
-// ending is what becomes of a call after its claim.
-type ending int
+// outcome is what becomes of a call after its claim.
+type outcome int
 
 const (
-	endComplete ending = iota
+	endComplete outcome = iota
 	endUnknown
 	endNotRun
 	endCrash // the node dies after the call ran, before it is recorded
-	endings
+	outcomes
 )
 
 // step is one call of a script.
 type step struct {
 	At, Pause, Patience time.Duration
 	Node, Key           int
-	End                 ending
+	End                 outcome
 }
 
-// script is a run of the state machine.
-type script struct {
+// scenario is a run of the state machine.
+type scenario struct {
 	Seed       uint64
 	Nodes      int
 	Forwarding bool
@@ -40,12 +40,12 @@
 	Steps      []step
 }
 
-func drawScript(t *rapid.T, crashes bool) script {
+func drawScenario(t *rapid.T, crashes bool) scenario {
 	chance := func(name string, most float64) float64 { return rapid.Float64Range(0, most).Draw(t, name) }
 	millis := func(name string, most int) time.Duration {
 		return time.Duration(rapid.IntRange(0, most).Draw(t, name)) * time.Millisecond
 	}
-	s := script{
+	s := scenario{
 		Seed: rapid.Uint64().Draw(t, "seed"), Nodes: rapid.IntRange(2, 4).Draw(t, "nodes"),
 		Forwarding: rapid.Bool().Draw(t, "forwarding"), Loss: chance("loss", 0.4),
 		Faults: faults{lost: chance("lost", 0.4), late: chance("late", 0.4), throttled: chance("throttled", 0.3), latency: 2 * time.Millisecond},
@@ -61,7 +61,7 @@
 			At: millis("at", 30_000), Pause: millis("pause", 8_000) * time.Duration(rapid.IntRange(0, 1).Draw(t, "paused")),
 			Patience: 50*time.Millisecond + millis("patience", 3_000),
 			Node:     rapid.IntRange(0, s.Nodes-1).Draw(t, "node"), Key: rapid.IntRange(0, 3).Draw(t, "key"),
-			End: ending(rapid.IntRange(0, int(last)).Draw(t, "end")),
+			End: outcome(rapid.IntRange(0, int(last)).Draw(t, "end")),
 		})
 	}
 	return s
@@ -73,16 +73,16 @@
 	runs     [4]int
 	answer   [4]string
 	recorded [4]bool // Complete returned without an error
-	touched  [4]bool // an outcome was handed over as unknown
-	faults   []string
+	unknown  [4]bool // an outcome was handed over as unknown
+	failures []string
 }
 
 func (o *oracle) failf(format string, args ...any) {
-	o.faults = append(o.faults, fmt.Sprintf(format, args...))
+	o.failures = append(o.failures, fmt.Sprintf(format, args...))
 }
 
 // run plays a script with real claimers on the test clock.
-func (s script) run(t *testing.T) *oracle {
+func (s scenario) run(t *testing.T) *oracle {
 	o := &oracle{}
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -100,7 +100,7 @@
 		c.store.faults, c.loss = faults{latency: time.Millisecond}, 0
 		c.store.mu.Unlock()
 		time.Sleep(time.Minute) // late writes land, releases are recorded
-		o.settle(ctx, c, s)
+		o.checkFinalState(ctx, c, s)
 		cancel()
 		time.Sleep(5 * time.Second)
 	})
@@ -121,7 +121,7 @@
 	patient, cancel := context.WithTimeout(ctx, st.Patience)
 	defer cancel()
 	result, err := node.Claim(patient, r)
-	if o.told(st.Key, result, err) || err != nil {
+	if o.checkResult(st.Key, result, err) || err != nil {
 		return
 	}
 	time.Sleep(st.Pause) // the node is paused between claim and call
@@ -135,7 +135,7 @@
 		c.stop[st.Node]()
 	case endUnknown:
 		o.mu.Lock()
-		o.touched[st.Key] = true
+		o.unknown[st.Key] = true
 		o.mu.Unlock()
 		_ = node.Abandon(patient, result.Claim, garnetworks.OutcomeUnknown)
 	default:
@@ -158,9 +158,9 @@
 	return o.answer[key]
 }
 
-// told checks what a caller was told against what happened, and reports whether
+// checkResult checks what a caller was checkResult against what happened, and reports whether
 // it was an answer.
-func (o *oracle) told(key int, result garnetworks.ClaimResult, err error) bool {
+func (o *oracle) checkResult(key int, result garnetworks.ClaimResult, err error) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	answer, ok := result.Recorded.Get()
@@ -176,18 +176,18 @@
 	return ok
 }
 
-// settle asks for every key once all is quiet: a key that ran is never fresh, a
+// checkFinalState asks for every key once all is quiet: a key that ran is never fresh, a
 // recorded one is answered, and one that never ran is free again.
-func (o *oracle) settle(ctx context.Context, c *cluster, s script) {
-	asker := New(Options{Node: garnetworks.NodeInfo{ID: "asker"}, API: c.store})
-	go func() { _ = asker.Run(ctx) }()
+func (o *oracle) checkFinalState(ctx context.Context, c *cluster, s scenario) {
+	verifier := New(Options{Node: garnetworks.NodeInfo{ID: "asker"}, API: c.store})
+	go func() { _ = verifier.Run(ctx) }()
 	crashed := false
 	for _, st := range s.Steps {
 		crashed = crashed || st.End == endCrash
 	}
 	for key := range o.runs {
-		result, err := asker.Claim(ctx, request(key, 1000+key))
-		o.told(key, result, err)
+		result, err := verifier.Claim(ctx, request(key, 1000+key))
+		o.checkResult(key, result, err)
 		switch {
 		case o.recorded[key] && !result.Recorded.Present:
 			o.failf("key %d lost its recorded answer: %v", key, err)
@@ -206,9 +206,9 @@
 	for name, crashes := range map[string]bool{"with-crashes": true, "without-crashes": false} {
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(rt *rapid.T) {
-				s := drawScript(rt, crashes)
-				if o := s.run(t); len(o.faults) > 0 {
-					rt.Fatalf("%v\n%+v", o.faults, s)
+				s := drawScenario(rt, crashes)
+				if o := s.run(t); len(o.failures) > 0 {
+					rt.Fatalf("%v\n%+v", o.failures, s)
 				}
 			})
 		})
--- a/claimer/commit.go
+++ b/claimer/commit.go
@@ -7,9 +7,9 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// cachedBytes bounds the buckets that a worker remembers, by their encoded
+// maxCachedBytes bounds the buckets that a worker remembers, by their encoded
 // sizes: a node that writes all shards for itself holds 32 MB at most.
-const cachedBytes = 2 << 20
+const maxCachedBytes = 2 << 20
 
 // commit applies a group to the shard and returns results that are proven to be
 // in the store (rule C1).
@@ -18,7 +18,7 @@
 	newest := uint64(0)
 	for i, t := range group {
 		ops[i] = t.op
-		newest = max(newest, t.number)
+		newest = max(newest, t.sequence)
 	}
 	if err := w.load(ctx, ops); err != nil {
 		return nil, err
@@ -27,7 +27,7 @@
 	if changed {
 		return results, w.write(ctx, next, group)
 	}
-	if w.readAt >= newest {
+	if w.readSequence >= newest {
 		return results, nil
 	}
 	// Rule C7: nothing is to be written, but what is known may be out of date.
@@ -51,61 +51,61 @@
 	}
 	call, cancel := context.WithTimeout(ctx, w.claimer.options.CallTimeout)
 	defer cancel()
-	newest := w.now()
-	w.paced()
+	newest := w.latestSequence()
+	w.scheduleNextWrite()
 	revision, err := w.claimer.options.API.Put(call, shardKey(w.number), value, w.revision)
 	if err != nil {
-		w.doubt(err, group)
+		w.handleWriteError(err, group)
 		return err
 	}
 	w.writes.Add(1)
 	w.bytes.Store(int64(len(value)))
-	w.adopt(next, revision, newest)
+	w.setShard(next, revision, newest)
 	return nil
 }
 
-// doubt draws the consequences of a failed write: unless it provably had no
+// handleWriteError draws the consequences of a failed write: unless it provably had no
 // effect, it may still land, also after its deadline.
-func (w *worker) doubt(err error, group []*ticket) {
+func (w *worker) handleWriteError(err error, group []*ticket) {
 	if !garnetworks.IsKind(err, garnetworks.KindThrottled, garnetworks.KindObjectAPIDown) {
 		w.shard = nil // rule G11: read back
 	}
-	if harmless(err) {
+	if hadNoEffect(err) {
 		return
 	}
 	for _, t := range group {
-		t.sent = true // rule C4
+		t.inDoubt = true // rule C4
 	}
 }
 
-// harmless reports whether an error proves that a write had no effect and will
+// hadNoEffect reports whether an error proves that a write had no effect and will
 // have none.
-func harmless(err error) bool {
+func hadNoEffect(err error) bool {
 	return garnetworks.IsKind(err, garnetworks.KindConflict, garnetworks.KindThrottled,
 		garnetworks.KindTooLarge, garnetworks.KindObjectAPIDown)
 }
 
-// adopt takes a state that was in the store after the ticket number readAt.
-func (w *worker) adopt(s *Shard, revision garnetworks.Revision, readAt uint64) {
-	w.shard, w.revision, w.readAt, w.adopted = s, revision, readAt, time.Now()
-	w.highest = max(w.highest, revision)
+// setShard takes a state that was in the store after the ticket number readSequence.
+func (w *worker) setShard(s *Shard, revision garnetworks.Revision, readSequence uint64) {
+	w.shard, w.revision, w.readSequence, w.loadedAt = s, revision, readSequence, time.Now()
+	w.highestRevision = max(w.highestRevision, revision)
 }
 
-// now returns the number of the newest ticket.
-func (w *worker) now() uint64 {
+// latestSequence returns the number of the newest ticket.
+func (w *worker) latestSequence() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.counter
+	return w.lastSequence
 }
 
 // load reads the shard if it is unknown, and the buckets of the operations' keys.
 func (w *worker) load(ctx context.Context, ops []Op) error {
-	if w.shard == nil || w.stale() {
+	if w.shard == nil || w.maybeStale() {
 		if err := w.read(ctx); err != nil {
 			return err
 		}
 	}
-	w.trim()
+	w.evictBuckets()
 	for i := range ops {
 		if err := w.loadBucket(ctx, ops[i].Key.Bucket()); err != nil {
 			return err
@@ -114,16 +114,16 @@
 	return nil
 }
 
-// stale reports whether another node has probably written the shard since it
+// maybeStale reports whether another node has probably written the shard since it
 // was read. A read then saves a write that would meet a conflict; the platform
 // takes several times as many reads as writes.
-func (w *worker) stale() bool {
-	return w.writers() > 1 && time.Since(w.adopted) > w.claimer.options.Interval/4
+func (w *worker) maybeStale() bool {
+	return w.writers() > 1 && time.Since(w.loadedAt) > w.claimer.options.Interval/4
 }
 
 // read reads the shard.
 func (w *worker) read(ctx context.Context) error {
-	newest := w.now()
+	newest := w.latestSequence()
 	object, err := w.get(ctx, shardKey(w.number))
 	if garnetworks.IsKind(err, garnetworks.KindNotFound) {
 		object, err = garnetworks.Object{}, nil
@@ -133,8 +133,8 @@
 	}
 	// A store that was set back to a backup has lost claims. Giving their keys
 	// out again could run a call twice, so the node refuses claims instead.
-	if object.Revision < w.highest {
-		return garnetworks.Errorf(garnetworks.KindObjectAPIDown, "claims of shard %d went back from revision %d to %d", w.number, w.highest, object.Revision)
+	if object.Revision < w.highestRevision {
+		return garnetworks.Errorf(garnetworks.KindObjectAPIDown, "claims of shard %d went back from revision %d to %d", w.number, w.highestRevision, object.Revision)
 	}
 	s := &Shard{Number: w.number}
 	if object.Revision > 0 {
@@ -142,7 +142,7 @@
 			return err
 		}
 	}
-	w.adopt(s, object.Revision, newest)
+	w.setShard(s, object.Revision, newest)
 	return nil
 }
 
@@ -152,17 +152,17 @@
 	return w.claimer.options.API.Get(call, key)
 }
 
-// trim bounds the memory for buckets; which ones go does not matter.
-func (w *worker) trim() {
+// evictBuckets bounds the memory for buckets; which ones go does not matter.
+func (w *worker) evictBuckets() {
 	total := 0
-	for _, known := range w.buckets {
-		total += known.bytes
+	for _, cached := range w.buckets {
+		total += cached.bytes
 	}
-	for b, known := range w.buckets {
-		if total <= cachedBytes {
+	for b, cached := range w.buckets {
+		if total <= maxCachedBytes {
 			return
 		}
-		total -= known.bytes
+		total -= cached.bytes
 		delete(w.buckets, b)
 	}
 }
@@ -170,17 +170,17 @@
 // loadBucket reads a bucket unless a copy is known that the shard's mark allows
 // (rule C9).
 func (w *worker) loadBucket(ctx context.Context, b int) error {
-	mark := w.shard.Marks[b]
-	known, ok := w.buckets[b]
-	if mark == 0 || ok && known.revision >= mark {
+	minRevision := w.shard.Marks[b]
+	cached, ok := w.buckets[b]
+	if minRevision == 0 || ok && cached.revision >= minRevision {
 		return nil
 	}
 	object, err := w.get(ctx, bucketKey(w.number, b))
 	if err != nil {
 		return err
 	}
-	if object.Revision < mark {
-		return garnetworks.Errorf(garnetworks.KindObjectAPIDown, "bucket %d/%d is at revision %d, below %d", w.number, b, object.Revision, mark)
+	if object.Revision < minRevision {
+		return garnetworks.Errorf(garnetworks.KindObjectAPIDown, "bucket %d/%d is at revision %d, below %d", w.number, b, object.Revision, minRevision)
 	}
 	bucket := &Bucket{}
 	if err := decode(object.Value, bucket); err != nil {
@@ -193,9 +193,9 @@
 // lookup finds a record in the loaded buckets.
 func (w *worker) lookup(key Digest) (Record, bool) {
 	b := key.Bucket()
-	known, ok := w.buckets[b]
+	cached, ok := w.buckets[b]
 	if !ok || w.shard.Marks[b] == 0 {
 		return Record{}, false
 	}
-	return known.bucket.Find(key)
+	return cached.bucket.Find(key)
 }
--- a/claimer/fake_test.go
+++ b/claimer/fake_test.go
@@ -49,8 +49,8 @@
 	return &store{objects: make(map[string]garnetworks.Object), random: rand.New(rand.NewPCG(seed, 1)), faults: f, start: time.Now()}
 }
 
-// begin waits for half of a call's time and draws its faults.
-func (s *store) begin(ctx context.Context) (lost, late bool, err error) {
+// injectFaults waits for half of a call's time and draws its faults.
+func (s *store) injectFaults(ctx context.Context) (lost, late bool, err error) {
 	s.mu.Lock()
 	f := s.faults
 	latency := f.latency
@@ -76,7 +76,7 @@
 }
 
 func (s *store) Get(ctx context.Context, key string) (garnetworks.Object, error) {
-	lost, _, err := s.begin(ctx)
+	lost, _, err := s.injectFaults(ctx)
 	if err != nil {
 		return garnetworks.Object{}, err
 	}
@@ -94,7 +94,7 @@
 }
 
 func (s *store) Put(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
-	lost, late, err := s.begin(ctx)
+	lost, late, err := s.injectFaults(ctx)
 	if err != nil {
 		return 0, err
 	}
@@ -178,7 +178,7 @@
 	for i := range size {
 		o := Options{Node: roster[i], API: s, Random: lockedRandom(uint64(i))}
 		if forwarding {
-			o.Forwarder = garnetworks.Some[Forwarder](&link{cluster: c, roster: roster})
+			o.Forwarder = garnetworks.Some[Forwarder](&fakeForwarder{cluster: c, roster: roster})
 		}
 		n := New(o)
 		n.SetRoster(roster)
@@ -200,29 +200,29 @@
 	}
 }
 
-// link carries groups between the nodes of a cluster.
-type link struct {
+// fakeForwarder carries groups between the nodes of a cluster.
+type fakeForwarder struct {
 	cluster *cluster
 	roster  []garnetworks.NodeInfo
 }
 
-func (l *link) Commit(ctx context.Context, node garnetworks.NodeInfo, shard int, ops []Op) ([]Result, error) {
+func (l *fakeForwarder) Commit(ctx context.Context, node garnetworks.NodeInfo, shard int, ops []Op) ([]Result, error) {
 	i := slices.IndexFunc(l.roster, func(n garnetworks.NodeInfo) bool { return n.ID == node.ID })
 	s := l.cluster.store
 	s.mu.Lock()
 	lost := s.random.Float64() < l.cluster.loss
-	held := s.random.Float64() < l.cluster.loss
+	delayed := s.random.Float64() < l.cluster.loss
 	s.mu.Unlock()
-	if held { // the group arrives after the sender has given up
+	if delayed { // the group arrives after the sender has given up
 		go func() {
 			time.Sleep(2 * time.Second)
 			c, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 			defer cancel()
-			_, _ = l.cluster.nodes[i].Serve(c, shard, ops)
+			_, _ = l.cluster.nodes[i].CommitForwarded(c, shard, ops)
 		}()
 		return nil, garnetworks.Errorf(garnetworks.KindResponseLost, "held up")
 	}
-	results, err := l.cluster.nodes[i].Serve(ctx, shard, ops)
+	results, err := l.cluster.nodes[i].CommitForwarded(ctx, shard, ops)
 	if lost {
 		return nil, garnetworks.Errorf(garnetworks.KindResponseLost, "lost")
 	}
--- a/claimer/faults_test.go
+++ b/claimer/faults_test.go
@@ -21,8 +21,8 @@
 		// want is the first answer; "" is a fresh claim.
 		want garnetworks.Kind
 		// again is the answer of a second key right after, within atOnce.
-		again  garnetworks.Kind
-		atOnce time.Duration
+		wantSecond garnetworks.Kind
+		within     time.Duration
 	}{
 		"none":                    {faults{}, "", "", 100 * time.Millisecond},
 		"slow":                    {faults{latency: 200 * time.Millisecond}, "", "", 900 * time.Millisecond},
@@ -44,7 +44,7 @@
 					t.Errorf("after %v: %v", time.Since(begun), err)
 				}
 				begun = time.Now()
-				if _, err := node.Claim(ctx, requestNear(1, 2)); garnetworks.KindOf(err) != test.again || time.Since(begun) > test.atOnce {
+				if _, err := node.Claim(ctx, requestSameShard(1, 2)); garnetworks.KindOf(err) != test.wantSecond || time.Since(begun) > test.within {
 					t.Errorf("second key after %v: %v", time.Since(begun), err)
 				}
 				c.store.mu.Lock()
@@ -55,7 +55,7 @@
 				if free := test.want != ""; free != (err == nil) {
 					t.Errorf("after the fault: %v", err)
 				}
-				if owed := node.Stats().Owed; owed != 0 {
+				if owed := node.Stats().Unrecorded; owed != 0 {
 					t.Errorf("%d outcomes are still owed", owed)
 				}
 				cancel()
@@ -66,7 +66,7 @@
 }
 
 // requestNear is request for another key of the same shard as key 0.
-func requestNear(key, call int) garnetworks.ClaimRequest {
+func requestSameShard(key, call int) garnetworks.ClaimRequest {
 	shard := func(key int) int {
 		r := request(key, call)
 		return KeyDigest(r.Workspace, r.Service, r.Key).Shard()
@@ -77,13 +77,13 @@
 	return request(key, call)
 }
 
-// counter counts events by kind.
-type counter struct {
+// eventCounter counts events by kind.
+type eventCounter struct {
 	mu    sync.Mutex
 	kinds map[garnetworks.EventKind]int
 }
 
-func (c *counter) Record(event garnetworks.Event) {
+func (c *eventCounter) Record(event garnetworks.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.kinds[event.Kind]++
@@ -92,11 +92,11 @@
 // The object API is down for ten seconds while keyed calls of all shards arrive.
 // The operator reads the time line and finds sixteen outages and sixteen ends at
 // each node, as each shard tells its own, and older events are pushed out.
-func TestOutageIsToldOnce(t *testing.T) {
+func TestOutageIsReportedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		events := &counter{kinds: make(map[garnetworks.EventKind]int)}
+		events := &eventCounter{kinds: make(map[garnetworks.EventKind]int)}
 		node := New(Options{Node: garnetworks.NodeInfo{ID: "a", Zone: "z"}, API: newStore(faults{downTo: 10 * time.Second}, 1), Random: lockedRandom(1), Recorder: events})
 		go func() { _ = node.Run(ctx) }()
 		var calls sync.WaitGroup
--- a/claimer/forward.go
+++ b/claimer/forward.go
@@ -11,11 +11,11 @@
 const (
 	// forwardTimeout bounds the time that another node is given to commit.
 	forwardTimeout = 500 * time.Millisecond
-	// forwardPause is how long a node is not asked again after a failure; it
+	// forwardBackoff is how long a node is not asked again after a failure; it
 	// doubles with each further one up to forwardPauseMax, since a node can be
 	// listed as ready and be cut off from this one for long.
-	forwardPause    = 2 * time.Second
-	forwardPauseMax = 30 * time.Second
+	forwardBackoff    = 2 * time.Second
+	forwardBackoffMax = 30 * time.Second
 )
 
 // committer returns the node that commits the shard's operations for its
@@ -37,9 +37,9 @@
 	return best, weight > 0
 }
 
-// forwards reports whether the next group goes to another node.
-func (w *worker) forwards() bool {
-	if !w.claimer.options.Forwarder.Present || time.Now().Before(w.forwardAfter) {
+// shouldForward reports whether the next group goes to another node.
+func (w *worker) shouldForward() bool {
+	if !w.claimer.options.Forwarder.Present || time.Now().Before(w.nextForward) {
 		return false
 	}
 	n, ok := w.committer()
@@ -51,14 +51,14 @@
 // have been committed or may be later; they are idempotent (rule C2) and are
 // committed here.
 func (w *worker) forward(ctx context.Context, group []*ticket) []*ticket {
-	if !w.forwards() {
+	if !w.shouldForward() {
 		return group
 	}
 	node, _ := w.committer()
 	var own, rest []*ticket
 	var ops []Op
 	for _, t := range group {
-		if t.remote || t.sent {
+		if t.remote || t.inDoubt {
 			rest = append(rest, t)
 			continue
 		}
@@ -69,15 +69,15 @@
 		return rest
 	}
 	for _, t := range own {
-		t.sent = true
+		t.inDoubt = true
 	}
 	call, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	results, err := w.claimer.options.Forwarder.Value.Commit(call, node, w.number, ops)
 	if err != nil || len(results) != len(ops) {
 		w.forwardFailures++
-		pause := min(forwardPause<<min(w.forwardFailures-1, 10), forwardPauseMax)
-		w.forwardAfter = time.Now().Add(pause)
+		pause := min(forwardBackoff<<min(w.forwardFailures-1, 10), forwardBackoffMax)
+		w.nextForward = time.Now().Add(pause)
 		return group
 	}
 	w.forwardFailures = 0
@@ -85,7 +85,7 @@
 	for i, t := range own {
 		// The other node's answer ends its doubts, but for a claim that it
 		// refused as ended: it may have tried to write it before.
-		t.sent = results[i].Verdict == VerdictReleased
+		t.inDoubt = results[i].Verdict == VerdictReleased
 	}
 	w.deliver(own, results)
 	return rest
--- a/claimer/mover.go
+++ b/claimer/mover.go
@@ -7,25 +7,25 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// moveInterval is the least distance between two moves to buckets.
-const moveInterval = time.Second
+// minMoveInterval is the least distance between two moves to buckets.
+const minMoveInterval = time.Second
 
-// move hands the fullest bucket's records at rest over, if the shard is above
+// moveToBucket hands the fullest bucket's records at rest over, if the shard is above
 // its target size. It runs right after a commit, so that what it moves is not
 // out of date. A failure leaves everything as it was, or a record in both
 // places, which readers join.
-func (w *worker) move(ctx context.Context) {
+func (w *worker) moveToBucket(ctx context.Context) {
 	now := time.Now()
-	if w.shard == nil || now.Before(w.moveAfter) {
+	if w.shard == nil || now.Before(w.nextMove) {
 		return
 	}
-	b, ok := w.shard.Fullest(now)
+	b, ok := w.shard.FullestBucket(now)
 	if !ok {
 		return
 	}
-	w.moveAfter = now.Add(moveInterval)
-	records := w.shard.Resting(now, b)
-	revision, err := w.fill(ctx, now, b, records)
+	w.nextMove = now.Add(minMoveInterval)
+	records := w.shard.Settled(now, b)
+	revision, err := w.writeBucket(ctx, now, b, records)
 	if err != nil {
 		delete(w.buckets, b)
 		return
@@ -33,19 +33,19 @@
 	_ = w.write(ctx, w.shard.Without(b, records, revision), nil)
 }
 
-// fill writes records to a bucket and returns the bucket's new revision.
-func (w *worker) fill(ctx context.Context, now time.Time, b int, records []Record) (garnetworks.Revision, error) {
+// writeBucket writes records to a bucket and returns the bucket's new revision.
+func (w *worker) writeBucket(ctx context.Context, now time.Time, b int, records []Record) (garnetworks.Revision, error) {
 	// Rule C9: a write of this bucket whose shard write failed may have left a
 	// newer revision than the mark, so the bucket is read, not remembered.
-	known, err := w.readBucket(ctx, b)
+	current, err := w.readBucket(ctx, b)
 	if err != nil {
 		return 0, err
 	}
-	next, orphans, fits := known.bucket.Take(w.shard.Witnessed(now), w.claimer.options.Retention, records)
+	next, expired, fits := current.bucket.Merge(w.shard.ExpiryClock(now), w.claimer.options.Retention, records)
 	if !fits {
 		return 0, garnetworks.Errorf(garnetworks.KindTooLarge, "bucket %d/%d is full", w.number, b)
 	}
-	if err := w.deleteAnswers(ctx, orphans); err != nil {
+	if err := w.deleteAnswers(ctx, expired); err != nil {
 		return 0, err
 	}
 	value, err := encode(next)
@@ -54,11 +54,11 @@
 	}
 	call, cancel := context.WithTimeout(ctx, w.claimer.options.CallTimeout)
 	defer cancel()
-	revision, err := w.claimer.options.API.Put(call, bucketKey(w.number, b), value, known.revision)
+	revision, err := w.claimer.options.API.Put(call, bucketKey(w.number, b), value, current.revision)
 	if err != nil {
 		return 0, err
 	}
-	w.moves.Add(1)
+	w.bucketWrites.Add(1)
 	w.buckets[b] = cachedBucket{next, revision, len(value)}
 	return revision, nil
 }
--- a/claimer/pace.go
+++ b/claimer/pace.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// giveUpAfter is the number of failures in a row after which waiting claims
+	// refuseAfterFailures is the number of failures in a row after which waiting claims
 	// are refused; fewer are ridden out within the claims' own time.
-	giveUpAfter = 3
+	refuseAfterFailures = 3
 	// retryMin and retryMax bound the wait between failing rounds.
 	retryMin = 50 * time.Millisecond
 	retryMax = 2 * time.Second
 )
 
-// refuses reports whether claims are refused at once now.
-func (w *worker) refuses() bool {
+// refusesClaims reports whether claims are refused at once now.
+func (w *worker) refusesClaims() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.failures >= giveUpAfter && time.Now().Before(w.retryAt)
+	return w.failures >= refuseAfterFailures && time.Now().Before(w.retryAt)
 }
 
-// wait keeps the distance to the last write and to the last failure.
-func (w *worker) wait(ctx context.Context) {
+// waitForTurn keeps the distance to the last write and to the last failure.
+func (w *worker) waitForTurn(ctx context.Context) {
 	w.mu.Lock()
 	until := w.retryAt
 	w.mu.Unlock()
-	if w.nextWrite.After(until) && !w.forwards() {
+	if w.nextWrite.After(until) && !w.shouldForward() {
 		until = w.nextWrite
 	}
 	if d := time.Until(until); d > 0 {
@@ -37,33 +37,33 @@
 	}
 }
 
-// paced sets the earliest time of the next write. A write that follows early
+// scheduleNextWrite sets the earliest time of the next write. A write that follows early
 // after conflicts is made up for by a longer wait.
-func (w *worker) paced() {
+func (w *worker) scheduleNextWrite() {
 	const jitter = 0.2
 	o := &w.claimer.options
-	distance := o.Interval * time.Duration(w.writers()*(1+w.conflicts))
+	interval := o.Interval * time.Duration(w.writers()*(1+w.conflicts))
 	factor := 1 - jitter/2 + jitter*o.Random()
-	w.nextWrite = time.Now().Add(time.Duration(float64(distance) * factor))
+	w.nextWrite = time.Now().Add(time.Duration(float64(interval) * factor))
 }
 
-// succeed ends a series of failures.
-func (w *worker) succeed() {
+// recordSuccess ends a series of failures.
+func (w *worker) recordSuccess() {
 	w.conflicts = 0
 	w.mu.Lock()
-	down := w.failures >= giveUpAfter
+	down := w.failures >= refuseAfterFailures
 	w.failures = 0
 	w.retryAt = time.Time{}
 	w.mu.Unlock()
-	if down && w.claimer.refusing.Add(-1) == 0 {
+	if down && w.claimer.refusingWorkers.Add(-1) == 0 {
 		w.record(garnetworks.Event{Kind: garnetworks.EventObjectAPIRestored, Detail: "claims are given again"})
 	}
 }
 
-// fail notes a failed round. A conflict is not a failure of the object API: it
+// recordFailure notes a failed round. A conflict is not a failure of the object API: it
 // is tried again after a short random time. After giveUpAfter failures the
 // waiting claims are refused, since their callers do better to come back.
-func (w *worker) fail(err error) {
+func (w *worker) recordFailure(err error) {
 	o := &w.claimer.options
 	if garnetworks.IsKind(err, garnetworks.KindConflict) {
 		w.conflicted.Add(1)
@@ -75,16 +75,16 @@
 	w.mu.Lock()
 	w.failures++
 	w.retryAt = time.Now().Add(backoff(w.failures, retryMin, retryMax, o.Random()))
-	gaveUp := w.failures == giveUpAfter
+	gaveUp := w.failures == refuseAfterFailures
 	var refused []*ticket
-	if w.failures >= giveUpAfter {
+	if w.failures >= refuseAfterFailures {
 		refused = slices.Clone(w.pending)
 	}
 	w.mu.Unlock()
 	for _, t := range refused {
 		t.refuse("the object API does not answer")
 	}
-	if gaveUp && w.claimer.refusing.Add(1) == 1 {
+	if gaveUp && w.claimer.refusingWorkers.Add(1) == 1 {
 		w.record(garnetworks.Event{Kind: garnetworks.EventObjectAPIDown, Error: garnetworks.KindOf(err), Detail: "claims are refused"})
 	}
 }
@@ -96,7 +96,7 @@
 		return
 	}
 	err := unavailable(detail)
-	if t.state.CompareAndSwap(ticketWaiting, ticketLeft) {
+	if t.state.CompareAndSwap(ticketWaiting, ticketAbandoned) {
 		t.err = err
 		close(t.done)
 	}
--- a/claimer/peers.go
+++ b/claimer/peers.go
@@ -35,7 +35,7 @@
 	if err := decode(request.Operations, &ops); err != nil {
 		return nil, garnetworks.WrapError(garnetworks.KindInvalidRequest, err, "the operations can't be read")
 	}
-	results, err := c.Serve(ctx, request.Shard, ops)
+	results, err := c.CommitForwarded(ctx, request.Shard, ops)
 	if err != nil {
 		return nil, err
 	}
--- a/claimer/peers_test.go
+++ b/claimer/peers_test.go
@@ -10,8 +10,8 @@
 	"github.com/garnetworks/garnetworks/messenger"
 )
 
-// committing answers CommitClaims and nothing else.
-type committing struct {
+// commitHandler answers CommitClaims and nothing else.
+type commitHandler struct {
 	garnetworks.PeerHandler
 	*Claimer
 }
@@ -38,7 +38,7 @@
 		go func() { _ = c.Run(ctx) }()
 		nodes = append(nodes, c)
 	}
-	server, err := messenger.NewServer(messenger.ServerOptions{Handler: committing{Claimer: nodes[0]}})
+	server, err := messenger.NewServer(messenger.ServerOptions{Handler: commitHandler{Claimer: nodes[0]}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/claimer/record.go
+++ b/claimer/record.go
@@ -83,9 +83,9 @@
 	Stopped []garnetworks.CallID
 }
 
-// stoppedKept bounds Record.Stopped. Only claims that were given up within the
+// maxStopped bounds Record.Stopped. Only claims that were given up within the
 // seconds that a copy can be held up on its way matter.
-const stoppedKept = 8
+const maxStopped = 8
 
 // AnswerForm says where a completed call's answer is.
 type AnswerForm uint8
@@ -110,8 +110,8 @@
 	Revision garnetworks.Revision
 }
 
-// join returns the copy of a record that is further on (rule C3).
-func join(a, b Record) Record {
+// merge returns the copy of a record that is further on (rule C3).
+func merge(a, b Record) Record {
 	if a.Epoch != b.Epoch {
 		if a.Epoch > b.Epoch {
 			return a
@@ -124,23 +124,23 @@
 	return a
 }
 
-// lapsed reports whether the record can be forgotten (rule C10).
-func (r *Record) lapsed(now time.Time, retention time.Duration) bool {
+// expired reports whether the record can be forgotten (rule C10).
+func (r *Record) expired(now time.Time, retention time.Duration) bool {
 	return now.UnixMilli() > max(r.Until, r.Changed)+retention.Milliseconds()
 }
 
-// resting reports whether the record may move to its bucket: its state is not
+// settled reports whether the record may move to its bucket: its state is not
 // expected to change again.
-func (r *Record) resting(now time.Time) bool {
+func (r *Record) settled(now time.Time) bool {
 	if r.State == StateClaimed {
-		return now.UnixMilli() > r.Until+restAfter.Milliseconds()
+		return now.UnixMilli() > r.Until+settleDelay.Milliseconds()
 	}
-	return now.UnixMilli() > r.Changed+restAfter.Milliseconds()
+	return now.UnixMilli() > r.Changed+settleDelay.Milliseconds()
 }
 
-// restAfter is how long a settled record stays in its shard, where replays that
+// settleDelay is how long a settled record stays in its shard, where replays that
 // follow at once find it without a second read.
-const restAfter = time.Minute
+const settleDelay = time.Minute
 
 // size estimates the record's encoded bytes from above.
 func (r *Record) size() int {
--- a/claimer/shard.go
+++ b/claimer/shard.go
@@ -12,16 +12,16 @@
 
 // Sizes of objects, below garnetworks.MaxObjectBytes.
 const (
-	// shardTarget is the size above which a shard hands records to its buckets.
+	// shardTargetBytes is the size above which a shard hands records to its buckets.
 	// It bounds the bytes that each group commit writes.
-	shardTarget = 128 << 10
-	// shardClaims is the size above which a shard refuses new claims (rule C11).
-	shardClaims = 640 << 10
-	// shardFull is the size above which answers are dropped from completions.
-	shardFull = 960 << 10
-	// bucketFull is the size above which a bucket drops its oldest answers, and
+	shardTargetBytes = 128 << 10
+	// shardMaxClaimBytes is the size above which a shard refuses new claims (rule C11).
+	shardMaxClaimBytes = 640 << 10
+	// shardMaxBytes is the size above which answers are dropped from completions.
+	shardMaxBytes = 960 << 10
+	// bucketMaxBytes is the size above which a bucket drops its oldest answers, and
 	// takes no more records if that is not enough.
-	bucketFull = 960 << 10
+	bucketMaxBytes = 960 << 10
 	// MaxInlineAnswer is the largest answer body that is kept in the record.
 	MaxInlineAnswer = 4 << 10
 	// MaxStoredAnswer is the largest answer body that is kept at all.
@@ -81,8 +81,8 @@
 type Verdict uint8
 
 const (
-	// VerdictFresh gives the key to the call.
-	VerdictFresh Verdict = iota + 1
+	// VerdictGranted gives the key to the call.
+	VerdictGranted Verdict = iota + 1
 	// VerdictRecorded returns the first call's answer.
 	VerdictRecorded
 	// VerdictInProgress says that another call has the key and may still run.
@@ -97,9 +97,9 @@
 	VerdictFull
 	// VerdictDone says that a completion, unknown or release is in effect.
 	VerdictDone
-	// VerdictLost says that the record belongs to another call by now, so that a
+	// VerdictSuperseded says that the record belongs to another call by now, so that a
 	// completion, unknown or release has no place.
-	VerdictLost
+	VerdictSuperseded
 )
 
 // Result is a verdict with the record that it rests on.
@@ -112,8 +112,8 @@
 // Lookup finds a record in the buckets at revisions of at least Marks.
 type Lookup func(key Digest) (Record, bool)
 
-// draft is a shard while operations are applied to it.
-type draft struct {
+// transaction is a shard while operations are applied to it.
+type transaction struct {
 	shard   *Shard
 	lookup  Lookup
 	now     time.Time
@@ -127,7 +127,7 @@
 func (s *Shard) Apply(now time.Time, lookup Lookup, ops []Op) (*Shard, []Result, bool) {
 	next := *s
 	next.Records = slices.Clone(s.Records)
-	d := &draft{shard: &next, lookup: lookup, now: now, bytes: s.size()}
+	d := &transaction{shard: &next, lookup: lookup, now: now, bytes: s.size()}
 	results := make([]Result, len(ops))
 	for i := range ops {
 		results[i] = d.apply(&ops[i])
@@ -135,40 +135,40 @@
 	return &next, results, d.changed
 }
 
-func (d *draft) apply(op *Op) Result {
+func (d *transaction) apply(op *Op) Result {
 	switch op.Kind {
 	case OpClaim:
 		return d.claim(op)
 	case OpComplete:
-		return d.settle(op, StateCompleted)
+		return d.recordOutcome(op, StateCompleted)
 	case OpUnknown:
-		return d.settle(op, StateUnknown)
+		return d.recordOutcome(op, StateUnknown)
 	default:
 		return d.release(op)
 	}
 }
 
 // find returns the newest copy of the key's record.
-func (d *draft) find(key Digest) (Record, bool) {
-	i, hot := slices.BinarySearchFunc(d.shard.Records, key, compareKey)
-	cold, atRest := d.lookup(key)
+func (d *transaction) find(key Digest) (Record, bool) {
+	i, inShard := slices.BinarySearchFunc(d.shard.Records, key, compareKey)
+	bucketRecord, inBucket := d.lookup(key)
 	switch {
-	case hot && atRest:
-		return join(d.shard.Records[i], cold), true
-	case hot:
+	case inShard && inBucket:
+		return merge(d.shard.Records[i], bucketRecord), true
+	case inShard:
 		return d.shard.Records[i], true
 	}
-	return cold, atRest
+	return bucketRecord, inBucket
 }
 
 // claim decides an OpClaim.
-func (d *draft) claim(op *Op) Result {
+func (d *transaction) claim(op *Op) Result {
 	r, ok := d.find(op.Key)
 	if !ok {
 		return d.grant(op, &Record{})
 	}
 	if r.Call == op.Call {
-		return Result{Verdict: ownVerdict(&r), Record: r}
+		return Result{Verdict: sameCallVerdict(&r), Record: r}
 	}
 	if slices.Contains(r.Stopped, op.Call) {
 		return Result{Verdict: VerdictReleased, Record: r} // rule C4
@@ -176,16 +176,16 @@
 	if r.State == StateReleased {
 		return d.grant(op, &r)
 	}
-	return Result{Verdict: foreignVerdict(&r, op, d.now), Record: r}
+	return Result{Verdict: otherCallVerdict(&r, op, d.now), Record: r}
 }
 
 // grant gives the key to the call after a released record, or the zero one, if
 // the call has not ended (rule C6) and there is room (rule C11).
-func (d *draft) grant(op *Op, before *Record) Result {
+func (d *transaction) grant(op *Op, before *Record) Result {
 	if d.now.UnixMilli() >= op.Until {
 		return Result{Verdict: VerdictReleased}
 	}
-	if d.bytes > shardClaims {
+	if d.bytes > shardMaxClaimBytes {
 		return Result{Verdict: VerdictFull}
 	}
 	r := Record{
@@ -193,18 +193,18 @@
 		Until: op.Until, Changed: d.now.UnixMilli(),
 	}
 	if before.Epoch > 0 {
-		r.Stopped = withStopped(before.Stopped, before.Call) // rule C4
+		r.Stopped = appendStopped(before.Stopped, before.Call) // rule C4
 	}
 	d.put(r)
-	return Result{Verdict: VerdictFresh, Record: r}
+	return Result{Verdict: VerdictGranted, Record: r}
 }
 
-// ownVerdict is the verdict on a claim that finds its own call's record: the
+// sameCallVerdict is the verdict on a claim that finds its own call's record: the
 // operation was applied before (rule C2).
-func ownVerdict(r *Record) Verdict {
+func sameCallVerdict(r *Record) Verdict {
 	switch r.State {
 	case StateClaimed:
-		return VerdictFresh
+		return VerdictGranted
 	case StateCompleted:
 		return VerdictRecorded
 	case StateReleased:
@@ -214,8 +214,8 @@
 	}
 }
 
-// foreignVerdict is the verdict on a claim that finds another call's record.
-func foreignVerdict(r *Record, op *Op, now time.Time) Verdict {
+// otherCallVerdict is the verdict on a claim that finds another call's record.
+func otherCallVerdict(r *Record, op *Op, now time.Time) Verdict {
 	switch {
 	case r.Body != op.Body:
 		return VerdictKeyReused
@@ -228,15 +228,15 @@
 	}
 }
 
-// settle decides an OpComplete or OpUnknown. A record that is gone, forgotten
+// recordOutcome decides an OpComplete or OpUnknown. A record that is gone, forgotten
 // or not, is written anew: the call ran, and the key must not be free.
-func (d *draft) settle(op *Op, state State) Result {
+func (d *transaction) recordOutcome(op *Op, state State) Result {
 	r, ok := d.find(op.Key)
 	if !ok {
 		r = Record{Key: op.Key, Body: op.Body, Call: op.Call, Epoch: 1, Until: op.Until}
 	}
 	if r.Call != op.Call {
-		return Result{Verdict: VerdictLost, Record: r}
+		return Result{Verdict: VerdictSuperseded, Record: r}
 	}
 	if r.State >= state {
 		return Result{Verdict: VerdictDone, Record: r}
@@ -244,7 +244,7 @@
 	r.State = state
 	r.Changed = d.now.UnixMilli()
 	r.Answer = op.Answer
-	if r.Answer.Form == AnswerInline && d.bytes+r.size() > shardFull {
+	if r.Answer.Form == AnswerInline && d.bytes+r.size() > shardMaxBytes {
 		r.Answer = Answer{Form: AnswerDropped} // rule C11
 	}
 	d.put(r)
@@ -253,7 +253,7 @@
 
 // release decides an OpRelease. Where there is no record it leaves one, which
 // stops the claim's own write if that lands later by another way (rule C4).
-func (d *draft) release(op *Op) Result {
+func (d *transaction) release(op *Op) Result {
 	r, ok := d.find(op.Key)
 	if !ok {
 		r = Record{Key: op.Key, Body: op.Body, Call: op.Call, Epoch: 1, Until: op.Until}
@@ -274,23 +274,23 @@
 // was and is free. The note changes the shard, so that a write of the given up
 // claim under the same condition fails, and it outlasts the other call's
 // release, so that a copy of the claim that is still on its way is refused.
-func (d *draft) stopCall(op *Op, r Record) Result {
+func (d *transaction) stopCall(op *Op, r Record) Result {
 	if slices.Contains(r.Stopped, op.Call) {
 		return Result{Verdict: VerdictDone, Record: r}
 	}
-	r.Stopped = withStopped(r.Stopped, op.Call)
+	r.Stopped = appendStopped(r.Stopped, op.Call)
 	d.put(r)
 	return Result{Verdict: VerdictDone, Record: r}
 }
 
-// withStopped returns the newest stopped calls with one more.
-func withStopped(stopped []garnetworks.CallID, call garnetworks.CallID) []garnetworks.CallID {
-	kept := stopped[max(0, len(stopped)-stoppedKept+1):]
+// appendStopped returns the newest stopped calls with one more.
+func appendStopped(stopped []garnetworks.CallID, call garnetworks.CallID) []garnetworks.CallID {
+	kept := stopped[max(0, len(stopped)-maxStopped+1):]
 	return append(slices.Clone(kept), call)
 }
 
 // put replaces or adds a record.
-func (d *draft) put(r Record) {
+func (d *transaction) put(r Record) {
 	d.changed = true
 	i, ok := slices.BinarySearchFunc(d.shard.Records, r.Key, compareKey)
 	if ok {
@@ -318,15 +318,15 @@
 	return total
 }
 
-// Fullest returns the bucket with the most bytes at rest in the shard, if the
+// FullestBucket returns the bucket with the most bytes at rest in the shard, if the
 // shard is above its target size.
-func (s *Shard) Fullest(now time.Time) (int, bool) {
-	if s.size() <= shardTarget {
+func (s *Shard) FullestBucket(now time.Time) (int, bool) {
+	if s.size() <= shardTargetBytes {
 		return 0, false
 	}
 	var bytes [Buckets]int
 	for i := range s.Records {
-		if r := &s.Records[i]; r.resting(now) {
+		if r := &s.Records[i]; r.settled(now) {
 			bytes[r.Key.Bucket()] += r.size()
 		}
 	}
@@ -339,11 +339,11 @@
 	return fullest, bytes[fullest] > 0
 }
 
-// Witnessed returns now, or the middle one of the ends of the shard's claims if
+// ExpiryClock returns now, or the middle one of the ends of the shard's claims if
 // that is earlier. The ends were set by the nodes that received the calls, so a
 // node whose own clock runs days ahead does not forget the records of a day:
 // their keys would be free, and a replay would run a second time (rule C10).
-func (s *Shard) Witnessed(now time.Time) time.Time {
+func (s *Shard) ExpiryClock(now time.Time) time.Time {
 	ends := make([]int64, len(s.Records))
 	for i := range s.Records {
 		ends[i] = s.Records[i].Until
@@ -352,36 +352,36 @@
 		return now
 	}
 	slices.Sort(ends)
-	middle := time.UnixMilli(ends[len(ends)/2])
-	if middle.Before(now) {
-		return middle
+	median := time.UnixMilli(ends[len(ends)/2])
+	if median.Before(now) {
+		return median
 	}
 	return now
 }
 
-// Resting returns the records of a bucket that may leave the shard.
-func (s *Shard) Resting(now time.Time, bucket int) []Record {
-	var resting []Record
+// Settled returns the records of a bucket that may leave the shard.
+func (s *Shard) Settled(now time.Time, bucket int) []Record {
+	var settled []Record
 	for _, r := range s.Records {
-		if r.Key.Bucket() == bucket && r.resting(now) {
-			resting = append(resting, r)
+		if r.Key.Bucket() == bucket && r.settled(now) {
+			settled = append(settled, r)
 		}
 	}
-	return resting
+	return settled
 }
 
 // Without returns the shard after records were written to a bucket at a
 // revision. A record that has changed since stays (rule C9).
 func (s *Shard) Without(bucket int, written []Record, revision garnetworks.Revision) *Shard {
-	gone := make(map[Digest]Record, len(written))
+	moved := make(map[Digest]Record, len(written))
 	for _, r := range written {
-		gone[r.Key] = r
+		moved[r.Key] = r
 	}
 	next := *s
 	next.Marks[bucket] = max(next.Marks[bucket], revision)
 	next.Records = make([]Record, 0, len(s.Records))
 	for _, r := range s.Records {
-		w, ok := gone[r.Key]
+		w, ok := moved[r.Key]
 		if ok && w.Epoch == r.Epoch && w.State == r.State {
 			continue
 		}
@@ -390,36 +390,36 @@
 	return &next
 }
 
-// Take returns the bucket with records joined in and lapsed ones left out, and
+// Merge returns the bucket with records joined in and lapsed ones left out, and
 // the lapsed ones whose answers are objects of their own. It returns false if
 // the bucket would be full even without answers (rule C11).
-func (b *Bucket) Take(now time.Time, retention time.Duration, records []Record) (*Bucket, []Record, bool) {
+func (b *Bucket) Merge(now time.Time, retention time.Duration, records []Record) (*Bucket, []Record, bool) {
 	byKey := make(map[Digest]Record, len(b.Records)+len(records))
 	for _, list := range [][]Record{b.Records, records} {
 		for _, r := range list {
 			if known, ok := byKey[r.Key]; ok {
-				r = join(known, r)
+				r = merge(known, r)
 			}
 			byKey[r.Key] = r
 		}
 	}
 	next := &Bucket{}
-	var orphans []Record
+	var expiredStored []Record
 	for _, r := range byKey {
 		switch {
-		case !r.lapsed(now, retention):
+		case !r.expired(now, retention):
 			next.Records = append(next.Records, r)
 		case r.Answer.Form == AnswerStored:
-			orphans = append(orphans, r)
+			expiredStored = append(expiredStored, r)
 		}
 	}
 	slices.SortFunc(next.Records, func(a, b Record) int { return compareDigests(a.Key, b.Key) })
-	return next, orphans, next.shrink()
+	return next, expiredStored, next.dropAnswers()
 }
 
-// shrink drops inline answers, oldest first, until the bucket fits.
-func (b *Bucket) shrink() bool {
-	excess := sizeOf(b.Records) - bucketFull
+// dropAnswers drops inline answers, oldest first, until the bucket fits.
+func (b *Bucket) dropAnswers() bool {
+	excess := sizeOf(b.Records) - bucketMaxBytes
 	if excess <= 0 {
 		return true
 	}
--- a/claimer/shard_test.go
+++ b/claimer/shard_test.go
@@ -12,13 +12,13 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-var someTime = time.UnixMilli(1_764_700_000_000)
+var baseTime = time.UnixMilli(1_764_700_000_000)
 
 // none is a Lookup of empty buckets.
-func none(Digest) (Record, bool) { return Record{}, false }
+func emptyLookup(Digest) (Record, bool) { return Record{}, false }
 
 func opFor(kind OpKind, call string) Op {
-	return Op{Kind: kind, Key: Digest{1}, Body: Digest{2}, Call: garnetworks.CallID(call), Until: someTime.Add(time.Second).UnixMilli()}
+	return Op{Kind: kind, Key: Digest{1}, Body: Digest{2}, Call: garnetworks.CallID(call), Until: baseTime.Add(time.Second).UnixMilli()}
 }
 
 // A visit is sent again while the first call runs, after it ended in each way,
@@ -30,15 +30,15 @@
 	reused := other
 	reused.Body = Digest{3}
 	ended := claim
-	ended.Until = someTime.UnixMilli()
+	ended.Until = baseTime.UnixMilli()
 	tests := map[string]struct {
 		ops   []Op
 		later time.Duration // from all but the last operation to the last
 		want  Verdict
 	}{
-		"first":                          {[]Op{claim}, 0, VerdictFresh},
+		"first":                          {[]Op{claim}, 0, VerdictGranted},
 		"first, after its end":           {[]Op{ended}, 0, VerdictReleased},
-		"same call again":                {[]Op{claim, claim}, 0, VerdictFresh},
+		"same call again":                {[]Op{claim, claim}, 0, VerdictGranted},
 		"while it runs":                  {[]Op{claim, other}, 0, VerdictInProgress},
 		"after its end":                  {[]Op{claim, other}, time.Second, VerdictUnknown},
 		"long after its end":             {[]Op{claim, other}, 20 * time.Hour, VerdictUnknown},
@@ -51,8 +51,8 @@
 		"unknown after completion":       {[]Op{claim, complete, unknown, other}, 0, VerdictRecorded},
 		"completion after end":           {[]Op{claim, complete}, time.Hour, VerdictDone},
 		"completion without a record":    {[]Op{complete, other}, 0, VerdictRecorded},
-		"after release":                  {[]Op{claim, release, other}, 0, VerdictFresh},
-		"other body after release":       {[]Op{claim, release, reused}, 0, VerdictFresh},
+		"after release":                  {[]Op{claim, release, other}, 0, VerdictGranted},
+		"other body after release":       {[]Op{claim, release, reused}, 0, VerdictGranted},
 		"late claim after release":       {[]Op{claim, release, claim}, 0, VerdictReleased},
 		"late claim after bare release":  {[]Op{release, claim}, 0, VerdictReleased},
 		"late claim after both released": {[]Op{claim, release, other, opFor(OpRelease, "b"), claim}, 0, VerdictReleased},
@@ -60,13 +60,13 @@
 		"release after completion":       {[]Op{claim, complete, release, other}, 0, VerdictRecorded},
 		"release after unknown":          {[]Op{claim, unknown, release, other}, 0, VerdictUnknown},
 		"release of another's claim":     {[]Op{other, release, opFor(OpClaim, "c")}, 0, VerdictInProgress},
-		"completion of another's claim":  {[]Op{other, complete}, 0, VerdictLost},
+		"completion of another's claim":  {[]Op{other, complete}, 0, VerdictSuperseded},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			last := len(test.ops) - 1
-			s, _, _ := (&Shard{}).Apply(someTime, none, test.ops[:last])
-			_, results, _ := s.Apply(someTime.Add(test.later), none, test.ops[last:])
+			s, _, _ := (&Shard{}).Apply(baseTime, emptyLookup, test.ops[:last])
+			_, results, _ := s.Apply(baseTime.Add(test.later), emptyLookup, test.ops[last:])
 			if got := results[0].Verdict; got != test.want {
 				t.Errorf("verdict %d, want %d", got, test.want)
 			}
@@ -77,7 +77,7 @@
 // A replay reaches a node that remembers the shard from before: there the first
 // call still runs, and its caller would be told to come back, or that the outcome
 // is unknown, although the answer has been recorded through another node.
-func TestRefusalsAreReadAnew(t *testing.T) {
+func TestRefusalsUseFreshReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		c := newCluster(ctx, 2, false, 0, newStore(faults{latency: time.Millisecond}, 1))
@@ -106,7 +106,7 @@
 // Thousands of visits a day fill a shard's object. Their records have to go on
 // to the buckets and stay answerable from there through a node that has read the
 // buckets before, while no object grows over the store's limit.
-func TestRecordsRestInBuckets(t *testing.T) {
+func TestRecordsMoveToBuckets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		store := newStore(faults{latency: time.Millisecond, lost: 0.02}, 1)
@@ -120,7 +120,7 @@
 			}
 		}
 		for n, key := range keys {
-			claim := claimPatiently(ctx, t, c.nodes[0], key, "first")
+			claim := claimWithRetries(ctx, t, c.nodes[0], key, "first")
 			if claim.Recorded.Present {
 				t.Fatalf("key %d is not fresh", key)
 			}
@@ -129,7 +129,7 @@
 			}
 			time.Sleep(2 * time.Second)
 			earlier := keys[random.IntN(n+1)]
-			replay := claimPatiently(ctx, t, c.nodes[1], earlier, fmt.Sprint("replay-", n))
+			replay := claimWithRetries(ctx, t, c.nodes[1], earlier, fmt.Sprint("replay-", n))
 			if recorded, _ := replay.Recorded.Get(); !bytes.Equal(recorded.Body, body(earlier)) {
 				t.Fatalf("the replay of key %d got %.20q", earlier, recorded.Body)
 			}
@@ -143,7 +143,7 @@
 }
 
 // claimPatiently claims as a caller does that comes back when it is told to.
-func claimPatiently(ctx context.Context, t *testing.T, node *Claimer, key int, call string) garnetworks.ClaimResult {
+func claimWithRetries(ctx context.Context, t *testing.T, node *Claimer, key int, call string) garnetworks.ClaimResult {
 	t.Helper()
 	for n := range 10 {
 		r := request(key, n)
@@ -200,9 +200,9 @@
 
 // A key must not be free before its retention is over, whichever of two copies of
 // its record is out of date, and a bucket that is full drops answers first.
-func TestBucketTake(t *testing.T) {
+func TestBucketMerge(t *testing.T) {
 	record := func(state State, epoch uint32, age time.Duration) Record {
-		at := someTime.Add(-age).UnixMilli()
+		at := baseTime.Add(-age).UnixMilli()
 		return Record{Key: Digest{1}, Call: "a", Epoch: epoch, State: state, Until: at, Changed: at, Answer: Answer{Form: AnswerInline, Body: []byte("x")}}
 	}
 	const day = 24 * time.Hour
@@ -219,7 +219,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			next, _, fits := (&Bucket{Records: test.held}).Take(someTime, day, test.taken)
+			next, _, fits := (&Bucket{Records: test.held}).Merge(baseTime, day, test.taken)
 			if !fits || len(next.Records) != len(test.want) || len(test.want) > 0 && next.Records[0].State != test.want[0] {
 				t.Errorf("got %+v", next.Records)
 			}
@@ -227,11 +227,11 @@
 	}
 	full := &Bucket{}
 	for i := range 2000 {
-		full.Records = append(full.Records, Record{Key: Digest{byte(i >> 8), byte(i)}, State: StateCompleted, Changed: someTime.UnixMilli() + int64(i), Answer: Answer{Form: AnswerInline, Body: make([]byte, 600)}})
+		full.Records = append(full.Records, Record{Key: Digest{byte(i >> 8), byte(i)}, State: StateCompleted, Changed: baseTime.UnixMilli() + int64(i), Answer: Answer{Form: AnswerInline, Body: make([]byte, 600)}})
 	}
-	next, _, fits := full.Take(someTime, day, nil)
+	next, _, fits := full.Merge(baseTime, day, nil)
 	value, err := encode(next)
-	if !fits || err != nil || len(value) > bucketFull || len(next.Records) != 2000 {
+	if !fits || err != nil || len(value) > bucketMaxBytes || len(next.Records) != 2000 {
 		t.Fatalf("fits %v, %d bytes, %d records, %v", fits, len(value), len(next.Records), err)
 	}
 	if next.Records[0].Answer.Form != AnswerDropped || next.Records[1999].Answer.Form != AnswerInline {
@@ -242,20 +242,20 @@
 // A node comes up with a clock that is two days ahead and commits a shard. The
 // records of the last day must not be forgotten by it, nor because some other
 // node's clock is ahead.
-func TestWrongClocksForgetNothing(t *testing.T) {
+func TestClockSkewExpiresNothing(t *testing.T) {
 	const day = 24 * time.Hour
 	s := &Shard{}
 	for i := range 9 {
-		r := Record{Key: Digest{byte(i)}, Until: someTime.Add(time.Duration(i) * time.Minute).UnixMilli()}
+		r := Record{Key: Digest{byte(i)}, Until: baseTime.Add(time.Duration(i) * time.Minute).UnixMilli()}
 		if i >= 6 {
 			r.Until += 2 * day.Milliseconds()
 		}
 		s.Records = append(s.Records, r)
 	}
-	for name, now := range map[string]time.Time{"right": someTime.Add(10 * time.Minute), "ahead": someTime.Add(2 * day), "behind": someTime.Add(-day)} {
-		at := s.Witnessed(now)
-		if at.After(now) || at.After(someTime.Add(10*time.Minute)) {
-			t.Errorf("%s: forgets by %v", name, at.Sub(someTime))
+	for name, now := range map[string]time.Time{"right": baseTime.Add(10 * time.Minute), "ahead": baseTime.Add(2 * day), "behind": baseTime.Add(-day)} {
+		at := s.ExpiryClock(now)
+		if at.After(now) || at.After(baseTime.Add(10*time.Minute)) {
+			t.Errorf("%s: forgets by %v", name, at.Sub(baseTime))
 		}
 	}
 }
@@ -272,10 +272,10 @@
 		}
 		ops = append(ops, op)
 	}
-	s, results, _ := s.Apply(someTime, none, ops)
+	s, results, _ := s.Apply(baseTime, emptyLookup, ops)
 	granted := ops[:0]
 	for i, r := range results {
-		if r.Verdict == VerdictFresh {
+		if r.Verdict == VerdictGranted {
 			ops[i].Kind, ops[i].Answer = OpComplete, Answer{Form: AnswerInline, Body: make([]byte, 500)}
 			granted = append(granted, ops[i])
 		}
@@ -283,7 +283,7 @@
 	if len(granted) == len(results) || len(granted) < 3000 {
 		t.Fatalf("%d of %d keys were given out", len(granted), len(results))
 	}
-	s, results, _ = s.Apply(someTime, none, granted)
+	s, results, _ = s.Apply(baseTime, emptyLookup, granted)
 	for i, r := range results {
 		if r.Verdict != VerdictDone || r.Record.State != StateCompleted {
 			t.Fatalf("completion %d: verdict %d", i, r.Verdict)
--- a/claimer/ticket.go
+++ b/claimer/ticket.go
@@ -11,7 +11,7 @@
 const (
 	ticketWaiting int32 = iota
 	ticketDelivered
-	ticketLeft
+	ticketAbandoned
 )
 
 // ticket is an operation on its way through a worker.
@@ -27,24 +27,24 @@
 
 	// sent says that a write with the operation may still land, or has been
 	// handed to another node.
-	sent bool
+	inDoubt bool
 	// remote says that another node has handed the operation over (rule C5).
 	remote bool
 	// number orders tickets and reads of the shard (rule C7).
-	number uint64
+	sequence uint64
 }
 
 func newTicket(op Op, remote bool) *ticket {
 	return &ticket{op: op, remote: remote, done: make(chan struct{})}
 }
 
-// leave ends the caller's interest. It returns false if the result is there.
-func (t *ticket) leave() bool {
-	return t.state.CompareAndSwap(ticketWaiting, ticketLeft)
+// abandon ends the caller's interest. It returns false if the result is there.
+func (t *ticket) abandon() bool {
+	return t.state.CompareAndSwap(ticketWaiting, ticketAbandoned)
 }
 
-// left reports whether the caller is gone.
-func (t *ticket) left() bool { return t.state.Load() == ticketLeft }
+// abandoned reports whether the caller is gone.
+func (t *ticket) abandoned() bool { return t.state.Load() == ticketAbandoned }
 
 // deliver hands over the result. It returns false if the caller is gone.
 func (t *ticket) deliver(result Result, err error) bool {
@@ -56,37 +56,37 @@
 	return true
 }
 
-// owed reports whether the operation has to be recorded sooner or later even if
+// mustCommit reports whether the operation has to be recorded sooner or later even if
 // nobody waits for it.
-func (t *ticket) owed() bool { return t.op.Kind != OpClaim && !t.remote }
+func (t *ticket) mustCommit() bool { return t.op.Kind != OpClaim && !t.remote }
 
-// release turns a claim that nobody waits for into its release (rule C4).
-func (t *ticket) release() *ticket {
+// asRelease turns a claim that nobody waits for into its asRelease (rule C4).
+func (t *ticket) asRelease() *ticket {
 	op := t.op
 	op.Kind = OpRelease
 	r := newTicket(op, false)
-	r.number, r.sent = t.number, t.sent
+	r.sequence, r.inDoubt = t.sequence, t.inDoubt
 	return r
 }
 
 // pruned returns the tickets that still have a purpose: a claim whose caller
 // has left is dropped if it was never sent or is another node's, and becomes a
 // release otherwise.
-func pruned(tickets []*ticket) []*ticket {
+func prune(tickets []*ticket) []*ticket {
 	kept := tickets[:0]
 	for _, t := range tickets {
 		switch {
-		case t.op.Kind != OpClaim && !t.remote, !t.left():
+		case t.op.Kind != OpClaim && !t.remote, !t.abandoned():
 			kept = append(kept, t)
-		case t.op.Kind == OpClaim && t.sent && !t.remote:
-			kept = append(kept, t.release())
+		case t.op.Kind == OpClaim && t.inDoubt && !t.remote:
+			kept = append(kept, t.asRelease())
 		}
 	}
 	return kept
 }
 
 // errorOf returns the error for a claim whose caller's context has ended.
-func errorOf(cancelled bool) error {
+func contextError(cancelled bool) error {
 	if cancelled {
 		return garnetworks.Errorf(garnetworks.KindCancelled, "the caller left before the call was claimed")
 	}
--- a/claimer/worker.go
+++ b/claimer/worker.go
@@ -19,34 +19,34 @@
 
 	// shard is the newest known state, read or written at revision by read
 	// number readAt; it is nil when unknown.
-	shard    *Shard
-	revision garnetworks.Revision
-	readAt   uint64
+	shard        *Shard
+	revision     garnetworks.Revision
+	readSequence uint64
 	// adopted is when the state was read or written.
-	adopted time.Time
+	loadedAt time.Time
 	// highest is the highest revision ever seen.
-	highest garnetworks.Revision
-	buckets map[int]cachedBucket
+	highestRevision garnetworks.Revision
+	buckets         map[int]cachedBucket
 	// nextWrite is the earliest time of the next write (rule C8).
 	nextWrite time.Time
 	// conflicts counts conflicts in a row.
 	conflicts int
 	// forwardAfter is when the committing node may be asked again; forwardFailures
 	// counts its failures in a row.
-	forwardAfter    time.Time
+	nextForward     time.Time
 	forwardFailures int
-	moveAfter       time.Time
+	nextMove        time.Time
 
-	writes, conflicted, failed, forwarded, moves atomic.Uint64
+	writes, conflicted, failed, forwarded, bucketWrites atomic.Uint64
 	// bytes is the size of the shard's value when it was last written.
 	bytes atomic.Int64
 
 	mu      sync.Mutex
 	pending []*ticket
 	// inRound is the number of owed tickets outside pending.
-	inRound int
-	counter uint64
-	wake    chan struct{}
+	inCommit     int
+	lastSequence uint64
+	wake         chan struct{}
 	// failures counts failed rounds in a row; retryAt ends the wait after them.
 	failures int
 	retryAt  time.Time
@@ -64,10 +64,10 @@
 	return &worker{claimer: c, number: number, buckets: make(map[int]cachedBucket), wake: make(chan struct{}, 1)}
 }
 
-// do submits a claim and waits for its result.
-func (w *worker) do(ctx context.Context, op Op) (Result, error) {
+// submitAndWait submits a claim and waits for its result.
+func (w *worker) submitAndWait(ctx context.Context, op Op) (Result, error) {
 	t := newTicket(op, false)
-	if err := w.admit(t); err != nil {
+	if err := w.tryEnqueue(t); err != nil {
 		return Result{}, err
 	}
 	return w.await(ctx, t)
@@ -78,22 +78,22 @@
 	select {
 	case <-t.done:
 	case <-ctx.Done():
-		if t.leave() {
+		if t.abandon() {
 			w.signal()
-			return Result{}, errorOf(errors.Is(ctx.Err(), context.Canceled))
+			return Result{}, contextError(errors.Is(ctx.Err(), context.Canceled))
 		}
 		<-t.done
 	}
 	return t.result, t.err
 }
 
-// serve submits another node's operations and waits for their results.
-func (w *worker) serve(ctx context.Context, ops []Op) ([]Result, error) {
+// commitForwarded submits another node's operations and waits for their results.
+func (w *worker) commitForwarded(ctx context.Context, ops []Op) ([]Result, error) {
 	tickets := make([]*ticket, len(ops))
 	for i := range ops {
 		tickets[i] = newTicket(ops[i], true)
-		if err := w.admit(tickets[i]); err != nil {
-			leaveAll(tickets[:i])
+		if err := w.tryEnqueue(tickets[i]); err != nil {
+			abandonAll(tickets[:i])
 			return nil, err
 		}
 	}
@@ -101,7 +101,7 @@
 	for i, t := range tickets {
 		result, err := w.await(ctx, t)
 		if err != nil {
-			leaveAll(tickets[i:])
+			abandonAll(tickets[i:])
 			return nil, err
 		}
 		results[i] = result
@@ -109,26 +109,26 @@
 	return results, nil
 }
 
-func leaveAll(tickets []*ticket) {
+func abandonAll(tickets []*ticket) {
 	for _, t := range tickets {
-		t.leave()
+		t.abandon()
 	}
 }
 
-// admit queues a ticket that may be refused.
-func (w *worker) admit(t *ticket) error {
+// tryEnqueue queues a ticket that may be refused.
+func (w *worker) tryEnqueue(t *ticket) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
 	switch {
 	case w.stopped:
 		return garnetworks.Errorf(garnetworks.KindShuttingDown, "the node takes no more claims")
-	case w.failures >= giveUpAfter && now.Before(w.retryAt):
+	case w.failures >= refuseAfterFailures && now.Before(w.retryAt):
 		return unavailable("the object API does not answer")
-	case len(w.pending) >= queueBound:
+	case len(w.pending) >= maxPending:
 		return unavailable("too many claims are waiting")
 	}
-	w.queue(t)
+	w.enqueue(t)
 	return nil
 }
 
@@ -138,14 +138,14 @@
 	t := newTicket(op, false)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.queue(t)
+	w.enqueue(t)
 	return t
 }
 
-// queue appends a ticket; the caller holds mu.
-func (w *worker) queue(t *ticket) {
-	w.counter++
-	t.number = w.counter
+// enqueue appends a ticket; the caller holds mu.
+func (w *worker) enqueue(t *ticket) {
+	w.lastSequence++
+	t.sequence = w.lastSequence
 	w.pending = append(w.pending, t)
 	w.signal()
 }
@@ -157,14 +157,14 @@
 	}
 }
 
-// owed returns the number of operations that are not recorded yet though they
+// unrecorded returns the number of operations that are not recorded yet though they
 // have to be.
-func (w *worker) owed() int {
+func (w *worker) unrecorded() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	n := w.inRound
+	n := w.inCommit
 	for _, t := range w.pending {
-		if t.owed() || t.sent && !t.remote {
+		if t.mustCommit() || t.inDoubt && !t.remote {
 			n++
 		}
 	}
@@ -180,71 +180,71 @@
 			return
 		case <-w.wake:
 		}
-		for ctx.Err() == nil && w.busy() {
-			w.wait(ctx)
-			w.round(ctx, w.take())
+		for ctx.Err() == nil && w.hasPending() {
+			w.waitForTurn(ctx)
+			w.commitGroup(ctx, w.takeGroup())
 		}
 	}
 }
 
-// busy reports whether tickets wait.
-func (w *worker) busy() bool {
+// hasPending reports whether tickets wait.
+func (w *worker) hasPending() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.pending = pruned(w.pending)
+	w.pending = prune(w.pending)
 	return len(w.pending) > 0
 }
 
-// take removes the tickets of the next group from the queue. As long as a write
+// takeGroup removes the tickets of the next group from the queue. As long as a write
 // with some of them may still land, the group is these alone, so that an outage
 // leaves no more operations in doubt than one group holds.
-func (w *worker) take() []*ticket {
+func (w *worker) takeGroup() []*ticket {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.pending = pruned(w.pending)
-	doubtful := slices.ContainsFunc(w.pending, func(t *ticket) bool { return t.sent })
+	w.pending = prune(w.pending)
+	anyInDoubt := slices.ContainsFunc(w.pending, func(t *ticket) bool { return t.inDoubt })
 	var group, rest []*ticket
 	for _, t := range w.pending {
-		if doubtful && !t.sent && t.op.Kind == OpClaim {
+		if anyInDoubt && !t.inDoubt && t.op.Kind == OpClaim {
 			rest = append(rest, t)
 			continue
 		}
 		group = append(group, t)
-		if t.owed() || t.sent && !t.remote {
-			w.inRound++
+		if t.mustCommit() || t.inDoubt && !t.remote {
+			w.inCommit++
 		}
 	}
 	w.pending = rest
 	return group
 }
 
-// putBack queues tickets of a failed round again, before all others.
-func (w *worker) putBack(group []*ticket) {
+// requeue queues tickets of a failed round again, before all others.
+func (w *worker) requeue(group []*ticket) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.inRound = 0
+	w.inCommit = 0
 	w.pending = append(group, w.pending...)
 }
 
-// round tries to commit a group once.
-func (w *worker) round(ctx context.Context, group []*ticket) {
+// commitGroup tries to commit a group once.
+func (w *worker) commitGroup(ctx context.Context, group []*ticket) {
 	if len(group) == 0 {
 		return
 	}
 	group = w.forward(ctx, group)
 	if len(group) == 0 {
-		w.succeed()
+		w.recordSuccess()
 		return
 	}
 	results, err := w.commit(ctx, group)
 	if err != nil {
-		w.putBack(group)
-		w.fail(err)
+		w.requeue(group)
+		w.recordFailure(err)
 		return
 	}
 	w.deliver(group, results)
-	w.succeed()
-	w.move(ctx)
+	w.recordSuccess()
+	w.moveToBucket(ctx)
 }
 
 // deliver hands results to the tickets' callers. A claim that became fresh for
@@ -254,15 +254,15 @@
 func (w *worker) deliver(group []*ticket, results []Result) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.inRound = 0
+	w.inCommit = 0
 	for i, t := range group {
 		verdict := results[i].Verdict
 		delivered := t.deliver(results[i], nil)
 		if t.op.Kind != OpClaim || t.remote || verdict == VerdictRecorded {
 			continue
 		}
-		if verdict == VerdictFresh && !delivered || verdict != VerdictFresh && t.sent {
-			w.queue(t.release())
+		if verdict == VerdictGranted && !delivered || verdict != VerdictGranted && t.inDoubt {
+			w.enqueue(t.asRelease())
 		}
 	}
 }
--- a/claimer/writes_test.go
+++ b/claimer/writes_test.go
@@ -15,13 +15,13 @@
 
 // writesBound is the most writes a second that rule C8 allows for the claims,
 // with a tenth for jitter and the retries after conflicts.
-const writesBound = 1.1 * Shards * float64(time.Second/DefaultInterval)
+const maxWritesPerSecond = 1.1 * Shards * float64(time.Second/DefaultInterval)
 
 // Delta's devices all come back at once after an outage, and keyed calls rise a
 // hundredfold. Writes to the object API must bend towards a bound that does not
 // depend on the calls, and no call be refused. The figures, counted on the test
-// clock: go test ./claimer -run=TestWritesBend -v.
-func TestWritesBend(t *testing.T) {
+// clock: go test ./claimer -run=TestWriteRateIsBounded -v.
+func TestWriteRateIsBounded(t *testing.T) {
 	rates := []int{5, 50, 200, 800, 3200}
 	if testing.Short() {
 		rates = []int{50, 200}
@@ -77,8 +77,8 @@
 	t.Logf("%5d calls/s: %6.1f writes/s (%.1f of them conflicts), %6.1f reads/s, claim p50 %v p99 %v, %d refused",
 		rate, writes, float64(store.conflicts)/elapsed, float64(store.gets)/elapsed,
 		waits[len(waits)/2].Round(time.Millisecond), waits[len(waits)*99/100].Round(time.Millisecond), refused)
-	if writes > writesBound {
-		t.Errorf("%.1f writes/s, over %.1f", writes, writesBound)
+	if writes > maxWritesPerSecond {
+		t.Errorf("%.1f writes/s, over %.1f", writes, maxWritesPerSecond)
 	}
 	if store.conflicts*4 > store.puts {
 		t.Errorf("%d of %d writes met a conflict", store.conflicts, store.puts)
--- a/runner/upkeep.go
+++ b/runner/upkeep.go
@@ -62,8 +62,8 @@
 		Conflicts: claims.Conflicts,
 		Failed:    claims.Failures,
 		Forwarded: claims.Forwarded,
-		Owed:      claims.Owed,
-		Refusing:  claims.Down,
+		Owed:      claims.Unrecorded,
+		Refusing:  claims.RefusingShards,
 	}, r.timeline.Overwritten(), r.prober.Dropped())
 }
 
