--- a/claimer/bench_test.go
+++ b/claimer/bench_test.go
@@ -6,10 +6,8 @@
 	"testing"
 )
 
-// BenchmarkCommit measures the work of one group commit besides the object API:
-// decode, unless the shard is remembered, apply 16 claims and 16 completions,
-// encode. go test ./claimer
-// -run=^$ -bench=Commit.
+// BenchmarkCommit measures one group commit without the object API: decoding the shard unless
+// it is cached, applying 16 claims and 16 completions, and encoding.
 func BenchmarkCommit(b *testing.B) {
 	for _, records := range []int{100, 900} {
 		for _, remembered := range []bool{true, false} {
@@ -52,7 +50,7 @@
 		}
 		next, results, _ := read.Apply(baseTime, emptyLookup, group)
 		if results[0].Verdict != VerdictGranted {
-			b.Fatal("not fresh")
+			b.Fatal("not granted")
 		}
 		if _, err := encode(next); err != nil {
 			b.Fatal(err)
--- a/claimer/claimer.go
+++ b/claimer/claimer.go
@@ -14,39 +14,40 @@
 
 // Defaults of Options.
 const (
-	// DefaultInterval is the distance between two writes of a shard, summed over
-	// all nodes that write it: 16 shards come to 320 writes a second at most.
+	// DefaultInterval is the interval between two writes of a shard, over all nodes that
+	// write it.
 	DefaultInterval = 50 * time.Millisecond
-	// DefaultRetention outlasts a device that is out of reach for a day.
+	// DefaultRetention lets a client that was offline for a day retry safely.
 	DefaultRetention = 24 * time.Hour
-	// DefaultClaimTimeout bounds the wait of a claim whose context allows more.
+	// DefaultClaimTimeout limits the wait for a claim.
 	DefaultClaimTimeout = 2 * time.Second
-	// DefaultCallTimeout bounds one call to the object API.
+	// DefaultCallTimeout limits one call to the object API.
 	DefaultCallTimeout = time.Second
-	// maxPending is the most operations that wait for one shard at one node.
+	// maxPending limits the operations that wait for one shard at one node.
 	maxPending = 2048
 )
 
-// Forwarder hands operations to another node, which commits them together with
-// its own. An error says nothing about whether they were committed.
+// Forwarder sends operations to another node, which commits them together with its own. After
+// an error the operations may or may not have been committed.
 type Forwarder interface {
 	Commit(ctx context.Context, node garnetworks.NodeInfo, shard int, ops []Op) ([]Result, error)
 }
 
-// Options configure a Claimer; zero fields take the defaults.
+// Options configure a Claimer; zero fields are replaced by the defaults.
 type Options struct {
 	Node garnetworks.NodeInfo
 	API  garnetworks.ObjectAPI
-	// Forwarder may be nil: then each node writes for itself.
+	// Forwarder may be absent; each node then writes its own operations.
 	Forwarder garnetworks.Option[Forwarder]
 	// Recorder may be nil.
 	Recorder garnetworks.Recorder
 
 	Interval, Retention, ClaimTimeout, CallTimeout time.Duration
-	// Random returns values in [0, 1); nil takes the runtime's generator.
+	// Random returns values in [0, 1); nil selects math/rand/v2.
 	Random func() float64
 }
 
+// withDefaults returns o with defaults for unset durations and Random.
 func (o Options) withDefaults() Options {
 	setDefault(&o.Interval, DefaultInterval)
 	setDefault(&o.Retention, DefaultRetention)
@@ -64,13 +65,13 @@
 	}
 }
 
-// Claimer implements garnetworks.Claimer over the object API. It works while
-// Run runs.
+// Claimer implements garnetworks.Claimer on the object API. It makes progress only while Run
+// is running.
 type Claimer struct {
 	options Options
 	workers [Shards]*worker
-	// refusingWorkers counts the workers that refuse claims, so that an outage stands on
-	// the time line once for a node and not once for each shard.
+	// refusingWorkers counts the workers that refuse claims, so that a node reports an outage
+	// once and not once per shard.
 	refusingWorkers atomic.Int32
 
 	mu    sync.Mutex
@@ -79,7 +80,7 @@
 
 var _ garnetworks.Claimer = (*Claimer)(nil)
 
-// New returns a claimer.
+// New returns a claimer; call Run to start it.
 func New(options Options) *Claimer {
 	c := &Claimer{options: options.withDefaults()}
 	for i := range c.workers {
@@ -88,8 +89,8 @@
 	return c
 }
 
-// Run commits operations until ctx ends; then it returns ctx's error. A planned
-// stop calls Flush first.
+// Run commits operations until ctx ends, and returns ctx's error. Call Flush first for an
+// orderly shutdown.
 func (c *Claimer) Run(ctx context.Context) error {
 	var running sync.WaitGroup
 	for _, w := range c.workers {
@@ -99,27 +100,25 @@
 	return ctx.Err()
 }
 
-// SetRoster takes the entry nodes of all zones. Their number sets the pace of
-// writes (rule C8); with a Forwarder they choose the node that commits for the
-// others.
+// SetRoster sets the entry nodes of all zones. Their number determines the write interval
+// (rule C8); with a Forwarder, the committing node is chosen among them.
 func (c *Claimer) SetRoster(nodes []garnetworks.NodeInfo) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.nodes = slices.Clone(nodes)
 }
 
-// roster returns the nodes, which nobody changes.
+// roster returns the nodes; the slice is never modified.
 func (c *Claimer) roster() []garnetworks.NodeInfo {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.nodes
 }
 
-// MayForward reports whether a claimed call may still be sent to a backend
-// server: the claim's end has not come, neither by the monotonic clock nor by
-// the wall clock, whichever is ahead. The forwarder asks right before it sends,
-// because a node can be paused between the claim and the call: monotonic clocks
-// stand still while a virtual machine is suspended, wall clocks can be set back.
+// MayForward reports whether a claimed call may still be sent to a backend server: the claim
+// has expired by neither the monotonic nor the wall clock. The forwarder calls it right before
+// sending, because a node can be paused after the claim: monotonic clocks stop while a virtual
+// machine is suspended, and wall clocks can be set back.
 func MayForward(now time.Time, claim *garnetworks.Claim) bool {
 	return now.Before(claim.Until) && now.Round(0).Before(claim.Until.Round(0))
 }
@@ -147,16 +146,16 @@
 	return garnetworks.ClaimResult{Claim: claim}, nil
 }
 
-// Complete implements garnetworks.Claimer. If ctx ends first, it returns an
-// error of kind KindResponseLost, and the answer goes on being recorded.
+// Complete implements garnetworks.Claimer. If ctx ends first, it returns an error of kind
+// KindResponseLost, and the answer is still recorded later.
 func (c *Claimer) Complete(ctx context.Context, claim garnetworks.Claim, answer *garnetworks.ServiceResponse) error {
 	op := claimOp(OpComplete, &claim.ClaimRequest)
 	op.Answer = c.storeAnswer(ctx, op.Key, claim.Call, answer)
 	return c.submitOutcome(ctx, op)
 }
 
-// Abandon implements garnetworks.Claimer. If ctx ends first, it returns an
-// error of kind KindResponseLost, and the outcome goes on being recorded.
+// Abandon implements garnetworks.Claimer. If ctx ends first, it returns an error of kind
+// KindResponseLost, and the outcome is still recorded later.
 func (c *Claimer) Abandon(ctx context.Context, claim garnetworks.Claim, outcome garnetworks.Outcome) error {
 	switch outcome {
 	case garnetworks.OutcomeNotRun:
@@ -167,8 +166,8 @@
 	return garnetworks.Errorf(garnetworks.KindInternal, "a claim can't be abandoned as %q", outcome)
 }
 
-// submitOutcome submits an operation that has to be recorded sooner or later, and
-// waits for it as long as ctx allows.
+// submitOutcome submits an operation that must eventually be recorded, and waits for it
+// until ctx ends.
 func (c *Claimer) submitOutcome(ctx context.Context, op Op) error {
 	t := c.worker(op.Key).submit(op)
 	select {
@@ -182,8 +181,8 @@
 	return nil
 }
 
-// Flush waits until every outcome that was handed over is recorded, or ctx
-// ends. No new claims may be asked for meanwhile.
+// Flush waits until all submitted outcomes are recorded or ctx ends. Claim must not be called
+// meanwhile.
 func (c *Claimer) Flush(ctx context.Context) error {
 	const poll = 10 * time.Millisecond
 	for _, w := range c.workers {
@@ -197,8 +196,8 @@
 	return nil
 }
 
-// CommitForwarded commits operations that another node has handed over. Its Forwarder
-// brings the results back.
+// CommitForwarded commits operations that another node has forwarded, and returns the
+// results for that node's Forwarder.
 func (c *Claimer) CommitForwarded(ctx context.Context, shard int, ops []Op) ([]Result, error) {
 	if shard < 0 || shard >= Shards {
 		return nil, garnetworks.Errorf(garnetworks.KindInvalidRequest, "no shard %d", shard)
@@ -211,22 +210,22 @@
 	return c.workers[shard].commitForwarded(ctx, ops)
 }
 
-// Stats are counters of a claimer since its start, and its state now.
+// Stats holds counters since the start and the current state of a claimer.
 type Stats struct {
-	// Writes, Conflicts and Failures count tries to write a shard by their end;
-	// Forwarded counts groups that another node has committed.
+	// Writes, Conflicts and Failures count attempts to write a shard by result; Forwarded
+	// counts groups that another node has committed.
 	Writes, Conflicts, Failures, Forwarded uint64
-	// BucketWrites counts the buckets that were written.
+	// BucketWrites counts bucket writes.
 	BucketWrites uint64
-	// Unrecorded is the number of outcomes that are not recorded yet.
+	// Unrecorded is the number of outcomes that are not yet recorded.
 	Unrecorded int
 	// RefusingShards is the number of shards whose claims are refused now.
 	RefusingShards int
-	// LargestShard is the size in bytes of the largest shard known.
+	// LargestShard is the size in bytes of the largest shard written.
 	LargestShard int
 }
 
-// Stats returns the counters.
+// Stats returns the current statistics.
 func (c *Claimer) Stats() Stats {
 	var total Stats
 	for _, w := range c.workers {
@@ -246,7 +245,7 @@
 
 func (c *Claimer) worker(key Digest) *worker { return c.workers[key.Shard()] }
 
-// claimOp returns an operation for a claim request.
+// claimOp returns an operation of the given kind for a claim request.
 func claimOp(kind OpKind, r *garnetworks.ClaimRequest) Op {
 	return Op{
 		Kind: kind, Key: KeyDigest(r.Workspace, r.Service, r.Key), Body: truncate(r.BodyHash),
@@ -254,7 +253,7 @@
 	}
 }
 
-// verdictError is the error for a verdict that gives no claim.
+// verdictError returns the error for a verdict that does not grant the claim.
 func verdictError(r *Result, now time.Time) error {
 	switch r.Verdict {
 	case VerdictInProgress:
@@ -278,7 +277,7 @@
 	return garnetworks.Errorf(garnetworks.KindClaimsUnavailable, "%s", detail)
 }
 
-// storeAnswer decides where the answer is kept, and stores a large one.
+// storeAnswer decides how the answer is stored, and writes a large one to its own object.
 func (c *Claimer) storeAnswer(ctx context.Context, key Digest, call garnetworks.CallID, answer *garnetworks.ServiceResponse) Answer {
 	kept := Answer{Form: AnswerInline, Status: answer.Status, ContentType: answer.ContentType, Body: answer.Body}
 	if len(answer.Body)+len(answer.ContentType) <= MaxInlineAnswer {
@@ -292,14 +291,14 @@
 	if err != nil {
 		return kept
 	}
-	// Losing a large answer's text is accepted when the store fails here: the
-	// mark that the call completed matters more than its answer and follows.
+	// If the write fails, the answer is dropped and the call is still recorded as
+	// completed, which is what prevents a second run.
 	ctx, cancel := context.WithTimeout(ctx, c.options.CallTimeout)
 	defer cancel()
 	revision, err := c.options.API.Put(ctx, answerKey(key, call), value, 0)
 	if err != nil {
-		// Rule G11: the write may have landed. The name is the call's own, so
-		// whatever is there is this answer.
+		// Rule G11: the write may have taken effect. The key contains the call ID, so any
+		// object there is this answer.
 		stored, readErr := c.options.API.Get(ctx, answerKey(key, call))
 		if readErr != nil {
 			return kept
@@ -309,7 +308,7 @@
 	return Answer{Form: AnswerStored, Status: answer.Status, Revision: revision}
 }
 
-// recordedResult returns the answer that a record holds or points to.
+// recordedResult returns the answer that a record contains or refers to.
 func (c *Claimer) recordedResult(ctx context.Context, r *Record) (garnetworks.ClaimResult, error) {
 	answer := r.Answer
 	if answer.Form == AnswerStored {
@@ -330,8 +329,8 @@
 	})}, nil
 }
 
-// errAnswerUnreadable tells a caller to come back for an answer that exists but
-// can't be read now. KindClaimsUnavailable would say that the call did not run.
+// answerUnreadable asks the caller to retry for an answer that exists but can't be read
+// now. KindClaimsUnavailable would imply that the call did not run.
 func answerUnreadable() error {
 	return &garnetworks.Error{
 		Kind: garnetworks.KindInProgress, Detail: "the first call with the key completed; its answer can't be read now",
--- a/claimer/claimer_test.go
+++ b/claimer/claimer_test.go
@@ -12,25 +12,25 @@
 	"pgregory.net/rapid"
 )
 
-// outcome is what becomes of a call after its claim.
+// outcome is what happens to a call after its claim.
 type outcome int
 
 const (
 	endComplete outcome = iota
 	endUnknown
 	endNotRun
-	endCrash // the node dies after the call ran, before it is recorded
+	endCrash // the node crashes after the call ran, before the outcome is recorded
 	outcomes
 )
 
-// step is one call of a script.
+// step is one call of a scenario.
 type step struct {
 	At, Pause, Patience time.Duration
 	Node, Key           int
 	End                 outcome
 }
 
-// scenario is a run of the state machine.
+// scenario is one run of the state machine test.
 type scenario struct {
 	Seed       uint64
 	Nodes      int
@@ -67,13 +67,13 @@
 	return s
 }
 
-// oracle counts what really happened to each key.
+// oracle records what happened to each key, to check the claimers' results against.
 type oracle struct {
 	mu       sync.Mutex
 	runs     [4]int
 	answer   [4]string
 	recorded [4]bool // Complete returned without an error
-	unknown  [4]bool // an outcome was handed over as unknown
+	unknown  [4]bool // an outcome was recorded as unknown
 	failures []string
 }
 
@@ -81,7 +81,7 @@
 	o.failures = append(o.failures, fmt.Sprintf(format, args...))
 }
 
-// run plays a script with real claimers on the test clock.
+// run executes a scenario with real claimers in virtual time.
 func (s scenario) run(t *testing.T) *oracle {
 	o := &oracle{}
 	synctest.Test(t, func(t *testing.T) {
@@ -99,7 +99,7 @@
 		c.store.mu.Lock()
 		c.store.faults, c.loss = faults{latency: time.Millisecond}, 0
 		c.store.mu.Unlock()
-		time.Sleep(time.Minute) // late writes land, releases are recorded
+		time.Sleep(time.Minute) // late writes take effect, releases are recorded
 		o.checkFinalState(ctx, c, s)
 		cancel()
 		time.Sleep(5 * time.Second)
@@ -114,7 +114,7 @@
 	}
 }
 
-// call is the forwarder's part: claim, wait, check, run, record.
+// call does what the forwarder does: claim, wait, check, run, record.
 func (o *oracle) call(ctx context.Context, c *cluster, i int, st step) {
 	node := c.nodes[st.Node]
 	r := request(st.Key, i)
@@ -146,7 +146,7 @@
 	}
 }
 
-// execute is the backend server.
+// execute simulates the backend server.
 func (o *oracle) execute(key, call int) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -158,8 +158,8 @@
 	return o.answer[key]
 }
 
-// checkResult checks what a caller was checkResult against what happened, and reports whether
-// it was an answer.
+// checkResult checks the result of a claim against what happened, and reports whether it was
+// a recorded answer.
 func (o *oracle) checkResult(key int, result garnetworks.ClaimResult, err error) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -168,16 +168,16 @@
 	case err == nil && ok && string(answer.Body) != o.answer[key]:
 		o.failf("key %d was answered %q, not %q", key, answer.Body, o.answer[key])
 	case err == nil && !ok && o.runs[key] > 0:
-		o.failf("key %d was given out after it ran", key)
+		o.failf("key %d was granted after it ran", key)
 	case err != nil && !garnetworks.IsKind(err, garnetworks.KindInProgress, garnetworks.KindOutcomeUnknown,
 		garnetworks.KindClaimsUnavailable, garnetworks.KindCancelled, garnetworks.KindShuttingDown):
-		o.failf("key %d met %v", key, err)
+		o.failf("key %d: unexpected error %v", key, err)
 	}
 	return ok
 }
 
-// checkFinalState asks for every key once all is quiet: a key that ran is never fresh, a
-// recorded one is answered, and one that never ran is free again.
+// checkFinalState claims every key after all faults have ended: a key that ran is never granted,
+// a recorded one is answered, and one that never ran is free again.
 func (o *oracle) checkFinalState(ctx context.Context, c *cluster, s scenario) {
 	verifier := New(Options{Node: garnetworks.NodeInfo{ID: "asker"}, API: c.store})
 	go func() { _ = verifier.Run(ctx) }()
@@ -197,11 +197,8 @@
 	}
 }
 
-// A tech's device sends a visit again and again through any node. The object
-// API loses answers, lands writes seconds late, throttles and goes away; nodes
-// pause between claim and call, crash after the call ran, and commit for each
-// other over a link that loses and holds up groups. The visit must run once at
-// most, be answered with its own answer, and stay free if it never ran.
+// A retried call must run at most once, be answered with its own answer, and leave its key
+// free if it never ran, despite faults of the object API, nodes and forwarding.
 func TestAtMostOnceOverAllNodes(t *testing.T) {
 	for name, crashes := range map[string]bool{"with-crashes": true, "without-crashes": false} {
 		t.Run(name, func(t *testing.T) {
--- a/claimer/commit.go
+++ b/claimer/commit.go
@@ -7,12 +7,11 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// maxCachedBytes bounds the buckets that a worker remembers, by their encoded
-// sizes: a node that writes all shards for itself holds 32 MB at most.
+// maxCachedBytes limits the encoded size of the buckets cached by one worker.
 const maxCachedBytes = 2 << 20
 
-// commit applies a group to the shard and returns results that are proven to be
-// in the store (rule C1).
+// commit applies a group to the shard and returns results that are proven to be in the store
+// (rule C1).
 func (w *worker) commit(ctx context.Context, group []*ticket) ([]Result, error) {
 	ops := make([]Op, len(group))
 	newest := uint64(0)
@@ -30,7 +29,7 @@
 	if w.readSequence >= newest {
 		return results, nil
 	}
-	// Rule C7: nothing is to be written, but what is known may be out of date.
+	// Rule C7: there is nothing to write, but the cached state may be out of date.
 	w.shard = nil
 	if err := w.load(ctx, ops); err != nil {
 		return nil, err
@@ -42,8 +41,8 @@
 	return results, nil
 }
 
-// write replaces the shard's object if it has not changed. After an error the
-// shard is read again before the next try.
+// write replaces the shard's object if it has not changed. After an error other than
+// throttling or an outage, the shard is read again before the next attempt.
 func (w *worker) write(ctx context.Context, next *Shard, group []*ticket) error {
 	value, err := encode(next)
 	if err != nil {
@@ -64,8 +63,9 @@
 	return nil
 }
 
-// handleWriteError draws the consequences of a failed write: unless it provably had no
-// effect, it may still land, also after its deadline.
+// handleWriteError discards the cached shard, except after throttling or an outage. It marks
+// the group as in doubt unless the error proves that the write had no effect: it may still
+// take effect, even after its deadline.
 func (w *worker) handleWriteError(err error, group []*ticket) {
 	if !garnetworks.IsKind(err, garnetworks.KindThrottled, garnetworks.KindObjectAPIDown) {
 		w.shard = nil // rule G11: read back
@@ -78,14 +78,13 @@
 	}
 }
 
-// hadNoEffect reports whether an error proves that a write had no effect and will
-// have none.
+// hadNoEffect reports whether an error proves that a write has had and will have no effect.
 func hadNoEffect(err error) bool {
 	return garnetworks.IsKind(err, garnetworks.KindConflict, garnetworks.KindThrottled,
 		garnetworks.KindTooLarge, garnetworks.KindObjectAPIDown)
 }
 
-// setShard takes a state that was in the store after the ticket number readSequence.
+// setShard stores a state that was in the store after the ticket numbered readSequence.
 func (w *worker) setShard(s *Shard, revision garnetworks.Revision, readSequence uint64) {
 	w.shard, w.revision, w.readSequence, w.loadedAt = s, revision, readSequence, time.Now()
 	w.highestRevision = max(w.highestRevision, revision)
@@ -98,7 +97,8 @@
 	return w.lastSequence
 }
 
-// load reads the shard if it is unknown, and the buckets of the operations' keys.
+// load reads the shard if it is unknown or may be stale, and the buckets of the operations'
+// keys.
 func (w *worker) load(ctx context.Context, ops []Op) error {
 	if w.shard == nil || w.maybeStale() {
 		if err := w.read(ctx); err != nil {
@@ -114,14 +114,14 @@
 	return nil
 }
 
-// maybeStale reports whether another node has probably written the shard since it
-// was read. A read then saves a write that would meet a conflict; the platform
-// takes several times as many reads as writes.
+// maybeStale reports whether another node has probably written the shard since it was read.
+// Reading first avoids a write that would conflict; the object API allows far more reads than
+// writes.
 func (w *worker) maybeStale() bool {
 	return w.writers() > 1 && time.Since(w.loadedAt) > w.claimer.options.Interval/4
 }
 
-// read reads the shard.
+// read reads the shard; a missing object is an empty shard.
 func (w *worker) read(ctx context.Context) error {
 	newest := w.latestSequence()
 	object, err := w.get(ctx, shardKey(w.number))
@@ -131,8 +131,8 @@
 	if err != nil {
 		return err
 	}
-	// A store that was set back to a backup has lost claims. Giving their keys
-	// out again could run a call twice, so the node refuses claims instead.
+	// A store restored from a backup has lost claims. Granting their keys again could run
+	// a call twice, so claims are refused.
 	if object.Revision < w.highestRevision {
 		return garnetworks.Errorf(garnetworks.KindObjectAPIDown, "claims of shard %d went back from revision %d to %d", w.number, w.highestRevision, object.Revision)
 	}
@@ -152,7 +152,7 @@
 	return w.claimer.options.API.Get(call, key)
 }
 
-// evictBuckets bounds the memory for buckets; which ones go does not matter.
+// evictBuckets removes arbitrary buckets from the cache until it is within its limit.
 func (w *worker) evictBuckets() {
 	total := 0
 	for _, cached := range w.buckets {
@@ -167,8 +167,8 @@
 	}
 }
 
-// loadBucket reads a bucket unless a copy is known that the shard's mark allows
-// (rule C9).
+// loadBucket reads a bucket unless the cached copy is at least at the revision that the shard
+// requires (rule C9).
 func (w *worker) loadBucket(ctx context.Context, b int) error {
 	minRevision := w.shard.Marks[b]
 	cached, ok := w.buckets[b]
--- a/claimer/fake_test.go
+++ b/claimer/fake_test.go
@@ -24,16 +24,16 @@
 	os.Exit(m.Run())
 }
 
-// faults are the chances of one call's faults and a window of outage.
+// faults are the probabilities of faults per call, and the time window of an outage.
 type faults struct {
-	// lost answers come after the effect; late writes land after their caller
-	// was told nothing for its whole time.
+	// lost responses follow the effect; late writes take effect after their caller has
+	// received an error.
 	lost, late, throttled float64
 	downFrom, downTo      time.Duration
 	latency               time.Duration
 }
 
-// store is an object API in memory.
+// store is an in-memory object API.
 type store struct {
 	mu       sync.Mutex
 	objects  map[string]garnetworks.Object
@@ -49,7 +49,7 @@
 	return &store{objects: make(map[string]garnetworks.Object), random: rand.New(rand.NewPCG(seed, 1)), faults: f, start: time.Now()}
 }
 
-// injectFaults waits for half of a call's time and draws its faults.
+// injectFaults simulates the latency of a call and chooses its faults.
 func (s *store) injectFaults(ctx context.Context) (lost, late bool, err error) {
 	s.mu.Lock()
 	f := s.faults
@@ -103,7 +103,7 @@
 			time.Sleep(3 * time.Second)
 			_, _ = s.put(key, value, after)
 		}()
-		return 0, garnetworks.Errorf(garnetworks.KindResponseLost, "no answer; lands late")
+		return 0, garnetworks.Errorf(garnetworks.KindResponseLost, "no response; takes effect late")
 	}
 	revision, err := s.put(key, value, after)
 	if lost {
@@ -159,16 +159,17 @@
 	return n
 }
 
-// cluster is some nodes before one store.
+// cluster is a set of nodes that share one store.
 type cluster struct {
 	store *store
 	nodes []*Claimer
 	stop  []context.CancelFunc
-	// loss is the chance that a handed over group's answer is lost.
+	// loss is the probability that a forwarded group is delayed, and that its response is
+	// lost.
 	loss float64
 }
 
-// newCluster starts nodes; with forwarding they commit for each other.
+// newCluster starts nodes; if forwarding is true, they commit for each other.
 func newCluster(ctx context.Context, size int, forwarding bool, loss float64, s *store) *cluster {
 	c := &cluster{store: s, loss: loss}
 	roster := make([]garnetworks.NodeInfo, size)
@@ -200,7 +201,7 @@
 	}
 }
 
-// fakeForwarder carries groups between the nodes of a cluster.
+// fakeForwarder forwards groups between the nodes of a cluster.
 type fakeForwarder struct {
 	cluster *cluster
 	roster  []garnetworks.NodeInfo
@@ -213,14 +214,14 @@
 	lost := s.random.Float64() < l.cluster.loss
 	delayed := s.random.Float64() < l.cluster.loss
 	s.mu.Unlock()
-	if delayed { // the group arrives after the sender has given up
+	if delayed { // the group arrives after the sender has timed out
 		go func() {
 			time.Sleep(2 * time.Second)
 			c, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 			defer cancel()
 			_, _ = l.cluster.nodes[i].CommitForwarded(c, shard, ops)
 		}()
-		return nil, garnetworks.Errorf(garnetworks.KindResponseLost, "held up")
+		return nil, garnetworks.Errorf(garnetworks.KindResponseLost, "delayed")
 	}
 	results, err := l.cluster.nodes[i].CommitForwarded(ctx, shard, ops)
 	if lost {
--- a/claimer/faults_test.go
+++ b/claimer/faults_test.go
@@ -10,28 +10,26 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// A visit is sent while the object API has one fault after the other. In each
-// case the caller must hear within its patience, and at once when the node knows
-// already that the API is away; once the fault is over, the key must be as free
-// as the caller was told.
+// Under each fault a claim must be answered within its timeout, and once the fault is over the
+// key must be free exactly if the caller was refused.
 func TestStoreFaults(t *testing.T) {
 	const hour = time.Hour
 	tests := map[string]struct {
 		faults faults
-		// want is the first answer; "" is a fresh claim.
+		// want is the kind of the first result; "" is a granted claim.
 		want garnetworks.Kind
-		// again is the answer of a second key right after, within atOnce.
+		// wantSecond is the kind for a second key afterwards, due within the duration.
 		wantSecond garnetworks.Kind
 		within     time.Duration
 	}{
-		"none":                    {faults{}, "", "", 100 * time.Millisecond},
-		"slow":                    {faults{latency: 200 * time.Millisecond}, "", "", 900 * time.Millisecond},
-		"slower than a call's":    {faults{latency: 1100 * time.Millisecond}, garnetworks.KindClaimsUnavailable, garnetworks.KindClaimsUnavailable, DefaultClaimTimeout},
-		"every answer lost":       {faults{lost: 1}, garnetworks.KindClaimsUnavailable, garnetworks.KindClaimsUnavailable, 0},
-		"every write lands late":  {faults{late: 1}, garnetworks.KindClaimsUnavailable, garnetworks.KindClaimsUnavailable, 0},
-		"everything is throttled": {faults{throttled: 1}, garnetworks.KindClaimsUnavailable, garnetworks.KindClaimsUnavailable, 0},
-		"down":                    {faults{downTo: hour}, garnetworks.KindClaimsUnavailable, garnetworks.KindClaimsUnavailable, 0},
-		"down for a moment":       {faults{downTo: 60 * time.Millisecond}, "", "", 200 * time.Millisecond},
+		"none":                          {faults{}, "", "", 100 * time.Millisecond},
+		"slow":                          {faults{latency: 200 * time.Millisecond}, "", "", 900 * time.Millisecond},
+		"slower than the call timeout":  {faults{latency: 1100 * time.Millisecond}, garnetworks.KindClaimsUnavailable, garnetworks.KindClaimsUnavailable, DefaultClaimTimeout},
+		"every answer lost":             {faults{lost: 1}, garnetworks.KindClaimsUnavailable, garnetworks.KindClaimsUnavailable, 0},
+		"every write takes effect late": {faults{late: 1}, garnetworks.KindClaimsUnavailable, garnetworks.KindClaimsUnavailable, 0},
+		"everything is throttled":       {faults{throttled: 1}, garnetworks.KindClaimsUnavailable, garnetworks.KindClaimsUnavailable, 0},
+		"down":                          {faults{downTo: hour}, garnetworks.KindClaimsUnavailable, garnetworks.KindClaimsUnavailable, 0},
+		"down for a moment":             {faults{downTo: 60 * time.Millisecond}, "", "", 200 * time.Millisecond},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -55,8 +53,8 @@
 				if free := test.want != ""; free != (err == nil) {
 					t.Errorf("after the fault: %v", err)
 				}
-				if owed := node.Stats().Unrecorded; owed != 0 {
-					t.Errorf("%d outcomes are still owed", owed)
+				if unrecorded := node.Stats().Unrecorded; unrecorded != 0 {
+					t.Errorf("%d outcomes are still unrecorded", unrecorded)
 				}
 				cancel()
 				time.Sleep(5 * time.Second)
@@ -65,7 +63,7 @@
 	}
 }
 
-// requestNear is request for another key of the same shard as key 0.
+// requestSameShard is like request, but for another key of key 0's shard.
 func requestSameShard(key, call int) garnetworks.ClaimRequest {
 	shard := func(key int) int {
 		r := request(key, call)
@@ -89,9 +87,8 @@
 	c.kinds[event.Kind]++
 }
 
-// The object API is down for ten seconds while keyed calls of all shards arrive.
-// The operator reads the time line and finds sixteen outages and sixteen ends at
-// each node, as each shard tells its own, and older events are pushed out.
+// An outage of the object API must be reported once per node, not once per shard; the reports
+// would otherwise push out older events.
 func TestOutageIsReportedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/claimer/forward.go
+++ b/claimer/forward.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// forwardTimeout bounds the time that another node is given to commit.
+	// forwardTimeout limits the time that another node has to commit.
 	forwardTimeout = 500 * time.Millisecond
-	// forwardBackoff is how long a node is not asked again after a failure; it
-	// doubles with each further one up to forwardPauseMax, since a node can be
-	// listed as ready and be cut off from this one for long.
+	// forwardBackoff is the time without forwarding after a failure. It doubles with each
+	// further failure up to forwardBackoffMax, since a node can be listed as ready but
+	// unreachable from this one for long.
 	forwardBackoff    = 2 * time.Second
 	forwardBackoffMax = 30 * time.Second
 )
 
-// committer returns the node that commits the shard's operations for its
-// region: the ready one with the highest rendezvous weight. It is a matter of
-// cost alone; the conditional write decides whoever commits.
+// committer returns the node that commits the shard's operations for its region: the ready
+// one with the highest rendezvous hash. Correctness does not depend on the choice, since all
+// writes are conditional.
 func (w *worker) committer() (garnetworks.NodeInfo, bool) {
 	self := w.claimer.options.Node
 	var best garnetworks.NodeInfo
@@ -37,7 +37,7 @@
 	return best, weight > 0
 }
 
-// shouldForward reports whether the next group goes to another node.
+// shouldForward reports whether the next group is forwarded to another node.
 func (w *worker) shouldForward() bool {
 	if !w.claimer.options.Forwarder.Present || time.Now().Before(w.nextForward) {
 		return false
@@ -46,10 +46,9 @@
 	return ok && n.ID != w.claimer.options.Node.ID
 }
 
-// forward hands the node's own operations to the committing node and returns
-// those that remain to be committed here. After an error the operations may
-// have been committed or may be later; they are idempotent (rule C2) and are
-// committed here.
+// forward sends the node's own operations to the committing node and returns those that
+// remain to be committed here. After an error the operations may have been committed or may
+// be later; they are idempotent (rule C2) and are committed here as well.
 func (w *worker) forward(ctx context.Context, group []*ticket) []*ticket {
 	if !w.shouldForward() {
 		return group
@@ -83,8 +82,8 @@
 	w.forwardFailures = 0
 	w.forwarded.Add(1)
 	for i, t := range own {
-		// The other node's answer ends its doubts, but for a claim that it
-		// refused as ended: it may have tried to write it before.
+		// The response resolves the doubt, except for a claim refused as released: the other
+		// node may have tried to write it before.
 		t.inDoubt = results[i].Verdict == VerdictReleased
 	}
 	w.deliver(own, results)
--- a/claimer/mover.go
+++ b/claimer/mover.go
@@ -7,13 +7,12 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// minMoveInterval is the least distance between two moves to buckets.
+// minMoveInterval is the minimum time between two moves to buckets.
 const minMoveInterval = time.Second
 
-// moveToBucket hands the fullest bucket's records at rest over, if the shard is above
-// its target size. It runs right after a commit, so that what it moves is not
-// out of date. A failure leaves everything as it was, or a record in both
-// places, which readers join.
+// moveToBucket moves the settled records of the fullest bucket out of the shard if it is above
+// its target size. It runs right after a commit, when the cached shard is current. A failure
+// leaves the records in the shard, possibly in both places; readers merge the copies.
 func (w *worker) moveToBucket(ctx context.Context) {
 	now := time.Now()
 	if w.shard == nil || now.Before(w.nextMove) {
@@ -33,10 +32,10 @@
 	_ = w.write(ctx, w.shard.Without(b, records, revision), nil)
 }
 
-// writeBucket writes records to a bucket and returns the bucket's new revision.
+// writeBucket adds records to a bucket and returns the bucket's new revision.
 func (w *worker) writeBucket(ctx context.Context, now time.Time, b int, records []Record) (garnetworks.Revision, error) {
-	// Rule C9: a write of this bucket whose shard write failed may have left a
-	// newer revision than the mark, so the bucket is read, not remembered.
+	// Rule C9: if the shard write after an earlier bucket write failed, the bucket is at a
+	// newer revision than the shard records, so the cached copy is not used.
 	current, err := w.readBucket(ctx, b)
 	if err != nil {
 		return 0, err
@@ -82,8 +81,8 @@
 	return cachedBucket{bucket, object.Revision, len(object.Value)}, nil
 }
 
-// deleteAnswers deletes the answers of forgotten records. It goes before the
-// write that forgets them, so that a crash between the two leaves nothing over.
+// deleteAnswers deletes the stored answers of expired records. It runs before the write that
+// removes the records, so that a crash in between leaves no unreferenced answers.
 func (w *worker) deleteAnswers(ctx context.Context, records []Record) error {
 	for i := range records {
 		r := &records[i]
--- a/claimer/pace.go
+++ b/claimer/pace.go
@@ -9,22 +9,23 @@
 )
 
 const (
-	// refuseAfterFailures is the number of failures in a row after which waiting claims
-	// are refused; fewer are ridden out within the claims' own time.
+	// refuseAfterFailures is the number of consecutive failures after which waiting claims
+	// are refused; after fewer they wait for the next attempt.
 	refuseAfterFailures = 3
-	// retryMin and retryMax bound the wait between failing rounds.
+	// retryMin and retryMax limit the backoff after failures.
 	retryMin = 50 * time.Millisecond
 	retryMax = 2 * time.Second
 )
 
-// refusesClaims reports whether claims are refused at once now.
+// refusesClaims reports whether claims are refused now without waiting.
 func (w *worker) refusesClaims() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.failures >= refuseAfterFailures && time.Now().Before(w.retryAt)
 }
 
-// waitForTurn keeps the distance to the last write and to the last failure.
+// waitForTurn waits for the backoff after failures and, unless the next group is forwarded,
+// for the write interval.
 func (w *worker) waitForTurn(ctx context.Context) {
 	w.mu.Lock()
 	until := w.retryAt
@@ -37,8 +38,8 @@
 	}
 }
 
-// scheduleNextWrite sets the earliest time of the next write. A write that follows early
-// after conflicts is made up for by a longer wait.
+// scheduleNextWrite sets the earliest time of the next write. Retries after conflicts follow
+// early, which the longer interval after them makes up for.
 func (w *worker) scheduleNextWrite() {
 	const jitter = 0.2
 	o := &w.claimer.options
@@ -47,7 +48,7 @@
 	w.nextWrite = time.Now().Add(time.Duration(float64(interval) * factor))
 }
 
-// recordSuccess ends a series of failures.
+// recordSuccess resets the failure counters.
 func (w *worker) recordSuccess() {
 	w.conflicts = 0
 	w.mu.Lock()
@@ -60,9 +61,9 @@
 	}
 }
 
-// recordFailure notes a failed round. A conflict is not a failure of the object API: it
-// is tried again after a short random time. After giveUpAfter failures the
-// waiting claims are refused, since their callers do better to come back.
+// recordFailure schedules the next attempt. A conflict is not a failure of the object API and
+// is retried after a short random delay. After refuseAfterFailures failures the waiting claims
+// are refused, so that their callers retry later.
 func (w *worker) recordFailure(err error) {
 	o := &w.claimer.options
 	if garnetworks.IsKind(err, garnetworks.KindConflict) {
@@ -89,8 +90,8 @@
 	}
 }
 
-// refuse tells a waiting claim's caller that it did not get the key. The
-// ticket stays with the worker as one whose caller has left.
+// refuse returns an error to a waiting claim's caller. The ticket stays with the worker as
+// abandoned.
 func (t *ticket) refuse(detail string) {
 	if t.op.Kind != OpClaim {
 		return
@@ -102,15 +103,15 @@
 	}
 }
 
-// backoff returns a random time below a ceiling that doubles from low to high.
+// backoff returns a random time below a limit that doubles from low to high.
 func backoff(failures int, low, high time.Duration, random float64) time.Duration {
 	const doublings = 20
 	ceiling := min(max(high, low), low<<min(max(failures-1, 0), doublings))
 	return time.Duration((0.1 + 0.9*random) * float64(ceiling))
 }
 
-// writers returns the number of nodes that may write the shard: one in each
-// region where nodes commit for each other, else all ready ones.
+// writers returns the number of nodes that may write the shard: one per region with a
+// Forwarder, else all ready nodes.
 func (w *worker) writers() int {
 	regions := garnetworks.NewSet[garnetworks.RegionID]()
 	ready := 0
--- a/claimer/peers.go
+++ b/claimer/peers.go
@@ -6,7 +6,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// PeerForwarder hands operations to other nodes over their peer protocol.
+// PeerForwarder forwards operations to other nodes over the peer protocol.
 type PeerForwarder struct {
 	Peers garnetworks.ClaimsCaller
 }
--- a/claimer/peers_test.go
+++ b/claimer/peers_test.go
@@ -10,15 +10,14 @@
 	"github.com/garnetworks/garnetworks/messenger"
 )
 
-// commitHandler answers CommitClaims and nothing else.
+// commitHandler handles only CommitClaims.
 type commitHandler struct {
 	garnetworks.PeerHandler
 	*Claimer
 }
 
-// A node that does not commit a shard itself hands its claims to the one that
-// does, over the peer protocol; the answer must be as if it had written itself,
-// also once that node is gone.
+// A node that forwards its claims over the peer protocol must get the same results as one that
+// writes them itself, also after the committing node has stopped.
 func TestClaimsOverThePeerProtocol(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
--- a/claimer/shard.go
+++ b/claimer/shard.go
@@ -10,46 +10,45 @@
 	"github.com/pkg/errors"
 )
 
-// Sizes of objects, below garnetworks.MaxObjectBytes.
+// Sizes of objects in bytes, below garnetworks.MaxObjectBytes.
 const (
-	// shardTargetBytes is the size above which a shard hands records to its buckets.
-	// It bounds the bytes that each group commit writes.
+	// shardTargetBytes is the size above which a shard moves records to its buckets. It
+	// limits the bytes written by each group commit.
 	shardTargetBytes = 128 << 10
 	// shardMaxClaimBytes is the size above which a shard refuses new claims (rule C11).
 	shardMaxClaimBytes = 640 << 10
 	// shardMaxBytes is the size above which answers are dropped from completions.
 	shardMaxBytes = 960 << 10
-	// bucketMaxBytes is the size above which a bucket drops its oldest answers, and
-	// takes no more records if that is not enough.
+	// bucketMaxBytes is the size above which a bucket drops its oldest answers. If that does
+	// not free enough space, it accepts no more records.
 	bucketMaxBytes = 960 << 10
-	// MaxInlineAnswer is the largest answer body that is kept in the record.
+	// MaxInlineAnswer is the largest body and content type that is stored in the record.
 	MaxInlineAnswer = 4 << 10
-	// MaxStoredAnswer is the largest answer body that is kept at all.
+	// MaxStoredAnswer is the largest body and content type that is stored at all.
 	MaxStoredAnswer = garnetworks.MaxObjectBytes - 4<<10
 )
 
-// Shard is the aggregate that decides who gets the keys of its range. It does
-// no I/O; a changed shard is written under the condition that its object has
-// not changed.
+// Shard is the aggregate that decides which call gets each key of its range. It performs no
+// I/O; a changed shard is written on the condition that its object has not changed.
 type Shard struct {
 	_ struct{} `cbor:",toarray"`
 	// Number is below Shards.
 	Number int
-	// Records are sorted by Key; each key is there once at most.
+	// Records are sorted by Key, which is unique.
 	Records []Record
-	// Marks hold, for each bucket, the lowest revision of its object that a
-	// reader of this shard must have read (rule C9); they never decrease.
+	// Marks hold the minimum revision of each bucket's object that a reader of this shard
+	// must have read (rule C9); they never decrease.
 	Marks [Buckets]garnetworks.Revision
 }
 
-// Bucket holds records at rest.
+// Bucket holds settled records.
 type Bucket struct {
 	_ struct{} `cbor:",toarray"`
-	// Records are sorted by Key; each key is there once at most.
+	// Records are sorted by Key, which is unique.
 	Records []Record
 }
 
-// OpKind is what an operation does.
+// OpKind is the kind of an operation.
 type OpKind uint8
 
 const (
@@ -76,43 +75,43 @@
 	Answer Answer
 }
 
-// Verdict is the result of an operation, valid once the shard that Apply
-// returned is proven to be in the store, or if it did not change.
+// Verdict is the result of an operation. It is valid once the shard that Apply returned is
+// proven to be in the store, or if the shard did not change.
 type Verdict uint8
 
 const (
-	// VerdictGranted gives the key to the call.
+	// VerdictGranted grants the key to the call.
 	VerdictGranted Verdict = iota + 1
 	// VerdictRecorded returns the first call's answer.
 	VerdictRecorded
-	// VerdictInProgress says that another call has the key and may still run.
+	// VerdictInProgress means that another call holds the key and may still run.
 	VerdictInProgress
-	// VerdictUnknown says that another call had the key and may have run.
+	// VerdictUnknown means that a call held the key and may have run.
 	VerdictUnknown
-	// VerdictKeyReused says that the key was used with another body.
+	// VerdictKeyReused means that the key was used with another body.
 	VerdictKeyReused
-	// VerdictReleased says that the call has given its claim up before.
+	// VerdictReleased means that the call has ended or has given its claim up.
 	VerdictReleased
-	// VerdictFull says that the shard takes no new claims.
+	// VerdictFull means that the shard accepts no new claims.
 	VerdictFull
-	// VerdictDone says that a completion, unknown or release is in effect.
+	// VerdictDone means that a completion, unknown or release is in effect.
 	VerdictDone
-	// VerdictSuperseded says that the record belongs to another call by now, so that a
-	// completion, unknown or release has no place.
+	// VerdictSuperseded means that the record belongs to another call, so that a completion
+	// or unknown was not applied.
 	VerdictSuperseded
 )
 
-// Result is a verdict with the record that it rests on.
+// Result is a verdict with the record that it is based on.
 type Result struct {
 	_       struct{} `cbor:",toarray"`
 	Verdict Verdict
 	Record  Record
 }
 
-// Lookup finds a record in the buckets at revisions of at least Marks.
+// Lookup finds a record in the buckets, read at revisions of at least Marks.
 type Lookup func(key Digest) (Record, bool)
 
-// transaction is a shard while operations are applied to it.
+// transaction applies operations to a copy of a shard.
 type transaction struct {
 	shard   *Shard
 	lookup  Lookup
@@ -121,9 +120,8 @@
 	changed bool
 }
 
-// Apply applies operations in order. It returns the shard afterwards, which
-// shares nothing that is written with s, the results, and whether the shard has
-// changed.
+// Apply applies operations in order. It returns the resulting shard, the results, and whether
+// the shard has changed. It does not modify s.
 func (s *Shard) Apply(now time.Time, lookup Lookup, ops []Op) (*Shard, []Result, bool) {
 	next := *s
 	next.Records = slices.Clone(s.Records)
@@ -161,7 +159,7 @@
 	return bucketRecord, inBucket
 }
 
-// claim decides an OpClaim.
+// claim applies an OpClaim.
 func (d *transaction) claim(op *Op) Result {
 	r, ok := d.find(op.Key)
 	if !ok {
@@ -179,8 +177,8 @@
 	return Result{Verdict: otherCallVerdict(&r, op, d.now), Record: r}
 }
 
-// grant gives the key to the call after a released record, or the zero one, if
-// the call has not ended (rule C6) and there is room (rule C11).
+// grant gives the key to the call, after a released record or the zero one, if the call has
+// not ended (rule C6) and there is room (rule C11).
 func (d *transaction) grant(op *Op, before *Record) Result {
 	if d.now.UnixMilli() >= op.Until {
 		return Result{Verdict: VerdictReleased}
@@ -199,7 +197,7 @@
 	return Result{Verdict: VerdictGranted, Record: r}
 }
 
-// sameCallVerdict is the verdict on a claim that finds its own call's record: the
+// sameCallVerdict returns the verdict on a claim whose call already has the record: the
 // operation was applied before (rule C2).
 func sameCallVerdict(r *Record) Verdict {
 	switch r.State {
@@ -214,7 +212,7 @@
 	}
 }
 
-// otherCallVerdict is the verdict on a claim that finds another call's record.
+// otherCallVerdict returns the verdict on a claim if another call has the record.
 func otherCallVerdict(r *Record, op *Op, now time.Time) Verdict {
 	switch {
 	case r.Body != op.Body:
@@ -228,8 +226,8 @@
 	}
 }
 
-// recordOutcome decides an OpComplete or OpUnknown. A record that is gone, forgotten
-// or not, is written anew: the call ran, and the key must not be free.
+// recordOutcome applies an OpComplete or OpUnknown. A missing record is created again: the
+// call may have run, and the key must not be free.
 func (d *transaction) recordOutcome(op *Op, state State) Result {
 	r, ok := d.find(op.Key)
 	if !ok {
@@ -251,8 +249,8 @@
 	return Result{Verdict: VerdictDone, Record: r}
 }
 
-// release decides an OpRelease. Where there is no record it leaves one, which
-// stops the claim's own write if that lands later by another way (rule C4).
+// release applies an OpRelease. A missing record is created, so that the claim's own write is
+// refused if it arrives later (rule C4).
 func (d *transaction) release(op *Op) Result {
 	r, ok := d.find(op.Key)
 	if !ok {
@@ -270,10 +268,9 @@
 	return Result{Verdict: VerdictDone, Record: r}
 }
 
-// stopCall notes that a call has given up a key that is another call's now, or
-// was and is free. The note changes the shard, so that a write of the given up
-// claim under the same condition fails, and it outlasts the other call's
-// release, so that a copy of the claim that is still on its way is refused.
+// stopCall records that a call has given up a key whose record belongs to another call. This
+// changes the shard, so that a pending write of the claim under the same condition fails, and
+// it outlasts the other call's release, so that a delayed copy of the claim is refused.
 func (d *transaction) stopCall(op *Op, r Record) Result {
 	if slices.Contains(r.Stopped, op.Call) {
 		return Result{Verdict: VerdictDone, Record: r}
@@ -283,7 +280,7 @@
 	return Result{Verdict: VerdictDone, Record: r}
 }
 
-// appendStopped returns the newest stopped calls with one more.
+// appendStopped adds a call to the stopped calls and drops the oldest above maxStopped.
 func appendStopped(stopped []garnetworks.CallID, call garnetworks.CallID) []garnetworks.CallID {
 	kept := stopped[max(0, len(stopped)-maxStopped+1):]
 	return append(slices.Clone(kept), call)
@@ -304,7 +301,7 @@
 
 func compareKey(r Record, key Digest) int { return compareDigests(r.Key, key) }
 
-// size estimates the shard's encoded bytes from above.
+// size returns an upper estimate of the shard's encoded bytes.
 func (s *Shard) size() int {
 	const fixed = 16 + Buckets*9
 	return fixed + sizeOf(s.Records)
@@ -318,8 +315,8 @@
 	return total
 }
 
-// FullestBucket returns the bucket with the most bytes at rest in the shard, if the
-// shard is above its target size.
+// FullestBucket returns the bucket with the most settled bytes in the shard, if the shard is
+// above its target size.
 func (s *Shard) FullestBucket(now time.Time) (int, bool) {
 	if s.size() <= shardTargetBytes {
 		return 0, false
@@ -339,10 +336,10 @@
 	return fullest, bytes[fullest] > 0
 }
 
-// ExpiryClock returns now, or the middle one of the ends of the shard's claims if
-// that is earlier. The ends were set by the nodes that received the calls, so a
-// node whose own clock runs days ahead does not forget the records of a day:
-// their keys would be free, and a replay would run a second time (rule C10).
+// ExpiryClock returns now, or the median Until of the shard's records if that is earlier. The
+// Untils were set by the nodes that received the calls, so a committing node whose clock runs
+// ahead does not expire records early; their keys would be free, and a retry would run the
+// call again (rule C10).
 func (s *Shard) ExpiryClock(now time.Time) time.Time {
 	ends := make([]int64, len(s.Records))
 	for i := range s.Records {
@@ -359,7 +356,7 @@
 	return now
 }
 
-// Settled returns the records of a bucket that may leave the shard.
+// Settled returns the settled records of a bucket that are still in the shard.
 func (s *Shard) Settled(now time.Time, bucket int) []Record {
 	var settled []Record
 	for _, r := range s.Records {
@@ -370,8 +367,8 @@
 	return settled
 }
 
-// Without returns the shard after records were written to a bucket at a
-// revision. A record that has changed since stays (rule C9).
+// Without returns the shard after the records were written to a bucket at the given revision.
+// Records that have changed since stay (rule C9).
 func (s *Shard) Without(bucket int, written []Record, revision garnetworks.Revision) *Shard {
 	moved := make(map[Digest]Record, len(written))
 	for _, r := range written {
@@ -390,9 +387,9 @@
 	return &next
 }
 
-// Merge returns the bucket with records joined in and lapsed ones left out, and
-// the lapsed ones whose answers are objects of their own. It returns false if
-// the bucket would be full even without answers (rule C11).
+// Merge returns the bucket with the records merged in and expired ones removed, and the expired
+// ones whose answers are separate objects. It returns false if the bucket would be full even
+// without inline answers (rule C11).
 func (b *Bucket) Merge(now time.Time, retention time.Duration, records []Record) (*Bucket, []Record, bool) {
 	byKey := make(map[Digest]Record, len(b.Records)+len(records))
 	for _, list := range [][]Record{b.Records, records} {
@@ -417,7 +414,7 @@
 	return next, expiredStored, next.dropAnswers()
 }
 
-// dropAnswers drops inline answers, oldest first, until the bucket fits.
+// dropAnswers drops inline answers, oldest first, and reports whether the bucket now fits.
 func (b *Bucket) dropAnswers() bool {
 	excess := sizeOf(b.Records) - bucketMaxBytes
 	if excess <= 0 {
@@ -451,13 +448,13 @@
 	return b.Records[i], true
 }
 
-// encode returns a shard's or bucket's value.
+// encode returns the CBOR encoding of a stored or forwarded value.
 func encode(v any) ([]byte, error) {
 	value, err := cbor.Marshal(v)
 	return value, errors.Wrap(err, "encode claims")
 }
 
-// decode reads a shard or bucket.
+// decode decodes a value written by encode.
 func decode(value []byte, v any) error {
 	return errors.Wrap(cbor.Unmarshal(value, v), "decode claims")
 }
--- a/claimer/shard_test.go
+++ b/claimer/shard_test.go
@@ -14,16 +14,15 @@
 
 var baseTime = time.UnixMilli(1_764_700_000_000)
 
-// none is a Lookup of empty buckets.
+// emptyLookup is a Lookup of empty buckets.
 func emptyLookup(Digest) (Record, bool) { return Record{}, false }
 
 func opFor(kind OpKind, call string) Op {
 	return Op{Kind: kind, Key: Digest{1}, Body: Digest{2}, Call: garnetworks.CallID(call), Until: baseTime.Add(time.Second).UnixMilli()}
 }
 
-// A visit is sent again while the first call runs, after it ended in each way,
-// with another body, and as a late copy of a call that has been given up. Each
-// case applies operations to an empty shard and looks at the last verdict.
+// Each case applies operations to an empty shard and checks the last verdict, for retries
+// during and after a call, with another body, and for late copies of abandoned claims.
 func TestVerdicts(t *testing.T) {
 	claim, other := opFor(OpClaim, "a"), opFor(OpClaim, "b")
 	complete, unknown, release := opFor(OpComplete, "a"), opFor(OpUnknown, "a"), opFor(OpRelease, "a")
@@ -33,7 +32,7 @@
 	ended.Until = baseTime.UnixMilli()
 	tests := map[string]struct {
 		ops   []Op
-		later time.Duration // from all but the last operation to the last
+		later time.Duration // from the operations before to the last one
 		want  Verdict
 	}{
 		"first":                          {[]Op{claim}, 0, VerdictGranted},
@@ -74,14 +73,13 @@
 	}
 }
 
-// A replay reaches a node that remembers the shard from before: there the first
-// call still runs, and its caller would be told to come back, or that the outcome
-// is unknown, although the answer has been recorded through another node.
+// A node that has cached the shard must not refuse a retry as running or unknown when the
+// answer was recorded through another node.
 func TestRefusalsUseFreshReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		c := newCluster(ctx, 2, false, 0, newStore(faults{latency: time.Millisecond}, 1))
-		c.nodes[1].SetRoster(nil) // it knows of no other writer
+		c.nodes[1].SetRoster(nil) // it knows no other writer
 		claimed, err := c.nodes[0].Claim(ctx, request(0, 1))
 		if err != nil {
 			t.Fatal(err)
@@ -103,9 +101,8 @@
 	})
 }
 
-// Thousands of visits a day fill a shard's object. Their records have to go on
-// to the buckets and stay answerable from there through a node that has read the
-// buckets before, while no object grows over the store's limit.
+// Records of a full shard must move to the buckets and be answered from there, also by a node
+// that has cached the buckets, without an object exceeding the size limit.
 func TestRecordsMoveToBuckets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -122,7 +119,7 @@
 		for n, key := range keys {
 			claim := claimWithRetries(ctx, t, c.nodes[0], key, "first")
 			if claim.Recorded.Present {
-				t.Fatalf("key %d is not fresh", key)
+				t.Fatalf("key %d is not granted", key)
 			}
 			if err := c.nodes[0].Complete(ctx, claim.Claim, &garnetworks.ServiceResponse{ID: "x", Status: 200, Body: body(key)}); err != nil {
 				t.Fatal(err)
@@ -142,7 +139,7 @@
 	})
 }
 
-// claimPatiently claims as a caller does that comes back when it is told to.
+// claimWithRetries claims, and retries when the claims are unavailable.
 func claimWithRetries(ctx context.Context, t *testing.T, node *Claimer, key int, call string) garnetworks.ClaimResult {
 	t.Helper()
 	for n := range 10 {
@@ -161,10 +158,8 @@
 	return garnetworks.ClaimResult{}
 }
 
-// A node hands a claim to the node that commits for it, and the copy is held up.
-// The claim is refused in the meantime, since another call has the key, and that
-// call then proves not to have run. The late copy must not take the key for the
-// refused call: the caller's next try would be told that its outcome is unknown.
+// A forwarded copy of a claim that arrives after the claim was refused, and after the key was
+// released by its holder, must not take the key.
 func TestLateCopyOfARefusedClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -198,8 +193,8 @@
 	})
 }
 
-// A key must not be free before its retention is over, whichever of two copies of
-// its record is out of date, and a bucket that is full drops answers first.
+// A record must not be deleted before its retention ends, and of two copies the newer one is
+// kept. A full bucket drops the oldest answers first.
 func TestBucketMerge(t *testing.T) {
 	record := func(state State, epoch uint32, age time.Duration) Record {
 		at := baseTime.Add(-age).UnixMilli()
@@ -239,9 +234,8 @@
 	}
 }
 
-// A node comes up with a clock that is two days ahead and commits a shard. The
-// records of the last day must not be forgotten by it, nor because some other
-// node's clock is ahead.
+// A committing node whose clock is days ahead must not expire recent records, nor must claims
+// that were made by other nodes with wrong clocks.
 func TestClockSkewExpiresNothing(t *testing.T) {
 	const day = 24 * time.Hour
 	s := &Shard{}
@@ -255,13 +249,13 @@
 	for name, now := range map[string]time.Time{"right": baseTime.Add(10 * time.Minute), "ahead": baseTime.Add(2 * day), "behind": baseTime.Add(-day)} {
 		at := s.ExpiryClock(now)
 		if at.After(now) || at.After(baseTime.Add(10*time.Minute)) {
-			t.Errorf("%s: forgets by %v", name, at.Sub(baseTime))
+			t.Errorf("%s: expires records up to %v", name, at.Sub(baseTime))
 		}
 	}
 }
 
-// A shard that can't hand its records on refuses new keys while it still has
-// room for the completions of the calls that run.
+// A full shard that can't move records to buckets must refuse new keys while it still has room
+// for the completions of running calls.
 func TestFullShard(t *testing.T) {
 	s, ops := &Shard{}, []Op(nil)
 	random := rand.New(rand.NewPCG(1, 1))
@@ -281,7 +275,7 @@
 		}
 	}
 	if len(granted) == len(results) || len(granted) < 3000 {
-		t.Fatalf("%d of %d keys were given out", len(granted), len(results))
+		t.Fatalf("%d of %d keys were granted", len(granted), len(results))
 	}
 	s, results, _ = s.Apply(baseTime, emptyLookup, granted)
 	for i, r := range results {
@@ -294,8 +288,8 @@
 	}
 }
 
-// The platform restores its store from a backup: claims of the last minutes are
-// gone from it. A node that has seen them must not give their keys out again.
+// After the object API is restored from a backup that lacks a claim, a node that has seen the
+// claim must not grant its key again.
 func TestRestoredStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/claimer/ticket.go
+++ b/claimer/ticket.go
@@ -6,15 +6,15 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// The states of a ticket. A ticket leaves ticketWaiting once, so that either
-// its caller gets the result or the worker knows that nobody does.
+// States of a ticket. A ticket leaves ticketWaiting only once, so that either its caller
+// gets the result or the worker knows that the caller does not.
 const (
 	ticketWaiting int32 = iota
 	ticketDelivered
 	ticketAbandoned
 )
 
-// ticket is an operation on its way through a worker.
+// ticket is an operation submitted to a worker.
 type ticket struct {
 	op Op
 	// result and err are set before done is closed.
@@ -23,14 +23,14 @@
 	done   chan struct{}
 	state  atomic.Int32
 
-	// The fields below belong to the worker.
+	// The fields below are owned by the worker.
 
-	// sent says that a write with the operation may still land, or has been
-	// handed to another node.
+	// inDoubt is true if a write with the operation may still take effect, or if it was
+	// forwarded to another node.
 	inDoubt bool
-	// remote says that another node has handed the operation over (rule C5).
+	// remote is true if another node forwarded the operation (rule C5).
 	remote bool
-	// number orders tickets and reads of the shard (rule C7).
+	// sequence orders tickets and reads of the shard (rule C7).
 	sequence uint64
 }
 
@@ -38,15 +38,15 @@
 	return &ticket{op: op, remote: remote, done: make(chan struct{})}
 }
 
-// abandon ends the caller's interest. It returns false if the result is there.
+// abandon ends the caller's wait. It returns false if the result has been delivered.
 func (t *ticket) abandon() bool {
 	return t.state.CompareAndSwap(ticketWaiting, ticketAbandoned)
 }
 
-// abandoned reports whether the caller is gone.
+// abandoned reports whether the caller has stopped waiting.
 func (t *ticket) abandoned() bool { return t.state.Load() == ticketAbandoned }
 
-// deliver hands over the result. It returns false if the caller is gone.
+// deliver delivers the result. It returns false if the caller has stopped waiting.
 func (t *ticket) deliver(result Result, err error) bool {
 	t.result, t.err = result, err
 	if !t.state.CompareAndSwap(ticketWaiting, ticketDelivered) {
@@ -56,11 +56,11 @@
 	return true
 }
 
-// mustCommit reports whether the operation has to be recorded sooner or later even if
-// nobody waits for it.
+// mustCommit reports whether the operation must eventually be recorded even if no caller
+// waits for it.
 func (t *ticket) mustCommit() bool { return t.op.Kind != OpClaim && !t.remote }
 
-// asRelease turns a claim that nobody waits for into its asRelease (rule C4).
+// asRelease returns a ticket that releases the ticket's claim (rule C4).
 func (t *ticket) asRelease() *ticket {
 	op := t.op
 	op.Kind = OpRelease
@@ -69,9 +69,8 @@
 	return r
 }
 
-// pruned returns the tickets that still have a purpose: a claim whose caller
-// has left is dropped if it was never sent or is another node's, and becomes a
-// release otherwise.
+// prune drops abandoned tickets that need no commit: those of other nodes, and claims that are
+// not in doubt. An abandoned claim in doubt is replaced by its release.
 func prune(tickets []*ticket) []*ticket {
 	kept := tickets[:0]
 	for _, t := range tickets {
@@ -85,7 +84,7 @@
 	return kept
 }
 
-// errorOf returns the error for a claim whose caller's context has ended.
+// contextError returns the error for a claim whose caller's context has ended.
 func contextError(cancelled bool) error {
 	if cancelled {
 		return garnetworks.Errorf(garnetworks.KindCancelled, "the caller left before the call was claimed")
--- a/claimer/worker.go
+++ b/claimer/worker.go
@@ -11,28 +11,28 @@
 	"github.com/pkg/errors"
 )
 
-// worker commits the operations of one shard, one group after the other. One
-// goroutine runs it; the fields above mu belong to that goroutine.
+// worker commits the operations of one shard in groups, one after the other. It is run by one
+// goroutine, which owns the non-atomic fields above mu.
 type worker struct {
 	claimer *Claimer
 	number  int
 
-	// shard is the newest known state, read or written at revision by read
-	// number readAt; it is nil when unknown.
+	// shard is the newest known state, at the given revision; it is nil if unknown.
+	// readSequence is the newest ticket's number when it was read or written.
 	shard        *Shard
 	revision     garnetworks.Revision
 	readSequence uint64
-	// adopted is when the state was read or written.
+	// loadedAt is when the state was read or written.
 	loadedAt time.Time
-	// highest is the highest revision ever seen.
+	// highestRevision is the highest revision ever seen.
 	highestRevision garnetworks.Revision
 	buckets         map[int]cachedBucket
 	// nextWrite is the earliest time of the next write (rule C8).
 	nextWrite time.Time
-	// conflicts counts conflicts in a row.
+	// conflicts counts consecutive conflicts.
 	conflicts int
-	// forwardAfter is when the committing node may be asked again; forwardFailures
-	// counts its failures in a row.
+	// nextForward is the earliest time of the next forwarding; forwardFailures counts
+	// consecutive failures of it.
 	nextForward     time.Time
 	forwardFailures int
 	nextMove        time.Time
@@ -43,11 +43,11 @@
 
 	mu      sync.Mutex
 	pending []*ticket
-	// inRound is the number of owed tickets outside pending.
+	// inCommit is the number of unrecorded tickets outside pending.
 	inCommit     int
 	lastSequence uint64
 	wake         chan struct{}
-	// failures counts failed rounds in a row; retryAt ends the wait after them.
+	// failures counts consecutive failed commits; retryAt ends the backoff after them.
 	failures int
 	retryAt  time.Time
 	stopped  bool
@@ -115,7 +115,7 @@
 	}
 }
 
-// tryEnqueue queues a ticket that may be refused.
+// tryEnqueue queues a ticket unless claims are refused now.
 func (w *worker) tryEnqueue(t *ticket) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -132,8 +132,8 @@
 	return nil
 }
 
-// submit queues an operation that is owed; it is never refused. The number of
-// such operations is bounded by the number of claims given out.
+// submit queues an operation that must be recorded; it never refuses. The number of such
+// operations is bounded by the number of granted claims.
 func (w *worker) submit(op Op) *ticket {
 	t := newTicket(op, false)
 	w.mu.Lock()
@@ -150,6 +150,7 @@
 	w.signal()
 }
 
+// signal wakes the worker.
 func (w *worker) signal() {
 	select {
 	case w.wake <- struct{}{}:
@@ -157,8 +158,8 @@
 	}
 }
 
-// unrecorded returns the number of operations that are not recorded yet though they
-// have to be.
+// unrecorded returns the number of this node's outcomes and claims in doubt that are not yet
+// recorded.
 func (w *worker) unrecorded() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -195,9 +196,8 @@
 	return len(w.pending) > 0
 }
 
-// takeGroup removes the tickets of the next group from the queue. As long as a write
-// with some of them may still land, the group is these alone, so that an outage
-// leaves no more operations in doubt than one group holds.
+// takeGroup removes the next group from the queue. While some tickets are in doubt, new claims
+// wait, so that an outage leaves at most one group of claims in doubt.
 func (w *worker) takeGroup() []*ticket {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -218,7 +218,7 @@
 	return group
 }
 
-// requeue queues tickets of a failed round again, before all others.
+// requeue puts the tickets of a failed commit back at the front of the queue.
 func (w *worker) requeue(group []*ticket) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -226,7 +226,7 @@
 	w.pending = append(group, w.pending...)
 }
 
-// commitGroup tries to commit a group once.
+// commitGroup makes one attempt to commit a group.
 func (w *worker) commitGroup(ctx context.Context, group []*ticket) {
 	if len(group) == 0 {
 		return
@@ -247,10 +247,9 @@
 	w.moveToBucket(ctx)
 }
 
-// deliver hands results to the tickets' callers. A claim that became fresh for
-// a caller that has left is released, and so is a refused one of which a copy
-// may still be on its way: the call that holds the key now may free it, and the
-// late copy would then take it for a call that never runs (rule C4).
+// deliver passes results to the tickets' callers. A claim granted to a caller that has stopped
+// waiting is released, and so is a refused one that is in doubt: if the current holder releases
+// the key, a delayed copy would otherwise claim it for a call that never runs (rule C4).
 func (w *worker) deliver(group []*ticket, results []Result) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -267,7 +266,7 @@
 	}
 }
 
-// stop refuses what still waits when the worker ends.
+// stop refuses the waiting claims when the worker ends.
 func (w *worker) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/claimer/writes_test.go
+++ b/claimer/writes_test.go
@@ -13,14 +13,12 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// writesBound is the most writes a second that rule C8 allows for the claims,
-// with a tenth for jitter and the retries after conflicts.
+// maxWritesPerSecond is the write rate that rule C8 allows, plus a tenth for jitter and retries
+// after conflicts.
 const maxWritesPerSecond = 1.1 * Shards * float64(time.Second/DefaultInterval)
 
-// Delta's devices all come back at once after an outage, and keyed calls rise a
-// hundredfold. Writes to the object API must bend towards a bound that does not
-// depend on the calls, and no call be refused. The figures, counted on the test
-// clock: go test ./claimer -run=TestWriteRateIsBounded -v.
+// The write rate must stay below a bound that does not depend on the rate of calls, and no
+// call may be refused.
 func TestWriteRateIsBounded(t *testing.T) {
 	rates := []int{5, 50, 200, 800, 3200}
 	if testing.Short() {
