--- a/claimer/claimer_test.go
+++ b/claimer/claimer_test.go
@@ -176,8 +176,8 @@
 	return ok
 }
 
-// checkFinalState claims every key after all faults have ended: a key that ran is never granted,
-// a recorded one is answered, and one that never ran is free again.
+// checkFinalState claims every key after all faults have ended: a key that ran is never
+// granted, a recorded one is answered, and one that never ran is free again.
 func (o *oracle) checkFinalState(ctx context.Context, c *cluster, s scenario) {
 	verifier := New(Options{Node: garnetworks.NodeInfo{ID: "asker"}, API: c.store})
 	go func() { _ = verifier.Run(ctx) }()
--- a/claimer/worker.go
+++ b/claimer/worker.go
@@ -18,7 +18,7 @@
 	number  int
 
 	// shard is the newest known state, at the given revision; it is nil if unknown.
-	// readSequence is the newest ticket's number when it was read or written.
+	// readSequence is the newest ticket's number just before it was read or written.
 	shard        *Shard
 	revision     garnetworks.Revision
 	readSequence uint64
