--- a/claimer/bench_test.go
+++ b/claimer/bench_test.go
@@ -6,10 +6,8 @@
 	"testing"
 )
 
-// BenchmarkCommit measures the work of one group commit besides the object API:
-// decode, unless the shard is remembered, apply 16 claims and 16 completions,
-// encode. go test ./claimer
-// -run=^$ -bench=Commit.
+// BenchmarkCommit measures one group commit without the object API: decoding the shard unless
+// it is cached, applying 16 claims and 16 completions, and encoding.
 func BenchmarkCommit(b *testing.B) {
 	for _, records := range []int{100, 900} {
 		for _, remembered := range []bool{true, false} {
@@ -35,7 +33,7 @@
 		}
 		return list
 	}
-	s, _, _ := (&Shard{}).Apply(someTime, none, ops(OpComplete, records))
+	s, _, _ := (&Shard{}).Apply(baseTime, emptyLookup, ops(OpComplete, records))
 	value, err := encode(s)
 	if err != nil {
 		b.Fatal(err)
@@ -50,9 +48,9 @@
 				b.Fatal(err)
 			}
 		}
-		next, results, _ := read.Apply(someTime, none, group)
-		if results[0].Verdict != VerdictFresh {
-			b.Fatal("not fresh")
+		next, results, _ := read.Apply(baseTime, emptyLookup, group)
+		if results[0].Verdict != VerdictGranted {
+			b.Fatal("not granted")
 		}
 		if _, err := encode(next); err != nil {
 			b.Fatal(err)
--- a/claimer/claimer.go
+++ b/claimer/claimer.go
@@ -14,39 +14,40 @@
 
 // Defaults of Options.
 const (
-	// DefaultInterval is the distance between two writes of a shard, summed over
-	// all nodes that write it: 16 shards come to 320 writes a second at most.
+	// DefaultInterval is the interval between two writes of a shard, over all nodes that
+	// write it.
 	DefaultInterval = 50 * time.Millisecond
-	// DefaultRetention outlasts a device that is out of reach for a day.
+	// DefaultRetention lets a client that was offline for a day retry safely.
 	DefaultRetention = 24 * time.Hour
-	// DefaultClaimTimeout bounds the wait of a claim whose context allows more.
+	// DefaultClaimTimeout limits the wait for a claim.
 	DefaultClaimTimeout = 2 * time.Second
-	// DefaultCallTimeout bounds one call to the object API.
+	// DefaultCallTimeout limits one call to the object API.
 	DefaultCallTimeout = time.Second
-	// queueBound is the most operations that wait for one shard at one node.
-	queueBound = 2048
+	// maxPending limits the operations that wait for one shard at one node.
+	maxPending = 2048
 )
 
-// Forwarder hands operations to another node, which commits them together with
-// its own. An error says nothing about whether they were committed.
+// Forwarder sends operations to another node, which commits them together with its own. After
+// an error the operations may or may not have been committed.
 type Forwarder interface {
 	Commit(ctx context.Context, node garnetworks.NodeInfo, shard int, ops []Op) ([]Result, error)
 }
 
-// Options configure a Claimer; zero fields take the defaults.
+// Options configure a Claimer; zero fields are replaced by the defaults.
 type Options struct {
 	Node garnetworks.NodeInfo
 	API  garnetworks.ObjectAPI
-	// Forwarder may be nil: then each node writes for itself.
+	// Forwarder may be absent; each node then writes its own operations.
 	Forwarder garnetworks.Option[Forwarder]
 	// Recorder may be nil.
 	Recorder garnetworks.Recorder
 
 	Interval, Retention, ClaimTimeout, CallTimeout time.Duration
-	// Random returns values in [0, 1); nil takes the runtime's generator.
+	// Random returns values in [0, 1); nil selects math/rand/v2.
 	Random func() float64
 }
 
+// withDefaults returns o with defaults for unset durations and Random.
 func (o Options) withDefaults() Options {
 	setDefault(&o.Interval, DefaultInterval)
 	setDefault(&o.Retention, DefaultRetention)
@@ -64,14 +65,14 @@
 	}
 }
 
-// Claimer implements garnetworks.Claimer over the object API. It works while
-// Run runs.
+// Claimer implements garnetworks.Claimer on the object API. It makes progress only while Run
+// is running.
 type Claimer struct {
 	options Options
 	workers [Shards]*worker
-	// refusing counts the workers that refuse claims, so that an outage stands on
-	// the time line once for a node and not once for each shard.
-	refusing atomic.Int32
+	// refusingWorkers counts the workers that refuse claims, so that a node reports an outage
+	// once and not once per shard.
+	refusingWorkers atomic.Int32
 
 	mu    sync.Mutex
 	nodes []garnetworks.NodeInfo
@@ -79,7 +80,7 @@
 
 var _ garnetworks.Claimer = (*Claimer)(nil)
 
-// New returns a claimer.
+// New returns a claimer; call Run to start it.
 func New(options Options) *Claimer {
 	c := &Claimer{options: options.withDefaults()}
 	for i := range c.workers {
@@ -88,8 +89,8 @@
 	return c
 }
 
-// Run commits operations until ctx ends; then it returns ctx's error. A planned
-// stop calls Flush first.
+// Run commits operations until ctx ends, and returns ctx's error. Call Flush first for an
+// orderly shutdown.
 func (c *Claimer) Run(ctx context.Context) error {
 	var running sync.WaitGroup
 	for _, w := range c.workers {
@@ -99,27 +100,25 @@
 	return ctx.Err()
 }
 
-// SetRoster takes the entry nodes of all zones. Their number sets the pace of
-// writes (rule C8); with a Forwarder they choose the node that commits for the
-// others.
+// SetRoster sets the entry nodes of all zones. Their number determines the write interval
+// (rule C8); with a Forwarder, the committing node is chosen among them.
 func (c *Claimer) SetRoster(nodes []garnetworks.NodeInfo) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.nodes = slices.Clone(nodes)
 }
 
-// roster returns the nodes, which nobody changes.
+// roster returns the nodes; the slice is never modified.
 func (c *Claimer) roster() []garnetworks.NodeInfo {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.nodes
 }
 
-// MayForward reports whether a claimed call may still be sent to a backend
-// server: the claim's end has not come, neither by the monotonic clock nor by
-// the wall clock, whichever is ahead. The forwarder asks right before it sends,
-// because a node can be paused between the claim and the call: monotonic clocks
-// stand still while a virtual machine is suspended, wall clocks can be set back.
+// MayForward reports whether a claimed call may still be sent to a backend server: the claim
+// has expired by neither the monotonic nor the wall clock. The forwarder calls it right before
+// sending, because a node can be paused after the claim: monotonic clocks stop while a virtual
+// machine is suspended, and wall clocks can be set back.
 func MayForward(now time.Time, claim *garnetworks.Claim) bool {
 	return now.Before(claim.Until) && now.Round(0).Before(claim.Until.Round(0))
 }
@@ -129,15 +128,15 @@
 	ctx, cancel := context.WithTimeout(ctx, c.options.ClaimTimeout)
 	defer cancel()
 	op := claimOp(OpClaim, &request)
-	result, err := c.worker(op.Key).do(ctx, op)
+	result, err := c.worker(op.Key).submitAndWait(ctx, op)
 	if err != nil {
 		return garnetworks.ClaimResult{}, err
 	}
 	if result.Verdict == VerdictRecorded {
-		return c.recorded(ctx, &result.Record)
+		return c.recordedResult(ctx, &result.Record)
 	}
-	if result.Verdict != VerdictFresh {
-		return garnetworks.ClaimResult{}, refusal(&result, time.Now())
+	if result.Verdict != VerdictGranted {
+		return garnetworks.ClaimResult{}, verdictError(&result, time.Now())
 	}
 	claim := garnetworks.Claim{ClaimRequest: request}
 	if !MayForward(time.Now(), &claim) {
@@ -147,47 +146,47 @@
 	return garnetworks.ClaimResult{Claim: claim}, nil
 }
 
-// Complete implements garnetworks.Claimer. If ctx ends first, it returns an
-// error of kind KindResponseLost, and the answer goes on being recorded.
+// Complete implements garnetworks.Claimer. If ctx ends first, it returns an error of kind
+// KindResponseLost, and the answer is still recorded later.
 func (c *Claimer) Complete(ctx context.Context, claim garnetworks.Claim, answer *garnetworks.ServiceResponse) error {
 	op := claimOp(OpComplete, &claim.ClaimRequest)
-	op.Answer = c.keep(ctx, op.Key, claim.Call, answer)
-	return c.finish(ctx, op)
+	op.Answer = c.storeAnswer(ctx, op.Key, claim.Call, answer)
+	return c.submitOutcome(ctx, op)
 }
 
-// Abandon implements garnetworks.Claimer. If ctx ends first, it returns an
-// error of kind KindResponseLost, and the outcome goes on being recorded.
+// Abandon implements garnetworks.Claimer. If ctx ends first, it returns an error of kind
+// KindResponseLost, and the outcome is still recorded later.
 func (c *Claimer) Abandon(ctx context.Context, claim garnetworks.Claim, outcome garnetworks.Outcome) error {
 	switch outcome {
 	case garnetworks.OutcomeNotRun:
-		return c.finish(ctx, claimOp(OpRelease, &claim.ClaimRequest))
+		return c.submitOutcome(ctx, claimOp(OpRelease, &claim.ClaimRequest))
 	case garnetworks.OutcomeUnknown:
-		return c.finish(ctx, claimOp(OpUnknown, &claim.ClaimRequest))
+		return c.submitOutcome(ctx, claimOp(OpUnknown, &claim.ClaimRequest))
 	}
 	return garnetworks.Errorf(garnetworks.KindInternal, "a claim can't be abandoned as %q", outcome)
 }
 
-// finish submits an operation that has to be recorded sooner or later, and
-// waits for it as long as ctx allows.
-func (c *Claimer) finish(ctx context.Context, op Op) error {
+// submitOutcome submits an operation that must eventually be recorded, and waits for it
+// until ctx ends.
+func (c *Claimer) submitOutcome(ctx context.Context, op Op) error {
 	t := c.worker(op.Key).submit(op)
 	select {
 	case <-t.done:
 	case <-ctx.Done():
 		return garnetworks.WrapError(garnetworks.KindResponseLost, ctx.Err(), "the outcome of the claimed call is not recorded yet")
 	}
-	if t.result.Verdict == VerdictLost {
+	if t.result.Verdict == VerdictSuperseded {
 		return garnetworks.Errorf(garnetworks.KindInternal, "the key of call %s belongs to call %s", op.Call, t.result.Record.Call)
 	}
 	return nil
 }
 
-// Flush waits until every outcome that was handed over is recorded, or ctx
-// ends. No new claims may be asked for meanwhile.
+// Flush waits until all submitted outcomes are recorded or ctx ends. Claim must not be called
+// meanwhile.
 func (c *Claimer) Flush(ctx context.Context) error {
 	const poll = 10 * time.Millisecond
 	for _, w := range c.workers {
-		for w.owed() > 0 {
+		for w.unrecorded() > 0 {
 			if ctx.Err() != nil {
 				return garnetworks.WrapError(garnetworks.KindResponseLost, ctx.Err(), "outcomes of claimed calls are not recorded")
 			}
@@ -197,9 +196,9 @@
 	return nil
 }
 
-// Serve commits operations that another node has handed over. Its Forwarder
-// brings the results back.
-func (c *Claimer) Serve(ctx context.Context, shard int, ops []Op) ([]Result, error) {
+// CommitForwarded commits operations that another node has forwarded, and returns the
+// results for that node's Forwarder.
+func (c *Claimer) CommitForwarded(ctx context.Context, shard int, ops []Op) ([]Result, error) {
 	if shard < 0 || shard >= Shards {
 		return nil, garnetworks.Errorf(garnetworks.KindInvalidRequest, "no shard %d", shard)
 	}
@@ -208,25 +207,25 @@
 			return nil, garnetworks.Errorf(garnetworks.KindInvalidRequest, "operation %d is of shard %d, not %d", i, ops[i].Key.Shard(), shard)
 		}
 	}
-	return c.workers[shard].serve(ctx, ops)
+	return c.workers[shard].commitForwarded(ctx, ops)
 }
 
-// Stats are counters of a claimer since its start, and its state now.
+// Stats holds counters since the start and the current state of a claimer.
 type Stats struct {
-	// Writes, Conflicts and Failures count tries to write a shard by their end;
-	// Forwarded counts groups that another node has committed.
+	// Writes, Conflicts and Failures count attempts to write a shard by result; Forwarded
+	// counts groups that another node has committed.
 	Writes, Conflicts, Failures, Forwarded uint64
-	// Moves counts the buckets that were written.
-	Moves uint64
-	// Owed is the number of outcomes that are not recorded yet.
-	Owed int
-	// Down is the number of shards whose claims are refused now.
-	Down int
-	// LargestShard is the size in bytes of the largest shard known.
+	// BucketWrites counts bucket writes.
+	BucketWrites uint64
+	// Unrecorded is the number of outcomes that are not yet recorded.
+	Unrecorded int
+	// RefusingShards is the number of shards whose claims are refused now.
+	RefusingShards int
+	// LargestShard is the size in bytes of the largest shard written.
 	LargestShard int
 }
 
-// Stats returns the counters.
+// Stats returns the current statistics.
 func (c *Claimer) Stats() Stats {
 	var total Stats
 	for _, w := range c.workers {
@@ -234,11 +233,11 @@
 		total.Conflicts += w.conflicted.Load()
 		total.Failures += w.failed.Load()
 		total.Forwarded += w.forwarded.Load()
-		total.Moves += w.moves.Load()
-		total.Owed += w.owed()
+		total.BucketWrites += w.bucketWrites.Load()
+		total.Unrecorded += w.unrecorded()
 		total.LargestShard = max(total.LargestShard, int(w.bytes.Load()))
-		if w.refuses() {
-			total.Down++
+		if w.refusesClaims() {
+			total.RefusingShards++
 		}
 	}
 	return total
@@ -246,7 +245,7 @@
 
 func (c *Claimer) worker(key Digest) *worker { return c.workers[key.Shard()] }
 
-// claimOp returns an operation for a claim request.
+// claimOp returns an operation of the given kind for a claim request.
 func claimOp(kind OpKind, r *garnetworks.ClaimRequest) Op {
 	return Op{
 		Kind: kind, Key: KeyDigest(r.Workspace, r.Service, r.Key), Body: truncate(r.BodyHash),
@@ -254,8 +253,8 @@
 	}
 }
 
-// refusal is the error for a verdict that gives no claim.
-func refusal(r *Result, now time.Time) error {
+// verdictError returns the error for a verdict that does not grant the claim.
+func verdictError(r *Result, now time.Time) error {
 	switch r.Verdict {
 	case VerdictInProgress:
 		const low, high = time.Second, 5 * time.Second
@@ -278,8 +277,8 @@
 	return garnetworks.Errorf(garnetworks.KindClaimsUnavailable, "%s", detail)
 }
 
-// keep decides where the answer is kept, and stores a large one.
-func (c *Claimer) keep(ctx context.Context, key Digest, call garnetworks.CallID, answer *garnetworks.ServiceResponse) Answer {
+// storeAnswer decides how the answer is stored, and writes a large one to its own object.
+func (c *Claimer) storeAnswer(ctx context.Context, key Digest, call garnetworks.CallID, answer *garnetworks.ServiceResponse) Answer {
 	kept := Answer{Form: AnswerInline, Status: answer.Status, ContentType: answer.ContentType, Body: answer.Body}
 	if len(answer.Body)+len(answer.ContentType) <= MaxInlineAnswer {
 		return kept
@@ -292,14 +291,14 @@
 	if err != nil {
 		return kept
 	}
-	// Losing a large answer's text is accepted when the store fails here: the
-	// mark that the call completed matters more than its answer and follows.
+	// If the write fails, the answer is dropped and the call is still recorded as
+	// completed, which is what prevents a second run.
 	ctx, cancel := context.WithTimeout(ctx, c.options.CallTimeout)
 	defer cancel()
 	revision, err := c.options.API.Put(ctx, answerKey(key, call), value, 0)
 	if err != nil {
-		// Rule G11: the write may have landed. The name is the call's own, so
-		// whatever is there is this answer.
+		// Rule G11: the write may have taken effect. The key contains the call ID, so any
+		// object there is this answer.
 		stored, readErr := c.options.API.Get(ctx, answerKey(key, call))
 		if readErr != nil {
 			return kept
@@ -309,13 +308,13 @@
 	return Answer{Form: AnswerStored, Status: answer.Status, Revision: revision}
 }
 
-// recorded returns the answer that a record holds or points to.
-func (c *Claimer) recorded(ctx context.Context, r *Record) (garnetworks.ClaimResult, error) {
+// recordedResult returns the answer that a record contains or refers to.
+func (c *Claimer) recordedResult(ctx context.Context, r *Record) (garnetworks.ClaimResult, error) {
 	answer := r.Answer
 	if answer.Form == AnswerStored {
 		stored, err := c.options.API.Get(ctx, answerKey(r.Key, r.Call))
 		if err != nil && !garnetworks.IsKind(err, garnetworks.KindNotFound) {
-			return garnetworks.ClaimResult{}, inProgressWhileAway()
+			return garnetworks.ClaimResult{}, answerUnreadable()
 		}
 		if err != nil || decode(stored.Value, &answer) != nil {
 			answer.Form = AnswerDropped
@@ -330,9 +329,9 @@
 	})}, nil
 }
 
-// inProgressWhileAway tells a caller to come back for an answer that exists but
-// can't be read now. KindClaimsUnavailable would say that the call did not run.
-func inProgressWhileAway() error {
+// answerUnreadable asks the caller to retry for an answer that exists but can't be read
+// now. KindClaimsUnavailable would imply that the call did not run.
+func answerUnreadable() error {
 	return &garnetworks.Error{
 		Kind: garnetworks.KindInProgress, Detail: "the first call with the key completed; its answer can't be read now",
 		RetryAfter: 2 * time.Second,
--- a/claimer/claimer_test.go
+++ b/claimer/claimer_test.go
@@ -12,26 +12,26 @@
 	"pgregory.net/rapid"
 )
 
-// ending is what becomes of a call after its claim.
-type ending int
+// outcome is what happens to a call after its claim.
+type outcome int
 
 const (
-	endComplete ending = iota
+	endComplete outcome = iota
 	endUnknown
 	endNotRun
-	endCrash // the node dies after the call ran, before it is recorded
-	endings
+	endCrash // the node crashes after the call ran, before the outcome is recorded
+	outcomes
 )
 
-// step is one call of a script.
+// step is one call of a scenario.
 type step struct {
 	At, Pause, Patience time.Duration
 	Node, Key           int
-	End                 ending
+	End                 outcome
 }
 
-// script is a run of the state machine.
-type script struct {
+// scenario is one run of the state machine test.
+type scenario struct {
 	Seed       uint64
 	Nodes      int
 	Forwarding bool
@@ -40,12 +40,12 @@
 	Steps      []step
 }
 
-func drawScript(t *rapid.T, crashes bool) script {
+func drawScenario(t *rapid.T, crashes bool) scenario {
 	chance := func(name string, most float64) float64 { return rapid.Float64Range(0, most).Draw(t, name) }
 	millis := func(name string, most int) time.Duration {
 		return time.Duration(rapid.IntRange(0, most).Draw(t, name)) * time.Millisecond
 	}
-	s := script{
+	s := scenario{
 		Seed: rapid.Uint64().Draw(t, "seed"), Nodes: rapid.IntRange(2, 4).Draw(t, "nodes"),
 		Forwarding: rapid.Bool().Draw(t, "forwarding"), Loss: chance("loss", 0.4),
 		Faults: faults{lost: chance("lost", 0.4), late: chance("late", 0.4), throttled: chance("throttled", 0.3), latency: 2 * time.Millisecond},
@@ -61,28 +61,28 @@
 			At: millis("at", 30_000), Pause: millis("pause", 8_000) * time.Duration(rapid.IntRange(0, 1).Draw(t, "paused")),
 			Patience: 50*time.Millisecond + millis("patience", 3_000),
 			Node:     rapid.IntRange(0, s.Nodes-1).Draw(t, "node"), Key: rapid.IntRange(0, 3).Draw(t, "key"),
-			End: ending(rapid.IntRange(0, int(last)).Draw(t, "end")),
+			End: outcome(rapid.IntRange(0, int(last)).Draw(t, "end")),
 		})
 	}
 	return s
 }
 
-// oracle counts what really happened to each key.
+// oracle records what happened to each key, to check the claimers' results against.
 type oracle struct {
 	mu       sync.Mutex
 	runs     [4]int
 	answer   [4]string
 	recorded [4]bool // Complete returned without an error
-	touched  [4]bool // an outcome was handed over as unknown
-	faults   []string
+	unknown  [4]bool // an outcome was recorded as unknown
+	failures []string
 }
 
 func (o *oracle) failf(format string, args ...any) {
-	o.faults = append(o.faults, fmt.Sprintf(format, args...))
+	o.failures = append(o.failures, fmt.Sprintf(format, args...))
 }
 
-// run plays a script with real claimers on the test clock.
-func (s script) run(t *testing.T) *oracle {
+// run executes a scenario with real claimers in virtual time.
+func (s scenario) run(t *testing.T) *oracle {
 	o := &oracle{}
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -99,8 +99,8 @@
 		c.store.mu.Lock()
 		c.store.faults, c.loss = faults{latency: time.Millisecond}, 0
 		c.store.mu.Unlock()
-		time.Sleep(time.Minute) // late writes land, releases are recorded
-		o.settle(ctx, c, s)
+		time.Sleep(time.Minute) // late writes take effect, releases are recorded
+		o.checkFinalState(ctx, c, s)
 		cancel()
 		time.Sleep(5 * time.Second)
 	})
@@ -114,14 +114,14 @@
 	}
 }
 
-// call is the forwarder's part: claim, wait, check, run, record.
+// call does what the forwarder does: claim, wait, check, run, record.
 func (o *oracle) call(ctx context.Context, c *cluster, i int, st step) {
 	node := c.nodes[st.Node]
 	r := request(st.Key, i)
 	patient, cancel := context.WithTimeout(ctx, st.Patience)
 	defer cancel()
 	result, err := node.Claim(patient, r)
-	if o.told(st.Key, result, err) || err != nil {
+	if o.checkResult(st.Key, result, err) || err != nil {
 		return
 	}
 	time.Sleep(st.Pause) // the node is paused between claim and call
@@ -135,7 +135,7 @@
 		c.stop[st.Node]()
 	case endUnknown:
 		o.mu.Lock()
-		o.touched[st.Key] = true
+		o.unknown[st.Key] = true
 		o.mu.Unlock()
 		_ = node.Abandon(patient, result.Claim, garnetworks.OutcomeUnknown)
 	default:
@@ -146,7 +146,7 @@
 	}
 }
 
-// execute is the backend server.
+// execute simulates the backend server.
 func (o *oracle) execute(key, call int) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -158,9 +158,9 @@
 	return o.answer[key]
 }
 
-// told checks what a caller was told against what happened, and reports whether
-// it was an answer.
-func (o *oracle) told(key int, result garnetworks.ClaimResult, err error) bool {
+// checkResult checks the result of a claim against what happened, and reports whether it was
+// a recorded answer.
+func (o *oracle) checkResult(key int, result garnetworks.ClaimResult, err error) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	answer, ok := result.Recorded.Get()
@@ -168,26 +168,26 @@
 	case err == nil && ok && string(answer.Body) != o.answer[key]:
 		o.failf("key %d was answered %q, not %q", key, answer.Body, o.answer[key])
 	case err == nil && !ok && o.runs[key] > 0:
-		o.failf("key %d was given out after it ran", key)
+		o.failf("key %d was granted after it ran", key)
 	case err != nil && !garnetworks.IsKind(err, garnetworks.KindInProgress, garnetworks.KindOutcomeUnknown,
 		garnetworks.KindClaimsUnavailable, garnetworks.KindCancelled, garnetworks.KindShuttingDown):
-		o.failf("key %d met %v", key, err)
+		o.failf("key %d: unexpected error %v", key, err)
 	}
 	return ok
 }
 
-// settle asks for every key once all is quiet: a key that ran is never fresh, a
-// recorded one is answered, and one that never ran is free again.
-func (o *oracle) settle(ctx context.Context, c *cluster, s script) {
-	asker := New(Options{Node: garnetworks.NodeInfo{ID: "asker"}, API: c.store})
-	go func() { _ = asker.Run(ctx) }()
+// checkFinalState claims every key after all faults have ended: a key that ran is never
+// granted, a recorded one is answered, and one that never ran is free again.
+func (o *oracle) checkFinalState(ctx context.Context, c *cluster, s scenario) {
+	verifier := New(Options{Node: garnetworks.NodeInfo{ID: "asker"}, API: c.store})
+	go func() { _ = verifier.Run(ctx) }()
 	crashed := false
 	for _, st := range s.Steps {
 		crashed = crashed || st.End == endCrash
 	}
 	for key := range o.runs {
-		result, err := asker.Claim(ctx, request(key, 1000+key))
-		o.told(key, result, err)
+		result, err := verifier.Claim(ctx, request(key, 1000+key))
+		o.checkResult(key, result, err)
 		switch {
 		case o.recorded[key] && !result.Recorded.Present:
 			o.failf("key %d lost its recorded answer: %v", key, err)
@@ -197,18 +197,15 @@
 	}
 }
 
-// A tech's device sends a visit again and again through any node. The object
-// API loses answers, lands writes seconds late, throttles and goes away; nodes
-// pause between claim and call, crash after the call ran, and commit for each
-// other over a link that loses and holds up groups. The visit must run once at
-// most, be answered with its own answer, and stay free if it never ran.
+// A retried call must run at most once, be answered with its own answer, and leave its key
+// free if it never ran, despite faults of the object API, nodes and forwarding.
 func TestAtMostOnceOverAllNodes(t *testing.T) {
 	for name, crashes := range map[string]bool{"with-crashes": true, "without-crashes": false} {
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(rt *rapid.T) {
-				s := drawScript(rt, crashes)
-				if o := s.run(t); len(o.faults) > 0 {
-					rt.Fatalf("%v\n%+v", o.faults, s)
+				s := drawScenario(rt, crashes)
+				if o := s.run(t); len(o.failures) > 0 {
+					rt.Fatalf("%v\n%+v", o.failures, s)
 				}
 			})
 		})
--- a/claimer/mover.go
+++ b/claimer/mover.go
@@ -7,25 +7,24 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// moveInterval is the least distance between two moves to buckets.
-const moveInterval = time.Second
+// minMoveInterval is the minimum time between two moves to buckets.
+const minMoveInterval = time.Second
 
-// move hands the fullest bucket's records at rest over, if the shard is above
-// its target size. It runs right after a commit, so that what it moves is not
-// out of date. A failure leaves everything as it was, or a record in both
-// places, which readers join.
-func (w *worker) move(ctx context.Context) {
+// moveToBucket moves the settled records of the fullest bucket out of the shard if it is above
+// its target size. It runs right after a commit, when the cached shard is current. A failure
+// leaves the records in the shard, possibly in both places; readers merge the copies.
+func (w *worker) moveToBucket(ctx context.Context) {
 	now := time.Now()
-	if w.shard == nil || now.Before(w.moveAfter) {
+	if w.shard == nil || now.Before(w.nextMove) {
 		return
 	}
-	b, ok := w.shard.Fullest(now)
+	b, ok := w.shard.FullestBucket(now)
 	if !ok {
 		return
 	}
-	w.moveAfter = now.Add(moveInterval)
-	records := w.shard.Resting(now, b)
-	revision, err := w.fill(ctx, now, b, records)
+	w.nextMove = now.Add(minMoveInterval)
+	records := w.shard.Settled(now, b)
+	revision, err := w.writeBucket(ctx, now, b, records)
 	if err != nil {
 		delete(w.buckets, b)
 		return
@@ -33,19 +32,19 @@
 	_ = w.write(ctx, w.shard.Without(b, records, revision), nil)
 }
 
-// fill writes records to a bucket and returns the bucket's new revision.
-func (w *worker) fill(ctx context.Context, now time.Time, b int, records []Record) (garnetworks.Revision, error) {
-	// Rule C9: a write of this bucket whose shard write failed may have left a
-	// newer revision than the mark, so the bucket is read, not remembered.
-	known, err := w.readBucket(ctx, b)
+// writeBucket adds records to a bucket and returns the bucket's new revision.
+func (w *worker) writeBucket(ctx context.Context, now time.Time, b int, records []Record) (garnetworks.Revision, error) {
+	// Rule C9: if the shard write after an earlier bucket write failed, the bucket is at a
+	// newer revision than the shard records, so the cached copy is not used.
+	current, err := w.readBucket(ctx, b)
 	if err != nil {
 		return 0, err
 	}
-	next, orphans, fits := known.bucket.Take(w.shard.Witnessed(now), w.claimer.options.Retention, records)
+	next, expired, fits := current.bucket.Merge(w.shard.ExpiryClock(now), w.claimer.options.Retention, records)
 	if !fits {
 		return 0, garnetworks.Errorf(garnetworks.KindTooLarge, "bucket %d/%d is full", w.number, b)
 	}
-	if err := w.deleteAnswers(ctx, orphans); err != nil {
+	if err := w.deleteAnswers(ctx, expired); err != nil {
 		return 0, err
 	}
 	value, err := encode(next)
@@ -54,11 +53,11 @@
 	}
 	call, cancel := context.WithTimeout(ctx, w.claimer.options.CallTimeout)
 	defer cancel()
-	revision, err := w.claimer.options.API.Put(call, bucketKey(w.number, b), value, known.revision)
+	revision, err := w.claimer.options.API.Put(call, bucketKey(w.number, b), value, current.revision)
 	if err != nil {
 		return 0, err
 	}
-	w.moves.Add(1)
+	w.bucketWrites.Add(1)
 	w.buckets[b] = cachedBucket{next, revision, len(value)}
 	return revision, nil
 }
@@ -82,8 +81,8 @@
 	return cachedBucket{bucket, object.Revision, len(object.Value)}, nil
 }
 
-// deleteAnswers deletes the answers of forgotten records. It goes before the
-// write that forgets them, so that a crash between the two leaves nothing over.
+// deleteAnswers deletes the stored answers of expired records. It runs before the write that
+// removes the records, so that a crash in between leaves no unreferenced answers.
 func (w *worker) deleteAnswers(ctx context.Context, records []Record) error {
 	for i := range records {
 		r := &records[i]
--- a/claimer/peers_test.go
+++ b/claimer/peers_test.go
@@ -10,15 +10,14 @@
 	"github.com/garnetworks/garnetworks/messenger"
 )
 
-// committing answers CommitClaims and nothing else.
-type committing struct {
+// commitHandler handles only CommitClaims.
+type commitHandler struct {
 	garnetworks.PeerHandler
 	*Claimer
 }
 
-// A node that does not commit a shard itself hands its claims to the one that
-// does, over the peer protocol; the answer must be as if it had written itself,
-// also once that node is gone.
+// A node that forwards its claims over the peer protocol must get the same results as one that
+// writes them itself, also after the committing node has stopped.
 func TestClaimsOverThePeerProtocol(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -38,7 +37,7 @@
 		go func() { _ = c.Run(ctx) }()
 		nodes = append(nodes, c)
 	}
-	server, err := messenger.NewServer(messenger.ServerOptions{Handler: committing{Claimer: nodes[0]}})
+	server, err := messenger.NewServer(messenger.ServerOptions{Handler: commitHandler{Claimer: nodes[0]}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/tracker/beat.go
+++ b/tracker/beat.go
@@ -11,17 +11,17 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// beat sends this round's heartbeats (rule T1).
-func (s *State) beat(now time.Time, d *Decisions) {
-	if now.Before(s.nextBeat) {
+// sendHeartbeats sends the heartbeats of one round if it is due (rule T1).
+func (s *State) sendHeartbeats(now time.Time, d *Decisions) {
+	if now.Before(s.nextRound) {
 		return
 	}
-	s.nextBeat = s.nextBeat.Add(HeartbeatEvery)
-	if s.nextBeat.Before(now) {
-		// The process was paused; the rounds it missed are not made up for.
-		s.nextBeat = now.Add(HeartbeatEvery)
+	s.nextRound = s.nextRound.Add(HeartbeatInterval)
+	if s.nextRound.Before(now) {
+		// The process was paused; missed rounds are skipped.
+		s.nextRound = now.Add(HeartbeatInterval)
 	}
-	s.beats++
+	s.rounds++
 	targets := map[string]garnetworks.NodeInfo{}
 	add := func(nodes ...garnetworks.NodeInfo) {
 		for _, n := range nodes {
@@ -30,13 +30,13 @@
 	}
 	near := s.neighbours()
 	add(near...)
-	add(s.farTargets(now, len(near))...)
+	add(s.remoteTargets(now, len(near))...)
 	suspects := s.suspects()
-	if !s.unlisted.IsZero() || len(suspects) > 0 {
+	if !s.unlistedSince.IsZero() || len(suspects) > 0 {
 		add(s.candidates()...)
 	}
 	if len(suspects) > 0 {
-		add(s.witnesses()...)
+		add(s.indirectProbers()...)
 	}
 	if len(targets) == 0 || !s.heardAnyone(now) {
 		count := 1
@@ -47,32 +47,33 @@
 	}
 	delete(targets, s.self.Address)
 	for _, address := range slices.Sorted(maps.Keys(targets)) {
-		d.Probes = append(d.Probes, Probe{Node: targets[address], From: s.self, Ask: except(suspects, targets[address].ID)})
+		d.Probes = append(d.Probes, Probe{Node: targets[address], From: s.self, IndirectProbes: except(suspects, targets[address].ID)})
 	}
 }
 
+// except returns nodes without the one named id.
 func except(nodes []garnetworks.NodeInfo, id garnetworks.NodeID) []garnetworks.NodeInfo {
 	return slices.DeleteFunc(slices.Clone(nodes), func(n garnetworks.NodeInfo) bool { return n.ID == id })
 }
 
-// neighbours returns the next living nodes on the ring. Suspected ones stay
-// among them, so that their return is seen, but do not count.
+// neighbours returns the node's live successors on the ring. Suspected nodes are
+// included, so that their recovery is noticed, but don't count towards Neighbours.
 func (s *State) neighbours() []garnetworks.NodeInfo {
 	var near []garnetworks.NodeInfo
-	sound := 0
+	healthy := 0
 	for _, m := range s.ring() {
 		near = append(near, m.info)
-		if m.suspected.IsZero() {
-			sound++
+		if m.suspectedSince.IsZero() {
+			healthy++
 		}
-		if sound == Neighbours || len(near) == 2*Neighbours {
+		if healthy == Neighbours || len(near) == 2*Neighbours {
 			break
 		}
 	}
 	return near
 }
 
-// ring returns the members that are not gone, in ring order from this node on.
+// ring returns the members that are not lost or leaving, in ring order after this node.
 func (s *State) ring() []*member {
 	var all []*member
 	for _, m := range s.members {
@@ -82,35 +83,35 @@
 	}
 	own := ringHash(s.self.ID)
 	slices.SortFunc(all, func(a, b *member) int {
-		// The distance from this node, round the ring.
+		// Distance from this node along the ring; the subtraction wraps around.
 		return cmp.Compare(ringHash(a.info.ID)-own, ringHash(b.info.ID)-own)
 	})
 	return all
 }
 
+// ringHash returns the position of a node on the ring.
 func ringHash(id garnetworks.NodeID) uint64 { return xxhash.Sum64String(string(id)) }
 
-// farTargets returns a node of another zone when one is due. Zones and nodes
-// take turns.
-func (s *State) farTargets(now time.Time, near int) []garnetworks.NodeInfo {
-	if now.Before(s.nextFar) {
+// remoteTargets returns one node of another zone if a heartbeat to one is due. Zones and
+// their nodes are chosen in turn. The argument near is the number of neighbours.
+func (s *State) remoteTargets(now time.Time, near int) []garnetworks.NodeInfo {
+	if now.Before(s.nextRemote) {
 		return nil
 	}
-	s.nextFar = now.Add(FarEvery)
+	s.nextRemote = now.Add(RemoteHeartbeatInterval)
 	if near < Neighbours {
-		s.nextFar = now.Add(FarEverySmall)
+		s.nextRemote = now.Add(RemoteHeartbeatIntervalSmall)
 	}
-	s.farBeats++
-	if far, ok := s.farNode(s.farBeats); ok {
-		return []garnetworks.NodeInfo{far}
+	s.remoteRounds++
+	if node, ok := s.remoteNode(s.remoteRounds); ok {
+		return []garnetworks.NodeInfo{node}
 	}
-	// At the first start of a site no zone knows another one; the seeds join
-	// them.
+	// No other zone is known when a site first starts; the seeds connect the zones.
 	return s.seedTargets(1)
 }
 
-// farNode returns a node of another zone by turn.
-func (s *State) farNode(turn uint64) (garnetworks.NodeInfo, bool) {
+// remoteNode returns a node of another zone, chosen in turn.
+func (s *State) remoteNode(turn uint64) (garnetworks.NodeInfo, bool) {
 	var zones []garnetworks.ZoneID
 	for z, r := range s.rosters {
 		if z != s.self.Zone && len(r.Nodes) > 0 {
@@ -126,66 +127,66 @@
 	return nodes[(start/7+turn/uint64(len(zones)))%uint64(len(nodes))], true
 }
 
-// witnesses are nodes to ask about suspects: the nearest sound ones and one of
-// another zone.
-func (s *State) witnesses() []garnetworks.NodeInfo {
-	var witnesses []garnetworks.NodeInfo
+// indirectProbers returns the nodes to ask about suspects: the nearest ones that are not
+// suspected and one of another zone.
+func (s *State) indirectProbers() []garnetworks.NodeInfo {
+	var probers []garnetworks.NodeInfo
 	for _, m := range s.ring() {
-		if m.suspected.IsZero() && len(witnesses) < Neighbours {
-			witnesses = append(witnesses, m.info)
+		if m.suspectedSince.IsZero() && len(probers) < Neighbours {
+			probers = append(probers, m.info)
 		}
 	}
-	if far, ok := s.farNode(s.beats); ok {
-		witnesses = append(witnesses, far)
+	if node, ok := s.remoteNode(s.rounds); ok {
+		probers = append(probers, node)
 	}
-	return witnesses
+	return probers
 }
 
-// suspects are the nodes that this node suspects, as many as may be asked about
-// at once.
+// suspects returns the nodes that this node suspects, at most maxIndirectProbes.
 func (s *State) suspects() []garnetworks.NodeInfo {
 	var suspects []garnetworks.NodeInfo
 	for _, id := range slices.Sorted(maps.Keys(s.members)) {
 		m := s.members[id]
-		if !m.suspected.IsZero() && !m.gone() && len(suspects) < maxQuestions {
+		if !m.suspectedSince.IsZero() && !m.gone() && len(suspects) < maxIndirectProbes {
 			suspects = append(suspects, m.info)
 		}
 	}
 	return suspects
 }
 
-// heardAnyone reports whether any node of the zone was heard of late.
+// heardAnyone reports whether any node of the zone was heard within unlistedTTL. It is true
+// for an accepted node that is alone in its zone.
 func (s *State) heardAnyone(now time.Time) bool {
 	for _, m := range s.members {
-		if now.Sub(m.heard) <= unlistedFor {
+		if now.Sub(m.heardAt) <= unlistedTTL {
 			return true
 		}
 	}
 	return len(s.members) == 0 && s.accepted
 }
 
-// seedTargets are count of the seeds, by turn: some at the start, later one, as
-// a way back for a node that lost sight of all others.
+// seedTargets returns up to count seeds, chosen in turn. Seeds also let a node that has lost
+// contact with all others find them again.
 func (s *State) seedTargets(count int) []garnetworks.NodeInfo {
 	var targets []garnetworks.NodeInfo
 	for i := range min(count, len(s.seeds)) {
-		address := s.seeds[(s.beats+uint64(i))%uint64(len(s.seeds))]
+		address := s.seeds[(s.rounds+uint64(i))%uint64(len(s.seeds))]
 		targets = append(targets, garnetworks.NodeInfo{Address: address})
 	}
 	return targets
 }
 
-// inquire tries the nodes that others asked about.
-func (s *State) inquire(now time.Time, d *Decisions) {
+// sendIndirectProbes probes the nodes that peers have asked about.
+func (s *State) sendIndirectProbes(now time.Time, d *Decisions) {
 	count := 0
-	for _, all := range []map[garnetworks.NodeID]*member{s.members, s.strangers} {
+	for _, all := range []map[garnetworks.NodeID]*member{s.members, s.remoteMembers} {
 		for _, id := range slices.Sorted(maps.Keys(all)) {
 			m := all[id]
-			asked := !m.asked.IsZero() && now.Sub(m.asked) < 2*HeartbeatEvery
-			if !asked || now.Sub(m.tried) < HeartbeatEvery || count == maxQuestions {
+			asked := !m.askedAt.IsZero() && now.Sub(m.askedAt) < 2*HeartbeatInterval
+			if !asked || now.Sub(m.probedAt) < HeartbeatInterval || count == maxIndirectProbes {
 				continue
 			}
-			m.tried = now
+			m.probedAt = now
 			count++
 			d.Probes = append(d.Probes, Probe{Node: m.info, From: s.self})
 		}
--- a/tracker/roster.go
+++ b/tracker/roster.go
@@ -10,7 +10,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// candidates are the first nodes that may write the roster, without this one.
+// candidates returns the first Candidates nodes that may write the roster, except this one.
 func (s *State) candidates() []garnetworks.NodeInfo {
 	var first []garnetworks.NodeInfo
 	for _, id := range s.writers() {
@@ -24,14 +24,14 @@
 	return first
 }
 
-// writers are the zone's living nodes in the order in which they write.
+// writers returns the zone's live nodes in the order in which they may write the roster.
 func (s *State) writers() []garnetworks.NodeID {
 	var ids []garnetworks.NodeID
 	if !s.leaving {
 		ids = append(ids, s.self.ID)
 	}
 	for id, m := range s.members {
-		if !m.gone() && m.suspected.IsZero() {
+		if !m.gone() && m.suspectedSince.IsZero() {
 			ids = append(ids, id)
 		}
 	}
@@ -39,15 +39,16 @@
 	return ids
 }
 
-// rank is this node's place among the writers; -1 if it is none.
+// rank returns this node's position among the writers, or -1.
 func (s *State) rank() int { return slices.Index(s.writers(), s.self.ID) }
 
+// isCandidate reports whether this node may write the roster.
 func (s *State) isCandidate() bool {
 	r := s.rank()
 	return r >= 0 && r < Candidates
 }
 
-// listed returns the roster's description of a node of the own zone.
+// listed returns the roster's entry for a node of the own zone.
 func (s *State) listed(id garnetworks.NodeID) (garnetworks.NodeInfo, bool) {
 	nodes := s.rosters[s.self.Zone].Nodes
 	i, ok := slices.BinarySearchFunc(nodes, id, func(n garnetworks.NodeInfo, id garnetworks.NodeID) int { return cmp.Compare(n.ID, id) })
@@ -57,19 +58,20 @@
 	return nodes[i], true
 }
 
-// noteListing notes since when the roster does not list this node as it is.
-func (s *State) noteListing(now time.Time) {
+// updateListing updates since when the roster has not listed this node's current description.
+func (s *State) updateListing(now time.Time) {
 	listed, _ := s.listed(s.self.ID)
 	switch {
 	case listed == s.self:
-		s.unlisted = time.Time{}
+		s.unlistedSince = time.Time{}
 		s.accepted = true
-	case s.unlisted.IsZero():
-		s.unlisted = now
+	case s.unlistedSince.IsZero():
+		s.unlistedSince = now
 	}
 }
 
-func (s *State) learnRoster(now time.Time, r garnetworks.Roster, d *Decisions) {
+// applyRoster records a roster if it is newer than the known one.
+func (s *State) applyRoster(now time.Time, r garnetworks.Roster, d *Decisions) {
 	if r.Version <= s.rosters[r.Zone].Version {
 		return
 	}
@@ -84,18 +86,18 @@
 	for _, n := range r.Nodes {
 		if n.ID == s.self.ID {
 			if n.Incarnation > s.self.Incarnation || (n.Incarnation == s.self.Incarnation && n.Address != s.self.Address) {
-				s.outrankedBy(now, n.Incarnation, d)
+				s.handleHigherIncarnation(now, n.Incarnation, d)
 			}
 			continue
 		}
-		s.learnListed(now, n)
+		s.applyListed(now, n)
 	}
-	s.noteListing(now)
+	s.updateListing(now)
 }
 
-// learnListed takes the roster's word on a node of the own zone, which is older
-// than what was heard from the node itself.
-func (s *State) learnListed(now time.Time, n garnetworks.NodeInfo) {
+// applyListed applies a roster entry of the own zone. It does not replace direct evidence
+// of the same or a higher incarnation.
+func (s *State) applyListed(now time.Time, n garnetworks.NodeInfo) {
 	m, ok := s.members[n.ID]
 	switch {
 	case !ok:
@@ -103,55 +105,57 @@
 	case n.Incarnation > m.info.Incarnation:
 		*m = member{info: n}
 	case n.Incarnation == m.info.Incarnation && m.lost && !m.displaced:
-		// The writer has heard it after this node had given it up.
-		m.lost, m.suspected, m.denied = false, time.Time{}, false
-		m.told = now
+		// The roster's writer heard the node after this node had declared it lost.
+		m.lost, m.suspectedSince, m.lossConfirmed = false, time.Time{}, false
+		m.reportedAt = now
 	}
 }
 
+// reread requests that the rosters be listed again if that is due; the first writer does so
+// for its zone.
 func (s *State) reread(now time.Time, d *Decisions) {
 	if now.Before(s.nextReread) {
 		return
 	}
-	s.nextReread = now.Add(RereadEvery)
+	s.nextReread = now.Add(RereadInterval)
 	d.Reread = s.rank() == 0
 }
 
-// considerWrite decides whether this node changes the roster now (rule T7).
-func (s *State) considerWrite(now time.Time, d *Decisions) {
+// decideWrite decides whether this node writes the roster now (rule T7).
+func (s *State) decideWrite(now time.Time, d *Decisions) {
 	rank := s.rank()
 	var patch Patch
 	switch {
 	case s.leaving:
-		// The others were told; they take this node out.
+		// Peers were notified and remove this node.
 		return
-	case !s.read && now.Sub(s.unlisted) < JoinBound:
-		// The first read shows who writes.
+	case !s.synced && now.Sub(s.unlistedSince) < JoinTimeout:
+		// The writers are unknown until the first read.
 		return
 	case rank < Candidates:
-		patch = s.wanted(now)
-	case !s.unlisted.IsZero() && now.Sub(s.unlisted) >= JoinBound:
+		patch = s.desiredPatch(now)
+	case !s.unlistedSince.IsZero() && now.Sub(s.unlistedSince) >= JoinTimeout:
 		patch = Patch{Zone: s.self.Zone, Set: []garnetworks.NodeInfo{s.self}}
 		rank = 0
 	}
 	if patch.Empty() {
-		s.pending = time.Time{}
+		s.pendingSince = time.Time{}
 		return
 	}
-	if s.pending.IsZero() {
-		s.pending = now
+	if s.pendingSince.IsZero() {
+		s.pendingSince = now
 	}
-	due := s.pending.Add(BatchDelay + time.Duration(rank)*RankDelay)
+	due := s.pendingSince.Add(BatchDelay + time.Duration(rank)*RankDelay)
 	if s.writing || now.Before(due) || now.Before(s.nextWrite) {
 		return
 	}
-	patch.Above = s.rosters[s.self.Zone].Version
+	patch.KnownVersion = s.rosters[s.self.Zone].Version
 	s.writing = true
 	d.Write = garnetworks.Some(patch)
 }
 
-// wanted is what the roster lacks by this node's direct evidence.
-func (s *State) wanted(now time.Time) Patch {
+// desiredPatch returns the changes that this node's direct evidence requires.
+func (s *State) desiredPatch(now time.Time) Patch {
 	p := Patch{Zone: s.self.Zone}
 	for _, id := range slices.Sorted(maps.Keys(s.members)) {
 		m := s.members[id]
@@ -161,7 +165,7 @@
 			if ok && listed.Incarnation <= m.info.Incarnation {
 				p.Remove = append(p.Remove, Removal{ID: id, Incarnation: m.info.Incarnation, Left: !m.lost})
 			}
-		case now.Sub(m.heard) > SuspectAfter || m.displaced:
+		case now.Sub(m.heardAt) > SuspectAfter || m.displaced:
 		case !ok || (listed != m.info && listed.Incarnation <= m.info.Incarnation):
 			p.Set = append(p.Set, m.info)
 		}
@@ -173,7 +177,8 @@
 	return p
 }
 
-func (s *State) written(now time.Time, o Written, d *Decisions) {
+// handleWritten handles the result of a roster write.
+func (s *State) handleWritten(now time.Time, o RosterWritten, d *Decisions) {
 	s.writing = false
 	if o.Err != nil {
 		s.backoff = min(max(2*s.backoff, time.Second), maxBackoff)
@@ -183,15 +188,15 @@
 	s.backoff = 0
 	before := s.rosters[s.self.Zone]
 	if before.Version == 0 {
-		// At the first start of a site, the other zones list themselves now, too.
-		s.nextReread = now.Add(FirstReread)
+		// When a site first starts, the other zones write their rosters at the same time.
+		s.nextReread = now.Add(FirstRereadDelay)
 	}
-	s.learnRoster(now, o.Roster, d)
-	s.tell(before, o, d)
+	s.applyRoster(now, o.Roster, d)
+	s.recordWriteEvents(before, o, d)
 }
 
-// tell gives the events of a roster write.
-func (s *State) tell(before garnetworks.Roster, o Written, d *Decisions) {
+// recordWriteEvents emits the events of a roster write.
+func (s *State) recordWriteEvents(before garnetworks.Roster, o RosterWritten, d *Decisions) {
 	if o.Roster.Version <= before.Version {
 		return
 	}
@@ -205,12 +210,12 @@
 		}
 	}
 	for _, r := range o.Patch.Remove {
-		how := "lost"
+		reason := "lost"
 		if r.Left {
-			how = "left"
+			reason = "left"
 		}
 		if n, ok := known[r.ID]; ok {
-			d.Events = append(d.Events, s.event(garnetworks.EventNodeLost, n, how))
+			d.Events = append(d.Events, s.event(garnetworks.EventNodeLost, n, reason))
 		}
 	}
 	d.Events = append(d.Events, garnetworks.Event{
