--- a/committer/action.go
+++ b/committer/action.go
@@ -36,8 +36,8 @@
 	Hash     string
 }
 
-// Note records an event on the time line.
-type Note struct{ Event garnetworks.Event }
+// RecordEvent records an event on the time line.
+type RecordEvent struct{ Event garnetworks.Event }
 
 func (Publish) action() {}
 
@@ -49,4 +49,4 @@
 
 func (FetchBody) action() {}
 
-func (Note) action() {}
+func (RecordEvent) action() {}
--- a/committer/bench_test.go
+++ b/committer/bench_test.go
@@ -16,8 +16,8 @@
 	"github.com/garnetworks/garnetworks/messenger"
 )
 
-// wired is a node with real connections to the others.
-type wired struct {
+// networkNode is a node with real connections to the others.
+type networkNode struct {
 	garnetworks.PeerHandler
 	info        garnetworks.NodeInfo
 	committer   *committer.Committer
@@ -29,35 +29,35 @@
 	applied map[garnetworks.Generation]time.Time
 }
 
-func (w *wired) Heartbeat(_ context.Context, request *garnetworks.HeartbeatRequest) (*garnetworks.HeartbeatResponse, error) {
+func (w *networkNode) Heartbeat(_ context.Context, request *garnetworks.HeartbeatRequest) (*garnetworks.HeartbeatResponse, error) {
 	response := &garnetworks.HeartbeatResponse{From: w.info}
 	w.distributor.FillResponse(request, response)
 	return response, nil
 }
 
-func (w *wired) Distribute(_ context.Context, request *garnetworks.DistributeRequest) (*garnetworks.DistributeResponse, error) {
+func (w *networkNode) Distribute(_ context.Context, request *garnetworks.DistributeRequest) (*garnetworks.DistributeResponse, error) {
 	return w.distributor.Handle(request), nil
 }
 
-func (w *wired) Fetch(_ context.Context, request *garnetworks.FetchRequest) (*garnetworks.FetchResponse, error) {
+func (w *networkNode) Fetch(_ context.Context, request *garnetworks.FetchRequest) (*garnetworks.FetchResponse, error) {
 	return w.distributor.HandleFetch(request), nil
 }
 
-func (w *wired) Report(ctx context.Context, request *garnetworks.ReportRequest) (*garnetworks.ReportResponse, error) {
+func (w *networkNode) Report(ctx context.Context, request *garnetworks.ReportRequest) (*garnetworks.ReportResponse, error) {
 	return w.committer.Report(ctx, request)
 }
 
-// wiredSite is a site of nodes in one process, joined by loopback connections.
-type wiredSite struct {
+// networkSite is a site of nodes in one process, joined by loopback connections.
+type networkSite struct {
 	objects *faker.Objects
-	nodes   []*wired
+	nodes   []*networkNode
 	rosters []garnetworks.Roster
 }
 
-// startWired starts nodes in the zones of the example manifest; rosters are
+// startNetworkSite starts nodes in the zones of the example manifest; rosters are
 // given, since membership is not what is measured.
-func startWired(b *testing.B, nodes int) *wiredSite {
-	s := &wiredSite{objects: faker.NewObjects(faker.ObjectsOptions{})}
+func startNetworkSite(b *testing.B, nodes int) *networkSite {
+	s := &networkSite{objects: faker.NewObjects(faker.ObjectsOptions{})}
 	listeners := make([]net.Listener, nodes)
 	for i := range nodes {
 		var err error
@@ -65,7 +65,7 @@
 			b.Fatal(err)
 		}
 		zone := zoneNames[i%len(zoneNames)]
-		s.nodes = append(s.nodes, &wired{
+		s.nodes = append(s.nodes, &networkNode{
 			info:    garnetworks.NodeInfo{ID: garnetworks.NodeID(fmt.Sprintf("%s-%03d", zone, i)), Incarnation: 1, Address: listeners[i].Addr().String(), Zone: zone, Region: "south"},
 			applied: map[garnetworks.Generation]time.Time{},
 		})
@@ -80,13 +80,13 @@
 		s.rosters = append(s.rosters, r)
 	}
 	for i, n := range s.nodes {
-		s.join(b, n, listeners[i])
+		s.startNode(b, n, listeners[i])
 	}
 	return s
 }
 
 // join starts one node's parts; they end with the benchmark.
-func (s *wiredSite) join(b *testing.B, n *wired, listener net.Listener) {
+func (s *networkSite) startNode(b *testing.B, n *networkNode, listener net.Listener) {
 	n.client = messenger.NewClient(messenger.ClientOptions{Traffic: &n.traffic})
 	n.distributor = distributor.New(distributor.Options{
 		Self: n.info, Peers: n.client, Nodes: s.infos,
@@ -96,7 +96,7 @@
 		Node: n.info.ID, Incarnation: 1, Zone: n.info.Zone, Objects: s.objects, Peers: n.client,
 		Rosters: func() []garnetworks.Roster { return s.rosters },
 		Publish: func(u garnetworks.Update) { _ = n.distributor.Publish(u) },
-		Applied: func(m *garnetworks.AcceptedManifest) {
+		OnApplied: func(m *garnetworks.AcceptedManifest) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			n.applied[m.Generation] = time.Now()
@@ -111,7 +111,7 @@
 	group.Go(func() { _ = server.Serve(ctx, listener) })
 	group.Go(func() { n.distributor.Run(ctx) })
 	group.Go(func() { _ = n.committer.Run(ctx) })
-	group.Go(func() { s.beat(ctx, n) })
+	group.Go(func() { s.heartbeatLoop(ctx, n) })
 	b.Cleanup(func() {
 		cancel()
 		group.Wait()
@@ -119,7 +119,7 @@
 	})
 }
 
-func (s *wiredSite) infos() []garnetworks.NodeInfo {
+func (s *networkSite) infos() []garnetworks.NodeInfo {
 	list := make([]garnetworks.NodeInfo, len(s.nodes))
 	for i, n := range s.nodes {
 		list[i] = n.info
@@ -128,7 +128,7 @@
 }
 
 // beat compares with the next node each second, as the membership does.
-func (s *wiredSite) beat(ctx context.Context, n *wired) {
+func (s *networkSite) heartbeatLoop(ctx context.Context, n *networkNode) {
 	next := s.nodes[(slices.Index(s.nodes, n)+1)%len(s.nodes)].info.Address
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -151,19 +151,19 @@
 func BenchmarkCommit(b *testing.B) {
 	for _, size := range []int{6, 24, 96, 330} {
 		b.Run(fmt.Sprintf("nodes=%d", size), func(b *testing.B) {
-			s := startWired(b, size)
+			s := startNetworkSite(b, size)
 			waitFor(b, func() bool {
-				return !slices.ContainsFunc(s.nodes, func(n *wired) bool { return !n.committer.Status().Learned })
+				return !slices.ContainsFunc(s.nodes, func(n *networkNode) bool { return !n.committer.Status().Synced })
 			})
 			time.Sleep(3 * time.Second)
 			var last, inForce []time.Duration
-			before := s.spent()
+			before := s.traffic()
 			b.ResetTimer()
 			for i := range b.N {
 				base := garnetworks.Generation(i)
 				at := s.nodes[(i*7)%size]
 				began := time.Now()
-				if _, err := at.committer.Propose(b.Context(), propose(fmt.Sprintf("c%d", i), base, text(80000+i))); err != nil {
+				if _, err := at.committer.Propose(b.Context(), proposeRequest(fmt.Sprintf("c%d", i), base, manifestText(80000+i))); err != nil {
 					b.Fatal(err)
 				}
 				waitFor(b, func() bool { return at.committer.Status().InForce == base+1 })
@@ -171,7 +171,7 @@
 				last = append(last, s.lastApplied(base+1).Sub(began))
 			}
 			b.StopTimer()
-			spent := s.spent()
+			after := s.traffic()
 			slices.Sort(last)
 			slices.Sort(inForce)
 			nodesAndCommits := float64(size * b.N)
@@ -180,13 +180,13 @@
 			b.ReportMetric(float64(inForce[len(inForce)/2].Microseconds())/1000, "median-ms-to-in-force")
 			b.ReportMetric(float64(inForce[len(inForce)-1].Microseconds())/1000, "worst-ms-to-in-force")
 			b.ReportMetric(float64(s.repaired())/float64(b.N), "repairs/commit")
-			b.ReportMetric(float64(spent.MessagesSent-before.MessagesSent)/nodesAndCommits, "messages/node/commit")
-			b.ReportMetric(float64(spent.BytesSent-before.BytesSent)/nodesAndCommits, "bytes/node/commit")
+			b.ReportMetric(float64(after.MessagesSent-before.MessagesSent)/nodesAndCommits, "messages/node/commit")
+			b.ReportMetric(float64(after.BytesSent-before.BytesSent)/nodesAndCommits, "bytes/node/commit")
 		})
 	}
 }
 
-func (s *wiredSite) lastApplied(g garnetworks.Generation) time.Time {
+func (s *networkSite) lastApplied(g garnetworks.Generation) time.Time {
 	var last time.Time
 	for _, n := range s.nodes {
 		n.mu.Lock()
@@ -199,7 +199,7 @@
 }
 
 // repaired counts the updates that the tree did not bring.
-func (s *wiredSite) repaired() uint64 {
+func (s *networkSite) repaired() uint64 {
 	sum := uint64(0)
 	for _, n := range s.nodes {
 		c := n.distributor.Counts()
@@ -208,7 +208,7 @@
 	return sum
 }
 
-func (s *wiredSite) spent() messenger.TrafficCount {
+func (s *networkSite) traffic() messenger.TrafficCount {
 	var sum messenger.TrafficCount
 	for _, n := range s.nodes {
 		c := n.traffic.Count()
@@ -241,13 +241,13 @@
 		for i := range perZone {
 			n := garnetworks.NodeInfo{ID: garnetworks.NodeID(fmt.Sprintf("zone-%d-%03d", z, i)), Incarnation: 1}
 			r.Nodes = append(r.Nodes, n)
-			s.SeeReport(r.Zone, garnetworks.NodeReport{Node: n.ID, Incarnation: 1})
+			s.ObserveReport(r.Zone, garnetworks.NodeReport{Node: n.ID, Incarnation: 1})
 		}
 		rosters = append(rosters, r)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		s.SeeRosters(rosters)
+		s.ObserveRosters(rosters)
 		s.Step(now)
 	}
 }
--- a/committer/committer.go
+++ b/committer/committer.go
@@ -18,18 +18,18 @@
 
 const (
 	// tick is how often a node looks at what is due while a commit is under way,
-	// and idleTick while there is none.
-	tick     = 20 * time.Millisecond
-	idleTick = 250 * time.Millisecond
+	// and idlePollInterval while there is none.
+	pollInterval     = 20 * time.Millisecond
+	idlePollInterval = 250 * time.Millisecond
 	// queue bounds the actions that wait for their goroutine; what does not fit
 	// is asked for again by Step.
-	queue = 16
+	queueSize = 16
 	// peerTimeout bounds one call to a peer.
 	peerTimeout = 2 * time.Second
-	// askedPeers is the number of peers that a new node asks.
-	askedPeers = 3
-	// rosterWait is how long a new node waits for a roster that names its peers.
-	rosterWait = 3 * time.Second
+	// maxPeerResponses is the number of peers that a new node asks.
+	maxPeerResponses = 3
+	// rosterTimeout is how long a new node waits for a roster that names its peers.
+	rosterTimeout = 3 * time.Second
 	// maxCommitID bounds a commit identifier, which is part of an object's key.
 	maxCommitID = 64
 )
@@ -57,7 +57,7 @@
 	Publish func(garnetworks.Update)
 	// Applied is told of each manifest that the node begins to decide by, in
 	// order. It may be nil, and must not call the committer.
-	Applied func(*garnetworks.AcceptedManifest)
+	OnApplied func(*garnetworks.AcceptedManifest)
 	// Recorder may be nil.
 	Recorder garnetworks.Recorder
 	// Logger may be nil.
@@ -78,32 +78,32 @@
 	// InForce is the newest generation that the node knows to be in force.
 	InForce garnetworks.Generation
 	// Learned says that the node has asked for the newest generation (rule M9).
-	Learned bool
+	Synced bool
 	// Unreadable is a generation above Applied that this program can't read, and
 	// Reason says why.
 	Unreadable garnetworks.Generation
 	Reason     string
-	// StoreBehind says that the object API told of a lower generation than the
+	// ObjectAPIStale says that the object API told of a lower generation than the
 	// node has applied. If that lasts, its data went back. Only nodes that watch
 	// the object API say so.
-	StoreBehind bool
+	ObjectAPIStale bool
 }
 
 // Committer is a node's part in the acceptance of manifests.
 type Committer struct {
-	options  Options
-	store    store
-	manifest atomic.Pointer[garnetworks.AcceptedManifest]
-	wake     chan struct{}
-	reports  chan SendReport
-	bodies   chan FetchBody
-	decide   chan Action
+	options   Options
+	store     store
+	manifest  atomic.Pointer[garnetworks.AcceptedManifest]
+	wake      chan struct{}
+	reports   chan SendReport
+	bodies    chan FetchBody
+	decisions chan Action
 
 	mu    sync.Mutex
 	state *State
-	// headAsked and peersAsked say that the object API or the peers have
+	// headRead and peersQueried say that the object API or the peers have
 	// answered, headDown that the object API could not be asked.
-	headAsked, peersAsked bool
+	headRead, peersQueried bool
 }
 
 // New returns a committer that knows nothing until Run.
@@ -121,13 +121,13 @@
 		options.Watcher.Recorder = options.Recorder
 	}
 	return &Committer{
-		options: options,
-		store:   store{options.Objects},
-		state:   NewState(Identity{Node: options.Node, Incarnation: options.Incarnation, Zone: options.Zone}),
-		wake:    make(chan struct{}, 1),
-		reports: make(chan SendReport, 1),
-		bodies:  make(chan FetchBody, queue),
-		decide:  make(chan Action, 1),
+		options:   options,
+		store:     store{options.Objects},
+		state:     NewState(Identity{Node: options.Node, Incarnation: options.Incarnation, Zone: options.Zone}),
+		wake:      make(chan struct{}, 1),
+		reports:   make(chan SendReport, 1),
+		bodies:    make(chan FetchBody, queueSize),
+		decisions: make(chan Action, 1),
 	}
 }
 
@@ -146,7 +146,7 @@
 	status := Status{
 		Applied: s.Applied(),
 		InForce: s.inForce,
-		Learned: c.learned(),
+		Synced:  c.synced(),
 	}
 	if s.pending() && s.staged.manifest != nil {
 		status.Staged = s.staged.Base + 1
@@ -154,34 +154,34 @@
 	if s.unreadable > s.Applied() {
 		status.Unreadable, status.Reason = s.unreadable, s.unreadableReason
 	}
-	status.StoreBehind = s.storeBehind && s.Watches()
+	status.ObjectAPIStale = s.headStale && s.IsWatcher()
 	return status
 }
 
 // learned reports whether rule M9 lets the node be ready: the object API and
 // the peers were asked, or one of them was and a manifest is known.
-func (c *Committer) learned() bool {
+func (c *Committer) synced() bool {
 	if c.state.unreadable > c.state.Applied() {
 		return false
 	}
-	return c.peersAsked && (c.headAsked || c.state.accepted != nil)
+	return c.peersQueried && (c.headRead || c.state.accepted != nil)
 }
 
 // Run takes part in the acceptance of manifests until ctx ends.
 func (c *Committer) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return c.steps(ctx) })
-	g.Go(func() error { return c.sends(ctx) })
-	g.Go(func() error { return c.fetches(ctx) })
-	g.Go(func() error { return c.decides(ctx) })
-	g.Go(func() error { return c.learnHead(ctx) })
-	g.Go(func() error { return c.learnPeers(ctx) })
-	g.Go(func() error { return c.watches(ctx) })
+	g.Go(func() error { return c.stepLoop(ctx) })
+	g.Go(func() error { return c.reportLoop(ctx) })
+	g.Go(func() error { return c.fetchLoop(ctx) })
+	g.Go(func() error { return c.decisionLoop(ctx) })
+	g.Go(func() error { return c.syncHead(ctx) })
+	g.Go(func() error { return c.syncPeers(ctx) })
+	g.Go(func() error { return c.watchLoop(ctx) })
 	return g.Wait()
 }
 
 // steps runs the state's decisions whenever something was seen or is due.
-func (c *Committer) steps(ctx context.Context) error {
+func (c *Committer) stepLoop(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -192,9 +192,9 @@
 		case <-c.wake:
 		}
 		if c.step() {
-			timer.Reset(tick)
+			timer.Reset(pollInterval)
 		} else {
-			timer.Reset(idleTick)
+			timer.Reset(idlePollInterval)
 		}
 	}
 }
@@ -222,27 +222,27 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.state.SeeIncarnation(self.Incarnation)
-	c.state.SeeRosters(rosters)
+	c.state.ObserveIncarnation(self.Incarnation)
+	c.state.ObserveRosters(rosters)
 	for _, action := range c.state.Step(time.Now()) {
 		switch a := action.(type) {
 		case Publish:
 			updates = append(updates, a.Update)
 		case SendReport:
-			offer(c.reports, a)
+			trySend(c.reports, a)
 		case FetchBody:
-			offer(c.bodies, a)
-		case Note:
+			trySend(c.bodies, a)
+		case RecordEvent:
 			c.record(a.Event)
 		default:
-			offer(c.decide, action)
+			trySend(c.decisions, action)
 		}
 	}
-	c.adopt()
+	c.updateManifest()
 	return updates, c.state.Busy()
 }
 
-func offer[T any](queue chan T, value T) {
+func trySend[T any](queue chan T, value T) {
 	select {
 	case queue <- value:
 	default:
@@ -252,14 +252,14 @@
 // adopt makes the state's manifest the one that Manifest returns, once the node
 // has learned what others know: a node that has just started and got an old
 // manifest from one peer must not begin to decide by it (rule M9).
-func (c *Committer) adopt() {
+func (c *Committer) updateManifest() {
 	accepted := c.state.Accepted()
-	if accepted == nil || accepted == c.manifest.Load() || !c.learned() {
+	if accepted == nil || accepted == c.manifest.Load() || !c.synced() {
 		return
 	}
 	c.manifest.Store(accepted)
-	if c.options.Applied != nil {
-		c.options.Applied(accepted)
+	if c.options.OnApplied != nil {
+		c.options.OnApplied(accepted)
 	}
 }
 
@@ -271,41 +271,41 @@
 }
 
 // see changes the state and has the steps run.
-func (c *Committer) see(change func(s *State, now time.Time)) {
+func (c *Committer) updateState(change func(s *State, now time.Time)) {
 	c.mu.Lock()
 	change(c.state, time.Now())
-	c.adopt()
+	c.updateManifest()
 	c.mu.Unlock()
-	offer(c.wake, struct{}{})
+	trySend(c.wake, struct{}{})
 }
 
 // OnUpdate takes an update from the distribution or a peer; topics of others are
 // ignored.
 func (c *Committer) OnUpdate(u garnetworks.Update) {
-	if !Topics(u.Topic) {
+	if !HandlesTopic(u.Topic) {
 		return
 	}
-	c.see(func(s *State, now time.Time) { s.SeeUpdate(u, now) })
+	c.updateState(func(s *State, now time.Time) { s.ObserveUpdate(u, now) })
 }
 
-// Topics reports whether a topic is the committer's.
-func Topics(t garnetworks.Topic) bool {
+// HandlesTopic reports whether a topic is the committer's.
+func HandlesTopic(t garnetworks.Topic) bool {
 	return t == garnetworks.TopicManifest || t == garnetworks.TopicProposal || strings.HasPrefix(string(t), string(garnetworks.TopicStaged))
 }
 
-func (c *Committer) sends(ctx context.Context) error {
+func (c *Committer) reportLoop(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case r := <-c.reports:
-			c.send(ctx, r)
+			c.sendReport(ctx, r)
 		}
 	}
 }
 
 // send brings the report to a peer, and fetches what the peer knows better.
-func (c *Committer) send(ctx context.Context, r SendReport) {
+func (c *Committer) sendReport(ctx context.Context, r SendReport) {
 	if c.options.Peers == nil {
 		return
 	}
@@ -315,7 +315,7 @@
 	response, err := c.options.Peers.Report(call, r.To.Address, request)
 	if err != nil {
 		c.options.Logger.Debug("report not delivered", "to", r.To.ID, "error", err)
-		c.see((*State).SeeUndelivered)
+		c.updateState((*State).ObserveReportFailure)
 		return
 	}
 	if response.Manifest > r.Report.Applied || response.Proposal > r.Report.Proposal {
@@ -341,7 +341,7 @@
 	return true
 }
 
-func (c *Committer) fetches(ctx context.Context) error {
+func (c *Committer) fetchLoop(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -352,26 +352,26 @@
 				c.options.Logger.Debug("manifest not read", "commit", f.CommitID, "error", err)
 				continue
 			}
-			c.see(func(s *State, now time.Time) { s.SeeBody(f.CommitID, body, now) })
+			c.updateState(func(s *State, now time.Time) { s.ObserveBody(f.CommitID, body, now) })
 		}
 	}
 }
 
-func (c *Committer) decides(ctx context.Context) error {
+func (c *Committer) decisionLoop(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case action := <-c.decide:
-			c.write(ctx, action)
+		case action := <-c.decisions:
+			c.writeDecision(ctx, action)
 		}
 	}
 }
 
 // write carries out the acceptance or the end of a proposal. Another node may
 // have done it: then the head says so and nothing is written.
-func (c *Committer) write(ctx context.Context, action Action) {
-	head, err := c.store.change(ctx, func(h Head) (Head, bool, error) {
+func (c *Committer) writeDecision(ctx context.Context, action Action) {
+	head, err := c.store.updateHead(ctx, func(h Head) (Head, bool, error) {
 		switch a := action.(type) {
 		case Accept:
 			next, changed := h.Accept(a.Number, time.Now())
@@ -386,48 +386,48 @@
 		c.options.Logger.Warn("proposal not decided", "error", err)
 		return
 	}
-	c.seeHead(head, (*State).SeeAcceptance)
+	c.handleHead(head, (*State).ObserveOwnWrite)
 }
 
-// seeHead takes a head that was read or written.
-func (c *Committer) seeHead(h headObject, take func(*State, Head, garnetworks.Revision, time.Time)) {
-	c.see(func(s *State, now time.Time) {
-		take(s, h.Head, h.revision, now)
+// handleHead takes a head that was read or written.
+func (c *Committer) handleHead(h headObject, observe func(*State, Head, garnetworks.Revision, time.Time)) {
+	c.updateState(func(s *State, now time.Time) {
+		observe(s, h.Head, h.revision, now)
 	})
 }
 
-// learnHead reads the head until it was read once (rule M9).
-func (c *Committer) learnHead(ctx context.Context) error {
+// syncHead reads the head until it was read once (rule M9).
+func (c *Committer) syncHead(ctx context.Context) error {
 	for {
 		h, err := c.store.readHead(ctx)
 		if err == nil {
-			c.see(func(s *State, now time.Time) {
-				s.SeeHead(h.Head, h.revision, now)
-				c.headAsked = true
+			c.updateState(func(s *State, now time.Time) {
+				s.ObserveHead(h.Head, h.revision, now)
+				c.headRead = true
 			})
 			return nil
 		}
-		if err := pause(ctx, writePause); err != nil {
+		if err := sleep(ctx, retryDelay); err != nil {
 			return err
 		}
 	}
 }
 
-// learnPeers asks some peers for their manifests once (rule M9). The object API
+// syncPeers asks some peers for their manifests once (rule M9). The object API
 // may answer with a value that is behind; a peer in whose sight a generation has
 // come into force knows it.
-func (c *Committer) learnPeers(ctx context.Context) error {
+func (c *Committer) syncPeers(ctx context.Context) error {
 	addresses := c.peerAddresses(ctx)
 	answers := 0
 	for _, address := range addresses {
-		if answers == askedPeers || ctx.Err() != nil {
+		if answers == maxPeerResponses || ctx.Err() != nil {
 			break
 		}
 		if c.fetchFrom(ctx, address) {
 			answers++
 		}
 	}
-	c.see(func(*State, time.Time) { c.peersAsked = true })
+	c.updateState(func(*State, time.Time) { c.peersQueried = true })
 	return ctx.Err()
 }
 
@@ -437,38 +437,38 @@
 	if c.options.Peers == nil {
 		return nil
 	}
-	deadline := time.Now().Add(rosterWait)
-	var near, far []string
+	deadline := time.Now().Add(rosterTimeout)
+	var sameZone, otherZones []string
 	for c.options.Rosters != nil && ctx.Err() == nil {
-		near, far = c.rosterAddresses()
-		if len(near)+len(far) > 0 || !time.Now().Before(deadline) {
+		sameZone, otherZones = c.rosterAddresses()
+		if len(sameZone)+len(otherZones) > 0 || !time.Now().Before(deadline) {
 			break
 		}
-		_ = pause(ctx, tick)
+		_ = sleep(ctx, pollInterval)
 	}
-	return append(append(near, far...), c.options.Seeds...)
+	return append(append(sameZone, otherZones...), c.options.Seeds...)
 }
 
-func (c *Committer) rosterAddresses() (near, far []string) {
+func (c *Committer) rosterAddresses() (sameZone, otherZones []string) {
 	for _, r := range c.options.Rosters() {
 		for _, n := range r.Nodes {
 			switch {
 			case n.ID == c.options.Node:
 			case r.Zone == c.options.Zone:
-				near = append(near, n.Address)
+				sameZone = append(sameZone, n.Address)
 			default:
-				far = append(far, n.Address)
+				otherZones = append(otherZones, n.Address)
 			}
 		}
 	}
-	return near, far
+	return sameZone, otherZones
 }
 
 // watches follows the head while the node is one of those that watch.
-func (c *Committer) watches(ctx context.Context) error {
+func (c *Committer) watchLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if !c.Watches() {
-			_ = pause(ctx, time.Second)
+		if !c.IsWatcher() {
+			_ = sleep(ctx, time.Second)
 			continue
 		}
 		c.watch(ctx)
@@ -476,11 +476,11 @@
 	return ctx.Err()
 }
 
-// Watches reports whether the node is one of those of its zone that watch the object API.
-func (c *Committer) Watches() bool {
+// IsWatcher reports whether the node is one of those of its zone that watch the object API.
+func (c *Committer) IsWatcher() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.state.Watches()
+	return c.state.IsWatcher()
 }
 
 // watch follows the head until ctx ends or it is others' turn.
@@ -489,7 +489,7 @@
 	defer cancel()
 	go func() {
 		defer cancel()
-		for pause(ctx, time.Second) == nil && c.Watches() {
+		for sleep(ctx, time.Second) == nil && c.IsWatcher() {
 		}
 	}()
 	w := watcher.New(c.options.Objects, HeadKey, c.options.Watcher)
@@ -502,7 +502,7 @@
 			c.options.Logger.Error("head not readable", "error", err)
 			return
 		}
-		c.seeHead(headObject{h, o.Revision}, (*State).SeeHead)
+		c.handleHead(headObject{h, o.Revision}, (*State).ObserveHead)
 	})
 }
 
@@ -551,48 +551,48 @@
 		Hash:     hashOf(body),
 		At:       time.Now(),
 	}
-	known, err := c.store.readHead(ctx)
+	current, err := c.store.readHead(ctx)
 	if err != nil {
-		return garnetworks.CommitProgress{}, nothingWritten(err)
+		return garnetworks.CommitProgress{}, wrapNotProposed(err)
 	}
-	if _, told := known.Fate(p.CommitID); !told {
+	if _, recorded := current.Progress(p.CommitID); !recorded {
 		// What is refused now needs no body; a head that is behind refuses nothing.
-		if _, err := known.Propose(p, request.Supersedes); err != nil && !c.behind(known.Head) {
+		if _, err := current.Propose(p, request.Supersedes); err != nil && !c.isStale(current.Head) {
 			return garnetworks.CommitProgress{}, err
 		}
 		if err := c.store.writeBody(ctx, p.CommitID, body); err != nil {
-			return garnetworks.CommitProgress{}, nothingWritten(err)
+			return garnetworks.CommitProgress{}, wrapNotProposed(err)
 		}
 	}
-	gone := c.store.collect(ctx, known.Garbage)
-	head, err := c.store.change(ctx, func(h Head) (Head, bool, error) {
+	deleted := c.store.deleteBodies(ctx, current.Garbage)
+	head, err := c.store.updateHead(ctx, func(h Head) (Head, bool, error) {
 		// Rule M3: a commit that the head tells of is not proposed again.
-		if _, told := h.Fate(p.CommitID); told {
+		if _, recorded := h.Progress(p.CommitID); recorded {
 			return h, false, nil
 		}
-		if c.behind(h) {
-			return h, false, errBehind
+		if c.isStale(h) {
+			return h, false, errStaleHead
 		}
 		next, err := h.Propose(p, request.Supersedes)
-		return next.WithoutGarbage(gone), err == nil, err
+		return next.WithoutGarbage(deleted), err == nil, err
 	})
-	if garnetworks.IsKind(err, garnetworks.KindStaleGeneration) && !errors.Is(err, errBehind) {
+	if garnetworks.IsKind(err, garnetworks.KindStaleGeneration) && !errors.Is(err, errStaleHead) {
 		// The commit has lost for good, so no later try needs its body.
-		c.store.collect(ctx, []string{p.CommitID})
+		c.store.deleteBodies(ctx, []string{p.CommitID})
 	}
 	if err != nil {
 		return garnetworks.CommitProgress{}, err
 	}
 	if pending := head.Pending; pending != nil && pending.CommitID == p.CommitID {
-		c.see(func(s *State, now time.Time) { s.SeeProposed(*pending, body, now) })
+		c.updateState(func(s *State, now time.Time) { s.ObserveOwnProposal(*pending, body, now) })
 	}
-	c.seeHead(head, (*State).SeeHead)
+	c.handleHead(head, (*State).ObserveHead)
 	return c.progress(ctx, p.CommitID), nil
 }
 
-// nothingWritten returns the error for a failure before the head was written. A
+// wrapNotProposed returns the error for a failure before the head was written. A
 // body alone proposes nothing.
-func nothingWritten(err error) error {
+func wrapNotProposed(err error) error {
 	if garnetworks.IsKind(err, garnetworks.KindKeyReused, garnetworks.KindTooLarge, garnetworks.KindInternal) {
 		return err
 	}
@@ -600,7 +600,7 @@
 }
 
 // behind reports whether the head has a lower generation than the node.
-func (c *Committer) behind(h Head) bool {
+func (c *Committer) isStale(h Head) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return h.Accepted.Generation < c.state.Applied()
@@ -639,17 +639,17 @@
 		progress.Reason = strings.TrimPrefix(progress.Reason+"; the object API can't be asked now", "; ")
 		return progress
 	}
-	c.seeHead(head, (*State).SeeHead)
-	fate, told := head.Fate(progress.CommitID)
-	if !told || fate.State == progress.State || fate.State == garnetworks.CommitStaging {
+	c.handleHead(head, (*State).ObserveHead)
+	recordedProgress, recorded := head.Progress(progress.CommitID)
+	if !recorded || recordedProgress.State == progress.State || recordedProgress.State == garnetworks.CommitStaging {
 		return progress
 	}
-	return fate
+	return recordedProgress
 }
 
 // Report answers garnetworks.PeerHandler.
 func (c *Committer) Report(_ context.Context, request *garnetworks.ReportRequest) (*garnetworks.ReportResponse, error) {
-	c.see(func(s *State, _ time.Time) { s.SeeReport(request.Zone, request.Report) })
+	c.updateState(func(s *State, _ time.Time) { s.ObserveReport(request.Zone, request.Report) })
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	own := c.state.report()
--- a/committer/committer_test.go
+++ b/committer/committer_test.go
@@ -31,16 +31,16 @@
 
 // text returns the example manifest with another power cap, so that two commits
 // can be told apart.
-func text(watts int, leftOut ...string) []byte {
+func manifestText(watts int, excluded ...string) []byte {
 	s := strings.Replace(parser.Example(), "power-cap-watts: 96000", fmt.Sprintf("power-cap-watts: %d", watts), 1)
 	s = strings.Replace(s, "      left-out: false\n", "", 1)
-	for _, zone := range leftOut {
+	for _, zone := range excluded {
 		s = strings.Replace(s, "- name: "+zone+"\n", "- name: "+zone+"\n      left-out: true\n", 1)
 	}
 	return []byte(s)
 }
 
-func propose(id string, base garnetworks.Generation, body []byte) *garnetworks.ProposeRequest {
+func proposeRequest(id string, base garnetworks.Generation, body []byte) *garnetworks.ProposeRequest {
 	return &garnetworks.ProposeRequest{CommitID: id, Operator: "anna", Base: base, Text: body}
 }
 
@@ -81,7 +81,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, nodes := threeZones(t)
 		defer s.haltAll()
-		if _, err := nodes[3].Propose(t.Context(), propose("c1", 0, text(90000))); err != nil {
+		if _, err := nodes[3].Propose(t.Context(), proposeRequest("c1", 0, manifestText(90000))); err != nil {
 			t.Fatal(err)
 		}
 		p := await(t, nodes[0], "c1", garnetworks.CommitInForce, time.Second)
@@ -98,23 +98,23 @@
 // commits. The commit is held and the zone named; the zone serves on by the last
 // manifest. The operator commits again with the zone left out, in place of the
 // held one; that comes into force, and the zone takes it when it is back.
-func TestCutOffZoneHoldsUntilLeftOut(t *testing.T) {
+func TestCutOffZoneHoldsCommitUntilExcluded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, nodes := threeZones(t)
 		defer s.haltAll()
-		if _, err := nodes[0].Propose(t.Context(), propose("c1", 0, text(90000))); err != nil {
+		if _, err := nodes[0].Propose(t.Context(), proposeRequest("c1", 0, manifestText(90000))); err != nil {
 			t.Fatal(err)
 		}
 		await(t, nodes[0], "c1", garnetworks.CommitInForce, time.Second)
 		s.cutOff("south-c", true)
-		if _, err := nodes[0].Propose(t.Context(), propose("c2", 1, text(80000))); err != nil {
+		if _, err := nodes[0].Propose(t.Context(), proposeRequest("c2", 1, manifestText(80000))); err != nil {
 			t.Fatal(err)
 		}
 		held := await(t, nodes[0], "c2", garnetworks.CommitHeld, 2*committer.HoldAfter)
 		if !strings.Contains(held.Reason, "south-c") || strings.Contains(held.Reason, "south-b") {
 			t.Errorf("the reason %q does not name the zone", held.Reason)
 		}
-		request := propose("c3", 1, text(70000, "south-c"))
+		request := proposeRequest("c3", 1, manifestText(70000, "south-c"))
 		if _, err := nodes[0].Propose(t.Context(), request); !garnetworks.IsKind(err, garnetworks.KindConflict) {
 			t.Errorf("a second commit beside the held one gives %v", err)
 		}
@@ -150,21 +150,21 @@
 // operator must not be told "failed", since the manifest comes into force, and
 // asking again must not commit a second time. Reads after the lost answer can be
 // behind or fail as well.
-func TestLostAnswerOfCommit(t *testing.T) {
+func TestCommitResponseLost(t *testing.T) {
 	cases := map[string]struct {
-		loses, staleAfter, back int
-		outage                  time.Duration
-		// ignorant makes the commit go through a node that knows no generation.
-		ignorant bool
+		lostResponses, staleAfter, staleBy int
+		outage                             time.Duration
+		// unsynced makes the commit go through a node that knows no generation.
+		unsynced bool
 		want     garnetworks.Kind
 	}{
 		"answered":                {},
-		"lost":                    {loses: 1},
-		"lost, read behind":       {loses: 1, staleAfter: 2, back: 1},
-		"lost, read far behind":   {loses: 1, staleAfter: 2, back: 2},
-		"lost, reads stay behind": {loses: 1, staleAfter: 100, back: 2, want: garnetworks.KindOutcomeUnknown},
-		"lost again and again":    {loses: 3, staleAfter: 1, back: 1},
-		"at a new node":           {loses: 1, staleAfter: 2, back: 2, ignorant: true},
+		"lost":                    {lostResponses: 1},
+		"lost, read behind":       {lostResponses: 1, staleAfter: 2, staleBy: 1},
+		"lost, read far behind":   {lostResponses: 1, staleAfter: 2, staleBy: 2},
+		"lost, reads stay behind": {lostResponses: 1, staleAfter: 100, staleBy: 2, want: garnetworks.KindOutcomeUnknown},
+		"lost again and again":    {lostResponses: 3, staleAfter: 1, staleBy: 1},
+		"at a new node":           {lostResponses: 1, staleAfter: 2, staleBy: 2, unsynced: true},
 		"lost, then an outage":    {outage: time.Minute, want: garnetworks.KindOutcomeUnknown},
 	}
 	for name, c := range cases {
@@ -173,25 +173,25 @@
 				s, nodes := threeZones(t)
 				defer s.haltAll()
 				for i, id := range []string{"before", "before-2"} {
-					if _, err := nodes[0].Propose(t.Context(), propose(id, garnetworks.Generation(i), text(90000+i))); err != nil {
+					if _, err := nodes[0].Propose(t.Context(), proposeRequest(id, garnetworks.Generation(i), manifestText(90000+i))); err != nil {
 						t.Fatal(err)
 					}
 					await(t, nodes[0], id, garnetworks.CommitInForce, time.Second)
 				}
-				at, api := nodes[3].Committer, nodes[3].stale
-				if c.ignorant {
+				at, api := nodes[3].Committer, nodes[3].api
+				if c.unsynced {
 					at = committer.New(committer.Options{Node: "new", Incarnation: 1, Zone: "south-b", Objects: api})
 				}
-				api.loses, api.staleAfter, api.back, api.outage = c.loses, c.staleAfter, c.back, c.outage
-				_, err := at.Propose(t.Context(), propose("c1", 2, text(80000)))
+				api.lostResponses, api.staleAfter, api.staleBy, api.outage = c.lostResponses, c.staleAfter, c.staleBy, c.outage
+				_, err := at.Propose(t.Context(), proposeRequest("c1", 2, manifestText(80000)))
 				if got := garnetworks.KindOf(err); got != c.want {
 					t.Fatalf("the commit is answered %v, want kind %q", err, c.want)
 				}
 				time.Sleep(2 * time.Minute)
 				api.mu.Lock()
-				api.reads = 0
+				api.staleReads = 0
 				api.mu.Unlock()
-				if _, err := at.Propose(t.Context(), propose("c1", 2, text(80000))); err != nil {
+				if _, err := at.Propose(t.Context(), proposeRequest("c1", 2, manifestText(80000))); err != nil {
 					t.Errorf("asked again, the commit is answered %v", err)
 				}
 				p := await(t, nodes[3], "c1", garnetworks.CommitInForce, time.Second)
@@ -222,16 +222,16 @@
 			time.Sleep(30 * time.Second)
 			n := s.running()[0]
 			before, messages := s.objects.Counts(), s.traffic()
-			if _, err := n.Propose(t.Context(), propose("c1", 0, text(90000))); err != nil {
+			if _, err := n.Propose(t.Context(), proposeRequest("c1", 0, manifestText(90000))); err != nil {
 				t.Fatal(err)
 			}
 			p := await(t, n, "c1", garnetworks.CommitInForce, 2*time.Second)
 			time.Sleep(time.Second)
-			after, spent := s.objects.Counts(), s.traffic()
+			after, sent := s.objects.Counts(), s.traffic()
 			writes[perZone] = after["put"] - before["put"]
 			t.Logf("%3d nodes: in force after %v; object API: %d writes, %d reads, %d watches; %d reports, %d updates with %d bytes",
 				zones*perZone, p.InForceAt.Sub(p.ProposedAt), writes[perZone], after["get"]-before["get"], after["watch"]-before["watch"],
-				spent.reports-messages.reports, spent.updates-messages.updates, spent.bytes-messages.bytes)
+				sent.reports-messages.reports, sent.updates-messages.updates, sent.bytes-messages.bytes)
 		})
 	}
 	if writes[2] != writes[32] {
@@ -244,14 +244,14 @@
 // decide by anything: its manifest could be one that was replaced long ago.
 func TestNewNodeLearnsBeforeItDecides(t *testing.T) {
 	cases := map[string]struct {
-		cut     bool
-		outage  bool
-		alone   bool
-		learned bool
+		cut    bool
+		outage bool
+		alone  bool
+		synced bool
 	}{
-		"healthy":               {learned: true},
-		"outage":                {outage: true, learned: true},
-		"cut off with a peer":   {cut: true, learned: true},
+		"healthy":               {synced: true},
+		"outage":                {outage: true, synced: true},
+		"cut off with a peer":   {cut: true, synced: true},
 		"cut off, first of all": {cut: true, alone: true},
 	}
 	for name, c := range cases {
@@ -259,7 +259,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				s, nodes := threeZones(t)
 				defer s.haltAll()
-				if _, err := nodes[0].Propose(t.Context(), propose("c1", 0, text(90000))); err != nil {
+				if _, err := nodes[0].Propose(t.Context(), proposeRequest("c1", 0, manifestText(90000))); err != nil {
 					t.Fatal(err)
 				}
 				await(t, nodes[0], "c1", garnetworks.CommitInForce, time.Second)
@@ -269,18 +269,18 @@
 					nodes[5].halt()
 				}
 				s.objects.SetFaults(faker.FaultPlan{Down: c.outage})
-				asleep := committer.New(committer.Options{Node: "asleep", Incarnation: 1, Zone: "south-c", Objects: s.objects})
+				stopped := committer.New(committer.Options{Node: "asleep", Incarnation: 1, Zone: "south-c", Objects: s.objects})
 				for _, u := range nodes[0].updates() {
-					asleep.OnUpdate(u)
+					stopped.OnUpdate(u)
 				}
-				if _, known := asleep.Manifest(); known {
+				if _, known := stopped.Manifest(); known {
 					t.Error("a node that has asked nobody decides by what it was told")
 				}
 				fresh := s.start("south-c-9", "south-c")
 				time.Sleep(5 * time.Second)
 				m, known := fresh.Manifest()
-				if known != c.learned || fresh.Status().Learned != c.learned {
-					t.Errorf("manifest %v, status %+v, want learned: %v", known, fresh.Status(), c.learned)
+				if known != c.synced || fresh.Status().Synced != c.synced {
+					t.Errorf("manifest %v, status %+v, want synced: %v", known, fresh.Status(), c.synced)
 				}
 				if known && m.Generation != 1 {
 					t.Errorf("the node decides by generation %d", m.Generation)
@@ -294,13 +294,13 @@
 // the manifest that they have, a node that starts must learn it from them, and
 // commits must be refused with that cause: accepted, they would give a generation
 // a second meaning.
-func TestObjectAPIGoesBack(t *testing.T) {
+func TestObjectAPIRestoredFromOlderCopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, nodes := threeZones(t)
 		defer s.haltAll()
 		var copied garnetworks.Object
 		for i := range 2 {
-			if _, err := nodes[0].Propose(t.Context(), propose(fmt.Sprintf("c%d", i), garnetworks.Generation(i), text(90000+i))); err != nil {
+			if _, err := nodes[0].Propose(t.Context(), proposeRequest(fmt.Sprintf("c%d", i), garnetworks.Generation(i), manifestText(90000+i))); err != nil {
 				t.Fatal(err)
 			}
 			await(t, nodes[0], fmt.Sprintf("c%d", i), garnetworks.CommitInForce, time.Second)
@@ -316,7 +316,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		_, err = nodes[2].Propose(t.Context(), propose("c2", 2, text(80000)))
+		_, err = nodes[2].Propose(t.Context(), proposeRequest("c2", 2, manifestText(80000)))
 		if !garnetworks.IsKind(err, garnetworks.KindStaleGeneration) || !strings.Contains(err.Error(), "went back") {
 			t.Errorf("the commit is answered %v", err)
 		}
@@ -327,14 +327,14 @@
 				t.Errorf("node %s does not decide by generation 2", n.info.ID)
 			}
 		}
-		if !nodes[0].Status().StoreBehind {
+		if !nodes[0].Status().ObjectAPIStale {
 			t.Error("a node that watches the object API does not say that it went back")
 		}
 	})
 }
 
 // The loser of a race must not leave its manifest in the object API for good.
-func TestLoserLeavesNoBody(t *testing.T) {
+func TestLosingCommitLeavesNoBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, nodes := threeZones(t)
 		defer s.haltAll()
@@ -342,11 +342,11 @@
 		nodes[2].view.SetFaults(faker.FaultPlan{Delay: 500 * time.Millisecond, Methods: []string{faker.MethodPut}})
 		lost := make(chan error)
 		go func() {
-			_, err := nodes[2].Propose(t.Context(), propose("loser", 0, text(80000)))
+			_, err := nodes[2].Propose(t.Context(), proposeRequest("loser", 0, manifestText(80000)))
 			lost <- err
 		}()
 		synctest.Wait()
-		if _, err := nodes[0].Propose(t.Context(), propose("winner", 0, text(90000))); err != nil {
+		if _, err := nodes[0].Propose(t.Context(), proposeRequest("winner", 0, manifestText(90000))); err != nil {
 			t.Fatal(err)
 		}
 		if err := <-lost; !garnetworks.IsKind(err, garnetworks.KindStaleGeneration) || !strings.Contains(err.Error(), "winner") {
@@ -366,7 +366,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, nodes := threeZones(t)
 		defer s.haltAll()
-		if _, err := nodes[0].Propose(t.Context(), propose("c1", 0, text(90000))); err != nil {
+		if _, err := nodes[0].Propose(t.Context(), proposeRequest("c1", 0, manifestText(90000))); err != nil {
 			t.Fatal(err)
 		}
 		await(t, nodes[0], "c1", garnetworks.CommitInForce, time.Second)
@@ -400,7 +400,7 @@
 		if m, ok := nodes[3].Manifest(); !ok || m.CommitID != "c1" {
 			t.Error("the manifest in force has changed")
 		}
-		if _, err := nodes[4].Propose(t.Context(), propose("c2", 1, text(80000))); err != nil {
+		if _, err := nodes[4].Propose(t.Context(), proposeRequest("c2", 1, manifestText(80000))); err != nil {
 			t.Fatal(err)
 		}
 		await(t, nodes[4], "c2", garnetworks.CommitInForce, time.Second)
--- a/committer/head.go
+++ b/committer/head.go
@@ -13,12 +13,12 @@
 	HeadKey = "manifest/head"
 	// bodyPrefix begins the keys of manifests; the commit identifier follows.
 	bodyPrefix = "manifest/body/"
-	// recentCommits is the number of accepted commits that the head tells of;
+	// maxRecentCommits is the number of accepted commits that the head tells of;
 	// the design size has 300 a day, so that an operator's program can ask for
 	// half a day.
-	recentCommits = 150
-	// endedCommits is the number of refused and superseded commits told of.
-	endedCommits = 50
+	maxRecentCommits = 150
+	// maxEndedCommits is the number of refused and superseded commits told of.
+	maxEndedCommits = 50
 )
 
 // BodyKey returns the key of a commit's manifest.
@@ -78,8 +78,8 @@
 	return body
 }
 
-// Fate returns what the head knows of a commit.
-func (h Head) Fate(commitID string) (garnetworks.CommitProgress, bool) {
+// Progress returns what the head knows of a commit.
+func (h Head) Progress(commitID string) (garnetworks.CommitProgress, bool) {
 	for _, r := range h.Recent {
 		if r.CommitID == commitID {
 			return acceptedProgress(r), true
@@ -138,14 +138,14 @@
 // pending commit that supersedes does not name.
 func (h Head) Propose(p Proposal, supersedes string) (Head, error) {
 	if p.Base != h.Accepted.Generation {
-		return h, h.stale(p.Base)
+		return h, h.staleBaseError(p.Base)
 	}
 	if old := h.Pending; old != nil && old.CommitID != supersedes {
 		return h, garnetworks.Errorf(garnetworks.KindConflict,
 			"commit %s by %s on generation %d is pending since %s", old.CommitID, old.Operator, old.Base, old.At.UTC().Format(time.RFC3339))
 	}
 	if h.Pending != nil {
-		h = h.end(garnetworks.CommitSuperseded, "commit "+p.CommitID+" by "+p.Operator+" took its place")
+		h = h.endPending(garnetworks.CommitSuperseded, "commit "+p.CommitID+" by "+p.Operator+" took its place")
 	}
 	h.Proposals++
 	p.Number = h.Proposals
@@ -155,7 +155,7 @@
 
 // stale returns the error for a commit on a base that is not the newest
 // generation: it names who won.
-func (h Head) stale(base garnetworks.Generation) error {
+func (h Head) staleBaseError(base garnetworks.Generation) error {
 	if base > h.Accepted.Generation {
 		return garnetworks.Errorf(garnetworks.KindInvalidRequest,
 			"there is no generation %d to build on; the newest is %d; this request has written nothing", base, h.Accepted.Generation)
@@ -184,7 +184,7 @@
 	}
 	h.Accepted = garnetworks.CommitRecord{Generation: p.Base + 1, CommitID: p.CommitID, Operator: p.Operator, At: now}
 	h.Hash = p.Hash
-	h.Recent = tail(append(slices.Clone(h.Recent), h.Accepted), recentCommits)
+	h.Recent = tail(append(slices.Clone(h.Recent), h.Accepted), maxRecentCommits)
 	h.Pending = nil
 	return h, true
 }
@@ -194,21 +194,21 @@
 	if h.Pending == nil || h.Pending.Number != number {
 		return h, false
 	}
-	return h.end(garnetworks.CommitRefused, reason), true
+	return h.endPending(garnetworks.CommitRefused, reason), true
 }
 
 // end moves the pending proposal to the ended ones.
-func (h Head) end(state garnetworks.CommitState, reason string) Head {
+func (h Head) endPending(state garnetworks.CommitState, reason string) Head {
 	ended := EndedProposal{Proposal: *h.Pending, State: state, Reason: reason}
-	h.Ended = tail(append(slices.Clone(h.Ended), ended), endedCommits)
+	h.Ended = tail(append(slices.Clone(h.Ended), ended), maxEndedCommits)
 	h.Garbage = append(slices.Clone(h.Garbage), ended.CommitID)
 	h.Pending = nil
 	return h
 }
 
 // WithoutGarbage returns the head without the commits whose bodies are gone.
-func (h Head) WithoutGarbage(gone []string) Head {
-	h.Garbage = slices.DeleteFunc(slices.Clone(h.Garbage), func(id string) bool { return slices.Contains(gone, id) })
+func (h Head) WithoutGarbage(deleted []string) Head {
+	h.Garbage = slices.DeleteFunc(slices.Clone(h.Garbage), func(id string) bool { return slices.Contains(deleted, id) })
 	return h
 }
 
--- a/committer/machine_test.go
+++ b/committer/machine_test.go
@@ -19,14 +19,14 @@
 type commit struct {
 	request *garnetworks.ProposeRequest
 	// leftOut are the zones that the manifest leaves out.
-	leftOut garnetworks.Set[garnetworks.ZoneID]
+	excluded garnetworks.Set[garnetworks.ZoneID]
 	// hoped says that a request was answered with success or "unknown": only
 	// then may the commit be accepted.
-	hoped bool
+	mayBeAccepted bool
 	// denied is an answer that says that the commit never is accepted.
-	denied string
+	finalRefusal string
 	// cutAll are the zones that were cut off ever since the first request.
-	cutAll garnetworks.Set[garnetworks.ZoneID]
+	cutThroughout garnetworks.Set[garnetworks.ZoneID]
 }
 
 // machine drives a site with faults and compares it with the oracle: the
@@ -41,7 +41,7 @@
 	// highest is the highest generation seen at each process.
 	highest map[*node]garnetworks.Generation
 	// claimed is the highest generation that a process has called in force.
-	claimed map[*node]garnetworks.Generation
+	inForce map[*node]garnetworks.Generation
 	dead    []*node
 }
 
@@ -72,7 +72,7 @@
 				commits:  map[string]*commit{},
 				accepted: map[garnetworks.Generation]string{},
 				highest:  map[*node]garnetworks.Generation{},
-				claimed:  map[*node]garnetworks.Generation{},
+				inForce:  map[*node]garnetworks.Generation{},
 			}
 			defer m.haltAll()
 			rt.Repeat(m.actions())
@@ -98,14 +98,14 @@
 	return map[string]func(*rapid.T){
 		"commit":      m.commit,
 		"commit too":  m.commit,
-		"ask again":   m.askAgain,
+		"ask again":   m.resendCommit,
 		"wait":        m.wait,
 		"wait more":   m.wait,
 		"restart":     m.restart,
 		"kill":        m.kill,
 		"evict":       m.evictDead,
 		"cut off":     m.cutOffZone,
-		"join":        m.joinZones,
+		"join":        m.reconnectZones,
 		"object API":  m.objectFaults,
 		"stale reads": m.staleReads,
 		"outage":      m.outageAfterWrite,
@@ -122,7 +122,7 @@
 	rt.Fatalf(format, args...)
 }
 
-func (m *machine) pick(rt *rapid.T) *node {
+func (m *machine) pickNode(rt *rapid.T) *node {
 	nodes := m.running()
 	if len(nodes) == 0 {
 		rt.Skip("no node runs")
@@ -135,10 +135,10 @@
 	n := rapid.IntRange(1, 2).Draw(rt, "operators")
 	done := make(chan struct{})
 	for range n {
-		c := m.draw(rt)
-		at := m.pick(rt)
+		c := m.drawCommit(rt)
+		at := m.pickNode(rt)
 		go func() {
-			m.ask(rt, at, c)
+			m.sendCommit(rt, at, c)
 			done <- struct{}{}
 		}()
 	}
@@ -148,7 +148,7 @@
 }
 
 // draw returns a new commit on the newest generation, or near it.
-func (m *machine) draw(rt *rapid.T) *commit {
+func (m *machine) drawCommit(rt *rapid.T) *commit {
 	number := len(m.commits) + 1
 	heads := m.heads(rt)
 	var head committer.Head
@@ -159,18 +159,18 @@
 	if rapid.IntRange(0, 5).Draw(rt, "wrong base") == 0 {
 		base = garnetworks.Generation(rapid.IntRange(0, int(base)+1).Draw(rt, "base"))
 	}
-	leftOut := garnetworks.NewSet[garnetworks.ZoneID]()
+	excluded := garnetworks.NewSet[garnetworks.ZoneID]()
 	var words []string
 	if rapid.Bool().Draw(rt, "leave out") {
-		for _, zone := range garnetworks.Sorted(m.cut)[:min(len(m.cut), len(zoneNames)-1)] {
-			leftOut.Add(zone)
+		for _, zone := range garnetworks.Sorted(m.partitioned)[:min(len(m.partitioned), len(zoneNames)-1)] {
+			excluded.Add(zone)
 		}
 	}
-	for _, zone := range garnetworks.Sorted(leftOut) {
+	for _, zone := range garnetworks.Sorted(excluded) {
 		words = append(words, string(zone))
 	}
 	id := fmt.Sprintf("c%d", number)
-	c := &commit{request: propose(id, base, text(80000+number, words...)), leftOut: leftOut, cutAll: garnetworks.NewSet(garnetworks.Sorted(m.cut)...)}
+	c := &commit{request: proposeRequest(id, base, manifestText(80000+number, words...)), excluded: excluded, cutThroughout: garnetworks.NewSet(garnetworks.Sorted(m.partitioned)...)}
 	if head.Pending != nil && rapid.Bool().Draw(rt, "supersede") {
 		c.request.Supersedes = head.Pending.CommitID
 	}
@@ -179,17 +179,17 @@
 }
 
 // ask sends a commit's request and takes the answer down.
-func (m *machine) ask(rt *rapid.T, at *node, c *commit) {
+func (m *machine) sendCommit(rt *rapid.T, at *node, c *commit) {
 	response, err := at.Propose(m.ctx, c.request)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
 	case err == nil:
-		c.hoped = true
+		c.mayBeAccepted = true
 	case garnetworks.IsKind(err, garnetworks.KindOutcomeUnknown):
-		c.hoped = true
+		c.mayBeAccepted = true
 	case garnetworks.IsKind(err, garnetworks.KindStaleGeneration) && !strings.Contains(err.Error(), "went back"):
-		c.denied = err.Error()
+		c.finalRefusal = err.Error()
 	case garnetworks.IsKind(err, garnetworks.KindConflict, garnetworks.KindObjectAPIDown, garnetworks.KindThrottled,
 		garnetworks.KindInvalidRequest, garnetworks.KindStaleGeneration):
 	default:
@@ -198,12 +198,12 @@
 	_ = response
 }
 
-func (m *machine) askAgain(rt *rapid.T) {
+func (m *machine) resendCommit(rt *rapid.T) {
 	if len(m.commits) == 0 {
 		rt.Skip("no commits")
 	}
 	id := fmt.Sprintf("c%d", rapid.IntRange(1, len(m.commits)).Draw(rt, "commit"))
-	m.ask(rt, m.pick(rt), m.commits[id])
+	m.sendCommit(rt, m.pickNode(rt), m.commits[id])
 }
 
 func (m *machine) wait(rt *rapid.T) {
@@ -212,7 +212,7 @@
 }
 
 func (m *machine) restart(rt *rapid.T) {
-	n := m.pick(rt)
+	n := m.pickNode(rt)
 	n.halt()
 	if rapid.Bool().Draw(rt, "slowly") {
 		time.Sleep(time.Second)
@@ -224,7 +224,7 @@
 	if len(m.running()) < 4 {
 		rt.Skip("few nodes left")
 	}
-	n := m.pick(rt)
+	n := m.pickNode(rt)
 	n.halt()
 	m.dead = append(m.dead, n)
 }
@@ -241,23 +241,23 @@
 	m.cutOff(rapid.SampledFrom(zoneNames).Draw(rt, "zone"), true)
 }
 
-func (m *machine) joinZones(*rapid.T) {
+func (m *machine) reconnectZones(*rapid.T) {
 	for _, zone := range zoneNames {
-		m.joinZone(zone)
+		m.reconnectZone(zone)
 	}
 }
 
-func (m *machine) joinZone(zone garnetworks.ZoneID) {
+func (m *machine) reconnectZone(zone garnetworks.ZoneID) {
 	m.cutOff(zone, false)
 	for _, c := range m.commits {
-		c.cutAll.Remove(zone)
+		c.cutThroughout.Remove(zone)
 	}
 }
 
 // objectFaults changes what one node meets at the object API.
 func (m *machine) objectFaults(rt *rapid.T) {
-	n := m.pick(rt)
-	if m.cut.Has(n.info.Zone) {
+	n := m.pickNode(rt)
+	if m.partitioned.Has(n.info.Zone) {
 		rt.Skip("the node is cut off")
 	}
 	plans := []faker.FaultPlan{
@@ -274,31 +274,31 @@
 }
 
 func (m *machine) staleReads(rt *rapid.T) {
-	n := m.pick(rt)
-	n.stale.mu.Lock()
-	defer n.stale.mu.Unlock()
-	n.stale.reads = rapid.IntRange(1, 12).Draw(rt, "reads")
-	n.stale.back = rapid.IntRange(1, 4).Draw(rt, "back")
+	n := m.pickNode(rt)
+	n.api.mu.Lock()
+	defer n.api.mu.Unlock()
+	n.api.staleReads = rapid.IntRange(1, 12).Draw(rt, "reads")
+	n.api.staleBy = rapid.IntRange(1, 4).Draw(rt, "back")
 }
 
 // outageAfterWrite makes a node's next write of the head the last call that
 // gets through for some time.
 func (m *machine) outageAfterWrite(rt *rapid.T) {
-	n := m.pick(rt)
-	n.stale.mu.Lock()
-	defer n.stale.mu.Unlock()
-	n.stale.outage = time.Duration(rapid.IntRange(1, 5).Draw(rt, "seconds")) * time.Second
+	n := m.pickNode(rt)
+	n.api.mu.Lock()
+	defer n.api.mu.Unlock()
+	n.api.outage = time.Duration(rapid.IntRange(1, 5).Draw(rt, "seconds")) * time.Second
 }
 
 func (m *machine) loseUpdates(rt *rapid.T) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.losing = rapid.IntRange(1, 10).Draw(rt, "updates")
+	m.dropping = rapid.IntRange(1, 10).Draw(rt, "updates")
 }
 
 // oldUpdate brings a node, past its distributor, what another one holds.
 func (m *machine) oldUpdate(rt *rapid.T) {
-	from, to := m.pick(rt), m.pick(rt)
+	from, to := m.pickNode(rt), m.pickNode(rt)
 	for _, u := range from.updates() {
 		to.OnUpdate(u)
 	}
@@ -339,18 +339,18 @@
 	c := m.commits[a.CommitID]
 	if _, known := m.accepted[a.Generation]; !known {
 		m.accepted[a.Generation] = a.CommitID
-		for zone := range c.cutAll {
-			if !c.leftOut.Has(zone) {
+		for zone := range c.cutThroughout {
+			if !c.excluded.Has(zone) {
 				m.fail(rt, "O6: commit %s was accepted without zone %s", a.CommitID, zone)
 			}
 		}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if c.denied != "" {
-		m.fail(rt, "O3: commit %s was accepted as generation %d after the answer: %s", a.CommitID, a.Generation, c.denied)
+	if c.finalRefusal != "" {
+		m.fail(rt, "O3: commit %s was accepted as generation %d after the answer: %s", a.CommitID, a.Generation, c.finalRefusal)
 	}
-	if !c.hoped {
+	if !c.mayBeAccepted {
 		m.fail(rt, "O3: commit %s was accepted, but every answer said that nothing was written", a.CommitID)
 	}
 }
@@ -368,17 +368,17 @@
 		m.fail(rt, "O1: node %s went from generation %d to %d", n.info.ID, m.highest[n], generation)
 	}
 	m.highest[n] = generation
-	if claim := n.Status().InForce; claim > m.claimed[n] {
-		m.claimed[n] = claim
-		m.checkClaim(rt, n, claim)
+	if claim := n.Status().InForce; claim > m.inForce[n] {
+		m.inForce[n] = claim
+		m.checkInForce(rt, n, claim)
 	}
 }
 
-func (m *machine) checkClaim(rt *rapid.T, n *node, claim garnetworks.Generation) {
-	leftOut := m.commits[m.accepted[claim]].leftOut
+func (m *machine) checkInForce(rt *rapid.T, n *node, claim garnetworks.Generation) {
+	excluded := m.commits[m.accepted[claim]].excluded
 	for _, other := range m.running() {
 		status := other.Status()
-		if status.Learned && status.Applied < claim && !leftOut.Has(other.info.Zone) {
+		if status.Synced && status.Applied < claim && !excluded.Has(other.info.Zone) {
 			m.fail(rt, "O5: node %s calls generation %d in force, but %s (process %d) is ready with %d",
 				n.info.ID, claim, other.info.ID, other.info.Incarnation, status.Applied)
 		}
@@ -403,7 +403,7 @@
 			}
 		case garnetworks.CommitRefused, garnetworks.CommitSuperseded:
 			m.mu.Lock()
-			c.denied = string(p.State) + ": " + p.Reason
+			c.finalRefusal = string(p.State) + ": " + p.Reason
 			m.mu.Unlock()
 		}
 	}
@@ -423,18 +423,18 @@
 	for _, n := range m.dead {
 		m.evict(n)
 	}
-	m.joinZones(rt)
+	m.reconnectZones(rt)
 	m.mu.Lock()
-	m.losing = 0
+	m.dropping = 0
 	m.mu.Unlock()
 	for i, zone := range zoneNames {
 		m.start(garnetworks.NodeID(fmt.Sprintf("fresh-%d", i)), zone)
 	}
 	for _, n := range m.running() {
 		n.view.SetFaults(faker.FaultPlan{})
-		n.stale.mu.Lock()
-		n.stale.reads, n.stale.outage = 0, 0
-		n.stale.mu.Unlock()
+		n.api.mu.Lock()
+		n.api.staleReads, n.api.outage = 0, 0
+		n.api.mu.Unlock()
 	}
 	for range 30 {
 		time.Sleep(time.Second)
@@ -451,7 +451,7 @@
 		m.fail(rt, "O7: commit %s is still pending: %+v", head.Pending.CommitID, response.Progress)
 	}
 	for _, n := range m.running() {
-		if status := n.Status(); status.Applied != head.Accepted.Generation || !status.Learned || status.InForce != head.Accepted.Generation {
+		if status := n.Status(); status.Applied != head.Accepted.Generation || !status.Synced || status.InForce != head.Accepted.Generation {
 			m.fail(rt, "O7: node %s has %+v, the head generation %d", n.info.ID, status, head.Accepted.Generation)
 		}
 	}
--- a/committer/message.go
+++ b/committer/message.go
@@ -90,7 +90,7 @@
 // add joins one report and tells whether it brought something new. Of one
 // incarnation, proposals and generations are joined each by itself: a node that
 // applies a generation has not forgotten what it staged.
-func (r reports) add(report garnetworks.NodeReport) bool {
+func (r reports) merge(report garnetworks.NodeReport) bool {
 	known, ok := r[report.Node]
 	if !ok || report.Incarnation > known.Incarnation {
 		r[report.Node] = report
@@ -99,19 +99,19 @@
 	if report.Incarnation < known.Incarnation {
 		return false
 	}
-	joined := known
-	if report.Proposal > joined.Proposal {
-		joined.Proposal, joined.Refusal, joined.StagedAt = report.Proposal, report.Refusal, report.StagedAt
+	merged := known
+	if report.Proposal > merged.Proposal {
+		merged.Proposal, merged.Refusal, merged.StagedAt = report.Proposal, report.Refusal, report.StagedAt
 	}
-	if report.Applied > joined.Applied {
-		joined.Applied, joined.AppliedAt = report.Applied, report.AppliedAt
+	if report.Applied > merged.Applied {
+		merged.Applied, merged.AppliedAt = report.Applied, report.AppliedAt
 	}
-	r[report.Node] = joined
-	return compareReports(known, joined) != 0
+	r[report.Node] = merged
+	return compareReports(known, merged) != 0
 }
 
 // lacks reports whether joining report would bring something new.
-func (r reports) lacks(report garnetworks.NodeReport) bool {
+func (r reports) wouldChange(report garnetworks.NodeReport) bool {
 	known, ok := r[report.Node]
 	if !ok {
 		return true
@@ -132,10 +132,10 @@
 	return list
 }
 
-// stagedVersion returns a version above after. Two nodes that publish at once
+// nextVersion returns a version above after. Two nodes that publish at once
 // would otherwise give one version to two bodies, and half of the nodes would
 // keep the one, half the other.
-func stagedVersion(after garnetworks.UpdateVersion, node garnetworks.NodeID) garnetworks.UpdateVersion {
+func nextVersion(after garnetworks.UpdateVersion, node garnetworks.NodeID) garnetworks.UpdateVersion {
 	const tagBits = 16
 	h := fnv.New32a()
 	h.Write([]byte(node))
--- a/committer/progress.go
+++ b/committer/progress.go
@@ -46,13 +46,13 @@
 
 func (s *State) pendingProgress(now time.Time) (garnetworks.CommitProgress, bool) {
 	p := pendingProgress(&s.staged.Proposal)
-	p.Zones = s.zonesOf(s.staged.zones, s.staged.Number, s.Applied()+1)
+	p.Zones = s.zoneProgresses(s.staged.zones, s.staged.Number, s.Applied()+1)
 	old := now.Sub(s.staged.at) >= HoldAfter
 	if reason := s.refusal(); reason != "" {
 		p.Reason = reason
 		return p, true
 	}
-	if reason := heldBy(p.Zones); reason != "" && old {
+	if reason := heldReason(p.Zones); reason != "" && old {
 		p.State, p.Reason = garnetworks.CommitHeld, reason
 	}
 	// One that waits for long may have been refused or superseded unseen.
@@ -65,18 +65,18 @@
 	if s.staged != nil && s.staged.CommitID == a.CommitID {
 		p.Proposal, p.ProposedAt = s.staged.Number, s.staged.At
 	}
-	p.Zones = s.zonesOf(a.Manifest.Site.Zones, p.Proposal, a.Generation)
+	p.Zones = s.zoneProgresses(a.Manifest.Site.Zones, p.Proposal, a.Generation)
 	if s.inForce == a.Generation {
 		p.State, p.InForceAt = garnetworks.CommitInForce, s.inForceAt
 		return p
 	}
-	p.Reason = notApplied(p.Zones)
+	p.Reason = unappliedReason(p.Zones)
 	return p
 }
 
-// zonesOf tells how far each zone is with a proposal and the
+// zoneProgresses tells how far each zone is with a proposal and the
 // generation that it becomes.
-func (s *State) zonesOf(specs []garnetworks.ZoneSpec, number uint64, generation garnetworks.Generation) []garnetworks.ZoneProgress {
+func (s *State) zoneProgresses(specs []garnetworks.ZoneSpec, number uint64, generation garnetworks.Generation) []garnetworks.ZoneProgress {
 	zones := make([]garnetworks.ZoneProgress, 0, len(specs))
 	for _, spec := range specs {
 		zones = append(zones, s.zoneProgress(spec, number, generation))
@@ -105,39 +105,39 @@
 	return p
 }
 
-// heldBy names the zones and nodes that hold a proposal, or "".
-func heldBy(zones []garnetworks.ZoneProgress) string {
-	return missing(zones, "staged", func(z garnetworks.ZoneProgress) []garnetworks.NodeID { return z.Unstaged })
+// heldReason names the zones and nodes that hold a proposal, or "".
+func heldReason(zones []garnetworks.ZoneProgress) string {
+	return describeMissing(zones, "staged", func(z garnetworks.ZoneProgress) []garnetworks.NodeID { return z.Unstaged })
 }
 
-// notApplied names the zones and nodes that have yet to confirm a generation,
+// unappliedReason names the zones and nodes that have yet to confirm a generation,
 // or "".
-func notApplied(zones []garnetworks.ZoneProgress) string {
-	return missing(zones, "confirmed", func(z garnetworks.ZoneProgress) []garnetworks.NodeID { return z.Unapplied })
+func unappliedReason(zones []garnetworks.ZoneProgress) string {
+	return describeMissing(zones, "confirmed", func(z garnetworks.ZoneProgress) []garnetworks.NodeID { return z.Unapplied })
 }
 
-func missing(zones []garnetworks.ZoneProgress, word string, of func(garnetworks.ZoneProgress) []garnetworks.NodeID) string {
+func describeMissing(zones []garnetworks.ZoneProgress, verb string, nodesOf func(garnetworks.ZoneProgress) []garnetworks.NodeID) string {
 	var parts []string
 	for _, z := range zones {
-		switch nodes := of(z); {
+		switch nodes := nodesOf(z); {
 		case z.Excluded:
 		case z.Live == 0:
 			parts = append(parts, fmt.Sprintf("no live node of zone %s is known", z.Zone))
 		case len(nodes) == z.Live:
-			parts = append(parts, fmt.Sprintf("zone %s has not %s it at any of its nodes", z.Zone, word))
+			parts = append(parts, fmt.Sprintf("zone %s has not %s it at any of its nodes", z.Zone, verb))
 		case len(nodes) > 0:
-			parts = append(parts, fmt.Sprintf("zone %s has not %s it at %s", z.Zone, word, join(nodes)))
+			parts = append(parts, fmt.Sprintf("zone %s has not %s it at %s", z.Zone, verb, joinNodes(nodes)))
 		}
 	}
 	return strings.Join(parts, "; ")
 }
 
-func join(nodes []garnetworks.NodeID) string {
-	const most = 5
+func joinNodes(nodes []garnetworks.NodeID) string {
+	const maxNames = 5
 	text := ""
 	for i, n := range nodes {
-		if i == most {
-			return text + fmt.Sprintf(" and %d more", len(nodes)-most)
+		if i == maxNames {
+			return text + fmt.Sprintf(" and %d more", len(nodes)-maxNames)
 		}
 		if i > 0 {
 			text += ", "
--- a/committer/see.go
+++ b/committer/see.go
@@ -9,14 +9,14 @@
 	"github.com/garnetworks/garnetworks/parser"
 )
 
-// SeeIncarnation takes the incarnation under which the node has joined.
-func (s *State) SeeIncarnation(incarnation uint64) {
+// ObserveIncarnation takes the incarnation under which the node has joined.
+func (s *State) ObserveIncarnation(incarnation uint64) {
 	s.self.Incarnation = max(s.self.Incarnation, incarnation)
 }
 
-// SeeRosters takes the rosters that the node knows; an older version of a
+// ObserveRosters takes the rosters that the node knows; an older version of a
 // zone's roster is ignored.
-func (s *State) SeeRosters(rosters []garnetworks.Roster) {
+func (s *State) ObserveRosters(rosters []garnetworks.Roster) {
 	for _, r := range rosters {
 		if z := s.zone(r.Zone); r.Version >= z.roster.Version {
 			z.roster = r
@@ -24,23 +24,23 @@
 	}
 }
 
-// SeeHead takes the head as read at a revision. An older revision is a stale
+// ObserveHead takes the head as read at a revision. An older revision is a stale
 // read or a late watch and is ignored.
-func (s *State) SeeHead(head Head, revision garnetworks.Revision, now time.Time) {
+func (s *State) ObserveHead(head Head, revision garnetworks.Revision, now time.Time) {
 	if revision <= s.revision {
 		return
 	}
 	s.head, s.revision = head, revision
 	behind := head.Accepted.Generation < s.Applied()
-	if behind && !s.storeBehind && s.Watches() {
-		s.note(garnetworks.EventObjectAPIStale, head.Accepted.Generation, garnetworks.KindStaleGeneration,
+	if behind && !s.headStale && s.IsWatcher() {
+		s.addEvent(garnetworks.EventObjectAPIStale, head.Accepted.Generation, garnetworks.KindStaleGeneration,
 			fmt.Sprintf("nodes decide by generation %d", s.Applied()))
 	}
-	s.storeBehind = behind
+	s.headStale = behind
 	// The staged proposal may be the one that is accepted now: then its body is
 	// here already.
 	if s.staged != nil && s.staged.CommitID == head.Accepted.CommitID && s.staged.Hash == head.Hash {
-		s.accept(&acceptedMessage{
+		s.applyAccepted(&acceptedMessage{
 			Generation: head.Accepted.Generation,
 			CommitID:   head.Accepted.CommitID,
 			Operator:   head.Accepted.Operator,
@@ -49,113 +49,113 @@
 			Recent:     head.Recent,
 		}, now)
 	}
-	s.markRelays(now)
+	s.updateRelays(now)
 }
 
-// markRelays notes what the distribution has yet to bring.
-func (s *State) markRelays(now time.Time) {
+// updateRelays notes what the distribution has yet to bring.
+func (s *State) updateRelays(now time.Time) {
 	if s.message != nil {
-		s.markRelay(garnetworks.TopicManifest, uint64(s.message.Generation), now)
+		s.updateRelay(garnetworks.TopicManifest, uint64(s.message.Generation), now)
 	}
 	if s.staged != nil && s.pending() {
-		s.markRelay(garnetworks.TopicProposal, s.staged.Number, now)
+		s.updateRelay(garnetworks.TopicProposal, s.staged.Number, now)
 	}
 }
 
-func (s *State) markRelay(topic garnetworks.Topic, sequence uint64, now time.Time) {
-	if s.spread[topic].Sequence >= sequence {
+func (s *State) updateRelay(topic garnetworks.Topic, sequence uint64, now time.Time) {
+	if s.distributed[topic].Sequence >= sequence {
 		delete(s.relaySince, topic)
 		return
 	}
-	if _, marked := s.relaySince[topic]; !marked {
+	if _, found := s.relaySince[topic]; !found {
 		s.relaySince[topic] = now
 	}
 }
 
-// SeeBody takes a commit's manifest as read from the object API; a body that is
+// ObserveBody takes a commit's manifest as read from the object API; a body that is
 // not the one that the head names is ignored.
-func (s *State) SeeBody(commitID string, body []byte, now time.Time) {
+func (s *State) ObserveBody(commitID string, body []byte, now time.Time) {
 	hash := hashOf(body)
 	if s.head.Accepted.CommitID == commitID && s.head.Hash == hash {
 		a := s.head.Accepted
-		s.accept(&acceptedMessage{
+		s.applyAccepted(&acceptedMessage{
 			Generation: a.Generation, CommitID: a.CommitID, Operator: a.Operator, At: a.At, Manifest: body, Recent: s.head.Recent,
 		}, now)
 	}
 	if p := s.head.Pending; p != nil && p.CommitID == commitID && p.Hash == hash {
-		s.judge(proposalMessage{Proposal: *p, Manifest: body}, now)
+		s.evaluate(proposalMessage{Proposal: *p, Manifest: body}, now)
 	}
-	s.markRelays(now)
+	s.updateRelays(now)
 }
 
-// SeeProposed takes a proposal that came in through this node.
-func (s *State) SeeProposed(p Proposal, body []byte, now time.Time) {
-	s.own = max(s.own, p.Number)
-	s.judge(proposalMessage{Proposal: p, Manifest: body}, now)
+// ObserveOwnProposal takes a proposal that came in through this node.
+func (s *State) ObserveOwnProposal(p Proposal, body []byte, now time.Time) {
+	s.ownProposal = max(s.ownProposal, p.Number)
+	s.evaluate(proposalMessage{Proposal: p, Manifest: body}, now)
 	// Its operator waits, so it is passed on at once.
 	s.relaySince[garnetworks.TopicProposal] = time.Time{}
 }
 
-// SeeAcceptance takes the head that this node's own write made, and passes the
+// ObserveOwnWrite takes the head that this node's own write made, and passes the
 // manifest on at once.
-func (s *State) SeeAcceptance(head Head, revision garnetworks.Revision, now time.Time) {
-	s.SeeHead(head, revision, now)
-	if _, marked := s.relaySince[garnetworks.TopicManifest]; marked {
+func (s *State) ObserveOwnWrite(head Head, revision garnetworks.Revision, now time.Time) {
+	s.ObserveHead(head, revision, now)
+	if _, found := s.relaySince[garnetworks.TopicManifest]; found {
 		s.relaySince[garnetworks.TopicManifest] = time.Time{}
 	}
 }
 
-// SeeUpdate takes an update from the distribution or a peer.
-func (s *State) SeeUpdate(u garnetworks.Update, now time.Time) {
-	if s.spread[u.Topic].Less(u.Version) {
-		s.spread[u.Topic] = u.Version
+// ObserveUpdate takes an update from the distribution or a peer.
+func (s *State) ObserveUpdate(u garnetworks.Update, now time.Time) {
+	if s.distributed[u.Topic].Less(u.Version) {
+		s.distributed[u.Topic] = u.Version
 	}
 	switch {
 	case u.Topic == garnetworks.TopicManifest:
 		var m acceptedMessage
 		if json.Unmarshal(u.Body, &m) == nil {
-			s.accept(&m, now)
+			s.applyAccepted(&m, now)
 		}
 	case u.Topic == garnetworks.TopicProposal:
 		var m proposalMessage
 		if json.Unmarshal(u.Body, &m) == nil {
-			s.judge(m, now)
+			s.evaluate(m, now)
 		}
 	default:
-		s.seeStaged(u)
+		s.observeZoneReport(u)
 	}
-	s.markRelays(now)
+	s.updateRelays(now)
 }
 
-// seeStaged takes a zone's published report.
-func (s *State) seeStaged(u garnetworks.Update) {
+// observeZoneReport takes a zone's published report.
+func (s *State) observeZoneReport(u garnetworks.Update) {
 	var report garnetworks.ZoneReport
 	if json.Unmarshal(u.Body, &report) != nil || u.Topic != garnetworks.TopicStaged+garnetworks.Topic(report.Zone) {
 		return
 	}
 	z := s.zone(report.Zone)
 	for _, r := range report.Nodes {
-		z.reports.add(r)
+		z.reports.merge(r)
 	}
 	if z.version.Less(u.Version) {
-		z.version, z.spreadRoster = u.Version, max(z.spreadRoster, report.Roster)
-		z.spread = reports{}
+		z.version, z.publishedRoster = u.Version, max(z.publishedRoster, report.Roster)
+		z.published = reports{}
 		for _, r := range report.Nodes {
-			z.spread.add(r)
+			z.published.merge(r)
 		}
 	}
 }
 
-// SeeReport takes a report that another node of the zone sent.
-func (s *State) SeeReport(zone garnetworks.ZoneID, report garnetworks.NodeReport) {
+// ObserveReport takes a report that another node of the zone sent.
+func (s *State) ObserveReport(zone garnetworks.ZoneID, report garnetworks.NodeReport) {
 	if report.Node != s.self.Node {
-		s.zone(zone).reports.add(report)
+		s.zone(zone).reports.merge(report)
 	}
 }
 
 // accept applies an accepted manifest if its generation is higher than the one
 // applied (rules M2 and M10).
-func (s *State) accept(m *acceptedMessage, now time.Time) {
+func (s *State) applyAccepted(m *acceptedMessage, now time.Time) {
 	if m.Generation <= s.Applied() {
 		return
 	}
@@ -163,20 +163,20 @@
 	if err != nil {
 		if m.Generation > s.unreadable {
 			s.unreadable, s.unreadableReason = m.Generation, err.Error()
-			s.note(garnetworks.EventManifestRefused, m.Generation, garnetworks.KindInvalidManifest, err.Error())
+			s.addEvent(garnetworks.EventManifestRefused, m.Generation, garnetworks.KindInvalidManifest, err.Error())
 		}
 		return
 	}
 	s.accepted, s.message, s.appliedAt = accepted, m, now
-	s.note(garnetworks.EventManifestAccepted, m.Generation, "", "commit "+m.CommitID+" by "+m.Operator)
+	s.addEvent(garnetworks.EventManifestAccepted, m.Generation, "", "commit "+m.CommitID+" by "+m.Operator)
 }
 
 // judge stages or refuses a proposal that is newer than the last one.
-func (s *State) judge(m proposalMessage, now time.Time) {
+func (s *State) evaluate(m proposalMessage, now time.Time) {
 	if s.staged != nil && m.Number <= s.staged.Number {
 		return
 	}
-	staged := &stagedProposal{proposalMessage: m, at: now, zones: zonesIn(m.Manifest)}
+	staged := &stagedProposal{proposalMessage: m, at: now, zones: decodeZones(m.Manifest)}
 	manifest, err := parser.Decode(m.Manifest)
 	if err == nil {
 		err = parser.Check(manifest).Err()
@@ -186,18 +186,18 @@
 	}
 	if err != nil {
 		staged.refusal = err.Error()
-		s.note(garnetworks.EventManifestRefused, m.Base+1, garnetworks.KindOf(err), "commit "+m.CommitID+": "+staged.refusal)
+		s.addEvent(garnetworks.EventManifestRefused, m.Base+1, garnetworks.KindOf(err), "commit "+m.CommitID+": "+staged.refusal)
 	} else {
 		staged.manifest = manifest
-		s.note(garnetworks.EventManifestStaged, m.Base+1, "", "commit "+m.CommitID+" by "+m.Operator)
+		s.addEvent(garnetworks.EventManifestStaged, m.Base+1, "", "commit "+m.CommitID+" by "+m.Operator)
 	}
 	s.staged = staged
 	s.readySince, s.decideAt = time.Time{}, time.Time{}
 }
 
-// zonesIn returns the zones that a manifest names, read without a look at the
+// decodeZones returns the zones that a manifest names, read without a look at the
 // rest; none if they can't be read.
-func zonesIn(body []byte) []garnetworks.ZoneSpec {
+func decodeZones(body []byte) []garnetworks.ZoneSpec {
 	var m struct {
 		Site struct {
 			Zones []garnetworks.ZoneSpec `json:"zones"`
@@ -209,8 +209,8 @@
 	return m.Site.Zones
 }
 
-func (s *State) note(kind garnetworks.EventKind, generation garnetworks.Generation, err garnetworks.Kind, detail string) {
-	s.notes = append(s.notes, garnetworks.Event{
+func (s *State) addEvent(kind garnetworks.EventKind, generation garnetworks.Generation, err garnetworks.Kind, detail string) {
+	s.events = append(s.events, garnetworks.Event{
 		Kind: kind, Zone: s.self.Zone, Generation: generation, Error: err, Detail: detail,
 	})
 }
--- a/committer/site_test.go
+++ b/committer/site_test.go
@@ -23,15 +23,15 @@
 	nodes map[garnetworks.NodeID]*node
 	// cut holds the zones that are cut off from the others and from the object
 	// API; rosters holds what the zone itself knows, seen what the others do.
-	cut     garnetworks.Set[garnetworks.ZoneID]
-	rosters map[garnetworks.ZoneID]garnetworks.Roster
-	seen    map[garnetworks.ZoneID]garnetworks.Roster
+	partitioned garnetworks.Set[garnetworks.ZoneID]
+	rosters     map[garnetworks.ZoneID]garnetworks.Roster
+	visible     map[garnetworks.ZoneID]garnetworks.Roster
 	// starts counts the processes of each node.
 	starts map[garnetworks.NodeID]uint64
 	// losing is the number of deliveries that get lost next.
-	losing int
-	round  int
-	spent  traffic
+	dropping int
+	round    int
+	sent     traffic
 }
 
 // traffic counts reports sent, updates published and their bytes.
@@ -40,7 +40,7 @@
 func (s *site) traffic() traffic {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.spent
+	return s.sent
 }
 
 // node is one process and its view of the object API.
@@ -48,7 +48,7 @@
 	*committer.Committer
 	info   garnetworks.NodeInfo
 	view   *faker.ObjectsView
-	stale  *staleReads
+	api    *faultyAPI
 	cancel context.CancelFunc
 	done   chan struct{}
 
@@ -57,60 +57,60 @@
 }
 
 // staleReads is an object API whose next reads of the head are behind.
-type staleReads struct {
+type faultyAPI struct {
 	garnetworks.ObjectAPI
 	objects *faker.Objects
 
 	mu sync.Mutex
 	// reads is the number of reads that are behind, by back changes.
-	reads, back int
+	staleReads, staleBy int
 	// outage says that the next write of the head takes effect, and that its
 	// answer and all later calls are lost until then; zero is none.
-	outage time.Duration
-	until  time.Time
+	outage    time.Duration
+	outageEnd time.Time
 	// loses is the number of writes of the head whose answers get lost, and
 	// staleAfter how many reads are behind after each of them.
-	loses, staleAfter int
+	lostResponses, staleAfter int
 }
 
 // lost returns the error of a call in an outage.
-func (s *staleReads) lost() error {
+func (s *faultyAPI) outageError() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Now().Before(s.until) {
+	if time.Now().Before(s.outageEnd) {
 		return garnetworks.Errorf(garnetworks.KindObjectAPIDown, "outage")
 	}
 	return nil
 }
 
-func (s *staleReads) Put(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
-	if err := s.lost(); err != nil {
+func (s *faultyAPI) Put(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
+	if err := s.outageError(); err != nil {
 		return 0, err
 	}
 	revision, err := s.ObjectAPI.Put(ctx, key, value, after)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if key == committer.HeadKey && s.outage > 0 {
-		s.until, s.outage = time.Now().Add(s.outage), 0
+		s.outageEnd, s.outage = time.Now().Add(s.outage), 0
 		return 0, garnetworks.Errorf(garnetworks.KindResponseLost, "outage")
 	}
-	if key == committer.HeadKey && s.loses > 0 {
-		s.loses--
-		s.reads = s.staleAfter
+	if key == committer.HeadKey && s.lostResponses > 0 {
+		s.lostResponses--
+		s.staleReads = s.staleAfter
 		return 0, garnetworks.Errorf(garnetworks.KindResponseLost, "lost")
 	}
 	return revision, err
 }
 
-func (s *staleReads) Get(ctx context.Context, key string) (garnetworks.Object, error) {
-	if err := s.lost(); err != nil {
+func (s *faultyAPI) Get(ctx context.Context, key string) (garnetworks.Object, error) {
+	if err := s.outageError(); err != nil {
 		return garnetworks.Object{}, err
 	}
 	s.mu.Lock()
-	behind := key == committer.HeadKey && s.reads > 0
-	back := s.back
+	behind := key == committer.HeadKey && s.staleReads > 0
+	back := s.staleBy
 	if behind {
-		s.reads--
+		s.staleReads--
 	}
 	s.mu.Unlock()
 	if !behind {
@@ -128,13 +128,13 @@
 
 func newSite(ctx context.Context) *site {
 	return &site{
-		ctx:     ctx,
-		objects: faker.NewObjects(faker.ObjectsOptions{}),
-		nodes:   map[garnetworks.NodeID]*node{},
-		cut:     garnetworks.NewSet[garnetworks.ZoneID](),
-		rosters: map[garnetworks.ZoneID]garnetworks.Roster{},
-		seen:    map[garnetworks.ZoneID]garnetworks.Roster{},
-		starts:  map[garnetworks.NodeID]uint64{},
+		ctx:         ctx,
+		objects:     faker.NewObjects(faker.ObjectsOptions{}),
+		nodes:       map[garnetworks.NodeID]*node{},
+		partitioned: garnetworks.NewSet[garnetworks.ZoneID](),
+		rosters:     map[garnetworks.ZoneID]garnetworks.Roster{},
+		visible:     map[garnetworks.ZoneID]garnetworks.Roster{},
+		starts:      map[garnetworks.NodeID]uint64{},
 	}
 }
 
@@ -142,18 +142,18 @@
 func (s *site) start(id garnetworks.NodeID, zone garnetworks.ZoneID) *node {
 	s.mu.Lock()
 	view := s.objects.View()
-	view.SetFaults(faker.FaultPlan{Down: s.cut.Has(zone)})
+	view.SetFaults(faker.FaultPlan{Down: s.partitioned.Has(zone)})
 	n := &node{
-		view:  view,
-		stale: &staleReads{ObjectAPI: view, objects: s.objects},
-		done:  make(chan struct{}),
-		held:  map[garnetworks.Topic]garnetworks.Update{},
+		view: view,
+		api:  &faultyAPI{ObjectAPI: view, objects: s.objects},
+		done: make(chan struct{}),
+		held: map[garnetworks.Topic]garnetworks.Update{},
 	}
 	s.starts[id]++
 	n.info = garnetworks.NodeInfo{ID: id, Incarnation: s.starts[id], Zone: zone, Address: string(id)}
 	n.Committer = committer.New(committer.Options{
 		Node: id, Incarnation: n.info.Incarnation, Zone: zone,
-		Objects: n.stale,
+		Objects: n.api,
 		Peers:   &caller{site: s, from: zone},
 		Rosters: func() []garnetworks.Roster { return s.rostersFor(zone) },
 		Publish: func(u garnetworks.Update) { s.publish(n, u) },
@@ -161,7 +161,7 @@
 	ctx, cancel := context.WithCancel(s.ctx)
 	n.cancel = cancel
 	s.nodes[id] = n
-	s.enroll(zone, id, []garnetworks.NodeInfo{n.info})
+	s.setRosterRow(zone, id, []garnetworks.NodeInfo{n.info})
 	s.mu.Unlock()
 	go func() {
 		defer close(n.done)
@@ -170,15 +170,15 @@
 	return n
 }
 
-// enroll replaces a node's row of its zone's roster.
-func (s *site) enroll(zone garnetworks.ZoneID, id garnetworks.NodeID, rows []garnetworks.NodeInfo) {
+// setRosterRow replaces a node's row of its zone's roster.
+func (s *site) setRosterRow(zone garnetworks.ZoneID, id garnetworks.NodeID, rows []garnetworks.NodeInfo) {
 	r := s.rosters[zone]
 	list := slices.DeleteFunc(slices.Clone(r.Nodes), func(n garnetworks.NodeInfo) bool { return n.ID == id })
 	list = append(list, rows...)
 	slices.SortFunc(list, func(a, b garnetworks.NodeInfo) int { return cmp.Compare(a.ID, b.ID) })
 	s.rosters[zone] = garnetworks.Roster{Zone: zone, Nodes: list, Version: r.Version + 1}
-	if !s.cut.Has(zone) {
-		s.seen[zone] = s.rosters[zone]
+	if !s.partitioned.Has(zone) {
+		s.visible[zone] = s.rosters[zone]
 	}
 }
 
@@ -194,7 +194,7 @@
 	defer s.mu.Unlock()
 	if s.nodes[n.info.ID] == n {
 		delete(s.nodes, n.info.ID)
-		s.enroll(n.info.Zone, n.info.ID, nil)
+		s.setRosterRow(n.info.Zone, n.info.ID, nil)
 	}
 }
 
@@ -226,7 +226,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []garnetworks.Roster
-	for id, r := range s.seen {
+	for id, r := range s.visible {
 		if id == zone {
 			r = s.rosters[id]
 		}
@@ -237,7 +237,7 @@
 
 // connected reports whether two zones reach each other.
 func (s *site) connected(a, b garnetworks.ZoneID) bool {
-	return a == b || !s.cut.Has(a) && !s.cut.Has(b)
+	return a == b || !s.partitioned.Has(a) && !s.partitioned.Has(b)
 }
 
 // receive takes an update as a distributor does: only the newest version counts.
@@ -267,15 +267,15 @@
 
 func (s *site) publish(from *node, u garnetworks.Update) {
 	s.mu.Lock()
-	s.spent.updates++
-	s.spent.bytes += len(u.Body)
+	s.sent.updates++
+	s.sent.bytes += len(u.Body)
 	s.mu.Unlock()
 	from.receive(u)
 	for _, n := range s.running() {
 		s.mu.Lock()
 		reached := n != from && s.connected(from.info.Zone, n.info.Zone)
-		if reached && s.losing > 0 {
-			s.losing--
+		if reached && s.dropping > 0 {
+			s.dropping--
 			reached = false
 		}
 		s.mu.Unlock()
@@ -312,10 +312,10 @@
 func (s *site) cutOff(zone garnetworks.ZoneID, off bool) {
 	s.mu.Lock()
 	if off {
-		s.cut.Add(zone)
+		s.partitioned.Add(zone)
 	} else {
-		s.cut.Remove(zone)
-		s.seen[zone] = s.rosters[zone]
+		s.partitioned.Remove(zone)
+		s.visible[zone] = s.rosters[zone]
 	}
 	s.mu.Unlock()
 	for _, n := range s.running() {
@@ -365,7 +365,7 @@
 
 func (c *caller) Report(ctx context.Context, address string, request *garnetworks.ReportRequest) (*garnetworks.ReportResponse, error) {
 	c.site.mu.Lock()
-	c.site.spent.reports++
+	c.site.sent.reports++
 	c.site.mu.Unlock()
 	n, err := c.to(address)
 	if err != nil {
--- a/committer/state.go
+++ b/committer/state.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	// partTime is how long the reports of a part of a zone's nodes are gathered
+	// partialReportDelay is how long the reports of a part of a zone's nodes are gathered
 	// before they are published. A published report goes to every node of the
 	// site, and only a whole one decides anything, so parts are kept rare.
-	partTime = 500 * time.Millisecond
+	partialReportDelay = 500 * time.Millisecond
 	// turn is how long the next node waits for the one before it to accept or
 	// refuse a proposal (rule M8).
-	turn = 500 * time.Millisecond
-	// zoneTurn is the same for publishing a zone's reports, and relayTurn for
+	decisionDelay = 500 * time.Millisecond
+	// publishDelay is the same for publishing a zone's reports, and relayDelay for
 	// passing on what the object API told. Both are above what the distribution
 	// takes, or one slow round would make every node publish.
-	zoneTurn  = 1500 * time.Millisecond
-	relayTurn = 500 * time.Millisecond
-	// reportAgain is how long a node waits for its report, once it was
+	publishDelay = 1500 * time.Millisecond
+	relayDelay   = 500 * time.Millisecond
+	// reportResendDelay is how long a node waits for its report, once it was
 	// delivered, to be published before it sends it to the next node.
-	reportAgain = 3 * time.Second
-	// reportFailed is the same for a report that was not delivered.
-	reportFailed = 200 * time.Millisecond
-	// publishGap spaces what a node publishes of its zone. Failure: while rosters
+	reportResendDelay = 3 * time.Second
+	// reportRetryDelay is the same for a report that was not delivered.
+	reportRetryDelay = 200 * time.Millisecond
+	// minPublishInterval spaces what a node publishes of its zone. Failure: while rosters
 	// differ, two nodes each take themselves for the first and answer each
 	// other's joined report with one that differs, as fast as messages travel;
 	// the gap bounds that to some messages a second until the rosters agree.
-	publishGap = 20 * time.Millisecond
-	// fetchAgain spaces reads of a manifest that could not be read.
-	fetchAgain = time.Second
+	minPublishInterval = 20 * time.Millisecond
+	// fetchRetryDelay spaces reads of a manifest that could not be read.
+	fetchRetryDelay = time.Second
 	// HoldAfter is the age at which a proposal that a zone has not staged is
 	// called held.
 	HoldAfter = 5 * time.Second
 	// watchers is the number of nodes of each zone that watch the object API.
-	watchers = 2
+	watchersPerZone = 2
 )
 
 // Identity names a node's process.
@@ -66,15 +66,15 @@
 	roster garnetworks.Roster
 	// reports joins all that was heard; spread is what the newest published
 	// report of the zone holds.
-	reports reports
-	spread  reports
-	// version and spreadRoster are of the newest published report.
-	version      garnetworks.UpdateVersion
-	spreadRoster uint64
-	// newsSince is when reports first held more than spread.
+	reports   reports
+	published reports
+	// version and publishedRoster are of the newest published report.
+	version         garnetworks.UpdateVersion
+	publishedRoster uint64
+	// unpublishedSince is when reports first held more than spread.
 	// publishedAt is when this node last published the zone's reports.
-	publishedAt time.Time
-	newsSince   time.Time
+	publishedAt      time.Time
+	unpublishedSince time.Time
 }
 
 // State is what one node knows of manifests. It does no I/O and is not safe for
@@ -84,9 +84,9 @@
 	// head is the newest head seen, at revision; revision 0 means none.
 	head     Head
 	revision garnetworks.Revision
-	// storeBehind says that head is of a lower generation than was applied when
+	// headStale says that head is of a lower generation than was applied when
 	// it was seen.
-	storeBehind bool
+	headStale bool
 	// accepted never gets a lower generation (rule M2).
 	accepted  *garnetworks.AcceptedManifest
 	message   *acceptedMessage
@@ -97,10 +97,10 @@
 	unreadableReason string
 	staged           *stagedProposal
 	// own is the number of the newest proposal that came in through this node.
-	own   uint64
-	zones map[garnetworks.ZoneID]*zoneState
+	ownProposal uint64
+	zones       map[garnetworks.ZoneID]*zoneState
 	// spread holds the newest versions seen on the distribution.
-	spread map[garnetworks.Topic]garnetworks.UpdateVersion
+	distributed map[garnetworks.Topic]garnetworks.UpdateVersion
 	// relaySince is when a version was learned from the object API that the
 	// distribution has not brought.
 	relaySince map[garnetworks.Topic]time.Time
@@ -109,21 +109,21 @@
 	decideAt    time.Time
 	reportAt    time.Time
 	reportTries int
-	// reportSent is the report that reportTries counts the sends of.
-	reportSent garnetworks.NodeReport
+	// lastReport is the report that reportTries counts the sends of.
+	lastReport garnetworks.NodeReport
 	fetchAt    time.Time
 	inForce    garnetworks.Generation
 	inForceAt  time.Time
-	notes      []garnetworks.Event
+	events     []garnetworks.Event
 }
 
 // NewState returns the state of a node that knows nothing.
 func NewState(self Identity) *State {
 	return &State{
-		self:       self,
-		zones:      map[garnetworks.ZoneID]*zoneState{},
-		spread:     map[garnetworks.Topic]garnetworks.UpdateVersion{},
-		relaySince: map[garnetworks.Topic]time.Time{},
+		self:        self,
+		zones:       map[garnetworks.ZoneID]*zoneState{},
+		distributed: map[garnetworks.Topic]garnetworks.UpdateVersion{},
+		relaySince:  map[garnetworks.Topic]time.Time{},
 	}
 }
 
@@ -156,7 +156,7 @@
 func (s *State) zone(id garnetworks.ZoneID) *zoneState {
 	z, ok := s.zones[id]
 	if !ok {
-		z = &zoneState{reports: reports{}, spread: reports{}}
+		z = &zoneState{reports: reports{}, published: reports{}}
 		s.zones[id] = z
 	}
 	return z
@@ -191,12 +191,12 @@
 
 // place returns the node's place among all nodes: first nodes of all zones come
 // before second ones, so that a zone that is cut off takes one place in a row.
-func (s *State) place() int {
+func (s *State) siteRank() int {
 	zones := slices.Sorted(maps.Keys(s.zones))
 	at := max(slices.Index(zones, s.self.Zone), 0)
 	return s.rank()*max(len(zones), 1) + at
 }
 
-// Watches reports whether the node shall watch the object API: only some nodes
+// IsWatcher reports whether the node shall watch the object API: only some nodes
 // of a zone do, so that the load on it grows with zones, not nodes.
-func (s *State) Watches() bool { return s.rank() < watchers }
+func (s *State) IsWatcher() bool { return s.rank() < watchersPerZone }
--- a/committer/state_test.go
+++ b/committer/state_test.go
@@ -10,9 +10,9 @@
 	"github.com/garnetworks/garnetworks/parser"
 )
 
-// stateOf returns the state of node south-a-0 that has staged a proposal of the
+// stagedState returns the state of node south-a-0 that has staged a proposal of the
 // example manifest, and the proposal.
-func stateOf(t *testing.T, now time.Time) (*committer.State, committer.Proposal) {
+func stagedState(t *testing.T, now time.Time) (*committer.State, committer.Proposal) {
 	t.Helper()
 	manifest, problems := parser.Parse("", []byte(parser.Example()))
 	if err := problems.Err(); err != nil {
@@ -24,14 +24,14 @@
 	}
 	s := committer.NewState(committer.Identity{Node: "south-a-0", Incarnation: 1, Zone: "south-a"})
 	p := committer.Proposal{Number: 1, CommitID: "c1", Operator: "anna", Hash: hashOf(body), At: now}
-	s.SeeProposed(p, body, now)
+	s.ObserveOwnProposal(p, body, now)
 	return s, p
 }
 
-// seeZone tells the state a roster of one node and that node's report.
-func seeZone(s *committer.State, zone garnetworks.ZoneID, incarnation uint64, version uint64, report *garnetworks.ZoneReport) {
+// observeZone tells the state a roster of one node and that node's report.
+func observeZone(s *committer.State, zone garnetworks.ZoneID, incarnation uint64, version uint64, report *garnetworks.ZoneReport) {
 	name := garnetworks.NodeID(zone + "-0")
-	s.SeeRosters([]garnetworks.Roster{{
+	s.ObserveRosters([]garnetworks.Roster{{
 		Zone: zone, Version: version,
 		Nodes: []garnetworks.NodeInfo{{ID: name, Incarnation: incarnation, Zone: zone}},
 	}})
@@ -39,14 +39,14 @@
 		return
 	}
 	body, _ := json.Marshal(report)
-	s.SeeUpdate(garnetworks.Update{
+	s.ObserveUpdate(garnetworks.Update{
 		Topic:   garnetworks.TopicStaged + garnetworks.Topic(zone),
 		Version: garnetworks.UpdateVersion{Sequence: 1},
 		Body:    body,
 	}, time.Time{})
 }
 
-func staged(zone garnetworks.ZoneID, incarnation uint64, refusal string) *garnetworks.ZoneReport {
+func zoneReport(zone garnetworks.ZoneID, incarnation uint64, refusal string) *garnetworks.ZoneReport {
 	return &garnetworks.ZoneReport{Zone: zone, Roster: 2, Nodes: []garnetworks.NodeReport{
 		{Node: garnetworks.NodeID(zone + "-0"), Incarnation: incarnation, Proposal: 1, Refusal: refusal},
 	}}
@@ -64,24 +64,24 @@
 		report               *garnetworks.ZoneReport
 		want                 string
 	}{
-		"staged":           {1, 2, staged("south-c", 1, ""), accept},
-		"refused":          {1, 2, staged("south-c", 1, "it comes from a newer program"), refuse},
+		"staged":           {1, 2, zoneReport("south-c", 1, ""), accept},
+		"refused":          {1, 2, zoneReport("south-c", 1, "it comes from a newer program"), refuse},
 		"no report":        {1, 2, nil, none},
-		"replaced":         {2, 3, staged("south-c", 1, ""), none},
-		"replacement":      {2, 3, staged("south-c", 2, ""), accept},
-		"refused by gone":  {2, 3, staged("south-c", 1, "it is too new"), none},
-		"older roster":     {1, 1, staged("south-c", 1, ""), none},
-		"zone not known":   {0, 0, staged("south-c", 1, ""), none},
+		"replaced":         {2, 3, zoneReport("south-c", 1, ""), none},
+		"replacement":      {2, 3, zoneReport("south-c", 2, ""), accept},
+		"refused by gone":  {2, 3, zoneReport("south-c", 1, "it is too new"), none},
+		"older roster":     {1, 1, zoneReport("south-c", 1, ""), none},
+		"zone not known":   {0, 0, zoneReport("south-c", 1, ""), none},
 		"another proposal": {1, 2, &garnetworks.ZoneReport{Zone: "south-c", Nodes: []garnetworks.NodeReport{{Node: "south-c-0", Incarnation: 1}}}, none},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(0, 0)
-			s, _ := stateOf(t, now)
-			seeZone(s, "south-a", 1, 1, nil)
-			seeZone(s, "south-b", 1, 2, staged("south-b", 1, ""))
+			s, _ := stagedState(t, now)
+			observeZone(s, "south-a", 1, 1, nil)
+			observeZone(s, "south-b", 1, 2, zoneReport("south-b", 1, ""))
 			if c.version > 0 {
-				seeZone(s, "south-c", c.incarnation, c.version, c.report)
+				observeZone(s, "south-c", c.incarnation, c.version, c.report)
 			}
 			got := none
 			for _, action := range s.Step(now.Add(time.Second)) {
@@ -105,10 +105,10 @@
 // has staged it.
 func TestReportsCarryTheIncarnationThatJoined(t *testing.T) {
 	now := time.Unix(0, 0)
-	s, _ := stateOf(t, now)
-	seeZone(s, "south-a", 7, 1, nil)
-	seeZone(s, "south-b", 1, 2, staged("south-b", 1, ""))
-	seeZone(s, "south-c", 1, 2, staged("south-c", 1, ""))
+	s, _ := stagedState(t, now)
+	observeZone(s, "south-a", 7, 1, nil)
+	observeZone(s, "south-b", 1, 2, zoneReport("south-b", 1, ""))
+	observeZone(s, "south-c", 1, 2, zoneReport("south-c", 1, ""))
 	accepts := func() bool {
 		for _, action := range s.Step(now.Add(time.Second)) {
 			if _, ok := action.(committer.Accept); ok {
@@ -120,7 +120,7 @@
 	if accepts() {
 		t.Error("a report of incarnation 1 counts for incarnation 7")
 	}
-	s.SeeIncarnation(7)
+	s.ObserveIncarnation(7)
 	if !accepts() {
 		t.Error("the commit is held though every node has staged it")
 	}
--- a/committer/step.go
+++ b/committer/step.go
@@ -22,23 +22,23 @@
 
 // Busy reports whether something will be due within a turn.
 func (s *State) Busy() bool {
-	return !s.zone(s.self.Zone).newsSince.IsZero() || !s.readySince.IsZero() || len(s.relaySince) > 0
+	return !s.zone(s.self.Zone).unpublishedSince.IsZero() || !s.readySince.IsZero() || len(s.relaySince) > 0
 }
 
 // Step returns what is to be done now.
 func (s *State) Step(now time.Time) []Action {
-	s.zone(s.self.Zone).reports.add(s.report())
+	s.zone(s.self.Zone).reports.merge(s.report())
 	var actions []Action
 	actions = append(actions, s.fetch(now)...)
 	actions = append(actions, s.relay(now)...)
 	actions = append(actions, s.sendReport(now)...)
 	actions = append(actions, s.publishZone(now)...)
 	actions = append(actions, s.decide(now)...)
-	s.judgeInForce(now)
-	for _, e := range s.notes {
-		actions = append(actions, Note{e})
+	s.checkInForce(now)
+	for _, e := range s.events {
+		actions = append(actions, RecordEvent{e})
 	}
-	s.notes = nil
+	s.events = nil
 	return actions
 }
 
@@ -55,7 +55,7 @@
 		actions = append(actions, FetchBody{p.CommitID, p.Hash})
 	}
 	if len(actions) > 0 {
-		s.fetchAt = now.Add(fetchAgain)
+		s.fetchAt = now.Add(fetchRetryDelay)
 	}
 	return actions
 }
@@ -63,14 +63,14 @@
 // relay passes on what the object API told and the distribution did not bring.
 func (s *State) relay(now time.Time) []Action {
 	var actions []Action
-	wait := time.Duration(s.place()) * relayTurn
+	wait := time.Duration(s.siteRank()) * relayDelay
 	due := func(topic garnetworks.Topic) bool {
-		since, marked := s.relaySince[topic]
-		return marked && !now.Before(since.Add(wait))
+		since, found := s.relaySince[topic]
+		return found && !now.Before(since.Add(wait))
 	}
 	send := func(u garnetworks.Update) {
 		delete(s.relaySince, u.Topic)
-		s.spread[u.Topic] = u.Version
+		s.distributed[u.Topic] = u.Version
 		actions = append(actions, Publish{u})
 	}
 	if due(garnetworks.TopicProposal) && s.staged != nil {
@@ -86,11 +86,11 @@
 // it, to another node of the zone each time.
 func (s *State) sendReport(now time.Time) []Action {
 	z := s.zone(s.self.Zone)
-	if !z.spread.lacks(s.report()) {
+	if !z.published.wouldChange(s.report()) {
 		return nil
 	}
-	if s.report() != s.reportSent {
-		s.reportSent, s.reportAt, s.reportTries = s.report(), now, 0
+	if s.report() != s.lastReport {
+		s.lastReport, s.reportAt, s.reportTries = s.report(), now, 0
 	}
 	if now.Before(s.reportAt) {
 		return nil
@@ -98,16 +98,16 @@
 	nodes := s.live(s.self.Zone)
 	to := nodes[s.reportTries%len(nodes)]
 	s.reportTries++
-	s.reportAt = now.Add(reportAgain)
+	s.reportAt = now.Add(reportResendDelay)
 	if to.ID == s.self.Node {
 		return nil
 	}
 	return []Action{SendReport{To: to, Report: s.report()}}
 }
 
-// SeeUndelivered takes that a report did not reach its node.
-func (s *State) SeeUndelivered(now time.Time) {
-	s.reportAt = now.Add(reportFailed)
+// ObserveReportFailure takes that a report did not reach its node.
+func (s *State) ObserveReportFailure(now time.Time) {
+	s.reportAt = now.Add(reportRetryDelay)
 }
 
 // publishZone publishes the joined reports of the node's zone if they hold
@@ -115,28 +115,28 @@
 func (s *State) publishZone(now time.Time) []Action {
 	z := s.zone(s.self.Zone)
 	live := s.live(s.self.Zone)
-	if !s.hasNews(z, live) {
-		z.newsSince = time.Time{}
+	if !s.hasUnpublished(z, live) {
+		z.unpublishedSince = time.Time{}
 		return nil
 	}
-	if z.newsSince.IsZero() {
-		z.newsSince = now
+	if z.unpublishedSince.IsZero() {
+		z.unpublishedSince = now
 	}
-	wait := time.Duration(s.rank()) * zoneTurn
-	if !s.whole(z, live) {
-		wait += partTime
+	wait := time.Duration(s.rank()) * publishDelay
+	if !s.isComplete(z, live) {
+		wait += partialReportDelay
 	}
-	if now.Before(z.newsSince.Add(wait)) || now.Before(z.publishedAt.Add(publishGap)) {
+	if now.Before(z.unpublishedSince.Add(wait)) || now.Before(z.publishedAt.Add(minPublishInterval)) {
 		return nil
 	}
-	z.newsSince, z.publishedAt = time.Time{}, now
+	z.unpublishedSince, z.publishedAt = time.Time{}, now
 	return []Action{Publish{s.zoneUpdate(z, live)}}
 }
 
-// hasNews reports whether a live node's report is newer than the published one.
-func (s *State) hasNews(z *zoneState, live []garnetworks.NodeInfo) bool {
+// hasUnpublished reports whether a live node's report is newer than the published one.
+func (s *State) hasUnpublished(z *zoneState, live []garnetworks.NodeInfo) bool {
 	for _, n := range live {
-		if r, ok := z.reports[n.ID]; ok && z.spread.lacks(r) {
+		if r, ok := z.reports[n.ID]; ok && z.published.wouldChange(r) {
 			return true
 		}
 	}
@@ -146,7 +146,7 @@
 // whole reports whether nothing more is to be waited for in a zone: all of its
 // live nodes are as far as the one that is farthest, or one of them refuses the
 // newest proposal.
-func (s *State) whole(z *zoneState, live []garnetworks.NodeInfo) bool {
+func (s *State) isComplete(z *zoneState, live []garnetworks.NodeInfo) bool {
 	proposal, applied := uint64(0), garnetworks.Generation(0)
 	for _, n := range live {
 		r := z.reports[n.ID]
@@ -171,12 +171,12 @@
 			newest[n.ID] = r
 		}
 	}
-	z.spread = newest
-	z.version = stagedVersion(z.version, s.self.Node)
-	z.spreadRoster = max(z.spreadRoster, z.roster.Version)
-	body, _ := json.Marshal(garnetworks.ZoneReport{Zone: s.self.Zone, Roster: z.spreadRoster, Nodes: newest.sorted()})
+	z.published = newest
+	z.version = nextVersion(z.version, s.self.Node)
+	z.publishedRoster = max(z.publishedRoster, z.roster.Version)
+	body, _ := json.Marshal(garnetworks.ZoneReport{Zone: s.self.Zone, Roster: z.publishedRoster, Nodes: newest.sorted()})
 	topic := garnetworks.TopicStaged + garnetworks.Topic(s.self.Zone)
-	s.spread[topic] = z.version
+	s.distributed[topic] = z.version
 	return garnetworks.Update{Topic: topic, Version: z.version, Body: body}
 }
 
@@ -200,19 +200,19 @@
 	if s.readySince.IsZero() {
 		s.readySince = now
 	}
-	place := s.place() + 1
-	if s.own == s.staged.Number {
-		place = 0
+	turns := s.siteRank() + 1
+	if s.ownProposal == s.staged.Number {
+		turns = 0
 	}
-	if now.Before(s.readySince.Add(time.Duration(place)*turn)) || now.Before(s.decideAt) {
+	if now.Before(s.readySince.Add(time.Duration(turns)*decisionDelay)) || now.Before(s.decideAt) {
 		return nil
 	}
-	s.decideAt = now.Add(2 * turn)
+	s.decideAt = now.Add(2 * decisionDelay)
 	return []Action{action}
 }
 
 // awaited returns the zones that are waited for.
-func awaited(specs []garnetworks.ZoneSpec) []garnetworks.ZoneID {
+func requiredZones(specs []garnetworks.ZoneSpec) []garnetworks.ZoneID {
 	var zones []garnetworks.ZoneID
 	for _, z := range specs {
 		if !z.Excluded {
@@ -224,7 +224,7 @@
 
 // allStaged reports whether rule M5 lets the staged proposal be accepted.
 func (s *State) allStaged() bool {
-	for _, id := range awaited(s.staged.zones) {
+	for _, id := range requiredZones(s.staged.zones) {
 		if !s.confirmed(id, s.hasStaged) {
 			return false
 		}
@@ -242,7 +242,7 @@
 func (s *State) confirmed(id garnetworks.ZoneID, passes func(garnetworks.NodeReport) bool) bool {
 	z := s.zone(id)
 	live := s.live(id)
-	if len(live) == 0 || z.roster.Version < z.spreadRoster {
+	if len(live) == 0 || z.roster.Version < z.publishedRoster {
 		return false
 	}
 	for _, n := range live {
@@ -258,7 +258,7 @@
 // refusal returns why a live node of an awaited zone refuses the staged
 // proposal, or "".
 func (s *State) refusal() string {
-	for _, id := range awaited(s.staged.zones) {
+	for _, id := range requiredZones(s.staged.zones) {
 		for _, n := range s.live(id) {
 			r, ok := s.zone(id).reports[n.ID]
 			if ok && r.Incarnation >= n.Incarnation && r.Proposal == s.staged.Number && r.Refusal != "" {
@@ -269,19 +269,19 @@
 	return ""
 }
 
-// judgeInForce notes when the applied generation has come into force (rule M7).
-func (s *State) judgeInForce(now time.Time) {
+// checkInForce notes when the applied generation has come into force (rule M7).
+func (s *State) checkInForce(now time.Time) {
 	if s.accepted == nil || s.inForce >= s.accepted.Generation {
 		return
 	}
-	for _, id := range awaited(s.accepted.Manifest.Site.Zones) {
+	for _, id := range requiredZones(s.accepted.Manifest.Site.Zones) {
 		if !s.confirmed(id, s.hasApplied) {
 			return
 		}
 	}
 	s.inForce, s.inForceAt = s.accepted.Generation, now
 	if s.rank() == 0 {
-		s.note(garnetworks.EventManifestInForce, s.inForce, "", "confirmed by every live node of every zone that is not left out")
+		s.addEvent(garnetworks.EventManifestInForce, s.inForce, "", "confirmed by every live node of every zone that is not left out")
 	}
 }
 
--- a/committer/store.go
+++ b/committer/store.go
@@ -12,10 +12,10 @@
 const (
 	// callTimeout bounds one call to the object API.
 	callTimeout = 3 * time.Second
-	// writeTries bounds the tries of one change of the head.
-	writeTries = 8
-	// writePause is between two tries after a failure.
-	writePause = 200 * time.Millisecond
+	// maxAttempts bounds the tries of one change of the head.
+	maxAttempts = 8
+	// retryDelay is between two tries after a failure.
+	retryDelay = 200 * time.Millisecond
 )
 
 // store reads and changes the objects of manifests.
@@ -56,22 +56,22 @@
 // written by an earlier try; the head's hash shows whether it is the same.
 func (s store) writeBody(ctx context.Context, commitID string, body []byte) error {
 	var err error
-	for range writeTries {
+	for range maxAttempts {
 		call, cancel := context.WithTimeout(ctx, callTimeout)
 		_, err = s.api.Put(call, BodyKey(commitID), body, 0)
 		cancel()
 		if garnetworks.IsKind(err, garnetworks.KindConflict) {
-			return s.sameBody(ctx, commitID, body)
+			return s.checkSameBody(ctx, commitID, body)
 		}
-		if err == nil || !retriable(err) || pause(ctx, writePause) != nil {
+		if err == nil || !retriable(err) || sleep(ctx, retryDelay) != nil {
 			return err
 		}
 	}
 	return err
 }
 
-// sameBody refuses a commit identifier that was used with another manifest.
-func (s store) sameBody(ctx context.Context, commitID string, body []byte) error {
+// checkSameBody refuses a commit identifier that was used with another manifest.
+func (s store) checkSameBody(ctx context.Context, commitID string, body []byte) error {
 	stored, err := s.readBody(ctx, commitID)
 	if err != nil {
 		return err
@@ -82,14 +82,14 @@
 	return nil
 }
 
-// errBehind says that the object API tells of a lower generation than nodes have
+// errStaleHead says that the object API tells of a lower generation than nodes have
 // applied. One stale read shows so for a moment, a store that was put back to an
 // older copy for good.
-var errBehind = garnetworks.Errorf(garnetworks.KindStaleGeneration,
+var errStaleHead = garnetworks.Errorf(garnetworks.KindStaleGeneration,
 	"the object API holds a lower generation than nodes have applied: its data went back; nothing was written")
 
-// errUnknown says that a change of the head may have taken effect.
-func errUnknown(cause error) error {
+// errOutcomeUnknown says that a change of the head may have taken effect.
+func errOutcomeUnknown(cause error) error {
 	return garnetworks.WrapError(garnetworks.KindOutcomeUnknown, cause,
 		"the answer to the write was lost and the object API can't be read now; ask again with the same commit identifier, it is never committed twice")
 }
@@ -106,24 +106,24 @@
 // more, since it names the revision before. If it has not changed, the read may
 // be a stale one, so nothing is concluded from it: the write is tried again
 // after the same revision, and conflicts if the lost one took effect.
-func (s store) change(ctx context.Context, edit func(Head) (Head, bool, error)) (headObject, error) {
+func (s store) updateHead(ctx context.Context, edit func(Head) (Head, bool, error)) (headObject, error) {
 	t := &attempts{}
-	for try := range writeTries {
-		if try > 0 && pause(ctx, writePause) != nil {
+	for try := range maxAttempts {
+		if try > 0 && sleep(ctx, retryDelay) != nil {
 			break
 		}
 		h, err := s.readHead(ctx)
 		if err != nil && !retriable(err) {
-			return h, t.outcome(err)
+			return h, t.finalError(err)
 		}
 		if err != nil {
-			t.last = err
+			t.lastErr = err
 			continue
 		}
-		t.read(h.revision)
+		t.observeHead(h.revision)
 		next, changed, err := edit(h.Head)
-		if errors.Is(err, errBehind) || (err != nil && t.maybe) {
-			t.last = err
+		if errors.Is(err, errStaleHead) || (err != nil && t.maybeWritten) {
+			t.lastErr = err
 			continue
 		}
 		if err != nil || !changed {
@@ -133,9 +133,9 @@
 		if err == nil {
 			return headObject{next, revision}, nil
 		}
-		t.failed(err, h.revision)
+		t.observeFailure(err, h.revision)
 	}
-	return headObject{}, t.outcome(ctx.Err())
+	return headObject{}, t.finalError(ctx.Err())
 }
 
 // writeHead writes the head if it is still at the revision.
@@ -147,43 +147,43 @@
 
 // attempts is what is known of the tries of one change.
 type attempts struct {
-	last error
+	lastErr error
 	// maybe says that a write after the revision may have taken effect.
-	maybe bool
-	after garnetworks.Revision
+	maybeWritten bool
+	after        garnetworks.Revision
 }
 
 // read takes the revision of a head that was read: one above the lost write's
 // decides its fate.
-func (t *attempts) read(revision garnetworks.Revision) {
+func (t *attempts) observeHead(revision garnetworks.Revision) {
 	if revision > t.after {
-		t.maybe = false
+		t.maybeWritten = false
 	}
 }
 
 // failed takes the error of a write after a revision.
-func (t *attempts) failed(err error, after garnetworks.Revision) {
-	t.last = err
+func (t *attempts) observeFailure(err error, after garnetworks.Revision) {
+	t.lastErr = err
 	if garnetworks.IsKind(err, garnetworks.KindConflict) || tookNoEffect(err) {
 		return
 	}
-	t.maybe, t.after = true, after
+	t.maybeWritten, t.after = true, after
 }
 
 // outcome returns the error after the last try.
-func (t *attempts) outcome(cause error) error {
-	if t.last == nil {
-		t.last = cause
+func (t *attempts) finalError(cause error) error {
+	if t.lastErr == nil {
+		t.lastErr = cause
 	}
 	switch {
-	case t.maybe:
-		return errUnknown(t.last)
-	case errors.Is(t.last, errBehind):
-		return t.last
-	case garnetworks.IsKind(t.last, garnetworks.KindConflict):
-		return garnetworks.WrapError(garnetworks.KindThrottled, t.last, "other writers came first each time; nothing was written")
+	case t.maybeWritten:
+		return errOutcomeUnknown(t.lastErr)
+	case errors.Is(t.lastErr, errStaleHead):
+		return t.lastErr
+	case garnetworks.IsKind(t.lastErr, garnetworks.KindConflict):
+		return garnetworks.WrapError(garnetworks.KindThrottled, t.lastErr, "other writers came first each time; nothing was written")
 	}
-	return garnetworks.WrapError(garnetworks.KindObjectAPIDown, t.last, "nothing was written")
+	return garnetworks.WrapError(garnetworks.KindObjectAPIDown, t.lastErr, "nothing was written")
 }
 
 // tookNoEffect reports whether a failed write is known to have changed nothing.
@@ -199,8 +199,8 @@
 
 // collect deletes the bodies of garbage commits and returns those that are gone.
 // It is best effort: what is left is tried with the next proposal.
-func (s store) collect(ctx context.Context, commits []string) []string {
-	var gone []string
+func (s store) deleteBodies(ctx context.Context, commits []string) []string {
+	var deleted []string
 	for _, id := range commits {
 		call, cancel := context.WithTimeout(ctx, callTimeout)
 		object, err := s.api.Get(call, BodyKey(id))
@@ -209,14 +209,14 @@
 		}
 		cancel()
 		if err == nil || garnetworks.IsKind(err, garnetworks.KindNotFound) {
-			gone = append(gone, id)
+			deleted = append(deleted, id)
 		}
 	}
-	return gone
+	return deleted
 }
 
 // pause waits for d or the end of ctx.
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/runner/join.go
+++ b/runner/join.go
@@ -94,7 +94,7 @@
 		Rosters:     r.rosters,
 		Seeds:       r.settings.Seeds,
 		Publish:     r.publish,
-		Applied:     r.applied,
+		OnApplied:   r.applied,
 		Recorder:    r.events,
 		Logger:      r.log.Named("committer"),
 		Clock:       r.timeline.Now,
@@ -104,7 +104,7 @@
 func (r *Runner) joinCalls(options Options) {
 	r.quarantine = quarantiner.New(quarantiner.Options{
 		Probe: r.prove, Objects: r.platform.Objects, Recorder: r.events,
-		Reads: r.committer.Watches, ReadWait: watcher.DefaultWait,
+		Reads: r.committer.IsWatcher, ReadWait: watcher.DefaultWait,
 		Publish: func(value []byte, revision garnetworks.Revision) {
 			r.publish(garnetworks.Update{Topic: garnetworks.TopicQuarantinedCalls, Version: garnetworks.UpdateVersion{Sequence: uint64(revision)}, Body: value})
 		},
@@ -147,7 +147,7 @@
 // apply takes an update that the distribution brought, in the topic's order.
 func (r *Runner) apply(u garnetworks.Update) {
 	switch {
-	case committer.Topics(u.Topic):
+	case committer.HandlesTopic(u.Topic):
 		r.committer.OnUpdate(u)
 	case u.Topic == garnetworks.TopicQuarantinedCalls:
 		r.quarantine.MergeObject(u.Body)
