--- a/committer/action.go
+++ b/committer/action.go
@@ -4,26 +4,26 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Action is what a State asks its adapter to do. An action that fails needs no
-// answer: Step asks again when it is due.
+// Action is something that a State asks its adapter to do. The adapter does not report
+// failed actions; Step returns them again when they are due.
 type Action interface{ action() }
 
-// Publish hands an update to the distribution.
+// Publish publishes an update to all nodes.
 type Publish struct{ Update garnetworks.Update }
 
-// SendReport sends the node's report to the node that gathers them.
+// SendReport sends the node's report to another node of its zone.
 type SendReport struct {
 	To     garnetworks.NodeInfo
 	Report garnetworks.NodeReport
 }
 
-// Accept makes a staged proposal the newest generation.
+// Accept makes a staged proposal the newest generation in the head.
 type Accept struct {
 	Number   uint64
 	CommitID string
 }
 
-// Refuse ends a proposal that a node refuses.
+// Refuse ends a proposal that a node has refused.
 type Refuse struct {
 	Number   uint64
 	CommitID string
@@ -36,7 +36,7 @@
 	Hash     string
 }
 
-// RecordEvent records an event on the time line.
+// RecordEvent records an event on the timeline.
 type RecordEvent struct{ Event garnetworks.Event }
 
 func (Publish) action() {}
--- a/committer/bench_test.go
+++ b/committer/bench_test.go
@@ -47,15 +47,15 @@
 	return w.committer.Report(ctx, request)
 }
 
-// networkSite is a site of nodes in one process, joined by loopback connections.
+// networkSite is a site of nodes in one process, connected over loopback.
 type networkSite struct {
 	objects *faker.Objects
 	nodes   []*networkNode
 	rosters []garnetworks.Roster
 }
 
-// startNetworkSite starts nodes in the zones of the example manifest; rosters are
-// given, since membership is not what is measured.
+// startNetworkSite starts nodes in the zones of the example manifest. Rosters are fixed,
+// since membership is not part of the benchmark.
 func startNetworkSite(b *testing.B, nodes int) *networkSite {
 	s := &networkSite{objects: faker.NewObjects(faker.ObjectsOptions{})}
 	listeners := make([]net.Listener, nodes)
@@ -85,7 +85,7 @@
 	return s
 }
 
-// join starts one node's parts; they end with the benchmark.
+// startNode starts a node's components; they end with the benchmark.
 func (s *networkSite) startNode(b *testing.B, n *networkNode, listener net.Listener) {
 	n.client = messenger.NewClient(messenger.ClientOptions{Traffic: &n.traffic})
 	n.distributor = distributor.New(distributor.Options{
@@ -127,7 +127,7 @@
 	return list
 }
 
-// beat compares with the next node each second, as the membership does.
+// heartbeatLoop exchanges heartbeats with the next node each second, as the membership does.
 func (s *networkSite) heartbeatLoop(ctx context.Context, n *networkNode) {
 	next := s.nodes[(slices.Index(s.nodes, n)+1)%len(s.nodes)].info.Address
 	ticker := time.NewTicker(time.Second)
@@ -146,8 +146,8 @@
 	}
 }
 
-// BenchmarkCommit measures commits over real connections on one machine: until
-// the last node decides by it, and until the node that took it calls it in force.
+// BenchmarkCommit measures commits over loopback connections: the time until the last node
+// has applied the commit, and until the node that received it reports it as in force.
 func BenchmarkCommit(b *testing.B) {
 	for _, size := range []int{6, 24, 96, 330} {
 		b.Run(fmt.Sprintf("nodes=%d", size), func(b *testing.B) {
@@ -198,7 +198,7 @@
 	return last
 }
 
-// repaired counts the updates that the tree did not bring.
+// repaired counts the updates that did not arrive through the distribution tree.
 func (s *networkSite) repaired() uint64 {
 	sum := uint64(0)
 	for _, n := range s.nodes {
@@ -226,11 +226,10 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	b.Fatal("nothing comes of it within a minute")
+	b.Fatal("condition not met within a minute")
 }
 
-// BenchmarkStep measures what a node at the design size spends on one look at
-// what is due while nothing is.
+// BenchmarkStep measures a call of Step with 328 nodes and no due actions.
 func BenchmarkStep(b *testing.B) {
 	const zones, perZone = 8, 41
 	now := time.Now()
--- a/committer/committer.go
+++ b/committer/committer.go
@@ -17,79 +17,80 @@
 )
 
 const (
-	// tick is how often a node looks at what is due while a commit is under way,
-	// and idlePollInterval while there is none.
+	// pollInterval is the time between two calls of State.Step while a commit is in
+	// progress, idlePollInterval the time between them otherwise.
 	pollInterval     = 20 * time.Millisecond
 	idlePollInterval = 250 * time.Millisecond
-	// queue bounds the actions that wait for their goroutine; what does not fit
-	// is asked for again by Step.
+	// queueSize limits the fetches that wait for fetchLoop. Fetches that do not fit are
+	// dropped; Step asks for them again.
 	queueSize = 16
-	// peerTimeout bounds one call to a peer.
+	// peerTimeout limits the time of one call to a peer.
 	peerTimeout = 2 * time.Second
-	// maxPeerResponses is the number of peers that a new node asks.
+	// maxPeerResponses is the number of responses after which a new node stops querying
+	// peers.
 	maxPeerResponses = 3
-	// rosterTimeout is how long a new node waits for a roster that names its peers.
+	// rosterTimeout is how long a new node waits for a roster with other nodes.
 	rosterTimeout = 3 * time.Second
-	// maxCommitID bounds a commit identifier, which is part of an object's key.
+	// maxCommitID is the maximum length of a commit identifier, which is part of an
+	// object key.
 	maxCommitID = 64
 )
 
-// Options describe a node's surroundings. Node, Zone and Objects are required.
+// Options configure a Committer. Node, Zone and Objects are required.
 type Options struct {
 	Node        garnetworks.NodeID
 	Incarnation uint64
 	Zone        garnetworks.ZoneID
-	// Self returns what the membership says of the node. It may be nil. Its
-	// incarnation replaces Incarnation when it is higher: a process whose clock is
-	// behind raises its own when it joins, and reports under the old one would
-	// count for nobody.
+	// Self returns the node's current entry in the membership; it may be nil. A higher
+	// incarnation than Incarnation replaces it: a process whose clock is behind gets a
+	// higher incarnation when it joins, and reports with the lower one would be ignored.
 	Self    func() garnetworks.NodeInfo
 	Objects garnetworks.ObjectAPI
-	// Peers reaches other nodes; without it the node knows only itself.
+	// Peers calls other nodes; without it the node does not query or report to any.
 	Peers garnetworks.PeerCaller
-	// Rosters returns the rosters of all zones that the node knows; nil means
-	// that the node is alone.
+	// Rosters returns the rosters of all known zones; nil means that there are no other
+	// nodes.
 	Rosters func() []garnetworks.Roster
-	// Seeds are peers' addresses to ask before a roster is known.
+	// Seeds are addresses of peers to query in addition to those of the rosters.
 	Seeds []string
-	// Publish hands an update to the distribution; it must not block. The
-	// distribution calls OnUpdate of every node with it.
+	// Publish publishes an update to all nodes; it must not block. The receiving nodes
+	// call OnUpdate with it.
 	Publish func(garnetworks.Update)
-	// Applied is told of each manifest that the node begins to decide by, in
-	// order. It may be nil, and must not call the committer.
+	// OnApplied is called with each manifest that the node applies, in order. It may be
+	// nil, and must not call the committer.
 	OnApplied func(*garnetworks.AcceptedManifest)
 	// Recorder may be nil.
 	Recorder garnetworks.Recorder
 	// Logger may be nil.
 	Logger hclog.Logger
-	// Clock returns the timestamp for messages; nil takes the runtime's clock.
+	// Clock returns the timestamp of messages; nil means the system clock.
 	Clock func() garnetworks.Timestamp
-	// Watcher changes the times of the watch of the object API.
+	// Watcher holds the options of the watch on the object API.
 	Watcher watcher.Options
 }
 
-// Status is a node's view of manifests.
+// Status is the state of manifests as one node knows it.
 type Status struct {
-	// Applied is the generation that the node decides by.
+	// Applied is the generation that the node has applied.
 	Applied garnetworks.Generation
 	// Staged is the generation that the pending proposal becomes if it is
 	// accepted; 0 if the node has staged none.
 	Staged garnetworks.Generation
 	// InForce is the newest generation that the node knows to be in force.
 	InForce garnetworks.Generation
-	// Learned says that the node has asked for the newest generation (rule M9).
+	// Synced says that the node has looked for the newest generation (rule M9).
 	Synced bool
-	// Unreadable is a generation above Applied that this program can't read, and
-	// Reason says why.
+	// Unreadable is a generation above Applied that this program can't decode, Reason the
+	// decoding error.
 	Unreadable garnetworks.Generation
 	Reason     string
-	// ObjectAPIStale says that the object API told of a lower generation than the
-	// node has applied. If that lasts, its data went back. Only nodes that watch
-	// the object API say so.
+	// ObjectAPIStale says that the object API returned a lower generation than the node
+	// has applied. If it stays set, the object API was restored from an older copy. It
+	// is set only on nodes that watch the object API.
 	ObjectAPIStale bool
 }
 
-// Committer is a node's part in the acceptance of manifests.
+// Committer runs a node's part of the commit protocol.
 type Committer struct {
 	options   Options
 	store     store
@@ -101,12 +102,12 @@
 
 	mu    sync.Mutex
 	state *State
-	// headRead and peersQueried say that the object API or the peers have
-	// answered, headDown that the object API could not be asked.
+	// headRead says that the head was read from the object API, peersQueried that peers
+	// were queried; both are guarded by mu.
 	headRead, peersQueried bool
 }
 
-// New returns a committer that knows nothing until Run.
+// New returns a committer without a manifest; Run obtains one.
 func New(options Options) *Committer {
 	if options.Publish == nil {
 		options.Publish = func(garnetworks.Update) {}
@@ -131,14 +132,14 @@
 	}
 }
 
-// Manifest returns the manifest that the node decides by, which nobody changes.
-// There is none until the node has learned the newest generation (rule M9).
+// Manifest returns the manifest that the node has applied, which must not be modified. It
+// returns false until the node is synced (rule M9).
 func (c *Committer) Manifest() (*garnetworks.AcceptedManifest, bool) {
 	m := c.manifest.Load()
 	return m, m != nil
 }
 
-// Status returns the node's view.
+// Status returns the node's current status.
 func (c *Committer) Status() Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -158,8 +159,8 @@
 	return status
 }
 
-// learned reports whether rule M9 lets the node be ready: the object API and
-// the peers were asked, or one of them was and a manifest is known.
+// synced reports whether the node satisfies rule M9: peers were queried, either the head
+// was read or a manifest is known, and no newer manifest is unreadable. The caller holds mu.
 func (c *Committer) synced() bool {
 	if c.state.unreadable > c.state.Applied() {
 		return false
@@ -167,7 +168,7 @@
 	return c.peersQueried && (c.headRead || c.state.accepted != nil)
 }
 
-// Run takes part in the acceptance of manifests until ctx ends.
+// Run runs the commit protocol until ctx ends.
 func (c *Committer) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return c.stepLoop(ctx) })
@@ -180,7 +181,7 @@
 	return g.Wait()
 }
 
-// steps runs the state's decisions whenever something was seen or is due.
+// stepLoop steps the state whenever it changes or the poll interval has passed.
 func (c *Committer) stepLoop(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -199,7 +200,7 @@
 	}
 }
 
-// step hands out what is due and reports whether more will be soon.
+// step dispatches the due actions and reports whether more will be due soon.
 func (c *Committer) step() bool {
 	var rosters []garnetworks.Roster
 	if c.options.Rosters != nil {
@@ -212,9 +213,9 @@
 	return busy
 }
 
-// stepState hands out what is due but for the updates, which it returns: an
-// update that was dropped would not be asked for again. Of the other actions a
-// full queue drops what Step asks for again.
+// stepState records the due events, queues the other due actions, and returns the updates,
+// because Step would not return a dropped update again. Queued actions may be dropped when
+// their queue is full.
 func (c *Committer) stepState(rosters []garnetworks.Roster) (updates []garnetworks.Update, busy bool) {
 	self := garnetworks.NodeInfo{}
 	if c.options.Self != nil {
@@ -249,9 +250,9 @@
 	}
 }
 
-// adopt makes the state's manifest the one that Manifest returns, once the node
-// has learned what others know: a node that has just started and got an old
-// manifest from one peer must not begin to decide by it (rule M9).
+// updateManifest makes the state's manifest the one that Manifest returns, once the node
+// is synced: a node that has just started must not apply an old manifest that one peer
+// sent (rule M9). The caller holds mu.
 func (c *Committer) updateManifest() {
 	accepted := c.state.Accepted()
 	if accepted == nil || accepted == c.manifest.Load() || !c.synced() {
@@ -270,7 +271,7 @@
 	}
 }
 
-// see changes the state and has the steps run.
+// updateState changes the state and wakes up stepLoop.
 func (c *Committer) updateState(change func(s *State, now time.Time)) {
 	c.mu.Lock()
 	change(c.state, time.Now())
@@ -279,8 +280,7 @@
 	trySend(c.wake, struct{}{})
 }
 
-// OnUpdate takes an update from the distribution or a peer; topics of others are
-// ignored.
+// OnUpdate handles an update from another node; topics of other packages are ignored.
 func (c *Committer) OnUpdate(u garnetworks.Update) {
 	if !HandlesTopic(u.Topic) {
 		return
@@ -288,7 +288,7 @@
 	c.updateState(func(s *State, now time.Time) { s.ObserveUpdate(u, now) })
 }
 
-// HandlesTopic reports whether a topic is the committer's.
+// HandlesTopic reports whether OnUpdate handles updates of the topic.
 func HandlesTopic(t garnetworks.Topic) bool {
 	return t == garnetworks.TopicManifest || t == garnetworks.TopicProposal || strings.HasPrefix(string(t), string(garnetworks.TopicStaged))
 }
@@ -304,7 +304,7 @@
 	}
 }
 
-// send brings the report to a peer, and fetches what the peer knows better.
+// sendReport sends a report to a peer, and fetches the peer's updates if they are newer.
 func (c *Committer) sendReport(ctx context.Context, r SendReport) {
 	if c.options.Peers == nil {
 		return
@@ -323,7 +323,7 @@
 	}
 }
 
-// fetchFrom asks a peer for its manifests and reports whether it answered.
+// fetchFrom fetches the updates of a peer and reports whether it responded.
 func (c *Committer) fetchFrom(ctx context.Context, address string) bool {
 	call, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
@@ -368,8 +368,8 @@
 	}
 }
 
-// write carries out the acceptance or the end of a proposal. Another node may
-// have done it: then the head says so and nothing is written.
+// writeDecision accepts or refuses a proposal in the head. If another node has already
+// decided it, nothing is written.
 func (c *Committer) writeDecision(ctx context.Context, action Action) {
 	head, err := c.store.updateHead(ctx, func(h Head) (Head, bool, error) {
 		switch a := action.(type) {
@@ -389,14 +389,14 @@
 	c.handleHead(head, (*State).ObserveOwnWrite)
 }
 
-// handleHead takes a head that was read or written.
+// handleHead passes a head that was read or written to the state.
 func (c *Committer) handleHead(h headObject, observe func(*State, Head, garnetworks.Revision, time.Time)) {
 	c.updateState(func(s *State, now time.Time) {
 		observe(s, h.Head, h.revision, now)
 	})
 }
 
-// syncHead reads the head until it was read once (rule M9).
+// syncHead retries reading the head until it succeeds (rule M9).
 func (c *Committer) syncHead(ctx context.Context) error {
 	for {
 		h, err := c.store.readHead(ctx)
@@ -413,9 +413,8 @@
 	}
 }
 
-// syncPeers asks some peers for their manifests once (rule M9). The object API
-// may answer with a value that is behind; a peer in whose sight a generation has
-// come into force knows it.
+// syncPeers queries some peers for their manifests (rule M9). The object API may return a
+// stale head; peers that have confirmed a generation still have it.
 func (c *Committer) syncPeers(ctx context.Context) error {
 	addresses := c.peerAddresses(ctx)
 	answers := 0
@@ -431,8 +430,8 @@
 	return ctx.Err()
 }
 
-// peerAddresses returns the addresses of the other nodes, those of the own zone
-// first, once a roster names some or the wait is over.
+// peerAddresses returns the addresses of the other nodes, those of the node's own zone
+// first, followed by the seeds. It waits for a roster with other nodes until rosterTimeout.
 func (c *Committer) peerAddresses(ctx context.Context) []string {
 	if c.options.Peers == nil {
 		return nil
@@ -464,7 +463,7 @@
 	return sameZone, otherZones
 }
 
-// watches follows the head while the node is one of those that watch.
+// watchLoop watches the head while the node is a watcher.
 func (c *Committer) watchLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if !c.IsWatcher() {
@@ -483,7 +482,7 @@
 	return c.state.IsWatcher()
 }
 
-// watch follows the head until ctx ends or it is others' turn.
+// watch watches the head until ctx ends or the node is no longer a watcher.
 func (c *Committer) watch(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -506,11 +505,13 @@
 	})
 }
 
-// Propose answers garnetworks.PeerHandler. The manifest is parsed and checked
-// before anything is written. Errors are of kind KindInvalidManifest,
-// KindInvalidRequest, KindTooLarge, KindStaleGeneration (the detail names who
-// won), KindConflict (another proposal is pending), KindObjectAPIDown (nothing
-// was written) or KindOutcomeUnknown; a response tells how the commit stands.
+// Propose implements garnetworks.PeerHandler. The manifest is parsed and checked before
+// anything is written. Errors are of kind KindInvalidManifest, KindInvalidRequest,
+// KindTooLarge, KindKeyReused (the identifier was used with another manifest),
+// KindStaleGeneration (the detail names the winner, or says that the object API is
+// stale), KindConflict (another proposal is pending), KindThrottled or KindObjectAPIDown
+// (nothing was proposed), KindInternal or KindOutcomeUnknown. The response holds the
+// progress of the commit.
 func (c *Committer) Propose(ctx context.Context, request *garnetworks.ProposeRequest) (*garnetworks.ProposeResponse, error) {
 	body, err := c.checkProposal(request)
 	if err != nil {
@@ -523,7 +524,7 @@
 	return &garnetworks.ProposeResponse{At: c.options.Clock(), Progress: progress}, nil
 }
 
-// checkProposal returns the manifest's body as it is stored.
+// checkProposal validates a request and returns the manifest encoded for storage.
 func (c *Committer) checkProposal(request *garnetworks.ProposeRequest) ([]byte, error) {
 	if !validCommitID(request.CommitID) {
 		return nil, garnetworks.Errorf(garnetworks.KindInvalidRequest, "a commit identifier is 1 to %d letters, digits and hyphens", maxCommitID)
@@ -556,7 +557,7 @@
 		return garnetworks.CommitProgress{}, wrapNotProposed(err)
 	}
 	if _, recorded := current.Progress(p.CommitID); !recorded {
-		// What is refused now needs no body; a head that is behind refuses nothing.
+		// Avoids writing a body for a proposal that is refused; a stale head decides nothing.
 		if _, err := current.Propose(p, request.Supersedes); err != nil && !c.isStale(current.Head) {
 			return garnetworks.CommitProgress{}, err
 		}
@@ -566,7 +567,7 @@
 	}
 	deleted := c.store.deleteBodies(ctx, current.Garbage)
 	head, err := c.store.updateHead(ctx, func(h Head) (Head, bool, error) {
-		// Rule M3: a commit that the head tells of is not proposed again.
+		// Rule M3: a commit that the head records is not proposed again.
 		if _, recorded := h.Progress(p.CommitID); recorded {
 			return h, false, nil
 		}
@@ -577,7 +578,7 @@
 		return next.WithoutGarbage(deleted), err == nil, err
 	})
 	if garnetworks.IsKind(err, garnetworks.KindStaleGeneration) && !errors.Is(err, errStaleHead) {
-		// The commit has lost for good, so no later try needs its body.
+		// The commit can't be accepted any more, so its body is not needed.
 		c.store.deleteBodies(ctx, []string{p.CommitID})
 	}
 	if err != nil {
@@ -590,8 +591,8 @@
 	return c.progress(ctx, p.CommitID), nil
 }
 
-// wrapNotProposed returns the error for a failure before the head was written. A
-// body alone proposes nothing.
+// wrapNotProposed wraps an error from before the head was written. A body without an entry
+// in the head has no effect.
 func wrapNotProposed(err error) error {
 	if garnetworks.IsKind(err, garnetworks.KindKeyReused, garnetworks.KindTooLarge, garnetworks.KindInternal) {
 		return err
@@ -599,14 +600,14 @@
 	return garnetworks.WrapError(garnetworks.KindObjectAPIDown, err, "nothing was proposed")
 }
 
-// behind reports whether the head has a lower generation than the node.
+// isStale reports whether the head has a lower generation than the node has applied.
 func (c *Committer) isStale(h Head) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return h.Accepted.Generation < c.state.Applied()
 }
 
-// Progress answers garnetworks.PeerHandler.
+// Progress implements garnetworks.PeerHandler.
 func (c *Committer) Progress(ctx context.Context, request *garnetworks.ProgressRequest) (*garnetworks.ProgressResponse, error) {
 	response := &garnetworks.ProgressResponse{At: c.options.Clock(), Progress: c.progress(ctx, request.CommitID)}
 	if request.WithManifest {
@@ -615,8 +616,8 @@
 	return response, nil
 }
 
-// manifestBody returns the manifest that the node decides by as it was written,
-// or nil.
+// manifestBody returns the encoded accepted-manifest message that the node has applied, or
+// nil.
 func (c *Committer) manifestBody() []byte {
 	if _, known := c.Manifest(); !known {
 		return nil
@@ -626,7 +627,7 @@
 	return c.state.message.update().Body
 }
 
-// progress tells how a commit stands; the head is read where only it can tell.
+// progress returns the progress of a commit; it reads the head only if the state asks for it.
 func (c *Committer) progress(ctx context.Context, commitID string) garnetworks.CommitProgress {
 	c.mu.Lock()
 	progress, askHead := c.state.Progress(commitID, time.Now())
@@ -647,7 +648,7 @@
 	return recordedProgress
 }
 
-// Report answers garnetworks.PeerHandler.
+// Report implements garnetworks.PeerHandler.
 func (c *Committer) Report(_ context.Context, request *garnetworks.ReportRequest) (*garnetworks.ReportResponse, error) {
 	c.updateState(func(s *State, _ time.Time) { s.ObserveReport(request.Zone, request.Report) })
 	c.mu.Lock()
--- a/committer/committer_test.go
+++ b/committer/committer_test.go
@@ -19,7 +19,7 @@
 )
 
 func TestMain(m *testing.M) {
-	// The same cases in every run, and no files left behind.
+	// Fixed seeds make runs reproducible; failures leave no files behind.
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true", "rapid.checks": "40"} {
 		if err := flag.Set(name, value); err != nil {
 			panic(err)
@@ -29,8 +29,7 @@
 	os.Exit(m.Run())
 }
 
-// text returns the example manifest with another power cap, so that two commits
-// can be told apart.
+// manifestText returns the example manifest with the given power cap and excluded zones.
 func manifestText(watts int, excluded ...string) []byte {
 	s := strings.Replace(parser.Example(), "power-cap-watts: 96000", fmt.Sprintf("power-cap-watts: %d", watts), 1)
 	s = strings.Replace(s, "      left-out: false\n", "", 1)
@@ -44,7 +43,7 @@
 	return &garnetworks.ProposeRequest{CommitID: id, Operator: "anna", Base: base, Text: body}
 }
 
-// await waits until the commit's progress at the node is in a state.
+// await waits until the commit's progress at the node reaches a state.
 func await(t *testing.T, n *node, id string, want garnetworks.CommitState, within time.Duration) garnetworks.CommitProgress {
 	t.Helper()
 	deadline := time.Now().Add(within)
@@ -88,16 +87,14 @@
 		t.Logf("in force %v after the proposal", p.InForceAt.Sub(p.ProposedAt))
 		for _, n := range nodes {
 			if m, ok := n.Manifest(); !ok || m.Generation != 1 || m.Manifest.Site.PowerCap != 90000 {
-				t.Errorf("node %s does not decide by the commit", n.info.ID)
+				t.Errorf("node %s has not applied the commit", n.info.ID)
 			}
 		}
 	})
 }
 
-// A zone is cut off from the others and from the object API while an operator
-// commits. The commit is held and the zone named; the zone serves on by the last
-// manifest. The operator commits again with the zone left out, in place of the
-// held one; that comes into force, and the zone takes it when it is back.
+// A zone that is cut off must hold a commit, be named in the reason, and keep its manifest,
+// until another commit that excludes the zone supersedes the held one.
 func TestCutOffZoneHoldsCommitUntilExcluded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, nodes := threeZones(t)
@@ -116,7 +113,7 @@
 		}
 		request := proposeRequest("c3", 1, manifestText(70000, "south-c"))
 		if _, err := nodes[0].Propose(t.Context(), request); !garnetworks.IsKind(err, garnetworks.KindConflict) {
-			t.Errorf("a second commit beside the held one gives %v", err)
+			t.Errorf("a second commit besides the held one returns %v", err)
 		}
 		request.Supersedes = "c2"
 		if _, err := nodes[0].Propose(t.Context(), request); err != nil {
@@ -128,7 +125,7 @@
 			t.Errorf("the superseded commit names %q as the winner", old.Winner.CommitID)
 		}
 		if m, _ := nodes[4].Manifest(); m.Generation != 1 {
-			t.Errorf("the zone that is cut off decides by generation %d, want 1", m.Generation)
+			t.Errorf("the zone that is cut off applies generation %d, want 1", m.Generation)
 		}
 		s.cutOff("south-c", false)
 		for range 4 {
@@ -136,7 +133,7 @@
 			s.gossip()
 		}
 		if m, _ := nodes[4].Manifest(); m.Generation != 2 {
-			t.Errorf("the zone that is back decides by generation %d, want 2", m.Generation)
+			t.Errorf("the reconnected zone applies generation %d, want 2", m.Generation)
 		}
 	})
 }
@@ -146,26 +143,24 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// An operator commits; the write takes effect, but its answer is lost. The
-// operator must not be told "failed", since the manifest comes into force, and
-// asking again must not commit a second time. Reads after the lost answer can be
-// behind or fail as well.
+// A commit whose response is lost must not be reported as failed, since it comes into force,
+// and repeating the request must not commit twice, even with stale or failing reads.
 func TestCommitResponseLost(t *testing.T) {
 	cases := map[string]struct {
 		lostResponses, staleAfter, staleBy int
 		outage                             time.Duration
-		// unsynced makes the commit go through a node that knows no generation.
+		// unsynced sends the commit to a node that knows no generation.
 		unsynced bool
 		want     garnetworks.Kind
 	}{
-		"answered":                {},
-		"lost":                    {lostResponses: 1},
-		"lost, read behind":       {lostResponses: 1, staleAfter: 2, staleBy: 1},
-		"lost, read far behind":   {lostResponses: 1, staleAfter: 2, staleBy: 2},
-		"lost, reads stay behind": {lostResponses: 1, staleAfter: 100, staleBy: 2, want: garnetworks.KindOutcomeUnknown},
-		"lost again and again":    {lostResponses: 3, staleAfter: 1, staleBy: 1},
-		"at a new node":           {lostResponses: 1, staleAfter: 2, staleBy: 2, unsynced: true},
-		"lost, then an outage":    {outage: time.Minute, want: garnetworks.KindOutcomeUnknown},
+		"answered":               {},
+		"lost":                   {lostResponses: 1},
+		"lost, stale read":       {lostResponses: 1, staleAfter: 2, staleBy: 1},
+		"lost, very stale read":  {lostResponses: 1, staleAfter: 2, staleBy: 2},
+		"lost, reads stay stale": {lostResponses: 1, staleAfter: 100, staleBy: 2, want: garnetworks.KindOutcomeUnknown},
+		"lost repeatedly":        {lostResponses: 3, staleAfter: 1, staleBy: 1},
+		"at a new node":          {lostResponses: 1, staleAfter: 2, staleBy: 2, unsynced: true},
+		"lost, then an outage":   {outage: time.Minute, want: garnetworks.KindOutcomeUnknown},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -185,14 +180,14 @@
 				api.lostResponses, api.staleAfter, api.staleBy, api.outage = c.lostResponses, c.staleAfter, c.staleBy, c.outage
 				_, err := at.Propose(t.Context(), proposeRequest("c1", 2, manifestText(80000)))
 				if got := garnetworks.KindOf(err); got != c.want {
-					t.Fatalf("the commit is answered %v, want kind %q", err, c.want)
+					t.Fatalf("the commit returns %v, want kind %q", err, c.want)
 				}
 				time.Sleep(2 * time.Minute)
 				api.mu.Lock()
 				api.staleReads = 0
 				api.mu.Unlock()
 				if _, err := at.Propose(t.Context(), proposeRequest("c1", 2, manifestText(80000))); err != nil {
-					t.Errorf("asked again, the commit is answered %v", err)
+					t.Errorf("the repeated commit returns %v", err)
 				}
 				p := await(t, nodes[3], "c1", garnetworks.CommitInForce, time.Second)
 				heads := s.heads(t)
@@ -205,8 +200,8 @@
 	}
 }
 
-// TestCostOfCommit counts what a commit costs as the site grows: the object API
-// must see calls by zone, not by node.
+// TestCostOfCommit checks that the writes to the object API per commit do not grow with the
+// number of nodes of a zone.
 func TestCostOfCommit(t *testing.T) {
 	const zones = 3
 	writes := map[int]uint64{}
@@ -239,9 +234,8 @@
 	}
 }
 
-// A node starts in a zone that is cut off, or during an outage of the object API.
-// It must learn the newest generation from a peer, and without one it must not
-// decide by anything: its manifest could be one that was replaced long ago.
+// A node that starts during a partition or an outage must get the newest generation from a
+// peer, and apply none without a peer: its manifest could be long replaced.
 func TestNewNodeLearnsBeforeItDecides(t *testing.T) {
 	cases := map[string]struct {
 		cut    bool
@@ -249,10 +243,10 @@
 		alone  bool
 		synced bool
 	}{
-		"healthy":               {synced: true},
-		"outage":                {outage: true, synced: true},
-		"cut off with a peer":   {cut: true, synced: true},
-		"cut off, first of all": {cut: true, alone: true},
+		"healthy":                {synced: true},
+		"outage":                 {outage: true, synced: true},
+		"cut off with a peer":    {cut: true, synced: true},
+		"cut off without a peer": {cut: true, alone: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -274,7 +268,7 @@
 					stopped.OnUpdate(u)
 				}
 				if _, known := stopped.Manifest(); known {
-					t.Error("a node that has asked nobody decides by what it was told")
+					t.Error("a node that has not queried its peers has applied an update")
 				}
 				fresh := s.start("south-c-9", "south-c")
 				time.Sleep(5 * time.Second)
@@ -283,17 +277,15 @@
 					t.Errorf("manifest %v, status %+v, want synced: %v", known, fresh.Status(), c.synced)
 				}
 				if known && m.Generation != 1 {
-					t.Errorf("the node decides by generation %d", m.Generation)
+					t.Errorf("the node applies generation %d", m.Generation)
 				}
 			})
 		})
 	}
 }
 
-// The platform puts an older copy of the object API's data back. Nodes must keep
-// the manifest that they have, a node that starts must learn it from them, and
-// commits must be refused with that cause: accepted, they would give a generation
-// a second meaning.
+// After the object API was restored from an older copy, nodes must keep their manifest and
+// pass it to new nodes, and refuse commits, which would give a generation a second meaning.
 func TestObjectAPIRestoredFromOlderCopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, nodes := threeZones(t)
@@ -318,17 +310,17 @@
 		time.Sleep(time.Second)
 		_, err = nodes[2].Propose(t.Context(), proposeRequest("c2", 2, manifestText(80000)))
 		if !garnetworks.IsKind(err, garnetworks.KindStaleGeneration) || !strings.Contains(err.Error(), "went back") {
-			t.Errorf("the commit is answered %v", err)
+			t.Errorf("the commit returns %v", err)
 		}
 		nodes = append(nodes, s.start("south-a-9", "south-a"))
 		time.Sleep(5 * time.Second)
 		for _, n := range nodes {
 			if m, ok := n.Manifest(); !ok || m.Generation != 2 {
-				t.Errorf("node %s does not decide by generation 2", n.info.ID)
+				t.Errorf("node %s has not applied generation 2", n.info.ID)
 			}
 		}
 		if !nodes[0].Status().ObjectAPIStale {
-			t.Error("a node that watches the object API does not say that it went back")
+			t.Error("a node that watches the object API does not report it as stale")
 		}
 	})
 }
@@ -338,7 +330,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, nodes := threeZones(t)
 		defer s.haltAll()
-		// Both look at the head before one of them writes it.
+		// Both read the head before either writes it.
 		nodes[2].view.SetFaults(faker.FaultPlan{Delay: 500 * time.Millisecond, Methods: []string{faker.MethodPut}})
 		lost := make(chan error)
 		go func() {
@@ -350,7 +342,7 @@
 			t.Fatal(err)
 		}
 		if err := <-lost; !garnetworks.IsKind(err, garnetworks.KindStaleGeneration) || !strings.Contains(err.Error(), "winner") {
-			t.Errorf("the loser is answered %v", err)
+			t.Errorf("the loser gets %v", err)
 		}
 		if _, err := s.objects.Get(t.Context(), committer.BodyKey("loser")); !garnetworks.IsKind(err, garnetworks.KindNotFound) {
 			t.Errorf("the loser's manifest is still stored (%v)", err)
@@ -358,10 +350,8 @@
 	})
 }
 
-// A node of a newer program proposes a manifest that this program does not know,
-// and dies. The others must end the proposal and say why; left pending, it would
-// stand in the way of every later commit, and applied in part it would be another
-// manifest.
+// A proposal in a newer format, whose proposer is gone, must be refused with the reason.
+// Left pending, it would block every later commit.
 func TestManifestOfNewerProgramIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, nodes := threeZones(t)
--- a/committer/head.go
+++ b/committer/head.go
@@ -9,45 +9,44 @@
 )
 
 const (
-	// HeadKey is the key of the head.
+	// HeadKey is the object key of the head.
 	HeadKey = "manifest/head"
-	// bodyPrefix begins the keys of manifests; the commit identifier follows.
+	// bodyPrefix is the key prefix of manifest bodies; the commit identifier follows.
 	bodyPrefix = "manifest/body/"
-	// maxRecentCommits is the number of accepted commits that the head tells of;
-	// the design size has 300 a day, so that an operator's program can ask for
-	// half a day.
+	// maxRecentCommits is the number of accepted commits that the head keeps, so that an
+	// operator's program can look up a commit for some hours.
 	maxRecentCommits = 150
-	// maxEndedCommits is the number of refused and superseded commits told of.
+	// maxEndedCommits is the number of refused and superseded commits that the head keeps.
 	maxEndedCommits = 50
 )
 
-// BodyKey returns the key of a commit's manifest.
+// BodyKey returns the object key of a commit's manifest.
 func BodyKey(commitID string) string { return bodyPrefix + commitID }
 
-// Head is the aggregate that decides which manifest is accepted. Its methods
-// return a changed copy and leave the receiver as it is.
+// Head is the aggregate that decides which manifest is accepted. Its methods return a
+// changed copy and do not modify the receiver.
 type Head struct {
-	// Accepted is the commit of the newest generation; zero before the first.
-	// Its Generation only grows, by one.
+	// Accepted is the commit of the newest generation; zero before the first. Its
+	// Generation grows by one at a time and never decreases.
 	Accepted garnetworks.CommitRecord `json:"accepted"`
 	// Hash is the SHA-256 of the accepted manifest's body, in hexadecimal.
 	Hash string `json:"hash"`
-	// Proposals counts the proposals ever made; it only grows.
+	// Proposals is the number of proposals made so far; it never decreases.
 	Proposals uint64 `json:"proposals"`
-	// Pending is the proposal that may become the next generation, or nil. Its
-	// Base is Accepted.Generation.
+	// Pending is the proposal that may become the next generation, or nil. Its Base is
+	// Accepted.Generation.
 	Pending *Proposal `json:"pending,omitempty"`
-	// Recent are the last accepted commits, oldest first; the last is Accepted.
+	// Recent are the last accepted commits, oldest first; the last one is Accepted.
 	Recent []garnetworks.CommitRecord `json:"recent,omitempty"`
-	// Ended are the last commits that were not accepted, oldest first.
+	// Ended are the last commits that were refused or superseded, oldest first.
 	Ended []EndedProposal `json:"ended,omitempty"`
 	// Garbage are commits whose bodies may be deleted.
 	Garbage []string `json:"garbage,omitempty"`
 }
 
-// Proposal is a commit that waits for its acceptance.
+// Proposal is a commit that has not been accepted yet.
 type Proposal struct {
-	// Number counts proposals from 1.
+	// Number numbers the proposals from 1.
 	Number   uint64                 `json:"number"`
 	CommitID string                 `json:"commit-id"`
 	Operator string                 `json:"operator"`
@@ -57,7 +56,7 @@
 	At   time.Time `json:"at"`
 }
 
-// EndedProposal is a commit that was not accepted and never will be.
+// EndedProposal is a commit that was refused or superseded; it is never accepted.
 type EndedProposal struct {
 	Proposal
 	// State is garnetworks.CommitRefused or garnetworks.CommitSuperseded.
@@ -65,20 +64,20 @@
 	Reason string                  `json:"reason"`
 }
 
-// decodeHead returns the head that an object holds.
+// decodeHead decodes a stored head.
 func decodeHead(value []byte) (Head, error) {
 	var h Head
 	err := json.Unmarshal(value, &h)
 	return h, garnetworks.WrapError(garnetworks.KindInternal, err, "the object "+HeadKey+" is damaged")
 }
 
-// encode returns the head as it is stored. Its fields always encode.
+// encode returns the head as it is stored; encoding can't fail.
 func (h Head) encode() []byte {
 	body, _ := json.Marshal(h)
 	return body
 }
 
-// Progress returns what the head knows of a commit.
+// Progress returns the progress of a commit, or false if the head does not record it.
 func (h Head) Progress(commitID string) (garnetworks.CommitProgress, bool) {
 	for _, r := range h.Recent {
 		if r.CommitID == commitID {
@@ -99,8 +98,8 @@
 	return garnetworks.CommitProgress{}, false
 }
 
-// winner returns the commit that was accepted on a base, if the head still
-// tells of it.
+// winner returns the commit that was accepted on a base, or zero if the head no longer
+// records it.
 func (h Head) winner(base garnetworks.Generation) garnetworks.CommitRecord {
 	for _, r := range h.Recent {
 		if r.Generation == base+1 {
@@ -132,10 +131,10 @@
 	}
 }
 
-// Propose makes p the pending proposal (rule M1). It refuses a stale base with
-// KindStaleGeneration, one that there is not yet with KindInvalidRequest, one
-// older than the history with KindOutcomeUnknown, and with KindConflict a
-// pending commit that supersedes does not name.
+// Propose makes p the pending proposal (rule M1). It returns KindStaleGeneration if the base
+// is not the newest generation, KindInvalidRequest if it does not exist yet,
+// KindOutcomeUnknown if it is older than the recorded history, and KindConflict if a
+// commit other than supersedes is pending.
 func (h Head) Propose(p Proposal, supersedes string) (Head, error) {
 	if p.Base != h.Accepted.Generation {
 		return h, h.staleBaseError(p.Base)
@@ -153,8 +152,8 @@
 	return h, nil
 }
 
-// stale returns the error for a commit on a base that is not the newest
-// generation: it names who won.
+// staleBaseError returns the error for a base that is not the newest generation; it names
+// the winner.
 func (h Head) staleBaseError(base garnetworks.Generation) error {
 	if base > h.Accepted.Generation {
 		return garnetworks.Errorf(garnetworks.KindInvalidRequest,
@@ -165,15 +164,15 @@
 			"generation %d was made from generation %d first, by %s with commit %s; the newest is generation %d",
 			w.Generation, base, w.Operator, w.CommitID, h.Accepted.Generation)
 	}
-	// The commit may be one that was accepted long ago and is sent again, so
-	// nothing may be said of its fate (rule M3).
+	// The commit may have been accepted long ago and be repeated now, so its outcome is
+	// unknown (rule M3).
 	return garnetworks.Errorf(garnetworks.KindOutcomeUnknown,
 		"what was made from generation %d is older than the history that is kept; the newest is %d, by %s with commit %s",
 		base, h.Accepted.Generation, h.Accepted.Operator, h.Accepted.CommitID)
 }
 
-// Accept makes the pending proposal the newest generation; false if it is not
-// the one with the number.
+// Accept makes the pending proposal the newest generation. It returns false if the pending
+// proposal does not have the number.
 func (h Head) Accept(number uint64, now time.Time) (Head, bool) {
 	p := h.Pending
 	if p == nil || p.Number != number || p.Base != h.Accepted.Generation {
@@ -189,7 +188,7 @@
 	return h, true
 }
 
-// Refuse ends the pending proposal; false if it is not the one with the number.
+// Refuse ends the pending proposal. It returns false if that does not have the number.
 func (h Head) Refuse(number uint64, reason string) (Head, bool) {
 	if h.Pending == nil || h.Pending.Number != number {
 		return h, false
@@ -197,7 +196,7 @@
 	return h.endPending(garnetworks.CommitRefused, reason), true
 }
 
-// end moves the pending proposal to the ended ones.
+// endPending moves the pending proposal to the ended ones.
 func (h Head) endPending(state garnetworks.CommitState, reason string) Head {
 	ended := EndedProposal{Proposal: *h.Pending, State: state, Reason: reason}
 	h.Ended = tail(append(slices.Clone(h.Ended), ended), maxEndedCommits)
@@ -206,13 +205,13 @@
 	return h
 }
 
-// WithoutGarbage returns the head without the commits whose bodies are gone.
+// WithoutGarbage returns the head without the garbage whose bodies were deleted.
 func (h Head) WithoutGarbage(deleted []string) Head {
 	h.Garbage = slices.DeleteFunc(slices.Clone(h.Garbage), func(id string) bool { return slices.Contains(deleted, id) })
 	return h
 }
 
-// tail returns the last n values.
+// tail returns the last n values, or all if there are fewer.
 func tail[T any](values []T, n int) []T {
 	return values[max(0, len(values)-n):]
 }
--- a/committer/machine_test.go
+++ b/committer/machine_test.go
@@ -15,51 +15,52 @@
 	"github.com/garnetworks/garnetworks/faker"
 )
 
-// commit is what the oracle knows of one commit identifier.
+// commit is what the oracle knows about one commit identifier.
 type commit struct {
 	request *garnetworks.ProposeRequest
-	// leftOut are the zones that the manifest leaves out.
+	// excluded are the zones that the manifest excludes.
 	excluded garnetworks.Set[garnetworks.ZoneID]
-	// hoped says that a request was answered with success or "unknown": only
-	// then may the commit be accepted.
+	// mayBeAccepted says that a request returned success or "unknown"; only then may the
+	// commit be accepted.
 	mayBeAccepted bool
-	// denied is an answer that says that the commit never is accepted.
+	// finalRefusal is a response after which the commit must never be accepted.
 	finalRefusal string
-	// cutAll are the zones that were cut off ever since the first request.
+	// cutThroughout are the zones that have been cut off since the first request.
 	cutThroughout garnetworks.Set[garnetworks.ZoneID]
 }
 
-// machine drives a site with faults and compares it with the oracle: the
-// sequence of heads in the object API, which the machine reads without faults.
+// machine runs random commits and faults on a site and compares it with the oracle: the
+// sequence of heads in the object API, which it reads without faults. The oracle's rules:
+//
+//	O1  A process never applies a lower generation than before.
+//	O2  Each generation is the same commit at every process, and heads advance
+//	    by one generation at a time.
+//	O3  A commit is accepted at most once. It is never accepted after a final
+//	    refusal, or if each of its requests returned "nothing was written".
+//	O4  Only the commit that has the generation is reported as accepted or in
+//	    force.
+//	O5  When a generation is reported as in force, every ready process of a zone
+//	    that is not excluded has applied it or a higher one.
+//	O6  No commit is accepted while a zone that it does not exclude has been cut
+//	    off since the first request for it.
+//	O7  After all faults have ended, every process applies the newest generation,
+//	    and no commit stays pending.
 type machine struct {
 	*site
 	t       *testing.T
 	once    *sync.Once
 	commits map[string]*commit
-	// accepted is the commit of each generation, as the heads tell.
+	// accepted is the commit of each generation according to the heads.
 	accepted map[garnetworks.Generation]string
-	// highest is the highest generation seen at each process.
+	// highest is the highest generation applied by each process.
 	highest map[*node]garnetworks.Generation
-	// claimed is the highest generation that a process has called in force.
+	// inForce is the highest generation that each process has reported as in force.
 	inForce map[*node]garnetworks.Generation
 	dead    []*node
 }
 
-// The oracle's rules:
-//
-//	O1  A process never decides by a lower generation than before.
-//	O2  Each generation is one commit at every process, and heads go up by one
-//	    generation at a time.
-//	O3  A commit is accepted at most once; one that was denied, never; one whose
-//	    every request was answered "nothing was written", never.
-//	O4  "Accepted" and "in force" are said of the commit that has the
-//	    generation.
-//	O5  When a generation is called in force, every process that is ready, of a
-//	    zone that it does not leave out, decides by it or a higher one.
-//	O6  No commit is accepted while a zone that it does not leave out has been
-//	    cut off ever since it was first asked for.
-//	O7  Once all faults are over, every process comes to the newest generation,
-//	    and no commit stays pending.
+// Random commits, restarts, partitions and object API faults must keep the rules O1 to O7
+// of machine.
 func TestOperatorsNodesAndFaults(outer *testing.T) {
 	var once sync.Once
 	rapid.Check(outer, func(rt *rapid.T) {
@@ -81,8 +82,8 @@
 	})
 }
 
-// inBubble runs a case of a property with a clock of its own. The property's
-// failures are panics, which must not end in the bubble's goroutine.
+// inBubble runs a case of a property in a synctest bubble. A failing property panics; the
+// panic is passed on outside of the bubble, whose goroutine it must not end.
 func inBubble(t *testing.T, run func(*testing.T)) {
 	var failure any
 	synctest.Test(t, func(t *testing.T) {
@@ -115,8 +116,8 @@
 	}
 }
 
-// fail ends the case and keeps its reason: a case whose goroutines run in another
-// order when it is repeated is reported without it.
+// fail ends the case and logs the first failure: if a case fails differently when rapid
+// repeats it, rapid reports it without the reason.
 func (m *machine) fail(rt *rapid.T, format string, args ...any) {
 	m.once.Do(func() { m.t.Logf("first failure: "+format, args...) })
 	rt.Fatalf(format, args...)
@@ -130,7 +131,7 @@
 	return nodes[rapid.IntRange(0, len(nodes)-1).Draw(rt, "node")]
 }
 
-// commit sends one or two operators' commits to nodes at once.
+// commit sends the commits of one or two operators to nodes concurrently.
 func (m *machine) commit(rt *rapid.T) {
 	n := rapid.IntRange(1, 2).Draw(rt, "operators")
 	done := make(chan struct{})
@@ -147,7 +148,7 @@
 	}
 }
 
-// draw returns a new commit on the newest generation, or near it.
+// drawCommit returns a new commit on the newest generation or another base.
 func (m *machine) drawCommit(rt *rapid.T) *commit {
 	number := len(m.commits) + 1
 	heads := m.heads(rt)
@@ -178,7 +179,7 @@
 	return c
 }
 
-// ask sends a commit's request and takes the answer down.
+// sendCommit sends a commit's request and records the response.
 func (m *machine) sendCommit(rt *rapid.T, at *node, c *commit) {
 	response, err := at.Propose(m.ctx, c.request)
 	m.mu.Lock()
@@ -254,7 +255,7 @@
 	}
 }
 
-// objectFaults changes what one node meets at the object API.
+// objectFaults changes the faults of one node's access to the object API.
 func (m *machine) objectFaults(rt *rapid.T) {
 	n := m.pickNode(rt)
 	if m.partitioned.Has(n.info.Zone) {
@@ -281,8 +282,7 @@
 	n.api.staleBy = rapid.IntRange(1, 4).Draw(rt, "back")
 }
 
-// outageAfterWrite makes a node's next write of the head the last call that
-// gets through for some time.
+// outageAfterWrite starts an outage for a node after its next write of the head.
 func (m *machine) outageAfterWrite(rt *rapid.T) {
 	n := m.pickNode(rt)
 	n.api.mu.Lock()
@@ -296,7 +296,7 @@
 	m.dropping = rapid.IntRange(1, 10).Draw(rt, "updates")
 }
 
-// oldUpdate brings a node, past its distributor, what another one holds.
+// oldUpdate passes one node's updates to another without the version check of receive.
 func (m *machine) oldUpdate(rt *rapid.T) {
 	from, to := m.pickNode(rt), m.pickNode(rt)
 	for _, u := range from.updates() {
@@ -314,7 +314,7 @@
 	m.checkProgress(rt)
 }
 
-// checkHeads keeps O2, O3 and O6.
+// checkHeads checks O2, O3 and O6.
 func (m *machine) checkHeads(rt *rapid.T) {
 	newest := garnetworks.Generation(0)
 	seen := map[string]garnetworks.Generation{}
@@ -355,7 +355,7 @@
 	}
 }
 
-// checkNode keeps O1, O2 and O5.
+// checkNode checks O1, O2 and O5.
 func (m *machine) checkNode(rt *rapid.T, n *node) {
 	generation := garnetworks.Generation(0)
 	if manifest, ok := n.Manifest(); ok {
@@ -379,13 +379,13 @@
 	for _, other := range m.running() {
 		status := other.Status()
 		if status.Synced && status.Applied < claim && !excluded.Has(other.info.Zone) {
-			m.fail(rt, "O5: node %s calls generation %d in force, but %s (process %d) is ready with %d",
+			m.fail(rt, "O5: node %s reports generation %d as in force, but %s (process %d) is ready with %d",
 				n.info.ID, claim, other.info.ID, other.info.Incarnation, status.Applied)
 		}
 	}
 }
 
-// checkProgress keeps O4 and takes down what is denied.
+// checkProgress checks O4 and records final refusals.
 func (m *machine) checkProgress(rt *rapid.T) {
 	nodes := m.running()
 	for i, id := range m.ids() {
@@ -399,7 +399,7 @@
 		case garnetworks.CommitAccepted, garnetworks.CommitInForce:
 			m.checkHeads(rt)
 			if m.accepted[p.Generation] != id {
-				m.fail(rt, "O4: commit %s is called %s as generation %d, which is %q", id, p.State, p.Generation, m.accepted[p.Generation])
+				m.fail(rt, "O4: commit %s is reported as %s with generation %d, which is %q", id, p.State, p.Generation, m.accepted[p.Generation])
 			}
 		case garnetworks.CommitRefused, garnetworks.CommitSuperseded:
 			m.mu.Lock()
@@ -409,7 +409,7 @@
 	}
 }
 
-// ids returns the last commits; earlier ones don't change any more.
+// ids returns the latest commits; earlier ones no longer change.
 func (m *machine) ids() []string {
 	var ids []string
 	for i := max(1, len(m.commits)-5); i <= len(m.commits); i++ {
@@ -418,7 +418,7 @@
 	return ids
 }
 
-// settle ends all faults and keeps O7.
+// settle ends all faults and checks O7.
 func (m *machine) settle(rt *rapid.T) {
 	for _, n := range m.dead {
 		m.evict(n)
--- a/committer/message.go
+++ b/committer/message.go
@@ -13,16 +13,16 @@
 	"github.com/garnetworks/garnetworks/parser"
 )
 
-// proposalMessage is the body of garnetworks.TopicProposal. The manifest stays
-// as it was written until it is judged, so that a manifest from a newer program
-// still reaches the node that has to refuse it.
+// proposalMessage is the body of garnetworks.TopicProposal. The manifest is decoded only
+// when the proposal is evaluated, so that a node which can't decode a newer format still
+// receives the proposal and can refuse it.
 type proposalMessage struct {
 	Proposal
 	Manifest json.RawMessage `json:"manifest"`
 }
 
 // acceptedMessage is the body of garnetworks.TopicManifest. It has the fields of
-// garnetworks.AcceptedManifest.
+// garnetworks.AcceptedManifest, with the manifest not yet decoded.
 type acceptedMessage struct {
 	Generation garnetworks.Generation     `json:"generation"`
 	CommitID   string                     `json:"commit-id"`
@@ -32,7 +32,7 @@
 	Recent     []garnetworks.CommitRecord `json:"recent,omitempty"`
 }
 
-// decode returns the accepted manifest, or why this program can't read it.
+// decode returns the accepted manifest, or an error if this program can't decode it.
 func (m *acceptedMessage) decode() (*garnetworks.AcceptedManifest, error) {
 	manifest, err := parser.Decode(m.Manifest)
 	if err != nil {
@@ -48,7 +48,7 @@
 	}, nil
 }
 
-// update returns the message as an update; its fields always encode.
+// update returns the message as an update; encoding can't fail.
 func (m *acceptedMessage) update() garnetworks.Update {
 	body, _ := json.Marshal(m)
 	return garnetworks.Update{
@@ -67,13 +67,13 @@
 	}
 }
 
-// hashOf returns the hash by which the head names a body.
+// hashOf returns the hash of a manifest body, as recorded in the head.
 func hashOf(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:])
 }
 
-// compareReports orders reports of one node by age.
+// compareReports compares two reports of one node by how recent they are.
 func compareReports(a, b garnetworks.NodeReport) int {
 	return cmp.Or(
 		cmp.Compare(a.Incarnation, b.Incarnation),
@@ -82,14 +82,14 @@
 	)
 }
 
-// reports are the newest reports of a zone's nodes. Joining two of them is
-// commutative, associative and idempotent, so that it does not matter who joins
-// which, how often and in which order (rule M8).
+// reports holds the newest report of each node of a zone. Merging is commutative,
+// associative and idempotent, so that the order and number of merges do not matter (rule
+// M8).
 type reports map[garnetworks.NodeID]garnetworks.NodeReport
 
-// add joins one report and tells whether it brought something new. Of one
-// incarnation, proposals and generations are joined each by itself: a node that
-// applies a generation has not forgotten what it staged.
+// merge merges a report and reports whether it changed anything. Within an incarnation,
+// proposal and applied generation are merged independently, because a node that applies a
+// generation keeps the proposal that it staged.
 func (r reports) merge(report garnetworks.NodeReport) bool {
 	known, ok := r[report.Node]
 	if !ok || report.Incarnation > known.Incarnation {
@@ -110,7 +110,7 @@
 	return compareReports(known, merged) != 0
 }
 
-// lacks reports whether joining report would bring something new.
+// wouldChange reports whether merging the report would change anything.
 func (r reports) wouldChange(report garnetworks.NodeReport) bool {
 	known, ok := r[report.Node]
 	if !ok {
@@ -122,7 +122,7 @@
 	return report.Proposal > known.Proposal || report.Applied > known.Applied
 }
 
-// sorted returns the reports by node.
+// sorted returns the reports sorted by node.
 func (r reports) sorted() []garnetworks.NodeReport {
 	list := make([]garnetworks.NodeReport, 0, len(r))
 	for _, report := range r {
@@ -132,9 +132,9 @@
 	return list
 }
 
-// nextVersion returns a version above after. Two nodes that publish at once
-// would otherwise give one version to two bodies, and half of the nodes would
-// keep the one, half the other.
+// nextVersion returns a version above after that contains a hash of the node's name. If two
+// nodes published different bodies at once under one version, the other nodes would keep
+// whichever arrived first.
 func nextVersion(after garnetworks.UpdateVersion, node garnetworks.NodeID) garnetworks.UpdateVersion {
 	const tagBits = 16
 	h := fnv.New32a()
--- a/committer/progress.go
+++ b/committer/progress.go
@@ -10,9 +10,9 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Progress tells how a commit stands as far as this node knows; an empty
-// identifier asks for the newest one. The second result says that only the head
-// can tell: the commit is unknown here, or it may have ended meanwhile.
+// Progress returns the progress of a commit as this node knows it; an empty identifier means
+// the newest commit. askHead is set if only the head has the answer, because the commit is
+// unknown here or may have ended in the meantime.
 func (s *State) Progress(commitID string, now time.Time) (progress garnetworks.CommitProgress, askHead bool) {
 	if s.staged != nil && s.pending() && (commitID == "" || commitID == s.staged.CommitID) {
 		return s.pendingProgress(now)
@@ -34,7 +34,7 @@
 	}, true
 }
 
-// replacedProgress tells of a commit that was accepted and has a successor.
+// replacedProgress returns the progress of an accepted commit that has a successor.
 func replacedProgress(r garnetworks.CommitRecord, newest *garnetworks.AcceptedManifest) garnetworks.CommitProgress {
 	p := acceptedProgress(r)
 	p.Reason = "a later generation has taken its place"
@@ -55,7 +55,7 @@
 	if reason := heldReason(p.Zones); reason != "" && old {
 		p.State, p.Reason = garnetworks.CommitHeld, reason
 	}
-	// One that waits for long may have been refused or superseded unseen.
+	// A proposal that has been pending for long may have ended without this node's knowledge.
 	return p, old
 }
 
@@ -74,8 +74,8 @@
 	return p
 }
 
-// zoneProgresses tells how far each zone is with a proposal and the
-// generation that it becomes.
+// zoneProgresses returns the progress of each zone with a proposal and the generation that
+// it becomes, sorted by zone.
 func (s *State) zoneProgresses(specs []garnetworks.ZoneSpec, number uint64, generation garnetworks.Generation) []garnetworks.ZoneProgress {
 	zones := make([]garnetworks.ZoneProgress, 0, len(specs))
 	for _, spec := range specs {
@@ -105,13 +105,13 @@
 	return p
 }
 
-// heldReason names the zones and nodes that hold a proposal, or "".
+// heldReason names the zones and nodes that have not staged a proposal, or returns "".
 func heldReason(zones []garnetworks.ZoneProgress) string {
 	return describeMissing(zones, "staged", func(z garnetworks.ZoneProgress) []garnetworks.NodeID { return z.Unstaged })
 }
 
-// unappliedReason names the zones and nodes that have yet to confirm a generation,
-// or "".
+// unappliedReason names the zones and nodes that have not confirmed a generation, or
+// returns "".
 func unappliedReason(zones []garnetworks.ZoneProgress) string {
 	return describeMissing(zones, "confirmed", func(z garnetworks.ZoneProgress) []garnetworks.NodeID { return z.Unapplied })
 }
--- a/committer/see.go
+++ b/committer/see.go
@@ -9,13 +9,13 @@
 	"github.com/garnetworks/garnetworks/parser"
 )
 
-// ObserveIncarnation takes the incarnation under which the node has joined.
+// ObserveIncarnation handles the incarnation under which the node has joined.
 func (s *State) ObserveIncarnation(incarnation uint64) {
 	s.self.Incarnation = max(s.self.Incarnation, incarnation)
 }
 
-// ObserveRosters takes the rosters that the node knows; an older version of a
-// zone's roster is ignored.
+// ObserveRosters handles the rosters that the node knows; a zone's older versions are
+// ignored.
 func (s *State) ObserveRosters(rosters []garnetworks.Roster) {
 	for _, r := range rosters {
 		if z := s.zone(r.Zone); r.Version >= z.roster.Version {
@@ -24,8 +24,8 @@
 	}
 }
 
-// ObserveHead takes the head as read at a revision. An older revision is a stale
-// read or a late watch and is ignored.
+// ObserveHead handles a head and its revision. An older revision comes from a stale read or
+// a delayed watch and is ignored.
 func (s *State) ObserveHead(head Head, revision garnetworks.Revision, now time.Time) {
 	if revision <= s.revision {
 		return
@@ -37,8 +37,7 @@
 			fmt.Sprintf("nodes decide by generation %d", s.Applied()))
 	}
 	s.headStale = behind
-	// The staged proposal may be the one that is accepted now: then its body is
-	// here already.
+	// If the accepted commit is the staged proposal, its body is already known.
 	if s.staged != nil && s.staged.CommitID == head.Accepted.CommitID && s.staged.Hash == head.Hash {
 		s.applyAccepted(&acceptedMessage{
 			Generation: head.Accepted.Generation,
@@ -52,7 +51,7 @@
 	s.updateRelays(now)
 }
 
-// updateRelays notes what the distribution has yet to bring.
+// updateRelays records which values known from the object API have not been published yet.
 func (s *State) updateRelays(now time.Time) {
 	if s.message != nil {
 		s.updateRelay(garnetworks.TopicManifest, uint64(s.message.Generation), now)
@@ -72,8 +71,8 @@
 	}
 }
 
-// ObserveBody takes a commit's manifest as read from the object API; a body that is
-// not the one that the head names is ignored.
+// ObserveBody handles a manifest body read from the object API. A body whose hash differs
+// from the one in the head is ignored.
 func (s *State) ObserveBody(commitID string, body []byte, now time.Time) {
 	hash := hashOf(body)
 	if s.head.Accepted.CommitID == commitID && s.head.Hash == hash {
@@ -88,16 +87,16 @@
 	s.updateRelays(now)
 }
 
-// ObserveOwnProposal takes a proposal that came in through this node.
+// ObserveOwnProposal handles a proposal that was proposed through this node.
 func (s *State) ObserveOwnProposal(p Proposal, body []byte, now time.Time) {
 	s.ownProposal = max(s.ownProposal, p.Number)
 	s.evaluate(proposalMessage{Proposal: p, Manifest: body}, now)
-	// Its operator waits, so it is passed on at once.
+	// The operator waits for the outcome, so it is published without the relay delay.
 	s.relaySince[garnetworks.TopicProposal] = time.Time{}
 }
 
-// ObserveOwnWrite takes the head that this node's own write made, and passes the
-// manifest on at once.
+// ObserveOwnWrite handles a head that this node has written. If its manifest has not been
+// published yet, it is published without the relay delay.
 func (s *State) ObserveOwnWrite(head Head, revision garnetworks.Revision, now time.Time) {
 	s.ObserveHead(head, revision, now)
 	if _, found := s.relaySince[garnetworks.TopicManifest]; found {
@@ -105,7 +104,7 @@
 	}
 }
 
-// ObserveUpdate takes an update from the distribution or a peer.
+// ObserveUpdate handles an update from another node.
 func (s *State) ObserveUpdate(u garnetworks.Update, now time.Time) {
 	if s.distributed[u.Topic].Less(u.Version) {
 		s.distributed[u.Topic] = u.Version
@@ -127,7 +126,7 @@
 	s.updateRelays(now)
 }
 
-// observeZoneReport takes a zone's published report.
+// observeZoneReport handles a zone's published report.
 func (s *State) observeZoneReport(u garnetworks.Update) {
 	var report garnetworks.ZoneReport
 	if json.Unmarshal(u.Body, &report) != nil || u.Topic != garnetworks.TopicStaged+garnetworks.Topic(report.Zone) {
@@ -146,15 +145,15 @@
 	}
 }
 
-// ObserveReport takes a report that another node of the zone sent.
+// ObserveReport handles a report sent by another node of a zone.
 func (s *State) ObserveReport(zone garnetworks.ZoneID, report garnetworks.NodeReport) {
 	if report.Node != s.self.Node {
 		s.zone(zone).reports.merge(report)
 	}
 }
 
-// accept applies an accepted manifest if its generation is higher than the one
-// applied (rules M2 and M10).
+// applyAccepted applies an accepted manifest if its generation is higher than the applied
+// one (rules M2 and M10).
 func (s *State) applyAccepted(m *acceptedMessage, now time.Time) {
 	if m.Generation <= s.Applied() {
 		return
@@ -171,7 +170,7 @@
 	s.addEvent(garnetworks.EventManifestAccepted, m.Generation, "", "commit "+m.CommitID+" by "+m.Operator)
 }
 
-// judge stages or refuses a proposal that is newer than the last one.
+// evaluate stages or refuses a proposal if it is newer than the last one.
 func (s *State) evaluate(m proposalMessage, now time.Time) {
 	if s.staged != nil && m.Number <= s.staged.Number {
 		return
@@ -195,8 +194,8 @@
 	s.readySince, s.decideAt = time.Time{}, time.Time{}
 }
 
-// decodeZones returns the zones that a manifest names, read without a look at the
-// rest; none if they can't be read.
+// decodeZones decodes only the zones of a manifest, so that it works for newer formats; it
+// returns nil if they can't be decoded.
 func decodeZones(body []byte) []garnetworks.ZoneSpec {
 	var m struct {
 		Site struct {
--- a/committer/site_test.go
+++ b/committer/site_test.go
@@ -13,22 +13,23 @@
 	"github.com/garnetworks/garnetworks/faker"
 )
 
-// site is a set of nodes in one process. The distribution hands each update to
-// every node that is reached, and gossip brings what was missed.
+// site is a set of nodes in one process. A published update is delivered to every reachable
+// node, unless it is dropped; gossip delivers the dropped ones.
 type site struct {
 	ctx     context.Context
 	objects *faker.Objects
 
 	mu    sync.Mutex
 	nodes map[garnetworks.NodeID]*node
-	// cut holds the zones that are cut off from the others and from the object
-	// API; rosters holds what the zone itself knows, seen what the others do.
+	// partitioned holds the zones that are cut off from other zones and the object API,
+	// rosters the rosters as the zones' own nodes know them, and visible the rosters as
+	// other zones know them.
 	partitioned garnetworks.Set[garnetworks.ZoneID]
 	rosters     map[garnetworks.ZoneID]garnetworks.Roster
 	visible     map[garnetworks.ZoneID]garnetworks.Roster
 	// starts counts the processes of each node.
 	starts map[garnetworks.NodeID]uint64
-	// losing is the number of deliveries that get lost next.
+	// dropping is the number of deliveries to drop.
 	dropping int
 	round    int
 	sent     traffic
@@ -43,7 +44,7 @@
 	return s.sent
 }
 
-// node is one process and its view of the object API.
+// node is one process and its access to the object API.
 type node struct {
 	*committer.Committer
 	info   garnetworks.NodeInfo
@@ -56,24 +57,24 @@
 	held map[garnetworks.Topic]garnetworks.Update
 }
 
-// staleReads is an object API whose next reads of the head are behind.
+// faultyAPI is an object API with stale reads and lost responses for the head.
 type faultyAPI struct {
 	garnetworks.ObjectAPI
 	objects *faker.Objects
 
 	mu sync.Mutex
-	// reads is the number of reads that are behind, by back changes.
+	// staleReads is the number of reads to answer with the value from staleBy changes ago.
 	staleReads, staleBy int
-	// outage says that the next write of the head takes effect, and that its
-	// answer and all later calls are lost until then; zero is none.
+	// outage begins with the next write of the head, which takes effect: its response and
+	// all calls until outageEnd are lost. 0 means no outage.
 	outage    time.Duration
 	outageEnd time.Time
-	// loses is the number of writes of the head whose answers get lost, and
-	// staleAfter how many reads are behind after each of them.
+	// lostResponses is the number of writes of the head whose responses to lose, and
+	// staleAfter the number of stale reads after each of them.
 	lostResponses, staleAfter int
 }
 
-// lost returns the error of a call in an outage.
+// outageError returns the error of a call during an outage.
 func (s *faultyAPI) outageError() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,7 +139,7 @@
 	}
 }
 
-// start starts a process of a node in place of an earlier one.
+// start starts a process of a node and replaces an earlier one.
 func (s *site) start(id garnetworks.NodeID, zone garnetworks.ZoneID) *node {
 	s.mu.Lock()
 	view := s.objects.View()
@@ -170,7 +171,7 @@
 	return n
 }
 
-// setRosterRow replaces a node's row of its zone's roster.
+// setRosterRow replaces a node's rows in its zone's roster. The caller holds mu.
 func (s *site) setRosterRow(zone garnetworks.ZoneID, id garnetworks.NodeID, rows []garnetworks.NodeInfo) {
 	r := s.rosters[zone]
 	list := slices.DeleteFunc(slices.Clone(r.Nodes), func(n garnetworks.NodeInfo) bool { return n.ID == id })
@@ -182,13 +183,13 @@
 	}
 }
 
-// halt ends a process without a word; its row stays until evict.
+// halt ends a process without notice; its row stays in the roster until evict.
 func (n *node) halt() {
 	n.cancel()
 	<-n.done
 }
 
-// evict takes a dead node out of its zone's roster, as the membership does.
+// evict removes a dead node from its zone's roster, as the membership does.
 func (s *site) evict(n *node) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -204,7 +205,7 @@
 	}
 }
 
-// running returns the processes that run, by name.
+// running returns the running processes, sorted by name.
 func (s *site) running() []*node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -220,8 +221,8 @@
 	return list
 }
 
-// rostersFor returns what the nodes of a zone know: a zone that is cut off keeps
-// its own roster, and its changes don't reach the others.
+// rostersFor returns the rosters as the nodes of a zone know them. Roster changes of a zone
+// that is cut off do not reach other zones.
 func (s *site) rostersFor(zone garnetworks.ZoneID) []garnetworks.Roster {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -235,12 +236,12 @@
 	return list
 }
 
-// connected reports whether two zones reach each other.
+// connected reports whether two zones can reach each other.
 func (s *site) connected(a, b garnetworks.ZoneID) bool {
 	return a == b || !s.partitioned.Has(a) && !s.partitioned.Has(b)
 }
 
-// receive takes an update as a distributor does: only the newest version counts.
+// receive handles an update as a distributor does: only a newer version is applied.
 func (n *node) receive(u garnetworks.Update) {
 	n.mu.Lock()
 	old, ok := n.held[u.Topic]
@@ -285,8 +286,7 @@
 	}
 }
 
-// gossip lets each node take over what another one that it reaches holds, which
-// is another one each time.
+// gossip copies to each node the updates of one reachable node, a different one each time.
 func (s *site) gossip() {
 	nodes := s.running()
 	s.round++
@@ -307,8 +307,7 @@
 	}
 }
 
-// cutOff cuts a zone off from the others and from the object API, or joins it
-// again.
+// cutOff cuts a zone off from other zones and the object API, or reconnects it.
 func (s *site) cutOff(zone garnetworks.ZoneID, off bool) {
 	s.mu.Lock()
 	if off {
@@ -341,7 +340,7 @@
 	return heads
 }
 
-// caller reaches the nodes of the site by name.
+// caller calls the nodes of the site by name.
 type caller struct {
 	garnetworks.PeerCaller
 	site *site
@@ -388,7 +387,7 @@
 	return response, nil
 }
 
-// fataler is what *testing.T and *rapid.T have in common.
+// fataler is the part that *testing.T and *rapid.T have in common.
 type fataler interface {
 	Fatal(args ...any)
 }
--- a/committer/state_test.go
+++ b/committer/state_test.go
@@ -10,7 +10,7 @@
 	"github.com/garnetworks/garnetworks/parser"
 )
 
-// stagedState returns the state of node south-a-0 that has staged a proposal of the
+// stagedState returns the state of node south-a-0 after it has staged a proposal of the
 // example manifest, and the proposal.
 func stagedState(t *testing.T, now time.Time) (*committer.State, committer.Proposal) {
 	t.Helper()
@@ -28,7 +28,7 @@
 	return s, p
 }
 
-// observeZone tells the state a roster of one node and that node's report.
+// observeZone passes the state a roster of one node, and that node's report if not nil.
 func observeZone(s *committer.State, zone garnetworks.ZoneID, incarnation uint64, version uint64, report *garnetworks.ZoneReport) {
 	name := garnetworks.NodeID(zone + "-0")
 	s.ObserveRosters([]garnetworks.Roster{{
@@ -52,11 +52,8 @@
 	}}
 }
 
-// A proposal is staged by all, then something about zone south-c is not as it
-// seems: its node was replaced by a process that has staged nothing (it may be
-// an older program that can't), its roster has grown, or nobody is known there.
-// Accepting then would put a manifest in force that a live node may be unable
-// to read.
+// A proposal must not be accepted while zone south-c has a live node that may be unable to
+// read it: a replaced process, a node missing from the known roster, or no known node.
 func TestDecisionsOnAProposal(t *testing.T) {
 	accept, refuse, none := "accept", "refuse", "none"
 	cases := map[string]struct {
@@ -64,15 +61,15 @@
 		report               *garnetworks.ZoneReport
 		want                 string
 	}{
-		"staged":           {1, 2, zoneReport("south-c", 1, ""), accept},
-		"refused":          {1, 2, zoneReport("south-c", 1, "it comes from a newer program"), refuse},
-		"no report":        {1, 2, nil, none},
-		"replaced":         {2, 3, zoneReport("south-c", 1, ""), none},
-		"replacement":      {2, 3, zoneReport("south-c", 2, ""), accept},
-		"refused by gone":  {2, 3, zoneReport("south-c", 1, "it is too new"), none},
-		"older roster":     {1, 1, zoneReport("south-c", 1, ""), none},
-		"zone not known":   {0, 0, zoneReport("south-c", 1, ""), none},
-		"another proposal": {1, 2, &garnetworks.ZoneReport{Zone: "south-c", Nodes: []garnetworks.NodeReport{{Node: "south-c-0", Incarnation: 1}}}, none},
+		"staged":              {1, 2, zoneReport("south-c", 1, ""), accept},
+		"refused":             {1, 2, zoneReport("south-c", 1, "it comes from a newer program"), refuse},
+		"no report":           {1, 2, nil, none},
+		"replaced":            {2, 3, zoneReport("south-c", 1, ""), none},
+		"replacement":         {2, 3, zoneReport("south-c", 2, ""), accept},
+		"refused by replaced": {2, 3, zoneReport("south-c", 1, "it is too new"), none},
+		"older roster":        {1, 1, zoneReport("south-c", 1, ""), none},
+		"zone not known":      {0, 0, zoneReport("south-c", 1, ""), none},
+		"another proposal":    {1, 2, &garnetworks.ZoneReport{Zone: "south-c", Nodes: []garnetworks.NodeReport{{Node: "south-c-0", Incarnation: 1}}}, none},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -99,10 +96,8 @@
 	}
 }
 
-// A process starts with a clock that is behind, so its incarnation is below that
-// of the process before it; it joins under a raised one, which the roster names.
-// Its reports must carry that one, or every commit would be held by a node that
-// has staged it.
+// A process whose clock is behind joins with a higher incarnation than it started with. Its
+// reports must carry that one, or the zone would hold every commit.
 func TestReportsCarryTheIncarnationThatJoined(t *testing.T) {
 	now := time.Unix(0, 0)
 	s, _ := stagedState(t, now)
--- a/committer/step.go
+++ b/committer/step.go
@@ -7,25 +7,25 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// pending reports whether the staged proposal may still become a generation, as
-// far as the node knows.
+// pending reports whether the staged proposal may still become a generation, as far as the
+// node knows.
 func (s *State) pending() bool {
 	if s.staged == nil || s.staged.Base != s.Applied() {
 		return false
 	}
-	// A head that was read after the proposal was made knows better.
+	// A head from after the proposal was made is authoritative.
 	if s.head.Proposals >= s.staged.Number {
 		return s.head.Pending != nil && s.head.Pending.Number == s.staged.Number
 	}
 	return true
 }
 
-// Busy reports whether something will be due within a turn.
+// Busy reports whether an action will become due soon.
 func (s *State) Busy() bool {
 	return !s.zone(s.self.Zone).unpublishedSince.IsZero() || !s.readySince.IsZero() || len(s.relaySince) > 0
 }
 
-// Step returns what is to be done now.
+// Step returns the actions that are due.
 func (s *State) Step(now time.Time) []Action {
 	s.zone(s.self.Zone).reports.merge(s.report())
 	var actions []Action
@@ -42,7 +42,7 @@
 	return actions
 }
 
-// fetch asks for the bodies that the head names and the node lacks.
+// fetch returns fetches of the bodies that the head names and the node lacks.
 func (s *State) fetch(now time.Time) []Action {
 	if now.Before(s.fetchAt) {
 		return nil
@@ -60,7 +60,7 @@
 	return actions
 }
 
-// relay passes on what the object API told and the distribution did not bring.
+// relay publishes values from the object API that no other node has published in time.
 func (s *State) relay(now time.Time) []Action {
 	var actions []Action
 	wait := time.Duration(s.siteRank()) * relayDelay
@@ -82,8 +82,8 @@
 	return actions
 }
 
-// sendReport sends the node's report until the zone's published report holds
-// it, to another node of the zone each time.
+// sendReport sends the node's report until the zone's published report includes it, each
+// time to another node of the zone.
 func (s *State) sendReport(now time.Time) []Action {
 	z := s.zone(s.self.Zone)
 	if !z.published.wouldChange(s.report()) {
@@ -105,13 +105,13 @@
 	return []Action{SendReport{To: to, Report: s.report()}}
 }
 
-// ObserveReportFailure takes that a report did not reach its node.
+// ObserveReportFailure schedules the retry of a report that could not be delivered.
 func (s *State) ObserveReportFailure(now time.Time) {
 	s.reportAt = now.Add(reportRetryDelay)
 }
 
-// publishZone publishes the joined reports of the node's zone if they hold
-// something new for so long that it is this node's turn (rule M8).
+// publishZone publishes the merged report of the node's zone once it has been newer than
+// the published one for this node's delay (rule M8).
 func (s *State) publishZone(now time.Time) []Action {
 	z := s.zone(s.self.Zone)
 	live := s.live(s.self.Zone)
@@ -143,9 +143,8 @@
 	return false
 }
 
-// whole reports whether nothing more is to be waited for in a zone: all of its
-// live nodes are as far as the one that is farthest, or one of them refuses the
-// newest proposal.
+// isComplete reports whether the zone's report need not wait for further nodes: all live
+// nodes have reported the newest proposal and generation, or one refuses the proposal.
 func (s *State) isComplete(z *zoneState, live []garnetworks.NodeInfo) bool {
 	proposal, applied := uint64(0), garnetworks.Generation(0)
 	for _, n := range live {
@@ -163,7 +162,7 @@
 	return all
 }
 
-// zoneUpdate returns the zone's report as an update and takes it as published.
+// zoneUpdate returns the zone's report as an update and records it as published.
 func (s *State) zoneUpdate(z *zoneState, live []garnetworks.NodeInfo) garnetworks.Update {
 	newest := reports{}
 	for _, n := range live {
@@ -180,8 +179,8 @@
 	return garnetworks.Update{Topic: topic, Version: z.version, Body: body}
 }
 
-// decide asks for the acceptance or the end of the pending proposal once it is
-// this node's turn (rules M5 and M8).
+// decide accepts or refuses the pending proposal once this node's delay has passed (rules M5
+// and M8).
 func (s *State) decide(now time.Time) []Action {
 	if !s.pending() {
 		s.readySince = time.Time{}
@@ -211,7 +210,7 @@
 	return []Action{action}
 }
 
-// awaited returns the zones that are waited for.
+// requiredZones returns the zones that are not excluded.
 func requiredZones(specs []garnetworks.ZoneSpec) []garnetworks.ZoneID {
 	var zones []garnetworks.ZoneID
 	for _, z := range specs {
@@ -222,7 +221,7 @@
 	return zones
 }
 
-// allStaged reports whether rule M5 lets the staged proposal be accepted.
+// allStaged reports whether rule M5 allows the staged proposal to be accepted.
 func (s *State) allStaged() bool {
 	for _, id := range requiredZones(s.staged.zones) {
 		if !s.confirmed(id, s.hasStaged) {
@@ -236,9 +235,9 @@
 	return r.Proposal == s.staged.Number && r.Refusal == ""
 }
 
-// confirmed reports whether every live node of a zone has sent a report that
-// passes. A zone without known nodes has confirmed nothing (rule M6), and with
-// a roster older than the one behind the zone's report not all nodes are known.
+// confirmed reports whether every live node of a zone has sent a report for which passes
+// returns true. A zone without known nodes has confirmed nothing (rule M6), and a roster
+// older than that of the zone's published report may lack nodes.
 func (s *State) confirmed(id garnetworks.ZoneID, passes func(garnetworks.NodeReport) bool) bool {
 	z := s.zone(id)
 	live := s.live(id)
@@ -247,7 +246,7 @@
 	}
 	for _, n := range live {
 		r, ok := z.reports[n.ID]
-		// Rule M7: a report of an earlier incarnation says nothing of this one.
+		// Rule M7: a report of an earlier incarnation is not valid for this one.
 		if !ok || r.Incarnation < n.Incarnation || !passes(r) {
 			return false
 		}
@@ -255,7 +254,7 @@
 	return true
 }
 
-// refusal returns why a live node of an awaited zone refuses the staged
+// refusal returns the reason for which a live node of a required zone refuses the staged
 // proposal, or "".
 func (s *State) refusal() string {
 	for _, id := range requiredZones(s.staged.zones) {
@@ -269,7 +268,7 @@
 	return ""
 }
 
-// checkInForce notes when the applied generation has come into force (rule M7).
+// checkInForce records when the applied generation comes into force (rule M7).
 func (s *State) checkInForce(now time.Time) {
 	if s.accepted == nil || s.inForce >= s.accepted.Generation {
 		return
--- a/committer/store.go
+++ b/committer/store.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// callTimeout bounds one call to the object API.
+	// callTimeout limits the time of one call to the object API.
 	callTimeout = 3 * time.Second
-	// maxAttempts bounds the tries of one change of the head.
+	// maxAttempts limits the attempts of one write.
 	maxAttempts = 8
-	// retryDelay is between two tries after a failure.
+	// retryDelay is the delay before an attempt is repeated.
 	retryDelay = 200 * time.Millisecond
 )
 
-// store reads and changes the objects of manifests.
+// store reads and writes the head and the manifest bodies.
 type store struct {
 	api garnetworks.ObjectAPI
 }
 
-// headObject is a head at its revision; revision 0 means that there is none yet.
+// headObject is a head with its revision; revision 0 means that it does not exist yet.
 type headObject struct {
 	Head
 	revision garnetworks.Revision
 }
 
-// readHead returns the head; none is an empty one at revision 0.
+// readHead returns the head, or an empty one at revision 0 if none exists.
 func (s store) readHead(ctx context.Context) (headObject, error) {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -44,7 +44,7 @@
 	return headObject{h, object.Revision}, err
 }
 
-// readBody returns a commit's manifest as it was written.
+// readBody returns a commit's manifest body.
 func (s store) readBody(ctx context.Context, commitID string) ([]byte, error) {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -52,8 +52,8 @@
 	return object.Value, err
 }
 
-// writeBody stores a commit's manifest. A body that is there already was
-// written by an earlier try; the head's hash shows whether it is the same.
+// writeBody stores a commit's manifest body. An existing body must be the same: it is that of
+// an earlier attempt.
 func (s store) writeBody(ctx context.Context, commitID string, body []byte) error {
 	var err error
 	for range maxAttempts {
@@ -70,7 +70,7 @@
 	return err
 }
 
-// checkSameBody refuses a commit identifier that was used with another manifest.
+// checkSameBody returns KindKeyReused if the stored body differs from body.
 func (s store) checkSameBody(ctx context.Context, commitID string, body []byte) error {
 	stored, err := s.readBody(ctx, commitID)
 	if err != nil {
@@ -82,30 +82,28 @@
 	return nil
 }
 
-// errStaleHead says that the object API tells of a lower generation than nodes have
-// applied. One stale read shows so for a moment, a store that was put back to an
-// older copy for good.
+// errStaleHead says that the object API returned a lower generation than the node has
+// applied. With a stale read this passes after a moment, with an object API that was
+// restored from an older copy it does not.
 var errStaleHead = garnetworks.Errorf(garnetworks.KindStaleGeneration,
 	"the object API holds a lower generation than nodes have applied: its data went back; nothing was written")
 
-// errOutcomeUnknown says that a change of the head may have taken effect.
+// errOutcomeUnknown says that a write of the head may have taken effect.
 func errOutcomeUnknown(cause error) error {
 	return garnetworks.WrapError(garnetworks.KindOutcomeUnknown, cause,
 		"the answer to the write was lost and the object API can't be read now; ask again with the same commit identifier, it is never committed twice")
 }
 
-// change reads the head and applies edit to it by one conditional update, again
-// from the start if another writer came first. Edit returns false if nothing is
-// to be written. The result is the head that now holds the edit, or the one that
-// edit was content with.
+// updateHead reads the head and writes the result of edit by a conditional update, and starts
+// over if another writer came first. Edit returns false if nothing is to be written. The
+// result is the head that was written, or the one for which edit returned false.
 //
-// Rule M4: an answer can be lost after the write, which shows as an error that
-// is none of those that say "no effect". The next turn reads the head. If it
-// tells of the edit, edit writes nothing. If it has changed and does not tell of
-// the edit, another writer came first and the lost write can't take effect any
-// more, since it names the revision before. If it has not changed, the read may
-// be a stale one, so nothing is concluded from it: the write is tried again
-// after the same revision, and conflicts if the lost one took effect.
+// Rule M4: the response of a write can be lost after it took effect, which shows as an error
+// that does not rule out an effect. The next attempt reads the head. If it includes the edit,
+// edit returns false. If it has a newer revision without the edit, another writer came first,
+// and the lost write, which names the old revision, can no longer take effect. If the revision
+// is unchanged, the read may be stale, so nothing is concluded: the write is repeated after the
+// same revision, and conflicts if the lost one took effect.
 func (s store) updateHead(ctx context.Context, edit func(Head) (Head, bool, error)) (headObject, error) {
 	t := &attempts{}
 	for try := range maxAttempts {
@@ -138,30 +136,30 @@
 	return headObject{}, t.finalError(ctx.Err())
 }
 
-// writeHead writes the head if it is still at the revision.
+// writeHead writes the head if its revision is still after.
 func (s store) writeHead(ctx context.Context, h Head, after garnetworks.Revision) (garnetworks.Revision, error) {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return s.api.Put(call, HeadKey, h.encode(), after)
 }
 
-// attempts is what is known of the tries of one change.
+// attempts holds what is known about the attempts of one update.
 type attempts struct {
 	lastErr error
-	// maybe says that a write after the revision may have taken effect.
+	// maybeWritten says that a write conditional on revision after may have taken effect.
 	maybeWritten bool
 	after        garnetworks.Revision
 }
 
-// read takes the revision of a head that was read: one above the lost write's
-// decides its fate.
+// observeHead handles the revision of a head that was read. A newer one than that of the
+// uncertain write settles its outcome.
 func (t *attempts) observeHead(revision garnetworks.Revision) {
 	if revision > t.after {
 		t.maybeWritten = false
 	}
 }
 
-// failed takes the error of a write after a revision.
+// observeFailure handles the error of a write after a revision.
 func (t *attempts) observeFailure(err error, after garnetworks.Revision) {
 	t.lastErr = err
 	if garnetworks.IsKind(err, garnetworks.KindConflict) || tookNoEffect(err) {
@@ -170,7 +168,7 @@
 	t.maybeWritten, t.after = true, after
 }
 
-// outcome returns the error after the last try.
+// finalError returns the error to report after the last attempt.
 func (t *attempts) finalError(cause error) error {
 	if t.lastErr == nil {
 		t.lastErr = cause
@@ -186,19 +184,19 @@
 	return garnetworks.WrapError(garnetworks.KindObjectAPIDown, t.lastErr, "nothing was written")
 }
 
-// tookNoEffect reports whether a failed write is known to have changed nothing.
+// tookNoEffect reports whether the error rules out that the write took effect.
 func tookNoEffect(err error) bool {
 	return garnetworks.IsKind(err, garnetworks.KindObjectAPIDown, garnetworks.KindThrottled, garnetworks.KindTooLarge,
 		garnetworks.KindInvalidRequest, garnetworks.KindUnreachable)
 }
 
-// retriable reports whether the same call may succeed a little later.
+// retriable reports whether the same call may succeed later.
 func retriable(err error) bool {
 	return !garnetworks.IsKind(err, garnetworks.KindTooLarge, garnetworks.KindInvalidRequest, garnetworks.KindInternal, garnetworks.KindKeyReused)
 }
 
-// collect deletes the bodies of garbage commits and returns those that are gone.
-// It is best effort: what is left is tried with the next proposal.
+// deleteBodies deletes the bodies of commits and returns the commits whose bodies no longer
+// exist. It does not retry; the next proposal does.
 func (s store) deleteBodies(ctx context.Context, commits []string) []string {
 	var deleted []string
 	for _, id := range commits {
@@ -215,7 +213,7 @@
 	return deleted
 }
 
-// pause waits for d or the end of ctx.
+// sleep waits for d or the end of ctx.
 func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
