--- a/prober/assign.go
+++ b/prober/assign.go
@@ -8,9 +8,9 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Replicas is the number of nodes that probe one instance (rule P1): one may
+// ProbersPerInstance is the number of nodes that probe one instance (rule P1): one may
 // be lost or cut off at any moment without a gap in the confirmations.
-const Replicas = 2
+const ProbersPerInstance = 2
 
 // Target is an engine instance to probe.
 type Target struct {
@@ -48,13 +48,13 @@
 // of the grid, so that what they find reaches every node by two ways that no
 // single node is part of. Where there is no other row, it is the next in weight.
 func (a assigner) probers(instance garnetworks.InstanceID) []garnetworks.NodeID {
-	first, ok := a.best(instance, func(candidate) bool { return true })
+	first, ok := a.highest(instance, func(candidate) bool { return true })
 	if !ok {
 		return nil
 	}
-	second, ok := a.best(instance, func(c candidate) bool { return c.row != first.row })
+	second, ok := a.highest(instance, func(c candidate) bool { return c.row != first.row })
 	if !ok {
-		second, ok = a.best(instance, func(c candidate) bool { return c.id != first.id })
+		second, ok = a.highest(instance, func(c candidate) bool { return c.id != first.id })
 	}
 	if !ok {
 		return []garnetworks.NodeID{first.id}
@@ -63,7 +63,7 @@
 }
 
 // best returns the allowed node with the highest rendezvous weight.
-func (a assigner) best(instance garnetworks.InstanceID, allowed func(candidate) bool) (candidate, bool) {
+func (a assigner) highest(instance garnetworks.InstanceID, allowed func(candidate) bool) (candidate, bool) {
 	var best candidate
 	var weight uint64
 	for _, c := range a.ready {
--- a/prober/doc.go
+++ b/prober/doc.go
@@ -3,7 +3,7 @@
 //
 // The package keeps these rules:
 //
-//	P1  An instance is probed by Replicas nodes of its zone, chosen by
+//	P1  An instance is probed by ProbersPerInstance nodes of its zone, chosen by
 //	    rendezvous hashing over the ready nodes, so that every node computes the
 //	    same assignment without asking and a change of the roster moves no more
 //	    than the changed nodes' share. A zone without ready nodes is probed by
--- a/prober/exchange.go
+++ b/prober/exchange.go
@@ -17,25 +17,25 @@
 	// AgeNone stands for no confirmation within AgeNone units.
 	AgeNone = 255
 	// drift is the most by which two monotonic clocks run apart.
-	drift = 200e-6
+	maxDrift = 200e-6
 )
 
 // list is what a node tells of some instances. It is never changed.
-type list struct {
+type statusList struct {
 	// sum is the checksum of statuses; 0 for none.
-	sum uint64
+	checksum uint64
 	// statuses are sorted by instance and hold no loads.
 	statuses []garnetworks.EngineStatus
 }
 
 // newList makes a list of sorted statuses.
-func newList(statuses []garnetworks.EngineStatus) *list {
+func newList(statuses []garnetworks.EngineStatus) *statusList {
 	if len(statuses) == 0 {
-		return &list{}
+		return &statusList{}
 	}
 	// Encoding a struct of strings and numbers does not fail.
 	encoded, _ := cbor.Marshal(statuses)
-	return &list{sum: max(xxhash.Sum64(encoded), 1), statuses: statuses}
+	return &statusList{checksum: max(xxhash.Sum64(encoded), 1), statuses: statuses}
 }
 
 func compareStatus(s garnetworks.EngineStatus, id garnetworks.InstanceID) int {
@@ -43,7 +43,7 @@
 }
 
 // find returns the list's status of an instance.
-func (l *list) find(id garnetworks.InstanceID) (garnetworks.EngineStatus, bool) {
+func (l *statusList) find(id garnetworks.InstanceID) (garnetworks.EngineStatus, bool) {
 	i, ok := slices.BinarySearchFunc(l.statuses, id, compareStatus)
 	if !ok {
 		return garnetworks.EngineStatus{}, false
@@ -52,7 +52,7 @@
 }
 
 // difference returns what turns base into l.
-func (l *list) difference(base *list) (changed []garnetworks.EngineStatus, removed []garnetworks.InstanceID) {
+func (l *statusList) diff(base *statusList) (changed []garnetworks.EngineStatus, removed []garnetworks.InstanceID) {
 	for _, s := range l.statuses {
 		if known, ok := base.find(s.Instance); !ok || !sameStatus(&known, &s) {
 			changed = append(changed, s)
@@ -68,12 +68,12 @@
 
 // sameStatus compares all that a list holds.
 func sameStatus(a, b *garnetworks.EngineStatus) bool {
-	return SameWord(a, b) && a.LastOrder == b.LastOrder && a.Load.Capacity == b.Load.Capacity &&
+	return SameConfirmation(a, b) && a.LastOrder == b.LastOrder && a.Load.Capacity == b.Load.Capacity &&
 		slices.Equal(a.Weights, b.Weights)
 }
 
 // with returns the list after a difference.
-func (l *list) with(changed []garnetworks.EngineStatus, removed []garnetworks.InstanceID) *list {
+func (l *statusList) apply(changed []garnetworks.EngineStatus, removed []garnetworks.InstanceID) *statusList {
 	statuses := slices.DeleteFunc(slices.Clone(l.statuses), func(s garnetworks.EngineStatus) bool {
 		return slices.Contains(removed, s.Instance)
 	})
@@ -92,7 +92,7 @@
 // no earlier than at. It comes from echoes: the peer says that its time was stamp
 // when it had this process's answer, which was given at at. The relation is used to count the age of a message from
 // before it was sent, however long it was held up on the way (rule P2).
-type clock struct {
+type peerClock struct {
 	stamp time.Duration
 	at    time.Time
 	known bool
@@ -100,27 +100,27 @@
 
 // observe takes a stamp that the peer reached after the time at, and keeps the
 // tighter of the two bounds; the older one loosens by the drift.
-func (c *clock) observe(stamp time.Duration, at time.Time) {
+func (c *peerClock) observe(stamp time.Duration, at time.Time) {
 	if c.known && c.earliest(stamp).After(at) {
 		return
 	}
-	*c = clock{stamp, at, true}
+	*c = peerClock{stamp, at, true}
 }
 
 // earliest returns a moment before which the peer has not read the stamp.
-func (c *clock) earliest(stamp time.Duration) time.Time {
+func (c *peerClock) earliest(stamp time.Duration) time.Time {
 	since := stamp - c.stamp
-	loss := time.Duration(drift * float64(max(since, -since)))
-	return c.at.Add(since - loss)
+	deviation := time.Duration(maxDrift * float64(max(since, -since)))
+	return c.at.Add(since - deviation)
 }
 
 // peer is what a node knows of another one.
 type peer struct {
 	incarnation uint64
-	clock       clock
+	clock       peerClock
 	// held are the lists that the peer has sent, acked the ones that it is known
 	// to hold, by garnetworks.ConfirmRequest.Relayed.
-	held, acked map[bool]*list
+	received, acked map[bool]*statusList
 	// echo is the stamp of the peer's last answer, echoAt this process's stamp
 	// when it had come, rounded up.
 	echo, echoAt uint64
@@ -129,13 +129,13 @@
 // sent returns a moment before which the peer has not read the stamp of a
 // message that is here now, by the wall clock of now, or false if none is known.
 // A message from the future shows that what is known of the clock is wrong.
-func (p *peer) sent(now time.Time, stamp time.Duration) (time.Time, bool) {
+func (p *peer) sentAfter(now time.Time, stamp time.Duration) (time.Time, bool) {
 	if !p.clock.known {
 		return time.Time{}, false
 	}
 	since := now.Sub(p.clock.earliest(stamp))
 	if since < 0 {
-		p.clock = clock{}
+		p.clock = peerClock{}
 		return time.Time{}, false
 	}
 	return now.Add(-since), true
@@ -147,12 +147,12 @@
 const suspensionBound = 50 * time.Millisecond
 
 // jumped reports whether the clocks ran apart since the last look.
-func jumped(before, wall, monotonic time.Duration) bool {
-	apart := wall - monotonic - before
-	return max(apart, -apart) > suspensionBound
+func clockJumped(previousOffset, wall, monotonic time.Duration) bool {
+	offsetChange := wall - monotonic - previousOffset
+	return max(offsetChange, -offsetChange) > suspensionBound
 }
 
-// watchClock forgets what is known of peers' clocks after a suspension; the
+// checkClock forgets what is known of peers' clocks after a suspension; the
 // caller holds mu.
 //
 // Failure: this node's machine is suspended and its monotonic clock stands still,
@@ -160,22 +160,22 @@
 // suspension and would make old messages look new, and words from before look
 // young, here and where they are told. It shows as a jump of the wall clock; from
 // then on only later words and echoes of later answers count.
-func (x *Exchange) watchClock(now time.Time) {
+func (x *Exchange) checkClock(now time.Time) {
 	monotonic := now.Sub(x.started)
 	wall := now.Round(0).Sub(x.started.Round(0))
-	if jumped(x.apart, wall, monotonic) {
-		x.suspended(now)
+	if clockJumped(x.wallOffset, wall, monotonic) {
+		x.handleSuspension(now)
 	}
-	x.apart = wall - monotonic
+	x.wallOffset = wall - monotonic
 }
 
 // suspended forgets all relations to peers' clocks and lets all words lapse; the
 // caller holds mu.
-func (x *Exchange) suspended(now time.Time) {
-	x.table.lapse(now)
-	x.steadySince = x.stamp(now) + 1 // an answer of this millisecond may be from before
+func (x *Exchange) handleSuspension(now time.Time) {
+	x.table.expireAll(now)
+	x.echoesFrom = x.stamp(now) + 1 // an answer of this millisecond may be from before
 	for _, p := range x.peers {
-		p.clock = clock{}
+		p.clock = peerClock{}
 	}
 }
 
@@ -183,7 +183,7 @@
 type Outgoing struct {
 	To      garnetworks.NodeInfo
 	Request *garnetworks.ConfirmRequest
-	list    *list
+	list    *statusList
 }
 
 // Exchange decides what a node tells the others of its zone, and takes what
@@ -199,14 +199,14 @@
 
 	mu sync.Mutex
 	// apart is how far the wall clock is ahead of the monotonic one, counted from
-	// started; steadySince is the stamp of the last jump between the two.
-	apart       time.Duration
-	steadySince uint64
+	// started; echoesFrom is the stamp of the last jump between the two.
+	wallOffset  time.Duration
+	echoesFrom  uint64
 	row, column []garnetworks.NodeInfo
 	// own are the instances that the node probes, ofRow those that its row does;
 	// both are sorted.
-	own, ofRow []garnetworks.InstanceID
-	peers      map[garnetworks.NodeID]*peer
+	ownInstances, rowInstances []garnetworks.InstanceID
+	peers                      map[garnetworks.NodeID]*peer
 }
 
 // NewExchange returns an exchange for a node whose process started at started.
@@ -214,39 +214,39 @@
 	return &Exchange{self: self, started: started, incarnation: uint64(uint32(started.UnixMilli())), table: table, peers: make(map[garnetworks.NodeID]*peer)}
 }
 
-// Arrange takes the nodes and targets of the site; others than the zone's are
+// SetTopology takes the nodes and targets of the site; others than the zone's are
 // left out. A node that is not listed neither tells nor hears anything.
-func (x *Exchange) Arrange(nodes []garnetworks.NodeInfo, targets []Target) {
+func (x *Exchange) SetTopology(nodes []garnetworks.NodeInfo, targets []Target) {
 	zone := zoneOf(x.self, nodes)
 	g, a := newGrid(zone, nodes), newAssigner(zone, nodes)
 	row, column := g.row(x.self), g.column(x.self)
-	mates := garnetworks.NewSet(x.self)
+	rowNodes := garnetworks.NewSet(x.self)
 	for _, n := range row {
-		mates.Add(n.ID)
+		rowNodes.Add(n.ID)
 	}
-	var own, ofRow []garnetworks.InstanceID
+	var ownInstances, rowInstances []garnetworks.InstanceID
 	for _, t := range targets {
 		if t.Zone != zone {
 			continue
 		}
 		probers := a.probers(t.Instance)
 		if slices.Contains(probers, x.self) {
-			own = append(own, t.Instance)
+			ownInstances = append(ownInstances, t.Instance)
 		}
-		if slices.ContainsFunc(probers, mates.Has) {
-			ofRow = append(ofRow, t.Instance)
+		if slices.ContainsFunc(probers, rowNodes.Has) {
+			rowInstances = append(rowInstances, t.Instance)
 		}
 	}
-	slices.Sort(own)
-	slices.Sort(ofRow)
+	slices.Sort(ownInstances)
+	slices.Sort(rowInstances)
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.row, x.column, x.own, x.ofRow = row, column, own, ofRow
-	x.forget(nodes)
+	x.row, x.column, x.ownInstances, x.rowInstances = row, column, ownInstances, rowInstances
+	x.removePeers(nodes)
 }
 
 // forget drops peers that are no longer nodes; the caller holds mu.
-func (x *Exchange) forget(nodes []garnetworks.NodeInfo) {
+func (x *Exchange) removePeers(nodes []garnetworks.NodeInfo) {
 	known := garnetworks.NewSet[garnetworks.NodeID]()
 	for i := range nodes {
 		known.Add(nodes[i].ID)
@@ -263,7 +263,7 @@
 func (x *Exchange) peer(id garnetworks.NodeID, incarnation uint64) *peer {
 	p, ok := x.peers[id]
 	if !ok || p.incarnation != incarnation {
-		p = &peer{incarnation: incarnation, held: make(map[bool]*list), acked: make(map[bool]*list)}
+		p = &peer{incarnation: incarnation, received: make(map[bool]*statusList), acked: make(map[bool]*statusList)}
 		x.peers[id] = p
 	}
 	return p
@@ -273,14 +273,14 @@
 func (x *Exchange) Outgoing(now time.Time) []Outgoing {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.watchClock(now)
+	x.checkClock(now)
 	out := make([]Outgoing, 0, len(x.row)+len(x.column))
-	out = x.tell(out, now, x.row, x.own, false)
-	return x.tell(out, now, x.column, x.ofRow, true)
+	out = x.appendRequests(out, now, x.row, x.ownInstances, false)
+	return x.appendRequests(out, now, x.column, x.rowInstances, true)
 }
 
 // tell appends the requests to some nodes about some instances.
-func (x *Exchange) tell(out []Outgoing, now time.Time, to []garnetworks.NodeInfo, ids []garnetworks.InstanceID, relayed bool) []Outgoing {
+func (x *Exchange) appendRequests(out []Outgoing, now time.Time, to []garnetworks.NodeInfo, ids []garnetworks.InstanceID, relayed bool) []Outgoing {
 	if len(to) == 0 {
 		return out
 	}
@@ -288,18 +288,18 @@
 	for _, n := range to {
 		request := &garnetworks.ConfirmRequest{
 			From: x.self, Incarnation: x.incarnation, Stamp: x.stamp(now), Relayed: relayed,
-			ListChecksum: l.sum, Ages: ages, Loads: loads,
+			ListChecksum: l.checksum, Ages: ages, Loads: loads,
 		}
-		base := &list{}
+		base := &statusList{}
 		if p, ok := x.peers[n.ID]; ok {
 			request.Echo, request.EchoAt, request.EchoIncarnation = p.echo, p.echoAt, p.incarnation
 			if p.acked[relayed] != nil {
 				base = p.acked[relayed]
 			}
 		}
-		if base.sum != l.sum {
-			request.BaseChecksum = base.sum
-			request.Changed, request.Removed = l.difference(base)
+		if base.checksum != l.checksum {
+			request.BaseChecksum = base.checksum
+			request.Changed, request.Removed = l.diff(base)
 		}
 		out = append(out, Outgoing{n, request, l})
 	}
@@ -311,54 +311,54 @@
 	return uint64(max(now.Sub(x.started), 0) / time.Millisecond)
 }
 
-// Incoming takes another node's request and returns the answer and the
+// HandleRequest takes another node's request and returns the answer and the
 // instances whose word has changed.
-func (x *Exchange) Incoming(now time.Time, r *garnetworks.ConfirmRequest) (*garnetworks.ConfirmResponse, []garnetworks.InstanceID) {
+func (x *Exchange) HandleRequest(now time.Time, r *garnetworks.ConfirmRequest) (*garnetworks.ConfirmResponse, []garnetworks.InstanceID) {
 	x.mu.Lock()
-	x.watchClock(now)
+	x.checkClock(now)
 	p := x.peer(r.From, r.Incarnation)
-	held := p.take(r)
-	if r.EchoAt > 0 && r.EchoIncarnation == x.incarnation && r.Echo >= x.steadySince {
+	current := p.applyRequest(r)
+	if r.EchoAt > 0 && r.EchoIncarnation == x.incarnation && r.Echo >= x.echoesFrom {
 		p.clock.observe(time.Duration(r.EchoAt)*time.Millisecond, x.started.Add(time.Duration(r.Echo)*time.Millisecond))
 	}
-	base, known := p.sent(now, time.Duration(r.Stamp)*time.Millisecond)
+	base, known := p.sentAfter(now, time.Duration(r.Stamp)*time.Millisecond)
 	x.mu.Unlock()
-	answer := &garnetworks.ConfirmResponse{Incarnation: x.incarnation, Stamp: x.stamp(now), ListChecksum: held.sum}
-	if held.sum != r.ListChecksum || len(r.Ages) != len(held.statuses) || !known {
+	response := &garnetworks.ConfirmResponse{Incarnation: x.incarnation, Stamp: x.stamp(now), ListChecksum: current.checksum}
+	if current.checksum != r.ListChecksum || len(r.Ages) != len(current.statuses) || !known {
 		// The ages are of other statuses than the ones held, or the sender's clock
 		// is not known yet: nothing is refreshed, and the next request, after the
 		// answer, brings what is missing.
-		return answer, nil
+		return response, nil
 	}
-	return answer, x.table.Merge(base, held.results(base, r))
+	return response, x.table.Merge(base, current.results(base, r))
 }
 
 // take applies a request's difference to the list that the peer has sent before
 // and returns the list held then.
-func (p *peer) take(r *garnetworks.ConfirmRequest) *list {
-	held := p.held[r.Relayed]
-	if held == nil {
-		held = &list{}
+func (p *peer) applyRequest(r *garnetworks.ConfirmRequest) *statusList {
+	current := p.received[r.Relayed]
+	if current == nil {
+		current = &statusList{}
 	}
-	if held.sum == r.ListChecksum {
-		return held
+	if current.checksum == r.ListChecksum {
+		return current
 	}
-	base := held
+	base := current
 	if r.BaseChecksum == 0 {
-		base = &list{}
+		base = &statusList{}
 	}
-	if base.sum != r.BaseChecksum {
-		return held
+	if base.checksum != r.BaseChecksum {
+		return current
 	}
-	if next := base.with(r.Changed, r.Removed); next.sum == r.ListChecksum {
-		held = next
+	if next := base.apply(r.Changed, r.Removed); next.checksum == r.ListChecksum {
+		current = next
 	}
-	p.held[r.Relayed] = held
-	return held
+	p.received[r.Relayed] = current
+	return current
 }
 
 // results turns a list with ages into results.
-func (l *list) results(base time.Time, r *garnetworks.ConfirmRequest) []garnetworks.ProbeResult {
+func (l *statusList) results(base time.Time, r *garnetworks.ConfirmRequest) []garnetworks.ProbeResult {
 	results := make([]garnetworks.ProbeResult, 0, len(l.statuses))
 	loads := make(map[int][]uint32, len(r.Loads)/loadFields)
 	for i := 0; i+loadFields <= len(r.Loads); i += loadFields {
@@ -381,21 +381,21 @@
 // loadFields is the count of numbers for each load in a request.
 const loadFields = 4
 
-// Answered takes a node's answer to a request.
-func (x *Exchange) Answered(now time.Time, o *Outgoing, answer *garnetworks.ConfirmResponse) {
+// HandleResponse takes a node's answer to a request.
+func (x *Exchange) HandleResponse(now time.Time, o *Outgoing, response *garnetworks.ConfirmResponse) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	p := x.peer(o.To.ID, answer.Incarnation)
-	p.echo, p.echoAt = answer.Stamp, x.stamp(now)+1
+	p := x.peer(o.To.ID, response.Incarnation)
+	p.echo, p.echoAt = response.Stamp, x.stamp(now)+1
 	p.acked[o.Request.Relayed] = nil
-	if answer.ListChecksum == o.list.sum {
+	if response.ListChecksum == o.list.checksum {
 		p.acked[o.Request.Relayed] = o.list
 	}
 }
 
 // snapshot returns what the table says of some sorted instances: a list, and
 // the ages and loads that go with it.
-func (t *Table) snapshot(now time.Time, ids []garnetworks.InstanceID) (l *list, ages []byte, loads []uint32) {
+func (t *Table) snapshot(now time.Time, ids []garnetworks.InstanceID) (l *statusList, ages []byte, loads []uint32) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	statuses := make([]garnetworks.EngineStatus, 0, len(ids))
@@ -412,12 +412,12 @@
 		s.Load = garnetworks.EngineLoad{Capacity: s.Load.Capacity}
 		s.CacheEvents = 0
 		statuses = append(statuses, s)
-		ages = append(ages, ageByte(e.age(now)))
+		ages = append(ages, encodeAge(e.age(now)))
 	}
 	return newList(statuses), ages, loads
 }
 
-// ageByte rounds an age up to units.
-func ageByte(age time.Duration) byte {
+// encodeAge rounds an age up to units.
+func encodeAge(age time.Duration) byte {
 	return byte(min((max(age, 0)+AgeUnit-1)/AgeUnit, AgeNone))
 }
--- a/prober/exchange_test.go
+++ b/prober/exchange_test.go
@@ -21,17 +21,17 @@
 		nodes := rapid.IntRange(2, 14).Draw(rt, "nodes")
 		s := newSim(1, nodes, 8, rapid.Uint64().Draw(rt, "seed"))
 		s.loss = rapid.Float64Range(0, 0.3).Draw(rt, "loss")
-		s.held = rapid.Float64Range(0, 0.3).Draw(rt, "held")
+		s.delayed = rapid.Float64Range(0, 0.3).Draw(rt, "held")
 		steps := map[string]func(*rapid.T){
 			"": func(rt *rapid.T) { s.check(rt) },
 			"wait": func(rt *rapid.T) {
 				s.run(s.now + time.Duration(rapid.IntRange(1, 4000).Draw(rt, "wait"))*time.Millisecond)
 			},
-			"die":     func(rt *rapid.T) { s.dead.Add(s.pick(rt)) },
-			"return":  func(rt *rapid.T) { s.dead.Remove(s.pick(rt)) },
-			"reform":  func(rt *rapid.T) { w := s.truth[s.pick(rt)]; w.Token++; w.Group += "x" },
-			"restart": func(rt *rapid.T) { w := s.truth[s.pick(rt)]; w.Incarnation++ },
-			"stop":    func(rt *rapid.T) { s.truth[s.pick(rt)].Leaving = true },
+			"die":     func(rt *rapid.T) { s.deadEngines.Add(s.pickEngine(rt)) },
+			"return":  func(rt *rapid.T) { s.deadEngines.Remove(s.pickEngine(rt)) },
+			"reform":  func(rt *rapid.T) { w := s.engines[s.pickEngine(rt)]; w.Token++; w.Group += "x" },
+			"restart": func(rt *rapid.T) { w := s.engines[s.pickEngine(rt)]; w.Incarnation++ },
+			"stop":    func(rt *rapid.T) { s.engines[s.pickEngine(rt)].Leaving = true },
 			"crash":   func(rt *rapid.T) { s.down[rapid.IntRange(0, nodes-1).Draw(rt, "node")] = true },
 			"suspend": func(rt *rapid.T) {
 				s.suspend(rapid.IntRange(0, nodes-1).Draw(rt, "node"), time.Duration(rapid.IntRange(1, 8000).Draw(rt, "pause"))*time.Millisecond)
@@ -44,14 +44,14 @@
 				}
 			},
 			"cut": func(rt *rapid.T) {
-				s.cut[[2]int{rapid.IntRange(0, nodes-1).Draw(rt, "from"), rapid.IntRange(0, nodes-1).Draw(rt, "to")}] = rapid.Bool().Draw(rt, "cut")
+				s.cutLinks[[2]int{rapid.IntRange(0, nodes-1).Draw(rt, "from"), rapid.IntRange(0, nodes-1).Draw(rt, "to")}] = rapid.Bool().Draw(rt, "cut")
 			},
 		}
 		rt.Repeat(steps)
 	})
 }
 
-func (s *sim) pick(rt *rapid.T) garnetworks.InstanceID {
+func (s *sim) pickEngine(rt *rapid.T) garnetworks.InstanceID {
 	return s.targets[rapid.IntRange(0, len(s.targets)-1).Draw(rt, "engine")].Instance
 }
 
@@ -63,11 +63,11 @@
 		}
 		for _, target := range s.targets {
 			status, at, ok := table.Status(target.Instance)
-			if !ok || at.Before(s.woke[i]) {
+			if !ok || at.Before(s.wokeAt[i]) {
 				continue // what is from before a suspension is told by the wall clock
 			}
 			at = at.Add(s.lag[i])
-			if last := s.probed[wordKey(&status)]; at.After(last) {
+			if last := s.lastProbed[confirmationKey(&status)]; at.After(last) {
 				rt.Fatalf("%s holds %s of %s as asked for %v after the last probe", s.roster[i].ID, status.Group, target.Instance, at.Sub(last))
 			}
 		}
@@ -80,7 +80,7 @@
 // checkGroups compares Confirmed with the oracle's own reckoning.
 func (s *sim) checkGroups(rt *rapid.T, table *Table) {
 	for first := 0; first < len(s.targets); first += 4 {
-		w := s.truth[s.targets[first].Instance]
+		w := s.engines[s.targets[first].Instance]
 		g := garnetworks.Group{ID: w.Group, Token: w.Token, Model: w.Model, Version: w.Version}
 		for _, m := range s.targets[first : first+4] {
 			g.Members = append(g.Members, m.Instance)
@@ -89,9 +89,9 @@
 			continue
 		}
 		for _, m := range g.Members {
-			said := *s.truth[m]
-			said.Group, said.Token, said.Leaving = g.ID, g.Token, false
-			if s.youngest(&said).Before(s.clock().Add(-garnetworks.ConfirmationBound)) {
+			wanted := *s.engines[m]
+			wanted.Group, wanted.Token, wanted.Leaving = g.ID, g.Token, false
+			if s.latestProbe(&wanted).Before(s.clock().Add(-garnetworks.ConfirmationBound)) {
 				rt.Fatalf("group %s counts as confirmed, and %s has not confirmed it within the bound", g.ID, m)
 			}
 		}
@@ -99,12 +99,12 @@
 }
 
 // youngest returns when a word was last asked for, whatever the incarnation.
-func (s *sim) youngest(w *garnetworks.EngineStatus) time.Time {
+func (s *sim) latestProbe(w *garnetworks.EngineStatus) time.Time {
 	var last time.Time
-	said := *w
-	for back := range uint64(30) {
-		said.Incarnation = w.Incarnation - back
-		if at := s.probed[wordKey(&said)]; at.After(last) {
+	wanted := *w
+	for decrement := range uint64(30) {
+		wanted.Incarnation = w.Incarnation - decrement
+		if at := s.lastProbed[confirmationKey(&wanted)]; at.After(last) {
 			last = at
 		}
 	}
@@ -115,18 +115,18 @@
 // listed: the engines that it probed and the rows that it told still show as
 // confirmed at every other node, since another node probes each of them and
 // tells of it by another way. Without that, healthy groups would be taken out.
-func TestEveryNodeHearsOfEveryEngine(t *testing.T) {
+func TestConfirmationsReachEveryNodeAfterNodeLoss(t *testing.T) {
 	for name, nodes := range map[string]int{"one": 1, "two": 2, "six": 6, "seven": 7, "thirteen": 13, "forty-two": 42} {
 		t.Run(name, func(t *testing.T) {
 			for down := 0; down < nodes; down += 1 + nodes/14 {
-				checkWithout(t, nodes, down)
+				checkWithoutNode(t, nodes, down)
 			}
 		})
 	}
 }
 
-// checkWithout lets a zone run on after one of several nodes has died.
-func checkWithout(t *testing.T, nodes, down int) {
+// checkWithoutNode lets a zone run on after one of several nodes has died.
+func checkWithoutNode(t *testing.T, nodes, down int) {
 	t.Helper()
 	s := newSim(1, nodes, 40, uint64(down))
 	s.run(4 * time.Second)
@@ -190,7 +190,7 @@
 			s := newSim(8, nodes, 600, 1)
 			b.ReportAllocs()
 			for b.Loop() {
-				s.nodes[0].Arrange(s.roster, s.targets)
+				s.nodes[0].SetTopology(s.roster, s.targets)
 			}
 		})
 	}
@@ -200,7 +200,7 @@
 func BenchmarkConfirmed(b *testing.B) {
 	s := newSim(1, 1, 600, 1)
 	s.run(2 * time.Second)
-	w := s.truth[s.targets[0].Instance]
+	w := s.engines[s.targets[0].Instance]
 	g := garnetworks.Group{ID: w.Group, Token: w.Token, Model: w.Model, Version: w.Version}
 	for _, m := range s.targets[:4] {
 		g.Members = append(g.Members, m.Instance)
--- a/prober/grid.go
+++ b/prober/grid.go
@@ -8,9 +8,9 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// singleRow is the number of nodes up to which all nodes of a zone tell each
+// maxSingleRow is the number of nodes up to which all nodes of a zone tell each
 // other directly.
-const singleRow = 6
+const maxSingleRow = 6
 
 // grid is a zone's nodes, ready or not, in rows of nearly equal size. Each node tells
 // its row what it has probed, and its column what its row has told it, so that
@@ -22,26 +22,26 @@
 // newGrid arranges the zone's nodes, in order of name. A node that is not ready
 // yet has to hear of the engines before it can be.
 func newGrid(zone garnetworks.ZoneID, nodes []garnetworks.NodeInfo) grid {
-	var listed []garnetworks.NodeInfo
+	var members []garnetworks.NodeInfo
 	for _, n := range nodes {
 		if n.Zone == zone {
-			listed = append(listed, n)
+			members = append(members, n)
 		}
 	}
-	slices.SortFunc(listed, func(a, b garnetworks.NodeInfo) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(members, func(a, b garnetworks.NodeInfo) int { return cmp.Compare(a.ID, b.ID) })
 	count := 1
-	if len(listed) > singleRow {
-		count = int(math.Round(math.Sqrt(float64(len(listed)))))
+	if len(members) > maxSingleRow {
+		count = int(math.Round(math.Sqrt(float64(len(members)))))
 	}
 	g := grid{rows: make([][]garnetworks.NodeInfo, count)}
 	for i := range g.rows {
-		g.rows[i] = listed[i*len(listed)/count : (i+1)*len(listed)/count]
+		g.rows[i] = members[i*len(members)/count : (i+1)*len(members)/count]
 	}
 	return g
 }
 
 // place returns the node's row and its position in it.
-func (g grid) place(id garnetworks.NodeID) (row, column int, ok bool) {
+func (g grid) position(id garnetworks.NodeID) (row, column int, ok bool) {
 	for r, members := range g.rows {
 		for c := range members {
 			if members[c].ID == id {
@@ -54,7 +54,7 @@
 
 // row returns the other nodes of the node's row.
 func (g grid) row(id garnetworks.NodeID) []garnetworks.NodeInfo {
-	r, c, ok := g.place(id)
+	r, c, ok := g.position(id)
 	if !ok {
 		return nil
 	}
@@ -65,22 +65,22 @@
 // Row sizes differ by one at most; where the node's row has no member for the
 // last column of a longer row, its first member speaks to that column too.
 func (g grid) column(id garnetworks.NodeID) []garnetworks.NodeInfo {
-	r, c, ok := g.place(id)
+	r, c, ok := g.position(id)
 	if !ok {
 		return nil
 	}
-	var told []garnetworks.NodeInfo
-	own := len(g.rows[r])
+	var receivers []garnetworks.NodeInfo
+	rowSize := len(g.rows[r])
 	for i, members := range g.rows {
 		if i == r {
 			continue
 		}
 		if c < len(members) {
-			told = append(told, members[c])
+			receivers = append(receivers, members[c])
 		}
-		if c == 0 && len(members) > own {
-			told = append(told, members[own:]...)
+		if c == 0 && len(members) > rowSize {
+			receivers = append(receivers, members[rowSize:]...)
 		}
 	}
-	return told
+	return receivers
 }
--- a/prober/prober.go
+++ b/prober/prober.go
@@ -17,8 +17,8 @@
 	// DefaultTimeout ends a probe before the next one begins, so that one
 	// instance has one probe in flight from a node at most.
 	DefaultTimeout = 800 * time.Millisecond
-	// resultsKept bounds the channel of results: two rounds over 300 targets.
-	resultsKept = 600
+	// resultsBuffer bounds the channel of results: two rounds over 300 targets.
+	resultsBuffer = 600
 )
 
 // Options configure a Prober.
@@ -50,7 +50,7 @@
 	options  Options
 	exchange *Exchange
 	// word holds a token when a word has changed since the last telling.
-	word    chan struct{}
+	sendNow chan struct{}
 	results chan garnetworks.ProbeResult
 	dropped atomic.Uint64
 
@@ -79,8 +79,8 @@
 	return &Prober{
 		options:  options,
 		exchange: NewExchange(options.Node, time.Now(), options.Table),
-		word:     make(chan struct{}, 1),
-		results:  make(chan garnetworks.ProbeResult, resultsKept),
+		sendNow:  make(chan struct{}, 1),
+		results:  make(chan garnetworks.ProbeResult, resultsBuffer),
 		failing:  garnetworks.NewSet[garnetworks.InstanceID](),
 		changed:  make(map[garnetworks.InstanceID]struct{}),
 	}
@@ -97,7 +97,7 @@
 		return
 	}
 	p.nodes = slices.Clone(nodes)
-	p.arrange()
+	p.reassign()
 }
 
 // SetTargets takes the engine instances of the node's zone, or of all zones.
@@ -109,7 +109,7 @@
 		return
 	}
 	p.targets = slices.Clone(targets)
-	p.arrange()
+	p.reassign()
 	known := garnetworks.NewSet[garnetworks.InstanceID]()
 	for _, t := range targets {
 		known.Add(t.Instance)
@@ -118,9 +118,9 @@
 }
 
 // arrange follows a change of nodes or targets; the caller holds mu.
-func (p *Prober) arrange() {
+func (p *Prober) reassign() {
 	p.assigned = Assigned(p.options.Node, p.nodes, p.targets)
-	p.exchange.Arrange(p.nodes, p.targets)
+	p.exchange.SetTopology(p.nodes, p.targets)
 }
 
 // Assigned returns the targets that this node probes now.
@@ -137,30 +137,30 @@
 // Dropped returns the number of results that found the channel full.
 func (p *Prober) Dropped() uint64 { return p.dropped.Load() }
 
-// Take returns the results whose word has changed since the last Take, in order
+// TakeChanges returns the results whose word has changed since the last call, in order
 // of instance, with their ages at now.
-func (p *Prober) Take(now time.Time) []garnetworks.ProbeResult {
+func (p *Prober) TakeChanges(now time.Time) []garnetworks.ProbeResult {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	taken := make([]garnetworks.ProbeResult, 0, len(p.changed))
+	results := make([]garnetworks.ProbeResult, 0, len(p.changed))
 	for id := range p.changed {
 		if s, at, ok := p.options.Table.Status(id); ok {
-			taken = append(taken, garnetworks.ProbeResult{Status: s, Age: now.Sub(at)})
+			results = append(results, garnetworks.ProbeResult{Status: s, Age: now.Sub(at)})
 		}
 	}
 	clear(p.changed)
-	slices.SortFunc(taken, func(a, b garnetworks.ProbeResult) int {
+	slices.SortFunc(results, func(a, b garnetworks.ProbeResult) int {
 		return cmp.Compare(a.Status.Instance, b.Status.Instance)
 	})
-	return taken
+	return results
 }
 
 // Run probes and tells the peers until ctx ends, and returns ctx's error.
 func (p *Prober) Run(ctx context.Context) error {
 	var running sync.WaitGroup
 	defer running.Wait()
-	begun := make(chan struct{}, 1)
-	running.Go(func() { p.speak(ctx, begun) })
+	roundStarted := make(chan struct{}, 1)
+	running.Go(func() { p.sendLoop(ctx, roundStarted) })
 	wait := time.Duration(p.options.Random() * float64(p.options.Interval))
 	for {
 		sleep(ctx, wait)
@@ -170,8 +170,8 @@
 		for _, t := range p.Assigned() {
 			running.Go(func() { p.probe(ctx, t) })
 		}
-		signal(begun)
-		wait = p.pause()
+		signal(roundStarted)
+		wait = p.nextRoundDelay()
 	}
 }
 
@@ -196,7 +196,7 @@
 // pause returns the time to the next round: the interval with a tenth of
 // jitter downwards, so that rounds of different nodes do not stay in step and
 // no two probes lie further apart than the interval.
-func (p *Prober) pause() time.Duration {
+func (p *Prober) nextRoundDelay() time.Duration {
 	const jitter = 0.1
 	return time.Duration(float64(p.options.Interval) * (1 - jitter*p.options.Random()))
 }
@@ -215,7 +215,7 @@
 		// says nothing of the target.
 		err = garnetworks.Errorf(garnetworks.KindUnreachable, "%s answered at %s in place of %s", status.Instance, t.Address, t.Instance)
 	}
-	if now := time.Now(); err == nil && jumped(0, now.Round(0).Sub(sent.Round(0)), now.Sub(sent)) {
+	if now := time.Now(); err == nil && clockJumped(0, now.Round(0).Sub(sent.Round(0)), now.Sub(sent)) {
 		// The machine was suspended meanwhile, so the age can't be told.
 		err = garnetworks.Errorf(garnetworks.KindResponseLost, "the clock jumped during the probe")
 	}
@@ -223,17 +223,17 @@
 	if err != nil {
 		result = garnetworks.ProbeResult{Status: garnetworks.EngineStatus{Instance: t.Instance}, Failed: true}
 	}
-	p.file(sent, t, result, err)
+	p.handleResult(sent, t, result, err)
 }
 
 // file merges a result, notes its change, and passes it on.
-func (p *Prober) file(sent time.Time, t Target, result garnetworks.ProbeResult, err error) {
+func (p *Prober) handleResult(sent time.Time, t Target, result garnetworks.ProbeResult, err error) {
 	result.Age = time.Since(sent)
 	changed := p.options.Table.Merge(sent.Add(result.Age), []garnetworks.ProbeResult{result})
 	p.mu.Lock()
 	for _, id := range changed {
 		p.changed[id] = struct{}{}
-		signal(p.word)
+		signal(p.sendNow)
 	}
 	failedBefore := p.failing.Has(t.Instance)
 	p.failing.Remove(t.Instance)
--- a/prober/sim_test.go
+++ b/prober/sim_test.go
@@ -48,36 +48,36 @@
 	// while the node was suspended; woke is that clock's time at the last waking.
 	lag       []time.Duration
 	suspended []bool
-	woke      []time.Time
-	truth     map[garnetworks.InstanceID]*garnetworks.EngineStatus
+	wokeAt    []time.Time
+	engines   map[garnetworks.InstanceID]*garnetworks.EngineStatus
 	// probed holds, for each word that an engine ever gave, when the last probe
 	// that brought it was sent.
-	probed map[string]time.Time
+	lastProbed map[string]time.Time
 	// loss and held are chances of a message; dead engines don't answer.
-	loss, held float64
-	dead       garnetworks.Set[garnetworks.InstanceID]
-	cut        map[[2]int]bool
-	messages   int
-	bytes      int
+	loss, delayed float64
+	deadEngines   garnetworks.Set[garnetworks.InstanceID]
+	cutLinks      map[[2]int]bool
+	messages      int
+	bytes         int
 }
 
 func newSim(zones, nodes, engines int, seed uint64) *sim {
 	s := &sim{
 		start: time.Unix(1e9, 0), random: rand.New(rand.NewPCG(seed, 0)),
-		truth: make(map[garnetworks.InstanceID]*garnetworks.EngineStatus), probed: make(map[string]time.Time),
-		dead: garnetworks.NewSet[garnetworks.InstanceID](), cut: make(map[[2]int]bool),
+		engines: make(map[garnetworks.InstanceID]*garnetworks.EngineStatus), lastProbed: make(map[string]time.Time),
+		deadEngines: garnetworks.NewSet[garnetworks.InstanceID](), cutLinks: make(map[[2]int]bool),
 	}
 	zone := func(i int) garnetworks.ZoneID { return garnetworks.ZoneID(fmt.Sprint("zone-", i%zones)) }
 	for i := range engines {
 		id := garnetworks.InstanceID(fmt.Sprintf("engine-%04d", i))
 		s.targets = append(s.targets, Target{Instance: id, Address: "10.0.0.1:9000", Zone: zone(i)})
-		s.truth[id] = &garnetworks.EngineStatus{
+		s.engines[id] = &garnetworks.EngineStatus{
 			Instance: id, Incarnation: 1764697675000, Phase: garnetworks.EngineReady, Group: garnetworks.GroupID(fmt.Sprintf("group-%04d", i/4)),
 			Token: 1 << 32, Model: "model-large", Version: "v1", Weights: []garnetworks.WeightID{{Model: "model-large", Version: "v1"}},
 			Load: garnetworks.EngineLoad{Capacity: 64},
 		}
 		if i%4 == 0 {
-			s.truth[id].Load = garnetworks.EngineLoad{Running: 40, Waiting: 3, Capacity: 64, CacheUsed: 0.7}
+			s.engines[id].Load = garnetworks.EngineLoad{Running: 40, Waiting: 3, Capacity: 64, CacheUsed: 0.7}
 		}
 	}
 	for i := range nodes {
@@ -86,7 +86,7 @@
 	s.down = make([]bool, nodes)
 	s.lag = make([]time.Duration, nodes)
 	s.suspended = make([]bool, nodes)
-	s.woke = make([]time.Time, nodes)
+	s.wokeAt = make([]time.Time, nodes)
 	s.tables = make([]*Table, nodes)
 	s.nodes = make([]*Exchange, nodes)
 	for i := range nodes {
@@ -100,8 +100,8 @@
 
 func (s *sim) clock() time.Time { return s.start.Add(s.now) }
 
-// clockOf returns a node's own time.
-func (s *sim) clockOf(i int) time.Time { return s.clock().Add(-s.lag[i]) }
+// nodeClock returns a node's own time.
+func (s *sim) nodeClock(i int) time.Time { return s.clock().Add(-s.lag[i]) }
 
 // suspend stops a node and its clock for a time. What arrives meanwhile waits.
 func (s *sim) suspend(i int, d time.Duration) {
@@ -112,19 +112,19 @@
 	s.after(d, func() {
 		s.suspended[i] = false
 		s.lag[i] += d
-		s.woke[i] = s.clockOf(i)
+		s.wokeAt[i] = s.nodeClock(i)
 		// The sim's times have no wall clock to jump, so the finding is made here.
 		x := s.nodes[i]
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		x.suspended(s.clockOf(i))
+		x.handleSuspension(s.nodeClock(i))
 	})
 }
 
 // awake does something at a node as soon as it is not suspended.
-func (s *sim) awake(i int, do func()) {
+func (s *sim) whenAwake(i int, do func()) {
 	if s.suspended[i] {
-		s.after(10*time.Millisecond, func() { s.awake(i, do) })
+		s.after(10*time.Millisecond, func() { s.whenAwake(i, do) })
 		return
 	}
 	do()
@@ -145,8 +145,8 @@
 // restart starts a node's process anew.
 func (s *sim) restart(i int) {
 	s.tables[i] = NewTable()
-	s.nodes[i] = NewExchange(s.roster[i].ID, s.clockOf(i), s.tables[i])
-	s.nodes[i].Arrange(s.roster, s.targets)
+	s.nodes[i] = NewExchange(s.roster[i].ID, s.nodeClock(i), s.tables[i])
+	s.nodes[i].SetTopology(s.roster, s.targets)
 }
 
 // round is a node's round of probes and what follows.
@@ -159,53 +159,53 @@
 	for _, t := range s.assigned[i] {
 		s.probe(i, t.Instance)
 	}
-	s.after(speakDelay, func() { s.speak(i) })
+	s.after(sendDelay, func() { s.sendRequests(i) })
 }
 
 // probe asks an engine; its word is the one at half of the way.
 func (s *sim) probe(i int, id garnetworks.InstanceID) {
-	sent, begun := s.clock(), s.clockOf(i)
-	way := time.Duration(1+s.random.IntN(20)) * time.Millisecond
-	s.after(way, func() {
-		if s.dead.Has(id) || s.down[i] {
+	sent, started := s.clock(), s.nodeClock(i)
+	latency := time.Duration(1+s.random.IntN(20)) * time.Millisecond
+	s.after(latency, func() {
+		if s.deadEngines.Has(id) || s.down[i] {
 			return
 		}
-		status := *s.truth[id]
-		if key := wordKey(&status); sent.After(s.probed[key]) {
-			s.probed[key] = sent
+		status := *s.engines[id]
+		if key := confirmationKey(&status); sent.After(s.lastProbed[key]) {
+			s.lastProbed[key] = sent
 		}
 		table := s.tables[i]
-		s.after(way, func() {
-			s.awake(i, func() {
-				if begun.Before(s.woke[i]) {
+		s.after(latency, func() {
+			s.whenAwake(i, func() {
+				if started.Before(s.wokeAt[i]) {
 					return // the clock jumped during the probe
 				}
-				table.Merge(s.clockOf(i), []garnetworks.ProbeResult{{Status: status, Age: s.clockOf(i).Sub(begun)}})
+				table.Merge(s.nodeClock(i), []garnetworks.ProbeResult{{Status: status, Age: s.nodeClock(i).Sub(started)}})
 			})
 		})
 	})
 }
 
-func wordKey(s *garnetworks.EngineStatus) string {
+func confirmationKey(s *garnetworks.EngineStatus) string {
 	return fmt.Sprint(s.Instance, s.Incarnation, s.Phase, s.Group, s.Token, s.Version, s.Leaving)
 }
 
 // speak sends a node's requests.
-func (s *sim) speak(i int) {
+func (s *sim) sendRequests(i int) {
 	if s.down[i] || s.suspended[i] {
 		return
 	}
 	x := s.nodes[i]
-	for _, o := range x.Outgoing(s.clockOf(i)) {
+	for _, o := range x.Outgoing(s.nodeClock(i)) {
 		to := slices.IndexFunc(s.roster, func(n garnetworks.NodeInfo) bool { return n.ID == o.To.ID })
 		s.send(i, to, o.Request, func(copied *garnetworks.ConfirmRequest) {
 			if s.down[to] {
 				return
 			}
-			answer, _ := s.nodes[to].Incoming(s.clockOf(to), copied)
-			s.send(to, i, answer, func(copied *garnetworks.ConfirmResponse) {
+			response, _ := s.nodes[to].HandleRequest(s.nodeClock(to), copied)
+			s.send(to, i, response, func(copied *garnetworks.ConfirmResponse) {
 				if s.nodes[i] == x {
-					x.Answered(s.clockOf(i), &o, copied)
+					x.HandleResponse(s.nodeClock(i), &o, copied)
 				}
 			})
 		})
@@ -220,23 +220,23 @@
 	}
 	s.messages++
 	s.bytes += len(encoded)
-	if s.cut[[2]int{from, to}] || s.random.Float64() < s.loss {
+	if s.cutLinks[[2]int{from, to}] || s.random.Float64() < s.loss {
 		return
 	}
-	way := time.Duration(500+s.random.IntN(1000)) * time.Microsecond
-	if s.random.Float64() < s.held {
-		way += time.Duration(s.random.Int64N(int64(8 * time.Second)))
+	latency := time.Duration(500+s.random.IntN(1000)) * time.Microsecond
+	if s.random.Float64() < s.delayed {
+		latency += time.Duration(s.random.Int64N(int64(8 * time.Second)))
 	}
-	s.after(way, func() {
+	s.after(latency, func() {
 		switch arrive := arrive.(type) {
 		case func(*garnetworks.ConfirmRequest):
 			copied := &garnetworks.ConfirmRequest{}
 			mustDecode(encoded, copied)
-			s.awake(to, func() { arrive(copied) })
+			s.whenAwake(to, func() { arrive(copied) })
 		case func(*garnetworks.ConfirmResponse):
 			copied := &garnetworks.ConfirmResponse{}
 			mustDecode(encoded, copied)
-			s.awake(to, func() { arrive(copied) })
+			s.whenAwake(to, func() { arrive(copied) })
 		}
 	})
 }
@@ -256,12 +256,12 @@
 			continue
 		}
 		for _, target := range s.targets {
-			if target.Zone != s.roster[i].Zone || s.dead.Has(target.Instance) {
+			if target.Zone != s.roster[i].Zone || s.deadEngines.Has(target.Instance) {
 				continue
 			}
 			age := time.Hour
 			if _, at, ok := t.Status(target.Instance); ok {
-				age = s.clockOf(i).Sub(at)
+				age = s.nodeClock(i).Sub(at)
 			}
 			ages = append(ages, age)
 		}
--- a/prober/speaker.go
+++ b/prober/speaker.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// speakDelay is the time from the start of a round of probes to the telling
+	// sendDelay is the time from the start of a round of probes to the telling
 	// of its results; a usual probe has been answered by then.
-	speakDelay = 100 * time.Millisecond
-	// speakGap is the least time between two tellings.
-	speakGap = 100 * time.Millisecond
-	// speakTimeout bounds one request to a peer.
-	speakTimeout = 800 * time.Millisecond
+	sendDelay = 100 * time.Millisecond
+	// minSendInterval is the least time between two tellings.
+	minSendInterval = 100 * time.Millisecond
+	// sendTimeout bounds one request to a peer.
+	sendTimeout = 800 * time.Millisecond
 )
 
 // speak tells the peers after each round of probes, and at once when a word has
 // changed, so that a member's loss of its place does not wait for the round.
-func (p *Prober) speak(ctx context.Context, begun <-chan struct{}) {
+func (p *Prober) sendLoop(ctx context.Context, roundStarted <-chan struct{}) {
 	if !p.options.Peers.Present {
 		return
 	}
@@ -30,34 +30,34 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-begun:
-			sleep(ctx, speakDelay)
-		case <-p.word:
+		case <-roundStarted:
+			sleep(ctx, sendDelay)
+		case <-p.sendNow:
 		}
 		for _, o := range p.exchange.Outgoing(time.Now()) {
-			requests.Go(func() { p.tell(ctx, &o) })
+			requests.Go(func() { p.send(ctx, &o) })
 		}
-		sleep(ctx, speakGap)
+		sleep(ctx, minSendInterval)
 	}
 }
 
 // tell sends one request. A lost one is made up for by the next.
-func (p *Prober) tell(ctx context.Context, o *Outgoing) {
-	call, cancel := context.WithTimeout(ctx, speakTimeout)
+func (p *Prober) send(ctx context.Context, o *Outgoing) {
+	call, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	answer, err := p.options.Peers.Value.Confirm(call, o.To.Address, o.Request)
+	response, err := p.options.Peers.Value.Confirm(call, o.To.Address, o.Request)
 	if err == nil {
-		p.exchange.Answered(time.Now(), o, answer)
+		p.exchange.HandleResponse(time.Now(), o, response)
 	}
 }
 
 // Confirm implements garnetworks.ConfirmHandler.
 func (p *Prober) Confirm(_ context.Context, request *garnetworks.ConfirmRequest) (*garnetworks.ConfirmResponse, error) {
-	answer, changed := p.exchange.Incoming(time.Now(), request)
+	response, changed := p.exchange.HandleRequest(time.Now(), request)
 	if len(changed) > 0 {
-		signal(p.word)
+		signal(p.sendNow)
 	}
-	return answer, nil
+	return response, nil
 }
 
 var _ garnetworks.ConfirmHandler = (*Prober)(nil)
--- a/prober/table.go
+++ b/prober/table.go
@@ -15,7 +15,7 @@
 	// before it (rule P2).
 	at time.Time
 	// first is the incarnation that was first seen under the status's token.
-	first uint64
+	firstIncarnation uint64
 }
 
 // age returns the time since the word was asked for, by the clock that makes it
@@ -67,14 +67,14 @@
 	}
 	first := r.Status.Incarnation
 	if ok && known.status.Token == r.Status.Token {
-		first = known.first
+		first = known.firstIncarnation
 	}
 	status := r.Status
 	if ok && status.CacheEvents == 0 && status.Incarnation == known.status.Incarnation {
 		status.CacheEvents = known.status.CacheEvents // results from peers leave it out
 	}
 	t.entries[status.Instance] = entry{status, at, first}
-	return !ok || !SameWord(&known.status, &r.Status)
+	return !ok || !SameConfirmation(&known.status, &r.Status)
 }
 
 // supersedes reports whether a status replaces the known one (rule P3).
@@ -88,9 +88,9 @@
 	return at.After(known.at)
 }
 
-// SameWord reports whether two statuses say the same of group, token, model,
+// SameConfirmation reports whether two statuses say the same of group, token, model,
 // version and readiness; loads and counters are not compared.
-func SameWord(a, b *garnetworks.EngineStatus) bool {
+func SameConfirmation(a, b *garnetworks.EngineStatus) bool {
 	return a.Instance == b.Instance && a.Incarnation == b.Incarnation &&
 		a.Phase == b.Phase && a.Group == b.Group && a.Token == b.Token &&
 		a.Model == b.Model && a.Version == b.Version && a.Leaving == b.Leaving &&
@@ -99,23 +99,23 @@
 
 // Confirmed reports whether all members of the group confirm it now (rule P5).
 func (t *Table) Confirmed(now time.Time, g garnetworks.Group) bool {
-	return t.confirmed(now, &word{g.ID, g.Token, g.Model, g.Version}, g.Members)
+	return t.confirmed(now, &membership{g.ID, g.Token, g.Model, g.Version}, g.Members)
 }
 
 // ConfirmedView is Confirmed for a router's view of a group.
 func (t *Table) ConfirmedView(now time.Time, g *garnetworks.GroupView) bool {
-	return t.confirmed(now, &word{g.ID, g.Token, g.Model, g.Version}, g.Members)
+	return t.confirmed(now, &membership{g.ID, g.Token, g.Model, g.Version}, g.Members)
 }
 
 // Missing returns the members that do not confirm the group now, in the
 // group's order.
 func (t *Table) Missing(now time.Time, g garnetworks.Group) []garnetworks.InstanceID {
-	w := word{g.ID, g.Token, g.Model, g.Version}
+	want := membership{g.ID, g.Token, g.Model, g.Version}
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	var missing []garnetworks.InstanceID
 	for _, m := range g.Members {
-		if !t.confirms(now, m, &w) {
+		if !t.confirms(now, m, &want) {
 			missing = append(missing, m)
 		}
 	}
@@ -123,7 +123,7 @@
 }
 
 // word is what a member must say to confirm its group.
-type word struct {
+type membership struct {
 	group   garnetworks.GroupID
 	token   garnetworks.FencingToken
 	model   garnetworks.ModelName
@@ -132,11 +132,11 @@
 
 // confirmed reports whether all members say w. A group without members is
 // never confirmed.
-func (t *Table) confirmed(now time.Time, w *word, members []garnetworks.InstanceID) bool {
+func (t *Table) confirmed(now time.Time, want *membership, members []garnetworks.InstanceID) bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	for _, m := range members {
-		if !t.confirms(now, m, w) {
+		if !t.confirms(now, m, want) {
 			return false
 		}
 	}
@@ -144,7 +144,7 @@
 }
 
 // confirms reports whether the member's newest word is w.
-func (t *Table) confirms(now time.Time, m garnetworks.InstanceID, w *word) bool {
+func (t *Table) confirms(now time.Time, m garnetworks.InstanceID, want *membership) bool {
 	e, ok := t.entries[m]
 	if !ok || e.age(now) > garnetworks.ConfirmationBound {
 		return false
@@ -153,11 +153,11 @@
 	// A member that was restarted under its token and claims its old place has
 	// lost its state and the other members' connections; it shows as a new
 	// incarnation under a known token, and counts again with a new token.
-	if s.Incarnation != e.first {
+	if s.Incarnation != e.firstIncarnation {
 		return false
 	}
 	return s.Phase == garnetworks.EngineReady && !s.Leaving &&
-		*w == word{s.Group, s.Token, s.Model, s.Version}
+		*want == membership{s.Group, s.Token, s.Model, s.Version}
 }
 
 // Confirmation returns the instance's newest word and when it was asked for.
@@ -185,7 +185,7 @@
 
 // lapse makes all words too old to confirm anything or to be told, and keeps
 // them, so that older words are still known as such.
-func (t *Table) lapse(now time.Time) {
+func (t *Table) expireAll(now time.Time) {
 	oldest := now.Add(-time.Hour)
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/prober/table_test.go
+++ b/prober/table_test.go
@@ -11,7 +11,7 @@
 )
 
 // said is the word of the one member in TestConfirmed's cases.
-func said(change func(*garnetworks.EngineStatus)) garnetworks.EngineStatus {
+func memberStatus(change func(*garnetworks.EngineStatus)) garnetworks.EngineStatus {
 	s := garnetworks.EngineStatus{
 		Instance: "m", Incarnation: 7, Phase: garnetworks.EngineReady, Group: "g",
 		Token: garnetworks.NewFencingToken(2, 5), Model: "large", Version: "v1",
@@ -27,7 +27,7 @@
 // is the group's, no matter in which order the words arrive.
 func TestConfirmed(t *testing.T) {
 	type result = garnetworks.ProbeResult
-	good := said(nil)
+	good := memberStatus(nil)
 	tests := map[string]struct {
 		results []result
 		want    bool
@@ -36,23 +36,23 @@
 		"fresh":                 {[]result{{Status: good}}, true},
 		"at the bound":          {[]result{{Status: good, Age: garnetworks.ConfirmationBound}}, true},
 		"over the bound":        {[]result{{Status: good, Age: garnetworks.ConfirmationBound + 1}}, false},
-		"age below zero":        {[]result{{Status: good, Age: garnetworks.ConfirmationBound + 1}, {Status: said(func(s *garnetworks.EngineStatus) { s.Group = "h" }), Age: -time.Hour}}, false},
+		"age below zero":        {[]result{{Status: good, Age: garnetworks.ConfirmationBound + 1}, {Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Group = "h" }), Age: -time.Hour}}, false},
 		"cut off prober":        {[]result{{Status: good, Age: time.Second}, {Status: garnetworks.EngineStatus{Instance: "m"}, Failed: true}}, true},
 		"only failures":         {[]result{{Status: garnetworks.EngineStatus{Instance: "m"}, Failed: true}}, false},
-		"other group":           {[]result{{Status: said(func(s *garnetworks.EngineStatus) { s.Group = "h" })}}, false},
-		"other model":           {[]result{{Status: said(func(s *garnetworks.EngineStatus) { s.Model = "small" })}}, false},
-		"other version":         {[]result{{Status: said(func(s *garnetworks.EngineStatus) { s.Version = "v2" })}}, false},
-		"older token":           {[]result{{Status: said(func(s *garnetworks.EngineStatus) { s.Token-- })}}, false},
-		"newer token":           {[]result{{Status: said(func(s *garnetworks.EngineStatus) { s.Token++ })}}, false},
-		"still loading":         {[]result{{Status: said(func(s *garnetworks.EngineStatus) { s.Phase = garnetworks.EngineLoading })}}, false},
-		"leaving":               {[]result{{Status: said(func(s *garnetworks.EngineStatus) { s.Leaving = true })}}, false},
-		"old word comes late":   {[]result{{Status: good}, {Status: said(func(s *garnetworks.EngineStatus) { s.Group = "h" }), Age: time.Second}}, true},
-		"new word after old":    {[]result{{Status: good, Age: time.Second}, {Status: said(func(s *garnetworks.EngineStatus) { s.Group = "h" })}}, false},
-		"echo of old process":   {[]result{{Status: said(func(s *garnetworks.EngineStatus) { s.Incarnation++; s.Phase = garnetworks.EngineIdle }), Age: time.Second}, {Status: good}}, false},
-		"echo of old token":     {[]result{{Status: said(func(s *garnetworks.EngineStatus) { s.Token++; s.Group = "h" }), Age: time.Second}, {Status: good}}, false},
-		"returned under token":  {[]result{{Status: said(func(s *garnetworks.EngineStatus) { s.Incarnation-- }), Age: time.Second}, {Status: good}}, false},
-		"re-admitted by token":  {[]result{{Status: said(func(s *garnetworks.EngineStatus) { s.Incarnation--; s.Token-- }), Age: time.Second}, {Status: good}}, true},
-		"late word of new life": {[]result{{Status: said(func(s *garnetworks.EngineStatus) { s.Incarnation--; s.Group = "h" })}, {Status: said(func(s *garnetworks.EngineStatus) { s.Token++ }), Age: time.Second}}, false},
+		"other group":           {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Group = "h" })}}, false},
+		"other model":           {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Model = "small" })}}, false},
+		"other version":         {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Version = "v2" })}}, false},
+		"older token":           {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Token-- })}}, false},
+		"newer token":           {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Token++ })}}, false},
+		"still loading":         {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Phase = garnetworks.EngineLoading })}}, false},
+		"leaving":               {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Leaving = true })}}, false},
+		"old word comes late":   {[]result{{Status: good}, {Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Group = "h" }), Age: time.Second}}, true},
+		"new word after old":    {[]result{{Status: good, Age: time.Second}, {Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Group = "h" })}}, false},
+		"echo of old process":   {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Incarnation++; s.Phase = garnetworks.EngineIdle }), Age: time.Second}, {Status: good}}, false},
+		"echo of old token":     {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Token++; s.Group = "h" }), Age: time.Second}, {Status: good}}, false},
+		"returned under token":  {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Incarnation-- }), Age: time.Second}, {Status: good}}, false},
+		"re-admitted by token":  {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Incarnation--; s.Token-- }), Age: time.Second}, {Status: good}}, true},
+		"late word of new life": {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Incarnation--; s.Group = "h" })}, {Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Token++ }), Age: time.Second}}, false},
 	}
 	group := garnetworks.Group{ID: "g", Token: good.Token, Model: "large", Version: "v1", Members: []garnetworks.InstanceID{"m"}}
 	for name, test := range tests {
@@ -93,7 +93,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			if got := jumped(test.before, test.wall, test.monotonic); got != test.want {
+			if got := clockJumped(test.before, test.wall, test.monotonic); got != test.want {
 				t.Errorf("jumped = %v", got)
 			}
 		})
@@ -102,39 +102,39 @@
 
 // A peer refreshes a list that the receiver does not hold: its message that
 // changed the list was lost. Members whose words have changed since would go on
-// confirming by the old words if the ages were taken.
-func TestAgesOfAnotherList(t *testing.T) {
+// confirmServer by the old words if the ages were taken.
+func TestAgesForMismatchedList(t *testing.T) {
 	start := time.Now()
 	nodes := []garnetworks.NodeInfo{{ID: "a", Zone: "z", Ready: true}, {ID: "b", Zone: "z", Ready: true}}
 	targets := []Target{{Instance: "m", Zone: "z"}}
 	from, to := NewTable(), NewTable()
 	sender, receiver := NewExchange("a", start, from), NewExchange("b", start, to)
-	sender.Arrange(nodes, targets)
-	receiver.Arrange(nodes, targets)
-	tell := func(at time.Duration, status garnetworks.EngineStatus, lost bool) {
+	sender.SetTopology(nodes, targets)
+	receiver.SetTopology(nodes, targets)
+	send := func(at time.Duration, status garnetworks.EngineStatus, lost bool) {
 		now := start.Add(at)
 		from.Merge(now, []garnetworks.ProbeResult{{Status: status}})
 		out := sender.Outgoing(now)[0]
 		if lost {
 			// The receiver's answer to a later difference can't name this list.
-			sender.Answered(now, &out, &garnetworks.ConfirmResponse{ListChecksum: out.Request.ListChecksum})
+			sender.HandleResponse(now, &out, &garnetworks.ConfirmResponse{ListChecksum: out.Request.ListChecksum})
 			return
 		}
-		answer, _ := receiver.Incoming(now, out.Request)
-		sender.Answered(now, &out, answer)
+		response, _ := receiver.HandleRequest(now, out.Request)
+		sender.HandleResponse(now, &out, response)
 	}
-	tell(0, said(nil), false)
-	tell(time.Second, said(nil), false)
+	send(0, memberStatus(nil), false)
+	send(time.Second, memberStatus(nil), false)
 	if _, at, ok := to.Status("m"); !ok || at.Before(start.Add(900*time.Millisecond)) {
 		t.Fatalf("the word was not taken: %v", at.Sub(start))
 	}
-	moved := said(func(s *garnetworks.EngineStatus) { s.Group, s.Token = "h", s.Token+1 })
-	tell(2*time.Second, moved, true)
-	tell(3*time.Second, moved, false)
+	moved := memberStatus(func(s *garnetworks.EngineStatus) { s.Group, s.Token = "h", s.Token+1 })
+	send(2*time.Second, moved, true)
+	send(3*time.Second, moved, false)
 	if s, at, _ := to.Status("m"); s.Group == "g" && at.After(start.Add(time.Second)) {
 		t.Fatalf("a word that was not said was refreshed at %v", at.Sub(start))
 	}
-	tell(4*time.Second, moved, false)
+	send(4*time.Second, moved, false)
 	if s, _, _ := to.Status("m"); s.Group != "h" {
 		t.Fatalf("the change did not arrive after the answer: %v", s.Group)
 	}
@@ -153,7 +153,7 @@
 		return garnetworks.EngineStatus{}, garnetworks.WrapError(garnetworks.KindUnreachable, ctx.Err(), "no answer")
 	}
 	time.Sleep(10 * time.Millisecond)
-	return said(func(s *garnetworks.EngineStatus) { s.Instance = garnetworks.InstanceID(address) }), nil
+	return memberStatus(func(s *garnetworks.EngineStatus) { s.Instance = garnetworks.InstanceID(address) }), nil
 }
 
 // mesh carries confirmations between the probers of a test.
@@ -165,10 +165,10 @@
 }
 
 // A dead engine's probes hang until they time out. The probes of the others must
-// go on in time, at each node, and the dead one must stop confirming everywhere
+// go on in time, at each node, and the dead one must stop confirmServer everywhere
 // within the bound; an address that another instance has taken over must not
 // speak for the one it was given to before.
-func TestProbersOnTheTestClock(t *testing.T) {
+func TestDeadEngineDoesNotDelayProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		m := mesh{}
@@ -207,7 +207,7 @@
 		if _, err := m["a"].Check(ctx, "dead"); !garnetworks.IsKind(err, garnetworks.KindUnreachable) {
 			t.Errorf("Check of a dead engine: %v", err)
 		}
-		if !slices.ContainsFunc(nodes, func(n garnetworks.NodeInfo) bool { return len(m[n.Address].Take(time.Now())) > 0 }) {
+		if !slices.ContainsFunc(nodes, func(n garnetworks.NodeInfo) bool { return len(m[n.Address].TakeChanges(time.Now())) > 0 }) {
 			t.Error("no prober has changes to take")
 		}
 		cancel()
--- a/prober/wire_test.go
+++ b/prober/wire_test.go
@@ -10,8 +10,8 @@
 	"github.com/garnetworks/garnetworks/messenger"
 )
 
-// confirming answers Confirm and nothing else.
-type confirming struct {
+// confirmServer answers Confirm and nothing else.
+type confirmServer struct {
 	garnetworks.PeerHandler
 	*Prober
 }
@@ -25,7 +25,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	server, err := messenger.NewServer(messenger.ServerOptions{Handler: confirming{Prober: New(Options{Node: "node-001"})}})
+	server, err := messenger.NewServer(messenger.ServerOptions{Handler: confirmServer{Prober: New(Options{Node: "node-001"})}})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -42,17 +42,17 @@
 		From: "node-000", Incarnation: 1 << 31, Stamp: 1 << 24, Echo: 1 << 24, EchoAt: 1 << 24, EchoIncarnation: 1 << 31,
 		Relayed: true, ListChecksum: 1 << 63, Ages: make([]byte, 26), Loads: make([]uint32, 28),
 	}
-	var answer *garnetworks.ConfirmResponse
+	var response *garnetworks.ConfirmResponse
 	for b.Loop() {
-		if answer, err = client.Confirm(ctx, listener.Addr().String(), request); err != nil {
+		if response, err = client.Confirm(ctx, listener.Addr().String(), request); err != nil {
 			b.Fatal(err)
 		}
 	}
-	asked, _ := cbor.Marshal(request)
-	answered, _ := cbor.Marshal(answer)
+	encodedRequest, _ := cbor.Marshal(request)
+	encodedResponse, _ := cbor.Marshal(response)
 	count := traffic.Count()
-	b.ReportMetric(float64(len(asked)), "request-B")
-	b.ReportMetric(float64(len(answered)), "answer-B")
+	b.ReportMetric(float64(len(encodedRequest)), "request-B")
+	b.ReportMetric(float64(len(encodedResponse)), "answer-B")
 	b.ReportMetric(float64(count.BytesSent)/float64(b.N), "sent-B")
 	b.ReportMetric(float64(count.BytesReceived)/float64(b.N), "received-B")
 }
