--- a/prober/assign.go
+++ b/prober/assign.go
@@ -8,8 +8,8 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// ProbersPerInstance is the number of nodes that probe one instance (rule P1): one may
-// be lost or cut off at any moment without a gap in the confirmations.
+// ProbersPerInstance is the number of nodes that probe one instance (rule P1), so that the
+// loss of one of them leaves no gap in the confirmations.
 const ProbersPerInstance = 2
 
 // Target is an engine instance to probe.
@@ -19,9 +19,9 @@
 	Zone     garnetworks.ZoneID
 }
 
-// assigner chooses the probers of a zone's instances.
+// assigner selects the probers of a zone's instances.
 type assigner struct {
-	// ready are the zone's ready nodes with the numbers of their rows.
+	// ready are the zone's ready nodes with the indexes of their rows in the grid.
 	ready []candidate
 }
 
@@ -30,7 +30,7 @@
 	row int
 }
 
-// newAssigner returns the assigner for a zone. The nodes may come in any order.
+// newAssigner returns the assigner for a zone. The order of nodes does not matter.
 func newAssigner(zone garnetworks.ZoneID, nodes []garnetworks.NodeInfo) assigner {
 	var a assigner
 	for r, members := range newGrid(zone, nodes).rows {
@@ -43,10 +43,10 @@
 	return a
 }
 
-// probers returns the nodes that probe an instance: the ready node with the
-// highest rendezvous weight, and the one with the highest weight in another row
-// of the grid, so that what they find reaches every node by two ways that no
-// single node is part of. Where there is no other row, it is the next in weight.
+// probers returns the nodes that probe an instance: the ready node with the highest rendezvous
+// weight, and the one with the highest weight in another row of the grid, so that their results
+// reach every node by two paths without a common node. If no other row has a ready node, the
+// second one is the next by weight.
 func (a assigner) probers(instance garnetworks.InstanceID) []garnetworks.NodeID {
 	first, ok := a.highest(instance, func(candidate) bool { return true })
 	if !ok {
@@ -62,7 +62,7 @@
 	return []garnetworks.NodeID{first.id, second.id}
 }
 
-// best returns the allowed node with the highest rendezvous weight.
+// highest returns the allowed node with the highest rendezvous weight.
 func (a assigner) highest(instance garnetworks.InstanceID, allowed func(candidate) bool) (candidate, bool) {
 	var best candidate
 	var weight uint64
@@ -77,7 +77,7 @@
 	return best, best.id != ""
 }
 
-// rendezvous is the weight of the pair of a node and an instance.
+// rendezvous returns the weight of a node for an instance.
 func rendezvous(node garnetworks.NodeID, instance garnetworks.InstanceID) uint64 {
 	var buffer [128]byte
 	b := append(buffer[:0], node...)
@@ -86,12 +86,12 @@
 	return xxhash.Sum64(b)
 }
 
-// Probers returns the nodes that probe the instance, best first (rule P1).
+// Probers returns the nodes that probe the instance, the first choice first (rule P1).
 func Probers(instance garnetworks.InstanceID, zone garnetworks.ZoneID, nodes []garnetworks.NodeInfo) []garnetworks.NodeID {
 	return newAssigner(zone, nodes).probers(instance)
 }
 
-// Assigned returns the targets that the node probes, in order of instance.
+// Assigned returns the targets that the node probes, sorted by instance.
 func Assigned(node garnetworks.NodeID, nodes []garnetworks.NodeInfo, targets []Target) []Target {
 	zone := zoneOf(node, nodes)
 	a := newAssigner(zone, nodes)
@@ -105,7 +105,7 @@
 	return assigned
 }
 
-// zoneOf returns the zone of a listed node.
+// zoneOf returns the zone of a node, or "" if it is not listed.
 func zoneOf(id garnetworks.NodeID, nodes []garnetworks.NodeInfo) garnetworks.ZoneID {
 	i := slices.IndexFunc(nodes, func(n garnetworks.NodeInfo) bool { return n.ID == id })
 	if i < 0 {
--- a/prober/exchange.go
+++ b/prober/exchange.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	// AgeUnit is the unit of garnetworks.ConfirmRequest's ages.
+	// AgeUnit is the unit of the ages in garnetworks.ConfirmRequest.
 	AgeUnit = 20 * time.Millisecond
-	// AgeNone stands for no confirmation within AgeNone units.
+	// AgeNone says that there is no confirmation younger than AgeNone units.
 	AgeNone = 255
-	// drift is the most by which two monotonic clocks run apart.
+	// maxDrift is the maximum relative drift between two monotonic clocks.
 	maxDrift = 200e-6
 )
 
-// list is what a node tells of some instances. It is never changed.
+// statusList is an immutable list of the statuses of some instances.
 type statusList struct {
-	// sum is the checksum of statuses; 0 for none.
+	// checksum is the checksum of statuses; 0 if there are none.
 	checksum uint64
-	// statuses are sorted by instance and hold no loads.
+	// statuses are sorted by instance; only the capacity of their loads is set.
 	statuses []garnetworks.EngineStatus
 }
 
-// newList makes a list of sorted statuses.
+// newList returns a list of sorted statuses.
 func newList(statuses []garnetworks.EngineStatus) *statusList {
 	if len(statuses) == 0 {
 		return &statusList{}
 	}
-	// Encoding a struct of strings and numbers does not fail.
+	// Encoding a struct of strings and numbers can't fail.
 	encoded, _ := cbor.Marshal(statuses)
 	return &statusList{checksum: max(xxhash.Sum64(encoded), 1), statuses: statuses}
 }
@@ -51,7 +51,7 @@
 	return l.statuses[i], true
 }
 
-// difference returns what turns base into l.
+// diff returns the changes from base to l.
 func (l *statusList) diff(base *statusList) (changed []garnetworks.EngineStatus, removed []garnetworks.InstanceID) {
 	for _, s := range l.statuses {
 		if known, ok := base.find(s.Instance); !ok || !sameStatus(&known, &s) {
@@ -66,13 +66,13 @@
 	return changed, removed
 }
 
-// sameStatus compares all that a list holds.
+// sameStatus compares the parts of statuses that a list holds.
 func sameStatus(a, b *garnetworks.EngineStatus) bool {
 	return SameConfirmation(a, b) && a.LastOrder == b.LastOrder && a.Load.Capacity == b.Load.Capacity &&
 		slices.Equal(a.Weights, b.Weights)
 }
 
-// with returns the list after a difference.
+// apply returns the list with changes applied.
 func (l *statusList) apply(changed []garnetworks.EngineStatus, removed []garnetworks.InstanceID) *statusList {
 	statuses := slices.DeleteFunc(slices.Clone(l.statuses), func(s garnetworks.EngineStatus) bool {
 		return slices.Contains(removed, s.Instance)
@@ -88,18 +88,18 @@
 	return newList(statuses)
 }
 
-// clock relates a peer's monotonic time to this process's: the peer's was stamp
-// no earlier than at. It comes from echoes: the peer says that its time was stamp
-// when it had this process's answer, which was given at at. The relation is used to count the age of a message from
-// before it was sent, however long it was held up on the way (rule P2).
+// peerClock relates a peer's monotonic clock to this process's clock: the peer's clock reached
+// stamp no earlier than at. The relation comes from echoes: the peer reports that its clock
+// showed stamp when it received a response that this process sent at time at. It is used to
+// compute a message's age from before it was sent, however long it was delayed (rule P2).
 type peerClock struct {
 	stamp time.Duration
 	at    time.Time
 	known bool
 }
 
-// observe takes a stamp that the peer reached after the time at, and keeps the
-// tighter of the two bounds; the older one loosens by the drift.
+// observe handles a stamp that the peer reached no earlier than at. It keeps whichever relation
+// gives the later bound; the older one has loosened by the drift.
 func (c *peerClock) observe(stamp time.Duration, at time.Time) {
 	if c.known && c.earliest(stamp).After(at) {
 		return
@@ -107,28 +107,28 @@
 	*c = peerClock{stamp, at, true}
 }
 
-// earliest returns a moment before which the peer has not read the stamp.
+// earliest returns a time before which the peer's clock had not reached stamp.
 func (c *peerClock) earliest(stamp time.Duration) time.Time {
 	since := stamp - c.stamp
 	deviation := time.Duration(maxDrift * float64(max(since, -since)))
 	return c.at.Add(since - deviation)
 }
 
-// peer is what a node knows of another one.
+// peer is the state that a node keeps about another one.
 type peer struct {
 	incarnation uint64
 	clock       peerClock
-	// held are the lists that the peer has sent, acked the ones that it is known
-	// to hold, by garnetworks.ConfirmRequest.Relayed.
+	// received are the lists that the peer has sent, acked those that it has acknowledged
+	// holding, both by garnetworks.ConfirmRequest.Relayed.
 	received, acked map[bool]*statusList
-	// echo is the stamp of the peer's last answer, echoAt this process's stamp
-	// when it had come, rounded up.
+	// echo is the stamp of the peer's last response, echoAt this process's stamp when it
+	// arrived, rounded up.
 	echo, echoAt uint64
 }
 
-// sent returns a moment before which the peer has not read the stamp of a
-// message that is here now, by the wall clock of now, or false if none is known.
-// A message from the future shows that what is known of the clock is wrong.
+// sentAfter returns a time, on the wall clock of now, before which a message that has arrived
+// with the stamp was not sent, or false if none is known. If that time is in the future, the
+// clock relation is wrong and is dropped.
 func (p *peer) sentAfter(now time.Time, stamp time.Duration) (time.Time, bool) {
 	if !p.clock.known {
 		return time.Time{}, false
@@ -141,25 +141,22 @@
 	return now.Add(-since), true
 }
 
-// suspensionBound is the least jump between wall and monotonic clock that counts
-// as a suspension; between two messages, clocks that are being adjusted run apart
-// by less than a millisecond.
+// suspensionBound is the smallest jump between wall and monotonic clock that counts as a
+// suspension; clock adjustments between two messages are much smaller.
 const suspensionBound = 50 * time.Millisecond
 
-// jumped reports whether the clocks ran apart since the last look.
+// clockJumped reports whether the offset between the clocks has jumped from previousOffset.
 func clockJumped(previousOffset, wall, monotonic time.Duration) bool {
 	offsetChange := wall - monotonic - previousOffset
 	return max(offsetChange, -offsetChange) > suspensionBound
 }
 
-// checkClock forgets what is known of peers' clocks after a suspension; the
-// caller holds mu.
+// checkClock detects a suspension of this machine and handles it. The caller holds mu.
 //
-// Failure: this node's machine is suspended and its monotonic clock stands still,
-// while messages wait for it. Relations from before are then off by the
-// suspension and would make old messages look new, and words from before look
-// young, here and where they are told. It shows as a jump of the wall clock; from
-// then on only later words and echoes of later answers count.
+// While a machine is suspended, its monotonic clock stops and messages wait. Older clock
+// relations are then off by the length of the suspension: old messages would look new, and old
+// confirmations recent, here and at the nodes they are sent to. The suspension shows as a jump
+// of the wall clock.
 func (x *Exchange) checkClock(now time.Time) {
 	monotonic := now.Sub(x.started)
 	wall := now.Round(0).Sub(x.started.Round(0))
@@ -169,42 +166,42 @@
 	x.wallOffset = wall - monotonic
 }
 
-// suspended forgets all relations to peers' clocks and lets all words lapse; the
-// caller holds mu.
+// handleSuspension drops all clock relations and expires all statuses; afterwards only newer
+// statuses and echoes of newer responses count. The caller holds mu.
 func (x *Exchange) handleSuspension(now time.Time) {
 	x.table.expireAll(now)
-	x.echoesFrom = x.stamp(now) + 1 // an answer of this millisecond may be from before
+	x.echoesFrom = x.stamp(now) + 1 // a response in this millisecond may be from before
 	for _, p := range x.peers {
 		p.clock = peerClock{}
 	}
 }
 
-// Outgoing is a request to be sent to a node.
+// Outgoing is a request to send to a node.
 type Outgoing struct {
 	To      garnetworks.NodeInfo
 	Request *garnetworks.ConfirmRequest
 	list    *statusList
 }
 
-// Exchange decides what a node tells the others of its zone, and takes what
-// they tell (rule P6). It does no I/O and is safe for concurrent use.
+// Exchange computes the requests that a node sends to other nodes of its zone, and handles
+// theirs (rule P6). It does no I/O and is safe for concurrent use.
 type Exchange struct {
 	self garnetworks.NodeID
-	// started is the origin of the stamps; incarnation tells the process from the
-	// node's earlier ones, whose stamps had another origin. It is the start's time
-	// in milliseconds, cut to 32 bits to be short.
+	// started is the origin of the stamps. incarnation distinguishes the process from the
+	// node's earlier ones, whose stamps had another origin: the start time in milliseconds,
+	// truncated to 32 bits to be short.
 	started     time.Time
 	incarnation uint64
 	table       *Table
 
 	mu sync.Mutex
-	// apart is how far the wall clock is ahead of the monotonic one, counted from
-	// started; echoesFrom is the stamp of the last jump between the two.
+	// wallOffset is how far the wall clock is ahead of the monotonic one since started,
+	// echoesFrom the lowest stamp whose echo counts.
 	wallOffset  time.Duration
 	echoesFrom  uint64
 	row, column []garnetworks.NodeInfo
-	// own are the instances that the node probes, ofRow those that its row does;
-	// both are sorted.
+	// ownInstances are the instances that the node probes, rowInstances those that its row
+	// probes; both are sorted.
 	ownInstances, rowInstances []garnetworks.InstanceID
 	peers                      map[garnetworks.NodeID]*peer
 }
@@ -214,8 +211,8 @@
 	return &Exchange{self: self, started: started, incarnation: uint64(uint32(started.UnixMilli())), table: table, peers: make(map[garnetworks.NodeID]*peer)}
 }
 
-// SetTopology takes the nodes and targets of the site; others than the zone's are
-// left out. A node that is not listed neither tells nor hears anything.
+// SetTopology sets the nodes and targets of the site; those of other zones are ignored. A node
+// that is not listed sends nothing.
 func (x *Exchange) SetTopology(nodes []garnetworks.NodeInfo, targets []Target) {
 	zone := zoneOf(x.self, nodes)
 	g, a := newGrid(zone, nodes), newAssigner(zone, nodes)
@@ -245,7 +242,7 @@
 	x.removePeers(nodes)
 }
 
-// forget drops peers that are no longer nodes; the caller holds mu.
+// removePeers removes peers that are no longer nodes. The caller holds mu.
 func (x *Exchange) removePeers(nodes []garnetworks.NodeInfo) {
 	known := garnetworks.NewSet[garnetworks.NodeID]()
 	for i := range nodes {
@@ -258,8 +255,7 @@
 	}
 }
 
-// peer returns the state of a node's process, made anew after its restart; the
-// caller holds mu.
+// peer returns the state of a node's process, which is new after a restart. The caller holds mu.
 func (x *Exchange) peer(id garnetworks.NodeID, incarnation uint64) *peer {
 	p, ok := x.peers[id]
 	if !ok || p.incarnation != incarnation {
@@ -279,7 +275,7 @@
 	return x.appendRequests(out, now, x.column, x.rowInstances, true)
 }
 
-// tell appends the requests to some nodes about some instances.
+// appendRequests appends the requests that send the statuses of instances to nodes.
 func (x *Exchange) appendRequests(out []Outgoing, now time.Time, to []garnetworks.NodeInfo, ids []garnetworks.InstanceID, relayed bool) []Outgoing {
 	if len(to) == 0 {
 		return out
@@ -311,8 +307,8 @@
 	return uint64(max(now.Sub(x.started), 0) / time.Millisecond)
 }
 
-// HandleRequest takes another node's request and returns the answer and the
-// instances whose word has changed.
+// HandleRequest handles another node's request and returns the response and the instances whose
+// confirmation has changed.
 func (x *Exchange) HandleRequest(now time.Time, r *garnetworks.ConfirmRequest) (*garnetworks.ConfirmResponse, []garnetworks.InstanceID) {
 	x.mu.Lock()
 	x.checkClock(now)
@@ -325,16 +321,16 @@
 	x.mu.Unlock()
 	response := &garnetworks.ConfirmResponse{Incarnation: x.incarnation, Stamp: x.stamp(now), ListChecksum: current.checksum}
 	if current.checksum != r.ListChecksum || len(r.Ages) != len(current.statuses) || !known {
-		// The ages are of other statuses than the ones held, or the sender's clock
-		// is not known yet: nothing is refreshed, and the next request, after the
-		// answer, brings what is missing.
+		// The ages refer to other statuses than the current ones, or the sender's clock is
+		// unknown. Nothing is refreshed; after the response, the sender's next request
+		// includes what is missing.
 		return response, nil
 	}
 	return response, x.table.Merge(base, current.results(base, r))
 }
 
-// take applies a request's difference to the list that the peer has sent before
-// and returns the list held then.
+// applyRequest applies a request's changes to the list received from the peer and returns the
+// current list. It stays as it was if the request refers to another base.
 func (p *peer) applyRequest(r *garnetworks.ConfirmRequest) *statusList {
 	current := p.received[r.Relayed]
 	if current == nil {
@@ -357,7 +353,7 @@
 	return current
 }
 
-// results turns a list with ages into results.
+// results converts a list with ages and loads to probe results.
 func (l *statusList) results(base time.Time, r *garnetworks.ConfirmRequest) []garnetworks.ProbeResult {
 	results := make([]garnetworks.ProbeResult, 0, len(l.statuses))
 	loads := make(map[int][]uint32, len(r.Loads)/loadFields)
@@ -378,10 +374,10 @@
 	return results
 }
 
-// loadFields is the count of numbers for each load in a request.
+// loadFields is the number of values per load in a request.
 const loadFields = 4
 
-// HandleResponse takes a node's answer to a request.
+// HandleResponse handles a node's response to a request.
 func (x *Exchange) HandleResponse(now time.Time, o *Outgoing, response *garnetworks.ConfirmResponse) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -393,8 +389,8 @@
 	}
 }
 
-// snapshot returns what the table says of some sorted instances: a list, and
-// the ages and loads that go with it.
+// snapshot returns a list of the table's statuses of the given sorted instances, with their
+// ages and loads.
 func (t *Table) snapshot(now time.Time, ids []garnetworks.InstanceID) (l *statusList, ages []byte, loads []uint32) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -417,7 +413,7 @@
 	return newList(statuses), ages, loads
 }
 
-// encodeAge rounds an age up to units.
+// encodeAge rounds an age up to units of AgeUnit, at most AgeNone.
 func encodeAge(age time.Duration) byte {
 	return byte(min((max(age, 0)+AgeUnit-1)/AgeUnit, AgeNone))
 }
--- a/prober/exchange_test.go
+++ b/prober/exchange_test.go
@@ -10,12 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// A tech's call goes to a group of which one member has died or was taken for
-// another group, because a node's table says that all members confirm. The cause
-// would be a confirmation that looks younger than it is: told over a link that
-// held it up, by a relay that added its own time, by a process that has been
-// restarted meanwhile, or by a node whose clock stood still while messages waited. No node may hold a word as younger than the last probe
-// that really brought it.
+// No node may hold a confirmation as younger than the last probe that returned it, even after
+// delays, relays, restarts or suspensions: calls would go to groups that lost a member.
 func TestNoConfirmationLooksYoungerThanItIs(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		nodes := rapid.IntRange(2, 14).Draw(rt, "nodes")
@@ -55,7 +51,7 @@
 	return s.targets[rapid.IntRange(0, len(s.targets)-1).Draw(rt, "engine")].Instance
 }
 
-// check compares every table with what the engines really said (rule G1).
+// check compares every table with what the engines really reported (rule G1).
 func (s *sim) check(rt *rapid.T) {
 	for i, table := range s.tables {
 		if s.suspended[i] {
@@ -64,11 +60,11 @@
 		for _, target := range s.targets {
 			status, at, ok := table.Status(target.Instance)
 			if !ok || at.Before(s.wokeAt[i]) {
-				continue // what is from before a suspension is told by the wall clock
+				continue // older confirmations are aged by the wall clock
 			}
 			at = at.Add(s.lag[i])
 			if last := s.lastProbed[confirmationKey(&status)]; at.After(last) {
-				rt.Fatalf("%s holds %s of %s as asked for %v after the last probe", s.roster[i].ID, status.Group, target.Instance, at.Sub(last))
+				rt.Fatalf("%s holds %s of %s as probed %v after the last probe", s.roster[i].ID, status.Group, target.Instance, at.Sub(last))
 			}
 		}
 		if s.lag[i] == 0 {
@@ -77,7 +73,7 @@
 	}
 }
 
-// checkGroups compares Confirmed with the oracle's own reckoning.
+// checkGroups compares Confirmed with the probes that the engines really answered.
 func (s *sim) checkGroups(rt *rapid.T, table *Table) {
 	for first := 0; first < len(s.targets); first += 4 {
 		w := s.engines[s.targets[first].Instance]
@@ -98,7 +94,7 @@
 	}
 }
 
-// youngest returns when a word was last asked for, whatever the incarnation.
+// latestProbe returns when a confirmation was last probed, in any incarnation.
 func (s *sim) latestProbe(w *garnetworks.EngineStatus) time.Time {
 	var last time.Time
 	wanted := *w
@@ -111,10 +107,8 @@
 	return last
 }
 
-// A rack's power supply takes an entry node, and for some seconds it is still
-// listed: the engines that it probed and the rows that it told still show as
-// confirmed at every other node, since another node probes each of them and
-// tells of it by another way. Without that, healthy groups would be taken out.
+// When an entry node fails and is still listed, all engines must stay confirmed at all other
+// nodes by the second prober and another path, or healthy groups would be taken out.
 func TestConfirmationsReachEveryNodeAfterNodeLoss(t *testing.T) {
 	for name, nodes := range map[string]int{"one": 1, "two": 2, "six": 6, "seven": 7, "thirteen": 13, "forty-two": 42} {
 		t.Run(name, func(t *testing.T) {
@@ -125,7 +119,7 @@
 	}
 }
 
-// checkWithoutNode lets a zone run on after one of several nodes has died.
+// checkWithoutNode runs a zone and stops one of several nodes.
 func checkWithoutNode(t *testing.T, nodes, down int) {
 	t.Helper()
 	s := newSim(1, nodes, 40, uint64(down))
@@ -139,9 +133,8 @@
 	}
 }
 
-// BenchmarkExchange measures what telling costs a node, and how old the
-// confirmations are at the nodes: go test ./prober -run=^$ -bench=Exchange
-// -benchtime=1x.
+// BenchmarkExchange measures the messages per node and the ages of the confirmations: go test
+// ./prober -run=^$ -bench=Exchange -benchtime=1x.
 func BenchmarkExchange(b *testing.B) {
 	for _, size := range []struct{ zones, nodes, engines int }{
 		{3, 6, 65}, {3, 24, 65}, {8, 96, 600}, {8, 330, 600},
@@ -183,7 +176,7 @@
 	return i
 }
 
-// BenchmarkAssigned measures the assignment after a change of the roster.
+// BenchmarkAssigned measures the assignment after a roster change.
 func BenchmarkAssigned(b *testing.B) {
 	for _, nodes := range []int{6, 330} {
 		b.Run(fmt.Sprint("nodes-", nodes), func(b *testing.B) {
@@ -196,7 +189,7 @@
 	}
 }
 
-// BenchmarkConfirmed measures the check that a router makes of one group.
+// BenchmarkConfirmed measures a router's check of one group.
 func BenchmarkConfirmed(b *testing.B) {
 	s := newSim(1, 1, 600, 1)
 	s.run(2 * time.Second)
--- a/prober/grid.go
+++ b/prober/grid.go
@@ -8,19 +8,19 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// maxSingleRow is the number of nodes up to which all nodes of a zone tell each
-// other directly.
+// maxSingleRow is the number of nodes up to which all nodes of a zone send to each other
+// directly.
 const maxSingleRow = 6
 
-// grid is a zone's nodes, ready or not, in rows of nearly equal size. Each node tells
-// its row what it has probed, and its column what its row has told it, so that
-// all hear all in two steps and each sends some 2·√n messages.
+// grid is a zone's nodes, ready or not, in rows of nearly equal size. Each node sends its own
+// probe results to its row, and those of its row to its column, so that results reach all nodes
+// in two steps with about 2·√n messages per node.
 type grid struct {
 	rows [][]garnetworks.NodeInfo
 }
 
-// newGrid arranges the zone's nodes, in order of name. A node that is not ready
-// yet has to hear of the engines before it can be.
+// newGrid arranges the zone's nodes, sorted by ID. Nodes that are not ready are included,
+// because they need the results before they can become ready.
 func newGrid(zone garnetworks.ZoneID, nodes []garnetworks.NodeInfo) grid {
 	var members []garnetworks.NodeInfo
 	for _, n := range nodes {
@@ -40,7 +40,7 @@
 	return g
 }
 
-// place returns the node's row and its position in it.
+// position returns the node's row and its index in it.
 func (g grid) position(id garnetworks.NodeID) (row, column int, ok bool) {
 	for r, members := range g.rows {
 		for c := range members {
@@ -61,9 +61,9 @@
 	return slices.Delete(slices.Clone(g.rows[r]), c, c+1)
 }
 
-// column returns the nodes of other rows that the node tells about its own row.
-// Row sizes differ by one at most; where the node's row has no member for the
-// last column of a longer row, its first member speaks to that column too.
+// column returns the nodes of other rows to which the node sends its row's results. Row sizes
+// differ by at most one; if another row is longer than the node's row, the first node of the
+// shorter row also sends to the last node of the longer one.
 func (g grid) column(id garnetworks.NodeID) []garnetworks.NodeInfo {
 	r, c, ok := g.position(id)
 	if !ok {
--- a/prober/prober.go
+++ b/prober/prober.go
@@ -14,42 +14,42 @@
 
 // Defaults of Options.
 const (
-	// DefaultTimeout ends a probe before the next one begins, so that one
-	// instance has one probe in flight from a node at most.
+	// DefaultTimeout ends a probe before the next one begins, so that a node has at most
+	// one probe of an instance in flight.
 	DefaultTimeout = 800 * time.Millisecond
-	// resultsBuffer bounds the channel of results: two rounds over 300 targets.
+	// resultsBuffer is the capacity of the channel of results: two rounds of 300 targets.
 	resultsBuffer = 600
 )
 
-// Options configure a Prober.
+// Options configure a Prober. Node and Orders are required.
 type Options struct {
-	// Node is the node that probes.
+	// Node is the node that runs the prober.
 	Node garnetworks.NodeID
-	// Peers sends results to the other nodes of the zone; without it the node
-	// knows only what it probes itself.
+	// Peers sends confirmations to the other nodes of the zone; without it the node sends
+	// none.
 	Peers garnetworks.Option[garnetworks.ConfirmCaller]
-	// Orders reads engines' status.
+	// Orders reads the status of engines.
 	Orders garnetworks.EngineOrders
 	// Recorder may be nil.
 	Recorder garnetworks.Recorder
-	// Table takes the results; nil makes a new one.
+	// Table stores the results; nil creates a new one.
 	Table *Table
-	// Interval is the time between two probes of a target; 0 takes
+	// Interval is the time between two probes of a target; 0 means
 	// garnetworks.ProbeInterval.
 	Interval time.Duration
-	// Timeout bounds one probe; 0 takes DefaultTimeout.
+	// Timeout limits the time of one probe; 0 means DefaultTimeout.
 	Timeout time.Duration
-	// Random returns values in [0, 1); nil takes the runtime's generator.
+	// Random returns values in [0, 1); nil means the system's generator.
 	Random func() float64
 }
 
-// Prober probes the instances that are assigned to its node. It probes all of
-// them at one moment of the interval, chosen at random for each round, so that
-// what it then tells its peers is young; the moments of different nodes differ.
+// Prober probes the instances that are assigned to its node. It probes all of them at once, at
+// a time of the interval with random jitter, so that the results are recent when they are sent
+// to peers and the rounds of different nodes are spread out.
 type Prober struct {
 	options  Options
 	exchange *Exchange
-	// word holds a token when a word has changed since the last telling.
+	// sendNow holds a token if a confirmation has changed since the last send.
 	sendNow chan struct{}
 	results chan garnetworks.ProbeResult
 	dropped atomic.Uint64
@@ -62,7 +62,7 @@
 	changed  map[garnetworks.InstanceID]struct{}
 }
 
-// New returns a prober that probes nothing before SetRoster and SetTargets.
+// New returns a prober that has no targets until SetRoster and SetTargets are called.
 func New(options Options) *Prober {
 	if options.Interval <= 0 {
 		options.Interval = garnetworks.ProbeInterval
@@ -86,10 +86,10 @@
 	}
 }
 
-// Table returns the table that the results go to.
+// Table returns the table that stores the results.
 func (p *Prober) Table() *Table { return p.options.Table }
 
-// SetRoster takes the entry nodes of all zones. Without a change it does little.
+// SetRoster sets the entry nodes of all zones. Unchanged nodes cost little.
 func (p *Prober) SetRoster(nodes []garnetworks.NodeInfo) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,8 +100,8 @@
 	p.reassign()
 }
 
-// SetTargets takes the engine instances of the node's zone, or of all zones.
-// Without a change it does little.
+// SetTargets sets the engine instances of the node's zone, or of all zones. Unchanged targets
+// cost little.
 func (p *Prober) SetTargets(targets []Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -117,28 +117,28 @@
 	p.options.Table.Keep(known)
 }
 
-// arrange follows a change of nodes or targets; the caller holds mu.
+// reassign computes the assignment after a change of nodes or targets. The caller holds mu.
 func (p *Prober) reassign() {
 	p.assigned = Assigned(p.options.Node, p.nodes, p.targets)
 	p.exchange.SetTopology(p.nodes, p.targets)
 }
 
-// Assigned returns the targets that this node probes now.
+// Assigned returns the targets that the node currently probes.
 func (p *Prober) Assigned() []Target {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.assigned)
 }
 
-// Results returns the channel of the node's own results. A reader that falls
-// behind loses results, which Dropped counts; the table has them all.
+// Results returns the channel of the node's own results. If the channel is full, results are
+// dropped from it and counted by Dropped; the table has them all.
 func (p *Prober) Results() <-chan garnetworks.ProbeResult { return p.results }
 
-// Dropped returns the number of results that found the channel full.
+// Dropped returns the number of results dropped because the channel was full.
 func (p *Prober) Dropped() uint64 { return p.dropped.Load() }
 
-// TakeChanges returns the results whose word has changed since the last call, in order
-// of instance, with their ages at now.
+// TakeChanges returns the results whose confirmation has changed since the last call, sorted by
+// instance, with their ages at now.
 func (p *Prober) TakeChanges(now time.Time) []garnetworks.ProbeResult {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -155,7 +155,7 @@
 	return results
 }
 
-// Run probes and tells the peers until ctx ends, and returns ctx's error.
+// Run probes and sends to the peers until ctx ends, and returns ctx's error.
 func (p *Prober) Run(ctx context.Context) error {
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -175,7 +175,7 @@
 	}
 }
 
-// signal puts a token into a channel that has room for one.
+// signal sends a token to a channel of capacity 1 unless it holds one.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -193,17 +193,17 @@
 	}
 }
 
-// pause returns the time to the next round: the interval with a tenth of
-// jitter downwards, so that rounds of different nodes do not stay in step and
-// no two probes lie further apart than the interval.
+// nextRoundDelay returns the time until the next round: the interval minus up to a tenth of
+// jitter, so that the rounds of different nodes do not stay synchronized and two probes are
+// never further apart than the interval.
 func (p *Prober) nextRoundDelay() time.Duration {
 	const jitter = 0.1
 	return time.Duration(float64(p.options.Interval) * (1 - jitter*p.options.Random()))
 }
 
-// probe asks one target and files the result.
+// probe probes one target and handles the result.
 func (p *Prober) probe(ctx context.Context, t Target) {
-	sent := time.Now() // rule P2: before the probe, not after its answer
+	sent := time.Now() // rule P2: before the probe, not after its response
 	call, cancel := context.WithTimeout(ctx, p.options.Timeout)
 	defer cancel()
 	status, err := p.options.Orders.Status(call, t.Address)
@@ -211,12 +211,12 @@
 		return
 	}
 	if err == nil && status.Instance != t.Instance {
-		// An address is given to another instance after a replacement; its answer
-		// says nothing of the target.
+		// After a replacement another instance can have the address; its status says nothing
+		// about the target.
 		err = garnetworks.Errorf(garnetworks.KindUnreachable, "%s answered at %s in place of %s", status.Instance, t.Address, t.Instance)
 	}
 	if now := time.Now(); err == nil && clockJumped(0, now.Round(0).Sub(sent.Round(0)), now.Sub(sent)) {
-		// The machine was suspended meanwhile, so the age can't be told.
+		// The machine was suspended during the probe, so its age is unknown.
 		err = garnetworks.Errorf(garnetworks.KindResponseLost, "the clock jumped during the probe")
 	}
 	result := garnetworks.ProbeResult{Status: status}
@@ -226,7 +226,7 @@
 	p.handleResult(sent, t, result, err)
 }
 
-// file merges a result, notes its change, and passes it on.
+// handleResult merges a result, records changes, and adds it to the channel of results.
 func (p *Prober) handleResult(sent time.Time, t Target, result garnetworks.ProbeResult, err error) {
 	result.Age = time.Since(sent)
 	changed := p.options.Table.Merge(sent.Add(result.Age), []garnetworks.ProbeResult{result})
@@ -249,7 +249,7 @@
 	}
 }
 
-// record puts the edges between answering and failing on the time line.
+// record records an event when a target begins or stops answering.
 func (p *Prober) record(t Target, failedBefore bool, err error) {
 	if p.options.Recorder == nil || failedBefore == (err != nil) {
 		return
@@ -263,10 +263,9 @@
 	p.options.Recorder.Record(event)
 }
 
-// Check probes one address now, on a connection of its own if the EngineOrders
-// that the prober was given opens one for each status call. It tells a silent
-// connection from a slow engine: if the engine answers here while a call on an
-// open connection makes no progress, the connection is dead.
+// Check probes an address now, on a new connection if the prober's EngineOrders opens one for
+// each status call. It distinguishes a dead connection from a slow engine: if the engine
+// answers here while a call on an open connection makes no progress, the connection is dead.
 func (p *Prober) Check(ctx context.Context, address string) (garnetworks.EngineStatus, error) {
 	call, cancel := context.WithTimeout(ctx, p.options.Timeout)
 	defer cancel()
--- a/prober/sim_test.go
+++ b/prober/sim_test.go
@@ -11,7 +11,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// event is something that happens in a sim at a time.
+// event is a function to run at a time of a sim.
 type event struct {
 	at time.Duration
 	do func()
@@ -30,8 +30,8 @@
 	return last
 }
 
-// sim is the zones of a site in one goroutine: engines that truly have a word,
-// and nodes that probe and tell, over links that lose and hold up messages.
+// sim simulates the zones of a site in one goroutine: engines, and nodes that probe them and
+// exchange confirmations over links that lose and delay messages.
 type sim struct {
 	start   time.Time
 	now     time.Duration
@@ -44,16 +44,16 @@
 	// assigned are the targets of each node; the roster never changes.
 	assigned [][]Target
 	down     []bool
-	// lag is how far a node's monotonic clock is behind, since it stood still
-	// while the node was suspended; woke is that clock's time at the last waking.
+	// lag is how far a node's monotonic clock is behind because of suspensions, wokeAt that
+	// clock's time at the end of the last suspension.
 	lag       []time.Duration
 	suspended []bool
 	wokeAt    []time.Time
 	engines   map[garnetworks.InstanceID]*garnetworks.EngineStatus
-	// probed holds, for each word that an engine ever gave, when the last probe
-	// that brought it was sent.
+	// lastProbed is the time at which the last probe that returned a confirmation was sent,
+	// by confirmationKey.
 	lastProbed map[string]time.Time
-	// loss and held are chances of a message; dead engines don't answer.
+	// loss and delayed are message probabilities; deadEngines do not answer.
 	loss, delayed float64
 	deadEngines   garnetworks.Set[garnetworks.InstanceID]
 	cutLinks      map[[2]int]bool
@@ -100,10 +100,10 @@
 
 func (s *sim) clock() time.Time { return s.start.Add(s.now) }
 
-// nodeClock returns a node's own time.
+// nodeClock returns the time of a node's own clock.
 func (s *sim) nodeClock(i int) time.Time { return s.clock().Add(-s.lag[i]) }
 
-// suspend stops a node and its clock for a time. What arrives meanwhile waits.
+// suspend stops a node and its clock for a time. Messages that arrive meanwhile wait.
 func (s *sim) suspend(i int, d time.Duration) {
 	if s.suspended[i] || s.down[i] {
 		return
@@ -113,7 +113,7 @@
 		s.suspended[i] = false
 		s.lag[i] += d
 		s.wokeAt[i] = s.nodeClock(i)
-		// The sim's times have no wall clock to jump, so the finding is made here.
+		// The sim's times have no wall clock that could jump, so the suspension is reported here.
 		x := s.nodes[i]
 		x.mu.Lock()
 		defer x.mu.Unlock()
@@ -121,7 +121,7 @@
 	})
 }
 
-// awake does something at a node as soon as it is not suspended.
+// whenAwake runs a function at a node as soon as the node is not suspended.
 func (s *sim) whenAwake(i int, do func()) {
 	if s.suspended[i] {
 		s.after(10*time.Millisecond, func() { s.whenAwake(i, do) })
@@ -132,7 +132,7 @@
 
 func (s *sim) after(d time.Duration, do func()) { heap.Push(&s.queue, event{s.now + d, do}) }
 
-// run lets the sim go on until a time.
+// run advances the sim to a time.
 func (s *sim) run(until time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].at <= until {
 		e := heap.Pop(&s.queue).(event)
@@ -142,14 +142,14 @@
 	s.now = until
 }
 
-// restart starts a node's process anew.
+// restart starts a new process of a node.
 func (s *sim) restart(i int) {
 	s.tables[i] = NewTable()
 	s.nodes[i] = NewExchange(s.roster[i].ID, s.nodeClock(i), s.tables[i])
 	s.nodes[i].SetTopology(s.roster, s.targets)
 }
 
-// round is a node's round of probes and what follows.
+// round runs a node's probe round, schedules the sending of results and the next round.
 func (s *sim) round(i int) {
 	jitter := time.Duration(s.random.Int64N(int64(100 * time.Millisecond)))
 	s.after(time.Second-jitter, func() { s.round(i) })
@@ -162,7 +162,7 @@
 	s.after(sendDelay, func() { s.sendRequests(i) })
 }
 
-// probe asks an engine; its word is the one at half of the way.
+// probe probes an engine, which answers with its status at half of the round trip.
 func (s *sim) probe(i int, id garnetworks.InstanceID) {
 	sent, started := s.clock(), s.nodeClock(i)
 	latency := time.Duration(1+s.random.IntN(20)) * time.Millisecond
@@ -190,7 +190,7 @@
 	return fmt.Sprint(s.Instance, s.Incarnation, s.Phase, s.Group, s.Token, s.Version, s.Leaving)
 }
 
-// speak sends a node's requests.
+// sendRequests sends a node's requests.
 func (s *sim) sendRequests(i int) {
 	if s.down[i] || s.suspended[i] {
 		return
@@ -212,7 +212,7 @@
 	}
 }
 
-// send carries a message over a link as its encoded bytes.
+// send sends a message over a link in encoded form.
 func (s *sim) send(from, to int, message any, arrive any) {
 	encoded, err := cbor.Marshal(message)
 	if err != nil {
@@ -247,8 +247,8 @@
 	}
 }
 
-// ages returns the ages of all confirmations of a zone at all its living nodes;
-// a missing one counts as an hour.
+// ages returns the ages of all confirmations of live engines at all running nodes of their
+// zones; a missing one counts as an hour.
 func (s *sim) ages() []time.Duration {
 	var ages []time.Duration
 	for i, t := range s.tables {
--- a/prober/speaker.go
+++ b/prober/speaker.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// sendDelay is the time from the start of a round of probes to the telling
-	// of its results; a usual probe has been answered by then.
+	// sendDelay is the time from the start of a probe round until its results are sent; most
+	// probes have been answered by then.
 	sendDelay = 100 * time.Millisecond
-	// minSendInterval is the least time between two tellings.
+	// minSendInterval is the minimum time between two sends.
 	minSendInterval = 100 * time.Millisecond
-	// sendTimeout bounds one request to a peer.
+	// sendTimeout limits the time of one request to a peer.
 	sendTimeout = 800 * time.Millisecond
 )
 
-// speak tells the peers after each round of probes, and at once when a word has
-// changed, so that a member's loss of its place does not wait for the round.
+// sendLoop sends confirmations to the peers after each probe round, and at once when a
+// confirmation changes, so that peers learn of a lost member before the next round.
 func (p *Prober) sendLoop(ctx context.Context, roundStarted <-chan struct{}) {
 	if !p.options.Peers.Present {
 		return
@@ -41,7 +41,7 @@
 	}
 }
 
-// tell sends one request. A lost one is made up for by the next.
+// send sends one request. If it fails, the next one contains the same changes.
 func (p *Prober) send(ctx context.Context, o *Outgoing) {
 	call, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
--- a/prober/table.go
+++ b/prober/table.go
@@ -8,25 +8,25 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// entry is what is known of one instance.
+// entry is the newest status of one instance.
 type entry struct {
 	status garnetworks.EngineStatus
-	// at is when the newest probe that brought this status was sent, or a moment
-	// before it (rule P2).
+	// at is when the newest probe that returned this status was sent, or a time before
+	// (rule P2).
 	at time.Time
-	// first is the incarnation that was first seen under the status's token.
+	// firstIncarnation is the incarnation first seen with the status's token.
 	firstIncarnation uint64
 }
 
-// age returns the time since the word was asked for, by the clock that makes it
-// older. The monotonic clock of a suspended machine stands still, so that words
-// from before look young; the wall clock is set right after the suspension. If it
-// is set forward for another reason, words look old until the next round.
+// age returns the time since the probe was sent, by whichever clock gives the higher age. The
+// monotonic clock stops while a machine is suspended, so older confirmations would look
+// recent; the wall clock is correct again after the suspension. If the wall clock jumps ahead
+// for another reason, confirmations look too old until the next round.
 func (e *entry) age(now time.Time) time.Duration {
 	return max(now.Sub(e.at), now.Round(0).Sub(e.at.Round(0)))
 }
 
-// Table holds the newest word of each instance. It is safe for concurrent use.
+// Table holds the newest status of each instance. It is safe for concurrent use.
 type Table struct {
 	mu      sync.RWMutex
 	entries map[garnetworks.InstanceID]entry
@@ -37,12 +37,11 @@
 	return &Table{entries: make(map[garnetworks.InstanceID]entry)}
 }
 
-// Merge takes results. Base is a moment, by this process's clock, at which the
-// results' ages had not yet been taken: for the node's own results the time at
-// which it takes them, for an answer from a peer the time at which it was asked,
-// for a message pushed by a peer the time that Exchange works out. The receive
-// time of a message is no such moment, since the message may have been held up
-// on the way. Merge returns the instances whose confirmation has changed.
+// Merge merges results and returns the instances whose confirmation has changed. Base is a time
+// on this process's clock that is not after the time at which the ages were computed: for the
+// node's own results the time of that computation, for a peer's response the time of the
+// request, for a peer's request the time that Exchange computes. The time at which a message
+// is received can't be used, since the message may have been delayed.
 func (t *Table) Merge(base time.Time, results []garnetworks.ProbeResult) []garnetworks.InstanceID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -55,7 +54,8 @@
 	return changed
 }
 
-// merge takes one result.
+// merge merges one result and reports whether the confirmation has changed. The caller
+// holds mu.
 func (t *Table) merge(base time.Time, r *garnetworks.ProbeResult) bool {
 	if r.Failed {
 		return false // rule P4
@@ -71,7 +71,7 @@
 	}
 	status := r.Status
 	if ok && status.CacheEvents == 0 && status.Incarnation == known.status.Incarnation {
-		status.CacheEvents = known.status.CacheEvents // results from peers leave it out
+		status.CacheEvents = known.status.CacheEvents // results from peers omit it
 	}
 	t.entries[status.Instance] = entry{status, at, first}
 	return !ok || !SameConfirmation(&known.status, &r.Status)
@@ -88,8 +88,8 @@
 	return at.After(known.at)
 }
 
-// SameConfirmation reports whether two statuses say the same of group, token, model,
-// version and readiness; loads and counters are not compared.
+// SameConfirmation reports whether two statuses are equal in instance, incarnation, phase,
+// group, token, model, version, adapters and leaving; loads and counters are not compared.
 func SameConfirmation(a, b *garnetworks.EngineStatus) bool {
 	return a.Instance == b.Instance && a.Incarnation == b.Incarnation &&
 		a.Phase == b.Phase && a.Group == b.Group && a.Token == b.Token &&
@@ -97,7 +97,7 @@
 		slices.Equal(a.Adapters, b.Adapters)
 }
 
-// Confirmed reports whether all members of the group confirm it now (rule P5).
+// Confirmed reports whether all members confirm the group now (rule P5).
 func (t *Table) Confirmed(now time.Time, g garnetworks.Group) bool {
 	return t.confirmed(now, &membership{g.ID, g.Token, g.Model, g.Version}, g.Members)
 }
@@ -107,8 +107,8 @@
 	return t.confirmed(now, &membership{g.ID, g.Token, g.Model, g.Version}, g.Members)
 }
 
-// Missing returns the members that do not confirm the group now, in the
-// group's order.
+// Missing returns the members that do not confirm the group now, in the order of the
+// group.
 func (t *Table) Missing(now time.Time, g garnetworks.Group) []garnetworks.InstanceID {
 	want := membership{g.ID, g.Token, g.Model, g.Version}
 	t.mu.RLock()
@@ -122,7 +122,7 @@
 	return missing
 }
 
-// word is what a member must say to confirm its group.
+// membership is what a member must report to confirm its group.
 type membership struct {
 	group   garnetworks.GroupID
 	token   garnetworks.FencingToken
@@ -130,8 +130,8 @@
 	version garnetworks.VersionName
 }
 
-// confirmed reports whether all members say w. A group without members is
-// never confirmed.
+// confirmed reports whether all members confirm the wanted membership. A group without
+// members is never confirmed.
 func (t *Table) confirmed(now time.Time, want *membership, members []garnetworks.InstanceID) bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -143,16 +143,16 @@
 	return len(members) > 0
 }
 
-// confirms reports whether the member's newest word is w.
+// confirms reports whether the member confirms the wanted membership. The caller holds mu.
 func (t *Table) confirms(now time.Time, m garnetworks.InstanceID, want *membership) bool {
 	e, ok := t.entries[m]
 	if !ok || e.age(now) > garnetworks.ConfirmationBound {
 		return false
 	}
 	s := &e.status
-	// A member that was restarted under its token and claims its old place has
-	// lost its state and the other members' connections; it shows as a new
-	// incarnation under a known token, and counts again with a new token.
+	// A member that restarted under its token and reports its old membership has lost its
+	// state and its connections to the other members. It appears as a new incarnation with a
+	// known token, and counts again once it has a new token.
 	if s.Incarnation != e.firstIncarnation {
 		return false
 	}
@@ -160,7 +160,7 @@
 		*want == membership{s.Group, s.Token, s.Model, s.Version}
 }
 
-// Confirmation returns the instance's newest word and when it was asked for.
+// Confirmation returns the instance's newest confirmation and when it was probed.
 func (t *Table) Confirmation(instance garnetworks.InstanceID) (garnetworks.Confirmation, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -175,7 +175,7 @@
 	}, true
 }
 
-// Status returns the instance's newest status and when it was asked for.
+// Status returns the instance's newest status and when it was probed.
 func (t *Table) Status(instance garnetworks.InstanceID) (garnetworks.EngineStatus, time.Time, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -183,8 +183,8 @@
 	return e.status, e.at, ok
 }
 
-// lapse makes all words too old to confirm anything or to be told, and keeps
-// them, so that older words are still known as such.
+// expireAll makes all statuses too old to confirm anything or to be sent. They are kept, so
+// that outdated statuses are still recognized.
 func (t *Table) expireAll(now time.Time) {
 	oldest := now.Add(-time.Hour)
 	t.mu.Lock()
@@ -197,8 +197,8 @@
 	}
 }
 
-// Keep forgets all instances that are not in the set: they are no longer part
-// of the site.
+// Keep removes all instances that are not in the set, because they are no longer part of the
+// site.
 func (t *Table) Keep(instances garnetworks.Set[garnetworks.InstanceID]) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/prober/table_test.go
+++ b/prober/table_test.go
@@ -10,7 +10,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// said is the word of the one member in TestConfirmed's cases.
+// memberStatus returns the status of the only member in TestConfirmed, modified by change.
 func memberStatus(change func(*garnetworks.EngineStatus)) garnetworks.EngineStatus {
 	s := garnetworks.EngineStatus{
 		Instance: "m", Incarnation: 7, Phase: garnetworks.EngineReady, Group: "g",
@@ -22,9 +22,8 @@
 	return s
 }
 
-// A member dies, is taken for another group, restarts, or is told of by nodes
-// that know it from before; calls may go to its group only while its newest word
-// is the group's, no matter in which order the words arrive.
+// A group may be confirmed only while its member's newest status confirms it, in whatever order
+// the statuses of restarted, reassigned or failed members arrive.
 func TestConfirmed(t *testing.T) {
 	type result = garnetworks.ProbeResult
 	good := memberStatus(nil)
@@ -32,27 +31,27 @@
 		results []result
 		want    bool
 	}{
-		"never probed":          {nil, false},
-		"fresh":                 {[]result{{Status: good}}, true},
-		"at the bound":          {[]result{{Status: good, Age: garnetworks.ConfirmationBound}}, true},
-		"over the bound":        {[]result{{Status: good, Age: garnetworks.ConfirmationBound + 1}}, false},
-		"age below zero":        {[]result{{Status: good, Age: garnetworks.ConfirmationBound + 1}, {Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Group = "h" }), Age: -time.Hour}}, false},
-		"cut off prober":        {[]result{{Status: good, Age: time.Second}, {Status: garnetworks.EngineStatus{Instance: "m"}, Failed: true}}, true},
-		"only failures":         {[]result{{Status: garnetworks.EngineStatus{Instance: "m"}, Failed: true}}, false},
-		"other group":           {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Group = "h" })}}, false},
-		"other model":           {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Model = "small" })}}, false},
-		"other version":         {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Version = "v2" })}}, false},
-		"older token":           {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Token-- })}}, false},
-		"newer token":           {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Token++ })}}, false},
-		"still loading":         {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Phase = garnetworks.EngineLoading })}}, false},
-		"leaving":               {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Leaving = true })}}, false},
-		"old word comes late":   {[]result{{Status: good}, {Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Group = "h" }), Age: time.Second}}, true},
-		"new word after old":    {[]result{{Status: good, Age: time.Second}, {Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Group = "h" })}}, false},
-		"echo of old process":   {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Incarnation++; s.Phase = garnetworks.EngineIdle }), Age: time.Second}, {Status: good}}, false},
-		"echo of old token":     {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Token++; s.Group = "h" }), Age: time.Second}, {Status: good}}, false},
-		"returned under token":  {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Incarnation-- }), Age: time.Second}, {Status: good}}, false},
-		"re-admitted by token":  {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Incarnation--; s.Token-- }), Age: time.Second}, {Status: good}}, true},
-		"late word of new life": {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Incarnation--; s.Group = "h" })}, {Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Token++ }), Age: time.Second}}, false},
+		"never probed":               {nil, false},
+		"fresh":                      {[]result{{Status: good}}, true},
+		"at the bound":               {[]result{{Status: good, Age: garnetworks.ConfirmationBound}}, true},
+		"over the bound":             {[]result{{Status: good, Age: garnetworks.ConfirmationBound + 1}}, false},
+		"age below zero":             {[]result{{Status: good, Age: garnetworks.ConfirmationBound + 1}, {Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Group = "h" }), Age: -time.Hour}}, false},
+		"cut off prober":             {[]result{{Status: good, Age: time.Second}, {Status: garnetworks.EngineStatus{Instance: "m"}, Failed: true}}, true},
+		"only failures":              {[]result{{Status: garnetworks.EngineStatus{Instance: "m"}, Failed: true}}, false},
+		"other group":                {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Group = "h" })}}, false},
+		"other model":                {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Model = "small" })}}, false},
+		"other version":              {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Version = "v2" })}}, false},
+		"older token":                {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Token-- })}}, false},
+		"newer token":                {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Token++ })}}, false},
+		"still loading":              {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Phase = garnetworks.EngineLoading })}}, false},
+		"leaving":                    {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Leaving = true })}}, false},
+		"old status arrives late":    {[]result{{Status: good}, {Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Group = "h" }), Age: time.Second}}, true},
+		"new status after old":       {[]result{{Status: good, Age: time.Second}, {Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Group = "h" })}}, false},
+		"status of old process":      {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Incarnation++; s.Phase = garnetworks.EngineIdle }), Age: time.Second}, {Status: good}}, false},
+		"status of old token":        {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Token++; s.Group = "h" }), Age: time.Second}, {Status: good}}, false},
+		"returned under token":       {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Incarnation-- }), Age: time.Second}, {Status: good}}, false},
+		"re-admitted by token":       {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Incarnation--; s.Token-- }), Age: time.Second}, {Status: good}}, true},
+		"late status of new process": {[]result{{Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Incarnation--; s.Group = "h" })}, {Status: memberStatus(func(s *garnetworks.EngineStatus) { s.Token++ }), Age: time.Second}}, false},
 	}
 	group := garnetworks.Group{ID: "g", Token: good.Token, Model: "large", Version: "v1", Members: []garnetworks.InstanceID{"m"}}
 	for name, test := range tests {
@@ -79,9 +78,9 @@
 	}
 }
 
-// A virtual machine is suspended: its monotonic clock stands still, and only the
-// jump of the wall clock shows it.
-func TestJumped(t *testing.T) {
+// A suspended virtual machine must be detected by the jump of its wall clock, since its
+// monotonic clock stops.
+func TestClockJumped(t *testing.T) {
 	tests := map[string]struct {
 		before, wall, monotonic time.Duration
 		want                    bool
@@ -100,9 +99,8 @@
 	}
 }
 
-// A peer refreshes a list that the receiver does not hold: its message that
-// changed the list was lost. Members whose words have changed since would go on
-// confirmServer by the old words if the ages were taken.
+// Ages that refer to a list which the receiver does not hold must be ignored; otherwise a
+// member whose status has changed would keep confirming its old group.
 func TestAgesForMismatchedList(t *testing.T) {
 	start := time.Now()
 	nodes := []garnetworks.NodeInfo{{ID: "a", Zone: "z", Ready: true}, {ID: "b", Zone: "z", Ready: true}}
@@ -116,7 +114,7 @@
 		from.Merge(now, []garnetworks.ProbeResult{{Status: status}})
 		out := sender.Outgoing(now)[0]
 		if lost {
-			// The receiver's answer to a later difference can't name this list.
+			// The receiver's response to a later diff can't name this list.
 			sender.HandleResponse(now, &out, &garnetworks.ConfirmResponse{ListChecksum: out.Request.ListChecksum})
 			return
 		}
@@ -126,21 +124,21 @@
 	send(0, memberStatus(nil), false)
 	send(time.Second, memberStatus(nil), false)
 	if _, at, ok := to.Status("m"); !ok || at.Before(start.Add(900*time.Millisecond)) {
-		t.Fatalf("the word was not taken: %v", at.Sub(start))
+		t.Fatalf("the status was not merged: %v", at.Sub(start))
 	}
 	moved := memberStatus(func(s *garnetworks.EngineStatus) { s.Group, s.Token = "h", s.Token+1 })
 	send(2*time.Second, moved, true)
 	send(3*time.Second, moved, false)
 	if s, at, _ := to.Status("m"); s.Group == "g" && at.After(start.Add(time.Second)) {
-		t.Fatalf("a word that was not said was refreshed at %v", at.Sub(start))
+		t.Fatalf("an outdated status was refreshed at %v", at.Sub(start))
 	}
 	send(4*time.Second, moved, false)
 	if s, _, _ := to.Status("m"); s.Group != "h" {
-		t.Fatalf("the change did not arrive after the answer: %v", s.Group)
+		t.Fatalf("the change did not arrive after the response: %v", s.Group)
 	}
 }
 
-// engines answers probes; some never do.
+// engines answers probes, except at silent addresses.
 type engines struct{ silent garnetworks.Set[string] }
 
 func (e engines) Order(context.Context, string, garnetworks.EngineOrder) (garnetworks.EngineStatus, error) {
@@ -156,7 +154,7 @@
 	return memberStatus(func(s *garnetworks.EngineStatus) { s.Instance = garnetworks.InstanceID(address) }), nil
 }
 
-// mesh carries confirmations between the probers of a test.
+// mesh delivers confirmations between the probers of a test.
 type mesh map[string]*Prober
 
 func (m mesh) Confirm(ctx context.Context, address string, r *garnetworks.ConfirmRequest) (*garnetworks.ConfirmResponse, error) {
@@ -164,10 +162,8 @@
 	return m[address].Confirm(ctx, r)
 }
 
-// A dead engine's probes hang until they time out. The probes of the others must
-// go on in time, at each node, and the dead one must stop confirmServer everywhere
-// within the bound; an address that another instance has taken over must not
-// speak for the one it was given to before.
+// Probes of a dead engine that time out must not delay other probes, and neither the dead engine
+// nor one whose address another instance has taken over may be confirmed.
 func TestDeadEngineDoesNotDelayProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/prober/wire_test.go
+++ b/prober/wire_test.go
@@ -10,15 +10,14 @@
 	"github.com/garnetworks/garnetworks/messenger"
 )
 
-// confirmServer answers Confirm and nothing else.
+// confirmServer handles Confirm and no other request.
 type confirmServer struct {
 	garnetworks.PeerHandler
 	*Prober
 }
 
-// BenchmarkConfirmOnTheWire measures what one request of a row's 26 instances
-// and its answer take on a connection, beside their encoded sizes:
-// go test ./prober -run=^$ -bench=OnTheWire.
+// BenchmarkConfirmOnTheWire measures the size of a request for 26 instances and its response,
+// encoded and on a connection: go test ./prober -run=^$ -bench=OnTheWire.
 func BenchmarkConfirmOnTheWire(b *testing.B) {
 	ctx, cancel := context.WithCancel(b.Context())
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
