--- a/committer/committer_test.go
+++ b/committer/committer_test.go
@@ -19,7 +19,7 @@
 )
 
 func TestMain(m *testing.M) {
-	// The same cases in every run, and no files left behind.
+	// Fixed seeds make runs reproducible; failures leave no files behind.
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true", "rapid.checks": "40"} {
 		if err := flag.Set(name, value); err != nil {
 			panic(err)
@@ -29,22 +29,21 @@
 	os.Exit(m.Run())
 }
 
-// text returns the example manifest with another power cap, so that two commits
-// can be told apart.
-func text(watts int, leftOut ...string) []byte {
+// manifestText returns the example manifest with the given power cap and excluded zones.
+func manifestText(watts int, excluded ...string) []byte {
 	s := strings.Replace(parser.Example(), "power-cap-watts: 96000", fmt.Sprintf("power-cap-watts: %d", watts), 1)
 	s = strings.Replace(s, "      left-out: false\n", "", 1)
-	for _, zone := range leftOut {
+	for _, zone := range excluded {
 		s = strings.Replace(s, "- name: "+zone+"\n", "- name: "+zone+"\n      left-out: true\n", 1)
 	}
 	return []byte(s)
 }
 
-func propose(id string, base garnetworks.Generation, body []byte) *garnetworks.ProposeRequest {
+func proposeRequest(id string, base garnetworks.Generation, body []byte) *garnetworks.ProposeRequest {
 	return &garnetworks.ProposeRequest{CommitID: id, Operator: "anna", Base: base, Text: body}
 }
 
-// await waits until the commit's progress at the node is in a state.
+// await waits until the commit's progress at the node reaches a state.
 func await(t *testing.T, n *node, id string, want garnetworks.CommitState, within time.Duration) garnetworks.CommitProgress {
 	t.Helper()
 	deadline := time.Now().Add(within)
@@ -81,42 +80,40 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, nodes := threeZones(t)
 		defer s.haltAll()
-		if _, err := nodes[3].Propose(t.Context(), propose("c1", 0, text(90000))); err != nil {
+		if _, err := nodes[3].Propose(t.Context(), proposeRequest("c1", 0, manifestText(90000))); err != nil {
 			t.Fatal(err)
 		}
 		p := await(t, nodes[0], "c1", garnetworks.CommitInForce, time.Second)
 		t.Logf("in force %v after the proposal", p.InForceAt.Sub(p.ProposedAt))
 		for _, n := range nodes {
 			if m, ok := n.Manifest(); !ok || m.Generation != 1 || m.Manifest.Site.PowerCap != 90000 {
-				t.Errorf("node %s does not decide by the commit", n.info.ID)
+				t.Errorf("node %s has not applied the commit", n.info.ID)
 			}
 		}
 	})
 }
 
-// A zone is cut off from the others and from the object API while an operator
-// commits. The commit is held and the zone named; the zone serves on by the last
-// manifest. The operator commits again with the zone left out, in place of the
-// held one; that comes into force, and the zone takes it when it is back.
-func TestCutOffZoneHoldsUntilLeftOut(t *testing.T) {
+// A zone that is cut off must hold a commit, be named in the reason, and keep its manifest,
+// until another commit that excludes the zone supersedes the held one.
+func TestCutOffZoneHoldsCommitUntilExcluded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, nodes := threeZones(t)
 		defer s.haltAll()
-		if _, err := nodes[0].Propose(t.Context(), propose("c1", 0, text(90000))); err != nil {
+		if _, err := nodes[0].Propose(t.Context(), proposeRequest("c1", 0, manifestText(90000))); err != nil {
 			t.Fatal(err)
 		}
 		await(t, nodes[0], "c1", garnetworks.CommitInForce, time.Second)
 		s.cutOff("south-c", true)
-		if _, err := nodes[0].Propose(t.Context(), propose("c2", 1, text(80000))); err != nil {
+		if _, err := nodes[0].Propose(t.Context(), proposeRequest("c2", 1, manifestText(80000))); err != nil {
 			t.Fatal(err)
 		}
 		held := await(t, nodes[0], "c2", garnetworks.CommitHeld, 2*committer.HoldAfter)
 		if !strings.Contains(held.Reason, "south-c") || strings.Contains(held.Reason, "south-b") {
 			t.Errorf("the reason %q does not name the zone", held.Reason)
 		}
-		request := propose("c3", 1, text(70000, "south-c"))
+		request := proposeRequest("c3", 1, manifestText(70000, "south-c"))
 		if _, err := nodes[0].Propose(t.Context(), request); !garnetworks.IsKind(err, garnetworks.KindConflict) {
-			t.Errorf("a second commit beside the held one gives %v", err)
+			t.Errorf("a second commit besides the held one returns %v", err)
 		}
 		request.Supersedes = "c2"
 		if _, err := nodes[0].Propose(t.Context(), request); err != nil {
@@ -128,7 +125,7 @@
 			t.Errorf("the superseded commit names %q as the winner", old.Winner.CommitID)
 		}
 		if m, _ := nodes[4].Manifest(); m.Generation != 1 {
-			t.Errorf("the zone that is cut off decides by generation %d, want 1", m.Generation)
+			t.Errorf("the zone that is cut off applies generation %d, want 1", m.Generation)
 		}
 		s.cutOff("south-c", false)
 		for range 4 {
@@ -136,7 +133,7 @@
 			s.gossip()
 		}
 		if m, _ := nodes[4].Manifest(); m.Generation != 2 {
-			t.Errorf("the zone that is back decides by generation %d, want 2", m.Generation)
+			t.Errorf("the reconnected zone applies generation %d, want 2", m.Generation)
 		}
 	})
 }
@@ -146,26 +143,24 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// An operator commits; the write takes effect, but its answer is lost. The
-// operator must not be told "failed", since the manifest comes into force, and
-// asking again must not commit a second time. Reads after the lost answer can be
-// behind or fail as well.
-func TestLostAnswerOfCommit(t *testing.T) {
+// A commit whose response is lost must not be reported as failed, since it comes into force,
+// and repeating the request must not commit twice, even with stale or failing reads.
+func TestCommitResponseLost(t *testing.T) {
 	cases := map[string]struct {
-		loses, staleAfter, back int
-		outage                  time.Duration
-		// ignorant makes the commit go through a node that knows no generation.
-		ignorant bool
+		lostResponses, staleAfter, staleBy int
+		outage                             time.Duration
+		// unsynced sends the commit to a node that knows no generation.
+		unsynced bool
 		want     garnetworks.Kind
 	}{
-		"answered":                {},
-		"lost":                    {loses: 1},
-		"lost, read behind":       {loses: 1, staleAfter: 2, back: 1},
-		"lost, read far behind":   {loses: 1, staleAfter: 2, back: 2},
-		"lost, reads stay behind": {loses: 1, staleAfter: 100, back: 2, want: garnetworks.KindOutcomeUnknown},
-		"lost again and again":    {loses: 3, staleAfter: 1, back: 1},
-		"at a new node":           {loses: 1, staleAfter: 2, back: 2, ignorant: true},
-		"lost, then an outage":    {outage: time.Minute, want: garnetworks.KindOutcomeUnknown},
+		"answered":               {},
+		"lost":                   {lostResponses: 1},
+		"lost, stale read":       {lostResponses: 1, staleAfter: 2, staleBy: 1},
+		"lost, very stale read":  {lostResponses: 1, staleAfter: 2, staleBy: 2},
+		"lost, reads stay stale": {lostResponses: 1, staleAfter: 100, staleBy: 2, want: garnetworks.KindOutcomeUnknown},
+		"lost repeatedly":        {lostResponses: 3, staleAfter: 1, staleBy: 1},
+		"at a new node":          {lostResponses: 1, staleAfter: 2, staleBy: 2, unsynced: true},
+		"lost, then an outage":   {outage: time.Minute, want: garnetworks.KindOutcomeUnknown},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -173,26 +168,26 @@
 				s, nodes := threeZones(t)
 				defer s.haltAll()
 				for i, id := range []string{"before", "before-2"} {
-					if _, err := nodes[0].Propose(t.Context(), propose(id, garnetworks.Generation(i), text(90000+i))); err != nil {
+					if _, err := nodes[0].Propose(t.Context(), proposeRequest(id, garnetworks.Generation(i), manifestText(90000+i))); err != nil {
 						t.Fatal(err)
 					}
 					await(t, nodes[0], id, garnetworks.CommitInForce, time.Second)
 				}
-				at, api := nodes[3].Committer, nodes[3].stale
-				if c.ignorant {
+				at, api := nodes[3].Committer, nodes[3].api
+				if c.unsynced {
 					at = committer.New(committer.Options{Node: "new", Incarnation: 1, Zone: "south-b", Objects: api})
 				}
-				api.loses, api.staleAfter, api.back, api.outage = c.loses, c.staleAfter, c.back, c.outage
-				_, err := at.Propose(t.Context(), propose("c1", 2, text(80000)))
+				api.lostResponses, api.staleAfter, api.staleBy, api.outage = c.lostResponses, c.staleAfter, c.staleBy, c.outage
+				_, err := at.Propose(t.Context(), proposeRequest("c1", 2, manifestText(80000)))
 				if got := garnetworks.KindOf(err); got != c.want {
-					t.Fatalf("the commit is answered %v, want kind %q", err, c.want)
+					t.Fatalf("the commit returns %v, want kind %q", err, c.want)
 				}
 				time.Sleep(2 * time.Minute)
 				api.mu.Lock()
-				api.reads = 0
+				api.staleReads = 0
 				api.mu.Unlock()
-				if _, err := at.Propose(t.Context(), propose("c1", 2, text(80000))); err != nil {
-					t.Errorf("asked again, the commit is answered %v", err)
+				if _, err := at.Propose(t.Context(), proposeRequest("c1", 2, manifestText(80000))); err != nil {
+					t.Errorf("the repeated commit returns %v", err)
 				}
 				p := await(t, nodes[3], "c1", garnetworks.CommitInForce, time.Second)
 				heads := s.heads(t)
@@ -205,8 +200,8 @@
 	}
 }
 
-// TestCostOfCommit counts what a commit costs as the site grows: the object API
-// must see calls by zone, not by node.
+// TestCostOfCommit checks that the writes to the object API per commit do not grow with the
+// number of nodes of a zone.
 func TestCostOfCommit(t *testing.T) {
 	const zones = 3
 	writes := map[int]uint64{}
@@ -222,16 +217,16 @@
 			time.Sleep(30 * time.Second)
 			n := s.running()[0]
 			before, messages := s.objects.Counts(), s.traffic()
-			if _, err := n.Propose(t.Context(), propose("c1", 0, text(90000))); err != nil {
+			if _, err := n.Propose(t.Context(), proposeRequest("c1", 0, manifestText(90000))); err != nil {
 				t.Fatal(err)
 			}
 			p := await(t, n, "c1", garnetworks.CommitInForce, 2*time.Second)
 			time.Sleep(time.Second)
-			after, spent := s.objects.Counts(), s.traffic()
+			after, sent := s.objects.Counts(), s.traffic()
 			writes[perZone] = after["put"] - before["put"]
 			t.Logf("%3d nodes: in force after %v; object API: %d writes, %d reads, %d watches; %d reports, %d updates with %d bytes",
 				zones*perZone, p.InForceAt.Sub(p.ProposedAt), writes[perZone], after["get"]-before["get"], after["watch"]-before["watch"],
-				spent.reports-messages.reports, spent.updates-messages.updates, spent.bytes-messages.bytes)
+				sent.reports-messages.reports, sent.updates-messages.updates, sent.bytes-messages.bytes)
 		})
 	}
 	if writes[2] != writes[32] {
@@ -239,27 +234,26 @@
 	}
 }
 
-// A node starts in a zone that is cut off, or during an outage of the object API.
-// It must learn the newest generation from a peer, and without one it must not
-// decide by anything: its manifest could be one that was replaced long ago.
+// A node that starts during a partition or an outage must get the newest generation from a
+// peer, and apply none without a peer: its manifest could be long replaced.
 func TestNewNodeLearnsBeforeItDecides(t *testing.T) {
 	cases := map[string]struct {
-		cut     bool
-		outage  bool
-		alone   bool
-		learned bool
+		cut    bool
+		outage bool
+		alone  bool
+		synced bool
 	}{
-		"healthy":               {learned: true},
-		"outage":                {outage: true, learned: true},
-		"cut off with a peer":   {cut: true, learned: true},
-		"cut off, first of all": {cut: true, alone: true},
+		"healthy":                {synced: true},
+		"outage":                 {outage: true, synced: true},
+		"cut off with a peer":    {cut: true, synced: true},
+		"cut off without a peer": {cut: true, alone: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s, nodes := threeZones(t)
 				defer s.haltAll()
-				if _, err := nodes[0].Propose(t.Context(), propose("c1", 0, text(90000))); err != nil {
+				if _, err := nodes[0].Propose(t.Context(), proposeRequest("c1", 0, manifestText(90000))); err != nil {
 					t.Fatal(err)
 				}
 				await(t, nodes[0], "c1", garnetworks.CommitInForce, time.Second)
@@ -269,38 +263,36 @@
 					nodes[5].halt()
 				}
 				s.objects.SetFaults(faker.FaultPlan{Down: c.outage})
-				asleep := committer.New(committer.Options{Node: "asleep", Incarnation: 1, Zone: "south-c", Objects: s.objects})
+				stopped := committer.New(committer.Options{Node: "asleep", Incarnation: 1, Zone: "south-c", Objects: s.objects})
 				for _, u := range nodes[0].updates() {
-					asleep.OnUpdate(u)
+					stopped.OnUpdate(u)
 				}
-				if _, known := asleep.Manifest(); known {
-					t.Error("a node that has asked nobody decides by what it was told")
+				if _, known := stopped.Manifest(); known {
+					t.Error("a node that has not queried its peers has applied an update")
 				}
 				fresh := s.start("south-c-9", "south-c")
 				time.Sleep(5 * time.Second)
 				m, known := fresh.Manifest()
-				if known != c.learned || fresh.Status().Learned != c.learned {
-					t.Errorf("manifest %v, status %+v, want learned: %v", known, fresh.Status(), c.learned)
+				if known != c.synced || fresh.Status().Synced != c.synced {
+					t.Errorf("manifest %v, status %+v, want synced: %v", known, fresh.Status(), c.synced)
 				}
 				if known && m.Generation != 1 {
-					t.Errorf("the node decides by generation %d", m.Generation)
+					t.Errorf("the node applies generation %d", m.Generation)
 				}
 			})
 		})
 	}
 }
 
-// The platform puts an older copy of the object API's data back. Nodes must keep
-// the manifest that they have, a node that starts must learn it from them, and
-// commits must be refused with that cause: accepted, they would give a generation
-// a second meaning.
-func TestObjectAPIGoesBack(t *testing.T) {
+// After the object API was restored from an older copy, nodes must keep their manifest and
+// pass it to new nodes, and refuse commits, which would give a generation a second meaning.
+func TestObjectAPIRestoredFromOlderCopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, nodes := threeZones(t)
 		defer s.haltAll()
 		var copied garnetworks.Object
 		for i := range 2 {
-			if _, err := nodes[0].Propose(t.Context(), propose(fmt.Sprintf("c%d", i), garnetworks.Generation(i), text(90000+i))); err != nil {
+			if _, err := nodes[0].Propose(t.Context(), proposeRequest(fmt.Sprintf("c%d", i), garnetworks.Generation(i), manifestText(90000+i))); err != nil {
 				t.Fatal(err)
 			}
 			await(t, nodes[0], fmt.Sprintf("c%d", i), garnetworks.CommitInForce, time.Second)
@@ -316,41 +308,41 @@
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		_, err = nodes[2].Propose(t.Context(), propose("c2", 2, text(80000)))
+		_, err = nodes[2].Propose(t.Context(), proposeRequest("c2", 2, manifestText(80000)))
 		if !garnetworks.IsKind(err, garnetworks.KindStaleGeneration) || !strings.Contains(err.Error(), "went back") {
-			t.Errorf("the commit is answered %v", err)
+			t.Errorf("the commit returns %v", err)
 		}
 		nodes = append(nodes, s.start("south-a-9", "south-a"))
 		time.Sleep(5 * time.Second)
 		for _, n := range nodes {
 			if m, ok := n.Manifest(); !ok || m.Generation != 2 {
-				t.Errorf("node %s does not decide by generation 2", n.info.ID)
+				t.Errorf("node %s has not applied generation 2", n.info.ID)
 			}
 		}
-		if !nodes[0].Status().StoreBehind {
-			t.Error("a node that watches the object API does not say that it went back")
+		if !nodes[0].Status().ObjectAPIStale {
+			t.Error("a node that watches the object API does not report it as stale")
 		}
 	})
 }
 
 // The loser of a race must not leave its manifest in the object API for good.
-func TestLoserLeavesNoBody(t *testing.T) {
+func TestLosingCommitLeavesNoBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, nodes := threeZones(t)
 		defer s.haltAll()
-		// Both look at the head before one of them writes it.
+		// Both read the head before either writes it.
 		nodes[2].view.SetFaults(faker.FaultPlan{Delay: 500 * time.Millisecond, Methods: []string{faker.MethodPut}})
 		lost := make(chan error)
 		go func() {
-			_, err := nodes[2].Propose(t.Context(), propose("loser", 0, text(80000)))
+			_, err := nodes[2].Propose(t.Context(), proposeRequest("loser", 0, manifestText(80000)))
 			lost <- err
 		}()
 		synctest.Wait()
-		if _, err := nodes[0].Propose(t.Context(), propose("winner", 0, text(90000))); err != nil {
+		if _, err := nodes[0].Propose(t.Context(), proposeRequest("winner", 0, manifestText(90000))); err != nil {
 			t.Fatal(err)
 		}
 		if err := <-lost; !garnetworks.IsKind(err, garnetworks.KindStaleGeneration) || !strings.Contains(err.Error(), "winner") {
-			t.Errorf("the loser is answered %v", err)
+			t.Errorf("the loser gets %v", err)
 		}
 		if _, err := s.objects.Get(t.Context(), committer.BodyKey("loser")); !garnetworks.IsKind(err, garnetworks.KindNotFound) {
 			t.Errorf("the loser's manifest is still stored (%v)", err)
@@ -358,15 +350,13 @@
 	})
 }
 
-// A node of a newer program proposes a manifest that this program does not know,
-// and dies. The others must end the proposal and say why; left pending, it would
-// stand in the way of every later commit, and applied in part it would be another
-// manifest.
+// A proposal in a newer format, whose proposer is gone, must be refused with the reason.
+// Left pending, it would block every later commit.
 func TestManifestOfNewerProgramIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, nodes := threeZones(t)
 		defer s.haltAll()
-		if _, err := nodes[0].Propose(t.Context(), propose("c1", 0, text(90000))); err != nil {
+		if _, err := nodes[0].Propose(t.Context(), proposeRequest("c1", 0, manifestText(90000))); err != nil {
 			t.Fatal(err)
 		}
 		await(t, nodes[0], "c1", garnetworks.CommitInForce, time.Second)
@@ -400,7 +390,7 @@
 		if m, ok := nodes[3].Manifest(); !ok || m.CommitID != "c1" {
 			t.Error("the manifest in force has changed")
 		}
-		if _, err := nodes[4].Propose(t.Context(), propose("c2", 1, text(80000))); err != nil {
+		if _, err := nodes[4].Propose(t.Context(), proposeRequest("c2", 1, manifestText(80000))); err != nil {
 			t.Fatal(err)
 		}
 		await(t, nodes[4], "c2", garnetworks.CommitInForce, time.Second)
--- a/committer/machine_test.go
+++ b/committer/machine_test.go
@@ -15,51 +15,52 @@
 	"github.com/garnetworks/garnetworks/faker"
 )
 
-// commit is what the oracle knows of one commit identifier.
+// commit is what the oracle knows about one commit identifier.
 type commit struct {
 	request *garnetworks.ProposeRequest
-	// leftOut are the zones that the manifest leaves out.
-	leftOut garnetworks.Set[garnetworks.ZoneID]
-	// hoped says that a request was answered with success or "unknown": only
-	// then may the commit be accepted.
-	hoped bool
-	// denied is an answer that says that the commit never is accepted.
-	denied string
-	// cutAll are the zones that were cut off ever since the first request.
-	cutAll garnetworks.Set[garnetworks.ZoneID]
+	// excluded are the zones that the manifest excludes.
+	excluded garnetworks.Set[garnetworks.ZoneID]
+	// mayBeAccepted says that a request returned success or "unknown"; only then may the
+	// commit be accepted.
+	mayBeAccepted bool
+	// finalRefusal is a response after which the commit must never be accepted.
+	finalRefusal string
+	// cutThroughout are the zones that have been cut off since the first request.
+	cutThroughout garnetworks.Set[garnetworks.ZoneID]
 }
 
-// machine drives a site with faults and compares it with the oracle: the
-// sequence of heads in the object API, which the machine reads without faults.
+// machine runs random commits and faults on a site and compares it with the oracle: the
+// sequence of heads in the object API, which it reads without faults. The oracle's rules:
+//
+//	O1  A process never applies a lower generation than before.
+//	O2  Each generation is the same commit at every process, and heads advance
+//	    by one generation at a time.
+//	O3  A commit is accepted at most once. It is never accepted after a final
+//	    refusal, or if each of its requests returned "nothing was written".
+//	O4  Only the commit that has the generation is reported as accepted or in
+//	    force.
+//	O5  When a generation is reported as in force, every ready process of a zone
+//	    that is not excluded has applied it or a higher one.
+//	O6  No commit is accepted while a zone that it does not exclude has been cut
+//	    off since the first request for it.
+//	O7  After all faults have ended, every process applies the newest generation,
+//	    and no commit stays pending.
 type machine struct {
 	*site
 	t       *testing.T
 	once    *sync.Once
 	commits map[string]*commit
-	// accepted is the commit of each generation, as the heads tell.
+	// accepted is the commit of each generation according to the heads.
 	accepted map[garnetworks.Generation]string
-	// highest is the highest generation seen at each process.
+	// highest is the highest generation applied by each process.
 	highest map[*node]garnetworks.Generation
-	// claimed is the highest generation that a process has called in force.
-	claimed map[*node]garnetworks.Generation
+	// inForce is the highest generation that each process has reported as in force.
+	inForce map[*node]garnetworks.Generation
 	dead    []*node
 }
 
-// The oracle's rules:
-//
-//	O1  A process never decides by a lower generation than before.
-//	O2  Each generation is one commit at every process, and heads go up by one
-//	    generation at a time.
-//	O3  A commit is accepted at most once; one that was denied, never; one whose
-//	    every request was answered "nothing was written", never.
-//	O4  "Accepted" and "in force" are said of the commit that has the
-//	    generation.
-//	O5  When a generation is called in force, every process that is ready, of a
-//	    zone that it does not leave out, decides by it or a higher one.
-//	O6  No commit is accepted while a zone that it does not leave out has been
-//	    cut off ever since it was first asked for.
-//	O7  Once all faults are over, every process comes to the newest generation,
-//	    and no commit stays pending.
+// Random commits, restarts, partitions and object API faults must keep the rules O1 to O7
+// of machine.
 func TestOperatorsNodesAndFaults(outer *testing.T) {
 	var once sync.Once
 	rapid.Check(outer, func(rt *rapid.T) {
@@ -72,7 +73,7 @@
 				commits:  map[string]*commit{},
 				accepted: map[garnetworks.Generation]string{},
 				highest:  map[*node]garnetworks.Generation{},
-				claimed:  map[*node]garnetworks.Generation{},
+				inForce:  map[*node]garnetworks.Generation{},
 			}
 			defer m.haltAll()
 			rt.Repeat(m.actions())
@@ -81,8 +82,8 @@
 	})
 }
 
-// inBubble runs a case of a property with a clock of its own. The property's
-// failures are panics, which must not end in the bubble's goroutine.
+// inBubble runs a case of a property in a synctest bubble. A failing property panics; the
+// panic is passed on outside of the bubble, whose goroutine it must not end.
 func inBubble(t *testing.T, run func(*testing.T)) {
 	var failure any
 	synctest.Test(t, func(t *testing.T) {
@@ -98,14 +99,14 @@
 	return map[string]func(*rapid.T){
 		"commit":      m.commit,
 		"commit too":  m.commit,
-		"ask again":   m.askAgain,
+		"ask again":   m.resendCommit,
 		"wait":        m.wait,
 		"wait more":   m.wait,
 		"restart":     m.restart,
 		"kill":        m.kill,
 		"evict":       m.evictDead,
 		"cut off":     m.cutOffZone,
-		"join":        m.joinZones,
+		"join":        m.reconnectZones,
 		"object API":  m.objectFaults,
 		"stale reads": m.staleReads,
 		"outage":      m.outageAfterWrite,
@@ -115,14 +116,14 @@
 	}
 }
 
-// fail ends the case and keeps its reason: a case whose goroutines run in another
-// order when it is repeated is reported without it.
+// fail ends the case and logs the first failure: if a case fails differently when rapid
+// repeats it, rapid reports it without the reason.
 func (m *machine) fail(rt *rapid.T, format string, args ...any) {
 	m.once.Do(func() { m.t.Logf("first failure: "+format, args...) })
 	rt.Fatalf(format, args...)
 }
 
-func (m *machine) pick(rt *rapid.T) *node {
+func (m *machine) pickNode(rt *rapid.T) *node {
 	nodes := m.running()
 	if len(nodes) == 0 {
 		rt.Skip("no node runs")
@@ -130,15 +131,15 @@
 	return nodes[rapid.IntRange(0, len(nodes)-1).Draw(rt, "node")]
 }
 
-// commit sends one or two operators' commits to nodes at once.
+// commit sends the commits of one or two operators to nodes concurrently.
 func (m *machine) commit(rt *rapid.T) {
 	n := rapid.IntRange(1, 2).Draw(rt, "operators")
 	done := make(chan struct{})
 	for range n {
-		c := m.draw(rt)
-		at := m.pick(rt)
+		c := m.drawCommit(rt)
+		at := m.pickNode(rt)
 		go func() {
-			m.ask(rt, at, c)
+			m.sendCommit(rt, at, c)
 			done <- struct{}{}
 		}()
 	}
@@ -147,8 +148,8 @@
 	}
 }
 
-// draw returns a new commit on the newest generation, or near it.
-func (m *machine) draw(rt *rapid.T) *commit {
+// drawCommit returns a new commit on the newest generation or another base.
+func (m *machine) drawCommit(rt *rapid.T) *commit {
 	number := len(m.commits) + 1
 	heads := m.heads(rt)
 	var head committer.Head
@@ -159,18 +160,18 @@
 	if rapid.IntRange(0, 5).Draw(rt, "wrong base") == 0 {
 		base = garnetworks.Generation(rapid.IntRange(0, int(base)+1).Draw(rt, "base"))
 	}
-	leftOut := garnetworks.NewSet[garnetworks.ZoneID]()
+	excluded := garnetworks.NewSet[garnetworks.ZoneID]()
 	var words []string
 	if rapid.Bool().Draw(rt, "leave out") {
-		for _, zone := range garnetworks.Sorted(m.cut)[:min(len(m.cut), len(zoneNames)-1)] {
-			leftOut.Add(zone)
+		for _, zone := range garnetworks.Sorted(m.partitioned)[:min(len(m.partitioned), len(zoneNames)-1)] {
+			excluded.Add(zone)
 		}
 	}
-	for _, zone := range garnetworks.Sorted(leftOut) {
+	for _, zone := range garnetworks.Sorted(excluded) {
 		words = append(words, string(zone))
 	}
 	id := fmt.Sprintf("c%d", number)
-	c := &commit{request: propose(id, base, text(80000+number, words...)), leftOut: leftOut, cutAll: garnetworks.NewSet(garnetworks.Sorted(m.cut)...)}
+	c := &commit{request: proposeRequest(id, base, manifestText(80000+number, words...)), excluded: excluded, cutThroughout: garnetworks.NewSet(garnetworks.Sorted(m.partitioned)...)}
 	if head.Pending != nil && rapid.Bool().Draw(rt, "supersede") {
 		c.request.Supersedes = head.Pending.CommitID
 	}
@@ -178,18 +179,18 @@
 	return c
 }
 
-// ask sends a commit's request and takes the answer down.
-func (m *machine) ask(rt *rapid.T, at *node, c *commit) {
+// sendCommit sends a commit's request and records the response.
+func (m *machine) sendCommit(rt *rapid.T, at *node, c *commit) {
 	response, err := at.Propose(m.ctx, c.request)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
 	case err == nil:
-		c.hoped = true
+		c.mayBeAccepted = true
 	case garnetworks.IsKind(err, garnetworks.KindOutcomeUnknown):
-		c.hoped = true
+		c.mayBeAccepted = true
 	case garnetworks.IsKind(err, garnetworks.KindStaleGeneration) && !strings.Contains(err.Error(), "went back"):
-		c.denied = err.Error()
+		c.finalRefusal = err.Error()
 	case garnetworks.IsKind(err, garnetworks.KindConflict, garnetworks.KindObjectAPIDown, garnetworks.KindThrottled,
 		garnetworks.KindInvalidRequest, garnetworks.KindStaleGeneration):
 	default:
@@ -198,12 +199,12 @@
 	_ = response
 }
 
-func (m *machine) askAgain(rt *rapid.T) {
+func (m *machine) resendCommit(rt *rapid.T) {
 	if len(m.commits) == 0 {
 		rt.Skip("no commits")
 	}
 	id := fmt.Sprintf("c%d", rapid.IntRange(1, len(m.commits)).Draw(rt, "commit"))
-	m.ask(rt, m.pick(rt), m.commits[id])
+	m.sendCommit(rt, m.pickNode(rt), m.commits[id])
 }
 
 func (m *machine) wait(rt *rapid.T) {
@@ -212,7 +213,7 @@
 }
 
 func (m *machine) restart(rt *rapid.T) {
-	n := m.pick(rt)
+	n := m.pickNode(rt)
 	n.halt()
 	if rapid.Bool().Draw(rt, "slowly") {
 		time.Sleep(time.Second)
@@ -224,7 +225,7 @@
 	if len(m.running()) < 4 {
 		rt.Skip("few nodes left")
 	}
-	n := m.pick(rt)
+	n := m.pickNode(rt)
 	n.halt()
 	m.dead = append(m.dead, n)
 }
@@ -241,23 +242,23 @@
 	m.cutOff(rapid.SampledFrom(zoneNames).Draw(rt, "zone"), true)
 }
 
-func (m *machine) joinZones(*rapid.T) {
+func (m *machine) reconnectZones(*rapid.T) {
 	for _, zone := range zoneNames {
-		m.joinZone(zone)
+		m.reconnectZone(zone)
 	}
 }
 
-func (m *machine) joinZone(zone garnetworks.ZoneID) {
+func (m *machine) reconnectZone(zone garnetworks.ZoneID) {
 	m.cutOff(zone, false)
 	for _, c := range m.commits {
-		c.cutAll.Remove(zone)
+		c.cutThroughout.Remove(zone)
 	}
 }
 
-// objectFaults changes what one node meets at the object API.
+// objectFaults changes the faults of one node's access to the object API.
 func (m *machine) objectFaults(rt *rapid.T) {
-	n := m.pick(rt)
-	if m.cut.Has(n.info.Zone) {
+	n := m.pickNode(rt)
+	if m.partitioned.Has(n.info.Zone) {
 		rt.Skip("the node is cut off")
 	}
 	plans := []faker.FaultPlan{
@@ -274,31 +275,30 @@
 }
 
 func (m *machine) staleReads(rt *rapid.T) {
-	n := m.pick(rt)
-	n.stale.mu.Lock()
-	defer n.stale.mu.Unlock()
-	n.stale.reads = rapid.IntRange(1, 12).Draw(rt, "reads")
-	n.stale.back = rapid.IntRange(1, 4).Draw(rt, "back")
+	n := m.pickNode(rt)
+	n.api.mu.Lock()
+	defer n.api.mu.Unlock()
+	n.api.staleReads = rapid.IntRange(1, 12).Draw(rt, "reads")
+	n.api.staleBy = rapid.IntRange(1, 4).Draw(rt, "back")
 }
 
-// outageAfterWrite makes a node's next write of the head the last call that
-// gets through for some time.
+// outageAfterWrite starts an outage for a node after its next write of the head.
 func (m *machine) outageAfterWrite(rt *rapid.T) {
-	n := m.pick(rt)
-	n.stale.mu.Lock()
-	defer n.stale.mu.Unlock()
-	n.stale.outage = time.Duration(rapid.IntRange(1, 5).Draw(rt, "seconds")) * time.Second
+	n := m.pickNode(rt)
+	n.api.mu.Lock()
+	defer n.api.mu.Unlock()
+	n.api.outage = time.Duration(rapid.IntRange(1, 5).Draw(rt, "seconds")) * time.Second
 }
 
 func (m *machine) loseUpdates(rt *rapid.T) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.losing = rapid.IntRange(1, 10).Draw(rt, "updates")
+	m.dropping = rapid.IntRange(1, 10).Draw(rt, "updates")
 }
 
-// oldUpdate brings a node, past its distributor, what another one holds.
+// oldUpdate passes one node's updates to another without the version check of receive.
 func (m *machine) oldUpdate(rt *rapid.T) {
-	from, to := m.pick(rt), m.pick(rt)
+	from, to := m.pickNode(rt), m.pickNode(rt)
 	for _, u := range from.updates() {
 		to.OnUpdate(u)
 	}
@@ -314,7 +314,7 @@
 	m.checkProgress(rt)
 }
 
-// checkHeads keeps O2, O3 and O6.
+// checkHeads checks O2, O3 and O6.
 func (m *machine) checkHeads(rt *rapid.T) {
 	newest := garnetworks.Generation(0)
 	seen := map[string]garnetworks.Generation{}
@@ -339,23 +339,23 @@
 	c := m.commits[a.CommitID]
 	if _, known := m.accepted[a.Generation]; !known {
 		m.accepted[a.Generation] = a.CommitID
-		for zone := range c.cutAll {
-			if !c.leftOut.Has(zone) {
+		for zone := range c.cutThroughout {
+			if !c.excluded.Has(zone) {
 				m.fail(rt, "O6: commit %s was accepted without zone %s", a.CommitID, zone)
 			}
 		}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if c.denied != "" {
-		m.fail(rt, "O3: commit %s was accepted as generation %d after the answer: %s", a.CommitID, a.Generation, c.denied)
+	if c.finalRefusal != "" {
+		m.fail(rt, "O3: commit %s was accepted as generation %d after the answer: %s", a.CommitID, a.Generation, c.finalRefusal)
 	}
-	if !c.hoped {
+	if !c.mayBeAccepted {
 		m.fail(rt, "O3: commit %s was accepted, but every answer said that nothing was written", a.CommitID)
 	}
 }
 
-// checkNode keeps O1, O2 and O5.
+// checkNode checks O1, O2 and O5.
 func (m *machine) checkNode(rt *rapid.T, n *node) {
 	generation := garnetworks.Generation(0)
 	if manifest, ok := n.Manifest(); ok {
@@ -368,24 +368,24 @@
 		m.fail(rt, "O1: node %s went from generation %d to %d", n.info.ID, m.highest[n], generation)
 	}
 	m.highest[n] = generation
-	if claim := n.Status().InForce; claim > m.claimed[n] {
-		m.claimed[n] = claim
-		m.checkClaim(rt, n, claim)
+	if claim := n.Status().InForce; claim > m.inForce[n] {
+		m.inForce[n] = claim
+		m.checkInForce(rt, n, claim)
 	}
 }
 
-func (m *machine) checkClaim(rt *rapid.T, n *node, claim garnetworks.Generation) {
-	leftOut := m.commits[m.accepted[claim]].leftOut
+func (m *machine) checkInForce(rt *rapid.T, n *node, claim garnetworks.Generation) {
+	excluded := m.commits[m.accepted[claim]].excluded
 	for _, other := range m.running() {
 		status := other.Status()
-		if status.Learned && status.Applied < claim && !leftOut.Has(other.info.Zone) {
-			m.fail(rt, "O5: node %s calls generation %d in force, but %s (process %d) is ready with %d",
+		if status.Synced && status.Applied < claim && !excluded.Has(other.info.Zone) {
+			m.fail(rt, "O5: node %s reports generation %d as in force, but %s (process %d) is ready with %d",
 				n.info.ID, claim, other.info.ID, other.info.Incarnation, status.Applied)
 		}
 	}
 }
 
-// checkProgress keeps O4 and takes down what is denied.
+// checkProgress checks O4 and records final refusals.
 func (m *machine) checkProgress(rt *rapid.T) {
 	nodes := m.running()
 	for i, id := range m.ids() {
@@ -399,17 +399,17 @@
 		case garnetworks.CommitAccepted, garnetworks.CommitInForce:
 			m.checkHeads(rt)
 			if m.accepted[p.Generation] != id {
-				m.fail(rt, "O4: commit %s is called %s as generation %d, which is %q", id, p.State, p.Generation, m.accepted[p.Generation])
+				m.fail(rt, "O4: commit %s is reported as %s with generation %d, which is %q", id, p.State, p.Generation, m.accepted[p.Generation])
 			}
 		case garnetworks.CommitRefused, garnetworks.CommitSuperseded:
 			m.mu.Lock()
-			c.denied = string(p.State) + ": " + p.Reason
+			c.finalRefusal = string(p.State) + ": " + p.Reason
 			m.mu.Unlock()
 		}
 	}
 }
 
-// ids returns the last commits; earlier ones don't change any more.
+// ids returns the latest commits; earlier ones no longer change.
 func (m *machine) ids() []string {
 	var ids []string
 	for i := max(1, len(m.commits)-5); i <= len(m.commits); i++ {
@@ -418,23 +418,23 @@
 	return ids
 }
 
-// settle ends all faults and keeps O7.
+// settle ends all faults and checks O7.
 func (m *machine) settle(rt *rapid.T) {
 	for _, n := range m.dead {
 		m.evict(n)
 	}
-	m.joinZones(rt)
+	m.reconnectZones(rt)
 	m.mu.Lock()
-	m.losing = 0
+	m.dropping = 0
 	m.mu.Unlock()
 	for i, zone := range zoneNames {
 		m.start(garnetworks.NodeID(fmt.Sprintf("fresh-%d", i)), zone)
 	}
 	for _, n := range m.running() {
 		n.view.SetFaults(faker.FaultPlan{})
-		n.stale.mu.Lock()
-		n.stale.reads, n.stale.outage = 0, 0
-		n.stale.mu.Unlock()
+		n.api.mu.Lock()
+		n.api.staleReads, n.api.outage = 0, 0
+		n.api.mu.Unlock()
 	}
 	for range 30 {
 		time.Sleep(time.Second)
@@ -451,7 +451,7 @@
 		m.fail(rt, "O7: commit %s is still pending: %+v", head.Pending.CommitID, response.Progress)
 	}
 	for _, n := range m.running() {
-		if status := n.Status(); status.Applied != head.Accepted.Generation || !status.Learned || status.InForce != head.Accepted.Generation {
+		if status := n.Status(); status.Applied != head.Accepted.Generation || !status.Synced || status.InForce != head.Accepted.Generation {
 			m.fail(rt, "O7: node %s has %+v, the head generation %d", n.info.ID, status, head.Accepted.Generation)
 		}
 	}
--- a/committer/site_test.go
+++ b/committer/site_test.go
@@ -13,25 +13,26 @@
 	"github.com/garnetworks/garnetworks/faker"
 )
 
-// site is a set of nodes in one process. The distribution hands each update to
-// every node that is reached, and gossip brings what was missed.
+// site is a set of nodes in one process. A published update is delivered to every reachable
+// node, unless it is dropped; gossip delivers the dropped ones.
 type site struct {
 	ctx     context.Context
 	objects *faker.Objects
 
 	mu    sync.Mutex
 	nodes map[garnetworks.NodeID]*node
-	// cut holds the zones that are cut off from the others and from the object
-	// API; rosters holds what the zone itself knows, seen what the others do.
-	cut     garnetworks.Set[garnetworks.ZoneID]
-	rosters map[garnetworks.ZoneID]garnetworks.Roster
-	seen    map[garnetworks.ZoneID]garnetworks.Roster
+	// partitioned holds the zones that are cut off from other zones and the object API,
+	// rosters the rosters as the zones' own nodes know them, and visible the rosters as
+	// other zones know them.
+	partitioned garnetworks.Set[garnetworks.ZoneID]
+	rosters     map[garnetworks.ZoneID]garnetworks.Roster
+	visible     map[garnetworks.ZoneID]garnetworks.Roster
 	// starts counts the processes of each node.
 	starts map[garnetworks.NodeID]uint64
-	// losing is the number of deliveries that get lost next.
-	losing int
-	round  int
-	spent  traffic
+	// dropping is the number of deliveries to drop.
+	dropping int
+	round    int
+	sent     traffic
 }
 
 // traffic counts reports sent, updates published and their bytes.
@@ -40,15 +41,15 @@
 func (s *site) traffic() traffic {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.spent
+	return s.sent
 }
 
-// node is one process and its view of the object API.
+// node is one process and its access to the object API.
 type node struct {
 	*committer.Committer
 	info   garnetworks.NodeInfo
 	view   *faker.ObjectsView
-	stale  *staleReads
+	api    *faultyAPI
 	cancel context.CancelFunc
 	done   chan struct{}
 
@@ -56,61 +57,61 @@
 	held map[garnetworks.Topic]garnetworks.Update
 }
 
-// staleReads is an object API whose next reads of the head are behind.
-type staleReads struct {
+// faultyAPI is an object API with stale reads and lost responses for the head.
+type faultyAPI struct {
 	garnetworks.ObjectAPI
 	objects *faker.Objects
 
 	mu sync.Mutex
-	// reads is the number of reads that are behind, by back changes.
-	reads, back int
-	// outage says that the next write of the head takes effect, and that its
-	// answer and all later calls are lost until then; zero is none.
-	outage time.Duration
-	until  time.Time
-	// loses is the number of writes of the head whose answers get lost, and
-	// staleAfter how many reads are behind after each of them.
-	loses, staleAfter int
+	// staleReads is the number of reads to answer with the value from staleBy changes ago.
+	staleReads, staleBy int
+	// outage begins with the next write of the head, which takes effect: its response and
+	// all calls until outageEnd are lost. 0 means no outage.
+	outage    time.Duration
+	outageEnd time.Time
+	// lostResponses is the number of writes of the head whose responses to lose, and
+	// staleAfter the number of stale reads after each of them.
+	lostResponses, staleAfter int
 }
 
-// lost returns the error of a call in an outage.
-func (s *staleReads) lost() error {
+// outageError returns the error of a call during an outage.
+func (s *faultyAPI) outageError() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Now().Before(s.until) {
+	if time.Now().Before(s.outageEnd) {
 		return garnetworks.Errorf(garnetworks.KindObjectAPIDown, "outage")
 	}
 	return nil
 }
 
-func (s *staleReads) Put(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
-	if err := s.lost(); err != nil {
+func (s *faultyAPI) Put(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
+	if err := s.outageError(); err != nil {
 		return 0, err
 	}
 	revision, err := s.ObjectAPI.Put(ctx, key, value, after)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if key == committer.HeadKey && s.outage > 0 {
-		s.until, s.outage = time.Now().Add(s.outage), 0
+		s.outageEnd, s.outage = time.Now().Add(s.outage), 0
 		return 0, garnetworks.Errorf(garnetworks.KindResponseLost, "outage")
 	}
-	if key == committer.HeadKey && s.loses > 0 {
-		s.loses--
-		s.reads = s.staleAfter
+	if key == committer.HeadKey && s.lostResponses > 0 {
+		s.lostResponses--
+		s.staleReads = s.staleAfter
 		return 0, garnetworks.Errorf(garnetworks.KindResponseLost, "lost")
 	}
 	return revision, err
 }
 
-func (s *staleReads) Get(ctx context.Context, key string) (garnetworks.Object, error) {
-	if err := s.lost(); err != nil {
+func (s *faultyAPI) Get(ctx context.Context, key string) (garnetworks.Object, error) {
+	if err := s.outageError(); err != nil {
 		return garnetworks.Object{}, err
 	}
 	s.mu.Lock()
-	behind := key == committer.HeadKey && s.reads > 0
-	back := s.back
+	behind := key == committer.HeadKey && s.staleReads > 0
+	back := s.staleBy
 	if behind {
-		s.reads--
+		s.staleReads--
 	}
 	s.mu.Unlock()
 	if !behind {
@@ -128,32 +129,32 @@
 
 func newSite(ctx context.Context) *site {
 	return &site{
-		ctx:     ctx,
-		objects: faker.NewObjects(faker.ObjectsOptions{}),
-		nodes:   map[garnetworks.NodeID]*node{},
-		cut:     garnetworks.NewSet[garnetworks.ZoneID](),
-		rosters: map[garnetworks.ZoneID]garnetworks.Roster{},
-		seen:    map[garnetworks.ZoneID]garnetworks.Roster{},
-		starts:  map[garnetworks.NodeID]uint64{},
+		ctx:         ctx,
+		objects:     faker.NewObjects(faker.ObjectsOptions{}),
+		nodes:       map[garnetworks.NodeID]*node{},
+		partitioned: garnetworks.NewSet[garnetworks.ZoneID](),
+		rosters:     map[garnetworks.ZoneID]garnetworks.Roster{},
+		visible:     map[garnetworks.ZoneID]garnetworks.Roster{},
+		starts:      map[garnetworks.NodeID]uint64{},
 	}
 }
 
-// start starts a process of a node in place of an earlier one.
+// start starts a process of a node and replaces an earlier one.
 func (s *site) start(id garnetworks.NodeID, zone garnetworks.ZoneID) *node {
 	s.mu.Lock()
 	view := s.objects.View()
-	view.SetFaults(faker.FaultPlan{Down: s.cut.Has(zone)})
+	view.SetFaults(faker.FaultPlan{Down: s.partitioned.Has(zone)})
 	n := &node{
-		view:  view,
-		stale: &staleReads{ObjectAPI: view, objects: s.objects},
-		done:  make(chan struct{}),
-		held:  map[garnetworks.Topic]garnetworks.Update{},
+		view: view,
+		api:  &faultyAPI{ObjectAPI: view, objects: s.objects},
+		done: make(chan struct{}),
+		held: map[garnetworks.Topic]garnetworks.Update{},
 	}
 	s.starts[id]++
 	n.info = garnetworks.NodeInfo{ID: id, Incarnation: s.starts[id], Zone: zone, Address: string(id)}
 	n.Committer = committer.New(committer.Options{
 		Node: id, Incarnation: n.info.Incarnation, Zone: zone,
-		Objects: n.stale,
+		Objects: n.api,
 		Peers:   &caller{site: s, from: zone},
 		Rosters: func() []garnetworks.Roster { return s.rostersFor(zone) },
 		Publish: func(u garnetworks.Update) { s.publish(n, u) },
@@ -161,7 +162,7 @@
 	ctx, cancel := context.WithCancel(s.ctx)
 	n.cancel = cancel
 	s.nodes[id] = n
-	s.enroll(zone, id, []garnetworks.NodeInfo{n.info})
+	s.setRosterRow(zone, id, []garnetworks.NodeInfo{n.info})
 	s.mu.Unlock()
 	go func() {
 		defer close(n.done)
@@ -170,31 +171,31 @@
 	return n
 }
 
-// enroll replaces a node's row of its zone's roster.
-func (s *site) enroll(zone garnetworks.ZoneID, id garnetworks.NodeID, rows []garnetworks.NodeInfo) {
+// setRosterRow replaces a node's rows in its zone's roster. The caller holds mu.
+func (s *site) setRosterRow(zone garnetworks.ZoneID, id garnetworks.NodeID, rows []garnetworks.NodeInfo) {
 	r := s.rosters[zone]
 	list := slices.DeleteFunc(slices.Clone(r.Nodes), func(n garnetworks.NodeInfo) bool { return n.ID == id })
 	list = append(list, rows...)
 	slices.SortFunc(list, func(a, b garnetworks.NodeInfo) int { return cmp.Compare(a.ID, b.ID) })
 	s.rosters[zone] = garnetworks.Roster{Zone: zone, Nodes: list, Version: r.Version + 1}
-	if !s.cut.Has(zone) {
-		s.seen[zone] = s.rosters[zone]
+	if !s.partitioned.Has(zone) {
+		s.visible[zone] = s.rosters[zone]
 	}
 }
 
-// halt ends a process without a word; its row stays until evict.
+// halt ends a process without notice; its row stays in the roster until evict.
 func (n *node) halt() {
 	n.cancel()
 	<-n.done
 }
 
-// evict takes a dead node out of its zone's roster, as the membership does.
+// evict removes a dead node from its zone's roster, as the membership does.
 func (s *site) evict(n *node) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.nodes[n.info.ID] == n {
 		delete(s.nodes, n.info.ID)
-		s.enroll(n.info.Zone, n.info.ID, nil)
+		s.setRosterRow(n.info.Zone, n.info.ID, nil)
 	}
 }
 
@@ -204,7 +205,7 @@
 	}
 }
 
-// running returns the processes that run, by name.
+// running returns the running processes, sorted by name.
 func (s *site) running() []*node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -220,13 +221,13 @@
 	return list
 }
 
-// rostersFor returns what the nodes of a zone know: a zone that is cut off keeps
-// its own roster, and its changes don't reach the others.
+// rostersFor returns the rosters as the nodes of a zone know them. Roster changes of a zone
+// that is cut off do not reach other zones.
 func (s *site) rostersFor(zone garnetworks.ZoneID) []garnetworks.Roster {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []garnetworks.Roster
-	for id, r := range s.seen {
+	for id, r := range s.visible {
 		if id == zone {
 			r = s.rosters[id]
 		}
@@ -235,12 +236,12 @@
 	return list
 }
 
-// connected reports whether two zones reach each other.
+// connected reports whether two zones can reach each other.
 func (s *site) connected(a, b garnetworks.ZoneID) bool {
-	return a == b || !s.cut.Has(a) && !s.cut.Has(b)
+	return a == b || !s.partitioned.Has(a) && !s.partitioned.Has(b)
 }
 
-// receive takes an update as a distributor does: only the newest version counts.
+// receive handles an update as a distributor does: only a newer version is applied.
 func (n *node) receive(u garnetworks.Update) {
 	n.mu.Lock()
 	old, ok := n.held[u.Topic]
@@ -267,15 +268,15 @@
 
 func (s *site) publish(from *node, u garnetworks.Update) {
 	s.mu.Lock()
-	s.spent.updates++
-	s.spent.bytes += len(u.Body)
+	s.sent.updates++
+	s.sent.bytes += len(u.Body)
 	s.mu.Unlock()
 	from.receive(u)
 	for _, n := range s.running() {
 		s.mu.Lock()
 		reached := n != from && s.connected(from.info.Zone, n.info.Zone)
-		if reached && s.losing > 0 {
-			s.losing--
+		if reached && s.dropping > 0 {
+			s.dropping--
 			reached = false
 		}
 		s.mu.Unlock()
@@ -285,8 +286,7 @@
 	}
 }
 
-// gossip lets each node take over what another one that it reaches holds, which
-// is another one each time.
+// gossip copies to each node the updates of one reachable node, a different one each time.
 func (s *site) gossip() {
 	nodes := s.running()
 	s.round++
@@ -307,15 +307,14 @@
 	}
 }
 
-// cutOff cuts a zone off from the others and from the object API, or joins it
-// again.
+// cutOff cuts a zone off from other zones and the object API, or reconnects it.
 func (s *site) cutOff(zone garnetworks.ZoneID, off bool) {
 	s.mu.Lock()
 	if off {
-		s.cut.Add(zone)
+		s.partitioned.Add(zone)
 	} else {
-		s.cut.Remove(zone)
-		s.seen[zone] = s.rosters[zone]
+		s.partitioned.Remove(zone)
+		s.visible[zone] = s.rosters[zone]
 	}
 	s.mu.Unlock()
 	for _, n := range s.running() {
@@ -341,7 +340,7 @@
 	return heads
 }
 
-// caller reaches the nodes of the site by name.
+// caller calls the nodes of the site by name.
 type caller struct {
 	garnetworks.PeerCaller
 	site *site
@@ -365,7 +364,7 @@
 
 func (c *caller) Report(ctx context.Context, address string, request *garnetworks.ReportRequest) (*garnetworks.ReportResponse, error) {
 	c.site.mu.Lock()
-	c.site.spent.reports++
+	c.site.sent.reports++
 	c.site.mu.Unlock()
 	n, err := c.to(address)
 	if err != nil {
@@ -388,7 +387,7 @@
 	return response, nil
 }
 
-// fataler is what *testing.T and *rapid.T have in common.
+// fataler is the part that *testing.T and *rapid.T have in common.
 type fataler interface {
 	Fatal(args ...any)
 }
--- a/committer/store.go
+++ b/committer/store.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// callTimeout bounds one call to the object API.
+	// callTimeout limits the time of one call to the object API.
 	callTimeout = 3 * time.Second
-	// writeTries bounds the tries of one change of the head.
-	writeTries = 8
-	// writePause is between two tries after a failure.
-	writePause = 200 * time.Millisecond
+	// maxAttempts limits the attempts of one write.
+	maxAttempts = 8
+	// retryDelay is the delay before an attempt is repeated.
+	retryDelay = 200 * time.Millisecond
 )
 
-// store reads and changes the objects of manifests.
+// store reads and writes the head and the manifest bodies.
 type store struct {
 	api garnetworks.ObjectAPI
 }
 
-// headObject is a head at its revision; revision 0 means that there is none yet.
+// headObject is a head with its revision; revision 0 means that it does not exist yet.
 type headObject struct {
 	Head
 	revision garnetworks.Revision
 }
 
-// readHead returns the head; none is an empty one at revision 0.
+// readHead returns the head, or an empty one at revision 0 if none exists.
 func (s store) readHead(ctx context.Context) (headObject, error) {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -44,7 +44,7 @@
 	return headObject{h, object.Revision}, err
 }
 
-// readBody returns a commit's manifest as it was written.
+// readBody returns a commit's manifest body.
 func (s store) readBody(ctx context.Context, commitID string) ([]byte, error) {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -52,26 +52,26 @@
 	return object.Value, err
 }
 
-// writeBody stores a commit's manifest. A body that is there already was
-// written by an earlier try; the head's hash shows whether it is the same.
+// writeBody stores a commit's manifest body. An existing body must be the same: it is that of
+// an earlier attempt.
 func (s store) writeBody(ctx context.Context, commitID string, body []byte) error {
 	var err error
-	for range writeTries {
+	for range maxAttempts {
 		call, cancel := context.WithTimeout(ctx, callTimeout)
 		_, err = s.api.Put(call, BodyKey(commitID), body, 0)
 		cancel()
 		if garnetworks.IsKind(err, garnetworks.KindConflict) {
-			return s.sameBody(ctx, commitID, body)
+			return s.checkSameBody(ctx, commitID, body)
 		}
-		if err == nil || !retriable(err) || pause(ctx, writePause) != nil {
+		if err == nil || !retriable(err) || sleep(ctx, retryDelay) != nil {
 			return err
 		}
 	}
 	return err
 }
 
-// sameBody refuses a commit identifier that was used with another manifest.
-func (s store) sameBody(ctx context.Context, commitID string, body []byte) error {
+// checkSameBody returns KindKeyReused if the stored body differs from body.
+func (s store) checkSameBody(ctx context.Context, commitID string, body []byte) error {
 	stored, err := s.readBody(ctx, commitID)
 	if err != nil {
 		return err
@@ -82,48 +82,46 @@
 	return nil
 }
 
-// errBehind says that the object API tells of a lower generation than nodes have
-// applied. One stale read shows so for a moment, a store that was put back to an
-// older copy for good.
-var errBehind = garnetworks.Errorf(garnetworks.KindStaleGeneration,
+// errStaleHead says that the object API returned a lower generation than the node has
+// applied. With a stale read this passes after a moment, with an object API that was
+// restored from an older copy it does not.
+var errStaleHead = garnetworks.Errorf(garnetworks.KindStaleGeneration,
 	"the object API holds a lower generation than nodes have applied: its data went back; nothing was written")
 
-// errUnknown says that a change of the head may have taken effect.
-func errUnknown(cause error) error {
+// errOutcomeUnknown says that a write of the head may have taken effect.
+func errOutcomeUnknown(cause error) error {
 	return garnetworks.WrapError(garnetworks.KindOutcomeUnknown, cause,
 		"the answer to the write was lost and the object API can't be read now; ask again with the same commit identifier, it is never committed twice")
 }
 
-// change reads the head and applies edit to it by one conditional update, again
-// from the start if another writer came first. Edit returns false if nothing is
-// to be written. The result is the head that now holds the edit, or the one that
-// edit was content with.
+// updateHead reads the head and writes the result of edit by a conditional update, and starts
+// over if another writer came first. Edit returns false if nothing is to be written. The
+// result is the head that was written, or the one for which edit returned false.
 //
-// Rule M4: an answer can be lost after the write, which shows as an error that
-// is none of those that say "no effect". The next turn reads the head. If it
-// tells of the edit, edit writes nothing. If it has changed and does not tell of
-// the edit, another writer came first and the lost write can't take effect any
-// more, since it names the revision before. If it has not changed, the read may
-// be a stale one, so nothing is concluded from it: the write is tried again
-// after the same revision, and conflicts if the lost one took effect.
-func (s store) change(ctx context.Context, edit func(Head) (Head, bool, error)) (headObject, error) {
+// Rule M4: the response of a write can be lost after it took effect, which shows as an error
+// that does not rule out an effect. The next attempt reads the head. If it includes the edit,
+// edit returns false. If it has a newer revision without the edit, another writer came first,
+// and the lost write, which names the old revision, can no longer take effect. If the revision
+// is unchanged, the read may be stale, so nothing is concluded: the write is repeated after the
+// same revision, and conflicts if the lost one took effect.
+func (s store) updateHead(ctx context.Context, edit func(Head) (Head, bool, error)) (headObject, error) {
 	t := &attempts{}
-	for try := range writeTries {
-		if try > 0 && pause(ctx, writePause) != nil {
+	for try := range maxAttempts {
+		if try > 0 && sleep(ctx, retryDelay) != nil {
 			break
 		}
 		h, err := s.readHead(ctx)
 		if err != nil && !retriable(err) {
-			return h, t.outcome(err)
+			return h, t.finalError(err)
 		}
 		if err != nil {
-			t.last = err
+			t.lastErr = err
 			continue
 		}
-		t.read(h.revision)
+		t.observeHead(h.revision)
 		next, changed, err := edit(h.Head)
-		if errors.Is(err, errBehind) || (err != nil && t.maybe) {
-			t.last = err
+		if errors.Is(err, errStaleHead) || (err != nil && t.maybeWritten) {
+			t.lastErr = err
 			continue
 		}
 		if err != nil || !changed {
@@ -133,74 +131,74 @@
 		if err == nil {
 			return headObject{next, revision}, nil
 		}
-		t.failed(err, h.revision)
+		t.observeFailure(err, h.revision)
 	}
-	return headObject{}, t.outcome(ctx.Err())
+	return headObject{}, t.finalError(ctx.Err())
 }
 
-// writeHead writes the head if it is still at the revision.
+// writeHead writes the head if its revision is still after.
 func (s store) writeHead(ctx context.Context, h Head, after garnetworks.Revision) (garnetworks.Revision, error) {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return s.api.Put(call, HeadKey, h.encode(), after)
 }
 
-// attempts is what is known of the tries of one change.
+// attempts holds what is known about the attempts of one update.
 type attempts struct {
-	last error
-	// maybe says that a write after the revision may have taken effect.
-	maybe bool
-	after garnetworks.Revision
+	lastErr error
+	// maybeWritten says that a write conditional on revision after may have taken effect.
+	maybeWritten bool
+	after        garnetworks.Revision
 }
 
-// read takes the revision of a head that was read: one above the lost write's
-// decides its fate.
-func (t *attempts) read(revision garnetworks.Revision) {
+// observeHead handles the revision of a head that was read. A newer one than that of the
+// uncertain write settles its outcome.
+func (t *attempts) observeHead(revision garnetworks.Revision) {
 	if revision > t.after {
-		t.maybe = false
+		t.maybeWritten = false
 	}
 }
 
-// failed takes the error of a write after a revision.
-func (t *attempts) failed(err error, after garnetworks.Revision) {
-	t.last = err
+// observeFailure handles the error of a write after a revision.
+func (t *attempts) observeFailure(err error, after garnetworks.Revision) {
+	t.lastErr = err
 	if garnetworks.IsKind(err, garnetworks.KindConflict) || tookNoEffect(err) {
 		return
 	}
-	t.maybe, t.after = true, after
+	t.maybeWritten, t.after = true, after
 }
 
-// outcome returns the error after the last try.
-func (t *attempts) outcome(cause error) error {
-	if t.last == nil {
-		t.last = cause
+// finalError returns the error to report after the last attempt.
+func (t *attempts) finalError(cause error) error {
+	if t.lastErr == nil {
+		t.lastErr = cause
 	}
 	switch {
-	case t.maybe:
-		return errUnknown(t.last)
-	case errors.Is(t.last, errBehind):
-		return t.last
-	case garnetworks.IsKind(t.last, garnetworks.KindConflict):
-		return garnetworks.WrapError(garnetworks.KindThrottled, t.last, "other writers came first each time; nothing was written")
+	case t.maybeWritten:
+		return errOutcomeUnknown(t.lastErr)
+	case errors.Is(t.lastErr, errStaleHead):
+		return t.lastErr
+	case garnetworks.IsKind(t.lastErr, garnetworks.KindConflict):
+		return garnetworks.WrapError(garnetworks.KindThrottled, t.lastErr, "other writers came first each time; nothing was written")
 	}
-	return garnetworks.WrapError(garnetworks.KindObjectAPIDown, t.last, "nothing was written")
+	return garnetworks.WrapError(garnetworks.KindObjectAPIDown, t.lastErr, "nothing was written")
 }
 
-// tookNoEffect reports whether a failed write is known to have changed nothing.
+// tookNoEffect reports whether the error rules out that the write took effect.
 func tookNoEffect(err error) bool {
 	return garnetworks.IsKind(err, garnetworks.KindObjectAPIDown, garnetworks.KindThrottled, garnetworks.KindTooLarge,
 		garnetworks.KindInvalidRequest, garnetworks.KindUnreachable)
 }
 
-// retriable reports whether the same call may succeed a little later.
+// retriable reports whether the same call may succeed later.
 func retriable(err error) bool {
 	return !garnetworks.IsKind(err, garnetworks.KindTooLarge, garnetworks.KindInvalidRequest, garnetworks.KindInternal, garnetworks.KindKeyReused)
 }
 
-// collect deletes the bodies of garbage commits and returns those that are gone.
-// It is best effort: what is left is tried with the next proposal.
-func (s store) collect(ctx context.Context, commits []string) []string {
-	var gone []string
+// deleteBodies deletes the bodies of commits and returns the commits whose bodies no longer
+// exist. It does not retry; the next proposal does.
+func (s store) deleteBodies(ctx context.Context, commits []string) []string {
+	var deleted []string
 	for _, id := range commits {
 		call, cancel := context.WithTimeout(ctx, callTimeout)
 		object, err := s.api.Get(call, BodyKey(id))
@@ -209,14 +207,14 @@
 		}
 		cancel()
 		if err == nil || garnetworks.IsKind(err, garnetworks.KindNotFound) {
-			gone = append(gone, id)
+			deleted = append(deleted, id)
 		}
 	}
-	return gone
+	return deleted
 }
 
-// pause waits for d or the end of ctx.
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits for d or the end of ctx.
+func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/prober/sim_test.go
+++ b/prober/sim_test.go
@@ -11,7 +11,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// event is something that happens in a sim at a time.
+// event is a function to run at a time of a sim.
 type event struct {
 	at time.Duration
 	do func()
@@ -30,8 +30,8 @@
 	return last
 }
 
-// sim is the zones of a site in one goroutine: engines that truly have a word,
-// and nodes that probe and tell, over links that lose and hold up messages.
+// sim simulates the zones of a site in one goroutine: engines, and nodes that probe them and
+// exchange confirmations over links that lose and delay messages.
 type sim struct {
 	start   time.Time
 	now     time.Duration
@@ -44,40 +44,40 @@
 	// assigned are the targets of each node; the roster never changes.
 	assigned [][]Target
 	down     []bool
-	// lag is how far a node's monotonic clock is behind, since it stood still
-	// while the node was suspended; woke is that clock's time at the last waking.
+	// lag is how far a node's monotonic clock is behind because of suspensions, wokeAt that
+	// clock's time at the end of the last suspension.
 	lag       []time.Duration
 	suspended []bool
-	woke      []time.Time
-	truth     map[garnetworks.InstanceID]*garnetworks.EngineStatus
-	// probed holds, for each word that an engine ever gave, when the last probe
-	// that brought it was sent.
-	probed map[string]time.Time
-	// loss and held are chances of a message; dead engines don't answer.
-	loss, held float64
-	dead       garnetworks.Set[garnetworks.InstanceID]
-	cut        map[[2]int]bool
-	messages   int
-	bytes      int
+	wokeAt    []time.Time
+	engines   map[garnetworks.InstanceID]*garnetworks.EngineStatus
+	// lastProbed is the time at which the last probe that returned a confirmation was sent,
+	// by confirmationKey.
+	lastProbed map[string]time.Time
+	// loss and delayed are message probabilities; deadEngines do not answer.
+	loss, delayed float64
+	deadEngines   garnetworks.Set[garnetworks.InstanceID]
+	cutLinks      map[[2]int]bool
+	messages      int
+	bytes         int
 }
 
 func newSim(zones, nodes, engines int, seed uint64) *sim {
 	s := &sim{
 		start: time.Unix(1e9, 0), random: rand.New(rand.NewPCG(seed, 0)),
-		truth: make(map[garnetworks.InstanceID]*garnetworks.EngineStatus), probed: make(map[string]time.Time),
-		dead: garnetworks.NewSet[garnetworks.InstanceID](), cut: make(map[[2]int]bool),
+		engines: make(map[garnetworks.InstanceID]*garnetworks.EngineStatus), lastProbed: make(map[string]time.Time),
+		deadEngines: garnetworks.NewSet[garnetworks.InstanceID](), cutLinks: make(map[[2]int]bool),
 	}
 	zone := func(i int) garnetworks.ZoneID { return garnetworks.ZoneID(fmt.Sprint("zone-", i%zones)) }
 	for i := range engines {
 		id := garnetworks.InstanceID(fmt.Sprintf("engine-%04d", i))
 		s.targets = append(s.targets, Target{Instance: id, Address: "10.0.0.1:9000", Zone: zone(i)})
-		s.truth[id] = &garnetworks.EngineStatus{
+		s.engines[id] = &garnetworks.EngineStatus{
 			Instance: id, Incarnation: 1764697675000, Phase: garnetworks.EngineReady, Group: garnetworks.GroupID(fmt.Sprintf("group-%04d", i/4)),
 			Token: 1 << 32, Model: "model-large", Version: "v1", Weights: []garnetworks.WeightID{{Model: "model-large", Version: "v1"}},
 			Load: garnetworks.EngineLoad{Capacity: 64},
 		}
 		if i%4 == 0 {
-			s.truth[id].Load = garnetworks.EngineLoad{Running: 40, Waiting: 3, Capacity: 64, CacheUsed: 0.7}
+			s.engines[id].Load = garnetworks.EngineLoad{Running: 40, Waiting: 3, Capacity: 64, CacheUsed: 0.7}
 		}
 	}
 	for i := range nodes {
@@ -86,7 +86,7 @@
 	s.down = make([]bool, nodes)
 	s.lag = make([]time.Duration, nodes)
 	s.suspended = make([]bool, nodes)
-	s.woke = make([]time.Time, nodes)
+	s.wokeAt = make([]time.Time, nodes)
 	s.tables = make([]*Table, nodes)
 	s.nodes = make([]*Exchange, nodes)
 	for i := range nodes {
@@ -100,10 +100,10 @@
 
 func (s *sim) clock() time.Time { return s.start.Add(s.now) }
 
-// clockOf returns a node's own time.
-func (s *sim) clockOf(i int) time.Time { return s.clock().Add(-s.lag[i]) }
+// nodeClock returns the time of a node's own clock.
+func (s *sim) nodeClock(i int) time.Time { return s.clock().Add(-s.lag[i]) }
 
-// suspend stops a node and its clock for a time. What arrives meanwhile waits.
+// suspend stops a node and its clock for a time. Messages that arrive meanwhile wait.
 func (s *sim) suspend(i int, d time.Duration) {
 	if s.suspended[i] || s.down[i] {
 		return
@@ -112,19 +112,19 @@
 	s.after(d, func() {
 		s.suspended[i] = false
 		s.lag[i] += d
-		s.woke[i] = s.clockOf(i)
-		// The sim's times have no wall clock to jump, so the finding is made here.
+		s.wokeAt[i] = s.nodeClock(i)
+		// The sim's times have no wall clock that could jump, so the suspension is reported here.
 		x := s.nodes[i]
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		x.suspended(s.clockOf(i))
+		x.handleSuspension(s.nodeClock(i))
 	})
 }
 
-// awake does something at a node as soon as it is not suspended.
-func (s *sim) awake(i int, do func()) {
+// whenAwake runs a function at a node as soon as the node is not suspended.
+func (s *sim) whenAwake(i int, do func()) {
 	if s.suspended[i] {
-		s.after(10*time.Millisecond, func() { s.awake(i, do) })
+		s.after(10*time.Millisecond, func() { s.whenAwake(i, do) })
 		return
 	}
 	do()
@@ -132,7 +132,7 @@
 
 func (s *sim) after(d time.Duration, do func()) { heap.Push(&s.queue, event{s.now + d, do}) }
 
-// run lets the sim go on until a time.
+// run advances the sim to a time.
 func (s *sim) run(until time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].at <= until {
 		e := heap.Pop(&s.queue).(event)
@@ -142,14 +142,14 @@
 	s.now = until
 }
 
-// restart starts a node's process anew.
+// restart starts a new process of a node.
 func (s *sim) restart(i int) {
 	s.tables[i] = NewTable()
-	s.nodes[i] = NewExchange(s.roster[i].ID, s.clockOf(i), s.tables[i])
-	s.nodes[i].Arrange(s.roster, s.targets)
+	s.nodes[i] = NewExchange(s.roster[i].ID, s.nodeClock(i), s.tables[i])
+	s.nodes[i].SetTopology(s.roster, s.targets)
 }
 
-// round is a node's round of probes and what follows.
+// round runs a node's probe round, schedules the sending of results and the next round.
 func (s *sim) round(i int) {
 	jitter := time.Duration(s.random.Int64N(int64(100 * time.Millisecond)))
 	s.after(time.Second-jitter, func() { s.round(i) })
@@ -159,60 +159,60 @@
 	for _, t := range s.assigned[i] {
 		s.probe(i, t.Instance)
 	}
-	s.after(speakDelay, func() { s.speak(i) })
+	s.after(sendDelay, func() { s.sendRequests(i) })
 }
 
-// probe asks an engine; its word is the one at half of the way.
+// probe probes an engine, which answers with its status at half of the round trip.
 func (s *sim) probe(i int, id garnetworks.InstanceID) {
-	sent, begun := s.clock(), s.clockOf(i)
-	way := time.Duration(1+s.random.IntN(20)) * time.Millisecond
-	s.after(way, func() {
-		if s.dead.Has(id) || s.down[i] {
+	sent, started := s.clock(), s.nodeClock(i)
+	latency := time.Duration(1+s.random.IntN(20)) * time.Millisecond
+	s.after(latency, func() {
+		if s.deadEngines.Has(id) || s.down[i] {
 			return
 		}
-		status := *s.truth[id]
-		if key := wordKey(&status); sent.After(s.probed[key]) {
-			s.probed[key] = sent
+		status := *s.engines[id]
+		if key := confirmationKey(&status); sent.After(s.lastProbed[key]) {
+			s.lastProbed[key] = sent
 		}
 		table := s.tables[i]
-		s.after(way, func() {
-			s.awake(i, func() {
-				if begun.Before(s.woke[i]) {
+		s.after(latency, func() {
+			s.whenAwake(i, func() {
+				if started.Before(s.wokeAt[i]) {
 					return // the clock jumped during the probe
 				}
-				table.Merge(s.clockOf(i), []garnetworks.ProbeResult{{Status: status, Age: s.clockOf(i).Sub(begun)}})
+				table.Merge(s.nodeClock(i), []garnetworks.ProbeResult{{Status: status, Age: s.nodeClock(i).Sub(started)}})
 			})
 		})
 	})
 }
 
-func wordKey(s *garnetworks.EngineStatus) string {
+func confirmationKey(s *garnetworks.EngineStatus) string {
 	return fmt.Sprint(s.Instance, s.Incarnation, s.Phase, s.Group, s.Token, s.Version, s.Leaving)
 }
 
-// speak sends a node's requests.
-func (s *sim) speak(i int) {
+// sendRequests sends a node's requests.
+func (s *sim) sendRequests(i int) {
 	if s.down[i] || s.suspended[i] {
 		return
 	}
 	x := s.nodes[i]
-	for _, o := range x.Outgoing(s.clockOf(i)) {
+	for _, o := range x.Outgoing(s.nodeClock(i)) {
 		to := slices.IndexFunc(s.roster, func(n garnetworks.NodeInfo) bool { return n.ID == o.To.ID })
 		s.send(i, to, o.Request, func(copied *garnetworks.ConfirmRequest) {
 			if s.down[to] {
 				return
 			}
-			answer, _ := s.nodes[to].Incoming(s.clockOf(to), copied)
-			s.send(to, i, answer, func(copied *garnetworks.ConfirmResponse) {
+			response, _ := s.nodes[to].HandleRequest(s.nodeClock(to), copied)
+			s.send(to, i, response, func(copied *garnetworks.ConfirmResponse) {
 				if s.nodes[i] == x {
-					x.Answered(s.clockOf(i), &o, copied)
+					x.HandleResponse(s.nodeClock(i), &o, copied)
 				}
 			})
 		})
 	}
 }
 
-// send carries a message over a link as its encoded bytes.
+// send sends a message over a link in encoded form.
 func (s *sim) send(from, to int, message any, arrive any) {
 	encoded, err := cbor.Marshal(message)
 	if err != nil {
@@ -220,23 +220,23 @@
 	}
 	s.messages++
 	s.bytes += len(encoded)
-	if s.cut[[2]int{from, to}] || s.random.Float64() < s.loss {
+	if s.cutLinks[[2]int{from, to}] || s.random.Float64() < s.loss {
 		return
 	}
-	way := time.Duration(500+s.random.IntN(1000)) * time.Microsecond
-	if s.random.Float64() < s.held {
-		way += time.Duration(s.random.Int64N(int64(8 * time.Second)))
+	latency := time.Duration(500+s.random.IntN(1000)) * time.Microsecond
+	if s.random.Float64() < s.delayed {
+		latency += time.Duration(s.random.Int64N(int64(8 * time.Second)))
 	}
-	s.after(way, func() {
+	s.after(latency, func() {
 		switch arrive := arrive.(type) {
 		case func(*garnetworks.ConfirmRequest):
 			copied := &garnetworks.ConfirmRequest{}
 			mustDecode(encoded, copied)
-			s.awake(to, func() { arrive(copied) })
+			s.whenAwake(to, func() { arrive(copied) })
 		case func(*garnetworks.ConfirmResponse):
 			copied := &garnetworks.ConfirmResponse{}
 			mustDecode(encoded, copied)
-			s.awake(to, func() { arrive(copied) })
+			s.whenAwake(to, func() { arrive(copied) })
 		}
 	})
 }
@@ -247,8 +247,8 @@
 	}
 }
 
-// ages returns the ages of all confirmations of a zone at all its living nodes;
-// a missing one counts as an hour.
+// ages returns the ages of all confirmations of live engines at all running nodes of their
+// zones; a missing one counts as an hour.
 func (s *sim) ages() []time.Duration {
 	var ages []time.Duration
 	for i, t := range s.tables {
@@ -256,12 +256,12 @@
 			continue
 		}
 		for _, target := range s.targets {
-			if target.Zone != s.roster[i].Zone || s.dead.Has(target.Instance) {
+			if target.Zone != s.roster[i].Zone || s.deadEngines.Has(target.Instance) {
 				continue
 			}
 			age := time.Hour
 			if _, at, ok := t.Status(target.Instance); ok {
-				age = s.clockOf(i).Sub(at)
+				age = s.nodeClock(i).Sub(at)
 			}
 			ages = append(ages, age)
 		}
