--- a/runner/join.go
+++ b/runner/join.go
@@ -122,8 +122,8 @@
 		Quarantine: r.quarantine,
 	})
 	limits := server.DefaultLimits()
-	limits.Body = r.settings.Limits.BodyBytes
-	limits.Header = r.settings.Limits.HeaderBytes
+	limits.BodyBytes = r.settings.Limits.BodyBytes
+	limits.HeaderBytes = r.settings.Limits.HeaderBytes
 	r.server = server.New(server.Options{
 		Calls:       r.forwarder,
 		Manifest:    r.committer,
--- a/server/answer.go
+++ b/server/answer.go
@@ -11,86 +11,86 @@
 	"github.com/garnetworks/garnetworks/forwarder"
 )
 
-// shape is how the answers of one kind of request look.
-type shape struct {
+// responseFormat is how the answers of one kind of request look.
+type responseFormat struct {
 	// object and chunkObject name the objects of whole answers and of streams.
 	object      string
 	chunkObject string
 	// idPrefix begins the answer's id.
 	idPrefix string
 	// Whole answers: what stands before and after the text in the choice.
-	textOpen  string
-	textClose string
+	textPrefix string
+	textSuffix string
 	// Streams: the same for a chunk, the first chunk's choice, and the choice of
 	// the last one, which carries the finish reason.
-	chunkOpen  string
-	chunkClose string
-	first      string
-	last       string
+	chunkPrefix string
+	chunkSuffix string
+	firstChoice string
+	lastChoice  string
 }
 
-var chatShape = &shape{
+var chatFormat = &responseFormat{
 	object:      "chat.completion",
 	chunkObject: "chat.completion.chunk",
 	idPrefix:    "chatcmpl-",
-	textOpen:    `"message":{"role":"assistant","content":`,
-	textClose:   `}`,
-	chunkOpen:   `"delta":{"content":`,
-	chunkClose:  `},"finish_reason":null`,
-	first:       `"delta":{"role":"assistant","content":""},"finish_reason":null`,
-	last:        `"delta":{}`,
+	textPrefix:  `"message":{"role":"assistant","content":`,
+	textSuffix:  `}`,
+	chunkPrefix: `"delta":{"content":`,
+	chunkSuffix: `},"finish_reason":null`,
+	firstChoice: `"delta":{"role":"assistant","content":""},"finish_reason":null`,
+	lastChoice:  `"delta":{}`,
 }
 
-var completionShape = &shape{
+var completionFormat = &responseFormat{
 	object:      "text_completion",
 	chunkObject: "text_completion",
 	idPrefix:    "cmpl-",
-	textOpen:    `"text":`,
-	chunkOpen:   `"text":`,
-	chunkClose:  `,"finish_reason":null`,
-	last:        `"text":""`,
+	textPrefix:  `"text":`,
+	chunkPrefix: `"text":`,
+	chunkSuffix: `,"finish_reason":null`,
+	lastChoice:  `"text":""`,
 }
 
-// answer writes the answer of a call to a model: as a stream, or at its end. It
+// modelResponse writes the modelResponse of a call to a model: as a stream, or at its end. It
 // is a forwarder.Sink.
-type answer struct {
+type modelResponse struct {
 	*httpCall
-	shape   *shape
+	format  *responseFormat
 	request *modelRequest
 	// promptTokens is an estimate.
 	promptTokens int
 	// head is the answer's object up to its choices, in JSON; eventHead the same
 	// of a stream's chunk, up to the text.
-	head      []byte
-	eventHead []byte
+	objectPrefix []byte
+	eventPrefix  []byte
 	// text is the text so far of an answer that is not answered.
 	text []byte
 	// buffer is what was written to a stream since the last flush.
 	buffer []byte
 	// deadline is when the caller must have taken what was written.
-	deadline time.Time
+	writeDeadline time.Time
 }
 
-func newAnswer(c *httpCall, shape *shape, request *modelRequest, promptTokens int) *answer {
-	a := &answer{httpCall: c, shape: shape, request: request, promptTokens: promptTokens}
-	object := shape.object
+func newModelResponse(c *httpCall, format *responseFormat, request *modelRequest, promptTokens int) *modelResponse {
+	a := &modelResponse{httpCall: c, format: format, request: request, promptTokens: promptTokens}
+	object := format.object
 	if request.Stream {
-		object = shape.chunkObject
+		object = format.chunkObject
 	}
-	a.head = append(a.head, `{"id":"`...)
-	a.head = append(a.head, shape.idPrefix...)
-	a.head = append(a.head, c.id...)
-	a.head = append(a.head, `","object":"`...)
-	a.head = append(a.head, object...)
-	a.head = append(a.head, `","created":`...)
-	a.head = strconv.AppendInt(a.head, c.received.Unix(), 10)
-	a.head = append(a.head, `,"model":`...)
-	a.head = appendString(a.head, request.Model)
-	a.head = append(a.head, `,"choices":[`...)
-	a.eventHead = append(a.eventHead, eventStart...)
-	a.eventHead = append(a.eventHead, a.head...)
-	a.eventHead = append(a.eventHead, choiceStart...)
-	a.eventHead = append(a.eventHead, shape.chunkOpen...)
+	a.objectPrefix = append(a.objectPrefix, `{"id":"`...)
+	a.objectPrefix = append(a.objectPrefix, format.idPrefix...)
+	a.objectPrefix = append(a.objectPrefix, c.id...)
+	a.objectPrefix = append(a.objectPrefix, `","object":"`...)
+	a.objectPrefix = append(a.objectPrefix, object...)
+	a.objectPrefix = append(a.objectPrefix, `","created":`...)
+	a.objectPrefix = strconv.AppendInt(a.objectPrefix, c.received.Unix(), 10)
+	a.objectPrefix = append(a.objectPrefix, `,"model":`...)
+	a.objectPrefix = appendString(a.objectPrefix, request.Model)
+	a.objectPrefix = append(a.objectPrefix, `,"choices":[`...)
+	a.eventPrefix = append(a.eventPrefix, eventStart...)
+	a.eventPrefix = append(a.eventPrefix, a.objectPrefix...)
+	a.eventPrefix = append(a.eventPrefix, choiceStart...)
+	a.eventPrefix = append(a.eventPrefix, format.chunkPrefix...)
 	return a
 }
 
@@ -105,27 +105,27 @@
 )
 
 // Write takes a part of the answer.
-func (a *answer) Write(part forwarder.Part) error {
+func (a *modelResponse) Write(part forwarder.Part) error {
 	if !a.request.Stream {
 		a.text = append(a.text, part.Text...)
 		return nil
 	}
-	if !a.answered {
-		a.start()
+	if !a.headerSent {
+		a.startStream()
 	}
-	a.buffer = append(a.buffer, a.eventHead...)
+	a.buffer = append(a.buffer, a.eventPrefix...)
 	a.buffer = appendString(a.buffer, part.Text)
-	a.buffer = append(a.buffer, a.shape.chunkClose...)
+	a.buffer = append(a.buffer, a.format.chunkSuffix...)
 	a.buffer = append(a.buffer, choicesEnd+eventEnd...)
 	return nil
 }
 
 // Flush sends the events that were written.
-func (a *answer) Flush() error {
+func (a *modelResponse) Flush() error {
 	if len(a.buffer) == 0 {
 		return nil
 	}
-	a.extendDeadline()
+	a.extendWriteDeadline()
 	_, err := a.w.Write(a.buffer)
 	a.buffer = a.buffer[:0]
 	if err != nil {
@@ -136,8 +136,8 @@
 
 // Idle sends a comment, so that a caller and all between see that the
 // connection lives, and a dead one fails.
-func (a *answer) Idle() error {
-	if !a.answered {
+func (a *modelResponse) Idle() error {
+	if !a.headerSent {
 		return nil
 	}
 	a.buffer = append(a.buffer, streamPing...)
@@ -146,64 +146,64 @@
 
 // extendDeadline gives the caller WriteTime from now on, in steps, so that not
 // each token sets a timer.
-func (a *answer) extendDeadline() {
-	limit := a.options.Limits.WriteTime
+func (a *modelResponse) extendWriteDeadline() {
+	limit := a.options.Limits.WriteTimeout
 	now := time.Now()
-	if a.deadline.Sub(now) > limit*3/4 {
+	if a.writeDeadline.Sub(now) > limit*3/4 {
 		return
 	}
-	a.deadline = now.Add(limit)
-	_ = a.control.SetWriteDeadline(a.deadline)
+	a.writeDeadline = now.Add(limit)
+	_ = a.control.SetWriteDeadline(a.writeDeadline)
 }
 
-// start sends the header of a stream. The outcome is known only at the end, so it
+// startStream sends the header of a stream. The outcome is known only at the end, so it
 // comes as a trailer.
-func (a *answer) start() {
+func (a *modelResponse) startStream() {
 	h := a.w.Header()
-	h.Set(headerType, "text/event-stream")
+	h.Set(headerContentType, "text/event-stream")
 	h.Set("Cache-Control", "no-store")
 	h.Set("Trailer", HeaderOutcome+", "+HeaderErrorKind)
 	if a.closing() {
 		h.Set("Connection", "close")
 	}
 	a.w.WriteHeader(http.StatusOK)
-	a.answered = true
-	if a.shape.first != "" {
-		a.event(a.shape.first)
+	a.headerSent = true
+	if a.format.firstChoice != "" {
+		a.appendChoice(a.format.firstChoice)
 	}
 }
 
-// event writes an event with one choice.
-func (a *answer) event(choice string) {
+// appendChoice writes an appendChoice with one choice.
+func (a *modelResponse) appendChoice(choice string) {
 	a.buffer = append(a.buffer, eventStart...)
-	a.buffer = append(a.buffer, a.head...)
+	a.buffer = append(a.buffer, a.objectPrefix...)
 	a.buffer = append(a.buffer, choiceStart...)
 	a.buffer = append(a.buffer, choice...)
 	a.buffer = append(a.buffer, choicesEnd+eventEnd...)
 }
 
-// end ends the answer, whole or not. It returns the call's error.
-func (a *answer) end(summary forwarder.Summary, err error) error {
+// endResponse ends the answer, whole or not. It returns the call's error.
+func (a *modelResponse) endResponse(summary forwarder.Summary, err error) error {
 	if !a.request.Stream {
 		if err == nil {
-			a.writeWhole(summary)
+			a.writeFull(summary)
 		}
 		return err
 	}
-	if err != nil && !a.answered {
+	if err != nil && !a.headerSent {
 		return err
 	}
-	if !a.answered {
-		a.start()
+	if !a.headerSent {
+		a.startStream()
 	}
 	if err != nil {
-		a.endBroken(err)
+		a.endWithError(err)
 		return err
 	}
-	a.event(a.shape.last + `,"finish_reason":` + finishReason(summary))
+	a.appendChoice(a.format.lastChoice + `,"finish_reason":` + finishReason(summary))
 	if a.request.IncludeUsage {
 		a.buffer = append(a.buffer, eventStart...)
-		a.buffer = append(a.buffer, a.head...)
+		a.buffer = append(a.buffer, a.objectPrefix...)
 		a.buffer = append(a.buffer, `],"usage":`...)
 		a.buffer = a.appendUsage(a.buffer, summary)
 		a.buffer = append(a.buffer, "}"+eventEnd...)
@@ -217,7 +217,7 @@
 }
 
 // endBroken tells the caller that the answer is not whole (rule H2).
-func (a *answer) endBroken(err error) {
+func (a *modelResponse) endWithError(err error) {
 	problem := NewProblem(a.id, err)
 	body, _ := json.Marshal(problem)
 	a.buffer = append(a.buffer, errorStart...)
@@ -230,23 +230,23 @@
 }
 
 // writeWhole answers a request without a stream.
-func (a *answer) writeWhole(summary forwarder.Summary) {
-	body := append([]byte(nil), a.head...)
+func (a *modelResponse) writeFull(summary forwarder.Summary) {
+	body := append([]byte(nil), a.objectPrefix...)
 	body = append(body, choiceStart...)
-	body = append(body, a.shape.textOpen...)
+	body = append(body, a.format.textPrefix...)
 	body = appendString(body, a.text)
-	body = append(body, a.shape.textClose...)
+	body = append(body, a.format.textSuffix...)
 	body = append(body, `,"finish_reason":`...)
 	body = append(body, finishReason(summary)...)
 	body = append(body, `}],"usage":`...)
 	body = a.appendUsage(body, summary)
 	body = append(body, '}')
 	h := a.w.Header()
-	h.Set(headerType, "application/json")
+	h.Set(headerContentType, "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	h.Set(HeaderOutcome, string(garnetworks.OutcomeCompleted))
-	a.allowWrite()
-	a.answered = true
+	a.setWriteDeadline()
+	a.headerSent = true
 	_, _ = a.w.Write(body)
 }
 
@@ -254,32 +254,32 @@
 	return string(appendString(nil, summary.FinishReason))
 }
 
-func (a *answer) appendUsage(into []byte, summary forwarder.Summary) []byte {
-	into = append(into, `{"prompt_tokens":`...)
-	into = strconv.AppendInt(into, int64(a.promptTokens), 10)
-	into = append(into, `,"completion_tokens":`...)
-	into = strconv.AppendInt(into, int64(summary.Tokens), 10)
-	into = append(into, `,"total_tokens":`...)
-	into = strconv.AppendInt(into, int64(a.promptTokens+summary.Tokens), 10)
-	return append(into, '}')
+func (a *modelResponse) appendUsage(dst []byte, summary forwarder.Summary) []byte {
+	dst = append(dst, `{"prompt_tokens":`...)
+	dst = strconv.AppendInt(dst, int64(a.promptTokens), 10)
+	dst = append(dst, `,"completion_tokens":`...)
+	dst = strconv.AppendInt(dst, int64(summary.Tokens), 10)
+	dst = append(dst, `,"total_tokens":`...)
+	dst = strconv.AppendInt(dst, int64(a.promptTokens+summary.Tokens), 10)
+	return append(dst, '}')
 }
 
 const hexDigits = "0123456789abcdef"
 
 // appendString appends text as a JSON string. It allocates nothing, which
 // encoding/json does for each token.
-func appendString[T string | []byte](into []byte, text T) []byte {
-	into = append(into, '"')
-	begin := 0
+func appendString[T string | []byte](dst []byte, text T) []byte {
+	dst = append(dst, '"')
+	start := 0
 	for i := 0; i < len(text); {
 		b := text[i]
 		if b >= utf8.RuneSelf {
 			size := runeSize(text, i)
 			if size == 0 {
-				into = append(into, text[begin:i]...)
-				into = append(into, `\ufffd`...)
+				dst = append(dst, text[start:i]...)
+				dst = append(dst, `\ufffd`...)
 				i++
-				begin = i
+				start = i
 				continue
 			}
 			i += size
@@ -289,13 +289,13 @@
 			i++
 			continue
 		}
-		into = append(into, text[begin:i]...)
-		into = appendEscape(into, b)
+		dst = append(dst, text[start:i]...)
+		dst = appendEscape(dst, b)
 		i++
-		begin = i
+		start = i
 	}
-	into = append(into, text[begin:]...)
-	return append(into, '"')
+	dst = append(dst, text[start:]...)
+	return append(dst, '"')
 }
 
 // runeSize returns the length of the rune at i, or 0 if it is not valid.
@@ -308,19 +308,19 @@
 	return size
 }
 
-func appendEscape(into []byte, b byte) []byte {
+func appendEscape(dst []byte, b byte) []byte {
 	switch b {
 	case '"', '\\':
-		return append(into, '\\', b)
+		return append(dst, '\\', b)
 	case '\n':
-		return append(into, `\n`...)
+		return append(dst, `\n`...)
 	case '\r':
-		return append(into, `\r`...)
+		return append(dst, `\r`...)
 	case '\t':
-		return append(into, `\t`...)
+		return append(dst, `\t`...)
 	}
-	into = append(into, `\u00`...)
-	return append(into, hexDigits[b>>4], hexDigits[b&0xf])
+	dst = append(dst, `\u00`...)
+	return append(dst, hexDigits[b>>4], hexDigits[b&0xf])
 }
 
 // modelList is the answer of GET /v1/models.
@@ -355,10 +355,10 @@
 	if err != nil {
 		return garnetworks.WrapError(garnetworks.KindInternal, err, "the list can't be written")
 	}
-	c.w.Header().Set(headerType, "application/json")
+	c.w.Header().Set(headerContentType, "application/json")
 	c.w.Header().Set(HeaderOutcome, string(garnetworks.OutcomeCompleted))
-	c.allowWrite()
-	c.answered = true
+	c.setWriteDeadline()
+	c.headerSent = true
 	_, _ = c.w.Write(body)
 	return nil
 }
--- a/server/bench_test.go
+++ b/server/bench_test.go
@@ -25,7 +25,7 @@
 // share a flush.
 type benchEngine struct {
 	*node
-	pace chan struct{}
+	flushed chan struct{}
 }
 
 func (e *benchEngine) Generate(ctx context.Context, _ string, call *garnetworks.EngineCall) (garnetworks.EngineStream, error) {
@@ -40,8 +40,8 @@
 }
 
 func (s *benchStream) Next(c *garnetworks.Chunk) error {
-	if s.engine.pace != nil && s.index > 0 {
-		<-s.engine.pace
+	if s.engine.flushed != nil && s.index > 0 {
+		<-s.engine.flushed
 	}
 	*c = garnetworks.Chunk{Attempt: s.attempt, Index: s.index, Text: " pump\n", Tokens: 1}
 	s.index++
@@ -55,66 +55,67 @@
 func (s *benchStream) Close() error { return nil }
 
 // discard is a caller that takes everything at once.
-type discard struct {
-	header http.Header
-	pace   chan struct{}
-	bytes  int
+type discardWriter struct {
+	header  http.Header
+	flushed chan struct{}
+	bytes   int
 }
 
-func (d *discard) Header() http.Header                { return d.header }
-func (d *discard) WriteHeader(int)                    {}
-func (d *discard) SetWriteDeadline(_ time.Time) error { return nil }
-func (d *discard) SetReadDeadline(_ time.Time) error  { return nil }
-func (d *discard) Write(b []byte) (int, error)        { d.bytes += len(b); return len(b), nil }
-func (d *discard) Flush() {
-	if d.pace != nil {
+func (d *discardWriter) Header() http.Header                { return d.header }
+func (d *discardWriter) WriteHeader(int)                    {}
+func (d *discardWriter) SetWriteDeadline(_ time.Time) error { return nil }
+func (d *discardWriter) SetReadDeadline(_ time.Time) error  { return nil }
+func (d *discardWriter) Write(b []byte) (int, error) { d.bytes += len(b); return len(b), nil }
+
+func (d *discardWriter) Flush() {
+	if d.flushed != nil {
 		select {
-		case d.pace <- struct{}{}:
+		case d.flushed <- struct{}{}:
 		default:
 		}
 	}
 }
 
-func benchServer(pace chan struct{}) *server.Server {
-	n := newWorld().newNode()
-	return serverFor(&benchEngine{node: n, pace: pace}, n)
+func benchServer(flushed chan struct{}) *server.Server {
+	n := newEnvironment().newNode()
+	return serverFor(&benchEngine{node: n, flushed: flushed}, n)
 }
 
 // toAddress is a chooser with one group at a real address.
-type toAddress struct {
+type fixedAddress struct {
 	*node
 	address string
 }
 
-func (a toAddress) Choose(time.Time, *garnetworks.CallRequest, []garnetworks.GroupID) (garnetworks.GroupView, error) {
+func (a fixedAddress) Choose(time.Time, *garnetworks.CallRequest, []garnetworks.GroupID) (garnetworks.GroupView, error) {
 	return garnetworks.GroupView{ID: "g1", Address: a.address}, nil
 }
 
 // events1000 are the events of an answer with a place for the attempt.
-var events1000 = func() []byte {
-	var answer []byte
+var eventTemplate = func() []byte {
+	var events []byte
 	for i := range benchTokens {
 		end, reason := "", ""
 		if i == benchTokens-1 {
 			end, reason = "event: end\n", `,"finish-reason":"length"`
 		}
-		answer = fmt.Appendf(answer, "id: @\n%sdata: {\"index\":%d,\"tokens\":1,\"text\":\" pump\\n\"%s}\n\n", end, i, reason)
+		events = fmt.Appendf(events, "id: @\n%sdata: {\"index\":%d,\"tokens\":1,\"text\":\" pump\\n\"%s}\n\n", end, i, reason)
 	}
-	return answer
+	return events
 }()
 
 // writeEvents answers as an engine does, as fast as the connection takes it.
 func writeEvents(w http.ResponseWriter, r *http.Request) {
 	attempt := r.Header.Get(connector.HeaderAttempt)
 	w.Header().Set(connector.HeaderAttempt, attempt)
-	_, _ = w.Write(bytes.ReplaceAll(events1000, []byte("@"), []byte(attempt)))
+	_, _ = w.Write(bytes.ReplaceAll(eventTemplate, []byte("@"), []byte(attempt)))
 }
 
 func serverFor(engines garnetworks.EngineCaller, groups garnetworks.GroupChooser) *server.Server {
-	calls := forwarder.New(forwarder.Options{Engines: engines, Groups: groups, Manifest: newManifests()})
+	calls := forwarder.New(forwarder.Options{Engines: engines, Groups: groups, Manifest: newManifestSource()})
 	s := server.New(server.Options{
-		Calls: calls, Manifest: newManifests(),
-		NewKeyIndex: func(*garnetworks.Manifest) server.KeyIndex { return keys{} },
+		Calls: calls, Manifest: newManifestSource(),
+		NewKeyIndex: func(*garnetworks.Manifest) server.KeyIndex { return fakeKeyIndex{} },
 	})
 	s.SetReady(true)
 	return s
@@ -129,7 +130,7 @@
 }
 
 // measure runs one call of benchTokens for each b.N and reports cost by token.
-func measure(b *testing.B, run func()) {
+func measurePerToken(b *testing.B, run func()) {
 	var before, after runtime.MemStats
 	var cpuBefore, cpuAfter syscall.Rusage
 	run()
@@ -151,12 +152,12 @@
 // BenchmarkToken measures what the gateway spends on a streamed token, from the
 // engine's adapter to the response writer.
 func BenchmarkToken(b *testing.B) {
-	memory := map[string]chan struct{}{"as-fast-as-possible": nil, "one-token-per-flush": make(chan struct{}, 1)}
-	for name, pace := range memory {
+	variants := map[string]chan struct{}{"as-fast-as-possible": nil, "one-token-per-flush": make(chan struct{}, 1)}
+	for name, flushed := range variants {
 		b.Run(name, func(b *testing.B) {
-			handler := benchServer(pace).Handler()
-			measure(b, func() {
-				w := &discard{header: http.Header{}, pace: pace}
+			handler := benchServer(flushed).Handler()
+			measurePerToken(b, func() {
+				w := &discardWriter{header: http.Header{}, flushed: flushed}
 				handler.ServeHTTP(w, benchRequest("/v1/completions"))
 			})
 		})
@@ -169,7 +170,7 @@
 		defer engine.Close()
 		caller := connector.NewEngineCaller(connector.Options{})
 		defer caller.Close()
-		groups := toAddress{newWorld().newNode(), engine.Listener.Addr().String()}
+		groups := fixedAddress{newEnvironment().newNode(), engine.Listener.Addr().String()}
 		overLoopback(b, serverFor(caller, groups))
 	})
 }
@@ -178,7 +179,7 @@
 	listener := httptest.NewServer(s.Handler())
 	defer listener.Close()
 	var body bytes.Buffer
-	measure(b, func() {
+	measurePerToken(b, func() {
 		response, err := listener.Client().Do(benchRequest(listener.URL + "/v1/completions"))
 		if err != nil {
 			b.Fatal(err)
--- a/server/call.go
+++ b/server/call.go
@@ -25,13 +25,13 @@
 	catalog   *catalog
 	workspace *garnetworks.WorkspaceSpec
 	// held is the number of bytes taken from Server.bodies.
-	held   int64
-	report CallReport
+	reservedBytes int64
+	report        CallReport
 	// forwarded says that the forwarder has recorded how the call ended.
 	forwarded bool
 	// answered says that the answer's header is sent, so that an error can only
 	// be told inside of it.
-	answered bool
+	headerSent bool
 }
 
 // serve runs one call and answers with its error, if it has one.
@@ -45,22 +45,22 @@
 		received: time.Now(),
 	}
 	w.Header().Set(HeaderCallID, string(c.id))
-	if err := s.enter(); err != nil {
+	if err := s.beginCall(); err != nil {
 		c.finish(err)
 		return
 	}
 	defer s.calls.End()
-	defer c.release()
-	c.finish(c.authenticated(run))
+	defer c.releaseBody()
+	c.finish(c.runAuthenticated(run))
 }
 
 func newCallID() garnetworks.CallID {
 	return garnetworks.CallID(strings.ToLower(ulid.Make().String()))
 }
 
-func (c *httpCall) authenticated(run func(*httpCall) error) error {
+func (c *httpCall) runAuthenticated(run func(*httpCall) error) error {
 	var err error
-	c.catalog, err = c.current()
+	c.catalog, err = c.currentCatalog()
 	if err != nil {
 		return err
 	}
@@ -75,7 +75,7 @@
 // finish answers with err unless a stream has told it already, and reports the
 // call.
 func (c *httpCall) finish(err error) {
-	if c.closing() && !c.answered {
+	if c.closing() && !c.headerSent {
 		c.w.Header().Set("Connection", "close")
 	}
 	c.report.Outcome = garnetworks.OutcomeCompleted
@@ -85,8 +85,8 @@
 		c.report.Outcome = garnetworks.ErrorResponseFor(c.report.Kind).Outcome
 		c.recordRefusal(err)
 	}
-	if err != nil && !c.answered {
-		c.allowWrite()
+	if err != nil && !c.headerSent {
+		c.setWriteDeadline()
 		writeProblem(c.w, c.id, err)
 	}
 	if c.options.Observer != nil {
@@ -97,8 +97,8 @@
 // recordRefusal records the calls that a limit refused; the forwarder records
 // its own, and what a caller got wrong is no event.
 func (c *httpCall) recordRefusal(err error) {
-	shed := garnetworks.IsKind(err, garnetworks.KindOverLimit, garnetworks.KindOverloaded, garnetworks.KindDeadlineUnreachable)
-	if c.forwarded || !shed {
+	limited := garnetworks.IsKind(err, garnetworks.KindOverLimit, garnetworks.KindOverloaded, garnetworks.KindDeadlineUnreachable)
+	if c.forwarded || !limited {
 		return
 	}
 	c.refusals.Record(garnetworks.Event{
@@ -110,14 +110,14 @@
 }
 
 // allowWrite gives the caller WriteTime to take what is written next.
-func (c *httpCall) allowWrite() {
+func (c *httpCall) setWriteDeadline() {
 	// A writer without deadlines, as in tests, is not bounded.
-	_ = c.control.SetWriteDeadline(time.Now().Add(c.options.Limits.WriteTime))
+	_ = c.control.SetWriteDeadline(time.Now().Add(c.options.Limits.WriteTimeout))
 }
 
-// body reads the request's body within rule H3.
-func (c *httpCall) body() ([]byte, error) {
-	limit := c.options.Limits.Body
+// readBody reads the request's readBody within rule H3.
+func (c *httpCall) readBody() ([]byte, error) {
+	limit := c.options.Limits.BodyBytes
 	length := c.r.ContentLength
 	if length > limit {
 		return nil, garnetworks.Errorf(garnetworks.KindTooLarge, "the body is larger than %d bytes", limit)
@@ -125,11 +125,11 @@
 	if length < 0 {
 		length = limit
 	}
-	if !c.bodies.TryAcquire(length) {
+	if !c.bodyBudget.TryAcquire(length) {
 		return nil, garnetworks.Errorf(garnetworks.KindOverloaded, "the node holds too many requests")
 	}
-	c.held = length
-	_ = c.control.SetReadDeadline(time.Now().Add(c.options.Limits.BodyTime))
+	c.reservedBytes = length
+	_ = c.control.SetReadDeadline(time.Now().Add(c.options.Limits.BodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, limit))
 	// Failure: the deadline stays set while the call runs, and the server's own
 	// wait for the caller's going away takes its end for just that.
@@ -137,7 +137,7 @@
 	if err != nil {
 		return nil, bodyError(err, limit)
 	}
-	c.shrink(int64(len(body)))
+	c.releaseUnused(int64(len(body)))
 	return body, nil
 }
 
@@ -150,18 +150,18 @@
 }
 
 // shrink gives back what a body of unknown length did not need.
-func (c *httpCall) shrink(length int64) {
-	c.bodies.Release(c.held - length)
-	c.held = length
+func (c *httpCall) releaseUnused(length int64) {
+	c.bodyBudget.Release(c.reservedBytes - length)
+	c.reservedBytes = length
 }
 
-func (c *httpCall) release() { c.bodies.Release(c.held) }
+func (c *httpCall) releaseBody() { c.bodyBudget.Release(c.reservedBytes) }
 
 // context returns the call's context: it ends with the caller's connection and
 // with the node's grace period.
 func (c *httpCall) context() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(c.r.Context())
-	stop := context.AfterFunc(c.grace, func() { cancel(context.Cause(c.grace)) })
+	stop := context.AfterFunc(c.graceCtx, func() { cancel(context.Cause(c.graceCtx)) })
 	return ctx, func() {
 		stop()
 		cancel(nil)
@@ -172,7 +172,7 @@
 // services, which use no model's capacity.
 func (c *httpCall) admit(ctx context.Context, model garnetworks.ModelName, tokens int, firstTokenBy time.Time) (garnetworks.Ticket, error) {
 	if c.options.Admitter == nil {
-		return openTicket{}, nil
+		return unlimitedTicket{}, nil
 	}
 	return c.options.Admitter.Admit(ctx, garnetworks.AdmitRequest{
 		Workspace:    c.workspace.Name,
@@ -185,19 +185,19 @@
 }
 
 // openTicket is the ticket of a server without an Admitter.
-type openTicket struct{}
+type unlimitedTicket struct{}
 
-func (openTicket) Done(int) {}
+func (unlimitedTicket) Done(int) {}
 
 // serveModel returns the handler of calls to models.
-func (s *Server) serveModel(parse func([]byte) (*modelRequest, error), shape *shape) http.HandlerFunc {
+func (s *Server) serveModel(parse func([]byte) (*modelRequest, error), format *responseFormat) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		s.serve(w, r, func(c *httpCall) error { return c.generate(parse, shape) })
+		s.serve(w, r, func(c *httpCall) error { return c.generate(parse, format) })
 	}
 }
 
-func (c *httpCall) generate(parse func([]byte) (*modelRequest, error), shape *shape) error {
-	body, err := c.body()
+func (c *httpCall) generate(parse func([]byte) (*modelRequest, error), format *responseFormat) error {
+	body, err := c.readBody()
 	if err != nil {
 		return err
 	}
@@ -218,11 +218,11 @@
 	}
 	var summary forwarder.Summary
 	defer func() { ticket.Done(promptTokens + summary.Tokens) }()
-	answer := newAnswer(c, shape, request, promptTokens)
+	response := newModelResponse(c, format, request, promptTokens)
 	c.forwarded = true
-	summary, err = c.options.Calls.Generate(ctx, call, answer)
+	summary, err = c.options.Calls.Generate(ctx, call, response)
 	c.report.Summary = summary
-	return answer.end(summary, err)
+	return response.endResponse(summary, err)
 }
 
 // callRequest checks the request against the workspace.
@@ -277,11 +277,11 @@
 		return err
 	}
 	c.report.Service = service
-	key, err := checkKey(c.r.Header.Values(HeaderKey))
+	key, err := parseIdempotencyKey(c.r.Header.Values(HeaderKey))
 	if err != nil {
 		return err
 	}
-	body, err := c.body()
+	body, err := c.readBody()
 	if err != nil {
 		return err
 	}
@@ -293,41 +293,41 @@
 	}
 	defer ticket.Done(0)
 	c.forwarded = true
-	answer, err := c.options.Calls.CallService(ctx, &garnetworks.ServiceCall{
+	response, err := c.options.Calls.CallService(ctx, &garnetworks.ServiceCall{
 		ID:             c.id,
 		Workspace:      c.workspace.Name,
 		Service:        service,
 		Method:         c.r.Method,
 		Path:           path,
-		ContentType:    c.r.Header.Get(headerType),
+		ContentType:    c.r.Header.Get(headerContentType),
 		Body:           body,
 		IdempotencyKey: key,
 	})
 	if err != nil {
 		return err
 	}
-	return c.writeService(&answer)
+	return c.writeService(&response)
 }
 
 // writeService passes a service's answer on.
-func (c *httpCall) writeService(answer *garnetworks.ServiceResponse) error {
+func (c *httpCall) writeService(response *garnetworks.ServiceResponse) error {
 	// Failure: net/http panics on a status that is none, and the caller would
 	// see a broken connection after its call ran.
-	if answer.Status < http.StatusOK || answer.Status > maxStatus {
-		return garnetworks.Errorf(garnetworks.KindBackendLost, "the backend server answered with status %d", answer.Status)
+	if response.Status < http.StatusOK || response.Status > maxStatus {
+		return garnetworks.Errorf(garnetworks.KindBackendLost, "the backend server answered with status %d", response.Status)
 	}
 	h := c.w.Header()
-	if answer.ContentType != "" {
-		h.Set(headerType, answer.ContentType)
+	if response.ContentType != "" {
+		h.Set(headerContentType, response.ContentType)
 	}
 	h.Set(HeaderOutcome, string(garnetworks.OutcomeCompleted))
-	if answer.ID != c.id {
+	if response.ID != c.id {
 		h.Set(HeaderReplayed, "true")
 	}
-	c.allowWrite()
-	c.answered = true
-	c.w.WriteHeader(answer.Status)
-	_, _ = c.w.Write(answer.Body)
+	c.setWriteDeadline()
+	c.headerSent = true
+	c.w.WriteHeader(response.Status)
+	_, _ = c.w.Write(response.Body)
 	return nil
 }
 
--- a/server/catalog.go
+++ b/server/catalog.go
@@ -18,7 +18,7 @@
 }
 
 // current returns the catalog of the manifest in force.
-func (s *Server) current() (*catalog, error) {
+func (s *Server) currentCatalog() (*catalog, error) {
 	accepted, ok := s.options.Manifest.Manifest()
 	if !ok {
 		return nil, garnetworks.Errorf(garnetworks.KindNotReady, "no manifest is in force yet")
--- a/server/faults_test.go
+++ b/server/faults_test.go
@@ -16,28 +16,28 @@
 // the bound: a dead connection costs BetweenTokens, an engine that is alive and
 // stuck SlowBetweenTokens, a time without any group that time.
 func TestStreamSurvivesEachFault(t *testing.T) {
-	plain := time.Duration(answerTokens+2*faultAfter) * 40 * time.Millisecond
+	faultFree := time.Duration(responseTokens+2*faultAfter) * 40 * time.Millisecond
 	bounds := map[string]time.Duration{
-		"silent": plain + 1100*time.Millisecond,
-		"stuck":  plain + 5100*time.Millisecond,
-		"slow":   plain + 3*time.Second,
-		"outage": plain + 2100*time.Millisecond,
+		"silent": faultFree + 1100*time.Millisecond,
+		"stuck":  faultFree + 5100*time.Millisecond,
+		"slow":   faultFree + 3*time.Second,
+		"outage": faultFree + 2100*time.Millisecond,
 	}
 	for _, fault := range engineFaultNames {
 		t.Run(fault, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld()
+				w := newEnvironment()
 				w.engineFaults = []string{fault}
 				n := w.newNode()
 				begin := time.Now()
-				r := n.receive(step{What: "call-stream", Body: "part-a"})
+				r := n.sendCall(step{Action: "call-stream", Body: "part-a"})
 				took := time.Since(begin)
 				t.Logf("whole after %s", took)
 				text, done, _ := streamText(r.body)
-				if !done || text != wholeAnswer("part-a") || r.outcome != garnetworks.OutcomeCompleted {
+				if !done || text != fullResponse("part-a") || r.outcome != garnetworks.OutcomeCompleted {
 					t.Errorf("outcome %s, text %q", r.outcome, text)
 				}
-				if bound := max(plain, bounds[fault]); took > bound {
+				if bound := max(faultFree, bounds[fault]); took > bound {
 					t.Errorf("took %s, bound %s", took, bound)
 				}
 			})
@@ -52,10 +52,10 @@
 	for _, fault := range []string{"anew", "short", "overlap", "crossed", "error-end"} {
 		t.Run(fault, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld()
+				w := newEnvironment()
 				w.engineFaults = []string{"break", fault}
-				r := w.newNode().receive(step{What: "call-stream", Body: "part-a"})
-				if text, done, _ := streamText(r.body); !done || text != wholeAnswer("part-a") {
+				r := w.newNode().sendCall(step{Action: "call-stream", Body: "part-a"})
+				if text, done, _ := streamText(r.body); !done || text != fullResponse("part-a") {
 					t.Errorf("done %t, text %q", done, text)
 				}
 			})
@@ -85,16 +85,16 @@
 		"panic-ran":   {c, u, u},
 	}
 	columns := []step{
-		{What: "call-read", Body: "b"},
-		{What: "call-write", Body: "b"},
-		{What: "call-write", Body: "b", Key: "k"},
+		{Action: "call-read", Body: "b"},
+		{Action: "call-write", Body: "b"},
+		{Action: "call-write", Body: "b", Key: "k"},
 	}
 	for fault, want := range tests {
 		for i, column := range columns {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld()
+				w := newEnvironment()
 				w.serviceFaults = []string{fault}
-				r := w.newNode().receive(column)
+				r := w.newNode().sendCall(column)
 				if r.outcome != want[i] {
 					t.Errorf("%s, column %d: outcome %s, want %s: %s", fault, i, r.outcome, want[i], r.body)
 				}
@@ -108,12 +108,12 @@
 // and must get the answer of the first one.
 func TestKeyedCallOutlivesItsCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
-		visit := step{What: "call-write", Body: "visit", Key: "k", CancelAfter: 50 * time.Millisecond}
-		first := w.newNode().receive(visit)
+		w := newEnvironment()
+		visit := step{Action: "call-write", Body: "visit", Key: "k", CancelAfter: 50 * time.Millisecond}
+		first := w.newNode().sendCall(visit)
 		time.Sleep(time.Second)
 		visit.CancelAfter = 0
-		second := w.newNode().receive(visit)
+		second := w.newNode().sendCall(visit)
 		if first.outcome != garnetworks.OutcomeUnknown || second.body != "done:visit" || !second.replayed {
 			t.Errorf("first %+v, second %+v", first, second)
 		}
@@ -127,14 +127,14 @@
 // not run; those that may be repeated go on.
 func TestStoreDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
+		w := newEnvironment()
 		w.claimFaults = []string{"down"}
 		n := w.newNode()
-		keyed := n.receive(step{What: "call-write", Body: "b", Key: "k"})
+		keyed := n.sendCall(step{Action: "call-write", Body: "b", Key: "k"})
 		if keyed.outcome != garnetworks.OutcomeNotRun || !strings.Contains(keyed.body, string(garnetworks.KindClaimsUnavailable)) {
 			t.Errorf("keyed: %+v", keyed)
 		}
-		if read := n.receive(step{What: "call-read"}); read.outcome != garnetworks.OutcomeCompleted {
+		if read := n.sendCall(step{Action: "call-read"}); read.outcome != garnetworks.OutcomeCompleted {
 			t.Errorf("read: %+v", read)
 		}
 	})
@@ -144,9 +144,9 @@
 // finish; what comes afterwards is refused as not run.
 func TestDrainFinishesStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newWorld().newNode()
-		var stream *receipt
-		go func() { stream = n.receive(step{What: "call-stream", Body: "part-a"}) }()
+		n := newEnvironment().newNode()
+		var stream *callResult
+		go func() { stream = n.sendCall(step{Action: "call-stream", Body: "part-a"}) }()
 		time.Sleep(100 * time.Millisecond)
 		drained := make(chan error, 1)
 		go func() { drained <- n.server.Drain(context.Background()) }()
@@ -154,7 +154,7 @@
 		if n.server.Ready() {
 			t.Error("the node is ready while it stops")
 		}
-		late := n.receive(step{What: "call-write", Body: "b"})
+		late := n.sendCall(step{Action: "call-write", Body: "b"})
 		if late.outcome != garnetworks.OutcomeNotRun || !strings.Contains(late.body, string(garnetworks.KindShuttingDown)) {
 			t.Errorf("late call: %+v", late)
 		}
@@ -171,13 +171,13 @@
 // The grace period of a stopping node ends, or its operator signals a second
 // time, while an engine is stuck. The caller must read that the answer is not
 // whole, and Drain must say that a call was cut off.
-func TestSecondSignalEndsTruthfully(t *testing.T) {
+func TestSecondSignalEndsStreamsWithError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
+		w := newEnvironment()
 		w.engineFaults = []string{"stuck"}
 		n := w.newNode()
-		var stream *receipt
-		go func() { stream = n.receive(step{What: "call-stream", Body: "part-a"}) }()
+		var stream *callResult
+		go func() { stream = n.sendCall(step{Action: "call-stream", Body: "part-a"}) }()
 		time.Sleep(time.Second)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
@@ -197,23 +197,23 @@
 // none.
 func TestLameDuck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newWorld().newNode()
+		n := newEnvironment().newNode()
 		n.server = server.New(server.Options{
-			Calls: n.calls, Manifest: newManifests(), LameDuck: 2 * time.Second,
-			NewKeyIndex: func(*garnetworks.Manifest) server.KeyIndex { return keys{} },
+			Calls: n.calls, Manifest: newManifestSource(), LameDuck: 2 * time.Second,
+			NewKeyIndex: func(*garnetworks.Manifest) server.KeyIndex { return fakeKeyIndex{} },
 		})
-		if r := n.receive(step{What: "call-read"}); r.outcome != garnetworks.OutcomeNotRun {
+		if r := n.sendCall(step{Action: "call-read"}); r.outcome != garnetworks.OutcomeNotRun {
 			t.Errorf("before the node is ready: %+v", r)
 		}
 		n.server.SetReady(true)
 		n.server.SetReady(false)
 		go func() { _ = n.server.Drain(context.Background()) }()
 		time.Sleep(time.Second)
-		if r := n.receive(step{What: "call-read"}); r.outcome != garnetworks.OutcomeCompleted || n.server.Ready() {
+		if r := n.sendCall(step{Action: "call-read"}); r.outcome != garnetworks.OutcomeCompleted || n.server.Ready() {
 			t.Errorf("ready %t, %+v", n.server.Ready(), r)
 		}
 		time.Sleep(2 * time.Second)
-		if r := n.receive(step{What: "call-read"}); r.outcome != garnetworks.OutcomeNotRun {
+		if r := n.sendCall(step{Action: "call-read"}); r.outcome != garnetworks.OutcomeNotRun {
 			t.Errorf("%+v", r)
 		}
 	})
--- a/server/fuzz_test.go
+++ b/server/fuzz_test.go
@@ -51,20 +51,20 @@
 		if err != nil {
 			return
 		}
-		service, normal, err := splitServicePath(u)
+		service, normalized, err := splitServicePath(u)
 		if err != nil {
 			return
 		}
-		again, err := url.ParseRequestURI("/services/" + string(service) + normal)
+		reparsed, err := url.ParseRequestURI("/services/" + string(service) + normalized)
 		if err != nil {
-			t.Fatalf("%q becomes %q: %v", raw, normal, err)
+			t.Fatalf("%q becomes %q: %v", raw, normalized, err)
 		}
-		_, twice, err := splitServicePath(again)
-		if err != nil || twice != normal {
-			t.Errorf("%q becomes %q and then %q: %v", raw, normal, twice, err)
+		_, renormalized, err := splitServicePath(reparsed)
+		if err != nil || renormalized != normalized {
+			t.Errorf("%q becomes %q and then %q: %v", raw, normalized, renormalized, err)
 		}
-		bare, _, _ := strings.Cut(normal, "?")
-		decoded, _ := url.PathUnescape(bare)
+		withoutQuery, _, _ := strings.Cut(normalized, "?")
+		decoded, _ := url.PathUnescape(withoutQuery)
 		if clean := path.Clean(decoded); clean != strings.TrimSuffix(decoded, "/") && decoded != "/" {
 			t.Errorf("%q is accepted as %q, which a server may read as %q", raw, decoded, clean)
 		}
@@ -76,18 +76,18 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		var back string
-		if err := json.Unmarshal(appendString(nil, text), &back); err != nil {
+		var decoded string
+		if err := json.Unmarshal(appendString(nil, text), &decoded); err != nil {
 			t.Fatal(err)
 		}
-		if want := strings.ToValidUTF8(text, "\ufffd"); utf8.ValidString(text) && back != want {
-			t.Errorf("%q becomes %q", text, back)
+		if want := strings.ToValidUTF8(text, "\ufffd"); utf8.ValidString(text) && decoded != want {
+			t.Errorf("%q becomes %q", text, decoded)
 		}
 		var want string
 		encoded, _ := json.Marshal(text)
 		_ = json.Unmarshal(encoded, &want)
-		if back != want {
-			t.Errorf("%q becomes %q, and %q by encoding/json", text, back, want)
+		if decoded != want {
+			t.Errorf("%q becomes %q, and %q by encoding/json", text, decoded, want)
 		}
 	})
 }
--- a/server/http_test.go
+++ b/server/http_test.go
@@ -17,19 +17,19 @@
 )
 
 // changing are the parts of an answer that differ from run to run.
-var changing = regexp.MustCompile(`[0-9a-z]{26}|"created":[0-9]+`)
+var variableParts = regexp.MustCompile(`[0-9a-z]{26}|"created":[0-9]+`)
 
 // dump writes an answer with its headers and trailers in order.
-func dump(answer *http.Response, body string) []byte {
+func dumpResponse(response *http.Response, body string) []byte {
 	var lines []string
-	for name, values := range answer.Header {
+	for name, values := range response.Header {
 		lines = append(lines, name+": "+strings.Join(values, ", "))
 	}
-	for name, values := range answer.Trailer {
+	for name, values := range response.Trailer {
 		lines = append(lines, "(trailer) "+name+": "+strings.Join(values, ", "))
 	}
 	sort.Strings(lines)
-	return changing.ReplaceAll([]byte(answer.Status+"\n"+strings.Join(lines, "\n")+"\n\n"+body+"\n"), []byte("*"))
+	return variableParts.ReplaceAll([]byte(response.Status+"\n"+strings.Join(lines, "\n")+"\n\n"+body+"\n"), []byte("*"))
 }
 
 // The callers' programs read these answers; a changed byte can break them, so
@@ -65,13 +65,13 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				n := newWorld().newNode()
+				n := newEnvironment().newNode()
 				n.engineFaults = tt.faults
 				request := httptest.NewRequest(tt.method, tt.path, strings.NewReader(tt.body))
 				request.Header.Set("Authorization", bearer)
 				recorder := httptest.NewRecorder()
 				n.server.Handler().ServeHTTP(recorder, request)
-				golden.Assert(t, name, dump(recorder.Result(), recorder.Body.String()))
+				golden.Assert(t, name, dumpResponse(recorder.Result(), recorder.Body.String()))
 			})
 		})
 	}
@@ -80,7 +80,7 @@
 // A key that is wrong, missing, or of another scheme tells its sender nothing
 // about the site, whatever it asks for.
 func TestUnauthenticated(t *testing.T) {
-	n := newWorld().newNode()
+	n := newEnvironment().newNode()
 	for _, authorization := range []string{"", "Bearer", "Bearer ", "Bearer key-of-delt", "Basic key-of-delta", "key-of-delta"} {
 		for _, path := range []string{"/v1/models", "/services/ledger/x", "/services/hidden/x"} {
 			request := httptest.NewRequest("GET", path, nil)
@@ -96,24 +96,24 @@
 }
 
 // refuser admits nothing.
-type refuser struct{}
+type rejectingAdmitter struct{}
 
-func (refuser) Admit(context.Context, garnetworks.AdmitRequest) (garnetworks.Ticket, error) {
+func (rejectingAdmitter) Admit(context.Context, garnetworks.AdmitRequest) (garnetworks.Ticket, error) {
 	return nil, &garnetworks.Error{Kind: garnetworks.KindOverLimit, Detail: "enough", RetryAfter: 2500 * time.Millisecond}
 }
 
-type events []garnetworks.Event
+type eventRecorder []garnetworks.Event
 
-func (e *events) Record(event garnetworks.Event) { *e = append(*e, event) }
+func (e *eventRecorder) Record(event garnetworks.Event) { *e = append(*e, event) }
 
 // A workspace sends far over its limit. It is told when to come back, never too
 // early, and the time line is not flooded with its refusals.
 func TestOverLimit(t *testing.T) {
-	n := newWorld().newNode()
-	var recorded events
+	n := newEnvironment().newNode()
+	var recorded eventRecorder
 	s := server.New(server.Options{
-		Calls: n.calls, Manifest: newManifests(), Admitter: refuser{}, Recorder: &recorded,
-		NewKeyIndex: func(*garnetworks.Manifest) server.KeyIndex { return keys{} },
+		Calls: n.calls, Manifest: newManifestSource(), Admitter: rejectingAdmitter{}, Recorder: &recorded,
+		NewKeyIndex: func(*garnetworks.Manifest) server.KeyIndex { return fakeKeyIndex{} },
 	})
 	s.SetReady(true)
 	for range 200 {
--- a/server/path.go
+++ b/server/path.go
@@ -35,7 +35,7 @@
 	if !found {
 		path = ""
 	}
-	path, err := normalPath("/" + path)
+	path, err := normalizePath("/" + path)
 	if err != nil {
 		return "", "", err
 	}
@@ -47,7 +47,7 @@
 
 // normalPath checks an escaped path and returns it with no escapes but the
 // necessary ones.
-func normalPath(escaped string) (string, error) {
+func normalizePath(escaped string) (string, error) {
 	lower := strings.ToLower(escaped)
 	for _, e := range refusedEscapes {
 		if strings.Contains(lower, e) {
@@ -74,7 +74,7 @@
 }
 
 // checkKey checks an idempotency key.
-func checkKey(values []string) (string, error) {
+func parseIdempotencyKey(values []string) (string, error) {
 	if len(values) == 0 {
 		return "", nil
 	}
--- a/server/path_test.go
+++ b/server/path_test.go
@@ -19,9 +19,9 @@
 // step is one step of a scenario, at a time after its start.
 type step struct {
 	// What is call-model, call-stream, call-read, call-write, kill or drain.
-	What string
-	At   time.Duration
-	Node int
+	Action string
+	At     time.Duration
+	Node   int
 	// Key is empty for a call without one.
 	Key  string
 	Body string
@@ -37,19 +37,19 @@
 }
 
 func drawScenario(t *rapid.T) scenario {
-	millis := func(most int) *rapid.Generator[time.Duration] {
+	millis := func(limit int) *rapid.Generator[time.Duration] {
 		return rapid.Custom(func(t *rapid.T) time.Duration {
-			return time.Duration(rapid.IntRange(0, most).Draw(t, "ms")) * time.Millisecond
+			return time.Duration(rapid.IntRange(0, limit).Draw(t, "ms")) * time.Millisecond
 		})
 	}
-	whats := []string{"call-model", "call-stream", "call-stream", "call-read", "call-write", "call-write", "call-write", "call-write", "kill", "drain"}
+	actions := []string{"call-model", "call-stream", "call-stream", "call-read", "call-write", "call-write", "call-write", "call-write", "kill", "drain"}
 	steps := rapid.Custom(func(t *rapid.T) step {
 		s := step{
-			What: rapid.SampledFrom(whats).Draw(t, "what"),
-			At:   millis(4000).Draw(t, "at"),
-			Node: rapid.IntRange(0, nodeCount-1).Draw(t, "node"),
-			Key:  rapid.SampledFrom([]string{"", "k1", "k2"}).Draw(t, "key"),
-			Body: rapid.SampledFrom([]string{"part-a", "part-a", "part-b"}).Draw(t, "body"),
+			Action: rapid.SampledFrom(actions).Draw(t, "what"),
+			At:     millis(4000).Draw(t, "at"),
+			Node:   rapid.IntRange(0, nodeCount-1).Draw(t, "node"),
+			Key:    rapid.SampledFrom([]string{"", "k1", "k2"}).Draw(t, "key"),
+			Body:   rapid.SampledFrom([]string{"part-a", "part-a", "part-b"}).Draw(t, "body"),
 		}
 		if rapid.IntRange(0, 4).Draw(t, "cancels") == 0 {
 			s.CancelAfter = time.Millisecond + millis(1500).Draw(t, "cancel")
@@ -70,7 +70,7 @@
 const nodeCount = 3
 
 // receipt is what one caller saw.
-type receipt struct {
+type callResult struct {
 	step
 	id       garnetworks.CallID
 	outcome  garnetworks.Outcome
@@ -81,7 +81,7 @@
 
 // run plays the scenario and returns what the callers saw, after all that was
 // still to run has run.
-func (s scenario) run(w *world) []*receipt {
+func (s scenario) run(w *environment) []*callResult {
 	w.engineFaults = append([]string(nil), s.EngineFaults...)
 	w.serviceFaults = append([]string(nil), s.ServiceFaults...)
 	w.claimFaults = append([]string(nil), s.ClaimFaults...)
@@ -90,14 +90,14 @@
 		nodes[i] = w.newNode()
 	}
 	var mu sync.Mutex
-	var receipts []*receipt
+	var results []*callResult
 	var group sync.WaitGroup
 	for i := range s.Steps {
 		st := s.Steps[i]
 		group.Go(func() {
 			time.Sleep(st.At + time.Duration(i)*time.Microsecond)
 			n := nodes[st.Node]
-			switch st.What {
+			switch st.Action {
 			case "kill":
 				if !n.isDead() {
 					close(n.dead)
@@ -107,9 +107,9 @@
 				defer cancel()
 				_ = n.server.Drain(ctx)
 			default:
-				r := n.receive(st)
+				r := n.sendCall(st)
 				mu.Lock()
-				receipts = append(receipts, r)
+				results = append(results, r)
 				mu.Unlock()
 			}
 		})
@@ -122,21 +122,21 @@
 		}
 	}
 	time.Sleep(time.Minute)
-	return receipts
+	return results
 }
 
 // receive sends one call and reads its answer.
-func (n *node) receive(st step) *receipt {
+func (n *node) sendCall(st step) *callResult {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if st.CancelAfter > 0 {
 		time.AfterFunc(st.CancelAfter, cancel)
 	}
 	method, path, body := "POST", "/services/ledger/visits", st.Body
-	switch st.What {
+	switch st.Action {
 	case "call-model", "call-stream":
 		path = "/v1/completions"
-		body = fmt.Sprintf(`{"model":"brief:pumps","prompt":%q,"stream":%t}`, st.Body, st.What == "call-stream")
+		body = fmt.Sprintf(`{"model":"brief:pumps","prompt":%q,"stream":%t}`, st.Body, st.Action == "call-stream")
 	case "call-read":
 		method = "GET"
 	}
@@ -147,26 +147,26 @@
 	}
 	recorder := httptest.NewRecorder()
 	n.server.Handler().ServeHTTP(recorder, request)
-	answer := recorder.Result()
-	r := &receipt{
+	response := recorder.Result()
+	r := &callResult{
 		step:     st,
-		id:       garnetworks.CallID(answer.Header.Get(server.HeaderCallID)),
-		outcome:  garnetworks.Outcome(answer.Header.Get(server.HeaderOutcome)),
-		status:   answer.StatusCode,
+		id:       garnetworks.CallID(response.Header.Get(server.HeaderCallID)),
+		outcome:  garnetworks.Outcome(response.Header.Get(server.HeaderOutcome)),
+		status:   response.StatusCode,
 		body:     recorder.Body.String(),
-		replayed: answer.Header.Get(server.HeaderReplayed) != "",
+		replayed: response.Header.Get(server.HeaderReplayed) != "",
 	}
 	if r.outcome == "" {
-		r.outcome = garnetworks.Outcome(answer.Trailer.Get(server.HeaderOutcome))
+		r.outcome = garnetworks.Outcome(response.Trailer.Get(server.HeaderOutcome))
 	}
 	return r
 }
 
 // streamText returns the text of a stream and whether it has its end marker and
 // an error event.
-func streamText(body string) (text string, done, broken bool) {
+func streamText(body string) (text string, done, hasError bool) {
 	for event := range strings.SplitSeq(body, "\n\n") {
-		broken = broken || strings.HasPrefix(event, "event: error")
+		hasError = hasError || strings.HasPrefix(event, "event: error")
 		data, ok := strings.CutPrefix(event, "data: ")
 		done = done || data == "[DONE]"
 		var chunk struct{ Choices []struct{ Text string } }
@@ -174,13 +174,13 @@
 			text += chunk.Choices[0].Text
 		}
 	}
-	return text, done, broken
+	return text, done, hasError
 }
 
 // judge returns what is wrong with the receipts, or "".
-func (w *world) judge(receipts []*receipt) string {
+func (w *environment) findViolation(results []*callResult) string {
 	byKey := map[string]int{}
-	for _, r := range receipts {
+	for _, r := range results {
 		ran := w.executions[r.id]
 		if r.outcome == garnetworks.OutcomeNotRun && ran > 0 {
 			return fmt.Sprintf("%+v: not run, and it ran %d times", r, ran)
@@ -188,7 +188,7 @@
 		if r.outcome == "" {
 			return fmt.Sprintf("%+v: no outcome", r)
 		}
-		if r.What == "call-write" {
+		if r.Action == "call-write" {
 			if ran > 1 {
 				return fmt.Sprintf("%+v: ran %d times", r, ran)
 			}
@@ -196,8 +196,8 @@
 				byKey[r.Key] += ran
 			}
 		}
-		if wrong := r.judgeAnswer(ran); wrong != "" {
-			return fmt.Sprintf("%+v: %s", r, wrong)
+		if violation := r.findResponseViolation(ran); violation != "" {
+			return fmt.Sprintf("%+v: %s", r, violation)
 		}
 	}
 	for key, ran := range byKey {
@@ -210,28 +210,28 @@
 
 // judgeAnswer checks that the answer is the caller's own, and whole if it says
 // so.
-func (r *receipt) judgeAnswer(ran int) string {
-	whole := wholeAnswer(r.Body)
+func (r *callResult) findResponseViolation(ran int) string {
+	full := fullResponse(r.Body)
 	completed := r.outcome == garnetworks.OutcomeCompleted
-	switch r.What {
+	switch r.Action {
 	case "call-stream":
-		text, done, broken := streamText(r.body)
-		if done != completed || (done && text != whole) {
+		text, done, hasError := streamText(r.body)
+		if done != completed || (done && text != full) {
 			return "a partial answer looks whole"
 		}
-		if r.status == 200 && done == broken {
+		if r.status == 200 && done == hasError {
 			return "a stream ends without saying how"
 		}
-		if !strings.HasPrefix(whole, text) {
+		if !strings.HasPrefix(full, text) {
 			return fmt.Sprintf("tokens are repeated, missing or another's: %q", text)
 		}
 	case "call-model":
-		var answer struct{ Choices []struct{ Text string } }
-		_ = json.Unmarshal([]byte(r.body), &answer)
-		if completed && (len(answer.Choices) != 1 || answer.Choices[0].Text != whole) {
+		var response struct{ Choices []struct{ Text string } }
+		_ = json.Unmarshal([]byte(r.body), &response)
+		if completed && (len(response.Choices) != 1 || response.Choices[0].Text != full) {
 			return "the answer is not the caller's whole answer"
 		}
-		if !completed && len(answer.Choices) > 0 {
+		if !completed && len(response.Choices) > 0 {
 			return "an answer that is not whole"
 		}
 	default:
@@ -256,21 +256,21 @@
 	outcomes := map[garnetworks.Outcome]int{}
 	rapid.Check(t, func(rt *rapid.T) {
 		s := drawScenario(rt)
-		w := newWorld()
-		wrong := ""
+		w := newEnvironment()
+		violation := ""
 		synctest.Test(t, func(*testing.T) {
-			receipts := s.run(w)
+			results := s.run(w)
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			wrong = w.judge(receipts)
+			violation = w.findViolation(results)
 			steps += len(s.Steps)
-			calls += len(receipts)
-			for _, r := range receipts {
+			calls += len(results)
+			for _, r := range results {
 				outcomes[r.outcome]++
 			}
 		})
-		if wrong != "" {
-			rt.Fatalf("%s", wrong)
+		if violation != "" {
+			rt.Fatalf("%s", violation)
 		}
 	})
 	t.Logf("%d steps, %d calls, outcomes %v", steps, calls, outcomes)
--- a/server/problem.go
+++ b/server/problem.go
@@ -13,13 +13,13 @@
 
 // Headers of answers, and trailers of streams.
 const (
-	HeaderOutcome    = "Garnet-Outcome"
-	HeaderCallID     = "Garnet-Call-Id"
-	HeaderErrorKind  = "Garnet-Error-Kind"
-	HeaderReplayed   = "Garnet-Replayed"
-	HeaderKey        = "Idempotency-Key"
-	headerRetryAfter = "Retry-After"
-	headerType       = "Content-Type"
+	HeaderOutcome     = "Garnet-Outcome"
+	HeaderCallID      = "Garnet-Call-Id"
+	HeaderErrorKind   = "Garnet-Error-Kind"
+	HeaderReplayed    = "Garnet-Replayed"
+	HeaderKey         = "Idempotency-Key"
+	headerRetryAfter  = "Retry-After"
+	headerContentType = "Content-Type"
 )
 
 // ProblemType begins the type of problem documents; the kind follows.
@@ -53,16 +53,16 @@
 // NewProblem returns the problem document of an error. The cause of an error is
 // not shown to callers.
 func NewProblem(call garnetworks.CallID, err error) Problem {
-	answer := garnetworks.ErrorResponseFor(garnetworks.KindOf(err))
+	response := garnetworks.ErrorResponseFor(garnetworks.KindOf(err))
 	p := Problem{
-		Type:    ProblemType + string(answer.Kind),
-		Title:   answer.Title,
-		Status:  answer.Status,
-		Kind:    answer.Kind,
-		Outcome: answer.Outcome,
-		Retry:   answer.Retry,
+		Type:    ProblemType + string(response.Kind),
+		Title:   response.Title,
+		Status:  response.Status,
+		Kind:    response.Kind,
+		Outcome: response.Outcome,
+		Retry:   response.Retry,
 	}
-	retryAfter := answer.RetryAfter
+	retryAfter := response.RetryAfter
 	var e *garnetworks.Error
 	if errors.As(err, &e) {
 		p.Detail = e.Detail
@@ -73,7 +73,7 @@
 	if call != "" {
 		p.Instance = "urn:garnetworks:call:" + string(call)
 	}
-	p.RetryAfter = wholeSeconds(retryAfter)
+	p.RetryAfter = ceilSeconds(retryAfter)
 	p.Error = ProblemError{Message: p.Title, Type: p.Kind, Code: p.Kind}
 	if p.Detail != "" {
 		p.Error.Message += ": " + p.Detail
@@ -82,14 +82,14 @@
 }
 
 // wholeSeconds rounds up, so that nobody comes back too early.
-func wholeSeconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
+func ceilSeconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
 
 // writeProblem answers with the error's problem document (rule H1).
 func writeProblem(w http.ResponseWriter, call garnetworks.CallID, err error) {
 	p := NewProblem(call, err)
 	body, _ := json.Marshal(p)
 	h := w.Header()
-	h.Set(headerType, "application/problem+json")
+	h.Set(headerContentType, "application/problem+json")
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	h.Set(HeaderOutcome, string(p.Outcome))
 	h.Set(HeaderErrorKind, string(p.Kind))
--- a/server/request.go
+++ b/server/request.go
@@ -90,10 +90,10 @@
 }
 
 // field names a raw field and the values that change nothing.
-type field struct {
+type unsupportedField struct {
 	name    string
 	value   json.RawMessage
-	neutral []string
+	allowed []string
 }
 
 // parseChat parses a chat completion request.
@@ -102,11 +102,11 @@
 	if err := decode(body, &fields); err != nil {
 		return nil, err
 	}
-	err := neutral(
-		field{"tools", fields.Tools, []string{"[]"}},
-		field{"tool_choice", fields.ToolChoice, []string{`"none"`, `"auto"`}},
-		field{"response_format", fields.ResponseFormat, []string{`{"type":"text"}`}},
-		field{"top_logprobs", fields.TopLogprobs, []string{"0"}},
+	err := checkUnsupported(
+		unsupportedField{"tools", fields.Tools, []string{"[]"}},
+		unsupportedField{"tool_choice", fields.ToolChoice, []string{`"none"`, `"auto"`}},
+		unsupportedField{"response_format", fields.ResponseFormat, []string{`{"type":"text"}`}},
+		unsupportedField{"top_logprobs", fields.TopLogprobs, []string{"0"}},
 	)
 	if err != nil {
 		return nil, err
@@ -117,11 +117,11 @@
 	if fields.MaxCompletionTokens != nil {
 		fields.MaxTokens = fields.MaxCompletionTokens
 	}
-	request, err := fields.request()
+	request, err := fields.toModelRequest()
 	if err != nil {
 		return nil, err
 	}
-	request.Prompt, err = joinMessages(fields.Messages)
+	request.Prompt, err = buildPrompt(fields.Messages)
 	return request, err
 }
 
@@ -131,15 +131,15 @@
 	if err := decode(body, &fields); err != nil {
 		return nil, err
 	}
-	err := neutral(
-		field{"echo", fields.Echo, []string{"false"}},
-		field{"best_of", fields.BestOf, []string{"1"}},
-		field{"suffix", fields.Suffix, []string{`""`}},
+	err := checkUnsupported(
+		unsupportedField{"echo", fields.Echo, []string{"false"}},
+		unsupportedField{"best_of", fields.BestOf, []string{"1"}},
+		unsupportedField{"suffix", fields.Suffix, []string{`""`}},
 	)
 	if err != nil {
 		return nil, err
 	}
-	request, err := fields.request()
+	request, err := fields.toModelRequest()
 	if err != nil {
 		return nil, err
 	}
@@ -182,16 +182,16 @@
 
 // neutral returns an error that names the first field whose value the system
 // does not carry out.
-func neutral(fields ...field) error {
+func checkUnsupported(fields ...unsupportedField) error {
 	for _, f := range fields {
-		if !isNeutral(f) {
+		if !hasAllowedValue(f) {
 			return invalid(f.name + " is not supported")
 		}
 	}
 	return nil
 }
 
-func isNeutral(f field) bool {
+func hasAllowedValue(f unsupportedField) bool {
 	if len(f.value) == 0 || string(f.value) == "null" {
 		return true
 	}
@@ -199,7 +199,7 @@
 	if err := json.Compact(&compact, f.value); err != nil {
 		return false
 	}
-	for _, v := range f.neutral {
+	for _, v := range f.allowed {
 		if compact.String() == v {
 			return true
 		}
@@ -207,16 +207,16 @@
 	return false
 }
 
-// request checks the common fields.
-func (f *commonFields) request() (*modelRequest, error) {
-	err := neutral(
-		field{"n", f.N, []string{"1"}},
-		field{"top_p", f.TopP, []string{"1", "1.0"}},
-		field{"presence_penalty", f.PresencePenalty, []string{"0", "0.0"}},
-		field{"frequency_penalty", f.FrequencyPenalty, []string{"0", "0.0"}},
-		field{"logit_bias", f.LogitBias, []string{"{}"}},
-		field{"logprobs", f.Logprobs, []string{"false", "0"}},
-		field{"seed", f.Seed, nil},
+// toModelRequest checks the common fields.
+func (f *commonFields) toModelRequest() (*modelRequest, error) {
+	err := checkUnsupported(
+		unsupportedField{"n", f.N, []string{"1"}},
+		unsupportedField{"top_p", f.TopP, []string{"1", "1.0"}},
+		unsupportedField{"presence_penalty", f.PresencePenalty, []string{"0", "0.0"}},
+		unsupportedField{"frequency_penalty", f.FrequencyPenalty, []string{"0", "0.0"}},
+		unsupportedField{"logit_bias", f.LogitBias, []string{"{}"}},
+		unsupportedField{"logprobs", f.Logprobs, []string{"false", "0"}},
+		unsupportedField{"seed", f.Seed, nil},
 	)
 	if err != nil {
 		return nil, err
@@ -243,11 +243,11 @@
 		}
 		request.IncludeUsage = f.StreamOptions.IncludeUsage
 	}
-	request.Stop, err = stops(f.Stop)
+	request.Stop, err = parseStops(f.Stop)
 	return request, err
 }
 
-func stops(raw json.RawMessage) ([]string, error) {
+func parseStops(raw json.RawMessage) ([]string, error) {
 	list, err := stringOrList("stop", raw)
 	if err != nil {
 		return nil, err
@@ -269,11 +269,11 @@
 		return nil, nil
 	}
 	if raw[0] == '"' {
-		var one string
-		if err := json.Unmarshal(raw, &one); err != nil {
+		var single string
+		if err := json.Unmarshal(raw, &single); err != nil {
 			return nil, invalid(name + " is not a string")
 		}
-		return []string{one}, nil
+		return []string{single}, nil
 	}
 	var list []string
 	if err := json.Unmarshal(raw, &list); err != nil {
@@ -288,7 +288,7 @@
 // joinMessages makes the prompt. Each message is a header line with its role, and
 // its text; the prompt ends with the header of the answer. Equal beginnings of
 // conversations give equal prefixes, which the engines' caches need.
-func joinMessages(messages []chatMessage) (string, error) {
+func buildPrompt(messages []chatMessage) (string, error) {
 	if len(messages) == 0 {
 		return "", invalid("messages is empty")
 	}
--- a/server/server.go
+++ b/server/server.go
@@ -67,16 +67,16 @@
 
 // Limits are the bounds of rule H3. Zero fields take the value of DefaultLimits.
 type Limits struct {
-	// Body bounds the body of one request.
-	Body int64
-	// Bodies bounds the bytes of all requests in flight.
-	Bodies int64
-	// Header bounds a request's header.
-	Header int
-	// BodyTime bounds the time that a caller takes to send a body.
-	BodyTime time.Duration
-	// WriteTime bounds the time that a caller takes nothing of its answer.
-	WriteTime time.Duration
+	// BodyBytes bounds the body of one request.
+	BodyBytes int64
+	// TotalBodyBytes bounds the bytes of all requests in flight.
+	TotalBodyBytes int64
+	// HeaderBytes bounds a request's header.
+	HeaderBytes int
+	// BodyTimeout bounds the time that a caller takes to send a body.
+	BodyTimeout time.Duration
+	// WriteTimeout bounds the time that a caller takes nothing of its answer.
+	WriteTimeout time.Duration
 	// MaxTokens is the most tokens that a request may ask for; DefaultTokens is
 	// taken where it names none.
 	MaxTokens     int
@@ -90,15 +90,15 @@
 // 200 calls.
 func DefaultLimits() Limits {
 	return Limits{
-		Body:          1 << 20,
-		Bodies:        64 << 20,
-		Header:        32 << 10,
-		BodyTime:      30 * time.Second,
-		WriteTime:     20 * time.Second,
-		MaxTokens:     32768,
-		DefaultTokens: 1024,
-		FirstToken:    5 * time.Second,
-		Total:         5 * time.Minute,
+		BodyBytes:      1 << 20,
+		TotalBodyBytes: 64 << 20,
+		HeaderBytes:    32 << 10,
+		BodyTimeout:    30 * time.Second,
+		WriteTimeout:   20 * time.Second,
+		MaxTokens:      32768,
+		DefaultTokens:  1024,
+		FirstToken:     5 * time.Second,
+		Total:          5 * time.Minute,
 	}
 }
 
@@ -118,31 +118,31 @@
 	// LameDuck is how long Drain goes on taking calls after the readiness has
 	// dropped, so that the balancer can notice.
 	LameDuck time.Duration
-	// CloseTime bounds the truthful end of calls after the grace period; 0 means
+	// CloseTimeout bounds the truthful end of calls after the grace period; 0 means
 	// DefaultCloseTime.
-	CloseTime time.Duration
+	CloseTimeout time.Duration
 }
 
-// DefaultCloseTime is enough to write an error to each caller.
-const DefaultCloseTime = 2 * time.Second
+// DefaultCloseTimeout is enough to write an error to each caller.
+const DefaultCloseTimeout = 2 * time.Second
 
 // Server answers callers. It is safe for concurrent use.
 type Server struct {
-	options Options
-	router  chi.Router
-	bodies  *semaphore.Weighted
-	catalog atomic.Pointer[catalog]
+	options    Options
+	router     chi.Router
+	bodyBudget *semaphore.Weighted
+	catalog    atomic.Pointer[catalog]
 	// refusals takes the events of calls that a limit refused.
 	refusals *forwarder.EventLimiter
 
 	// grace ends with forwarder.ErrGraceEnded when the grace period is over.
-	grace    context.Context
+	graceCtx context.Context
 	endGrace context.CancelCauseFunc
 
 	mu sync.Mutex
 	// ready is the runner's word, and opened whether it ever was true.
-	ready  bool
-	opened bool
+	ready    bool
+	wasReady bool
 	// leaving is set by Drain; draining once new calls are refused.
 	leaving  bool
 	draining bool
@@ -153,23 +153,23 @@
 // New returns a Server that is not ready yet.
 func New(options Options) *Server {
 	options.Limits = options.Limits.withDefaults()
-	if options.CloseTime == 0 {
-		options.CloseTime = DefaultCloseTime
+	if options.CloseTimeout == 0 {
+		options.CloseTimeout = DefaultCloseTimeout
 	}
 	s := &Server{
-		options:  options,
-		bodies:   semaphore.NewWeighted(options.Limits.Bodies),
-		refusals: forwarder.NewEventLimiter(options.Recorder),
+		options:    options,
+		bodyBudget: semaphore.NewWeighted(options.Limits.TotalBodyBytes),
+		refusals:   forwarder.NewEventLimiter(options.Recorder),
 	}
-	s.grace, s.endGrace = context.WithCancelCause(context.Background())
+	s.graceCtx, s.endGrace = context.WithCancelCause(context.Background())
 	s.router = s.routes()
 	return s
 }
 
 func (s *Server) routes() chi.Router {
 	r := chi.NewRouter()
-	r.Post("/v1/chat/completions", s.serveModel(parseChat, chatShape))
-	r.Post("/v1/completions", s.serveModel(parseCompletion, completionShape))
+	r.Post("/v1/chat/completions", s.serveModel(parseChat, chatFormat))
+	r.Post("/v1/completions", s.serveModel(parseCompletion, completionFormat))
 	r.Get("/v1/models", s.serveModels)
 	r.HandleFunc("/services/*", s.serveService)
 	r.NotFound(func(w http.ResponseWriter, r *http.Request) {
@@ -188,15 +188,15 @@
 func (s *Server) HTTPServer() *http.Server {
 	return &http.Server{
 		Handler:           s.router,
-		ReadHeaderTimeout: headerTime,
-		IdleTimeout:       idleTime,
-		MaxHeaderBytes:    s.options.Limits.Header,
+		ReadHeaderTimeout: readHeaderTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    s.options.Limits.HeaderBytes,
 	}
 }
 
 const (
-	headerTime = 10 * time.Second
-	idleTime   = 75 * time.Second
+	readHeaderTimeout = 10 * time.Second
+	idleTimeout       = 75 * time.Second
 )
 
 // ListenConfig returns the settings of the callers' listener.
@@ -220,7 +220,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ready = ready
-	s.opened = s.opened || ready
+	s.wasReady = s.wasReady || ready
 }
 
 // Ready reports whether a balancer should send calls to the node.
@@ -249,18 +249,18 @@
 	if s.calls.Wait(ctx) == nil && s.options.Calls.Wait(ctx) == nil {
 		return nil
 	}
-	cut := s.InFlight()
+	aborted := s.InFlight()
 	s.endGrace(forwarder.ErrGraceEnded)
-	closing, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.options.CloseTime)
+	closeCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.options.CloseTimeout)
 	defer cancel()
-	_ = s.calls.Wait(closing)
-	if err := s.options.Calls.Wait(closing); err != nil {
-		return errors.Wrapf(err, "%d calls were cut off, and not all answers were recorded", cut)
+	_ = s.calls.Wait(closeCtx)
+	if err := s.options.Calls.Wait(closeCtx); err != nil {
+		return errors.Wrapf(err, "%d calls were cut off, and not all answers were recorded", aborted)
 	}
-	if cut == 0 {
+	if aborted == 0 {
 		return nil
 	}
-	return errors.Errorf("%d calls were cut off at the end of the grace period", cut)
+	return errors.Errorf("%d calls were cut off at the end of the grace period", aborted)
 }
 
 func sleep(ctx context.Context, d time.Duration) {
@@ -274,13 +274,13 @@
 }
 
 // enter counts a call as in flight, or refuses it.
-func (s *Server) enter() error {
+func (s *Server) beginCall() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.draining {
 		return garnetworks.Errorf(garnetworks.KindShuttingDown, "this node takes no new calls")
 	}
-	if !s.opened {
+	if !s.wasReady {
 		return garnetworks.Errorf(garnetworks.KindNotReady, "this node is not ready yet")
 	}
 	s.calls.Begin()
@@ -296,11 +296,11 @@
 
 func (l Limits) withDefaults() Limits {
 	d := DefaultLimits()
-	l.Body = cmp.Or(l.Body, d.Body)
-	l.Bodies = cmp.Or(l.Bodies, d.Bodies)
-	l.Header = cmp.Or(l.Header, d.Header)
-	l.BodyTime = cmp.Or(l.BodyTime, d.BodyTime)
-	l.WriteTime = cmp.Or(l.WriteTime, d.WriteTime)
+	l.BodyBytes = cmp.Or(l.BodyBytes, d.BodyBytes)
+	l.TotalBodyBytes = cmp.Or(l.TotalBodyBytes, d.TotalBodyBytes)
+	l.HeaderBytes = cmp.Or(l.HeaderBytes, d.HeaderBytes)
+	l.BodyTimeout = cmp.Or(l.BodyTimeout, d.BodyTimeout)
+	l.WriteTimeout = cmp.Or(l.WriteTimeout, d.WriteTimeout)
 	l.MaxTokens = cmp.Or(l.MaxTokens, d.MaxTokens)
 	l.DefaultTokens = cmp.Or(l.DefaultTokens, d.DefaultTokens)
 	l.FirstToken = cmp.Or(l.FirstToken, d.FirstToken)
--- a/server/world_test.go
+++ b/server/world_test.go
@@ -25,26 +25,26 @@
 }
 
 const (
-	answerTokens = 12
-	serviceTime  = 5 * time.Second
-	bearer       = "Bearer key-of-delta"
+	responseTokens = 12
+	serviceTimeout = 5 * time.Second
+	bearer         = "Bearer key-of-delta"
 )
 
 // keys stands in for the index of workspace keys.
-type keys struct{}
+type fakeKeyIndex struct{}
 
-func (keys) Lookup(key string) (garnetworks.WorkspaceName, bool) {
+func (fakeKeyIndex) Lookup(key string) (garnetworks.WorkspaceName, bool) {
 	return "delta", key == "key-of-delta"
 }
 
-type manifests struct{ accepted garnetworks.AcceptedManifest }
+type manifestSource struct{ accepted garnetworks.AcceptedManifest }
 
-func (m *manifests) Manifest() (*garnetworks.AcceptedManifest, bool) {
+func (m *manifestSource) Manifest() (*garnetworks.AcceptedManifest, bool) {
 	return &m.accepted, m.accepted.Generation > 0
 }
 
-func newManifests() *manifests {
-	return &manifests{garnetworks.AcceptedManifest{Generation: 1, Manifest: garnetworks.Manifest{
+func newManifestSource() *manifestSource {
+	return &manifestSource{garnetworks.AcceptedManifest{Generation: 1, Manifest: garnetworks.Manifest{
 		Models: []garnetworks.ModelSpec{{Name: "brief", Adapters: []garnetworks.AdapterName{"pumps"}}, {Name: "secret"}},
 		Workspaces: []garnetworks.WorkspaceSpec{{
 			Name:     "delta",
@@ -52,7 +52,7 @@
 			Services: []garnetworks.ServiceName{"ledger"},
 			Deadline: garnetworks.DeadlineSpec{FirstToken: 5 * time.Second, Total: time.Minute},
 		}},
-		Services: []garnetworks.ServiceSpec{{Name: "ledger", Timeout: serviceTime, Calls: []garnetworks.ServiceCallSpec{
+		Services: []garnetworks.ServiceSpec{{Name: "ledger", Timeout: serviceTimeout, Calls: []garnetworks.ServiceCallSpec{
 			{Methods: []string{"GET"}, PathPrefix: "/", Idempotent: true},
 			{PathPrefix: "/notes", KeyRequired: true},
 		}}, {Name: "hidden"}},
@@ -60,42 +60,42 @@
 }
 
 // attempt is a call's identifier without the number of the attempt.
-func callOf(attempt garnetworks.CallID) garnetworks.CallID {
+func callIDOf(attempt garnetworks.CallID) garnetworks.CallID {
 	call, _, _ := strings.Cut(string(attempt), ".")
 	return garnetworks.CallID(call)
 }
 
-func failed(phase garnetworks.CallPhase) error {
+func attemptError(phase garnetworks.CallPhase) error {
 	return &garnetworks.AttemptError{Phase: phase, Cause: errors.New("fault")}
 }
 
 // world is what the nodes of a test share: backend servers, and the store of
 // claims. It counts executions, which is all that the oracle needs.
-type world struct {
+type environment struct {
 	mu         sync.Mutex
 	executions map[garnetworks.CallID]int
 	claims     map[string]*claimRecord
 	// noGroupUntil is when groups serve again.
 	noGroupUntil time.Time
 	// stuck counts attempts at engines that are busy and bring nothing.
-	stuck int
+	stuckAttempts int
 	// faults are what meets the next attempts and claims, in order.
 	engineFaults  []string
 	serviceFaults []string
 	claimFaults   []string
 }
 
-func newWorld() *world {
-	return &world{executions: map[garnetworks.CallID]int{}, claims: map[string]*claimRecord{}}
+func newEnvironment() *environment {
+	return &environment{executions: map[garnetworks.CallID]int{}, claims: map[string]*claimRecord{}}
 }
 
-func (w *world) execute(call garnetworks.CallID) {
+func (w *environment) execute(call garnetworks.CallID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.executions[call]++
 }
 
-func (w *world) next(faults *[]string) string {
+func (w *environment) nextFault(faults *[]string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(*faults) == 0 {
@@ -109,20 +109,20 @@
 // node is one entry node in front of the world. Once it is dead, nothing that
 // its program does has an effect any more.
 type node struct {
-	*world
+	*environment
 	server *server.Server
 	calls  *forwarder.Forwarder
 	dead   chan struct{}
 }
 
-func (w *world) newNode() *node {
-	n := &node{world: w, dead: make(chan struct{})}
+func (w *environment) newNode() *node {
+	n := &node{environment: w, dead: make(chan struct{})}
 	n.calls = forwarder.New(forwarder.Options{
-		Engines: n, Services: n, Groups: n, Servers: n, Claims: n, Prober: n, Manifest: newManifests(),
+		Engines: n, Services: n, Groups: n, Servers: n, Claims: n, Prober: n, Manifest: newManifestSource(),
 	})
 	n.server = server.New(server.Options{
-		Calls: n.calls, Manifest: newManifests(),
-		NewKeyIndex: func(*garnetworks.Manifest) server.KeyIndex { return keys{} },
+		Calls: n.calls, Manifest: newManifestSource(),
+		NewKeyIndex: func(*garnetworks.Manifest) server.KeyIndex { return fakeKeyIndex{} },
 	})
 	n.server.SetReady(true)
 	return n
@@ -140,7 +140,7 @@
 var errDead = errors.New("the node is dead")
 
 // hang waits for the end of ctx or of the node.
-func (n *node) hang(ctx context.Context) {
+func (n *node) block(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-n.dead:
@@ -157,7 +157,7 @@
 
 // Groups and servers: three of each, the first one that was not tried.
 
-func pick(tried int) (int, error) {
+func pickUntried(tried int) (int, error) {
 	if tried >= 3 {
 		return 0, garnetworks.Errorf(garnetworks.KindNoGroup, "all were tried")
 	}
@@ -165,15 +165,15 @@
 }
 
 func (n *node) Choose(_ time.Time, _ *garnetworks.CallRequest, tried []garnetworks.GroupID) (garnetworks.GroupView, error) {
-	if n.outage() {
+	if n.hasNoGroup() {
 		return garnetworks.GroupView{}, garnetworks.Errorf(garnetworks.KindNoGroup, "none serves")
 	}
-	i, err := pick(len(tried))
+	i, err := pickUntried(len(tried))
 	id := fmt.Sprint("g", i)
 	return garnetworks.GroupView{ID: garnetworks.GroupID(id), Address: id}, err
 }
 
-func (n *node) outage() bool {
+func (n *node) hasNoGroup() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return time.Now().Before(n.noGroupUntil)
@@ -187,7 +187,7 @@
 func (n *node) ReportLoad(time.Time, garnetworks.GroupID, garnetworks.EngineLoad) {}
 
 func (n *node) ChooseServer(_ time.Time, _ garnetworks.ServiceName, tried []garnetworks.InstanceID) (garnetworks.ServerView, error) {
-	i, err := pick(len(tried))
+	i, err := pickUntried(len(tried))
 	return garnetworks.ServerView{Instance: garnetworks.InstanceID(fmt.Sprint("s", i))}, err
 }
 
@@ -202,19 +202,19 @@
 	defer n.mu.Unlock()
 	return garnetworks.EngineStatus{
 		Group: garnetworks.GroupID(address),
-		Load:  garnetworks.EngineLoad{At: time.Now(), Running: n.stuck},
+		Load:  garnetworks.EngineLoad{At: time.Now(), Running: n.stuckAttempts},
 	}, nil
 }
 
 // token is the text of a token of the answer to a prompt.
-func token(prompt string, i int) string {
+func tokenText(prompt string, i int) string {
 	return fmt.Sprintf("%.8s\n\"%d\" ", strings.TrimSpace(prompt), i)
 }
 
-func wholeAnswer(prompt string) string {
+func fullResponse(prompt string) string {
 	var text strings.Builder
-	for i := range answerTokens {
-		text.WriteString(token(prompt, i))
+	for i := range responseTokens {
+		text.WriteString(tokenText(prompt, i))
 	}
 	return text.String()
 }
@@ -227,19 +227,19 @@
 
 func (n *node) Generate(ctx context.Context, _ string, call *garnetworks.EngineCall) (garnetworks.EngineStream, error) {
 	if n.isDead() {
-		return nil, failed(garnetworks.PhaseConnect)
+		return nil, attemptError(garnetworks.PhaseConnect)
 	}
-	fault := n.next(&n.engineFaults)
+	fault := n.nextFault(&n.engineFaults)
 	switch fault {
 	case "connect", "refused":
-		return nil, failed(garnetworks.CallPhase(fault))
+		return nil, attemptError(garnetworks.CallPhase(fault))
 	case "stale":
 		return nil, &garnetworks.AttemptError{Phase: garnetworks.PhaseRefused, Cause: garnetworks.Errorf(garnetworks.KindStaleToken, "old")}
 	}
 	n.execute(call.ID)
 	switch fault {
 	case "write", "wait", "headers":
-		return nil, failed(garnetworks.CallPhase(fault))
+		return nil, attemptError(garnetworks.CallPhase(fault))
 	}
 	s := &engineStream{node: n, ctx: ctx, call: call, fault: fault, index: call.ResumeFrom}
 	switch fault {
@@ -266,15 +266,15 @@
 func (s *engineStream) Next(c *garnetworks.Chunk) error {
 	s.sleep(s.ctx, 40*time.Millisecond)
 	if s.sent == faultAfter {
-		if err := s.strike(c); err != nil {
+		if err := s.injectFault(c); err != nil {
 			return err
 		}
 	}
 	if s.isDead() || s.ctx.Err() != nil {
-		return failed(garnetworks.PhaseBody)
+		return attemptError(garnetworks.PhaseBody)
 	}
 	s.sent++
-	text := token(s.call.Prompt, s.index)
+	text := tokenText(s.call.Prompt, s.index)
 	if s.fault == "anew" && s.call.ResumeFrom > 0 {
 		text = "other "
 	}
@@ -283,14 +283,14 @@
 		c.Attempt, c.Text = "another.1", "another caller's"
 	}
 	s.index++
-	if s.index >= answerTokens || (s.fault == "short" && s.call.ResumeFrom > 0) {
+	if s.index >= responseTokens || (s.fault == "short" && s.call.ResumeFrom > 0) {
 		s.finish(c)
 	}
 	return nil
 }
 
 // strike carries out the faults that come in the middle of an answer.
-func (s *engineStream) strike(c *garnetworks.Chunk) error {
+func (s *engineStream) injectFault(c *garnetworks.Chunk) error {
 	switch s.fault {
 	case "panic":
 		panic("an answer that nobody thought of")
@@ -298,27 +298,27 @@
 		s.mu.Lock()
 		s.noGroupUntil = time.Now().Add(2 * time.Second)
 		s.mu.Unlock()
-		return failed(garnetworks.PhaseBody)
+		return attemptError(garnetworks.PhaseBody)
 	case "break":
-		return failed(garnetworks.PhaseBody)
+		return attemptError(garnetworks.PhaseBody)
 	case "no-end":
 		return io.EOF
 	case "done-lie":
-		return failed(garnetworks.PhaseDone)
+		return attemptError(garnetworks.PhaseDone)
 	case "gap":
 		s.index++
 	case "repeat":
 		s.index--
 	case "error-end":
 		*c = garnetworks.Chunk{}
-		s.index = answerTokens - 1
+		s.index = responseTokens - 1
 	case "stuck":
 		s.mu.Lock()
-		s.stuck++
+		s.stuckAttempts++
 		s.mu.Unlock()
-		s.hang(s.ctx)
+		s.block(s.ctx)
 	case "silent":
-		s.hang(s.ctx)
+		s.block(s.ctx)
 	case "slow":
 		s.sleep(s.ctx, 3*time.Second)
 	}
@@ -334,7 +334,7 @@
 	}
 	if s.fault == "short" && s.call.ResumeFrom > 0 {
 		// The end marker of a text that ends before the point of resumption.
-		c.Index, c.Text, c.Tokens = 0, token(s.call.Prompt, 0), 1
+		c.Index, c.Text, c.Tokens = 0, tokenText(s.call.Prompt, 0), 1
 	}
 }
 
@@ -349,14 +349,14 @@
 
 func (n *node) Call(ctx context.Context, _ string, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
 	if n.isDead() {
-		return garnetworks.ServiceResponse{}, failed(garnetworks.PhaseConnect)
+		return garnetworks.ServiceResponse{}, attemptError(garnetworks.PhaseConnect)
 	}
-	fault, ran := strings.CutSuffix(n.next(&n.serviceFaults), "-ran")
-	id := callOf(call.ID)
+	fault, ran := strings.CutSuffix(n.nextFault(&n.serviceFaults), "-ran")
+	id := callIDOf(call.ID)
 	if fault == "late" {
-		time.AfterFunc(serviceTime+time.Second, func() { n.execute(id) })
-		n.hang(ctx)
-		return garnetworks.ServiceResponse{}, failed(garnetworks.PhaseWait)
+		time.AfterFunc(serviceTimeout+time.Second, func() { n.execute(id) })
+		n.block(ctx)
+		return garnetworks.ServiceResponse{}, attemptError(garnetworks.PhaseWait)
 	}
 	n.sleep(ctx, 100*time.Millisecond)
 	if n.isDead() {
@@ -366,30 +366,30 @@
 		n.execute(id)
 	}
 	if ctx.Err() != nil {
-		return garnetworks.ServiceResponse{}, failed(garnetworks.PhaseWait)
+		return garnetworks.ServiceResponse{}, attemptError(garnetworks.PhaseWait)
 	}
-	answer := garnetworks.ServiceResponse{ID: call.ID, Status: 200, ContentType: "text/plain", Body: append([]byte("done:"), call.Body...)}
+	response := garnetworks.ServiceResponse{ID: call.ID, Status: 200, ContentType: "text/plain", Body: append([]byte("done:"), call.Body...)}
 	switch fault {
 	case "panic":
 		panic("an answer that nobody thought of")
 	case "none":
-		return answer, nil
+		return response, nil
 	case "crossed":
-		answer.ID = "another.1"
-		answer.Body = []byte("another caller's")
-		return answer, nil
+		response.ID = "another.1"
+		response.Body = []byte("another caller's")
+		return response, nil
 	case "silent":
-		n.hang(ctx)
-		return garnetworks.ServiceResponse{}, failed(garnetworks.PhaseWait)
+		n.block(ctx)
+		return garnetworks.ServiceResponse{}, attemptError(garnetworks.PhaseWait)
 	}
-	return garnetworks.ServiceResponse{}, failed(garnetworks.CallPhase(fault))
+	return garnetworks.ServiceResponse{}, attemptError(garnetworks.CallPhase(fault))
 }
 
 // claimRecord is a claim in the store.
 type claimRecord struct {
 	garnetworks.ClaimRequest
-	answer  *garnetworks.ServiceResponse
-	unknown bool
+	response *garnetworks.ServiceResponse
+	unknown  bool
 }
 
 // claimFaultNames: the store is down, or its answer is lost after the effect.
@@ -397,8 +397,8 @@
 
 // store carries out a write unless the store is down; a lost answer comes after
 // the effect.
-func (n *node) store(write func() error) error {
-	fault := n.next(&n.claimFaults)
+func (n *node) writeClaims(write func() error) error {
+	fault := n.nextFault(&n.claimFaults)
 	if n.isDead() || fault == "down" {
 		return garnetworks.Errorf(garnetworks.KindClaimsUnavailable, "down")
 	}
@@ -413,15 +413,15 @@
 
 func (n *node) Claim(_ context.Context, request garnetworks.ClaimRequest) (garnetworks.ClaimResult, error) {
 	result := garnetworks.ClaimResult{Claim: garnetworks.Claim{ClaimRequest: request}}
-	err := n.store(func() error {
+	err := n.writeClaims(func() error {
 		r := n.claims[request.Key]
 		switch {
 		case r == nil:
 			n.claims[request.Key] = &claimRecord{ClaimRequest: request}
 		case r.BodyHash != request.BodyHash:
 			return garnetworks.Errorf(garnetworks.KindKeyReused, "another body")
-		case r.answer != nil:
-			result.Recorded = garnetworks.Some(*r.answer)
+		case r.response != nil:
+			result.Recorded = garnetworks.Some(*r.response)
 		case r.unknown || time.Now().After(r.Until):
 			return garnetworks.Errorf(garnetworks.KindOutcomeUnknown, "nobody knows")
 		default:
@@ -432,15 +432,15 @@
 	return result, err
 }
 
-func (n *node) Complete(_ context.Context, claim garnetworks.Claim, answer *garnetworks.ServiceResponse) error {
-	return n.store(func() error {
-		n.claims[claim.Key].answer = answer
+func (n *node) Complete(_ context.Context, claim garnetworks.Claim, response *garnetworks.ServiceResponse) error {
+	return n.writeClaims(func() error {
+		n.claims[claim.Key].response = response
 		return nil
 	})
 }
 
 func (n *node) Abandon(_ context.Context, claim garnetworks.Claim, outcome garnetworks.Outcome) error {
-	return n.store(func() error {
+	return n.writeClaims(func() error {
 		r := n.claims[claim.Key]
 		if r == nil || r.Call != claim.Call {
 			return nil
