--- a/server/answer.go
+++ b/server/answer.go
@@ -11,18 +11,19 @@
 	"github.com/garnetworks/garnetworks/forwarder"
 )
 
-// responseFormat is how the answers of one kind of request look.
+// responseFormat is the JSON format of the responses of one endpoint.
 type responseFormat struct {
-	// object and chunkObject name the objects of whole answers and of streams.
+	// object and chunkObject are the object types of complete responses and of stream chunks.
 	object      string
 	chunkObject string
-	// idPrefix begins the answer's id.
+	// idPrefix is the prefix of the response's id.
 	idPrefix string
-	// Whole answers: what stands before and after the text in the choice.
+	// textPrefix and textSuffix enclose the text in the choice of a complete response.
 	textPrefix string
 	textSuffix string
-	// Streams: the same for a chunk, the first chunk's choice, and the choice of
-	// the last one, which carries the finish reason.
+	// chunkPrefix and chunkSuffix do so in a chunk of a stream. firstChoice is the choice of
+	// an initial chunk without text, if there is one; lastChoice that of the last chunk, to
+	// which the finish reason is added.
 	chunkPrefix string
 	chunkSuffix string
 	firstChoice string
@@ -51,23 +52,23 @@
 	lastChoice:  `"text":""`,
 }
 
-// modelResponse writes the modelResponse of a call to a model: as a stream, or at its end. It
-// is a forwarder.Sink.
+// modelResponse writes the response to a model call, as a stream or as a whole. It is a
+// forwarder.Sink.
 type modelResponse struct {
 	*httpCall
 	format  *responseFormat
 	request *modelRequest
 	// promptTokens is an estimate.
 	promptTokens int
-	// head is the answer's object up to its choices, in JSON; eventHead the same
-	// of a stream's chunk, up to the text.
+	// objectPrefix is the JSON of the response object up to its choices, eventPrefix that of
+	// a stream event up to the text.
 	objectPrefix []byte
 	eventPrefix  []byte
-	// text is the text so far of an answer that is not answered.
+	// text collects the text of a response that is not streamed.
 	text []byte
-	// buffer is what was written to a stream since the last flush.
+	// buffer holds the stream events written since the last flush.
 	buffer []byte
-	// deadline is when the caller must have taken what was written.
+	// writeDeadline is the connection's current write deadline.
 	writeDeadline time.Time
 }
 
@@ -104,7 +105,7 @@
 	errorStart  = "event: error\ndata: "
 )
 
-// Write takes a part of the answer.
+// Write adds a part of the response.
 func (a *modelResponse) Write(part forwarder.Part) error {
 	if !a.request.Stream {
 		a.text = append(a.text, part.Text...)
@@ -120,7 +121,7 @@
 	return nil
 }
 
-// Flush sends the events that were written.
+// Flush sends the buffered events.
 func (a *modelResponse) Flush() error {
 	if len(a.buffer) == 0 {
 		return nil
@@ -134,8 +135,8 @@
 	return a.control.Flush()
 }
 
-// Idle sends a comment, so that a caller and all between see that the
-// connection lives, and a dead one fails.
+// Idle sends an SSE comment as a keep-alive, so that proxies and clients keep the connection
+// open and writing to a dead one fails.
 func (a *modelResponse) Idle() error {
 	if !a.headerSent {
 		return nil
@@ -144,8 +145,8 @@
 	return a.Flush()
 }
 
-// extendDeadline gives the caller WriteTime from now on, in steps, so that not
-// each token sets a timer.
+// extendWriteDeadline sets the write deadline to WriteTimeout from now, at most once per quarter
+// of WriteTimeout, so that not every flush sets a timer.
 func (a *modelResponse) extendWriteDeadline() {
 	limit := a.options.Limits.WriteTimeout
 	now := time.Now()
@@ -156,8 +157,8 @@
 	_ = a.control.SetWriteDeadline(a.writeDeadline)
 }
 
-// startStream sends the header of a stream. The outcome is known only at the end, so it
-// comes as a trailer.
+// startStream sends the header of a stream. The outcome is only known at the end and follows as
+// a trailer.
 func (a *modelResponse) startStream() {
 	h := a.w.Header()
 	h.Set(headerContentType, "text/event-stream")
@@ -173,7 +174,7 @@
 	}
 }
 
-// appendChoice writes an appendChoice with one choice.
+// appendChoice appends an event with one choice to the buffer.
 func (a *modelResponse) appendChoice(choice string) {
 	a.buffer = append(a.buffer, eventStart...)
 	a.buffer = append(a.buffer, a.objectPrefix...)
@@ -182,7 +183,7 @@
 	a.buffer = append(a.buffer, choicesEnd+eventEnd...)
 }
 
-// endResponse ends the answer, whole or not. It returns the call's error.
+// endResponse completes the response or ends it with an error. It returns the call's error.
 func (a *modelResponse) endResponse(summary forwarder.Summary, err error) error {
 	if !a.request.Stream {
 		if err == nil {
@@ -209,14 +210,14 @@
 		a.buffer = append(a.buffer, "}"+eventEnd...)
 	}
 	a.buffer = append(a.buffer, streamEnd...)
-	// What can't be sent now is lost with the caller's connection; the end
-	// marker is then missing at the caller.
+	// A failed write means that the connection is lost; the caller then misses the end
+	// marker.
 	_ = a.Flush()
 	a.w.Header().Set(HeaderOutcome, string(garnetworks.OutcomeCompleted))
 	return nil
 }
 
-// endBroken tells the caller that the answer is not whole (rule H2).
+// endWithError ends a stream with an error event, since the response is incomplete (rule H2).
 func (a *modelResponse) endWithError(err error) {
 	problem := NewProblem(a.id, err)
 	body, _ := json.Marshal(problem)
@@ -229,7 +230,7 @@
 	h.Set(HeaderErrorKind, string(problem.Kind))
 }
 
-// writeWhole answers a request without a stream.
+// writeFull sends the complete response to a request without streaming.
 func (a *modelResponse) writeFull(summary forwarder.Summary) {
 	body := append([]byte(nil), a.objectPrefix...)
 	body = append(body, choiceStart...)
@@ -266,8 +267,8 @@
 
 const hexDigits = "0123456789abcdef"
 
-// appendString appends text as a JSON string. It allocates nothing, which
-// encoding/json does for each token.
+// appendString appends text as a JSON string, with invalid UTF-8 replaced. Unlike encoding/json
+// it does not allocate for each token.
 func appendString[T string | []byte](dst []byte, text T) []byte {
 	dst = append(dst, '"')
 	start := 0
@@ -298,7 +299,7 @@
 	return append(dst, '"')
 }
 
-// runeSize returns the length of the rune at i, or 0 if it is not valid.
+// runeSize returns the length in bytes of the rune at i, or 0 if it is invalid.
 func runeSize[T string | []byte](text T, i int) int {
 	end := min(i+utf8.UTFMax, len(text))
 	r, size := utf8.DecodeRuneInString(string(text[i:end]))
@@ -323,7 +324,7 @@
 	return append(dst, hexDigits[b>>4], hexDigits[b&0xf])
 }
 
-// modelList is the answer of GET /v1/models.
+// modelList is the response to GET /v1/models.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelItem `json:"data"`
--- a/server/bench_test.go
+++ b/server/bench_test.go
@@ -20,9 +20,8 @@
 
 const benchTokens = 1000
 
-// benchEngine brings tokens without a cost of its own. With a pace, a token comes
-// only after the one before it was flushed to the caller, so that no two of them
-// share a flush.
+// benchEngine generates tokens at negligible cost. If flushed is set, each token waits until
+// the previous one was flushed to the caller, so that each has a flush of its own.
 type benchEngine struct {
 	*node
 	flushed chan struct{}
@@ -54,7 +53,7 @@
 
 func (s *benchStream) Close() error { return nil }
 
-// discard is a caller that takes everything at once.
+// discardWriter is a response writer that discards what is written.
 type discardWriter struct {
 	header  http.Header
 	flushed chan struct{}
@@ -65,7 +64,7 @@
 func (d *discardWriter) WriteHeader(int)                    {}
 func (d *discardWriter) SetWriteDeadline(_ time.Time) error { return nil }
 func (d *discardWriter) SetReadDeadline(_ time.Time) error  { return nil }
-func (d *discardWriter) Write(b []byte) (int, error) { d.bytes += len(b); return len(b), nil }
+func (d *discardWriter) Write(b []byte) (int, error)        { d.bytes += len(b); return len(b), nil }
 
 func (d *discardWriter) Flush() {
 	if d.flushed != nil {
@@ -81,7 +80,7 @@
 	return serverFor(&benchEngine{node: n, flushed: flushed}, n)
 }
 
-// toAddress is a chooser with one group at a real address.
+// fixedAddress is a GroupChooser with one group, at the given address.
 type fixedAddress struct {
 	*node
 	address string
@@ -91,7 +90,7 @@
 	return garnetworks.GroupView{ID: "g1", Address: a.address}, nil
 }
 
-// events1000 are the events of an answer with a place for the attempt.
+// eventTemplate holds the events of an engine's response, with "@" for the attempt.
 var eventTemplate = func() []byte {
 	var events []byte
 	for i := range benchTokens {
@@ -104,7 +103,7 @@
 	return events
 }()
 
-// writeEvents answers as an engine does, as fast as the connection takes it.
+// writeEvents is the handler of an engine that sends its response at once.
 func writeEvents(w http.ResponseWriter, r *http.Request) {
 	attempt := r.Header.Get(connector.HeaderAttempt)
 	w.Header().Set(connector.HeaderAttempt, attempt)
@@ -129,7 +128,7 @@
 	return request
 }
 
-// measure runs one call of benchTokens for each b.N and reports cost by token.
+// measurePerToken runs b.N calls of benchTokens tokens and reports the cost per token.
 func measurePerToken(b *testing.B, run func()) {
 	var before, after runtime.MemStats
 	var cpuBefore, cpuAfter syscall.Rusage
@@ -149,8 +148,8 @@
 	b.ReportMetric(float64(after.Mallocs-before.Mallocs)/tokens, "allocs/token")
 }
 
-// BenchmarkToken measures what the gateway spends on a streamed token, from the
-// engine's adapter to the response writer.
+// BenchmarkToken measures the server's cost of a streamed token, from the engine's stream to
+// the response writer.
 func BenchmarkToken(b *testing.B) {
 	variants := map[string]chan struct{}{"as-fast-as-possible": nil, "one-token-per-flush": make(chan struct{}, 1)}
 	for name, flushed := range variants {
@@ -162,8 +161,8 @@
 			})
 		})
 	}
-	// The caller and the kernel's loopback are in the figures below, and in the
-	// second one the engine's adapter and an engine that writes prepared events.
+	// The results below include the client and the loopback interface, the second one also the
+	// connector and an engine that sends prepared events.
 	b.Run("over-loopback", func(b *testing.B) { overLoopback(b, benchServer(nil)) })
 	b.Run("over-loopback-with-adapter", func(b *testing.B) {
 		engine := httptest.NewServer(http.HandlerFunc(writeEvents))
@@ -188,7 +187,7 @@
 		_, _ = body.ReadFrom(response.Body)
 		response.Body.Close()
 		if !bytes.HasSuffix(body.Bytes(), []byte("data: [DONE]\n\n")) {
-			b.Fatalf("%d bytes, not whole", body.Len())
+			b.Fatalf("incomplete response of %d bytes", body.Len())
 		}
 	})
 }
--- a/server/call.go
+++ b/server/call.go
@@ -14,7 +14,7 @@
 	"github.com/pkg/errors"
 )
 
-// httpCall is one request on its way through the server.
+// httpCall is one HTTP request and the state of its call.
 type httpCall struct {
 	*Server
 	w         http.ResponseWriter
@@ -24,17 +24,17 @@
 	received  time.Time
 	catalog   *catalog
 	workspace *garnetworks.WorkspaceSpec
-	// held is the number of bytes taken from Server.bodies.
+	// reservedBytes is the number of bytes acquired from Server.bodyBudget.
 	reservedBytes int64
 	report        CallReport
-	// forwarded says that the forwarder has recorded how the call ended.
+	// forwarded says that the call was passed to the forwarder, which records its outcome.
 	forwarded bool
-	// answered says that the answer's header is sent, so that an error can only
-	// be told inside of it.
+	// headerSent says that the response header is sent, so that an error can only be reported
+	// in the body.
 	headerSent bool
 }
 
-// serve runs one call and answers with its error, if it has one.
+// serve runs one call and writes a problem document if it fails.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request, run func(*httpCall) error) {
 	c := &httpCall{
 		Server:   s,
@@ -72,8 +72,8 @@
 	return run(c)
 }
 
-// finish answers with err unless a stream has told it already, and reports the
-// call.
+// finish writes err as the response, unless the header is sent already, and reports the call to
+// the Observer.
 func (c *httpCall) finish(err error) {
 	if c.closing() && !c.headerSent {
 		c.w.Header().Set("Connection", "close")
@@ -94,8 +94,8 @@
 	}
 }
 
-// recordRefusal records the calls that a limit refused; the forwarder records
-// its own, and what a caller got wrong is no event.
+// recordRefusal records calls refused because of a limit. The forwarder records those it was
+// given, and invalid requests are not recorded.
 func (c *httpCall) recordRefusal(err error) {
 	limited := garnetworks.IsKind(err, garnetworks.KindOverLimit, garnetworks.KindOverloaded, garnetworks.KindDeadlineUnreachable)
 	if c.forwarded || !limited {
@@ -109,13 +109,13 @@
 	})
 }
 
-// allowWrite gives the caller WriteTime to take what is written next.
+// setWriteDeadline gives the caller WriteTimeout to read what is written next.
 func (c *httpCall) setWriteDeadline() {
-	// A writer without deadlines, as in tests, is not bounded.
+	// A ResponseWriter without deadlines, as in tests, is not limited.
 	_ = c.control.SetWriteDeadline(time.Now().Add(c.options.Limits.WriteTimeout))
 }
 
-// readBody reads the request's readBody within rule H3.
+// readBody reads the request's body within the limits of rule H3.
 func (c *httpCall) readBody() ([]byte, error) {
 	limit := c.options.Limits.BodyBytes
 	length := c.r.ContentLength
@@ -131,8 +131,8 @@
 	c.reservedBytes = length
 	_ = c.control.SetReadDeadline(time.Now().Add(c.options.Limits.BodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, limit))
-	// Failure: the deadline stays set while the call runs, and the server's own
-	// wait for the caller's going away takes its end for just that.
+	// Failure: if the deadline expires while the call runs, net/http's background read fails,
+	// is taken for a closed connection and cancels the call.
 	_ = c.control.SetReadDeadline(time.Time{})
 	if err != nil {
 		return nil, bodyError(err, limit)
@@ -149,7 +149,7 @@
 	return garnetworks.WrapError(garnetworks.KindInvalidRequest, err, "the body did not come whole")
 }
 
-// shrink gives back what a body of unknown length did not need.
+// releaseUnused returns the part of the reservation that exceeds the body's length.
 func (c *httpCall) releaseUnused(length int64) {
 	c.bodyBudget.Release(c.reservedBytes - length)
 	c.reservedBytes = length
@@ -157,8 +157,8 @@
 
 func (c *httpCall) releaseBody() { c.bodyBudget.Release(c.reservedBytes) }
 
-// context returns the call's context: it ends with the caller's connection and
-// with the node's grace period.
+// context returns the call's context. It ends when the caller's connection is closed or the
+// node's grace period is over.
 func (c *httpCall) context() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(c.r.Context())
 	stop := context.AfterFunc(c.graceCtx, func() { cancel(context.Cause(c.graceCtx)) })
@@ -168,8 +168,8 @@
 	}
 }
 
-// admit asks for the workspace's admission; model is empty for calls to plain
-// services, which use no model's capacity.
+// admit requests admission for the workspace; model is empty for calls to plain services, which
+// use no model capacity.
 func (c *httpCall) admit(ctx context.Context, model garnetworks.ModelName, tokens int, firstTokenBy time.Time) (garnetworks.Ticket, error) {
 	if c.options.Admitter == nil {
 		return unlimitedTicket{}, nil
@@ -184,12 +184,12 @@
 	})
 }
 
-// openTicket is the ticket of a server without an Admitter.
+// unlimitedTicket is the ticket of a server without an Admitter.
 type unlimitedTicket struct{}
 
 func (unlimitedTicket) Done(int) {}
 
-// serveModel returns the handler of calls to models.
+// serveModel returns the handler of model calls.
 func (s *Server) serveModel(parse func([]byte) (*modelRequest, error), format *responseFormat) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.serve(w, r, func(c *httpCall) error { return c.generate(parse, format) })
@@ -225,7 +225,7 @@
 	return response.endResponse(summary, err)
 }
 
-// callRequest checks the request against the workspace.
+// callRequest checks the request against the workspace and the limits, and applies defaults.
 func (c *httpCall) callRequest(request *modelRequest) (*garnetworks.CallRequest, error) {
 	model, adapter, err := c.catalog.model(c.workspace, request.Model)
 	if err != nil {
@@ -256,14 +256,14 @@
 	}, nil
 }
 
-// bytesPerToken is the usual length of a token in the languages of the callers.
+// bytesPerToken is a typical length of a token, for estimates.
 const bytesPerToken = 4
 
-// estimateTokens estimates the prompt's tokens: only the engine's tokenizer knows
-// them, and admission can't wait for it.
+// estimateTokens estimates the length of the prompt. The exact number is known only to the
+// engine's tokenizer, for which admission can't wait.
 func estimateTokens(prompt string) int { return (len(prompt) + bytesPerToken - 1) / bytesPerToken }
 
-// serveService answers calls to plain services.
+// serveService handles calls to plain services.
 func (s *Server) serveService(w http.ResponseWriter, r *http.Request) {
 	s.serve(w, r, (*httpCall).callService)
 }
@@ -309,10 +309,10 @@
 	return c.writeService(&response)
 }
 
-// writeService passes a service's answer on.
+// writeService sends the response of a plain service to the caller.
 func (c *httpCall) writeService(response *garnetworks.ServiceResponse) error {
-	// Failure: net/http panics on a status that is none, and the caller would
-	// see a broken connection after its call ran.
+	// Failure: net/http panics on an invalid status, and the caller would see a broken
+	// connection after its call ran.
 	if response.Status < http.StatusOK || response.Status > maxStatus {
 		return garnetworks.Errorf(garnetworks.KindBackendLost, "the backend server answered with status %d", response.Status)
 	}
--- a/server/catalog.go
+++ b/server/catalog.go
@@ -7,8 +7,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// catalog is what the server looks up in a manifest. It is made once for each
-// manifest and never changed.
+// catalog indexes a manifest for lookups. It is built when the manifest changes, and immutable.
 type catalog struct {
 	accepted   *garnetworks.AcceptedManifest
 	keys       KeyIndex
@@ -17,7 +16,7 @@
 	services   map[garnetworks.ServiceName]*garnetworks.ServiceSpec
 }
 
-// current returns the catalog of the manifest in force.
+// currentCatalog returns the catalog of the current manifest.
 func (s *Server) currentCatalog() (*catalog, error) {
 	accepted, ok := s.options.Manifest.Manifest()
 	if !ok {
@@ -52,10 +51,10 @@
 	return c
 }
 
-// bearer is the scheme of the Authorization header, compared without case.
+// bearer is the scheme of the Authorization header, compared case-insensitively.
 const bearer = "bearer "
 
-// workspace returns the workspace of an Authorization header.
+// workspace returns the workspace that the key in an Authorization header belongs to.
 func (c *catalog) workspace(authorization string) (*garnetworks.WorkspaceSpec, error) {
 	if len(authorization) <= len(bearer) || !strings.EqualFold(authorization[:len(bearer)], bearer) {
 		return nil, garnetworks.Errorf(garnetworks.KindUnauthenticated, "send the workspace key as Authorization: Bearer")
@@ -71,9 +70,9 @@
 	return spec, nil
 }
 
-// model splits "name" or "name:adapter" and checks that the workspace may call
-// it. A model of other workspaces is answered like one that does not exist, so
-// that nobody learns its name.
+// model splits "name" or "name:adapter" and checks that the workspace may call the model. A
+// model of another workspace gets the same error as one that does not exist, so that its
+// name is not disclosed.
 func (c *catalog) model(workspace *garnetworks.WorkspaceSpec, name string) (garnetworks.ModelName, garnetworks.AdapterName, error) {
 	model, adapter, _ := strings.Cut(name, adapterSeparator)
 	spec, ok := c.models[garnetworks.ModelName(model)]
@@ -96,8 +95,8 @@
 	return nil
 }
 
-// modelNames lists what the workspace may put into "model", in the manifest's
-// order.
+// modelNames returns the values of "model" that the workspace may use, in the order of the
+// manifest.
 func (c *catalog) modelNames(workspace *garnetworks.WorkspaceSpec) []string {
 	var names []string
 	for i := range c.accepted.Manifest.Models {
--- a/server/docs_test.go
+++ b/server/docs_test.go
@@ -9,8 +9,8 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// A caller's program is written by the page for callers. A kind whose row is
-// missing there, or says another outcome than the node, makes it repeat what ran.
+// Failure: the callers' documentation lacks an error kind or states another outcome than the
+// server, and a client written by it repeats a call that ran.
 func TestCallersPageHasEachKind(t *testing.T) {
 	page, err := os.ReadFile("../docs/callers.md")
 	if err != nil {
@@ -18,12 +18,12 @@
 	}
 	for _, a := range garnetworks.ErrorResponses() {
 		if a.Kind == garnetworks.KindNotFound {
-			// From here on the kinds are those of operators and processes.
+			// The kinds from here on are only returned to operators and between processes.
 			return
 		}
 		row := fmt.Sprintf("| `%s` | %d | %s |", a.Kind, a.Status, a.Outcome)
 		if !strings.Contains(string(page), row) {
-			t.Errorf("the page has no row that begins %s", row)
+			t.Errorf("docs/callers.md has no row that begins with %s", row)
 		}
 	}
 }
--- a/server/faults_test.go
+++ b/server/faults_test.go
@@ -11,10 +11,8 @@
 	"github.com/garnetworks/garnetworks/server"
 )
 
-// A tech waits for a brief whose first attempt meets one fault, at its start or
-// after four of twelve tokens. Each one must end whole all the same, and within
-// the bound: a dead connection costs BetweenTokens, an engine that is alive and
-// stuck SlowBetweenTokens, a time without any group that time.
+// A stream whose first attempt fails must complete within the time that the fault may cost: a
+// dead connection BetweenTokens, a stuck engine SlowBetweenTokens, an outage its duration.
 func TestStreamSurvivesEachFault(t *testing.T) {
 	faultFree := time.Duration(responseTokens+2*faultAfter) * 40 * time.Millisecond
 	bounds := map[string]time.Duration{
@@ -32,7 +30,7 @@
 				begin := time.Now()
 				r := n.sendCall(step{Action: "call-stream", Body: "part-a"})
 				took := time.Since(begin)
-				t.Logf("whole after %s", took)
+				t.Logf("complete after %s", took)
 				text, done, _ := streamText(r.body)
 				if !done || text != fullResponse("part-a") || r.outcome != garnetworks.OutcomeCompleted {
 					t.Errorf("outcome %s, text %q", r.outcome, text)
@@ -45,11 +43,10 @@
 	}
 }
 
-// An engine that resumes does so from the wrong place: with a text of its own,
-// or with an end marker that belongs before the point of resumption. The second
-// attempt is dropped and the third one completes the answer.
+// An engine resumes at the wrong position, with another text or an early end marker. The second
+// attempt must be discarded, and the third must complete the response.
 func TestStreamSurvivesWrongResumption(t *testing.T) {
-	for _, fault := range []string{"anew", "short", "overlap", "crossed", "error-end"} {
+	for _, fault := range []string{"restart", "short", "overlap", "mismatched", "error-end"} {
 		t.Run(fault, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newEnvironment()
@@ -63,26 +60,25 @@
 	}
 }
 
-// A tech's note meets one fault. What the tech is told must be what the failure
-// table says of it: the three columns are a call that may be repeated, one that
-// may not, and one that may not and has a key.
+// Each fault must have the outcome listed for it. The columns are an idempotent call, one that
+// is not, and one that is not but has an idempotency key.
 func TestEachServiceFault(t *testing.T) {
 	const c, u = garnetworks.OutcomeCompleted, garnetworks.OutcomeUnknown
 	tests := map[string][3]garnetworks.Outcome{
-		"none":        {c, c, c},
-		"connect":     {c, c, c},
-		"refused":     {c, c, c},
-		"write":       {c, u, u},
-		"write-ran":   {c, u, u},
-		"wait-ran":    {c, u, u},
-		"headers-ran": {c, u, u},
-		"body-ran":    {c, u, u},
-		"crossed":     {c, u, u},
-		"crossed-ran": {c, u, u},
-		"silent":      {c, u, u},
-		"silent-ran":  {c, u, u},
-		"late-ran":    {c, u, u},
-		"panic-ran":   {c, u, u},
+		"none":           {c, c, c},
+		"connect":        {c, c, c},
+		"refused":        {c, c, c},
+		"write":          {c, u, u},
+		"write-ran":      {c, u, u},
+		"wait-ran":       {c, u, u},
+		"headers-ran":    {c, u, u},
+		"body-ran":       {c, u, u},
+		"mismatched":     {c, u, u},
+		"mismatched-ran": {c, u, u},
+		"silent":         {c, u, u},
+		"silent-ran":     {c, u, u},
+		"late-ran":       {c, u, u},
+		"panic-ran":      {c, u, u},
 	}
 	columns := []step{
 		{Action: "call-read", Body: "b"},
@@ -103,9 +99,8 @@
 	}
 }
 
-// A tech's telephone loses its connection while a visit is being logged. The
-// tech's program sends the call again through another node, with the same key,
-// and must get the answer of the first one.
+// The caller of a keyed call disconnects and repeats it through another node. The repetition
+// must receive the response of the first call.
 func TestKeyedCallOutlivesItsCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newEnvironment()
@@ -123,8 +118,8 @@
 	})
 }
 
-// The platform's store is down for long. Calls that need a claim are refused as
-// not run; those that may be repeated go on.
+// While the claim store is down, calls that need a claim are refused as not run, and
+// idempotent calls are served.
 func TestStoreDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newEnvironment()
@@ -140,8 +135,7 @@
 	})
 }
 
-// A node is stopped for an upgrade while it streams a brief. The brief must
-// finish; what comes afterwards is refused as not run.
+// A draining node must finish its streams and refuse new calls as not run.
 func TestDrainFinishesStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newEnvironment().newNode()
@@ -152,7 +146,7 @@
 		go func() { drained <- n.server.Drain(context.Background()) }()
 		synctest.Wait()
 		if n.server.Ready() {
-			t.Error("the node is ready while it stops")
+			t.Error("the node is ready while it drains")
 		}
 		late := n.sendCall(step{Action: "call-write", Body: "b"})
 		if late.outcome != garnetworks.OutcomeNotRun || !strings.Contains(late.body, string(garnetworks.KindShuttingDown)) {
@@ -163,14 +157,13 @@
 		}
 		synctest.Wait()
 		if _, done, _ := streamText(stream.body); !done {
-			t.Errorf("the stream was cut off: %+v", stream)
+			t.Errorf("the stream was interrupted: %+v", stream)
 		}
 	})
 }
 
-// The grace period of a stopping node ends, or its operator signals a second
-// time, while an engine is stuck. The caller must read that the answer is not
-// whole, and Drain must say that a call was cut off.
+// The grace period ends while an engine is stuck. The stream must end with an error, and Drain
+// must report the interrupted call.
 func TestSecondSignalEndsStreamsWithError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newEnvironment()
@@ -192,8 +185,7 @@
 	})
 }
 
-// While the balancer has not noticed yet that a stopping node is not ready, the
-// node goes on taking its calls. Before it was ready for the first time it takes
+// A stopping node accepts calls until LameDuck has passed. A node that was never ready accepts
 // none.
 func TestLameDuck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/server/http_test.go
+++ b/server/http_test.go
@@ -16,10 +16,10 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// changing are the parts of an answer that differ from run to run.
+// variableParts matches the parts of a response that differ between runs.
 var variableParts = regexp.MustCompile(`[0-9a-z]{26}|"created":[0-9]+`)
 
-// dump writes an answer with its headers and trailers in order.
+// dumpResponse formats a response with sorted headers and trailers.
 func dumpResponse(response *http.Response, body string) []byte {
 	var lines []string
 	for name, values := range response.Header {
@@ -32,8 +32,8 @@
 	return variableParts.ReplaceAll([]byte(response.Status+"\n"+strings.Join(lines, "\n")+"\n\n"+body+"\n"), []byte("*"))
 }
 
-// The callers' programs read these answers; a changed byte can break them, so
-// each kind of answer is kept as a file.
+// Clients parse these responses, and a changed byte can break them. Each kind of response is
+// compared with a golden file.
 func TestAnswers(t *testing.T) {
 	const prompt = `"model":"brief","prompt":"p"`
 	chat := `{"model":"brief:pumps","messages":[{"role":"system","content":"s"},{"role":"user","content":"p"}]`
@@ -77,8 +77,7 @@
 	}
 }
 
-// A key that is wrong, missing, or of another scheme tells its sender nothing
-// about the site, whatever it asks for.
+// A request with a wrong or missing key, or another scheme, must get 401 on every path.
 func TestUnauthenticated(t *testing.T) {
 	n := newEnvironment().newNode()
 	for _, authorization := range []string{"", "Bearer", "Bearer ", "Bearer key-of-delt", "Basic key-of-delta", "key-of-delta"} {
@@ -95,7 +94,7 @@
 	}
 }
 
-// refuser admits nothing.
+// rejectingAdmitter refuses all calls.
 type rejectingAdmitter struct{}
 
 func (rejectingAdmitter) Admit(context.Context, garnetworks.AdmitRequest) (garnetworks.Ticket, error) {
@@ -106,8 +105,8 @@
 
 func (e *eventRecorder) Record(event garnetworks.Event) { *e = append(*e, event) }
 
-// A workspace sends far over its limit. It is told when to come back, never too
-// early, and the time line is not flooded with its refusals.
+// Refusals for a limit must name a retry time that is rounded up, and must not flood the
+// events.
 func TestOverLimit(t *testing.T) {
 	n := newEnvironment().newNode()
 	var recorded eventRecorder
--- a/server/path.go
+++ b/server/path.go
@@ -12,17 +12,16 @@
 	maxKeyBytes    = 255
 )
 
-// refusedEscapes are escapes of characters that bear on how a path is taken
-// apart. Backend servers differ in when they decode them.
+// refusedEscapes are escapes of characters that are significant in a path, or of control
+// characters. Backend servers differ in when they decode them.
 var refusedEscapes = []string{"%2f", "%5c", "%2e", "%25", "%3b", "%00", "%0a", "%0d"}
 
-// splitServicePath returns the service and the normal form of the path behind it
+// splitServicePath returns the service and the normalized path after it, with the query
 // (rule H4).
 //
-// Failure: the manifest says that GET /list is repeatable and that /visits is
-// not. A caller sends /list/../visits, /%76isits or //visits; the node compares
-// one spelling with the manifest, the server carries out the other, and a visit
-// is logged twice.
+// Failure: the manifest lists GET /list as idempotent, but not /visits. A caller sends
+// /list/../visits, /%76isits or //visits; the node checks one spelling against the manifest,
+// the server executes another, and a retry logs a visit twice.
 func splitServicePath(u *url.URL) (garnetworks.ServiceName, string, error) {
 	rest, ok := strings.CutPrefix(u.EscapedPath(), servicesPrefix)
 	if !ok {
@@ -45,8 +44,7 @@
 	return garnetworks.ServiceName(service), path, nil
 }
 
-// normalPath checks an escaped path and returns it with no escapes but the
-// necessary ones.
+// normalizePath checks an escaped path and returns it with only the necessary escapes.
 func normalizePath(escaped string) (string, error) {
 	lower := strings.ToLower(escaped)
 	for _, e := range refusedEscapes {
@@ -73,7 +71,7 @@
 	return (&url.URL{Path: decoded}).EscapedPath(), nil
 }
 
-// checkKey checks an idempotency key.
+// parseIdempotencyKey returns the idempotency key of a request, or "" if it has none.
 func parseIdempotencyKey(values []string) (string, error) {
 	if len(values) == 0 {
 		return "", nil
--- a/server/path_test.go
+++ b/server/path_test.go
@@ -18,14 +18,14 @@
 
 // step is one step of a scenario, at a time after its start.
 type step struct {
-	// What is call-model, call-stream, call-read, call-write, kill or drain.
+	// Action is call-model, call-stream, call-read, call-write, kill or drain.
 	Action string
 	At     time.Duration
 	Node   int
-	// Key is empty for a call without one.
+	// Key is the idempotency key; it may be empty.
 	Key  string
 	Body string
-	// CancelAfter is 0 for callers who stay.
+	// CancelAfter is 0 for calls that are not cancelled.
 	CancelAfter time.Duration
 }
 
@@ -69,7 +69,7 @@
 
 const nodeCount = 3
 
-// receipt is what one caller saw.
+// callResult is the response to one call as its caller saw it.
 type callResult struct {
 	step
 	id       garnetworks.CallID
@@ -79,8 +79,7 @@
 	replayed bool
 }
 
-// run plays the scenario and returns what the callers saw, after all that was
-// still to run has run.
+// run executes the scenario and returns the callers' results once all background work is done.
 func (s scenario) run(w *environment) []*callResult {
 	w.engineFaults = append([]string(nil), s.EngineFaults...)
 	w.serviceFaults = append([]string(nil), s.ServiceFaults...)
@@ -125,7 +124,7 @@
 	return results
 }
 
-// receive sends one call and reads its answer.
+// sendCall sends one call and reads its response.
 func (n *node) sendCall(st step) *callResult {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -162,8 +161,8 @@
 	return r
 }
 
-// streamText returns the text of a stream and whether it has its end marker and
-// an error event.
+// streamText returns the text of a stream and whether it has its end marker and an error
+// event.
 func streamText(body string) (text string, done, hasError bool) {
 	for event := range strings.SplitSeq(body, "\n\n") {
 		hasError = hasError || strings.HasPrefix(event, "event: error")
@@ -177,13 +176,13 @@
 	return text, done, hasError
 }
 
-// judge returns what is wrong with the receipts, or "".
+// findViolation describes the first result that violates a rule, or returns "".
 func (w *environment) findViolation(results []*callResult) string {
 	byKey := map[string]int{}
 	for _, r := range results {
 		ran := w.executions[r.id]
 		if r.outcome == garnetworks.OutcomeNotRun && ran > 0 {
-			return fmt.Sprintf("%+v: not run, and it ran %d times", r, ran)
+			return fmt.Sprintf("%+v: reported as not run, but ran %d times", r, ran)
 		}
 		if r.outcome == "" {
 			return fmt.Sprintf("%+v: no outcome", r)
@@ -208,8 +207,8 @@
 	return ""
 }
 
-// judgeAnswer checks that the answer is the caller's own, and whole if it says
-// so.
+// findResponseViolation checks that the response belongs to the call, and is complete if its
+// outcome says so.
 func (r *callResult) findResponseViolation(ran int) string {
 	full := fullResponse(r.Body)
 	completed := r.outcome == garnetworks.OutcomeCompleted
@@ -217,40 +216,36 @@
 	case "call-stream":
 		text, done, hasError := streamText(r.body)
 		if done != completed || (done && text != full) {
-			return "a partial answer looks whole"
+			return "a partial response is marked as complete"
 		}
 		if r.status == 200 && done == hasError {
-			return "a stream ends without saying how"
+			return "a stream ends without an end marker or an error event, or with both"
 		}
 		if !strings.HasPrefix(full, text) {
-			return fmt.Sprintf("tokens are repeated, missing or another's: %q", text)
+			return fmt.Sprintf("tokens are repeated, missing or from another response: %q", text)
 		}
 	case "call-model":
 		var response struct{ Choices []struct{ Text string } }
 		_ = json.Unmarshal([]byte(r.body), &response)
 		if completed && (len(response.Choices) != 1 || response.Choices[0].Text != full) {
-			return "the answer is not the caller's whole answer"
+			return "the response is not the complete response to the call"
 		}
 		if !completed && len(response.Choices) > 0 {
-			return "an answer that is not whole"
+			return "a call that did not complete has a response text"
 		}
 	default:
 		if completed && r.body != "done:"+r.Body {
-			return "the answer is not the caller's own"
+			return "the response is not the response to the call"
 		}
 		if completed && ran == 0 && !r.replayed {
-			return "completed without an execution"
+			return "completed, but neither executed nor replayed"
 		}
 	}
 	return ""
 }
 
-// A visit is logged twice, a note that "did not run" is found in the ledger, a
-// brief ends in the middle and looks whole. Callers on three nodes send calls,
-// with equal keys at the same time and after failures; engines and servers
-// refuse, break off, go silent, cross answers and answer late; the store of
-// claims is down or loses answers; nodes are killed and drained; callers leave.
-// The oracle counts executions and compares texts.
+// Random calls, faults, cancellations, kills and drains on three nodes: no write may run twice,
+// no call run that is reported as not run, no partial or wrong response pass for complete.
 func TestCallPath(t *testing.T) {
 	steps, calls := 0, 0
 	outcomes := map[garnetworks.Outcome]int{}
--- a/server/problem.go
+++ b/server/problem.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-// Headers of answers, and trailers of streams.
+// Headers of responses; some are trailers of streams.
 const (
 	HeaderOutcome     = "Garnet-Outcome"
 	HeaderCallID      = "Garnet-Call-Id"
@@ -22,7 +22,7 @@
 	headerContentType = "Content-Type"
 )
 
-// ProblemType begins the type of problem documents; the kind follows.
+// ProblemType is the prefix of the type of problem documents; the error's kind follows.
 const ProblemType = "urn:garnetworks:problem:"
 
 // Problem is a problem document (RFC 9457).
@@ -31,27 +31,26 @@
 	Title  string `json:"title"`
 	Status int    `json:"status"`
 	Detail string `json:"detail,omitempty"`
-	// Instance names the call.
+	// Instance identifies the call.
 	Instance string              `json:"instance,omitempty"`
 	Kind     garnetworks.Kind    `json:"kind"`
 	Outcome  garnetworks.Outcome `json:"outcome"`
 	// Retry says whether the same call may be sent again.
 	Retry bool `json:"retry"`
-	// RetryAfter is in seconds; 0 means that no time is named.
+	// RetryAfter is in seconds; 0 means unspecified.
 	RetryAfter int `json:"retry-after,omitempty"`
-	// Error repeats title and kind in the form that OpenAI clients read.
+	// Error repeats the title, detail and kind in the format of OpenAI clients.
 	Error ProblemError `json:"error"`
 }
 
-// ProblemError is the error member that OpenAI clients read.
+// ProblemError is the error object that OpenAI clients parse.
 type ProblemError struct {
 	Message string           `json:"message"`
 	Type    garnetworks.Kind `json:"type"`
 	Code    garnetworks.Kind `json:"code"`
 }
 
-// NewProblem returns the problem document of an error. The cause of an error is
-// not shown to callers.
+// NewProblem returns the problem document for an error. It does not contain the error's cause.
 func NewProblem(call garnetworks.CallID, err error) Problem {
 	response := garnetworks.ErrorResponseFor(garnetworks.KindOf(err))
 	p := Problem{
@@ -81,10 +80,10 @@
 	return p
 }
 
-// wholeSeconds rounds up, so that nobody comes back too early.
+// ceilSeconds rounds up to whole seconds, so that no caller retries too early.
 func ceilSeconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
 
-// writeProblem answers with the error's problem document (rule H1).
+// writeProblem writes the problem document for err as the response (rule H1).
 func writeProblem(w http.ResponseWriter, call garnetworks.CallID, err error) {
 	p := NewProblem(call, err)
 	body, _ := json.Marshal(p)
@@ -103,7 +102,7 @@
 	_, _ = w.Write(body)
 }
 
-// refuse answers a request that became no call.
+// refuse writes an error for a request that matches no route.
 func (s *Server) refuse(w http.ResponseWriter, err error) {
 	if s.closing() {
 		w.Header().Set("Connection", "close")
--- a/server/request.go
+++ b/server/request.go
@@ -9,13 +9,12 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// modelRequest is a parsed request to a model, before it is checked against the
-// workspace.
+// modelRequest is a parsed model request, not yet checked against the workspace.
 type modelRequest struct {
 	// Model is "name" or "name:adapter".
 	Model  string
 	Prompt string
-	// MaxTokens is 0 if the request names none.
+	// MaxTokens is 0 if the request does not set it.
 	MaxTokens    int
 	Temperature  float64
 	Stop         []string
@@ -23,17 +22,17 @@
 	IncludeUsage bool
 }
 
-// Bounds of a request's fields.
+// Limits of a request's fields.
 const (
 	maxStops       = 4
 	maxStopBytes   = 256
 	maxTemperature = 2
-	// defaultTemperature is what OpenAI clients expect where they name none.
+	// defaultTemperature is the default of the OpenAI API.
 	defaultTemperature = 1
 )
 
-// commonFields are the fields of both kinds of request. Those that are kept raw
-// are refused unless they ask for what the system does anyway (rule H5).
+// commonFields are the fields of both chat and completion requests. N to Seed are not
+// supported: any value other than the default is refused (rule H5).
 type commonFields struct {
 	Model         string          `json:"model"`
 	MaxTokens     *int            `json:"max_tokens"`
@@ -50,7 +49,7 @@
 	Logprobs         json.RawMessage `json:"logprobs"`
 	Seed             json.RawMessage `json:"seed"`
 
-	// User and Metadata don't bear on the answer.
+	// User and Metadata don't affect the response and are ignored.
 	User     json.RawMessage `json:"user"`
 	Metadata json.RawMessage `json:"metadata"`
 }
@@ -72,7 +71,7 @@
 type chatMessage struct {
 	Role    string          `json:"role"`
 	Content json.RawMessage `json:"content"`
-	// Name is a participant's name, which becomes part of the prompt.
+	// Name is the participant's name, which becomes part of the prompt.
 	Name string `json:"name"`
 }
 
@@ -89,7 +88,7 @@
 	Suffix json.RawMessage `json:"suffix"`
 }
 
-// field names a raw field and the values that change nothing.
+// unsupportedField is a field of a request with the values that have no effect.
 type unsupportedField struct {
 	name    string
 	value   json.RawMessage
@@ -154,7 +153,7 @@
 	return request, nil
 }
 
-// decode reads one JSON object without unknown fields.
+// decode decodes exactly one JSON object and refuses unknown fields.
 func decode(body []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.DisallowUnknownFields()
@@ -167,7 +166,7 @@
 	return nil
 }
 
-// decodeDetail makes the decoder's error readable to a caller.
+// decodeDetail returns the decoder's error as a message for the caller.
 func decodeDetail(err error) string {
 	detail := strings.TrimPrefix(err.Error(), "json: ")
 	if err == io.EOF {
@@ -180,8 +179,7 @@
 	return &garnetworks.Error{Kind: garnetworks.KindInvalidRequest, Detail: detail}
 }
 
-// neutral returns an error that names the first field whose value the system
-// does not carry out.
+// checkUnsupported returns an error that names the first field whose value is not allowed.
 func checkUnsupported(fields ...unsupportedField) error {
 	for _, f := range fields {
 		if !hasAllowedValue(f) {
@@ -207,7 +205,7 @@
 	return false
 }
 
-// toModelRequest checks the common fields.
+// toModelRequest checks the common fields and returns them as a modelRequest.
 func (f *commonFields) toModelRequest() (*modelRequest, error) {
 	err := checkUnsupported(
 		unsupportedField{"n", f.N, []string{"1"}},
@@ -263,7 +261,7 @@
 	return list, nil
 }
 
-// stringOrList reads a string, a list of strings, or nothing.
+// stringOrList decodes a string, a list of strings, or null.
 func stringOrList(name string, raw json.RawMessage) ([]string, error) {
 	if len(raw) == 0 || string(raw) == "null" {
 		return nil, nil
@@ -282,12 +280,12 @@
 	return list, nil
 }
 
-// roles are the roles of messages that the system carries.
+// roles are the supported roles of messages.
 var roles = garnetworks.NewSet("system", "developer", "user", "assistant")
 
-// joinMessages makes the prompt. Each message is a header line with its role, and
-// its text; the prompt ends with the header of the answer. Equal beginnings of
-// conversations give equal prefixes, which the engines' caches need.
+// buildPrompt joins the messages to a prompt. Each message is a header line with its role,
+// followed by its text; the prompt ends with the header of the response. Conversations with
+// the same beginning have the same prefix, as the engines' prefix caches need.
 func buildPrompt(messages []chatMessage) (string, error) {
 	if len(messages) == 0 {
 		return "", invalid("messages is empty")
@@ -301,8 +299,8 @@
 		if err != nil {
 			return "", err
 		}
-		// Failure: text of a user that looks like a header would speak to the
-		// engine in another role.
+		// Failure: a user's text that contains a message header would reach the engine as a
+		// message of another role.
 		if strings.Contains(text, headerStart) || strings.ContainsAny(m.Name, "<|>\n") {
 			return "", invalid("a message holds " + headerStart + ", which marks the role of messages")
 		}
--- a/server/server.go
+++ b/server/server.go
@@ -1,21 +1,23 @@
-// Package server answers callers over HTTP: the OpenAI-compatible calls to
-// models, and plain services.
+// Package server is the HTTP API for callers: OpenAI-compatible model calls and calls to plain
+// services.
 //
-//	H1  Each answer names its call, its outcome and, for an error, its kind; an
-//	    error is a problem document of the kind's row of the table.
-//	H2  A stream that is whole ends with "data: [DONE]". A stream that broke off
-//	    ends with "event: error" and never with [DONE]; so a partial answer can't
-//	    pass for a whole one.
-//	H3  Nothing of a request is held without a bound: header, body, the bytes of
-//	    all bodies together, the time to send them, the time to take the answer.
-//	H4  The path of a call to a plain service is brought into one normal form
-//	    before it is compared with the manifest, and the same form is sent on. A
-//	    path that backend servers could read in two ways is refused.
-//	H5  A request that names what the system does not do is refused with the name
-//	    of the field; nothing is silently left out.
-//	H6  A node that stops drops its readiness first, then refuses new calls as
-//	    not run, and finishes those in flight. When its grace period ends, what
-//	    is left is ended truthfully (rule G9).
+//	H1  Each response carries the call's identifier, its outcome and, for an error,
+//	    its kind. An error is a problem document as garnetworks.ErrorResponseFor
+//	    defines it for the kind.
+//	H2  A complete stream ends with "data: [DONE]". An interrupted stream ends with
+//	    "event: error" and never with [DONE], so that a partial response can't be
+//	    taken for a complete one.
+//	H3  All resources of a request are limited: the size of header and body, the
+//	    bytes of all bodies together, the time to send them, and the time to read
+//	    the response.
+//	H4  The path of a call to a plain service is normalized before it is matched
+//	    against the manifest, and is forwarded in the normalized form. A path that
+//	    backend servers could interpret differently is refused.
+//	H5  A request for a feature that is not supported is refused with the name of
+//	    the field; no field is silently ignored.
+//	H6  A stopping node first becomes unready, then refuses new calls as not run and
+//	    finishes those in flight. When its grace period ends, the remaining calls
+//	    end with an error that states their outcome (rule G9).
 package server
 
 import (
@@ -34,15 +36,15 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// Caller carries calls to backend servers; *forwarder.Forwarder is one.
+// Caller forwards calls to backend servers. *forwarder.Forwarder implements it.
 type Caller interface {
 	Generate(ctx context.Context, call *garnetworks.CallRequest, sink forwarder.Sink) (forwarder.Summary, error)
 	CallService(ctx context.Context, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error)
-	// Wait returns when nothing runs in the background any more.
+	// Wait returns nil once no background work is left, or an error if ctx ends first.
 	Wait(ctx context.Context) error
 }
 
-// KeyIndex finds the workspace of a key in constant time for each hash.
+// KeyIndex finds the workspace of a key, comparing hashes in constant time.
 type KeyIndex interface {
 	Lookup(key string) (garnetworks.WorkspaceName, bool)
 }
@@ -50,7 +52,7 @@
 // CallReport describes a call that has ended, for metrics.
 type CallReport struct {
 	Workspace garnetworks.WorkspaceName
-	// Model is set for calls to models, Service for those to plain services.
+	// Model is set for model calls, Service for calls to plain services.
 	Model   garnetworks.ModelName
 	Service garnetworks.ServiceName
 	Outcome garnetworks.Outcome
@@ -60,25 +62,25 @@
 	Summary forwarder.Summary
 }
 
-// Observer takes a report for each call; it never blocks.
+// Observer receives a report for each call. CallEnded must not block.
 type Observer interface {
 	CallEnded(report CallReport)
 }
 
-// Limits are the bounds of rule H3. Zero fields take the value of DefaultLimits.
+// Limits are the limits of rule H3. Zero fields take the value of DefaultLimits.
 type Limits struct {
-	// BodyBytes bounds the body of one request.
+	// BodyBytes limits the body of one request.
 	BodyBytes int64
-	// TotalBodyBytes bounds the bytes of all requests in flight.
+	// TotalBodyBytes limits the bodies of all requests in flight.
 	TotalBodyBytes int64
-	// HeaderBytes bounds a request's header.
+	// HeaderBytes limits a request's header.
 	HeaderBytes int
-	// BodyTimeout bounds the time that a caller takes to send a body.
+	// BodyTimeout limits the time that a caller takes to send the body.
 	BodyTimeout time.Duration
-	// WriteTimeout bounds the time that a caller takes nothing of its answer.
+	// WriteTimeout limits the time for which a caller reads nothing of its response.
 	WriteTimeout time.Duration
-	// MaxTokens is the most tokens that a request may ask for; DefaultTokens is
-	// taken where it names none.
+	// MaxTokens limits the tokens that a request may ask for; DefaultTokens applies if it
+	// does not set max_tokens.
 	MaxTokens     int
 	DefaultTokens int
 	// FirstToken and Total are the deadlines of workspaces that set none.
@@ -86,8 +88,7 @@
 	Total      time.Duration
 }
 
-// DefaultLimits returns the bounds for the design size, where a node holds about
-// 200 calls.
+// DefaultLimits returns limits for a node with about 200 calls in flight.
 func DefaultLimits() Limits {
 	return Limits{
 		BodyBytes:      1 << 20,
@@ -102,11 +103,11 @@
 	}
 }
 
-// Options join a Server with the rest of the node.
+// Options are the dependencies and settings of a Server.
 type Options struct {
 	Calls    Caller
 	Manifest garnetworks.ManifestSource
-	// NewKeyIndex indexes the keys of a manifest; it is called once for each.
+	// NewKeyIndex indexes the keys of a manifest; it is called when the manifest changes.
 	NewKeyIndex func(manifest *garnetworks.Manifest) KeyIndex
 	// Admitter may be nil; every call is then admitted.
 	Admitter garnetworks.Admitter
@@ -115,38 +116,38 @@
 	// Observer may be nil.
 	Observer Observer
 	Limits   Limits
-	// LameDuck is how long Drain goes on taking calls after the readiness has
-	// dropped, so that the balancer can notice.
+	// LameDuck is how long Drain continues to accept calls after the node became unready, so
+	// that the load balancer notices first.
 	LameDuck time.Duration
-	// CloseTimeout bounds the truthful end of calls after the grace period; 0 means
-	// DefaultCloseTime.
+	// CloseTimeout limits the time to end the remaining calls with an error after the grace
+	// period; 0 means DefaultCloseTimeout.
 	CloseTimeout time.Duration
 }
 
-// DefaultCloseTimeout is enough to write an error to each caller.
+// DefaultCloseTimeout leaves time to write an error to each caller.
 const DefaultCloseTimeout = 2 * time.Second
 
-// Server answers callers. It is safe for concurrent use.
+// Server handles callers' requests. It is safe for concurrent use.
 type Server struct {
 	options    Options
 	router     chi.Router
 	bodyBudget *semaphore.Weighted
 	catalog    atomic.Pointer[catalog]
-	// refusals takes the events of calls that a limit refused.
+	// refusals receives the events of calls refused because of a limit.
 	refusals *forwarder.EventLimiter
 
-	// grace ends with forwarder.ErrGraceEnded when the grace period is over.
+	// graceCtx is cancelled with forwarder.ErrGraceEnded when the grace period is over.
 	graceCtx context.Context
 	endGrace context.CancelCauseFunc
 
 	mu sync.Mutex
-	// ready is the runner's word, and opened whether it ever was true.
+	// ready is the value last passed to SetReady; wasReady says whether it was ever true.
 	ready    bool
 	wasReady bool
-	// leaving is set by Drain; draining once new calls are refused.
+	// leaving is set when Drain begins, draining once new calls are refused.
 	leaving  bool
 	draining bool
-	// calls are those in flight; none begins after draining is set.
+	// calls counts the calls in flight; none begins after draining is set.
 	calls forwarder.Tasks
 }
 
@@ -181,10 +182,10 @@
 	return r
 }
 
-// Handler returns the handler of the callers' address.
+// Handler returns the handler for callers' requests.
 func (s *Server) Handler() http.Handler { return s.router }
 
-// HTTPServer returns an HTTP server for Handler with the bounds of rule H3.
+// HTTPServer returns an HTTP server for Handler with the limits of rule H3.
 func (s *Server) HTTPServer() *http.Server {
 	return &http.Server{
 		Handler:           s.router,
@@ -199,11 +200,11 @@
 	idleTimeout       = 75 * time.Second
 )
 
-// ListenConfig returns the settings of the callers' listener.
+// ListenConfig returns the configuration of the listener for callers.
 //
-// Failure: a caller's connection goes silent while the node has nothing to send,
-// so no write fails; the call would hold its group until the deadline. The
-// kernel's probes find it within 25 s.
+// Failure: if a caller's connection is lost silently while the node has nothing to send, no
+// write fails and the call occupies its group until the deadline. TCP keep-alive detects the
+// loss within 25 s.
 func ListenConfig() net.ListenConfig {
 	return net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{
 		Enable:   true,
@@ -213,9 +214,9 @@
 	}}
 }
 
-// SetReady sets whether a balancer should send calls to the node. Before the
-// first true, calls are refused as not run. A later false refuses none: those
-// that the balancer sends before it notices are served.
+// SetReady sets whether a load balancer should send calls to the node. Before the first true,
+// calls are refused as not run. A later false refuses none, so that calls sent before the load
+// balancer notices are served.
 func (s *Server) SetReady(ready bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -223,7 +224,7 @@
 	s.wasReady = s.wasReady || ready
 }
 
-// Ready reports whether a balancer should send calls to the node.
+// Ready reports whether a load balancer should send calls to the node.
 func (s *Server) Ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -233,11 +234,10 @@
 // InFlight returns the number of calls in flight.
 func (s *Server) InFlight() int { return s.calls.Count() }
 
-// Drain stops the server (rule H6). It drops the readiness, takes calls for
-// LameDuck more, then refuses them, and returns nil once none is in flight and
-// no answer waits to be recorded. If ctx ends first (the end of the grace
-// period, or a second signal), the calls that are left are ended with an error,
-// and Drain says how many they were.
+// Drain stops the server (rule H6). It makes the node unready, accepts calls for another
+// LameDuck, then refuses them, and returns nil once none is in flight and no response is left to
+// be recorded. If ctx ends first, because of the end of the grace period or a second signal, the
+// remaining calls end with an error, and Drain returns an error with their number.
 func (s *Server) Drain(ctx context.Context) error {
 	s.mu.Lock()
 	s.leaving = true
@@ -273,7 +273,7 @@
 	}
 }
 
-// enter counts a call as in flight, or refuses it.
+// beginCall counts a call as in flight, or returns an error if it is refused.
 func (s *Server) beginCall() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -287,7 +287,7 @@
 	return nil
 }
 
-// closing reports whether connections should be closed after their answer.
+// closing reports whether connections should be closed after their response.
 func (s *Server) closing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/server/world_test.go
+++ b/server/world_test.go
@@ -30,7 +30,7 @@
 	bearer         = "Bearer key-of-delta"
 )
 
-// keys stands in for the index of workspace keys.
+// fakeKeyIndex is a KeyIndex with one key.
 type fakeKeyIndex struct{}
 
 func (fakeKeyIndex) Lookup(key string) (garnetworks.WorkspaceName, bool) {
@@ -59,7 +59,7 @@
 	}}}
 }
 
-// attempt is a call's identifier without the number of the attempt.
+// callIDOf returns an attempt's identifier without the number of the attempt.
 func callIDOf(attempt garnetworks.CallID) garnetworks.CallID {
 	call, _, _ := strings.Cut(string(attempt), ".")
 	return garnetworks.CallID(call)
@@ -69,17 +69,17 @@
 	return &garnetworks.AttemptError{Phase: phase, Cause: errors.New("fault")}
 }
 
-// world is what the nodes of a test share: backend servers, and the store of
-// claims. It counts executions, which is all that the oracle needs.
+// environment is the state that the nodes of a test share: the backend servers and the claim
+// store. It counts the executions of each call.
 type environment struct {
 	mu         sync.Mutex
 	executions map[garnetworks.CallID]int
 	claims     map[string]*claimRecord
-	// noGroupUntil is when groups serve again.
+	// noGroupUntil is the end of an outage of all groups.
 	noGroupUntil time.Time
-	// stuck counts attempts at engines that are busy and bring nothing.
+	// stuckAttempts counts attempts at engines that are busy and generate nothing.
 	stuckAttempts int
-	// faults are what meets the next attempts and claims, in order.
+	// The faults are injected into the next attempts and claim writes, in order.
 	engineFaults  []string
 	serviceFaults []string
 	claimFaults   []string
@@ -106,8 +106,7 @@
 	return fault
 }
 
-// node is one entry node in front of the world. Once it is dead, nothing that
-// its program does has an effect any more.
+// node is an entry node in an environment. Once dead is closed, its actions have no effect.
 type node struct {
 	*environment
 	server *server.Server
@@ -139,7 +138,7 @@
 
 var errDead = errors.New("the node is dead")
 
-// hang waits for the end of ctx or of the node.
+// block waits until ctx ends or the node is dead.
 func (n *node) block(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -155,18 +154,18 @@
 	}
 }
 
-// Groups and servers: three of each, the first one that was not tried.
+// Groups and servers: three of each, of which the first untried one is chosen.
 
 func pickUntried(tried int) (int, error) {
 	if tried >= 3 {
-		return 0, garnetworks.Errorf(garnetworks.KindNoGroup, "all were tried")
+		return 0, garnetworks.Errorf(garnetworks.KindNoGroup, "all were tried already")
 	}
 	return tried, nil
 }
 
 func (n *node) Choose(_ time.Time, _ *garnetworks.CallRequest, tried []garnetworks.GroupID) (garnetworks.GroupView, error) {
 	if n.hasNoGroup() {
-		return garnetworks.GroupView{}, garnetworks.Errorf(garnetworks.KindNoGroup, "none serves")
+		return garnetworks.GroupView{}, garnetworks.Errorf(garnetworks.KindNoGroup, "no group is available")
 	}
 	i, err := pickUntried(len(tried))
 	id := fmt.Sprint("g", i)
@@ -196,7 +195,7 @@
 func (n *node) ServerCallFinished(time.Time, garnetworks.ServiceName, garnetworks.InstanceID, garnetworks.AttemptResult) {
 }
 
-// Status answers a probe: the engine is alive, and busy only if it is stuck.
+// Status responds to a probe: the engine is alive, and busy only if it is stuck.
 func (n *node) Status(_ context.Context, address string) (garnetworks.EngineStatus, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -206,7 +205,7 @@
 	}, nil
 }
 
-// token is the text of a token of the answer to a prompt.
+// tokenText returns the text of a token of the response to a prompt.
 func tokenText(prompt string, i int) string {
 	return fmt.Sprintf("%.8s\n\"%d\" ", strings.TrimSpace(prompt), i)
 }
@@ -219,10 +218,10 @@
 	return text.String()
 }
 
-// engineFaultNames are the ways in which an attempt at an engine can go.
+// engineFaultNames are the faults of attempts at engines; "none" is a success.
 var engineFaultNames = []string{
-	"none", "none", "connect", "refused", "stale", "write", "wait", "headers", "break", "silent", "crossed",
-	"no-end", "done-lie", "gap", "overlap", "repeat", "anew", "short", "error-end", "slow", "stuck", "panic", "outage",
+	"none", "none", "connect", "refused", "stale", "write", "wait", "headers", "break", "silent", "mismatched",
+	"no-end", "false-done", "gap", "overlap", "repeat", "restart", "short", "error-end", "slow", "stuck", "panic", "outage",
 }
 
 func (n *node) Generate(ctx context.Context, _ string, call *garnetworks.EngineCall) (garnetworks.EngineStream, error) {
@@ -245,7 +244,7 @@
 	switch fault {
 	case "overlap":
 		s.index = max(0, call.ResumeFrom-3)
-	case "anew":
+	case "restart":
 		s.index = 0
 	}
 	return s, nil
@@ -275,11 +274,11 @@
 	}
 	s.sent++
 	text := tokenText(s.call.Prompt, s.index)
-	if s.fault == "anew" && s.call.ResumeFrom > 0 {
+	if s.fault == "restart" && s.call.ResumeFrom > 0 {
 		text = "other "
 	}
 	*c = garnetworks.Chunk{Attempt: s.call.Attempt, Index: s.index, Text: text, Tokens: 1}
-	if s.fault == "crossed" && s.sent > faultAfter {
+	if s.fault == "mismatched" && s.sent > faultAfter {
 		c.Attempt, c.Text = "another.1", "another caller's"
 	}
 	s.index++
@@ -289,11 +288,11 @@
 	return nil
 }
 
-// strike carries out the faults that come in the middle of an answer.
+// injectFault injects the faults that occur in the middle of a response.
 func (s *engineStream) injectFault(c *garnetworks.Chunk) error {
 	switch s.fault {
 	case "panic":
-		panic("an answer that nobody thought of")
+		panic("unexpected response")
 	case "outage":
 		s.mu.Lock()
 		s.noGroupUntil = time.Now().Add(2 * time.Second)
@@ -303,7 +302,7 @@
 		return attemptError(garnetworks.PhaseBody)
 	case "no-end":
 		return io.EOF
-	case "done-lie":
+	case "false-done":
 		return attemptError(garnetworks.PhaseDone)
 	case "gap":
 		s.index++
@@ -333,18 +332,18 @@
 		c.FinishReason = "error"
 	}
 	if s.fault == "short" && s.call.ResumeFrom > 0 {
-		// The end marker of a text that ends before the point of resumption.
+		// The end marker precedes the position at which to resume.
 		c.Index, c.Text, c.Tokens = 0, tokenText(s.call.Prompt, 0), 1
 	}
 }
 
 func (s *engineStream) Close() error { return nil }
 
-// serviceFaultNames are the ways in which an attempt at a service can go. In
-// those with "late" the call runs after the node has given it up.
+// serviceFaultNames are the faults of attempts at plain services. With the suffix "-ran" the
+// call was executed; with "late" only after the node gave up on it.
 var serviceFaultNames = []string{
 	"none", "none", "connect", "refused", "write", "write-ran", "wait-ran", "headers-ran", "body-ran",
-	"crossed", "crossed-ran", "silent", "silent-ran", "late-ran", "panic-ran",
+	"mismatched", "mismatched-ran", "silent", "silent-ran", "late-ran", "panic-ran",
 }
 
 func (n *node) Call(ctx context.Context, _ string, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
@@ -371,10 +370,10 @@
 	response := garnetworks.ServiceResponse{ID: call.ID, Status: 200, ContentType: "text/plain", Body: append([]byte("done:"), call.Body...)}
 	switch fault {
 	case "panic":
-		panic("an answer that nobody thought of")
+		panic("unexpected response")
 	case "none":
 		return response, nil
-	case "crossed":
+	case "mismatched":
 		response.ID = "another.1"
 		response.Body = []byte("another caller's")
 		return response, nil
@@ -392,11 +391,11 @@
 	unknown  bool
 }
 
-// claimFaultNames: the store is down, or its answer is lost after the effect.
+// claimFaultNames are the faults of the claim store: it is down, or its response is lost after
+// the write.
 var claimFaultNames = []string{"none", "none", "none", "down", "lost"}
 
-// store carries out a write unless the store is down; a lost answer comes after
-// the effect.
+// writeClaims runs write unless the store is down. A response is lost only after the write.
 func (n *node) writeClaims(write func() error) error {
 	fault := n.nextFault(&n.claimFaults)
 	if n.isDead() || fault == "down" {
@@ -423,9 +422,9 @@
 		case r.response != nil:
 			result.Recorded = garnetworks.Some(*r.response)
 		case r.unknown || time.Now().After(r.Until):
-			return garnetworks.Errorf(garnetworks.KindOutcomeUnknown, "nobody knows")
+			return garnetworks.Errorf(garnetworks.KindOutcomeUnknown, "the outcome is unknown")
 		default:
-			return garnetworks.Errorf(garnetworks.KindInProgress, "runs")
+			return garnetworks.Errorf(garnetworks.KindInProgress, "the call is in progress")
 		}
 		return nil
 	})
