--- a/server/answer.go
+++ b/server/answer.go
@@ -145,7 +145,7 @@
 	return a.Flush()
 }
 
-// extendWriteDeadline sets the write deadline to WriteTimeout from now, at most once per quarter
+// extendWriteDeadline sets the write deadline to WriteTimeout from now, at most once a quarter
 // of WriteTimeout, so that not every flush sets a timer.
 func (a *modelResponse) extendWriteDeadline() {
 	limit := a.options.Limits.WriteTimeout
--- a/server/call.go
+++ b/server/call.go
@@ -131,8 +131,8 @@
 	c.reservedBytes = length
 	_ = c.control.SetReadDeadline(time.Now().Add(c.options.Limits.BodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, limit))
-	// Failure: if the deadline expires while the call runs, net/http's background read fails,
-	// is taken for a closed connection and cancels the call.
+	// Failure: if the deadline stayed set and expired during the call, net/http's background
+	// read would fail, be taken for a closed connection and cancel the call.
 	_ = c.control.SetReadDeadline(time.Time{})
 	if err != nil {
 		return nil, bodyError(err, limit)
--- a/server/path_test.go
+++ b/server/path_test.go
@@ -235,7 +235,7 @@
 		}
 	default:
 		if completed && r.body != "done:"+r.Body {
-			return "the response is not the response to the call"
+			return "the response is that of another call"
 		}
 		if completed && ran == 0 && !r.replayed {
 			return "completed, but neither executed nor replayed"
--- a/server/server.go
+++ b/server/server.go
@@ -235,9 +235,9 @@
 func (s *Server) InFlight() int { return s.calls.Count() }
 
 // Drain stops the server (rule H6). It makes the node unready, accepts calls for another
-// LameDuck, then refuses them, and returns nil once none is in flight and no response is left to
-// be recorded. If ctx ends first, because of the end of the grace period or a second signal, the
-// remaining calls end with an error, and Drain returns an error with their number.
+// LameDuck, then refuses them, and returns nil once none is in flight and no response is left
+// to be recorded. If ctx ends first, because of the end of the grace period or a second
+// signal, the remaining calls end with an error, and Drain returns an error with their number.
 func (s *Server) Drain(ctx context.Context) error {
 	s.mu.Lock()
 	s.leaving = true
