--- a/exchanger/contents.go
+++ b/exchanger/contents.go
@@ -7,12 +7,12 @@
 )
 
 // contents returns the records of calls for a message to a node or cell, and their sum (X5).
-func (e *Exchanger) contents(peer string) ([]garnetworks.ContentRecord, uint64) {
+func (e *Exchanger) recordsFor(peer string) ([]garnetworks.ContentRecord, uint64) {
 	if e.options.Contents == nil {
 		return nil, 0
 	}
 	sum := e.options.Contents.Checksum()
-	if e.takeAll(time.Now(), peer) {
+	if e.shouldSendAll(time.Now(), peer) {
 		return e.options.Contents.Retained(), sum
 	}
 	return e.options.Contents.Recent(), sum
@@ -23,11 +23,11 @@
 // Failure: several nodes differ from the first one of their cell, which told all records to
 // one of them a second, each time the one that asked first. The others never heard of what
 // they had missed. So each peer has its turn.
-func (e *Exchanger) takeAll(now time.Time, peer string) bool {
+func (e *Exchanger) shouldSendAll(now time.Time, peer string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	told, differs := e.differing[peer]
-	if !differs || now.Sub(told) < allEvery {
+	lastFullSync, differs := e.differing[peer]
+	if !differs || now.Sub(lastFullSync) < fullSyncInterval {
 		return false
 	}
 	e.differing[peer] = now
@@ -35,7 +35,7 @@
 }
 
 // takeContents joins the records of another node or cell.
-func (e *Exchanger) takeContents(peer string, records []garnetworks.ContentRecord, sum uint64) {
+func (e *Exchanger) mergeRecords(peer string, records []garnetworks.ContentRecord, sum uint64) {
 	if e.options.Contents == nil {
 		return
 	}
@@ -55,12 +55,12 @@
 	}
 }
 
-// Reads reports whether the node is the one of its cell that reads for the others, or
+// IsReader reports whether the node is the one of its cell that reads for the others, or
 // hears of none: it exchanged for the cell within ReportAge, or had no answer for
 // StaleAfter.
-func (e *Exchanger) Reads() bool {
+func (e *Exchanger) IsReader() bool {
 	now := time.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return now.Sub(e.led) < ReportAge || now.Sub(e.answered) > StaleAfter
+	return now.Sub(e.lastExchangeAsHead) < ReportAge || now.Sub(e.lastResponse) > StaleAfter
 }
--- a/exchanger/exchanger.go
+++ b/exchanger/exchanger.go
@@ -39,17 +39,17 @@
 	// StaleAfter is how long sums are used without a newer answer (X3).
 	StaleAfter = time.Second
 	// callTime bounds an exchange.
-	callTime = 250 * time.Millisecond
+	callTimeout = 250 * time.Millisecond
 	// SmallCell is the number of nodes in a zone under which the whole region is
 	// one cell: the first node of a cell then serves few others.
-	SmallCell = 8
+	MinNodesPerZone = 8
 	// maxSuspects bounds the suspicions in a report, maxLost the lost groups: those of a
 	// large domain, or of a few, that went dark.
 	maxSuspects = 16
 	maxLost     = 128
 	// allEvery is the least time between two messages to a node with all records of calls
 	// that last (X5): sums differ for some intervals while something new spreads.
-	allEvery = time.Second
+	fullSyncInterval = time.Second
 	// maxDiffering bounds the names of nodes that differ, of which some are gone; the design
 	// size has 330 nodes.
 	maxDiffering = 1024
@@ -58,13 +58,13 @@
 // Cell returns the name of the node's cell, and the cell's nodes in order of
 // preference (X1). The node itself is among them.
 func Cell(self garnetworks.NodeInfo, peers []garnetworks.NodeInfo) (string, []garnetworks.NodeInfo) {
-	name := cellName(self, sizes(self, peers))
+	name := cellName(self, regionSizes(self, peers))
 	return name, Cells(self, peers)[name]
 }
 
 // Cells returns all cells of the site that the node knows of.
 func Cells(self garnetworks.NodeInfo, peers []garnetworks.NodeInfo) map[string][]garnetworks.NodeInfo {
-	regions := sizes(self, peers)
+	regions := regionSizes(self, peers)
 	cells := make(map[string][]garnetworks.NodeInfo)
 	for _, n := range append([]garnetworks.NodeInfo{self}, peers...) {
 		name := cellName(n, regions)
@@ -95,9 +95,9 @@
 	// Spares are those of the other nodes of the cell, and of the first ones of the region's
 	// other cells.
 	Spares []string
-	// Several says that the region has several cells, so that what its reader knows passes
+	// MultipleCells says that the region has several cells, so that what its reader knows passes
 	// through two nodes.
-	Several bool
+	MultipleCells bool
 }
 
 // maxRelays bounds the nodes to ask: a node that reaches none of them reads for itself.
@@ -109,15 +109,15 @@
 func FindUpstream(self garnetworks.NodeInfo, peers []garnetworks.NodeInfo) Upstream {
 	_, cell := Cell(self, peers)
 	heads := Heads(self, peers)
-	relays := before(self, cell)
+	relays := addressesBefore(self, cell)
 	if len(relays) == 0 {
-		relays = before(self, heads)
+		relays = addressesBefore(self, heads)
 	}
-	return Upstream{Relays: relays, Spares: spares(self, relays, cell, heads), Several: len(heads) > 1}
+	return Upstream{Relays: relays, Spares: spareAddresses(self, relays, cell, heads), MultipleCells: len(heads) > 1}
 }
 
 // spares returns the addresses of nodes without the node itself and its relays, each once.
-func spares(self garnetworks.NodeInfo, relays []string, lists ...[]garnetworks.NodeInfo) []string {
+func spareAddresses(self garnetworks.NodeInfo, relays []string, lists ...[]garnetworks.NodeInfo) []string {
 	seen := garnetworks.NewSet(append([]string{self.Address}, relays...)...)
 	var addresses []string
 	for _, n := range slices.Concat(lists...) {
@@ -131,7 +131,7 @@
 }
 
 // before returns the addresses of the nodes before the node; maxRelays at most.
-func before(self garnetworks.NodeInfo, nodes []garnetworks.NodeInfo) []string {
+func addressesBefore(self garnetworks.NodeInfo, nodes []garnetworks.NodeInfo) []string {
 	var addresses []string
 	for _, n := range nodes {
 		if n.ID == self.ID || len(addresses) == maxRelays {
@@ -148,7 +148,7 @@
 	zones garnetworks.Set[garnetworks.ZoneID]
 }
 
-func sizes(self garnetworks.NodeInfo, peers []garnetworks.NodeInfo) map[garnetworks.RegionID]*regionSize {
+func regionSizes(self garnetworks.NodeInfo, peers []garnetworks.NodeInfo) map[garnetworks.RegionID]*regionSize {
 	regions := make(map[garnetworks.RegionID]*regionSize)
 	for _, n := range append([]garnetworks.NodeInfo{self}, peers...) {
 		r := regions[n.Region]
@@ -164,14 +164,14 @@
 
 // cellName returns the zone, or the region where the region's zones are small.
 func cellName(n garnetworks.NodeInfo, regions map[garnetworks.RegionID]*regionSize) string {
-	if r := regions[n.Region]; r.nodes < SmallCell*len(r.zones) {
+	if r := regions[n.Region]; r.nodes < MinNodesPerZone*len(r.zones) {
 		return "region/" + string(n.Region)
 	}
 	return "zone/" + string(n.Zone)
 }
 
 // received is a report of another node or cell.
-type received struct {
+type receivedReport struct {
 	report garnetworks.LoadReport
 	at     time.Time
 }
@@ -184,9 +184,9 @@
 	Nodes func() []garnetworks.NodeInfo
 	// Load returns the node's own report.
 	Load func() garnetworks.LoadReport
-	// Take gets the sum over all other nodes; known is false if nothing is known of
+	// SetPeerLoad gets the sum over all other nodes; known is false if nothing is known of
 	// them (X3).
-	Take func(others garnetworks.LoadReport, known bool)
+	SetPeerLoad func(others garnetworks.LoadReport, known bool)
 	// Suspect gets the groups that other nodes suspect.
 	Suspect func(garnetworks.GroupID)
 	// Contents are the node's records of calls; it may be nil.
@@ -199,16 +199,16 @@
 
 	mu sync.Mutex
 	// nodes and cells hold what was reported here.
-	nodes, cells map[string]received
+	nodes, cells map[string]receivedReport
 	// suspects are those of the node itself that are still to be told, heard those
 	// of others, with the time.
-	suspects []garnetworks.GroupID
-	heard    map[garnetworks.GroupID]time.Time
-	answered time.Time
+	suspects     []garnetworks.GroupID
+	seenSuspects map[garnetworks.GroupID]time.Time
+	lastResponse time.Time
 	// led is when the node last exchanged for its cell.
-	led    time.Time
-	failed map[string]time.Time
-	wake   chan struct{}
+	lastExchangeAsHead time.Time
+	failedUntil        map[string]time.Time
+	wake               chan struct{}
 	// differing are the nodes and cells that told another sum of records, with the time at
 	// which all of them were last sent there.
 	differing map[string]time.Time
@@ -217,8 +217,8 @@
 // New returns an exchanger; Run starts its work.
 func New(options Options) *Exchanger {
 	return &Exchanger{
-		options: options, nodes: make(map[string]received), cells: make(map[string]received),
-		heard: make(map[garnetworks.GroupID]time.Time), failed: make(map[string]time.Time), differing: make(map[string]time.Time), wake: make(chan struct{}, 1),
+		options: options, nodes: make(map[string]receivedReport), cells: make(map[string]receivedReport),
+		seenSuspects: make(map[garnetworks.GroupID]time.Time), failedUntil: make(map[string]time.Time), differing: make(map[string]time.Time), wake: make(chan struct{}, 1),
 	}
 }
 
@@ -263,10 +263,10 @@
 	own.Nodes = 1
 	for _, n := range e.reachable(cell) {
 		if n.ID == self.ID {
-			e.lead(ctx, self, name, own)
+			e.exchangeAsHead(ctx, self, name, own)
 			return
 		}
-		if e.report(ctx, n, string(self.ID), own) {
+		if e.sendReport(ctx, n, string(self.ID), own) {
 			return
 		}
 	}
@@ -278,89 +278,89 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(nodes), func(n garnetworks.NodeInfo) bool {
-		return now.Before(e.failed[n.Address])
+		return now.Before(e.failedUntil[n.Address])
 	})
 }
 
 // call sends a report to a node.
 func (e *Exchanger) call(ctx context.Context, n garnetworks.NodeInfo, from string, cell bool, report garnetworks.LoadReport) (*garnetworks.ExchangeResponse, bool) {
-	const failedFor = time.Second
-	call, cancel := context.WithTimeout(ctx, callTime)
+	const retryDelay = time.Second
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	request := &garnetworks.ExchangeRequest{From: from, Cell: cell, Report: report}
-	request.ContentRecords, request.ContentChecksum = e.contents(n.Address)
-	answer, err := e.options.Peers.Exchange(call, n.Address, request)
+	request.ContentRecords, request.ContentChecksum = e.recordsFor(n.Address)
+	response, err := e.options.Peers.Exchange(callCtx, n.Address, request)
 	if err == nil {
-		e.takeContents(n.Address, answer.ContentRecords, answer.ContentChecksum)
-		return answer, true
+		e.mergeRecords(n.Address, response.ContentRecords, response.ContentChecksum)
+		return response, true
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.failed[n.Address] = time.Now().Add(failedFor)
+	e.failedUntil[n.Address] = time.Now().Add(retryDelay)
 	return nil, false
 }
 
-func (e *Exchanger) report(ctx context.Context, n garnetworks.NodeInfo, from string, own garnetworks.LoadReport) bool {
-	answer, ok := e.call(ctx, n, from, false, own)
+func (e *Exchanger) sendReport(ctx context.Context, n garnetworks.NodeInfo, from string, own garnetworks.LoadReport) bool {
+	response, ok := e.call(ctx, n, from, false, own)
 	if !ok {
-		e.take(garnetworks.LoadReport{}, false)
+		e.setPeerLoad(garnetworks.LoadReport{}, false)
 		return false
 	}
-	e.take(answer.Report, true)
+	e.setPeerLoad(response.Report, true)
 	return true
 }
 
 // lead exchanges the sum of the own cell for those of the others.
-func (e *Exchanger) lead(ctx context.Context, self garnetworks.NodeInfo, name string, own garnetworks.LoadReport) {
+func (e *Exchanger) exchangeAsHead(ctx context.Context, self garnetworks.NodeInfo, name string, own garnetworks.LoadReport) {
 	e.mu.Lock()
-	e.led = time.Now()
+	e.lastExchangeAsHead = time.Now()
 	e.mu.Unlock()
 	var calls sync.WaitGroup
-	sum := Sum(append(e.reports(&e.nodes, string(self.ID)), own)...)
+	sum := Sum(append(e.validReports(&e.nodes, string(self.ID)), own)...)
 	for other, nodes := range Cells(self, e.options.Nodes()) {
 		reachable := e.reachable(nodes)
 		if other == name || len(reachable) == 0 {
 			continue
 		}
 		calls.Go(func() {
-			if answer, ok := e.call(ctx, reachable[0], name, true, sum); ok {
-				e.receive(&e.cells, other, answer.Report)
+			if response, ok := e.call(ctx, reachable[0], name, true, sum); ok {
+				e.storeReport(&e.cells, other, response.Report)
 			}
 		})
 	}
 	calls.Wait()
-	others := append(e.reports(&e.nodes, string(self.ID)), e.reports(&e.cells, name)...)
-	e.take(Sum(others...), true)
+	others := append(e.validReports(&e.nodes, string(self.ID)), e.validReports(&e.cells, name)...)
+	e.setPeerLoad(Sum(others...), true)
 }
 
 // take hands the sum over the other nodes on.
-func (e *Exchanger) take(others garnetworks.LoadReport, known bool) {
+func (e *Exchanger) setPeerLoad(others garnetworks.LoadReport, known bool) {
 	now := time.Now()
 	e.mu.Lock()
 	if known {
-		e.answered = now
+		e.lastResponse = now
 	}
-	stale := now.Sub(e.answered) > StaleAfter
+	stale := now.Sub(e.lastResponse) > StaleAfter
 	e.mu.Unlock()
 	if known || stale {
-		e.options.Take(others, known)
+		e.options.SetPeerLoad(others, known)
 	}
-	e.suspect(now, others.Suspects)
+	e.notifySuspects(now, others.Suspects)
 }
 
 // suspect hands on the suspicions that have not been heard a moment ago.
-func (e *Exchanger) suspect(now time.Time, groups []garnetworks.GroupID) {
+func (e *Exchanger) notifySuspects(now time.Time, groups []garnetworks.GroupID) {
 	for _, g := range groups {
 		e.mu.Lock()
-		again := now.Sub(e.heard[g]) < ReportAge
-		if !again {
-			e.heard[g] = now
+		seen := now.Sub(e.seenSuspects[g]) < ReportAge
+		if !seen {
+			e.seenSuspects[g] = now
 		}
-		if len(e.heard) > maxSuspects*maxSuspects {
-			clear(e.heard)
+		if len(e.seenSuspects) > maxSuspects*maxSuspects {
+			clear(e.seenSuspects)
 		}
 		e.mu.Unlock()
-		if !again {
+		if !seen {
 			e.options.Suspect(g)
 		}
 	}
@@ -371,31 +371,31 @@
 	if request.From == "" {
 		return nil, garnetworks.Errorf(garnetworks.KindInvalidRequest, "a report names nobody")
 	}
-	e.suspect(time.Now(), request.Report.Suspects)
-	e.takeContents(request.From, request.ContentRecords, request.ContentChecksum)
+	e.notifySuspects(time.Now(), request.Report.Suspects)
+	e.mergeRecords(request.From, request.ContentRecords, request.ContentChecksum)
 	response := &garnetworks.ExchangeResponse{}
-	response.ContentRecords, response.ContentChecksum = e.contents(request.From)
+	response.ContentRecords, response.ContentChecksum = e.recordsFor(request.From)
 	own := e.options.Load()
-	own.Nodes, own.Suspects = 1, e.recent()
+	own.Nodes, own.Suspects = 1, e.recentSuspects()
 	if request.Cell {
-		e.receive(&e.cells, request.From, request.Report)
-		response.Report = Sum(append(e.reports(&e.nodes, ""), own)...)
+		e.storeReport(&e.cells, request.From, request.Report)
+		response.Report = Sum(append(e.validReports(&e.nodes, ""), own)...)
 		return response, nil
 	}
-	e.receive(&e.nodes, request.From, request.Report)
-	others := append(e.reports(&e.nodes, request.From), e.reports(&e.cells, "")...)
+	e.storeReport(&e.nodes, request.From, request.Report)
+	others := append(e.validReports(&e.nodes, request.From), e.validReports(&e.cells, "")...)
 	response.Report = Sum(append(others, own)...)
 	return response, nil
 }
 
 // recent returns the groups whose suspicion was heard a moment ago, so that each
 // node of the cell hears of them with its next report.
-func (e *Exchanger) recent() []garnetworks.GroupID {
+func (e *Exchanger) recentSuspects() []garnetworks.GroupID {
 	now := time.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var groups []garnetworks.GroupID
-	for g, at := range e.heard {
+	for g, at := range e.seenSuspects {
 		if now.Sub(at) < ReportAge/2 && len(groups) < maxSuspects {
 			groups = append(groups, g)
 		}
@@ -403,23 +403,23 @@
 	return groups
 }
 
-func (e *Exchanger) receive(into *map[string]received, from string, report garnetworks.LoadReport) {
+func (e *Exchanger) storeReport(stored *map[string]receivedReport, from string, report garnetworks.LoadReport) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	(*into)[from] = received{report, time.Now()}
+	(*stored)[from] = receivedReport{report, time.Now()}
 }
 
-// reports returns those that still count, without one.
-func (e *Exchanger) reports(of *map[string]received, without string) []garnetworks.LoadReport {
+// validReports returns those that still count, without one.
+func (e *Exchanger) validReports(stored *map[string]receivedReport, except string) []garnetworks.LoadReport {
 	now := time.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var list []garnetworks.LoadReport
-	for from, r := range *of {
+	for from, r := range *stored {
 		switch {
 		case now.Sub(r.at) > ReportAge: // rule X2
-			delete(*of, from)
-		case from != without:
+			delete(*stored, from)
+		case from != except:
 			list = append(list, r.report)
 		}
 	}
@@ -427,9 +427,9 @@
 }
 
 // join adds the groups that are not in a list yet, as long as it has fewer than most.
-func join(list, more []garnetworks.GroupID, most int) []garnetworks.GroupID {
+func appendUnique(list, more []garnetworks.GroupID, limit int) []garnetworks.GroupID {
 	for _, g := range more {
-		if len(list) < most && !slices.Contains(list, g) {
+		if len(list) < limit && !slices.Contains(list, g) {
 			list = append(list, g)
 		}
 	}
@@ -438,26 +438,26 @@
 
 // Sum adds reports up.
 func Sum(reports ...garnetworks.LoadReport) garnetworks.LoadReport {
-	places := make(map[garnetworks.GroupID]garnetworks.GroupLoad)
-	demand := make(map[garnetworks.ModelName]float64)
+	groups := make(map[garnetworks.GroupID]garnetworks.GroupLoad)
+	demands := make(map[garnetworks.ModelName]float64)
 	sum := garnetworks.LoadReport{}
 	for _, r := range reports {
 		sum.Nodes += r.Nodes
-		for _, p := range r.Groups {
-			p.Running += places[p.Group].Running
-			p.ActiveNodes += places[p.Group].ActiveNodes
-			places[p.Group] = p
+		for _, g := range r.Groups {
+			g.Running += groups[g.Group].Running
+			g.ActiveNodes += groups[g.Group].ActiveNodes
+			groups[g.Group] = g
 		}
 		for _, d := range r.Demands {
-			demand[d.Model] += d.CallsPerSecond
+			demands[d.Model] += d.CallsPerSecond
 		}
-		sum.Suspects = join(sum.Suspects, r.Suspects, maxSuspects)
-		sum.Lost = join(sum.Lost, r.Lost, maxLost)
+		sum.Suspects = appendUnique(sum.Suspects, r.Suspects, maxSuspects)
+		sum.Lost = appendUnique(sum.Lost, r.Lost, maxLost)
 	}
-	for _, p := range places {
-		sum.Groups = append(sum.Groups, p)
+	for _, g := range groups {
+		sum.Groups = append(sum.Groups, g)
 	}
-	for m, n := range demand {
+	for m, n := range demands {
 		sum.Demands = append(sum.Demands, garnetworks.ModelDemand{Model: m, CallsPerSecond: n})
 	}
 	return sum
--- a/exchanger/exchanger_test.go
+++ b/exchanger/exchanger_test.go
@@ -27,29 +27,29 @@
 	known    bool
 	suspects []garnetworks.GroupID
 	// finds are the lost groups that the node tells, lost those that it hears of.
-	finds, lost []garnetworks.GroupID
-	cut         bool
+	reportsLost, lost []garnetworks.GroupID
+	disconnected      bool
 }
 
 func (s *site) Exchange(ctx context.Context, address string, request *garnetworks.ExchangeRequest) (*garnetworks.ExchangeResponse, error) {
 	s.mu.Lock()
 	s.calls++
 	n := s.nodes[address]
-	cut := n == nil || n.cut
+	disconnected := n == nil || n.disconnected
 	s.mu.Unlock()
-	if cut {
+	if disconnected {
 		<-ctx.Done()
 		return nil, garnetworks.Errorf(garnetworks.KindUnreachable, "cut")
 	}
 	return n.Exchange(ctx, request)
 }
 
-func (s *site) infos(without string) []garnetworks.NodeInfo {
+func (s *site) infos(except string) []garnetworks.NodeInfo {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []garnetworks.NodeInfo
 	for address, n := range s.nodes {
-		if address != without {
+		if address != except {
 			list = append(list, n.info)
 		}
 	}
@@ -57,11 +57,11 @@
 }
 
 // newSite starts nodes; each has as many calls at group g as its number.
-func newSite(ctx context.Context, zones, each int) *site {
+func newSite(ctx context.Context, zones, perZone int) *site {
 	s := &site{nodes: make(map[string]*node)}
 	number := 0
 	for z := range zones {
-		for range each {
+		for range perZone {
 			number++
 			address := fmt.Sprintf("n%d", number)
 			n := &node{running: number, info: garnetworks.NodeInfo{
@@ -75,14 +75,14 @@
 				Load: func() garnetworks.LoadReport {
 					s.mu.Lock()
 					defer s.mu.Unlock()
-					return garnetworks.LoadReport{Groups: []garnetworks.GroupLoad{{Group: "g", Running: n.running}}, Lost: n.finds}
+					return garnetworks.LoadReport{Groups: []garnetworks.GroupLoad{{Group: "g", Running: n.running}}, Lost: n.reportsLost}
 				},
-				Take: func(others garnetworks.LoadReport, known bool) {
+				SetPeerLoad: func(others garnetworks.LoadReport, known bool) {
 					s.mu.Lock()
 					defer s.mu.Unlock()
 					n.others, n.known, n.lost = 0, known, others.Lost
-					for _, p := range others.Groups {
-						n.others += p.Running
+					for _, g := range others.Groups {
+						n.others += g.Running
 					}
 				},
 				Suspect: func(g garnetworks.GroupID) {
@@ -102,7 +102,7 @@
 // Story: nodes share the places of a group. A node that counts the others' calls
 // twice, or leaves some out, sends too few or too many.
 func TestEachNodeKnowsTheOthersCalls(t *testing.T) {
-	cases := map[string]struct{ zones, each int }{
+	cases := map[string]struct{ zones, perZone int }{
 		"six nodes, one cell":       {3, 2},
 		"thirty nodes, three cells": {3, 10},
 		"one node":                  {1, 1},
@@ -110,11 +110,11 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				ctx, stop := context.WithCancel(t.Context())
-				s := newSite(ctx, c.zones, c.each)
+				ctx, cancel := context.WithCancel(t.Context())
+				s := newSite(ctx, c.zones, c.perZone)
 				time.Sleep(2 * time.Second)
 				synctest.Wait()
-				count := c.zones * c.each
+				count := c.zones * c.perZone
 				total := count * (count + 1) / 2
 				s.mu.Lock()
 				for address, n := range s.nodes {
@@ -127,11 +127,11 @@
 				const span = 3 * time.Second
 				time.Sleep(span)
 				s.mu.Lock()
-				if most := (count + c.zones*c.zones) * int(span/exchanger.Interval+1); s.calls > most {
-					t.Errorf("%d calls in %s, want %d at most", s.calls, span, most)
+				if limit := (count + c.zones*c.zones) * int(span/exchanger.Interval+1); s.calls > limit {
+					t.Errorf("%d calls in %s, want %d at most", s.calls, span, limit)
 				}
 				s.mu.Unlock()
-				stop()
+				cancel()
 				synctest.Wait()
 			})
 		})
@@ -142,13 +142,13 @@
 // next one, and no longer count its calls.
 func TestFirstNodeIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		s := newSite(ctx, 1, 9)
 		time.Sleep(time.Second)
 		_, cell := exchanger.Cell(s.nodes["n1"].info, s.infos("n1"))
 		first := cell[0].Address
 		s.mu.Lock()
-		s.nodes[first].cut = true
+		s.nodes[first].disconnected = true
 		s.mu.Unlock()
 		time.Sleep(4 * time.Second)
 		s.mu.Lock()
@@ -158,7 +158,7 @@
 			}
 		}
 		s.mu.Unlock()
-		stop()
+		cancel()
 		synctest.Wait()
 	})
 }
@@ -167,7 +167,7 @@
 // has none there and would never know.
 func TestSuspicionReachesAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		s := newSite(ctx, 3, 10)
 		time.Sleep(time.Second)
 		s.nodes["n7"].Exchanger.Suspect("g")
@@ -179,7 +179,7 @@
 			}
 		}
 		s.mu.Unlock()
-		stop()
+		cancel()
 		synctest.Wait()
 	})
 }
@@ -188,23 +188,23 @@
 // second, once each, and no longer once it is found again.
 func TestLostGroupsAreKnownToAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		s := newSite(ctx, 3, 10)
 		time.Sleep(time.Second)
-		for _, finds := range [][]garnetworks.GroupID{{"g", "h"}, nil} {
+		for _, reportsLost := range [][]garnetworks.GroupID{{"g", "h"}, nil} {
 			s.mu.Lock()
-			s.nodes["n7"].finds = finds
+			s.nodes["n7"].reportsLost = reportsLost
 			s.mu.Unlock()
 			time.Sleep(500 * time.Millisecond)
 			s.mu.Lock()
 			for address, n := range s.nodes {
-				if address != "n7" && len(n.lost) != len(finds) {
-					t.Errorf("%s hears of %v, want %v", address, n.lost, finds)
+				if address != "n7" && len(n.lost) != len(reportsLost) {
+					t.Errorf("%s hears of %v, want %v", address, n.lost, reportsLost)
 				}
 			}
 			s.mu.Unlock()
 		}
-		stop()
+		cancel()
 		synctest.Wait()
 	})
 }
--- a/exchanger/upstream_test.go
+++ b/exchanger/upstream_test.go
@@ -10,9 +10,9 @@
 )
 
 // nodesOf returns nodes of one region, each times in each of the zones.
-func nodesOf(zones, each int) []garnetworks.NodeInfo {
+func newNodes(zones, perZone int) []garnetworks.NodeInfo {
 	var nodes []garnetworks.NodeInfo
-	for i := range zones * each {
+	for i := range zones * perZone {
 		nodes = append(nodes, garnetworks.NodeInfo{
 			ID: garnetworks.NodeID(fmt.Sprintf("n%d", i)), Address: fmt.Sprint(i), Zone: garnetworks.ZoneID(fmt.Sprintf("z%d", i%zones)), Region: "r",
 		})
@@ -22,11 +22,11 @@
 
 func TestUpstream(t *testing.T) {
 	cases := map[string]struct {
-		zones, each int
-		several     bool
+		zones, perZone int
+		multipleCells  bool
 		// asked is the number of other nodes that each may ask: those of its cell, and the
 		// first ones of the other cells.
-		asked int
+		candidates int
 	}{
 		"one node":       {1, 1, false, 0},
 		"one small cell": {3, 3, false, 8},
@@ -34,7 +34,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			nodes := nodesOf(c.zones, c.each)
+			nodes := newNodes(c.zones, c.perZone)
 			readers := 0
 			for i, self := range nodes {
 				peers := slices.Delete(slices.Clone(nodes), i, i+1)
@@ -42,15 +42,15 @@
 				if len(u.Relays) == 0 {
 					readers++
 				}
-				if u.Several != c.several {
-					t.Errorf("%s: several cells: %t", self.ID, u.Several)
+				if u.MultipleCells != c.multipleCells {
+					t.Errorf("%s: several cells: %t", self.ID, u.MultipleCells)
 				}
-				asked := slices.Concat(u.Relays, u.Spares)
-				if slices.Contains(asked, self.Address) || len(garnetworks.NewSet(asked...)) != len(asked) {
-					t.Errorf("%s asks itself, or a node twice: %v", self.ID, asked)
+				candidates := slices.Concat(u.Relays, u.Spares)
+				if slices.Contains(candidates, self.Address) || len(garnetworks.NewSet(candidates...)) != len(candidates) {
+					t.Errorf("%s asks itself, or a node twice: %v", self.ID, candidates)
 				}
-				if len(asked) != c.asked {
-					t.Errorf("%s may ask %v, want %d nodes", self.ID, asked, c.asked)
+				if len(candidates) != c.candidates {
+					t.Errorf("%s may ask %v, want %d nodes", self.ID, candidates, c.candidates)
 				}
 			}
 			if readers != 1 {
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -187,7 +187,7 @@
 		Demand:      func() map[garnetworks.ModelName]float64 { return l.gateway.OfferedLoad() },
 	})
 	l.quarantine = quarantiner.New(quarantiner.Options{
-		Probe: l.prove, Objects: objects, Reads: func() bool { return l.peers.exchanger.Reads() }, Recorder: events,
+		Probe: l.prove, Objects: objects, Reads: func() bool { return l.peers.exchanger.IsReader() }, Recorder: events,
 		InitialReadDelay: firstRead(site),
 	})
 	l.gateway = gateway.New(gateway.Options{
@@ -197,7 +197,7 @@
 	l.meter.ShowRoutingAge(l.gateway.RoutingAge)
 	l.peers.exchanger = exchanger.New(exchanger.Options{
 		Peers: l.peers.client, Self: l.peers.tracker.Self, Nodes: l.peers.tracker.Peers,
-		Load: l.load, Take: l.takeOthers, Suspect: l.former.Suspect, Contents: l.quarantine,
+		Load: l.load, SetPeerLoad: l.takeOthers, Suspect: l.former.Suspect, Contents: l.quarantine,
 	})
 	return l, nil
 }
--- a/launcher/peers.go
+++ b/launcher/peers.go
@@ -106,7 +106,7 @@
 }
 
 // chained reports whether what a region's reader knows passes through two nodes.
-func (p *peers) chained() bool { return p.findUpstream().Several }
+func (p *peers) chained() bool { return p.findUpstream().MultipleCells }
 
 // run serves and calls other nodes until ctx ends.
 func (p *peers) run(ctx context.Context, listener net.Listener) error {
--- a/quarantiner/site_test.go
+++ b/quarantiner/site_test.go
@@ -62,11 +62,11 @@
 	n := &node{info: garnetworks.NodeInfo{ID: garnetworks.NodeID(address), Address: address, Zone: garnetworks.ZoneID(fmt.Sprint(zone)), Region: "r"}}
 	s.mu.Unlock()
 	n.Quarantiner = quarantiner.New(quarantiner.Options{
-		Probe: s.probe, Objects: &nodeObjects{s.objects, s, n}, Reads: func() bool { return n.exchanger.Reads() },
+		Probe: s.probe, Objects: &nodeObjects{s.objects, s, n}, Reads: func() bool { return n.exchanger.IsReader() },
 	})
 	n.exchanger = exchanger.New(exchanger.Options{
 		Peers: peerCaller{s, n}, Self: func() garnetworks.NodeInfo { return n.info }, Nodes: func() []garnetworks.NodeInfo { return s.others(n) },
-		Load: func() garnetworks.LoadReport { return garnetworks.LoadReport{} }, Take: func(garnetworks.LoadReport, bool) {},
+		Load: func() garnetworks.LoadReport { return garnetworks.LoadReport{} }, SetPeerLoad: func(garnetworks.LoadReport, bool) {},
 		Suspect: func(garnetworks.GroupID) {}, Contents: n.Quarantiner,
 	})
 	var ctx context.Context
--- a/relayer/model_test.go
+++ b/relayer/model_test.go
@@ -354,7 +354,7 @@
 			}
 			return upstream().Spares
 		},
-		Chained: func() bool { return upstream().Several }, Random: n.float,
+		Chained: func() bool { return upstream().MultipleCells }, Random: n.float,
 	})
 	n.follower = follower.New(follower.Options{
 		Objects: n.relayer, Confirmed: n.relayer.Confirmed, LastResume: n.woke, Reader: siteReader{}, Recorder: unrecorded{}, Alone: n.relayer.Alone, Random: n.float,
