--- a/exchanger/contents.go
+++ b/exchanger/contents.go
@@ -6,7 +6,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// contents returns the records of calls for a message to a node or cell, and their sum (X5).
+// recordsFor returns the content records to send to a node or cell, and their checksum (X5).
 func (e *Exchanger) recordsFor(peer string) ([]garnetworks.ContentRecord, uint64) {
 	if e.options.Contents == nil {
 		return nil, 0
@@ -18,11 +18,10 @@
 	return e.options.Contents.Recent(), sum
 }
 
-// takeAll reports whether the next message to the peer shall bring all records that last.
+// shouldSendAll reports whether the next message to the peer contains all retained records.
 //
-// Failure: several nodes differ from the first one of their cell, which told all records to
-// one of them a second, each time the one that asked first. The others never heard of what
-// they had missed. So each peer has its turn.
+// Failure: with one rate limit for all peers, the peer that asks first each time would get all
+// records, and the others none. So the limit is per peer.
 func (e *Exchanger) shouldSendAll(now time.Time, peer string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -34,7 +33,7 @@
 	return true
 }
 
-// takeContents joins the records of another node or cell.
+// mergeRecords merges the records of another node or cell and compares the checksums.
 func (e *Exchanger) mergeRecords(peer string, records []garnetworks.ContentRecord, sum uint64) {
 	if e.options.Contents == nil {
 		return
@@ -55,9 +54,8 @@
 	}
 }
 
-// IsReader reports whether the node is the one of its cell that reads for the others, or
-// hears of none: it exchanged for the cell within ReportAge, or had no answer for
-// StaleAfter.
+// IsReader reports whether the node reads the object API for its cell: it exchanged as head
+// within ReportAge, or has received no response for StaleAfter.
 func (e *Exchanger) IsReader() bool {
 	now := time.Now()
 	e.mu.Lock()
--- a/exchanger/exchanger.go
+++ b/exchanger/exchanger.go
@@ -1,22 +1,22 @@
-// Package exchanger tells each node of a site what the others have at each group,
-// so that six nodes or three hundred share the groups' places without a queue of
-// their own in common.
+// Package exchanger tells each node of a site the load that the other nodes put on each group,
+// so that the nodes share the groups' capacity without a common queue.
 //
 //	X1  Nodes form cells: the nodes of an availability zone, or of the whole region
-//	    where it has few. A node reports to the first node of its cell; the first
-//	    nodes of the cells exchange the sums of their cells. So a node sends one
-//	    message an interval, and the first one of a cell one more for each cell.
-//	X2  A report counts for ReportAge; a node that is cut off or gone then counts
-//	    for nothing.
-//	X3  Without answers a node goes on with the last sums for StaleAfter, and says
-//	    after that that it knows nothing of the others.
-//	X4  Suspicions of groups travel with the reports, once from each node, so that
-//	    whoever holds the lease hears of a group of which it has no calls itself.
-//	X5  Records of calls under which servers ended travel with the reports while they
-//	    are new, and all that last where two nodes' sums of them differ: after a
-//	    partition, and to a node that has started.
-//	X6  Groups that the holder of the lease knows to be lost travel with its reports, so
-//	    that no node finds each of them by calls of its own.
+//	    if it has few. The head of a cell is its first node in order of preference;
+//	    while it is unreachable, the next one acts as head. Nodes report to the head
+//	    of their cell, and heads exchange the sums over their cells. So per interval
+//	    a node sends one message, and a head one to each other cell.
+//	X2  A report is valid for ReportAge. After that, a node that is disconnected or
+//	    gone no longer counts.
+//	X3  A node that gets no responses uses the last sums for StaleAfter, and then
+//	    treats the load of the others as unknown.
+//	X4  Suspicions of groups are sent with the reports, once by each node, so that
+//	    the lease holder learns of groups to which it has no calls itself.
+//	X5  Records of calls under which servers ended are sent with the reports while
+//	    they are new. All retained records are sent if the checksums of two nodes
+//	    differ, as after a partition or a start.
+//	X6  Groups that the lease holder knows to be lost are sent with its reports, so
+//	    that no node has to find each of them by calls of its own.
 package exchanger
 
 import (
@@ -30,33 +30,32 @@
 )
 
 const (
-	// Interval is the time between two reports of a node. A call to a model lasts a
-	// second or so, so the sums are old by a fifth of a call.
+	// Interval is the time between two reports of a node. It is short compared with the
+	// typical duration of a model call.
 	Interval = 150 * time.Millisecond
-	// ReportAge is how long a report counts (X2): a few lost ones don't make a
-	// node's calls vanish.
+	// ReportAge is how long a report is valid (X2). It is long enough for a few reports to be
+	// lost.
 	ReportAge = time.Second
-	// StaleAfter is how long sums are used without a newer answer (X3).
+	// StaleAfter is how long sums are used without a newer response (X3).
 	StaleAfter = time.Second
-	// callTime bounds an exchange.
+	// callTimeout limits the time of one exchange.
 	callTimeout = 250 * time.Millisecond
-	// SmallCell is the number of nodes in a zone under which the whole region is
-	// one cell: the first node of a cell then serves few others.
+	// MinNodesPerZone is the average number of nodes per zone below which the whole region is
+	// one cell, since one head can serve its few nodes.
 	MinNodesPerZone = 8
-	// maxSuspects bounds the suspicions in a report, maxLost the lost groups: those of a
-	// large domain, or of a few, that went dark.
+	// maxSuspects limits the suspicions in a report, maxLost the lost groups: enough for the
+	// failure of a large fabric domain or a few small ones.
 	maxSuspects = 16
 	maxLost     = 128
-	// allEvery is the least time between two messages to a node with all records of calls
-	// that last (X5): sums differ for some intervals while something new spreads.
+	// fullSyncInterval is the minimum time between two messages to a peer with all retained
+	// records (X5). Checksums differ for a few intervals while new records spread.
 	fullSyncInterval = time.Second
-	// maxDiffering bounds the names of nodes that differ, of which some are gone; the design
-	// size has 330 nodes.
+	// maxDiffering limits the peers in Exchanger.differing, some of which may be gone.
 	maxDiffering = 1024
 )
 
-// Cell returns the name of the node's cell, and the cell's nodes in order of
-// preference (X1). The node itself is among them.
+// Cell returns the name of the node's cell, and the cell's nodes in order of preference (X1).
+// The node itself is among them.
 func Cell(self garnetworks.NodeInfo, peers []garnetworks.NodeInfo) (string, []garnetworks.NodeInfo) {
 	name := cellName(self, regionSizes(self, peers))
 	return name, Cells(self, peers)[name]
@@ -76,8 +75,7 @@
 	return cells
 }
 
-// Heads returns the first nodes of all cells of the node's region, in order of
-// preference.
+// Heads returns the heads of all cells of the node's region, in order of preference.
 func Heads(self garnetworks.NodeInfo, peers []garnetworks.NodeInfo) []garnetworks.NodeInfo {
 	var heads []garnetworks.NodeInfo
 	for _, nodes := range Cells(self, peers) {
@@ -88,24 +86,24 @@
 	return leaser.RankNodes("region/"+string(self.Region), heads)
 }
 
-// Upstream is whom a node asks for what the object API holds.
+// Upstream lists the nodes that a node asks for the contents of the object API.
 type Upstream struct {
-	// Relays are the addresses of the nodes to ask, first to last.
+	// Relays are the addresses of the nodes to ask first, in order.
 	Relays []string
-	// Spares are those of the other nodes of the cell, and of the first ones of the region's
+	// Spares are the addresses of the other nodes of the cell, and of the heads of the region's
 	// other cells.
 	Spares []string
-	// MultipleCells says that the region has several cells, so that what its reader knows passes
+	// MultipleCells says that the region has several cells, so that data from its reader passes
 	// through two nodes.
 	MultipleCells bool
 }
 
-// maxRelays bounds the nodes to ask: a node that reaches none of them reads for itself.
+// maxRelays limits the relays. A node that reaches none of them reads the object API itself.
 const maxRelays = 2
 
-// FindUpstream returns the nodes before this one in its cell, and for the first node of a
-// cell those before it among the first ones of the region's cells. So one node reads the
-// object API for a region.
+// FindUpstream returns as relays the nodes before this one in its cell or, for the head of a
+// cell, those before it among the heads of the region. So one node reads the object API for
+// a region.
 func FindUpstream(self garnetworks.NodeInfo, peers []garnetworks.NodeInfo) Upstream {
 	_, cell := Cell(self, peers)
 	heads := Heads(self, peers)
@@ -116,7 +114,7 @@
 	return Upstream{Relays: relays, Spares: spareAddresses(self, relays, cell, heads), MultipleCells: len(heads) > 1}
 }
 
-// spares returns the addresses of nodes without the node itself and its relays, each once.
+// spareAddresses returns the addresses in lists without duplicates, self and relays.
 func spareAddresses(self garnetworks.NodeInfo, relays []string, lists ...[]garnetworks.NodeInfo) []string {
 	seen := garnetworks.NewSet(append([]string{self.Address}, relays...)...)
 	var addresses []string
@@ -130,7 +128,7 @@
 	return addresses
 }
 
-// before returns the addresses of the nodes before the node; maxRelays at most.
+// addressesBefore returns the addresses of the nodes before self, at most maxRelays.
 func addressesBefore(self garnetworks.NodeInfo, nodes []garnetworks.NodeInfo) []string {
 	var addresses []string
 	for _, n := range nodes {
@@ -142,7 +140,7 @@
 	return addresses
 }
 
-// regionSize counts the nodes of a region and its zones.
+// regionSize counts the nodes and zones of a region.
 type regionSize struct {
 	nodes int
 	zones garnetworks.Set[garnetworks.ZoneID]
@@ -162,7 +160,7 @@
 	return regions
 }
 
-// cellName returns the zone, or the region where the region's zones are small.
+// cellName returns the cell of the node: its zone, or its region if the zones are small.
 func cellName(n garnetworks.NodeInfo, regions map[garnetworks.RegionID]*regionSize) string {
 	if r := regions[n.Region]; r.nodes < MinNodesPerZone*len(r.zones) {
 		return "region/" + string(n.Region)
@@ -170,51 +168,51 @@
 	return "zone/" + string(n.Zone)
 }
 
-// received is a report of another node or cell.
+// receivedReport is the last report of another node or cell.
 type receivedReport struct {
 	report garnetworks.LoadReport
 	at     time.Time
 }
 
-// Options describe an exchanger.
+// Options are the dependencies of an Exchanger.
 type Options struct {
 	Peers garnetworks.ExchangeCaller
-	// Self and Nodes tell the node and its peers.
+	// Self returns the node itself, Nodes the other nodes of the site.
 	Self  func() garnetworks.NodeInfo
 	Nodes func() []garnetworks.NodeInfo
 	// Load returns the node's own report.
 	Load func() garnetworks.LoadReport
-	// SetPeerLoad gets the sum over all other nodes; known is false if nothing is known of
-	// them (X3).
+	// SetPeerLoad receives the sum over all other nodes; known is false if their load is
+	// unknown (X3).
 	SetPeerLoad func(others garnetworks.LoadReport, known bool)
-	// Suspect gets the groups that other nodes suspect.
+	// Suspect receives the groups that other nodes suspect.
 	Suspect func(garnetworks.GroupID)
-	// Contents are the node's records of calls; it may be nil.
+	// Contents holds the node's content records; it may be nil.
 	Contents garnetworks.ContentRecordStore
 }
 
-// Exchanger is the duty. It is safe for concurrent use.
+// Exchanger exchanges load reports with other nodes. It is safe for concurrent use.
 type Exchanger struct {
 	options Options
 
 	mu sync.Mutex
-	// nodes and cells hold what was reported here.
+	// nodes and cells hold the last reports of other nodes and cells.
 	nodes, cells map[string]receivedReport
-	// suspects are those of the node itself that are still to be told, heard those
-	// of others, with the time.
+	// suspects are the node's own suspicions not yet sent; seenSuspects are those of other
+	// nodes with the time at which they were last passed on.
 	suspects     []garnetworks.GroupID
 	seenSuspects map[garnetworks.GroupID]time.Time
 	lastResponse time.Time
-	// led is when the node last exchanged for its cell.
+	// lastExchangeAsHead is when the node last began an exchange as head of its cell.
 	lastExchangeAsHead time.Time
 	failedUntil        map[string]time.Time
 	wake               chan struct{}
-	// differing are the nodes and cells that told another sum of records, with the time at
-	// which all of them were last sent there.
+	// differing maps the nodes and cells whose checksum of records differs to the time at which
+	// all records were last sent to them; zero if they were not.
 	differing map[string]time.Time
 }
 
-// New returns an exchanger; Run starts its work.
+// New returns an Exchanger; Run starts its work.
 func New(options Options) *Exchanger {
 	return &Exchanger{
 		options: options, nodes: make(map[string]receivedReport), cells: make(map[string]receivedReport),
@@ -222,7 +220,7 @@
 	}
 }
 
-// Suspect tells the other nodes of a group that seems to stand still, at once.
+// Suspect sends the suspicion that a group has stalled to the other nodes without delay.
 func (e *Exchanger) Suspect(group garnetworks.GroupID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -236,7 +234,7 @@
 	}
 }
 
-// Run exchanges until ctx ends.
+// Run exchanges reports until ctx ends.
 func (e *Exchanger) Run(ctx context.Context) error {
 	ticker := time.NewTicker(Interval)
 	defer ticker.Stop()
@@ -251,8 +249,8 @@
 	}
 }
 
-// exchange reports to the cell's first node, or to those of the other cells if
-// this is the first one.
+// exchange sends a report to the head of the cell, or exchanges sums with the other cells if
+// this node acts as head.
 func (e *Exchanger) exchange(ctx context.Context) {
 	self := e.options.Self()
 	name, cell := Cell(self, e.options.Nodes())
@@ -272,7 +270,7 @@
 	}
 }
 
-// reachable returns the nodes that have not failed lately.
+// reachable returns the nodes to which no call has failed recently.
 func (e *Exchanger) reachable(nodes []garnetworks.NodeInfo) []garnetworks.NodeInfo {
 	now := time.Now()
 	e.mu.Lock()
@@ -282,7 +280,8 @@
 	})
 }
 
-// call sends a report to a node.
+// call sends a report to a node and reports whether it responded. After a failure the node
+// counts as unreachable for retryDelay.
 func (e *Exchanger) call(ctx context.Context, n garnetworks.NodeInfo, from string, cell bool, report garnetworks.LoadReport) (*garnetworks.ExchangeResponse, bool) {
 	const retryDelay = time.Second
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -310,7 +309,7 @@
 	return true
 }
 
-// lead exchanges the sum of the own cell for those of the others.
+// exchangeAsHead exchanges the sum over the node's cell for those of the other cells.
 func (e *Exchanger) exchangeAsHead(ctx context.Context, self garnetworks.NodeInfo, name string, own garnetworks.LoadReport) {
 	e.mu.Lock()
 	e.lastExchangeAsHead = time.Now()
@@ -333,7 +332,8 @@
 	e.setPeerLoad(Sum(others...), true)
 }
 
-// take hands the sum over the other nodes on.
+// setPeerLoad passes on the sum over the other nodes, with its suspicions. An unknown load is
+// only passed on once the last sum is stale (X3).
 func (e *Exchanger) setPeerLoad(others garnetworks.LoadReport, known bool) {
 	now := time.Now()
 	e.mu.Lock()
@@ -348,7 +348,7 @@
 	e.notifySuspects(now, others.Suspects)
 }
 
-// suspect hands on the suspicions that have not been heard a moment ago.
+// notifySuspects passes on the suspicions that were not passed on within ReportAge.
 func (e *Exchanger) notifySuspects(now time.Time, groups []garnetworks.GroupID) {
 	for _, g := range groups {
 		e.mu.Lock()
@@ -388,8 +388,8 @@
 	return response, nil
 }
 
-// recent returns the groups whose suspicion was heard a moment ago, so that each
-// node of the cell hears of them with its next report.
+// recentSuspects returns the groups whose suspicion was passed on within half of ReportAge, so
+// that each node of the cell learns of them with its next report.
 func (e *Exchanger) recentSuspects() []garnetworks.GroupID {
 	now := time.Now()
 	e.mu.Lock()
@@ -409,7 +409,7 @@
 	(*stored)[from] = receivedReport{report, time.Now()}
 }
 
-// validReports returns those that still count, without one.
+// validReports returns the valid reports other than that from except, and deletes expired ones.
 func (e *Exchanger) validReports(stored *map[string]receivedReport, except string) []garnetworks.LoadReport {
 	now := time.Now()
 	e.mu.Lock()
@@ -426,7 +426,7 @@
 	return list
 }
 
-// join adds the groups that are not in a list yet, as long as it has fewer than most.
+// appendUnique appends the groups that list does not contain, up to limit groups in all.
 func appendUnique(list, more []garnetworks.GroupID, limit int) []garnetworks.GroupID {
 	for _, g := range more {
 		if len(list) < limit && !slices.Contains(list, g) {
@@ -436,7 +436,7 @@
 	return list
 }
 
-// Sum adds reports up.
+// Sum adds up reports.
 func Sum(reports ...garnetworks.LoadReport) garnetworks.LoadReport {
 	groups := make(map[garnetworks.GroupID]garnetworks.GroupLoad)
 	demands := make(map[garnetworks.ModelName]float64)
--- a/exchanger/exchanger_test.go
+++ b/exchanger/exchanger_test.go
@@ -12,7 +12,7 @@
 	"github.com/garnetworks/garnetworks/exchanger"
 )
 
-// site is nodes in zones that call each other.
+// site is a set of nodes that call each other.
 type site struct {
 	mu    sync.Mutex
 	nodes map[string]*node
@@ -26,7 +26,7 @@
 	others   int
 	known    bool
 	suspects []garnetworks.GroupID
-	// finds are the lost groups that the node tells, lost those that it hears of.
+	// reportsLost are the lost groups that the node reports, lost those that it receives.
 	reportsLost, lost []garnetworks.GroupID
 	disconnected      bool
 }
@@ -39,7 +39,7 @@
 	s.mu.Unlock()
 	if disconnected {
 		<-ctx.Done()
-		return nil, garnetworks.Errorf(garnetworks.KindUnreachable, "cut")
+		return nil, garnetworks.Errorf(garnetworks.KindUnreachable, "disconnected")
 	}
 	return n.Exchange(ctx, request)
 }
@@ -56,7 +56,7 @@
 	return list
 }
 
-// newSite starts nodes; each has as many calls at group g as its number.
+// newSite starts nodes. Each has as many calls at group g as its number.
 func newSite(ctx context.Context, zones, perZone int) *site {
 	s := &site{nodes: make(map[string]*node)}
 	number := 0
@@ -99,8 +99,8 @@
 	return s
 }
 
-// Story: nodes share the places of a group. A node that counts the others' calls
-// twice, or leaves some out, sends too few or too many.
+// Failure: a node that counts other nodes' calls twice, or misses some, sends too few or too
+// many calls to a group.
 func TestEachNodeKnowsTheOthersCalls(t *testing.T) {
 	cases := map[string]struct{ zones, perZone int }{
 		"six nodes, one cell":       {3, 2},
@@ -119,7 +119,7 @@
 				s.mu.Lock()
 				for address, n := range s.nodes {
 					if !n.known || n.others != total-n.running {
-						t.Errorf("%s knows %d calls of others (known is %t), want %d", address, n.others, n.known, total-n.running)
+						t.Errorf("%s has %d calls of other nodes (known %t), want %d", address, n.others, n.known, total-n.running)
 					}
 				}
 				s.calls = 0
@@ -128,7 +128,7 @@
 				time.Sleep(span)
 				s.mu.Lock()
 				if limit := (count + c.zones*c.zones) * int(span/exchanger.Interval+1); s.calls > limit {
-					t.Errorf("%d calls in %s, want %d at most", s.calls, span, limit)
+					t.Errorf("%d calls in %s, want at most %d", s.calls, span, limit)
 				}
 				s.mu.Unlock()
 				cancel()
@@ -138,8 +138,8 @@
 	}
 }
 
-// Story: the first node of the cell dies with its calls. The others go on with the
-// next one, and no longer count its calls.
+// After the loss of the first node of a cell, the others report to the next one and no longer
+// count the lost node's calls.
 func TestFirstNodeIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -154,7 +154,7 @@
 		s.mu.Lock()
 		for address, n := range s.nodes {
 			if want := 45 - n.running - s.nodes[first].running; address != first && n.others != want {
-				t.Errorf("%s knows %d calls of others, want %d", address, n.others, want)
+				t.Errorf("%s has %d calls of other nodes, want %d", address, n.others, want)
 			}
 		}
 		s.mu.Unlock()
@@ -163,8 +163,8 @@
 	})
 }
 
-// Story: one node has calls at a group that stands still; the holder of the lease
-// has none there and would never know.
+// A suspicion of a stalled group must reach all nodes, since the lease holder may have no calls
+// there.
 func TestSuspicionReachesAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -175,7 +175,7 @@
 		s.mu.Lock()
 		for address, n := range s.nodes {
 			if address != "n7" && len(n.suspects) == 0 {
-				t.Errorf("%s has not heard of it", address)
+				t.Errorf("%s did not receive the suspicion", address)
 			}
 		}
 		s.mu.Unlock()
@@ -184,8 +184,8 @@
 	})
 }
 
-// Story: the holder of the lease has found a group lost. All nodes hear of it within half a
-// second, once each, and no longer once it is found again.
+// Lost groups reported by one node must reach all others within half a second, without
+// duplicates, and disappear again once they are no longer reported.
 func TestLostGroupsAreKnownToAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -199,7 +199,7 @@
 			s.mu.Lock()
 			for address, n := range s.nodes {
 				if address != "n7" && len(n.lost) != len(reportsLost) {
-					t.Errorf("%s hears of %v, want %v", address, n.lost, reportsLost)
+					t.Errorf("%s has the lost groups %v, want %v", address, n.lost, reportsLost)
 				}
 			}
 			s.mu.Unlock()
--- a/exchanger/upstream_test.go
+++ b/exchanger/upstream_test.go
@@ -9,7 +9,7 @@
 	"github.com/garnetworks/garnetworks/exchanger"
 )
 
-// nodesOf returns nodes of one region, each times in each of the zones.
+// newNodes returns perZone nodes in each of the zones of one region.
 func newNodes(zones, perZone int) []garnetworks.NodeInfo {
 	var nodes []garnetworks.NodeInfo
 	for i := range zones * perZone {
@@ -24,8 +24,8 @@
 	cases := map[string]struct {
 		zones, perZone int
 		multipleCells  bool
-		// asked is the number of other nodes that each may ask: those of its cell, and the
-		// first ones of the other cells.
+		// candidates is the number of other nodes that each node may ask: those of its cell,
+		// and the heads of the other cells.
 		candidates int
 	}{
 		"one node":       {1, 1, false, 0},
