--- a/server/answer.go
+++ b/server/answer.go
@@ -73,26 +73,26 @@
 }
 
 func newModelResponse(c *httpCall, format *responseFormat, request *modelRequest, promptTokens int) *modelResponse {
-	a := &modelResponse{httpCall: c, format: format, request: request, promptTokens: promptTokens}
+	m := &modelResponse{httpCall: c, format: format, request: request, promptTokens: promptTokens}
 	object := format.object
 	if request.Stream {
 		object = format.chunkObject
 	}
-	a.objectPrefix = append(a.objectPrefix, `{"id":"`...)
-	a.objectPrefix = append(a.objectPrefix, format.idPrefix...)
-	a.objectPrefix = append(a.objectPrefix, c.id...)
-	a.objectPrefix = append(a.objectPrefix, `","object":"`...)
-	a.objectPrefix = append(a.objectPrefix, object...)
-	a.objectPrefix = append(a.objectPrefix, `","created":`...)
-	a.objectPrefix = strconv.AppendInt(a.objectPrefix, c.received.Unix(), 10)
-	a.objectPrefix = append(a.objectPrefix, `,"model":`...)
-	a.objectPrefix = appendString(a.objectPrefix, request.Model)
-	a.objectPrefix = append(a.objectPrefix, `,"choices":[`...)
-	a.eventPrefix = append(a.eventPrefix, eventStart...)
-	a.eventPrefix = append(a.eventPrefix, a.objectPrefix...)
-	a.eventPrefix = append(a.eventPrefix, choiceStart...)
-	a.eventPrefix = append(a.eventPrefix, format.chunkPrefix...)
-	return a
+	m.objectPrefix = append(m.objectPrefix, `{"id":"`...)
+	m.objectPrefix = append(m.objectPrefix, format.idPrefix...)
+	m.objectPrefix = append(m.objectPrefix, c.id...)
+	m.objectPrefix = append(m.objectPrefix, `","object":"`...)
+	m.objectPrefix = append(m.objectPrefix, object...)
+	m.objectPrefix = append(m.objectPrefix, `","created":`...)
+	m.objectPrefix = strconv.AppendInt(m.objectPrefix, c.received.Unix(), 10)
+	m.objectPrefix = append(m.objectPrefix, `,"model":`...)
+	m.objectPrefix = appendString(m.objectPrefix, request.Model)
+	m.objectPrefix = append(m.objectPrefix, `,"choices":[`...)
+	m.eventPrefix = append(m.eventPrefix, eventStart...)
+	m.eventPrefix = append(m.eventPrefix, m.objectPrefix...)
+	m.eventPrefix = append(m.eventPrefix, choiceStart...)
+	m.eventPrefix = append(m.eventPrefix, format.chunkPrefix...)
+	return m
 }
 
 const (
@@ -106,162 +106,162 @@
 )
 
 // Write adds a part of the response.
-func (a *modelResponse) Write(part forwarder.Part) error {
-	if !a.request.Stream {
-		a.text = append(a.text, part.Text...)
+func (m *modelResponse) Write(part forwarder.Part) error {
+	if !m.request.Stream {
+		m.text = append(m.text, part.Text...)
 		return nil
 	}
-	if !a.headerSent {
-		a.startStream()
+	if !m.headerSent {
+		m.startStream()
 	}
-	a.buffer = append(a.buffer, a.eventPrefix...)
-	a.buffer = appendString(a.buffer, part.Text)
-	a.buffer = append(a.buffer, a.format.chunkSuffix...)
-	a.buffer = append(a.buffer, choicesEnd+eventEnd...)
+	m.buffer = append(m.buffer, m.eventPrefix...)
+	m.buffer = appendString(m.buffer, part.Text)
+	m.buffer = append(m.buffer, m.format.chunkSuffix...)
+	m.buffer = append(m.buffer, choicesEnd+eventEnd...)
 	return nil
 }
 
 // Flush sends the buffered events.
-func (a *modelResponse) Flush() error {
-	if len(a.buffer) == 0 {
+func (m *modelResponse) Flush() error {
+	if len(m.buffer) == 0 {
 		return nil
 	}
-	a.extendWriteDeadline()
-	_, err := a.w.Write(a.buffer)
-	a.buffer = a.buffer[:0]
+	m.extendWriteDeadline()
+	_, err := m.w.Write(m.buffer)
+	m.buffer = m.buffer[:0]
 	if err != nil {
 		return err
 	}
-	return a.control.Flush()
+	return m.control.Flush()
 }
 
 // Idle sends an SSE comment as a keep-alive, so that proxies and clients keep the connection
 // open and writing to a dead one fails.
-func (a *modelResponse) Idle() error {
-	if !a.headerSent {
+func (m *modelResponse) Idle() error {
+	if !m.headerSent {
 		return nil
 	}
-	a.buffer = append(a.buffer, streamPing...)
-	return a.Flush()
+	m.buffer = append(m.buffer, streamPing...)
+	return m.Flush()
 }
 
 // extendWriteDeadline sets the write deadline to WriteTimeout from now, at most once a quarter
 // of WriteTimeout, so that not every flush sets a timer.
-func (a *modelResponse) extendWriteDeadline() {
-	limit := a.options.Limits.WriteTimeout
+func (m *modelResponse) extendWriteDeadline() {
+	limit := m.options.Limits.WriteTimeout
 	now := time.Now()
-	if a.writeDeadline.Sub(now) > limit*3/4 {
+	if m.writeDeadline.Sub(now) > limit*3/4 {
 		return
 	}
-	a.writeDeadline = now.Add(limit)
-	_ = a.control.SetWriteDeadline(a.writeDeadline)
+	m.writeDeadline = now.Add(limit)
+	_ = m.control.SetWriteDeadline(m.writeDeadline)
 }
 
 // startStream sends the header of a stream. The outcome is only known at the end and follows as
 // a trailer.
-func (a *modelResponse) startStream() {
-	h := a.w.Header()
+func (m *modelResponse) startStream() {
+	h := m.w.Header()
 	h.Set(headerContentType, "text/event-stream")
 	h.Set("Cache-Control", "no-store")
 	h.Set("Trailer", HeaderOutcome+", "+HeaderErrorKind)
-	if a.closing() {
+	if m.closing() {
 		h.Set("Connection", "close")
 	}
-	a.w.WriteHeader(http.StatusOK)
-	a.headerSent = true
-	if a.format.firstChoice != "" {
-		a.appendChoice(a.format.firstChoice)
+	m.w.WriteHeader(http.StatusOK)
+	m.headerSent = true
+	if m.format.firstChoice != "" {
+		m.appendChoice(m.format.firstChoice)
 	}
 }
 
 // appendChoice appends an event with one choice to the buffer.
-func (a *modelResponse) appendChoice(choice string) {
-	a.buffer = append(a.buffer, eventStart...)
-	a.buffer = append(a.buffer, a.objectPrefix...)
-	a.buffer = append(a.buffer, choiceStart...)
-	a.buffer = append(a.buffer, choice...)
-	a.buffer = append(a.buffer, choicesEnd+eventEnd...)
+func (m *modelResponse) appendChoice(choice string) {
+	m.buffer = append(m.buffer, eventStart...)
+	m.buffer = append(m.buffer, m.objectPrefix...)
+	m.buffer = append(m.buffer, choiceStart...)
+	m.buffer = append(m.buffer, choice...)
+	m.buffer = append(m.buffer, choicesEnd+eventEnd...)
 }
 
 // endResponse completes the response or ends it with an error. It returns the call's error.
-func (a *modelResponse) endResponse(summary forwarder.Summary, err error) error {
-	if !a.request.Stream {
+func (m *modelResponse) endResponse(summary forwarder.Summary, err error) error {
+	if !m.request.Stream {
 		if err == nil {
-			a.writeFull(summary)
+			m.writeFull(summary)
 		}
 		return err
 	}
-	if err != nil && !a.headerSent {
+	if err != nil && !m.headerSent {
 		return err
 	}
-	if !a.headerSent {
-		a.startStream()
+	if !m.headerSent {
+		m.startStream()
 	}
 	if err != nil {
-		a.endWithError(err)
+		m.endWithError(err)
 		return err
 	}
-	a.appendChoice(a.format.lastChoice + `,"finish_reason":` + finishReason(summary))
-	if a.request.IncludeUsage {
-		a.buffer = append(a.buffer, eventStart...)
-		a.buffer = append(a.buffer, a.objectPrefix...)
-		a.buffer = append(a.buffer, `],"usage":`...)
-		a.buffer = a.appendUsage(a.buffer, summary)
-		a.buffer = append(a.buffer, "}"+eventEnd...)
+	m.appendChoice(m.format.lastChoice + `,"finish_reason":` + finishReason(summary))
+	if m.request.IncludeUsage {
+		m.buffer = append(m.buffer, eventStart...)
+		m.buffer = append(m.buffer, m.objectPrefix...)
+		m.buffer = append(m.buffer, `],"usage":`...)
+		m.buffer = m.appendUsage(m.buffer, summary)
+		m.buffer = append(m.buffer, "}"+eventEnd...)
 	}
-	a.buffer = append(a.buffer, streamEnd...)
+	m.buffer = append(m.buffer, streamEnd...)
 	// A failed write means that the connection is lost; the caller then misses the end
 	// marker.
-	_ = a.Flush()
-	a.w.Header().Set(HeaderOutcome, string(garnetworks.OutcomeCompleted))
+	_ = m.Flush()
+	m.w.Header().Set(HeaderOutcome, string(garnetworks.OutcomeCompleted))
 	return nil
 }
 
 // endWithError ends a stream with an error event, since the response is incomplete (rule H2).
-func (a *modelResponse) endWithError(err error) {
-	problem := NewProblem(a.id, err)
+func (m *modelResponse) endWithError(err error) {
+	problem := NewProblem(m.id, err)
 	body, _ := json.Marshal(problem)
-	a.buffer = append(a.buffer, errorStart...)
-	a.buffer = append(a.buffer, body...)
-	a.buffer = append(a.buffer, eventEnd...)
-	_ = a.Flush()
-	h := a.w.Header()
+	m.buffer = append(m.buffer, errorStart...)
+	m.buffer = append(m.buffer, body...)
+	m.buffer = append(m.buffer, eventEnd...)
+	_ = m.Flush()
+	h := m.w.Header()
 	h.Set(HeaderOutcome, string(problem.Outcome))
 	h.Set(HeaderErrorKind, string(problem.Kind))
 }
 
 // writeFull sends the complete response to a request without streaming.
-func (a *modelResponse) writeFull(summary forwarder.Summary) {
-	body := append([]byte(nil), a.objectPrefix...)
+func (m *modelResponse) writeFull(summary forwarder.Summary) {
+	body := append([]byte(nil), m.objectPrefix...)
 	body = append(body, choiceStart...)
-	body = append(body, a.format.textPrefix...)
-	body = appendString(body, a.text)
-	body = append(body, a.format.textSuffix...)
+	body = append(body, m.format.textPrefix...)
+	body = appendString(body, m.text)
+	body = append(body, m.format.textSuffix...)
 	body = append(body, `,"finish_reason":`...)
 	body = append(body, finishReason(summary)...)
 	body = append(body, `}],"usage":`...)
-	body = a.appendUsage(body, summary)
+	body = m.appendUsage(body, summary)
 	body = append(body, '}')
-	h := a.w.Header()
+	h := m.w.Header()
 	h.Set(headerContentType, "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	h.Set(HeaderOutcome, string(garnetworks.OutcomeCompleted))
-	a.setWriteDeadline()
-	a.headerSent = true
-	_, _ = a.w.Write(body)
+	m.setWriteDeadline()
+	m.headerSent = true
+	_, _ = m.w.Write(body)
 }
 
 func finishReason(summary forwarder.Summary) string {
 	return string(appendString(nil, summary.FinishReason))
 }
 
-func (a *modelResponse) appendUsage(dst []byte, summary forwarder.Summary) []byte {
+func (m *modelResponse) appendUsage(dst []byte, summary forwarder.Summary) []byte {
 	dst = append(dst, `{"prompt_tokens":`...)
-	dst = strconv.AppendInt(dst, int64(a.promptTokens), 10)
+	dst = strconv.AppendInt(dst, int64(m.promptTokens), 10)
 	dst = append(dst, `,"completion_tokens":`...)
 	dst = strconv.AppendInt(dst, int64(summary.Tokens), 10)
 	dst = append(dst, `,"total_tokens":`...)
-	dst = strconv.AppendInt(dst, int64(a.promptTokens+summary.Tokens), 10)
+	dst = strconv.AppendInt(dst, int64(m.promptTokens+summary.Tokens), 10)
 	return append(dst, '}')
 }
 
--- a/server/faults_test.go
+++ b/server/faults_test.go
@@ -24,9 +24,9 @@
 	for _, fault := range engineFaultNames {
 		t.Run(fault, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newEnvironment()
-				w.engineFaults = []string{fault}
-				n := w.newNode()
+				e := newEnvironment()
+				e.engineFaults = []string{fault}
+				n := e.newNode()
 				begin := time.Now()
 				r := n.sendCall(step{Action: "call-stream", Body: "part-a"})
 				took := time.Since(begin)
@@ -49,9 +49,9 @@
 	for _, fault := range []string{"restart", "short", "overlap", "mismatched", "error-end"} {
 		t.Run(fault, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newEnvironment()
-				w.engineFaults = []string{"break", fault}
-				r := w.newNode().sendCall(step{Action: "call-stream", Body: "part-a"})
+				e := newEnvironment()
+				e.engineFaults = []string{"break", fault}
+				r := e.newNode().sendCall(step{Action: "call-stream", Body: "part-a"})
 				if text, done, _ := streamText(r.body); !done || text != fullResponse("part-a") {
 					t.Errorf("done %t, text %q", done, text)
 				}
@@ -88,9 +88,9 @@
 	for fault, want := range tests {
 		for i, column := range columns {
 			synctest.Test(t, func(t *testing.T) {
-				w := newEnvironment()
-				w.serviceFaults = []string{fault}
-				r := w.newNode().sendCall(column)
+				e := newEnvironment()
+				e.serviceFaults = []string{fault}
+				r := e.newNode().sendCall(column)
 				if r.outcome != want[i] {
 					t.Errorf("%s, column %d: outcome %s, want %s: %s", fault, i, r.outcome, want[i], r.body)
 				}
@@ -103,17 +103,17 @@
 // must receive the response of the first call.
 func TestKeyedCallOutlivesItsCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newEnvironment()
+		e := newEnvironment()
 		visit := step{Action: "call-write", Body: "visit", Key: "k", CancelAfter: 50 * time.Millisecond}
-		first := w.newNode().sendCall(visit)
+		first := e.newNode().sendCall(visit)
 		time.Sleep(time.Second)
 		visit.CancelAfter = 0
-		second := w.newNode().sendCall(visit)
+		second := e.newNode().sendCall(visit)
 		if first.outcome != garnetworks.OutcomeUnknown || second.body != "done:visit" || !second.replayed {
 			t.Errorf("first %+v, second %+v", first, second)
 		}
-		if w.executions[first.id] != 1 || w.executions[second.id] != 0 {
-			t.Errorf("executions: %v", w.executions)
+		if e.executions[first.id] != 1 || e.executions[second.id] != 0 {
+			t.Errorf("executions: %v", e.executions)
 		}
 	})
 }
@@ -122,9 +122,9 @@
 // idempotent calls are served.
 func TestStoreDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newEnvironment()
-		w.claimFaults = []string{"down"}
-		n := w.newNode()
+		e := newEnvironment()
+		e.claimFaults = []string{"down"}
+		n := e.newNode()
 		keyed := n.sendCall(step{Action: "call-write", Body: "b", Key: "k"})
 		if keyed.outcome != garnetworks.OutcomeNotRun || !strings.Contains(keyed.body, string(garnetworks.KindClaimsUnavailable)) {
 			t.Errorf("keyed: %+v", keyed)
@@ -166,9 +166,9 @@
 // must report the interrupted call.
 func TestSecondSignalEndsStreamsWithError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newEnvironment()
-		w.engineFaults = []string{"stuck"}
-		n := w.newNode()
+		e := newEnvironment()
+		e.engineFaults = []string{"stuck"}
+		n := e.newNode()
 		var stream *callResult
 		go func() { stream = n.sendCall(step{Action: "call-stream", Body: "part-a"}) }()
 		time.Sleep(time.Second)
--- a/server/path_test.go
+++ b/server/path_test.go
@@ -80,13 +80,13 @@
 }
 
 // run executes the scenario and returns the callers' results once all background work is done.
-func (s scenario) run(w *environment) []*callResult {
-	w.engineFaults = append([]string(nil), s.EngineFaults...)
-	w.serviceFaults = append([]string(nil), s.ServiceFaults...)
-	w.claimFaults = append([]string(nil), s.ClaimFaults...)
+func (s scenario) run(e *environment) []*callResult {
+	e.engineFaults = append([]string(nil), s.EngineFaults...)
+	e.serviceFaults = append([]string(nil), s.ServiceFaults...)
+	e.claimFaults = append([]string(nil), s.ClaimFaults...)
 	var nodes [nodeCount]*node
 	for i := range nodes {
-		nodes[i] = w.newNode()
+		nodes[i] = e.newNode()
 	}
 	var mu sync.Mutex
 	var results []*callResult
@@ -177,10 +177,10 @@
 }
 
 // findViolation describes the first result that violates a rule, or returns "".
-func (w *environment) findViolation(results []*callResult) string {
+func (e *environment) findViolation(results []*callResult) string {
 	byKey := map[string]int{}
 	for _, r := range results {
-		ran := w.executions[r.id]
+		ran := e.executions[r.id]
 		if r.outcome == garnetworks.OutcomeNotRun && ran > 0 {
 			return fmt.Sprintf("%+v: reported as not run, but ran %d times", r, ran)
 		}
@@ -251,13 +251,13 @@
 	outcomes := map[garnetworks.Outcome]int{}
 	rapid.Check(t, func(rt *rapid.T) {
 		s := drawScenario(rt)
-		w := newEnvironment()
+		e := newEnvironment()
 		violation := ""
 		synctest.Test(t, func(*testing.T) {
-			results := s.run(w)
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			violation = w.findViolation(results)
+			results := s.run(e)
+			e.mu.Lock()
+			defer e.mu.Unlock()
+			violation = e.findViolation(results)
 			steps += len(s.Steps)
 			calls += len(results)
 			for _, r := range results {
--- a/server/world_test.go
+++ b/server/world_test.go
@@ -59,7 +59,7 @@
 	}}}
 }
 
-// callIDOf returns an attempt's identifier without the number of the attempt.
+// callIDOf returns the identifier of the call that an attempt belongs to.
 func callIDOf(attempt garnetworks.CallID) garnetworks.CallID {
 	call, _, _ := strings.Cut(string(attempt), ".")
 	return garnetworks.CallID(call)
@@ -89,15 +89,15 @@
 	return &environment{executions: map[garnetworks.CallID]int{}, claims: map[string]*claimRecord{}}
 }
 
-func (w *environment) execute(call garnetworks.CallID) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.executions[call]++
+func (e *environment) execute(call garnetworks.CallID) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.executions[call]++
 }
 
-func (w *environment) nextFault(faults *[]string) string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (e *environment) nextFault(faults *[]string) string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	if len(*faults) == 0 {
 		return "none"
 	}
@@ -114,8 +114,8 @@
 	dead   chan struct{}
 }
 
-func (w *environment) newNode() *node {
-	n := &node{environment: w, dead: make(chan struct{})}
+func (e *environment) newNode() *node {
+	n := &node{environment: e, dead: make(chan struct{})}
 	n.calls = forwarder.New(forwarder.Options{
 		Engines: n, Services: n, Groups: n, Servers: n, Claims: n, Prober: n, Manifest: newManifestSource(),
 	})
