--- a/exchanger/exchanger.go
+++ b/exchanger/exchanger.go
@@ -1,22 +1,22 @@
-// Package exchanger tells each node of a site what the others have at each group,
-// so that six nodes or three hundred share the groups' places without a queue of
-// their own in common.
+// Package exchanger tells each node of a site the load that the other nodes put on each group,
+// so that the nodes share the groups' capacity without a common queue.
 //
 //	X1  Nodes form cells: the nodes of an availability zone, or of the whole region
-//	    where it has few. A node reports to the first node of its cell; the first
-//	    nodes of the cells exchange the sums of their cells. So a node sends one
-//	    message an interval, and the first one of a cell one more for each cell.
-//	X2  A report counts for ReportAge; a node that is cut off or gone then counts
-//	    for nothing.
-//	X3  Without answers a node goes on with the last sums for StaleAfter, and says
-//	    after that that it knows nothing of the others.
-//	X4  Suspicions of groups travel with the reports, once from each node, so that
-//	    whoever holds the lease hears of a group of which it has no calls itself.
-//	X5  Records of calls under which servers ended travel with the reports while they
-//	    are new, and all that last where two nodes' sums of them differ: after a
-//	    partition, and to a node that has started.
-//	X6  Groups that the holder of the lease knows to be lost travel with its reports, so
-//	    that no node finds each of them by calls of its own.
+//	    if it has few. The head of a cell is its first node in order of preference;
+//	    while it is unreachable, the next one acts as head. Nodes report to the head
+//	    of their cell, and heads exchange the sums over their cells. So per interval
+//	    a node sends one message, and a head one to each other cell.
+//	X2  A report is valid for ReportAge. After that, a node that is disconnected or
+//	    gone no longer counts.
+//	X3  A node that gets no responses uses the last sums for StaleAfter, and then
+//	    treats the load of the others as unknown.
+//	X4  Suspicions of groups are sent with the reports, once by each node, so that
+//	    the lease holder learns of groups to which it has no calls itself.
+//	X5  Records of calls under which servers ended are sent with the reports while
+//	    they are new. All retained records are sent if the checksums of two nodes
+//	    differ, as after a partition or a start.
+//	X6  Groups that the lease holder knows to be lost are sent with its reports, so
+//	    that no node has to find each of them by calls of its own.
 package exchanger
 
 import (
@@ -30,41 +30,40 @@
 )
 
 const (
-	// Interval is the time between two reports of a node. A call to a model lasts a
-	// second or so, so the sums are old by a fifth of a call.
+	// Interval is the time between two reports of a node. It is short compared with the
+	// typical duration of a model call.
 	Interval = 150 * time.Millisecond
-	// ReportAge is how long a report counts (X2): a few lost ones don't make a
-	// node's calls vanish.
+	// ReportAge is how long a report is valid (X2). It is long enough for a few reports to be
+	// lost.
 	ReportAge = time.Second
-	// StaleAfter is how long sums are used without a newer answer (X3).
+	// StaleAfter is how long sums are used without a newer response (X3).
 	StaleAfter = time.Second
-	// callTime bounds an exchange.
-	callTime = 250 * time.Millisecond
-	// SmallCell is the number of nodes in a zone under which the whole region is
-	// one cell: the first node of a cell then serves few others.
-	SmallCell = 8
-	// maxSuspects bounds the suspicions in a report, maxLost the lost groups: those of a
-	// large domain, or of a few, that went dark.
+	// callTimeout limits the time of one exchange.
+	callTimeout = 250 * time.Millisecond
+	// MinNodesPerZone is the average number of nodes per zone below which the whole region is
+	// one cell, since one head can serve its few nodes.
+	MinNodesPerZone = 8
+	// maxSuspects limits the suspicions in a report, maxLost the lost groups: enough for the
+	// failure of a large fabric domain or a few small ones.
 	maxSuspects = 16
 	maxLost     = 128
-	// allEvery is the least time between two messages to a node with all records of calls
-	// that last (X5): sums differ for some intervals while something new spreads.
-	allEvery = time.Second
-	// maxDiffering bounds the names of nodes that differ, of which some are gone; the design
-	// size has 330 nodes.
+	// fullSyncInterval is the minimum time between two messages to a peer with all retained
+	// records (X5). Checksums differ for a few intervals while new records spread.
+	fullSyncInterval = time.Second
+	// maxDiffering limits the peers in Exchanger.differing, some of which may be gone.
 	maxDiffering = 1024
 )
 
-// Cell returns the name of the node's cell, and the cell's nodes in order of
-// preference (X1). The node itself is among them.
+// Cell returns the name of the node's cell, and the cell's nodes in order of preference (X1).
+// The node itself is among them.
 func Cell(self garnetworks.NodeInfo, peers []garnetworks.NodeInfo) (string, []garnetworks.NodeInfo) {
-	name := cellName(self, sizes(self, peers))
+	name := cellName(self, regionSizes(self, peers))
 	return name, Cells(self, peers)[name]
 }
 
 // Cells returns all cells of the site that the node knows of.
 func Cells(self garnetworks.NodeInfo, peers []garnetworks.NodeInfo) map[string][]garnetworks.NodeInfo {
-	regions := sizes(self, peers)
+	regions := regionSizes(self, peers)
 	cells := make(map[string][]garnetworks.NodeInfo)
 	for _, n := range append([]garnetworks.NodeInfo{self}, peers...) {
 		name := cellName(n, regions)
@@ -76,8 +75,7 @@
 	return cells
 }
 
-// Heads returns the first nodes of all cells of the node's region, in order of
-// preference.
+// Heads returns the heads of all cells of the node's region, in order of preference.
 func Heads(self garnetworks.NodeInfo, peers []garnetworks.NodeInfo) []garnetworks.NodeInfo {
 	var heads []garnetworks.NodeInfo
 	for _, nodes := range Cells(self, peers) {
@@ -88,36 +86,36 @@
 	return leaser.RankNodes("region/"+string(self.Region), heads)
 }
 
-// Upstream is whom a node asks for what the object API holds.
+// Upstream lists the nodes that a node asks for the contents of the object API.
 type Upstream struct {
-	// Relays are the addresses of the nodes to ask, first to last.
+	// Relays are the addresses of the nodes to ask first, in order.
 	Relays []string
-	// Spares are those of the other nodes of the cell, and of the first ones of the region's
+	// Spares are the addresses of the other nodes of the cell, and of the heads of the region's
 	// other cells.
 	Spares []string
-	// Several says that the region has several cells, so that what its reader knows passes
+	// MultipleCells says that the region has several cells, so that data from its reader passes
 	// through two nodes.
-	Several bool
+	MultipleCells bool
 }
 
-// maxRelays bounds the nodes to ask: a node that reaches none of them reads for itself.
+// maxRelays limits the relays. A node that reaches none of them reads the object API itself.
 const maxRelays = 2
 
-// FindUpstream returns the nodes before this one in its cell, and for the first node of a
-// cell those before it among the first ones of the region's cells. So one node reads the
-// object API for a region.
+// FindUpstream returns as relays the nodes before this one in its cell or, for the head of a
+// cell, those before it among the heads of the region. So one node reads the object API for
+// a region.
 func FindUpstream(self garnetworks.NodeInfo, peers []garnetworks.NodeInfo) Upstream {
 	_, cell := Cell(self, peers)
 	heads := Heads(self, peers)
-	relays := before(self, cell)
+	relays := addressesBefore(self, cell)
 	if len(relays) == 0 {
-		relays = before(self, heads)
+		relays = addressesBefore(self, heads)
 	}
-	return Upstream{Relays: relays, Spares: spares(self, relays, cell, heads), Several: len(heads) > 1}
+	return Upstream{Relays: relays, Spares: spareAddresses(self, relays, cell, heads), MultipleCells: len(heads) > 1}
 }
 
-// spares returns the addresses of nodes without the node itself and its relays, each once.
-func spares(self garnetworks.NodeInfo, relays []string, lists ...[]garnetworks.NodeInfo) []string {
+// spareAddresses returns the addresses in lists without duplicates, self and relays.
+func spareAddresses(self garnetworks.NodeInfo, relays []string, lists ...[]garnetworks.NodeInfo) []string {
 	seen := garnetworks.NewSet(append([]string{self.Address}, relays...)...)
 	var addresses []string
 	for _, n := range slices.Concat(lists...) {
@@ -130,8 +128,8 @@
 	return addresses
 }
 
-// before returns the addresses of the nodes before the node; maxRelays at most.
-func before(self garnetworks.NodeInfo, nodes []garnetworks.NodeInfo) []string {
+// addressesBefore returns the addresses of the nodes before self, at most maxRelays.
+func addressesBefore(self garnetworks.NodeInfo, nodes []garnetworks.NodeInfo) []string {
 	var addresses []string
 	for _, n := range nodes {
 		if n.ID == self.ID || len(addresses) == maxRelays {
@@ -142,13 +140,13 @@
 	return addresses
 }
 
-// regionSize counts the nodes of a region and its zones.
+// regionSize counts the nodes and zones of a region.
 type regionSize struct {
 	nodes int
 	zones garnetworks.Set[garnetworks.ZoneID]
 }
 
-func sizes(self garnetworks.NodeInfo, peers []garnetworks.NodeInfo) map[garnetworks.RegionID]*regionSize {
+func regionSizes(self garnetworks.NodeInfo, peers []garnetworks.NodeInfo) map[garnetworks.RegionID]*regionSize {
 	regions := make(map[garnetworks.RegionID]*regionSize)
 	for _, n := range append([]garnetworks.NodeInfo{self}, peers...) {
 		r := regions[n.Region]
@@ -162,67 +160,67 @@
 	return regions
 }
 
-// cellName returns the zone, or the region where the region's zones are small.
+// cellName returns the cell of the node: its zone, or its region if the zones are small.
 func cellName(n garnetworks.NodeInfo, regions map[garnetworks.RegionID]*regionSize) string {
-	if r := regions[n.Region]; r.nodes < SmallCell*len(r.zones) {
+	if r := regions[n.Region]; r.nodes < MinNodesPerZone*len(r.zones) {
 		return "region/" + string(n.Region)
 	}
 	return "zone/" + string(n.Zone)
 }
 
-// received is a report of another node or cell.
-type received struct {
+// receivedReport is the last report of another node or cell.
+type receivedReport struct {
 	report garnetworks.LoadReport
 	at     time.Time
 }
 
-// Options describe an exchanger.
+// Options are the dependencies of an Exchanger.
 type Options struct {
 	Peers garnetworks.ExchangeCaller
-	// Self and Nodes tell the node and its peers.
+	// Self returns the node itself, Nodes the other nodes of the site.
 	Self  func() garnetworks.NodeInfo
 	Nodes func() []garnetworks.NodeInfo
 	// Load returns the node's own report.
 	Load func() garnetworks.LoadReport
-	// Take gets the sum over all other nodes; known is false if nothing is known of
-	// them (X3).
-	Take func(others garnetworks.LoadReport, known bool)
-	// Suspect gets the groups that other nodes suspect.
+	// SetPeerLoad receives the sum over all other nodes; known is false if their load is
+	// unknown (X3).
+	SetPeerLoad func(others garnetworks.LoadReport, known bool)
+	// Suspect receives the groups that other nodes suspect.
 	Suspect func(garnetworks.GroupID)
-	// Contents are the node's records of calls; it may be nil.
+	// Contents holds the node's content records; it may be nil.
 	Contents garnetworks.ContentRecordStore
 }
 
-// Exchanger is the duty. It is safe for concurrent use.
+// Exchanger exchanges load reports with other nodes. It is safe for concurrent use.
 type Exchanger struct {
 	options Options
 
 	mu sync.Mutex
-	// nodes and cells hold what was reported here.
-	nodes, cells map[string]received
-	// suspects are those of the node itself that are still to be told, heard those
-	// of others, with the time.
-	suspects []garnetworks.GroupID
-	heard    map[garnetworks.GroupID]time.Time
-	answered time.Time
-	// led is when the node last exchanged for its cell.
-	led    time.Time
-	failed map[string]time.Time
-	wake   chan struct{}
-	// differing are the nodes and cells that told another sum of records, with the time at
-	// which all of them were last sent there.
+	// nodes and cells hold the last reports of other nodes and cells.
+	nodes, cells map[string]receivedReport
+	// suspects are the node's own suspicions not yet sent; seenSuspects are those of other
+	// nodes with the time at which they were last passed on.
+	suspects     []garnetworks.GroupID
+	seenSuspects map[garnetworks.GroupID]time.Time
+	lastResponse time.Time
+	// lastExchangeAsHead is when the node last began an exchange as head of its cell.
+	lastExchangeAsHead time.Time
+	failedUntil        map[string]time.Time
+	wake               chan struct{}
+	// differing maps the nodes and cells whose checksum of records differs to the time at which
+	// all records were last sent to them; zero if they were not.
 	differing map[string]time.Time
 }
 
-// New returns an exchanger; Run starts its work.
+// New returns an Exchanger; Run starts its work.
 func New(options Options) *Exchanger {
 	return &Exchanger{
-		options: options, nodes: make(map[string]received), cells: make(map[string]received),
-		heard: make(map[garnetworks.GroupID]time.Time), failed: make(map[string]time.Time), differing: make(map[string]time.Time), wake: make(chan struct{}, 1),
+		options: options, nodes: make(map[string]receivedReport), cells: make(map[string]receivedReport),
+		seenSuspects: make(map[garnetworks.GroupID]time.Time), failedUntil: make(map[string]time.Time), differing: make(map[string]time.Time), wake: make(chan struct{}, 1),
 	}
 }
 
-// Suspect tells the other nodes of a group that seems to stand still, at once.
+// Suspect sends the suspicion that a group has stalled to the other nodes without delay.
 func (e *Exchanger) Suspect(group garnetworks.GroupID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -236,7 +234,7 @@
 	}
 }
 
-// Run exchanges until ctx ends.
+// Run exchanges reports until ctx ends.
 func (e *Exchanger) Run(ctx context.Context) error {
 	ticker := time.NewTicker(Interval)
 	defer ticker.Stop()
@@ -251,8 +249,8 @@
 	}
 }
 
-// exchange reports to the cell's first node, or to those of the other cells if
-// this is the first one.
+// exchange sends a report to the head of the cell, or exchanges sums with the other cells if
+// this node acts as head.
 func (e *Exchanger) exchange(ctx context.Context) {
 	self := e.options.Self()
 	name, cell := Cell(self, e.options.Nodes())
@@ -263,104 +261,106 @@
 	own.Nodes = 1
 	for _, n := range e.reachable(cell) {
 		if n.ID == self.ID {
-			e.lead(ctx, self, name, own)
+			e.exchangeAsHead(ctx, self, name, own)
 			return
 		}
-		if e.report(ctx, n, string(self.ID), own) {
+		if e.sendReport(ctx, n, string(self.ID), own) {
 			return
 		}
 	}
 }
 
-// reachable returns the nodes that have not failed lately.
+// reachable returns the nodes to which no call has failed recently.
 func (e *Exchanger) reachable(nodes []garnetworks.NodeInfo) []garnetworks.NodeInfo {
 	now := time.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(nodes), func(n garnetworks.NodeInfo) bool {
-		return now.Before(e.failed[n.Address])
+		return now.Before(e.failedUntil[n.Address])
 	})
 }
 
-// call sends a report to a node.
+// call sends a report to a node and reports whether it responded. After a failure the node
+// counts as unreachable for retryDelay.
 func (e *Exchanger) call(ctx context.Context, n garnetworks.NodeInfo, from string, cell bool, report garnetworks.LoadReport) (*garnetworks.ExchangeResponse, bool) {
-	const failedFor = time.Second
-	call, cancel := context.WithTimeout(ctx, callTime)
+	const retryDelay = time.Second
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	request := &garnetworks.ExchangeRequest{From: from, Cell: cell, Report: report}
-	request.ContentRecords, request.ContentChecksum = e.contents(n.Address)
-	answer, err := e.options.Peers.Exchange(call, n.Address, request)
+	request.ContentRecords, request.ContentChecksum = e.recordsFor(n.Address)
+	response, err := e.options.Peers.Exchange(callCtx, n.Address, request)
 	if err == nil {
-		e.takeContents(n.Address, answer.ContentRecords, answer.ContentChecksum)
-		return answer, true
+		e.mergeRecords(n.Address, response.ContentRecords, response.ContentChecksum)
+		return response, true
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.failed[n.Address] = time.Now().Add(failedFor)
+	e.failedUntil[n.Address] = time.Now().Add(retryDelay)
 	return nil, false
 }
 
-func (e *Exchanger) report(ctx context.Context, n garnetworks.NodeInfo, from string, own garnetworks.LoadReport) bool {
-	answer, ok := e.call(ctx, n, from, false, own)
+func (e *Exchanger) sendReport(ctx context.Context, n garnetworks.NodeInfo, from string, own garnetworks.LoadReport) bool {
+	response, ok := e.call(ctx, n, from, false, own)
 	if !ok {
-		e.take(garnetworks.LoadReport{}, false)
+		e.setPeerLoad(garnetworks.LoadReport{}, false)
 		return false
 	}
-	e.take(answer.Report, true)
+	e.setPeerLoad(response.Report, true)
 	return true
 }
 
-// lead exchanges the sum of the own cell for those of the others.
-func (e *Exchanger) lead(ctx context.Context, self garnetworks.NodeInfo, name string, own garnetworks.LoadReport) {
+// exchangeAsHead exchanges the sum over the node's cell for those of the other cells.
+func (e *Exchanger) exchangeAsHead(ctx context.Context, self garnetworks.NodeInfo, name string, own garnetworks.LoadReport) {
 	e.mu.Lock()
-	e.led = time.Now()
+	e.lastExchangeAsHead = time.Now()
 	e.mu.Unlock()
 	var calls sync.WaitGroup
-	sum := Sum(append(e.reports(&e.nodes, string(self.ID)), own)...)
+	sum := Sum(append(e.validReports(&e.nodes, string(self.ID)), own)...)
 	for other, nodes := range Cells(self, e.options.Nodes()) {
 		reachable := e.reachable(nodes)
 		if other == name || len(reachable) == 0 {
 			continue
 		}
 		calls.Go(func() {
-			if answer, ok := e.call(ctx, reachable[0], name, true, sum); ok {
-				e.receive(&e.cells, other, answer.Report)
+			if response, ok := e.call(ctx, reachable[0], name, true, sum); ok {
+				e.storeReport(&e.cells, other, response.Report)
 			}
 		})
 	}
 	calls.Wait()
-	others := append(e.reports(&e.nodes, string(self.ID)), e.reports(&e.cells, name)...)
-	e.take(Sum(others...), true)
+	others := append(e.validReports(&e.nodes, string(self.ID)), e.validReports(&e.cells, name)...)
+	e.setPeerLoad(Sum(others...), true)
 }
 
-// take hands the sum over the other nodes on.
-func (e *Exchanger) take(others garnetworks.LoadReport, known bool) {
+// setPeerLoad passes on the sum over the other nodes, with its suspicions. An unknown load is
+// only passed on once the last sum is stale (X3).
+func (e *Exchanger) setPeerLoad(others garnetworks.LoadReport, known bool) {
 	now := time.Now()
 	e.mu.Lock()
 	if known {
-		e.answered = now
+		e.lastResponse = now
 	}
-	stale := now.Sub(e.answered) > StaleAfter
+	stale := now.Sub(e.lastResponse) > StaleAfter
 	e.mu.Unlock()
 	if known || stale {
-		e.options.Take(others, known)
+		e.options.SetPeerLoad(others, known)
 	}
-	e.suspect(now, others.Suspects)
+	e.notifySuspects(now, others.Suspects)
 }
 
-// suspect hands on the suspicions that have not been heard a moment ago.
-func (e *Exchanger) suspect(now time.Time, groups []garnetworks.GroupID) {
+// notifySuspects passes on the suspicions that were not passed on within ReportAge.
+func (e *Exchanger) notifySuspects(now time.Time, groups []garnetworks.GroupID) {
 	for _, g := range groups {
 		e.mu.Lock()
-		again := now.Sub(e.heard[g]) < ReportAge
-		if !again {
-			e.heard[g] = now
+		seen := now.Sub(e.seenSuspects[g]) < ReportAge
+		if !seen {
+			e.seenSuspects[g] = now
 		}
-		if len(e.heard) > maxSuspects*maxSuspects {
-			clear(e.heard)
+		if len(e.seenSuspects) > maxSuspects*maxSuspects {
+			clear(e.seenSuspects)
 		}
 		e.mu.Unlock()
-		if !again {
+		if !seen {
 			e.options.Suspect(g)
 		}
 	}
@@ -371,31 +371,31 @@
 	if request.From == "" {
 		return nil, garnetworks.Errorf(garnetworks.KindInvalidRequest, "a report names nobody")
 	}
-	e.suspect(time.Now(), request.Report.Suspects)
-	e.takeContents(request.From, request.ContentRecords, request.ContentChecksum)
+	e.notifySuspects(time.Now(), request.Report.Suspects)
+	e.mergeRecords(request.From, request.ContentRecords, request.ContentChecksum)
 	response := &garnetworks.ExchangeResponse{}
-	response.ContentRecords, response.ContentChecksum = e.contents(request.From)
+	response.ContentRecords, response.ContentChecksum = e.recordsFor(request.From)
 	own := e.options.Load()
-	own.Nodes, own.Suspects = 1, e.recent()
+	own.Nodes, own.Suspects = 1, e.recentSuspects()
 	if request.Cell {
-		e.receive(&e.cells, request.From, request.Report)
-		response.Report = Sum(append(e.reports(&e.nodes, ""), own)...)
+		e.storeReport(&e.cells, request.From, request.Report)
+		response.Report = Sum(append(e.validReports(&e.nodes, ""), own)...)
 		return response, nil
 	}
-	e.receive(&e.nodes, request.From, request.Report)
-	others := append(e.reports(&e.nodes, request.From), e.reports(&e.cells, "")...)
+	e.storeReport(&e.nodes, request.From, request.Report)
+	others := append(e.validReports(&e.nodes, request.From), e.validReports(&e.cells, "")...)
 	response.Report = Sum(append(others, own)...)
 	return response, nil
 }
 
-// recent returns the groups whose suspicion was heard a moment ago, so that each
-// node of the cell hears of them with its next report.
-func (e *Exchanger) recent() []garnetworks.GroupID {
+// recentSuspects returns the groups whose suspicion was passed on within half of ReportAge, so
+// that each node of the cell learns of them with its next report.
+func (e *Exchanger) recentSuspects() []garnetworks.GroupID {
 	now := time.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var groups []garnetworks.GroupID
-	for g, at := range e.heard {
+	for g, at := range e.seenSuspects {
 		if now.Sub(at) < ReportAge/2 && len(groups) < maxSuspects {
 			groups = append(groups, g)
 		}
@@ -403,61 +403,61 @@
 	return groups
 }
 
-func (e *Exchanger) receive(into *map[string]received, from string, report garnetworks.LoadReport) {
+func (e *Exchanger) storeReport(stored *map[string]receivedReport, from string, report garnetworks.LoadReport) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	(*into)[from] = received{report, time.Now()}
+	(*stored)[from] = receivedReport{report, time.Now()}
 }
 
-// reports returns those that still count, without one.
-func (e *Exchanger) reports(of *map[string]received, without string) []garnetworks.LoadReport {
+// validReports returns the valid reports other than that from except, and deletes expired ones.
+func (e *Exchanger) validReports(stored *map[string]receivedReport, except string) []garnetworks.LoadReport {
 	now := time.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var list []garnetworks.LoadReport
-	for from, r := range *of {
+	for from, r := range *stored {
 		switch {
 		case now.Sub(r.at) > ReportAge: // rule X2
-			delete(*of, from)
-		case from != without:
+			delete(*stored, from)
+		case from != except:
 			list = append(list, r.report)
 		}
 	}
 	return list
 }
 
-// join adds the groups that are not in a list yet, as long as it has fewer than most.
-func join(list, more []garnetworks.GroupID, most int) []garnetworks.GroupID {
+// appendUnique appends the groups that list does not contain, up to limit groups in all.
+func appendUnique(list, more []garnetworks.GroupID, limit int) []garnetworks.GroupID {
 	for _, g := range more {
-		if len(list) < most && !slices.Contains(list, g) {
+		if len(list) < limit && !slices.Contains(list, g) {
 			list = append(list, g)
 		}
 	}
 	return list
 }
 
-// Sum adds reports up.
+// Sum adds up reports.
 func Sum(reports ...garnetworks.LoadReport) garnetworks.LoadReport {
-	places := make(map[garnetworks.GroupID]garnetworks.GroupLoad)
-	demand := make(map[garnetworks.ModelName]float64)
+	groups := make(map[garnetworks.GroupID]garnetworks.GroupLoad)
+	demands := make(map[garnetworks.ModelName]float64)
 	sum := garnetworks.LoadReport{}
 	for _, r := range reports {
 		sum.Nodes += r.Nodes
-		for _, p := range r.Groups {
-			p.Running += places[p.Group].Running
-			p.ActiveNodes += places[p.Group].ActiveNodes
-			places[p.Group] = p
+		for _, g := range r.Groups {
+			g.Running += groups[g.Group].Running
+			g.ActiveNodes += groups[g.Group].ActiveNodes
+			groups[g.Group] = g
 		}
 		for _, d := range r.Demands {
-			demand[d.Model] += d.CallsPerSecond
+			demands[d.Model] += d.CallsPerSecond
 		}
-		sum.Suspects = join(sum.Suspects, r.Suspects, maxSuspects)
-		sum.Lost = join(sum.Lost, r.Lost, maxLost)
+		sum.Suspects = appendUnique(sum.Suspects, r.Suspects, maxSuspects)
+		sum.Lost = appendUnique(sum.Lost, r.Lost, maxLost)
 	}
-	for _, p := range places {
-		sum.Groups = append(sum.Groups, p)
+	for _, g := range groups {
+		sum.Groups = append(sum.Groups, g)
 	}
-	for m, n := range demand {
+	for m, n := range demands {
 		sum.Demands = append(sum.Demands, garnetworks.ModelDemand{Model: m, CallsPerSecond: n})
 	}
 	return sum
--- a/exchanger/exchanger_test.go
+++ b/exchanger/exchanger_test.go
@@ -12,7 +12,7 @@
 	"github.com/garnetworks/garnetworks/exchanger"
 )
 
-// site is nodes in zones that call each other.
+// site is a set of nodes that call each other.
 type site struct {
 	mu    sync.Mutex
 	nodes map[string]*node
@@ -26,42 +26,42 @@
 	others   int
 	known    bool
 	suspects []garnetworks.GroupID
-	// finds are the lost groups that the node tells, lost those that it hears of.
-	finds, lost []garnetworks.GroupID
-	cut         bool
+	// reportsLost are the lost groups that the node reports, lost those that it receives.
+	reportsLost, lost []garnetworks.GroupID
+	disconnected      bool
 }
 
 func (s *site) Exchange(ctx context.Context, address string, request *garnetworks.ExchangeRequest) (*garnetworks.ExchangeResponse, error) {
 	s.mu.Lock()
 	s.calls++
 	n := s.nodes[address]
-	cut := n == nil || n.cut
+	disconnected := n == nil || n.disconnected
 	s.mu.Unlock()
-	if cut {
+	if disconnected {
 		<-ctx.Done()
-		return nil, garnetworks.Errorf(garnetworks.KindUnreachable, "cut")
+		return nil, garnetworks.Errorf(garnetworks.KindUnreachable, "disconnected")
 	}
 	return n.Exchange(ctx, request)
 }
 
-func (s *site) infos(without string) []garnetworks.NodeInfo {
+func (s *site) infos(except string) []garnetworks.NodeInfo {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []garnetworks.NodeInfo
 	for address, n := range s.nodes {
-		if address != without {
+		if address != except {
 			list = append(list, n.info)
 		}
 	}
 	return list
 }
 
-// newSite starts nodes; each has as many calls at group g as its number.
-func newSite(ctx context.Context, zones, each int) *site {
+// newSite starts nodes. Each has as many calls at group g as its number.
+func newSite(ctx context.Context, zones, perZone int) *site {
 	s := &site{nodes: make(map[string]*node)}
 	number := 0
 	for z := range zones {
-		for range each {
+		for range perZone {
 			number++
 			address := fmt.Sprintf("n%d", number)
 			n := &node{running: number, info: garnetworks.NodeInfo{
@@ -75,14 +75,14 @@
 				Load: func() garnetworks.LoadReport {
 					s.mu.Lock()
 					defer s.mu.Unlock()
-					return garnetworks.LoadReport{Groups: []garnetworks.GroupLoad{{Group: "g", Running: n.running}}, Lost: n.finds}
+					return garnetworks.LoadReport{Groups: []garnetworks.GroupLoad{{Group: "g", Running: n.running}}, Lost: n.reportsLost}
 				},
-				Take: func(others garnetworks.LoadReport, known bool) {
+				SetPeerLoad: func(others garnetworks.LoadReport, known bool) {
 					s.mu.Lock()
 					defer s.mu.Unlock()
 					n.others, n.known, n.lost = 0, known, others.Lost
-					for _, p := range others.Groups {
-						n.others += p.Running
+					for _, g := range others.Groups {
+						n.others += g.Running
 					}
 				},
 				Suspect: func(g garnetworks.GroupID) {
@@ -99,10 +99,10 @@
 	return s
 }
 
-// Story: nodes share the places of a group. A node that counts the others' calls
-// twice, or leaves some out, sends too few or too many.
+// Failure: a node that counts other nodes' calls twice, or misses some, sends too few or too
+// many calls to a group.
 func TestEachNodeKnowsTheOthersCalls(t *testing.T) {
-	cases := map[string]struct{ zones, each int }{
+	cases := map[string]struct{ zones, perZone int }{
 		"six nodes, one cell":       {3, 2},
 		"thirty nodes, three cells": {3, 10},
 		"one node":                  {1, 1},
@@ -110,16 +110,16 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				ctx, stop := context.WithCancel(t.Context())
-				s := newSite(ctx, c.zones, c.each)
+				ctx, cancel := context.WithCancel(t.Context())
+				s := newSite(ctx, c.zones, c.perZone)
 				time.Sleep(2 * time.Second)
 				synctest.Wait()
-				count := c.zones * c.each
+				count := c.zones * c.perZone
 				total := count * (count + 1) / 2
 				s.mu.Lock()
 				for address, n := range s.nodes {
 					if !n.known || n.others != total-n.running {
-						t.Errorf("%s knows %d calls of others (known is %t), want %d", address, n.others, n.known, total-n.running)
+						t.Errorf("%s has %d calls of other nodes (known %t), want %d", address, n.others, n.known, total-n.running)
 					}
 				}
 				s.calls = 0
@@ -127,47 +127,47 @@
 				const span = 3 * time.Second
 				time.Sleep(span)
 				s.mu.Lock()
-				if most := (count + c.zones*c.zones) * int(span/exchanger.Interval+1); s.calls > most {
-					t.Errorf("%d calls in %s, want %d at most", s.calls, span, most)
+				if limit := (count + c.zones*c.zones) * int(span/exchanger.Interval+1); s.calls > limit {
+					t.Errorf("%d calls in %s, want at most %d", s.calls, span, limit)
 				}
 				s.mu.Unlock()
-				stop()
+				cancel()
 				synctest.Wait()
 			})
 		})
 	}
 }
 
-// Story: the first node of the cell dies with its calls. The others go on with the
-// next one, and no longer count its calls.
+// After the loss of the first node of a cell, the others report to the next one and no longer
+// count the lost node's calls.
 func TestFirstNodeIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		s := newSite(ctx, 1, 9)
 		time.Sleep(time.Second)
 		_, cell := exchanger.Cell(s.nodes["n1"].info, s.infos("n1"))
 		first := cell[0].Address
 		s.mu.Lock()
-		s.nodes[first].cut = true
+		s.nodes[first].disconnected = true
 		s.mu.Unlock()
 		time.Sleep(4 * time.Second)
 		s.mu.Lock()
 		for address, n := range s.nodes {
 			if want := 45 - n.running - s.nodes[first].running; address != first && n.others != want {
-				t.Errorf("%s knows %d calls of others, want %d", address, n.others, want)
+				t.Errorf("%s has %d calls of other nodes, want %d", address, n.others, want)
 			}
 		}
 		s.mu.Unlock()
-		stop()
+		cancel()
 		synctest.Wait()
 	})
 }
 
-// Story: one node has calls at a group that stands still; the holder of the lease
-// has none there and would never know.
+// A suspicion of a stalled group must reach all nodes, since the lease holder may have no calls
+// there.
 func TestSuspicionReachesAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		s := newSite(ctx, 3, 10)
 		time.Sleep(time.Second)
 		s.nodes["n7"].Exchanger.Suspect("g")
@@ -175,36 +175,36 @@
 		s.mu.Lock()
 		for address, n := range s.nodes {
 			if address != "n7" && len(n.suspects) == 0 {
-				t.Errorf("%s has not heard of it", address)
+				t.Errorf("%s did not receive the suspicion", address)
 			}
 		}
 		s.mu.Unlock()
-		stop()
+		cancel()
 		synctest.Wait()
 	})
 }
 
-// Story: the holder of the lease has found a group lost. All nodes hear of it within half a
-// second, once each, and no longer once it is found again.
+// Lost groups reported by one node must reach all others within half a second, without
+// duplicates, and disappear again once they are no longer reported.
 func TestLostGroupsAreKnownToAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		s := newSite(ctx, 3, 10)
 		time.Sleep(time.Second)
-		for _, finds := range [][]garnetworks.GroupID{{"g", "h"}, nil} {
+		for _, reportsLost := range [][]garnetworks.GroupID{{"g", "h"}, nil} {
 			s.mu.Lock()
-			s.nodes["n7"].finds = finds
+			s.nodes["n7"].reportsLost = reportsLost
 			s.mu.Unlock()
 			time.Sleep(500 * time.Millisecond)
 			s.mu.Lock()
 			for address, n := range s.nodes {
-				if address != "n7" && len(n.lost) != len(finds) {
-					t.Errorf("%s hears of %v, want %v", address, n.lost, finds)
+				if address != "n7" && len(n.lost) != len(reportsLost) {
+					t.Errorf("%s has the lost groups %v, want %v", address, n.lost, reportsLost)
 				}
 			}
 			s.mu.Unlock()
 		}
-		stop()
+		cancel()
 		synctest.Wait()
 	})
 }
--- a/server/answer.go
+++ b/server/answer.go
@@ -11,87 +11,88 @@
 	"github.com/garnetworks/garnetworks/forwarder"
 )
 
-// shape is how the answers of one kind of request look.
-type shape struct {
-	// object and chunkObject name the objects of whole answers and of streams.
+// responseFormat is the JSON format of the responses of one endpoint.
+type responseFormat struct {
+	// object and chunkObject are the object types of complete responses and of stream chunks.
 	object      string
 	chunkObject string
-	// idPrefix begins the answer's id.
+	// idPrefix is the prefix of the response's id.
 	idPrefix string
-	// Whole answers: what stands before and after the text in the choice.
-	textOpen  string
-	textClose string
-	// Streams: the same for a chunk, the first chunk's choice, and the choice of
-	// the last one, which carries the finish reason.
-	chunkOpen  string
-	chunkClose string
-	first      string
-	last       string
+	// textPrefix and textSuffix enclose the text in the choice of a complete response.
+	textPrefix string
+	textSuffix string
+	// chunkPrefix and chunkSuffix do so in a chunk of a stream. firstChoice is the choice of
+	// an initial chunk without text, if there is one; lastChoice that of the last chunk, to
+	// which the finish reason is added.
+	chunkPrefix string
+	chunkSuffix string
+	firstChoice string
+	lastChoice  string
 }
 
-var chatShape = &shape{
+var chatFormat = &responseFormat{
 	object:      "chat.completion",
 	chunkObject: "chat.completion.chunk",
 	idPrefix:    "chatcmpl-",
-	textOpen:    `"message":{"role":"assistant","content":`,
-	textClose:   `}`,
-	chunkOpen:   `"delta":{"content":`,
-	chunkClose:  `},"finish_reason":null`,
-	first:       `"delta":{"role":"assistant","content":""},"finish_reason":null`,
-	last:        `"delta":{}`,
+	textPrefix:  `"message":{"role":"assistant","content":`,
+	textSuffix:  `}`,
+	chunkPrefix: `"delta":{"content":`,
+	chunkSuffix: `},"finish_reason":null`,
+	firstChoice: `"delta":{"role":"assistant","content":""},"finish_reason":null`,
+	lastChoice:  `"delta":{}`,
 }
 
-var completionShape = &shape{
+var completionFormat = &responseFormat{
 	object:      "text_completion",
 	chunkObject: "text_completion",
 	idPrefix:    "cmpl-",
-	textOpen:    `"text":`,
-	chunkOpen:   `"text":`,
-	chunkClose:  `,"finish_reason":null`,
-	last:        `"text":""`,
+	textPrefix:  `"text":`,
+	chunkPrefix: `"text":`,
+	chunkSuffix: `,"finish_reason":null`,
+	lastChoice:  `"text":""`,
 }
 
-// answer writes the answer of a call to a model: as a stream, or at its end. It
-// is a forwarder.Sink.
-type answer struct {
+// modelResponse writes the response to a model call, as a stream or as a whole. It is a
+// forwarder.Sink.
+type modelResponse struct {
 	*httpCall
-	shape   *shape
+	format  *responseFormat
 	request *modelRequest
 	// promptTokens is an estimate.
 	promptTokens int
-	// head is the answer's object up to its choices, in JSON; eventHead the same
-	// of a stream's chunk, up to the text.
-	head      []byte
-	eventHead []byte
-	// text is the text so far of an answer that is not answered.
+	// objectPrefix is the JSON of the response object up to its choices, eventPrefix that of
+	// a stream event up to the text.
+	objectPrefix []byte
+	eventPrefix  []byte
+	// text collects the text of a response that is not streamed.
 	text []byte
-	// buffer is what was written to a stream since the last flush.
+	// buffer holds the stream events written since the last flush.
 	buffer []byte
-	// deadline is when the caller must have taken what was written.
-	deadline time.Time
+	// writeDeadline is the connection's current write deadline.
+	writeDeadline time.Time
 }
 
-func newAnswer(c *httpCall, shape *shape, request *modelRequest, promptTokens int) *answer {
-	a := &answer{httpCall: c, shape: shape, request: request, promptTokens: promptTokens}
-	object := shape.object
+func newModelResponse(c *httpCall, format *responseFormat, request *modelRequest, promptTokens int) *modelResponse {
+	m := &modelResponse{httpCall: c, format: format, request: request, promptTokens: promptTokens}
+	object := format.object
 	if request.Stream {
-		object = shape.chunkObject
+		object = format.chunkObject
 	}
-	a.head = append(a.head, `{"id":"`...)
-	a.head = append(a.head, shape.idPrefix...)
-	a.head = append(a.head, c.id...)
-	a.head = append(a.head, `","object":"`...)
-	a.head = append(a.head, object...)
-	a.head = append(a.head, `","created":`...)
-	a.head = strconv.AppendInt(a.head, c.received.Unix(), 10)
-	a.head = append(a.head, `,"model":`...)
-	a.head = appendString(a.head, request.Model)
-	a.head = append(a.head, `,"choices":[`...)
-	a.eventHead = append(a.eventHead, eventStart...)
-	a.eventHead = append(a.eventHead, a.head...)
-	a.eventHead = append(a.eventHead, choiceStart...)
-	a.eventHead = append(a.eventHead, shape.chunkOpen...)
-	return a
+	m.objectPrefix = append(m.objectPrefix, `{"id":"`...)
+	m.objectPrefix = append(m.objectPrefix, format.idPrefix...)
+	m.objectPrefix = append(m.objectPrefix, c.id...)
+	m.objectPrefix = append(m.objectPrefix, `","object":"`...)
+	m.objectPrefix = append(m.objectPrefix, object...)
+	m.objectPrefix = append(m.objectPrefix, `","created":`...)
+	m.objectPrefix = strconv.AppendInt(m.objectPrefix, c.received.Unix(), 10)
+	m.objectPrefix = append(m.objectPrefix, `,"model":`...)
+	m.objectPrefix = appendString(m.objectPrefix, request.Model)
+	m.objectPrefix = append(m.objectPrefix, `,"choices":[`...)
+	m.eventPrefix = append(m.eventPrefix, eventStart...)
+	m.eventPrefix = append(m.eventPrefix, m.objectPrefix...)
+	m.eventPrefix = append(m.eventPrefix, choiceStart...)
+	m.eventPrefix = append(m.eventPrefix, format.chunkPrefix...)
+	return m
 }
 
 const (
@@ -104,182 +105,182 @@
 	errorStart  = "event: error\ndata: "
 )
 
-// Write takes a part of the answer.
-func (a *answer) Write(part forwarder.Part) error {
-	if !a.request.Stream {
-		a.text = append(a.text, part.Text...)
+// Write adds a part of the response.
+func (m *modelResponse) Write(part forwarder.Part) error {
+	if !m.request.Stream {
+		m.text = append(m.text, part.Text...)
 		return nil
 	}
-	if !a.answered {
-		a.start()
+	if !m.headerSent {
+		m.startStream()
 	}
-	a.buffer = append(a.buffer, a.eventHead...)
-	a.buffer = appendString(a.buffer, part.Text)
-	a.buffer = append(a.buffer, a.shape.chunkClose...)
-	a.buffer = append(a.buffer, choicesEnd+eventEnd...)
+	m.buffer = append(m.buffer, m.eventPrefix...)
+	m.buffer = appendString(m.buffer, part.Text)
+	m.buffer = append(m.buffer, m.format.chunkSuffix...)
+	m.buffer = append(m.buffer, choicesEnd+eventEnd...)
 	return nil
 }
 
-// Flush sends the events that were written.
-func (a *answer) Flush() error {
-	if len(a.buffer) == 0 {
+// Flush sends the buffered events.
+func (m *modelResponse) Flush() error {
+	if len(m.buffer) == 0 {
 		return nil
 	}
-	a.extendDeadline()
-	_, err := a.w.Write(a.buffer)
-	a.buffer = a.buffer[:0]
+	m.extendWriteDeadline()
+	_, err := m.w.Write(m.buffer)
+	m.buffer = m.buffer[:0]
 	if err != nil {
 		return err
 	}
-	return a.control.Flush()
+	return m.control.Flush()
 }
 
-// Idle sends a comment, so that a caller and all between see that the
-// connection lives, and a dead one fails.
-func (a *answer) Idle() error {
-	if !a.answered {
+// Idle sends an SSE comment as a keep-alive, so that proxies and clients keep the connection
+// open and writing to a dead one fails.
+func (m *modelResponse) Idle() error {
+	if !m.headerSent {
 		return nil
 	}
-	a.buffer = append(a.buffer, streamPing...)
-	return a.Flush()
+	m.buffer = append(m.buffer, streamPing...)
+	return m.Flush()
 }
 
-// extendDeadline gives the caller WriteTime from now on, in steps, so that not
-// each token sets a timer.
-func (a *answer) extendDeadline() {
-	limit := a.options.Limits.WriteTime
+// extendWriteDeadline sets the write deadline to WriteTimeout from now, at most once a quarter
+// of WriteTimeout, so that not every flush sets a timer.
+func (m *modelResponse) extendWriteDeadline() {
+	limit := m.options.Limits.WriteTimeout
 	now := time.Now()
-	if a.deadline.Sub(now) > limit*3/4 {
+	if m.writeDeadline.Sub(now) > limit*3/4 {
 		return
 	}
-	a.deadline = now.Add(limit)
-	_ = a.control.SetWriteDeadline(a.deadline)
+	m.writeDeadline = now.Add(limit)
+	_ = m.control.SetWriteDeadline(m.writeDeadline)
 }
 
-// start sends the header of a stream. The outcome is known only at the end, so it
-// comes as a trailer.
-func (a *answer) start() {
-	h := a.w.Header()
-	h.Set(headerType, "text/event-stream")
+// startStream sends the header of a stream. The outcome is only known at the end and follows as
+// a trailer.
+func (m *modelResponse) startStream() {
+	h := m.w.Header()
+	h.Set(headerContentType, "text/event-stream")
 	h.Set("Cache-Control", "no-store")
 	h.Set("Trailer", HeaderOutcome+", "+HeaderErrorKind)
-	if a.closing() {
+	if m.closing() {
 		h.Set("Connection", "close")
 	}
-	a.w.WriteHeader(http.StatusOK)
-	a.answered = true
-	if a.shape.first != "" {
-		a.event(a.shape.first)
+	m.w.WriteHeader(http.StatusOK)
+	m.headerSent = true
+	if m.format.firstChoice != "" {
+		m.appendChoice(m.format.firstChoice)
 	}
 }
 
-// event writes an event with one choice.
-func (a *answer) event(choice string) {
-	a.buffer = append(a.buffer, eventStart...)
-	a.buffer = append(a.buffer, a.head...)
-	a.buffer = append(a.buffer, choiceStart...)
-	a.buffer = append(a.buffer, choice...)
-	a.buffer = append(a.buffer, choicesEnd+eventEnd...)
+// appendChoice appends an event with one choice to the buffer.
+func (m *modelResponse) appendChoice(choice string) {
+	m.buffer = append(m.buffer, eventStart...)
+	m.buffer = append(m.buffer, m.objectPrefix...)
+	m.buffer = append(m.buffer, choiceStart...)
+	m.buffer = append(m.buffer, choice...)
+	m.buffer = append(m.buffer, choicesEnd+eventEnd...)
 }
 
-// end ends the answer, whole or not. It returns the call's error.
-func (a *answer) end(summary forwarder.Summary, err error) error {
-	if !a.request.Stream {
+// endResponse completes the response or ends it with an error. It returns the call's error.
+func (m *modelResponse) endResponse(summary forwarder.Summary, err error) error {
+	if !m.request.Stream {
 		if err == nil {
-			a.writeWhole(summary)
+			m.writeFull(summary)
 		}
 		return err
 	}
-	if err != nil && !a.answered {
+	if err != nil && !m.headerSent {
 		return err
 	}
-	if !a.answered {
-		a.start()
+	if !m.headerSent {
+		m.startStream()
 	}
 	if err != nil {
-		a.endBroken(err)
+		m.endWithError(err)
 		return err
 	}
-	a.event(a.shape.last + `,"finish_reason":` + finishReason(summary))
-	if a.request.IncludeUsage {
-		a.buffer = append(a.buffer, eventStart...)
-		a.buffer = append(a.buffer, a.head...)
-		a.buffer = append(a.buffer, `],"usage":`...)
-		a.buffer = a.appendUsage(a.buffer, summary)
-		a.buffer = append(a.buffer, "}"+eventEnd...)
+	m.appendChoice(m.format.lastChoice + `,"finish_reason":` + finishReason(summary))
+	if m.request.IncludeUsage {
+		m.buffer = append(m.buffer, eventStart...)
+		m.buffer = append(m.buffer, m.objectPrefix...)
+		m.buffer = append(m.buffer, `],"usage":`...)
+		m.buffer = m.appendUsage(m.buffer, summary)
+		m.buffer = append(m.buffer, "}"+eventEnd...)
 	}
-	a.buffer = append(a.buffer, streamEnd...)
-	// What can't be sent now is lost with the caller's connection; the end
-	// marker is then missing at the caller.
-	_ = a.Flush()
-	a.w.Header().Set(HeaderOutcome, string(garnetworks.OutcomeCompleted))
+	m.buffer = append(m.buffer, streamEnd...)
+	// A failed write means that the connection is lost; the caller then misses the end
+	// marker.
+	_ = m.Flush()
+	m.w.Header().Set(HeaderOutcome, string(garnetworks.OutcomeCompleted))
 	return nil
 }
 
-// endBroken tells the caller that the answer is not whole (rule H2).
-func (a *answer) endBroken(err error) {
-	problem := NewProblem(a.id, err)
+// endWithError ends a stream with an error event, since the response is incomplete (rule H2).
+func (m *modelResponse) endWithError(err error) {
+	problem := NewProblem(m.id, err)
 	body, _ := json.Marshal(problem)
-	a.buffer = append(a.buffer, errorStart...)
-	a.buffer = append(a.buffer, body...)
-	a.buffer = append(a.buffer, eventEnd...)
-	_ = a.Flush()
-	h := a.w.Header()
+	m.buffer = append(m.buffer, errorStart...)
+	m.buffer = append(m.buffer, body...)
+	m.buffer = append(m.buffer, eventEnd...)
+	_ = m.Flush()
+	h := m.w.Header()
 	h.Set(HeaderOutcome, string(problem.Outcome))
 	h.Set(HeaderErrorKind, string(problem.Kind))
 }
 
-// writeWhole answers a request without a stream.
-func (a *answer) writeWhole(summary forwarder.Summary) {
-	body := append([]byte(nil), a.head...)
+// writeFull sends the complete response to a request without streaming.
+func (m *modelResponse) writeFull(summary forwarder.Summary) {
+	body := append([]byte(nil), m.objectPrefix...)
 	body = append(body, choiceStart...)
-	body = append(body, a.shape.textOpen...)
-	body = appendString(body, a.text)
-	body = append(body, a.shape.textClose...)
+	body = append(body, m.format.textPrefix...)
+	body = appendString(body, m.text)
+	body = append(body, m.format.textSuffix...)
 	body = append(body, `,"finish_reason":`...)
 	body = append(body, finishReason(summary)...)
 	body = append(body, `}],"usage":`...)
-	body = a.appendUsage(body, summary)
+	body = m.appendUsage(body, summary)
 	body = append(body, '}')
-	h := a.w.Header()
-	h.Set(headerType, "application/json")
+	h := m.w.Header()
+	h.Set(headerContentType, "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	h.Set(HeaderOutcome, string(garnetworks.OutcomeCompleted))
-	a.allowWrite()
-	a.answered = true
-	_, _ = a.w.Write(body)
+	m.setWriteDeadline()
+	m.headerSent = true
+	_, _ = m.w.Write(body)
 }
 
 func finishReason(summary forwarder.Summary) string {
 	return string(appendString(nil, summary.FinishReason))
 }
 
-func (a *answer) appendUsage(into []byte, summary forwarder.Summary) []byte {
-	into = append(into, `{"prompt_tokens":`...)
-	into = strconv.AppendInt(into, int64(a.promptTokens), 10)
-	into = append(into, `,"completion_tokens":`...)
-	into = strconv.AppendInt(into, int64(summary.Tokens), 10)
-	into = append(into, `,"total_tokens":`...)
-	into = strconv.AppendInt(into, int64(a.promptTokens+summary.Tokens), 10)
-	return append(into, '}')
+func (m *modelResponse) appendUsage(dst []byte, summary forwarder.Summary) []byte {
+	dst = append(dst, `{"prompt_tokens":`...)
+	dst = strconv.AppendInt(dst, int64(m.promptTokens), 10)
+	dst = append(dst, `,"completion_tokens":`...)
+	dst = strconv.AppendInt(dst, int64(summary.Tokens), 10)
+	dst = append(dst, `,"total_tokens":`...)
+	dst = strconv.AppendInt(dst, int64(m.promptTokens+summary.Tokens), 10)
+	return append(dst, '}')
 }
 
 const hexDigits = "0123456789abcdef"
 
-// appendString appends text as a JSON string. It allocates nothing, which
-// encoding/json does for each token.
-func appendString[T string | []byte](into []byte, text T) []byte {
-	into = append(into, '"')
-	begin := 0
+// appendString appends text as a JSON string, with invalid UTF-8 replaced. Unlike encoding/json
+// it does not allocate for each token.
+func appendString[T string | []byte](dst []byte, text T) []byte {
+	dst = append(dst, '"')
+	start := 0
 	for i := 0; i < len(text); {
 		b := text[i]
 		if b >= utf8.RuneSelf {
 			size := runeSize(text, i)
 			if size == 0 {
-				into = append(into, text[begin:i]...)
-				into = append(into, `\ufffd`...)
+				dst = append(dst, text[start:i]...)
+				dst = append(dst, `\ufffd`...)
 				i++
-				begin = i
+				start = i
 				continue
 			}
 			i += size
@@ -289,16 +290,16 @@
 			i++
 			continue
 		}
-		into = append(into, text[begin:i]...)
-		into = appendEscape(into, b)
+		dst = append(dst, text[start:i]...)
+		dst = appendEscape(dst, b)
 		i++
-		begin = i
+		start = i
 	}
-	into = append(into, text[begin:]...)
-	return append(into, '"')
+	dst = append(dst, text[start:]...)
+	return append(dst, '"')
 }
 
-// runeSize returns the length of the rune at i, or 0 if it is not valid.
+// runeSize returns the length in bytes of the rune at i, or 0 if it is invalid.
 func runeSize[T string | []byte](text T, i int) int {
 	end := min(i+utf8.UTFMax, len(text))
 	r, size := utf8.DecodeRuneInString(string(text[i:end]))
@@ -308,22 +309,22 @@
 	return size
 }
 
-func appendEscape(into []byte, b byte) []byte {
+func appendEscape(dst []byte, b byte) []byte {
 	switch b {
 	case '"', '\\':
-		return append(into, '\\', b)
+		return append(dst, '\\', b)
 	case '\n':
-		return append(into, `\n`...)
+		return append(dst, `\n`...)
 	case '\r':
-		return append(into, `\r`...)
+		return append(dst, `\r`...)
 	case '\t':
-		return append(into, `\t`...)
+		return append(dst, `\t`...)
 	}
-	into = append(into, `\u00`...)
-	return append(into, hexDigits[b>>4], hexDigits[b&0xf])
+	dst = append(dst, `\u00`...)
+	return append(dst, hexDigits[b>>4], hexDigits[b&0xf])
 }
 
-// modelList is the answer of GET /v1/models.
+// modelList is the response to GET /v1/models.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelItem `json:"data"`
@@ -355,10 +356,10 @@
 	if err != nil {
 		return garnetworks.WrapError(garnetworks.KindInternal, err, "the list can't be written")
 	}
-	c.w.Header().Set(headerType, "application/json")
+	c.w.Header().Set(headerContentType, "application/json")
 	c.w.Header().Set(HeaderOutcome, string(garnetworks.OutcomeCompleted))
-	c.allowWrite()
-	c.answered = true
+	c.setWriteDeadline()
+	c.headerSent = true
 	_, _ = c.w.Write(body)
 	return nil
 }
--- a/server/bench_test.go
+++ b/server/bench_test.go
@@ -20,12 +20,11 @@
 
 const benchTokens = 1000
 
-// benchEngine brings tokens without a cost of its own. With a pace, a token comes
-// only after the one before it was flushed to the caller, so that no two of them
-// share a flush.
+// benchEngine generates tokens at negligible cost. If flushed is set, each token waits until
+// the previous one was flushed to the caller, so that each has a flush of its own.
 type benchEngine struct {
 	*node
-	pace chan struct{}
+	flushed chan struct{}
 }
 
 func (e *benchEngine) Generate(ctx context.Context, _ string, call *garnetworks.EngineCall) (garnetworks.EngineStream, error) {
@@ -40,8 +39,8 @@
 }
 
 func (s *benchStream) Next(c *garnetworks.Chunk) error {
-	if s.engine.pace != nil && s.index > 0 {
-		<-s.engine.pace
+	if s.engine.flushed != nil && s.index > 0 {
+		<-s.engine.flushed
 	}
 	*c = garnetworks.Chunk{Attempt: s.attempt, Index: s.index, Text: " pump\n", Tokens: 1}
 	s.index++
@@ -54,67 +53,68 @@
 
 func (s *benchStream) Close() error { return nil }
 
-// discard is a caller that takes everything at once.
-type discard struct {
-	header http.Header
-	pace   chan struct{}
-	bytes  int
+// discardWriter is a response writer that discards what is written.
+type discardWriter struct {
+	header  http.Header
+	flushed chan struct{}
+	bytes   int
 }
 
-func (d *discard) Header() http.Header                { return d.header }
-func (d *discard) WriteHeader(int)                    {}
-func (d *discard) SetWriteDeadline(_ time.Time) error { return nil }
-func (d *discard) SetReadDeadline(_ time.Time) error  { return nil }
-func (d *discard) Write(b []byte) (int, error)        { d.bytes += len(b); return len(b), nil }
-func (d *discard) Flush() {
-	if d.pace != nil {
+func (d *discardWriter) Header() http.Header                { return d.header }
+func (d *discardWriter) WriteHeader(int)                    {}
+func (d *discardWriter) SetWriteDeadline(_ time.Time) error { return nil }
+func (d *discardWriter) SetReadDeadline(_ time.Time) error  { return nil }
+func (d *discardWriter) Write(b []byte) (int, error)        { d.bytes += len(b); return len(b), nil }
+
+func (d *discardWriter) Flush() {
+	if d.flushed != nil {
 		select {
-		case d.pace <- struct{}{}:
+		case d.flushed <- struct{}{}:
 		default:
 		}
 	}
 }
 
-func benchServer(pace chan struct{}) *server.Server {
-	n := newWorld().newNode()
-	return serverFor(&benchEngine{node: n, pace: pace}, n)
+func benchServer(flushed chan struct{}) *server.Server {
+	n := newEnvironment().newNode()
+	return serverFor(&benchEngine{node: n, flushed: flushed}, n)
 }
 
-// toAddress is a chooser with one group at a real address.
-type toAddress struct {
+// fixedAddress is a GroupChooser with one group, at the given address.
+type fixedAddress struct {
 	*node
 	address string
 }
 
-func (a toAddress) Choose(time.Time, *garnetworks.CallRequest, []garnetworks.GroupID) (garnetworks.GroupView, error) {
+func (a fixedAddress) Choose(time.Time, *garnetworks.CallRequest, []garnetworks.GroupID) (garnetworks.GroupView, error) {
 	return garnetworks.GroupView{ID: "g1", Address: a.address}, nil
 }
 
-// events1000 are the events of an answer with a place for the attempt.
-var events1000 = func() []byte {
-	var answer []byte
+// eventTemplate holds the events of an engine's response, with "@" for the attempt.
+var eventTemplate = func() []byte {
+	var events []byte
 	for i := range benchTokens {
 		end, reason := "", ""
 		if i == benchTokens-1 {
 			end, reason = "event: end\n", `,"finish-reason":"length"`
 		}
-		answer = fmt.Appendf(answer, "id: @\n%sdata: {\"index\":%d,\"tokens\":1,\"text\":\" pump\\n\"%s}\n\n", end, i, reason)
+		events = fmt.Appendf(events, "id: @\n%sdata: {\"index\":%d,\"tokens\":1,\"text\":\" pump\\n\"%s}\n\n", end, i, reason)
 	}
-	return answer
+	return events
 }()
 
-// writeEvents answers as an engine does, as fast as the connection takes it.
+// writeEvents is the handler of an engine that sends its response at once.
 func writeEvents(w http.ResponseWriter, r *http.Request) {
 	attempt := r.Header.Get(connector.HeaderAttempt)
 	w.Header().Set(connector.HeaderAttempt, attempt)
-	_, _ = w.Write(bytes.ReplaceAll(events1000, []byte("@"), []byte(attempt)))
+	_, _ = w.Write(bytes.ReplaceAll(eventTemplate, []byte("@"), []byte(attempt)))
 }
 
 func serverFor(engines garnetworks.EngineCaller, groups garnetworks.GroupChooser) *server.Server {
-	calls := forwarder.New(forwarder.Options{Engines: engines, Groups: groups, Manifest: newManifests()})
+	calls := forwarder.New(forwarder.Options{Engines: engines, Groups: groups, Manifest: newManifestSource()})
 	s := server.New(server.Options{
-		Calls: calls, Manifest: newManifests(),
-		NewKeyIndex: func(*garnetworks.Manifest) server.KeyIndex { return keys{} },
+		Calls: calls, Manifest: newManifestSource(),
+		NewKeyIndex: func(*garnetworks.Manifest) server.KeyIndex { return fakeKeyIndex{} },
 	})
 	s.SetReady(true)
 	return s
@@ -128,8 +128,8 @@
 	return request
 }
 
-// measure runs one call of benchTokens for each b.N and reports cost by token.
-func measure(b *testing.B, run func()) {
+// measurePerToken runs b.N calls of benchTokens tokens and reports the cost per token.
+func measurePerToken(b *testing.B, run func()) {
 	var before, after runtime.MemStats
 	var cpuBefore, cpuAfter syscall.Rusage
 	run()
@@ -148,28 +148,28 @@
 	b.ReportMetric(float64(after.Mallocs-before.Mallocs)/tokens, "allocs/token")
 }
 
-// BenchmarkToken measures what the gateway spends on a streamed token, from the
-// engine's adapter to the response writer.
+// BenchmarkToken measures the server's cost of a streamed token, from the engine's stream to
+// the response writer.
 func BenchmarkToken(b *testing.B) {
-	memory := map[string]chan struct{}{"as-fast-as-possible": nil, "one-token-per-flush": make(chan struct{}, 1)}
-	for name, pace := range memory {
+	variants := map[string]chan struct{}{"as-fast-as-possible": nil, "one-token-per-flush": make(chan struct{}, 1)}
+	for name, flushed := range variants {
 		b.Run(name, func(b *testing.B) {
-			handler := benchServer(pace).Handler()
-			measure(b, func() {
-				w := &discard{header: http.Header{}, pace: pace}
+			handler := benchServer(flushed).Handler()
+			measurePerToken(b, func() {
+				w := &discardWriter{header: http.Header{}, flushed: flushed}
 				handler.ServeHTTP(w, benchRequest("/v1/completions"))
 			})
 		})
 	}
-	// The caller and the kernel's loopback are in the figures below, and in the
-	// second one the engine's adapter and an engine that writes prepared events.
+	// The results below include the client and the loopback interface, the second one also the
+	// connector and an engine that sends prepared events.
 	b.Run("over-loopback", func(b *testing.B) { overLoopback(b, benchServer(nil)) })
 	b.Run("over-loopback-with-adapter", func(b *testing.B) {
 		engine := httptest.NewServer(http.HandlerFunc(writeEvents))
 		defer engine.Close()
 		caller := connector.NewEngineCaller(connector.Options{})
 		defer caller.Close()
-		groups := toAddress{newWorld().newNode(), engine.Listener.Addr().String()}
+		groups := fixedAddress{newEnvironment().newNode(), engine.Listener.Addr().String()}
 		overLoopback(b, serverFor(caller, groups))
 	})
 }
@@ -178,7 +178,7 @@
 	listener := httptest.NewServer(s.Handler())
 	defer listener.Close()
 	var body bytes.Buffer
-	measure(b, func() {
+	measurePerToken(b, func() {
 		response, err := listener.Client().Do(benchRequest(listener.URL + "/v1/completions"))
 		if err != nil {
 			b.Fatal(err)
@@ -187,7 +187,7 @@
 		_, _ = body.ReadFrom(response.Body)
 		response.Body.Close()
 		if !bytes.HasSuffix(body.Bytes(), []byte("data: [DONE]\n\n")) {
-			b.Fatalf("%d bytes, not whole", body.Len())
+			b.Fatalf("incomplete response of %d bytes", body.Len())
 		}
 	})
 }
--- a/server/faults_test.go
+++ b/server/faults_test.go
@@ -11,33 +11,31 @@
 	"github.com/garnetworks/garnetworks/server"
 )
 
-// A tech waits for a brief whose first attempt meets one fault, at its start or
-// after four of twelve tokens. Each one must end whole all the same, and within
-// the bound: a dead connection costs BetweenTokens, an engine that is alive and
-// stuck SlowBetweenTokens, a time without any group that time.
+// A stream whose first attempt fails must complete within the time that the fault may cost: a
+// dead connection BetweenTokens, a stuck engine SlowBetweenTokens, an outage its duration.
 func TestStreamSurvivesEachFault(t *testing.T) {
-	plain := time.Duration(answerTokens+2*faultAfter) * 40 * time.Millisecond
+	faultFree := time.Duration(responseTokens+2*faultAfter) * 40 * time.Millisecond
 	bounds := map[string]time.Duration{
-		"silent": plain + 1100*time.Millisecond,
-		"stuck":  plain + 5100*time.Millisecond,
-		"slow":   plain + 3*time.Second,
-		"outage": plain + 2100*time.Millisecond,
+		"silent": faultFree + 1100*time.Millisecond,
+		"stuck":  faultFree + 5100*time.Millisecond,
+		"slow":   faultFree + 3*time.Second,
+		"outage": faultFree + 2100*time.Millisecond,
 	}
 	for _, fault := range engineFaultNames {
 		t.Run(fault, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld()
-				w.engineFaults = []string{fault}
-				n := w.newNode()
+				e := newEnvironment()
+				e.engineFaults = []string{fault}
+				n := e.newNode()
 				begin := time.Now()
-				r := n.receive(step{What: "call-stream", Body: "part-a"})
+				r := n.sendCall(step{Action: "call-stream", Body: "part-a"})
 				took := time.Since(begin)
-				t.Logf("whole after %s", took)
+				t.Logf("complete after %s", took)
 				text, done, _ := streamText(r.body)
-				if !done || text != wholeAnswer("part-a") || r.outcome != garnetworks.OutcomeCompleted {
+				if !done || text != fullResponse("part-a") || r.outcome != garnetworks.OutcomeCompleted {
 					t.Errorf("outcome %s, text %q", r.outcome, text)
 				}
-				if bound := max(plain, bounds[fault]); took > bound {
+				if bound := max(faultFree, bounds[fault]); took > bound {
 					t.Errorf("took %s, bound %s", took, bound)
 				}
 			})
@@ -45,17 +43,16 @@
 	}
 }
 
-// An engine that resumes does so from the wrong place: with a text of its own,
-// or with an end marker that belongs before the point of resumption. The second
-// attempt is dropped and the third one completes the answer.
+// An engine resumes at the wrong position, with another text or an early end marker. The second
+// attempt must be discarded, and the third must complete the response.
 func TestStreamSurvivesWrongResumption(t *testing.T) {
-	for _, fault := range []string{"anew", "short", "overlap", "crossed", "error-end"} {
+	for _, fault := range []string{"restart", "short", "overlap", "mismatched", "error-end"} {
 		t.Run(fault, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld()
-				w.engineFaults = []string{"break", fault}
-				r := w.newNode().receive(step{What: "call-stream", Body: "part-a"})
-				if text, done, _ := streamText(r.body); !done || text != wholeAnswer("part-a") {
+				e := newEnvironment()
+				e.engineFaults = []string{"break", fault}
+				r := e.newNode().sendCall(step{Action: "call-stream", Body: "part-a"})
+				if text, done, _ := streamText(r.body); !done || text != fullResponse("part-a") {
 					t.Errorf("done %t, text %q", done, text)
 				}
 			})
@@ -63,38 +60,37 @@
 	}
 }
 
-// A tech's note meets one fault. What the tech is told must be what the failure
-// table says of it: the three columns are a call that may be repeated, one that
-// may not, and one that may not and has a key.
+// Each fault must have the outcome listed for it. The columns are an idempotent call, one that
+// is not, and one that is not but has an idempotency key.
 func TestEachServiceFault(t *testing.T) {
 	const c, u = garnetworks.OutcomeCompleted, garnetworks.OutcomeUnknown
 	tests := map[string][3]garnetworks.Outcome{
-		"none":        {c, c, c},
-		"connect":     {c, c, c},
-		"refused":     {c, c, c},
-		"write":       {c, u, u},
-		"write-ran":   {c, u, u},
-		"wait-ran":    {c, u, u},
-		"headers-ran": {c, u, u},
-		"body-ran":    {c, u, u},
-		"crossed":     {c, u, u},
-		"crossed-ran": {c, u, u},
-		"silent":      {c, u, u},
-		"silent-ran":  {c, u, u},
-		"late-ran":    {c, u, u},
-		"panic-ran":   {c, u, u},
+		"none":           {c, c, c},
+		"connect":        {c, c, c},
+		"refused":        {c, c, c},
+		"write":          {c, u, u},
+		"write-ran":      {c, u, u},
+		"wait-ran":       {c, u, u},
+		"headers-ran":    {c, u, u},
+		"body-ran":       {c, u, u},
+		"mismatched":     {c, u, u},
+		"mismatched-ran": {c, u, u},
+		"silent":         {c, u, u},
+		"silent-ran":     {c, u, u},
+		"late-ran":       {c, u, u},
+		"panic-ran":      {c, u, u},
 	}
 	columns := []step{
-		{What: "call-read", Body: "b"},
-		{What: "call-write", Body: "b"},
-		{What: "call-write", Body: "b", Key: "k"},
+		{Action: "call-read", Body: "b"},
+		{Action: "call-write", Body: "b"},
+		{Action: "call-write", Body: "b", Key: "k"},
 	}
 	for fault, want := range tests {
 		for i, column := range columns {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld()
-				w.serviceFaults = []string{fault}
-				r := w.newNode().receive(column)
+				e := newEnvironment()
+				e.serviceFaults = []string{fault}
+				r := e.newNode().sendCall(column)
 				if r.outcome != want[i] {
 					t.Errorf("%s, column %d: outcome %s, want %s: %s", fault, i, r.outcome, want[i], r.body)
 				}
@@ -103,58 +99,56 @@
 	}
 }
 
-// A tech's telephone loses its connection while a visit is being logged. The
-// tech's program sends the call again through another node, with the same key,
-// and must get the answer of the first one.
+// The caller of a keyed call disconnects and repeats it through another node. The repetition
+// must receive the response of the first call.
 func TestKeyedCallOutlivesItsCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
-		visit := step{What: "call-write", Body: "visit", Key: "k", CancelAfter: 50 * time.Millisecond}
-		first := w.newNode().receive(visit)
+		e := newEnvironment()
+		visit := step{Action: "call-write", Body: "visit", Key: "k", CancelAfter: 50 * time.Millisecond}
+		first := e.newNode().sendCall(visit)
 		time.Sleep(time.Second)
 		visit.CancelAfter = 0
-		second := w.newNode().receive(visit)
+		second := e.newNode().sendCall(visit)
 		if first.outcome != garnetworks.OutcomeUnknown || second.body != "done:visit" || !second.replayed {
 			t.Errorf("first %+v, second %+v", first, second)
 		}
-		if w.executions[first.id] != 1 || w.executions[second.id] != 0 {
-			t.Errorf("executions: %v", w.executions)
+		if e.executions[first.id] != 1 || e.executions[second.id] != 0 {
+			t.Errorf("executions: %v", e.executions)
 		}
 	})
 }
 
-// The platform's store is down for long. Calls that need a claim are refused as
-// not run; those that may be repeated go on.
+// While the claim store is down, calls that need a claim are refused as not run, and
+// idempotent calls are served.
 func TestStoreDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
-		w.claimFaults = []string{"down"}
-		n := w.newNode()
-		keyed := n.receive(step{What: "call-write", Body: "b", Key: "k"})
+		e := newEnvironment()
+		e.claimFaults = []string{"down"}
+		n := e.newNode()
+		keyed := n.sendCall(step{Action: "call-write", Body: "b", Key: "k"})
 		if keyed.outcome != garnetworks.OutcomeNotRun || !strings.Contains(keyed.body, string(garnetworks.KindClaimsUnavailable)) {
 			t.Errorf("keyed: %+v", keyed)
 		}
-		if read := n.receive(step{What: "call-read"}); read.outcome != garnetworks.OutcomeCompleted {
+		if read := n.sendCall(step{Action: "call-read"}); read.outcome != garnetworks.OutcomeCompleted {
 			t.Errorf("read: %+v", read)
 		}
 	})
 }
 
-// A node is stopped for an upgrade while it streams a brief. The brief must
-// finish; what comes afterwards is refused as not run.
+// A draining node must finish its streams and refuse new calls as not run.
 func TestDrainFinishesStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newWorld().newNode()
-		var stream *receipt
-		go func() { stream = n.receive(step{What: "call-stream", Body: "part-a"}) }()
+		n := newEnvironment().newNode()
+		var stream *callResult
+		go func() { stream = n.sendCall(step{Action: "call-stream", Body: "part-a"}) }()
 		time.Sleep(100 * time.Millisecond)
 		drained := make(chan error, 1)
 		go func() { drained <- n.server.Drain(context.Background()) }()
 		synctest.Wait()
 		if n.server.Ready() {
-			t.Error("the node is ready while it stops")
+			t.Error("the node is ready while it drains")
 		}
-		late := n.receive(step{What: "call-write", Body: "b"})
+		late := n.sendCall(step{Action: "call-write", Body: "b"})
 		if late.outcome != garnetworks.OutcomeNotRun || !strings.Contains(late.body, string(garnetworks.KindShuttingDown)) {
 			t.Errorf("late call: %+v", late)
 		}
@@ -163,21 +157,20 @@
 		}
 		synctest.Wait()
 		if _, done, _ := streamText(stream.body); !done {
-			t.Errorf("the stream was cut off: %+v", stream)
+			t.Errorf("the stream was interrupted: %+v", stream)
 		}
 	})
 }
 
-// The grace period of a stopping node ends, or its operator signals a second
-// time, while an engine is stuck. The caller must read that the answer is not
-// whole, and Drain must say that a call was cut off.
-func TestSecondSignalEndsTruthfully(t *testing.T) {
+// The grace period ends while an engine is stuck. The stream must end with an error, and Drain
+// must report the interrupted call.
+func TestSecondSignalEndsStreamsWithError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
-		w.engineFaults = []string{"stuck"}
-		n := w.newNode()
-		var stream *receipt
-		go func() { stream = n.receive(step{What: "call-stream", Body: "part-a"}) }()
+		e := newEnvironment()
+		e.engineFaults = []string{"stuck"}
+		n := e.newNode()
+		var stream *callResult
+		go func() { stream = n.sendCall(step{Action: "call-stream", Body: "part-a"}) }()
 		time.Sleep(time.Second)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
@@ -192,28 +185,27 @@
 	})
 }
 
-// While the balancer has not noticed yet that a stopping node is not ready, the
-// node goes on taking its calls. Before it was ready for the first time it takes
+// A stopping node accepts calls until LameDuck has passed. A node that was never ready accepts
 // none.
 func TestLameDuck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newWorld().newNode()
+		n := newEnvironment().newNode()
 		n.server = server.New(server.Options{
-			Calls: n.calls, Manifest: newManifests(), LameDuck: 2 * time.Second,
-			NewKeyIndex: func(*garnetworks.Manifest) server.KeyIndex { return keys{} },
+			Calls: n.calls, Manifest: newManifestSource(), LameDuck: 2 * time.Second,
+			NewKeyIndex: func(*garnetworks.Manifest) server.KeyIndex { return fakeKeyIndex{} },
 		})
-		if r := n.receive(step{What: "call-read"}); r.outcome != garnetworks.OutcomeNotRun {
+		if r := n.sendCall(step{Action: "call-read"}); r.outcome != garnetworks.OutcomeNotRun {
 			t.Errorf("before the node is ready: %+v", r)
 		}
 		n.server.SetReady(true)
 		n.server.SetReady(false)
 		go func() { _ = n.server.Drain(context.Background()) }()
 		time.Sleep(time.Second)
-		if r := n.receive(step{What: "call-read"}); r.outcome != garnetworks.OutcomeCompleted || n.server.Ready() {
+		if r := n.sendCall(step{Action: "call-read"}); r.outcome != garnetworks.OutcomeCompleted || n.server.Ready() {
 			t.Errorf("ready %t, %+v", n.server.Ready(), r)
 		}
 		time.Sleep(2 * time.Second)
-		if r := n.receive(step{What: "call-read"}); r.outcome != garnetworks.OutcomeNotRun {
+		if r := n.sendCall(step{Action: "call-read"}); r.outcome != garnetworks.OutcomeNotRun {
 			t.Errorf("%+v", r)
 		}
 	})
--- a/server/path_test.go
+++ b/server/path_test.go
@@ -18,14 +18,14 @@
 
 // step is one step of a scenario, at a time after its start.
 type step struct {
-	// What is call-model, call-stream, call-read, call-write, kill or drain.
-	What string
-	At   time.Duration
-	Node int
-	// Key is empty for a call without one.
+	// Action is call-model, call-stream, call-read, call-write, kill or drain.
+	Action string
+	At     time.Duration
+	Node   int
+	// Key is the idempotency key; it may be empty.
 	Key  string
 	Body string
-	// CancelAfter is 0 for callers who stay.
+	// CancelAfter is 0 for calls that are not cancelled.
 	CancelAfter time.Duration
 }
 
@@ -37,19 +37,19 @@
 }
 
 func drawScenario(t *rapid.T) scenario {
-	millis := func(most int) *rapid.Generator[time.Duration] {
+	millis := func(limit int) *rapid.Generator[time.Duration] {
 		return rapid.Custom(func(t *rapid.T) time.Duration {
-			return time.Duration(rapid.IntRange(0, most).Draw(t, "ms")) * time.Millisecond
+			return time.Duration(rapid.IntRange(0, limit).Draw(t, "ms")) * time.Millisecond
 		})
 	}
-	whats := []string{"call-model", "call-stream", "call-stream", "call-read", "call-write", "call-write", "call-write", "call-write", "kill", "drain"}
+	actions := []string{"call-model", "call-stream", "call-stream", "call-read", "call-write", "call-write", "call-write", "call-write", "kill", "drain"}
 	steps := rapid.Custom(func(t *rapid.T) step {
 		s := step{
-			What: rapid.SampledFrom(whats).Draw(t, "what"),
-			At:   millis(4000).Draw(t, "at"),
-			Node: rapid.IntRange(0, nodeCount-1).Draw(t, "node"),
-			Key:  rapid.SampledFrom([]string{"", "k1", "k2"}).Draw(t, "key"),
-			Body: rapid.SampledFrom([]string{"part-a", "part-a", "part-b"}).Draw(t, "body"),
+			Action: rapid.SampledFrom(actions).Draw(t, "what"),
+			At:     millis(4000).Draw(t, "at"),
+			Node:   rapid.IntRange(0, nodeCount-1).Draw(t, "node"),
+			Key:    rapid.SampledFrom([]string{"", "k1", "k2"}).Draw(t, "key"),
+			Body:   rapid.SampledFrom([]string{"part-a", "part-a", "part-b"}).Draw(t, "body"),
 		}
 		if rapid.IntRange(0, 4).Draw(t, "cancels") == 0 {
 			s.CancelAfter = time.Millisecond + millis(1500).Draw(t, "cancel")
@@ -69,8 +69,8 @@
 
 const nodeCount = 3
 
-// receipt is what one caller saw.
-type receipt struct {
+// callResult is the response to one call as its caller saw it.
+type callResult struct {
 	step
 	id       garnetworks.CallID
 	outcome  garnetworks.Outcome
@@ -79,25 +79,24 @@
 	replayed bool
 }
 
-// run plays the scenario and returns what the callers saw, after all that was
-// still to run has run.
-func (s scenario) run(w *world) []*receipt {
-	w.engineFaults = append([]string(nil), s.EngineFaults...)
-	w.serviceFaults = append([]string(nil), s.ServiceFaults...)
-	w.claimFaults = append([]string(nil), s.ClaimFaults...)
+// run executes the scenario and returns the callers' results once all background work is done.
+func (s scenario) run(e *environment) []*callResult {
+	e.engineFaults = append([]string(nil), s.EngineFaults...)
+	e.serviceFaults = append([]string(nil), s.ServiceFaults...)
+	e.claimFaults = append([]string(nil), s.ClaimFaults...)
 	var nodes [nodeCount]*node
 	for i := range nodes {
-		nodes[i] = w.newNode()
+		nodes[i] = e.newNode()
 	}
 	var mu sync.Mutex
-	var receipts []*receipt
+	var results []*callResult
 	var group sync.WaitGroup
 	for i := range s.Steps {
 		st := s.Steps[i]
 		group.Go(func() {
 			time.Sleep(st.At + time.Duration(i)*time.Microsecond)
 			n := nodes[st.Node]
-			switch st.What {
+			switch st.Action {
 			case "kill":
 				if !n.isDead() {
 					close(n.dead)
@@ -107,9 +106,9 @@
 				defer cancel()
 				_ = n.server.Drain(ctx)
 			default:
-				r := n.receive(st)
+				r := n.sendCall(st)
 				mu.Lock()
-				receipts = append(receipts, r)
+				results = append(results, r)
 				mu.Unlock()
 			}
 		})
@@ -122,21 +121,21 @@
 		}
 	}
 	time.Sleep(time.Minute)
-	return receipts
+	return results
 }
 
-// receive sends one call and reads its answer.
-func (n *node) receive(st step) *receipt {
+// sendCall sends one call and reads its response.
+func (n *node) sendCall(st step) *callResult {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if st.CancelAfter > 0 {
 		time.AfterFunc(st.CancelAfter, cancel)
 	}
 	method, path, body := "POST", "/services/ledger/visits", st.Body
-	switch st.What {
+	switch st.Action {
 	case "call-model", "call-stream":
 		path = "/v1/completions"
-		body = fmt.Sprintf(`{"model":"brief:pumps","prompt":%q,"stream":%t}`, st.Body, st.What == "call-stream")
+		body = fmt.Sprintf(`{"model":"brief:pumps","prompt":%q,"stream":%t}`, st.Body, st.Action == "call-stream")
 	case "call-read":
 		method = "GET"
 	}
@@ -147,26 +146,26 @@
 	}
 	recorder := httptest.NewRecorder()
 	n.server.Handler().ServeHTTP(recorder, request)
-	answer := recorder.Result()
-	r := &receipt{
+	response := recorder.Result()
+	r := &callResult{
 		step:     st,
-		id:       garnetworks.CallID(answer.Header.Get(server.HeaderCallID)),
-		outcome:  garnetworks.Outcome(answer.Header.Get(server.HeaderOutcome)),
-		status:   answer.StatusCode,
+		id:       garnetworks.CallID(response.Header.Get(server.HeaderCallID)),
+		outcome:  garnetworks.Outcome(response.Header.Get(server.HeaderOutcome)),
+		status:   response.StatusCode,
 		body:     recorder.Body.String(),
-		replayed: answer.Header.Get(server.HeaderReplayed) != "",
+		replayed: response.Header.Get(server.HeaderReplayed) != "",
 	}
 	if r.outcome == "" {
-		r.outcome = garnetworks.Outcome(answer.Trailer.Get(server.HeaderOutcome))
+		r.outcome = garnetworks.Outcome(response.Trailer.Get(server.HeaderOutcome))
 	}
 	return r
 }
 
-// streamText returns the text of a stream and whether it has its end marker and
-// an error event.
-func streamText(body string) (text string, done, broken bool) {
+// streamText returns the text of a stream and whether it has its end marker and an error
+// event.
+func streamText(body string) (text string, done, hasError bool) {
 	for event := range strings.SplitSeq(body, "\n\n") {
-		broken = broken || strings.HasPrefix(event, "event: error")
+		hasError = hasError || strings.HasPrefix(event, "event: error")
 		data, ok := strings.CutPrefix(event, "data: ")
 		done = done || data == "[DONE]"
 		var chunk struct{ Choices []struct{ Text string } }
@@ -174,21 +173,21 @@
 			text += chunk.Choices[0].Text
 		}
 	}
-	return text, done, broken
+	return text, done, hasError
 }
 
-// judge returns what is wrong with the receipts, or "".
-func (w *world) judge(receipts []*receipt) string {
+// findViolation describes the first result that violates a rule, or returns "".
+func (e *environment) findViolation(results []*callResult) string {
 	byKey := map[string]int{}
-	for _, r := range receipts {
-		ran := w.executions[r.id]
+	for _, r := range results {
+		ran := e.executions[r.id]
 		if r.outcome == garnetworks.OutcomeNotRun && ran > 0 {
-			return fmt.Sprintf("%+v: not run, and it ran %d times", r, ran)
+			return fmt.Sprintf("%+v: reported as not run, but ran %d times", r, ran)
 		}
 		if r.outcome == "" {
 			return fmt.Sprintf("%+v: no outcome", r)
 		}
-		if r.What == "call-write" {
+		if r.Action == "call-write" {
 			if ran > 1 {
 				return fmt.Sprintf("%+v: ran %d times", r, ran)
 			}
@@ -196,8 +195,8 @@
 				byKey[r.Key] += ran
 			}
 		}
-		if wrong := r.judgeAnswer(ran); wrong != "" {
-			return fmt.Sprintf("%+v: %s", r, wrong)
+		if violation := r.findResponseViolation(ran); violation != "" {
+			return fmt.Sprintf("%+v: %s", r, violation)
 		}
 	}
 	for key, ran := range byKey {
@@ -208,69 +207,65 @@
 	return ""
 }
 
-// judgeAnswer checks that the answer is the caller's own, and whole if it says
-// so.
-func (r *receipt) judgeAnswer(ran int) string {
-	whole := wholeAnswer(r.Body)
+// findResponseViolation checks that the response belongs to the call, and is complete if its
+// outcome says so.
+func (r *callResult) findResponseViolation(ran int) string {
+	full := fullResponse(r.Body)
 	completed := r.outcome == garnetworks.OutcomeCompleted
-	switch r.What {
+	switch r.Action {
 	case "call-stream":
-		text, done, broken := streamText(r.body)
-		if done != completed || (done && text != whole) {
-			return "a partial answer looks whole"
+		text, done, hasError := streamText(r.body)
+		if done != completed || (done && text != full) {
+			return "a partial response is marked as complete"
 		}
-		if r.status == 200 && done == broken {
-			return "a stream ends without saying how"
+		if r.status == 200 && done == hasError {
+			return "a stream ends without an end marker or an error event, or with both"
 		}
-		if !strings.HasPrefix(whole, text) {
-			return fmt.Sprintf("tokens are repeated, missing or another's: %q", text)
+		if !strings.HasPrefix(full, text) {
+			return fmt.Sprintf("tokens are repeated, missing or from another response: %q", text)
 		}
 	case "call-model":
-		var answer struct{ Choices []struct{ Text string } }
-		_ = json.Unmarshal([]byte(r.body), &answer)
-		if completed && (len(answer.Choices) != 1 || answer.Choices[0].Text != whole) {
-			return "the answer is not the caller's whole answer"
+		var response struct{ Choices []struct{ Text string } }
+		_ = json.Unmarshal([]byte(r.body), &response)
+		if completed && (len(response.Choices) != 1 || response.Choices[0].Text != full) {
+			return "the response is not the complete response to the call"
 		}
-		if !completed && len(answer.Choices) > 0 {
-			return "an answer that is not whole"
+		if !completed && len(response.Choices) > 0 {
+			return "a call that did not complete has a response text"
 		}
 	default:
 		if completed && r.body != "done:"+r.Body {
-			return "the answer is not the caller's own"
+			return "the response is that of another call"
 		}
 		if completed && ran == 0 && !r.replayed {
-			return "completed without an execution"
+			return "completed, but neither executed nor replayed"
 		}
 	}
 	return ""
 }
 
-// A visit is logged twice, a note that "did not run" is found in the ledger, a
-// brief ends in the middle and looks whole. Callers on three nodes send calls,
-// with equal keys at the same time and after failures; engines and servers
-// refuse, break off, go silent, cross answers and answer late; the store of
-// claims is down or loses answers; nodes are killed and drained; callers leave.
-// The oracle counts executions and compares texts.
+// Random calls, faults, cancellations, kills and drains on three nodes: no write may run twice,
+// no call run that is reported as not run, no partial or wrong response pass for complete.
 func TestCallPath(t *testing.T) {
 	steps, calls := 0, 0
 	outcomes := map[garnetworks.Outcome]int{}
 	rapid.Check(t, func(rt *rapid.T) {
 		s := drawScenario(rt)
-		w := newWorld()
-		wrong := ""
+		e := newEnvironment()
+		violation := ""
 		synctest.Test(t, func(*testing.T) {
-			receipts := s.run(w)
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			wrong = w.judge(receipts)
+			results := s.run(e)
+			e.mu.Lock()
+			defer e.mu.Unlock()
+			violation = e.findViolation(results)
 			steps += len(s.Steps)
-			calls += len(receipts)
-			for _, r := range receipts {
+			calls += len(results)
+			for _, r := range results {
 				outcomes[r.outcome]++
 			}
 		})
-		if wrong != "" {
-			rt.Fatalf("%s", wrong)
+		if violation != "" {
+			rt.Fatalf("%s", violation)
 		}
 	})
 	t.Logf("%d steps, %d calls, outcomes %v", steps, calls, outcomes)
--- a/server/problem.go
+++ b/server/problem.go
@@ -11,18 +11,18 @@
 	"github.com/pkg/errors"
 )
 
-// Headers of answers, and trailers of streams.
+// Headers of responses; some are trailers of streams.
 const (
-	HeaderOutcome    = "Garnet-Outcome"
-	HeaderCallID     = "Garnet-Call-Id"
-	HeaderErrorKind  = "Garnet-Error-Kind"
-	HeaderReplayed   = "Garnet-Replayed"
-	HeaderKey        = "Idempotency-Key"
-	headerRetryAfter = "Retry-After"
-	headerType       = "Content-Type"
+	HeaderOutcome     = "Garnet-Outcome"
+	HeaderCallID      = "Garnet-Call-Id"
+	HeaderErrorKind   = "Garnet-Error-Kind"
+	HeaderReplayed    = "Garnet-Replayed"
+	HeaderKey         = "Idempotency-Key"
+	headerRetryAfter  = "Retry-After"
+	headerContentType = "Content-Type"
 )
 
-// ProblemType begins the type of problem documents; the kind follows.
+// ProblemType is the prefix of the type of problem documents; the error's kind follows.
 const ProblemType = "urn:garnetworks:problem:"
 
 // Problem is a problem document (RFC 9457).
@@ -31,38 +31,37 @@
 	Title  string `json:"title"`
 	Status int    `json:"status"`
 	Detail string `json:"detail,omitempty"`
-	// Instance names the call.
+	// Instance identifies the call.
 	Instance string              `json:"instance,omitempty"`
 	Kind     garnetworks.Kind    `json:"kind"`
 	Outcome  garnetworks.Outcome `json:"outcome"`
 	// Retry says whether the same call may be sent again.
 	Retry bool `json:"retry"`
-	// RetryAfter is in seconds; 0 means that no time is named.
+	// RetryAfter is in seconds; 0 means unspecified.
 	RetryAfter int `json:"retry-after,omitempty"`
-	// Error repeats title and kind in the form that OpenAI clients read.
+	// Error repeats the title, detail and kind in the format of OpenAI clients.
 	Error ProblemError `json:"error"`
 }
 
-// ProblemError is the error member that OpenAI clients read.
+// ProblemError is the error object that OpenAI clients parse.
 type ProblemError struct {
 	Message string           `json:"message"`
 	Type    garnetworks.Kind `json:"type"`
 	Code    garnetworks.Kind `json:"code"`
 }
 
-// NewProblem returns the problem document of an error. The cause of an error is
-// not shown to callers.
+// NewProblem returns the problem document for an error. It does not contain the error's cause.
 func NewProblem(call garnetworks.CallID, err error) Problem {
-	answer := garnetworks.ErrorResponseFor(garnetworks.KindOf(err))
+	response := garnetworks.ErrorResponseFor(garnetworks.KindOf(err))
 	p := Problem{
-		Type:    ProblemType + string(answer.Kind),
-		Title:   answer.Title,
-		Status:  answer.Status,
-		Kind:    answer.Kind,
-		Outcome: answer.Outcome,
-		Retry:   answer.Retry,
+		Type:    ProblemType + string(response.Kind),
+		Title:   response.Title,
+		Status:  response.Status,
+		Kind:    response.Kind,
+		Outcome: response.Outcome,
+		Retry:   response.Retry,
 	}
-	retryAfter := answer.RetryAfter
+	retryAfter := response.RetryAfter
 	var e *garnetworks.Error
 	if errors.As(err, &e) {
 		p.Detail = e.Detail
@@ -73,7 +72,7 @@
 	if call != "" {
 		p.Instance = "urn:garnetworks:call:" + string(call)
 	}
-	p.RetryAfter = wholeSeconds(retryAfter)
+	p.RetryAfter = ceilSeconds(retryAfter)
 	p.Error = ProblemError{Message: p.Title, Type: p.Kind, Code: p.Kind}
 	if p.Detail != "" {
 		p.Error.Message += ": " + p.Detail
@@ -81,15 +80,15 @@
 	return p
 }
 
-// wholeSeconds rounds up, so that nobody comes back too early.
-func wholeSeconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
+// ceilSeconds rounds up to whole seconds, so that no caller retries too early.
+func ceilSeconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
 
-// writeProblem answers with the error's problem document (rule H1).
+// writeProblem writes the problem document for err as the response (rule H1).
 func writeProblem(w http.ResponseWriter, call garnetworks.CallID, err error) {
 	p := NewProblem(call, err)
 	body, _ := json.Marshal(p)
 	h := w.Header()
-	h.Set(headerType, "application/problem+json")
+	h.Set(headerContentType, "application/problem+json")
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	h.Set(HeaderOutcome, string(p.Outcome))
 	h.Set(HeaderErrorKind, string(p.Kind))
@@ -103,7 +102,7 @@
 	_, _ = w.Write(body)
 }
 
-// refuse answers a request that became no call.
+// refuse writes an error for a request that matches no route.
 func (s *Server) refuse(w http.ResponseWriter, err error) {
 	if s.closing() {
 		w.Header().Set("Connection", "close")
--- a/server/request.go
+++ b/server/request.go
@@ -9,13 +9,12 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// modelRequest is a parsed request to a model, before it is checked against the
-// workspace.
+// modelRequest is a parsed model request, not yet checked against the workspace.
 type modelRequest struct {
 	// Model is "name" or "name:adapter".
 	Model  string
 	Prompt string
-	// MaxTokens is 0 if the request names none.
+	// MaxTokens is 0 if the request does not set it.
 	MaxTokens    int
 	Temperature  float64
 	Stop         []string
@@ -23,17 +22,17 @@
 	IncludeUsage bool
 }
 
-// Bounds of a request's fields.
+// Limits of a request's fields.
 const (
 	maxStops       = 4
 	maxStopBytes   = 256
 	maxTemperature = 2
-	// defaultTemperature is what OpenAI clients expect where they name none.
+	// defaultTemperature is the default of the OpenAI API.
 	defaultTemperature = 1
 )
 
-// commonFields are the fields of both kinds of request. Those that are kept raw
-// are refused unless they ask for what the system does anyway (rule H5).
+// commonFields are the fields of both chat and completion requests. N to Seed are not
+// supported: any value other than the default is refused (rule H5).
 type commonFields struct {
 	Model         string          `json:"model"`
 	MaxTokens     *int            `json:"max_tokens"`
@@ -50,7 +49,7 @@
 	Logprobs         json.RawMessage `json:"logprobs"`
 	Seed             json.RawMessage `json:"seed"`
 
-	// User and Metadata don't bear on the answer.
+	// User and Metadata don't affect the response and are ignored.
 	User     json.RawMessage `json:"user"`
 	Metadata json.RawMessage `json:"metadata"`
 }
@@ -72,7 +71,7 @@
 type chatMessage struct {
 	Role    string          `json:"role"`
 	Content json.RawMessage `json:"content"`
-	// Name is a participant's name, which becomes part of the prompt.
+	// Name is the participant's name, which becomes part of the prompt.
 	Name string `json:"name"`
 }
 
@@ -89,11 +88,11 @@
 	Suffix json.RawMessage `json:"suffix"`
 }
 
-// field names a raw field and the values that change nothing.
-type field struct {
+// unsupportedField is a field of a request with the values that have no effect.
+type unsupportedField struct {
 	name    string
 	value   json.RawMessage
-	neutral []string
+	allowed []string
 }
 
 // parseChat parses a chat completion request.
@@ -102,11 +101,11 @@
 	if err := decode(body, &fields); err != nil {
 		return nil, err
 	}
-	err := neutral(
-		field{"tools", fields.Tools, []string{"[]"}},
-		field{"tool_choice", fields.ToolChoice, []string{`"none"`, `"auto"`}},
-		field{"response_format", fields.ResponseFormat, []string{`{"type":"text"}`}},
-		field{"top_logprobs", fields.TopLogprobs, []string{"0"}},
+	err := checkUnsupported(
+		unsupportedField{"tools", fields.Tools, []string{"[]"}},
+		unsupportedField{"tool_choice", fields.ToolChoice, []string{`"none"`, `"auto"`}},
+		unsupportedField{"response_format", fields.ResponseFormat, []string{`{"type":"text"}`}},
+		unsupportedField{"top_logprobs", fields.TopLogprobs, []string{"0"}},
 	)
 	if err != nil {
 		return nil, err
@@ -117,11 +116,11 @@
 	if fields.MaxCompletionTokens != nil {
 		fields.MaxTokens = fields.MaxCompletionTokens
 	}
-	request, err := fields.request()
+	request, err := fields.toModelRequest()
 	if err != nil {
 		return nil, err
 	}
-	request.Prompt, err = joinMessages(fields.Messages)
+	request.Prompt, err = buildPrompt(fields.Messages)
 	return request, err
 }
 
@@ -131,15 +130,15 @@
 	if err := decode(body, &fields); err != nil {
 		return nil, err
 	}
-	err := neutral(
-		field{"echo", fields.Echo, []string{"false"}},
-		field{"best_of", fields.BestOf, []string{"1"}},
-		field{"suffix", fields.Suffix, []string{`""`}},
+	err := checkUnsupported(
+		unsupportedField{"echo", fields.Echo, []string{"false"}},
+		unsupportedField{"best_of", fields.BestOf, []string{"1"}},
+		unsupportedField{"suffix", fields.Suffix, []string{`""`}},
 	)
 	if err != nil {
 		return nil, err
 	}
-	request, err := fields.request()
+	request, err := fields.toModelRequest()
 	if err != nil {
 		return nil, err
 	}
@@ -154,7 +153,7 @@
 	return request, nil
 }
 
-// decode reads one JSON object without unknown fields.
+// decode decodes exactly one JSON object and refuses unknown fields.
 func decode(body []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.DisallowUnknownFields()
@@ -167,7 +166,7 @@
 	return nil
 }
 
-// decodeDetail makes the decoder's error readable to a caller.
+// decodeDetail returns the decoder's error as a message for the caller.
 func decodeDetail(err error) string {
 	detail := strings.TrimPrefix(err.Error(), "json: ")
 	if err == io.EOF {
@@ -180,18 +179,17 @@
 	return &garnetworks.Error{Kind: garnetworks.KindInvalidRequest, Detail: detail}
 }
 
-// neutral returns an error that names the first field whose value the system
-// does not carry out.
-func neutral(fields ...field) error {
+// checkUnsupported returns an error that names the first field whose value is not allowed.
+func checkUnsupported(fields ...unsupportedField) error {
 	for _, f := range fields {
-		if !isNeutral(f) {
+		if !hasAllowedValue(f) {
 			return invalid(f.name + " is not supported")
 		}
 	}
 	return nil
 }
 
-func isNeutral(f field) bool {
+func hasAllowedValue(f unsupportedField) bool {
 	if len(f.value) == 0 || string(f.value) == "null" {
 		return true
 	}
@@ -199,7 +197,7 @@
 	if err := json.Compact(&compact, f.value); err != nil {
 		return false
 	}
-	for _, v := range f.neutral {
+	for _, v := range f.allowed {
 		if compact.String() == v {
 			return true
 		}
@@ -207,16 +205,16 @@
 	return false
 }
 
-// request checks the common fields.
-func (f *commonFields) request() (*modelRequest, error) {
-	err := neutral(
-		field{"n", f.N, []string{"1"}},
-		field{"top_p", f.TopP, []string{"1", "1.0"}},
-		field{"presence_penalty", f.PresencePenalty, []string{"0", "0.0"}},
-		field{"frequency_penalty", f.FrequencyPenalty, []string{"0", "0.0"}},
-		field{"logit_bias", f.LogitBias, []string{"{}"}},
-		field{"logprobs", f.Logprobs, []string{"false", "0"}},
-		field{"seed", f.Seed, nil},
+// toModelRequest checks the common fields and returns them as a modelRequest.
+func (f *commonFields) toModelRequest() (*modelRequest, error) {
+	err := checkUnsupported(
+		unsupportedField{"n", f.N, []string{"1"}},
+		unsupportedField{"top_p", f.TopP, []string{"1", "1.0"}},
+		unsupportedField{"presence_penalty", f.PresencePenalty, []string{"0", "0.0"}},
+		unsupportedField{"frequency_penalty", f.FrequencyPenalty, []string{"0", "0.0"}},
+		unsupportedField{"logit_bias", f.LogitBias, []string{"{}"}},
+		unsupportedField{"logprobs", f.Logprobs, []string{"false", "0"}},
+		unsupportedField{"seed", f.Seed, nil},
 	)
 	if err != nil {
 		return nil, err
@@ -243,11 +241,11 @@
 		}
 		request.IncludeUsage = f.StreamOptions.IncludeUsage
 	}
-	request.Stop, err = stops(f.Stop)
+	request.Stop, err = parseStops(f.Stop)
 	return request, err
 }
 
-func stops(raw json.RawMessage) ([]string, error) {
+func parseStops(raw json.RawMessage) ([]string, error) {
 	list, err := stringOrList("stop", raw)
 	if err != nil {
 		return nil, err
@@ -263,17 +261,17 @@
 	return list, nil
 }
 
-// stringOrList reads a string, a list of strings, or nothing.
+// stringOrList decodes a string, a list of strings, or null.
 func stringOrList(name string, raw json.RawMessage) ([]string, error) {
 	if len(raw) == 0 || string(raw) == "null" {
 		return nil, nil
 	}
 	if raw[0] == '"' {
-		var one string
-		if err := json.Unmarshal(raw, &one); err != nil {
+		var single string
+		if err := json.Unmarshal(raw, &single); err != nil {
 			return nil, invalid(name + " is not a string")
 		}
-		return []string{one}, nil
+		return []string{single}, nil
 	}
 	var list []string
 	if err := json.Unmarshal(raw, &list); err != nil {
@@ -282,13 +280,13 @@
 	return list, nil
 }
 
-// roles are the roles of messages that the system carries.
+// roles are the supported roles of messages.
 var roles = garnetworks.NewSet("system", "developer", "user", "assistant")
 
-// joinMessages makes the prompt. Each message is a header line with its role, and
-// its text; the prompt ends with the header of the answer. Equal beginnings of
-// conversations give equal prefixes, which the engines' caches need.
-func joinMessages(messages []chatMessage) (string, error) {
+// buildPrompt joins the messages to a prompt. Each message is a header line with its role,
+// followed by its text; the prompt ends with the header of the response. Conversations with
+// the same beginning have the same prefix, as the engines' prefix caches need.
+func buildPrompt(messages []chatMessage) (string, error) {
 	if len(messages) == 0 {
 		return "", invalid("messages is empty")
 	}
@@ -301,8 +299,8 @@
 		if err != nil {
 			return "", err
 		}
-		// Failure: text of a user that looks like a header would speak to the
-		// engine in another role.
+		// Failure: a user's text that contains a message header would reach the engine as a
+		// message of another role.
 		if strings.Contains(text, headerStart) || strings.ContainsAny(m.Name, "<|>\n") {
 			return "", invalid("a message holds " + headerStart + ", which marks the role of messages")
 		}
--- a/server/server.go
+++ b/server/server.go
@@ -1,21 +1,23 @@
-// Package server answers callers over HTTP: the OpenAI-compatible calls to
-// models, and plain services.
+// Package server is the HTTP API for callers: OpenAI-compatible model calls and calls to plain
+// services.
 //
-//	H1  Each answer names its call, its outcome and, for an error, its kind; an
-//	    error is a problem document of the kind's row of the table.
-//	H2  A stream that is whole ends with "data: [DONE]". A stream that broke off
-//	    ends with "event: error" and never with [DONE]; so a partial answer can't
-//	    pass for a whole one.
-//	H3  Nothing of a request is held without a bound: header, body, the bytes of
-//	    all bodies together, the time to send them, the time to take the answer.
-//	H4  The path of a call to a plain service is brought into one normal form
-//	    before it is compared with the manifest, and the same form is sent on. A
-//	    path that backend servers could read in two ways is refused.
-//	H5  A request that names what the system does not do is refused with the name
-//	    of the field; nothing is silently left out.
-//	H6  A node that stops drops its readiness first, then refuses new calls as
-//	    not run, and finishes those in flight. When its grace period ends, what
-//	    is left is ended truthfully (rule G9).
+//	H1  Each response carries the call's identifier, its outcome and, for an error,
+//	    its kind. An error is a problem document as garnetworks.ErrorResponseFor
+//	    defines it for the kind.
+//	H2  A complete stream ends with "data: [DONE]". An interrupted stream ends with
+//	    "event: error" and never with [DONE], so that a partial response can't be
+//	    taken for a complete one.
+//	H3  All resources of a request are limited: the size of header and body, the
+//	    bytes of all bodies together, the time to send them, and the time to read
+//	    the response.
+//	H4  The path of a call to a plain service is normalized before it is matched
+//	    against the manifest, and is forwarded in the normalized form. A path that
+//	    backend servers could interpret differently is refused.
+//	H5  A request for a feature that is not supported is refused with the name of
+//	    the field; no field is silently ignored.
+//	H6  A stopping node first becomes unready, then refuses new calls as not run and
+//	    finishes those in flight. When its grace period ends, the remaining calls
+//	    end with an error that states their outcome (rule G9).
 package server
 
 import (
@@ -34,15 +36,15 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// Caller carries calls to backend servers; *forwarder.Forwarder is one.
+// Caller forwards calls to backend servers. *forwarder.Forwarder implements it.
 type Caller interface {
 	Generate(ctx context.Context, call *garnetworks.CallRequest, sink forwarder.Sink) (forwarder.Summary, error)
 	CallService(ctx context.Context, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error)
-	// Wait returns when nothing runs in the background any more.
+	// Wait returns nil once no background work is left, or an error if ctx ends first.
 	Wait(ctx context.Context) error
 }
 
-// KeyIndex finds the workspace of a key in constant time for each hash.
+// KeyIndex finds the workspace of a key, comparing hashes in constant time.
 type KeyIndex interface {
 	Lookup(key string) (garnetworks.WorkspaceName, bool)
 }
@@ -50,7 +52,7 @@
 // CallReport describes a call that has ended, for metrics.
 type CallReport struct {
 	Workspace garnetworks.WorkspaceName
-	// Model is set for calls to models, Service for those to plain services.
+	// Model is set for model calls, Service for calls to plain services.
 	Model   garnetworks.ModelName
 	Service garnetworks.ServiceName
 	Outcome garnetworks.Outcome
@@ -60,25 +62,25 @@
 	Summary forwarder.Summary
 }
 
-// Observer takes a report for each call; it never blocks.
+// Observer receives a report for each call. CallEnded must not block.
 type Observer interface {
 	CallEnded(report CallReport)
 }
 
-// Limits are the bounds of rule H3. Zero fields take the value of DefaultLimits.
+// Limits are the limits of rule H3. Zero fields take the value of DefaultLimits.
 type Limits struct {
-	// Body bounds the body of one request.
-	Body int64
-	// Bodies bounds the bytes of all requests in flight.
-	Bodies int64
-	// Header bounds a request's header.
-	Header int
-	// BodyTime bounds the time that a caller takes to send a body.
-	BodyTime time.Duration
-	// WriteTime bounds the time that a caller takes nothing of its answer.
-	WriteTime time.Duration
-	// MaxTokens is the most tokens that a request may ask for; DefaultTokens is
-	// taken where it names none.
+	// BodyBytes limits the body of one request.
+	BodyBytes int64
+	// TotalBodyBytes limits the bodies of all requests in flight.
+	TotalBodyBytes int64
+	// HeaderBytes limits a request's header.
+	HeaderBytes int
+	// BodyTimeout limits the time that a caller takes to send the body.
+	BodyTimeout time.Duration
+	// WriteTimeout limits the time for which a caller reads nothing of its response.
+	WriteTimeout time.Duration
+	// MaxTokens limits the tokens that a request may ask for; DefaultTokens applies if it
+	// does not set max_tokens.
 	MaxTokens     int
 	DefaultTokens int
 	// FirstToken and Total are the deadlines of workspaces that set none.
@@ -86,27 +88,26 @@
 	Total      time.Duration
 }
 
-// DefaultLimits returns the bounds for the design size, where a node holds about
-// 200 calls.
+// DefaultLimits returns limits for a node with about 200 calls in flight.
 func DefaultLimits() Limits {
 	return Limits{
-		Body:          1 << 20,
-		Bodies:        64 << 20,
-		Header:        32 << 10,
-		BodyTime:      30 * time.Second,
-		WriteTime:     20 * time.Second,
-		MaxTokens:     32768,
-		DefaultTokens: 1024,
-		FirstToken:    5 * time.Second,
-		Total:         5 * time.Minute,
+		BodyBytes:      1 << 20,
+		TotalBodyBytes: 64 << 20,
+		HeaderBytes:    32 << 10,
+		BodyTimeout:    30 * time.Second,
+		WriteTimeout:   20 * time.Second,
+		MaxTokens:      32768,
+		DefaultTokens:  1024,
+		FirstToken:     5 * time.Second,
+		Total:          5 * time.Minute,
 	}
 }
 
-// Options join a Server with the rest of the node.
+// Options are the dependencies and settings of a Server.
 type Options struct {
 	Calls    Caller
 	Manifest garnetworks.ManifestSource
-	// NewKeyIndex indexes the keys of a manifest; it is called once for each.
+	// NewKeyIndex indexes the keys of a manifest; it is called when the manifest changes.
 	NewKeyIndex func(manifest *garnetworks.Manifest) KeyIndex
 	// Admitter may be nil; every call is then admitted.
 	Admitter garnetworks.Admitter
@@ -115,61 +116,61 @@
 	// Observer may be nil.
 	Observer Observer
 	Limits   Limits
-	// LameDuck is how long Drain goes on taking calls after the readiness has
-	// dropped, so that the balancer can notice.
+	// LameDuck is how long Drain continues to accept calls after the node became unready, so
+	// that the load balancer notices first.
 	LameDuck time.Duration
-	// CloseTime bounds the truthful end of calls after the grace period; 0 means
-	// DefaultCloseTime.
-	CloseTime time.Duration
+	// CloseTimeout limits the time to end the remaining calls with an error after the grace
+	// period; 0 means DefaultCloseTimeout.
+	CloseTimeout time.Duration
 }
 
-// DefaultCloseTime is enough to write an error to each caller.
-const DefaultCloseTime = 2 * time.Second
+// DefaultCloseTimeout leaves time to write an error to each caller.
+const DefaultCloseTimeout = 2 * time.Second
 
-// Server answers callers. It is safe for concurrent use.
+// Server handles callers' requests. It is safe for concurrent use.
 type Server struct {
-	options Options
-	router  chi.Router
-	bodies  *semaphore.Weighted
-	catalog atomic.Pointer[catalog]
-	// refusals takes the events of calls that a limit refused.
+	options    Options
+	router     chi.Router
+	bodyBudget *semaphore.Weighted
+	catalog    atomic.Pointer[catalog]
+	// refusals receives the events of calls refused because of a limit.
 	refusals *forwarder.EventLimiter
 
-	// grace ends with forwarder.ErrGraceEnded when the grace period is over.
-	grace    context.Context
+	// graceCtx is cancelled with forwarder.ErrGraceEnded when the grace period is over.
+	graceCtx context.Context
 	endGrace context.CancelCauseFunc
 
 	mu sync.Mutex
-	// ready is the runner's word, and opened whether it ever was true.
-	ready  bool
-	opened bool
-	// leaving is set by Drain; draining once new calls are refused.
+	// ready is the value last passed to SetReady; wasReady says whether it was ever true.
+	ready    bool
+	wasReady bool
+	// leaving is set when Drain begins, draining once new calls are refused.
 	leaving  bool
 	draining bool
-	// calls are those in flight; none begins after draining is set.
+	// calls counts the calls in flight; none begins after draining is set.
 	calls forwarder.Tasks
 }
 
 // New returns a Server that is not ready yet.
 func New(options Options) *Server {
 	options.Limits = options.Limits.withDefaults()
-	if options.CloseTime == 0 {
-		options.CloseTime = DefaultCloseTime
+	if options.CloseTimeout == 0 {
+		options.CloseTimeout = DefaultCloseTimeout
 	}
 	s := &Server{
-		options:  options,
-		bodies:   semaphore.NewWeighted(options.Limits.Bodies),
-		refusals: forwarder.NewEventLimiter(options.Recorder),
+		options:    options,
+		bodyBudget: semaphore.NewWeighted(options.Limits.TotalBodyBytes),
+		refusals:   forwarder.NewEventLimiter(options.Recorder),
 	}
-	s.grace, s.endGrace = context.WithCancelCause(context.Background())
+	s.graceCtx, s.endGrace = context.WithCancelCause(context.Background())
 	s.router = s.routes()
 	return s
 }
 
 func (s *Server) routes() chi.Router {
 	r := chi.NewRouter()
-	r.Post("/v1/chat/completions", s.serveModel(parseChat, chatShape))
-	r.Post("/v1/completions", s.serveModel(parseCompletion, completionShape))
+	r.Post("/v1/chat/completions", s.serveModel(parseChat, chatFormat))
+	r.Post("/v1/completions", s.serveModel(parseCompletion, completionFormat))
 	r.Get("/v1/models", s.serveModels)
 	r.HandleFunc("/services/*", s.serveService)
 	r.NotFound(func(w http.ResponseWriter, r *http.Request) {
@@ -181,29 +182,29 @@
 	return r
 }
 
-// Handler returns the handler of the callers' address.
+// Handler returns the handler for callers' requests.
 func (s *Server) Handler() http.Handler { return s.router }
 
-// HTTPServer returns an HTTP server for Handler with the bounds of rule H3.
+// HTTPServer returns an HTTP server for Handler with the limits of rule H3.
 func (s *Server) HTTPServer() *http.Server {
 	return &http.Server{
 		Handler:           s.router,
-		ReadHeaderTimeout: headerTime,
-		IdleTimeout:       idleTime,
-		MaxHeaderBytes:    s.options.Limits.Header,
+		ReadHeaderTimeout: readHeaderTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    s.options.Limits.HeaderBytes,
 	}
 }
 
 const (
-	headerTime = 10 * time.Second
-	idleTime   = 75 * time.Second
+	readHeaderTimeout = 10 * time.Second
+	idleTimeout       = 75 * time.Second
 )
 
-// ListenConfig returns the settings of the callers' listener.
+// ListenConfig returns the configuration of the listener for callers.
 //
-// Failure: a caller's connection goes silent while the node has nothing to send,
-// so no write fails; the call would hold its group until the deadline. The
-// kernel's probes find it within 25 s.
+// Failure: if a caller's connection is lost silently while the node has nothing to send, no
+// write fails and the call occupies its group until the deadline. TCP keep-alive detects the
+// loss within 25 s.
 func ListenConfig() net.ListenConfig {
 	return net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{
 		Enable:   true,
@@ -213,17 +214,17 @@
 	}}
 }
 
-// SetReady sets whether a balancer should send calls to the node. Before the
-// first true, calls are refused as not run. A later false refuses none: those
-// that the balancer sends before it notices are served.
+// SetReady sets whether a load balancer should send calls to the node. Before the first true,
+// calls are refused as not run. A later false refuses none, so that calls sent before the load
+// balancer notices are served.
 func (s *Server) SetReady(ready bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ready = ready
-	s.opened = s.opened || ready
+	s.wasReady = s.wasReady || ready
 }
 
-// Ready reports whether a balancer should send calls to the node.
+// Ready reports whether a load balancer should send calls to the node.
 func (s *Server) Ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -233,11 +234,10 @@
 // InFlight returns the number of calls in flight.
 func (s *Server) InFlight() int { return s.calls.Count() }
 
-// Drain stops the server (rule H6). It drops the readiness, takes calls for
-// LameDuck more, then refuses them, and returns nil once none is in flight and
-// no answer waits to be recorded. If ctx ends first (the end of the grace
-// period, or a second signal), the calls that are left are ended with an error,
-// and Drain says how many they were.
+// Drain stops the server (rule H6). It makes the node unready, accepts calls for another
+// LameDuck, then refuses them, and returns nil once none is in flight and no response is left
+// to be recorded. If ctx ends first, because of the end of the grace period or a second
+// signal, the remaining calls end with an error, and Drain returns an error with their number.
 func (s *Server) Drain(ctx context.Context) error {
 	s.mu.Lock()
 	s.leaving = true
@@ -249,18 +249,18 @@
 	if s.calls.Wait(ctx) == nil && s.options.Calls.Wait(ctx) == nil {
 		return nil
 	}
-	cut := s.InFlight()
+	aborted := s.InFlight()
 	s.endGrace(forwarder.ErrGraceEnded)
-	closing, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.options.CloseTime)
+	closeCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.options.CloseTimeout)
 	defer cancel()
-	_ = s.calls.Wait(closing)
-	if err := s.options.Calls.Wait(closing); err != nil {
-		return errors.Wrapf(err, "%d calls were cut off, and not all answers were recorded", cut)
+	_ = s.calls.Wait(closeCtx)
+	if err := s.options.Calls.Wait(closeCtx); err != nil {
+		return errors.Wrapf(err, "%d calls were cut off, and not all answers were recorded", aborted)
 	}
-	if cut == 0 {
+	if aborted == 0 {
 		return nil
 	}
-	return errors.Errorf("%d calls were cut off at the end of the grace period", cut)
+	return errors.Errorf("%d calls were cut off at the end of the grace period", aborted)
 }
 
 func sleep(ctx context.Context, d time.Duration) {
@@ -273,21 +273,21 @@
 	}
 }
 
-// enter counts a call as in flight, or refuses it.
-func (s *Server) enter() error {
+// beginCall counts a call as in flight, or returns an error if it is refused.
+func (s *Server) beginCall() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.draining {
 		return garnetworks.Errorf(garnetworks.KindShuttingDown, "this node takes no new calls")
 	}
-	if !s.opened {
+	if !s.wasReady {
 		return garnetworks.Errorf(garnetworks.KindNotReady, "this node is not ready yet")
 	}
 	s.calls.Begin()
 	return nil
 }
 
-// closing reports whether connections should be closed after their answer.
+// closing reports whether connections should be closed after their response.
 func (s *Server) closing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -296,11 +296,11 @@
 
 func (l Limits) withDefaults() Limits {
 	d := DefaultLimits()
-	l.Body = cmp.Or(l.Body, d.Body)
-	l.Bodies = cmp.Or(l.Bodies, d.Bodies)
-	l.Header = cmp.Or(l.Header, d.Header)
-	l.BodyTime = cmp.Or(l.BodyTime, d.BodyTime)
-	l.WriteTime = cmp.Or(l.WriteTime, d.WriteTime)
+	l.BodyBytes = cmp.Or(l.BodyBytes, d.BodyBytes)
+	l.TotalBodyBytes = cmp.Or(l.TotalBodyBytes, d.TotalBodyBytes)
+	l.HeaderBytes = cmp.Or(l.HeaderBytes, d.HeaderBytes)
+	l.BodyTimeout = cmp.Or(l.BodyTimeout, d.BodyTimeout)
+	l.WriteTimeout = cmp.Or(l.WriteTimeout, d.WriteTimeout)
 	l.MaxTokens = cmp.Or(l.MaxTokens, d.MaxTokens)
 	l.DefaultTokens = cmp.Or(l.DefaultTokens, d.DefaultTokens)
 	l.FirstToken = cmp.Or(l.FirstToken, d.FirstToken)
