--- a/messenger/claims.go
+++ b/messenger/claims.go
@@ -9,10 +9,10 @@
 // Requests of commitClaims lead to no event, so they carry no timestamp. A
 // group waits for a write to the object API.
 var commitClaims = rpc[garnetworks.CommitClaimsRequest, garnetworks.CommitClaimsResponse]{
-	name: "commit-claims", progress: progressRead,
-	call:     handleCommitClaims,
-	asked:    func(*garnetworks.CommitClaimsRequest) *garnetworks.Timestamp { return new(garnetworks.Timestamp) },
-	answered: func(m *garnetworks.CommitClaimsResponse) *garnetworks.Timestamp { return &m.At },
+	name: "commit-claims", progressTimeout: readProgressTimeout,
+	call:              handleCommitClaims,
+	requestTimestamp:  func(*garnetworks.CommitClaimsRequest) *garnetworks.Timestamp { return new(garnetworks.Timestamp) },
+	responseTimestamp: func(m *garnetworks.CommitClaimsResponse) *garnetworks.Timestamp { return &m.At },
 }
 
 // handleCommitClaims answers only where the handler commits claims.
--- a/messenger/client.go
+++ b/messenger/client.go
@@ -20,7 +20,7 @@
 	Clock Clock
 	// Traffic may be nil.
 	Traffic *Traffic
-	// Recorder may be nil; it gets an event for each silent connection.
+	// Recorder may be nil; it gets an event for each stalled connection.
 	Recorder garnetworks.Recorder
 	// Dial opens a connection to an address; nil dials TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
@@ -30,15 +30,15 @@
 // for concurrent use.
 type Client struct {
 	options ClientOptions
-	clock   stamper
+	clock   optionalClock
 
 	mu    sync.Mutex
 	pools map[string]*pool
-	// silent holds the addresses whose silence was told and that have not
+	// stalled holds the addresses whose silence was reported and that have not
 	// answered since.
-	silent garnetworks.Set[string]
-	swept  time.Time
-	closed bool
+	stalled   garnetworks.Set[string]
+	lastSweep time.Time
+	closed    bool
 }
 
 var _ garnetworks.PeerCaller = (*Client)(nil)
@@ -49,12 +49,12 @@
 		options.Traffic = new(Traffic)
 	}
 	if options.Recorder == nil {
-		options.Recorder = silent{}
+		options.Recorder = nopRecorder{}
 	}
 	if options.Dial == nil {
 		options.Dial = dialTCP
 	}
-	return &Client{options: options, clock: stamper{options.Clock}, pools: map[string]*pool{}, silent: garnetworks.NewSet[string](), swept: time.Now()}
+	return &Client{options: options, clock: optionalClock{options.Clock}, pools: map[string]*pool{}, stalled: garnetworks.NewSet[string](), lastSweep: time.Now()}
 }
 
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
@@ -123,35 +123,35 @@
 
 // invoke makes one call.
 func invoke[Q, A any](ctx context.Context, c *Client, address string, r rpc[Q, A], request *Q) (*A, error) {
-	ctx, cancel := bounded(ctx)
+	ctx, cancel := withDefaultDeadline(ctx)
 	defer cancel()
 	// The caller may send one request to several peers at once, so the
 	// timestamp goes into a copy.
 	stamped := *request
-	c.clock.stamp(r.asked(&stamped))
+	c.clock.stamp(r.requestTimestamp(&stamped))
 	message, err := Encoding{}.Marshal(&stamped)
 	if err != nil {
-		return nil, c.explain(ctx, address, err)
+		return nil, c.classify(ctx, address, err)
 	}
-	answer, err := attempt(ctx, c, address, r, message)
-	var broken *brokenError
-	if errors.As(err, &broken) && broken.reused && ctx.Err() == nil {
+	response, err := attempt(ctx, c, address, r, message)
+	var connErr *connError
+	if errors.As(err, &connErr) && connErr.reused && ctx.Err() == nil {
 		c.options.Traffic.retries.Add(1)
-		answer, err = attempt(ctx, c, address, r, message)
+		response, err = attempt(ctx, c, address, r, message)
 	}
 	if err != nil {
-		return nil, c.explain(ctx, address, err)
+		return nil, c.classify(ctx, address, err)
 	}
-	at := *r.answered(answer)
+	at := *r.responseTimestamp(response)
 	c.clock.sample(address, at)
 	if err := c.clock.observe(at); err != nil {
 		return nil, err
 	}
-	return answer, nil
+	return response, nil
 }
 
-// brokenError is the failure of the connection under a call.
-type brokenError struct {
+// connError is the failure of the connection under a call.
+type connError struct {
 	// reused says that the connection had carried another call before, so that
 	// the failure may be an old one that shows only now (rule M3).
 	reused bool
@@ -159,16 +159,16 @@
 }
 
 // Error returns the cause.
-func (e *brokenError) Error() string { return e.cause.Error() }
+func (e *connError) Error() string { return e.cause.Error() }
 
 // Unwrap returns the cause.
-func (e *brokenError) Unwrap() error { return e.cause }
+func (e *connError) Unwrap() error { return e.cause }
 
-// explain gives a failed call's error its kind.
-func (c *Client) explain(ctx context.Context, address string, err error) error {
-	var broken *brokenError
-	if errors.As(err, &broken) {
-		return lostAnswer(ctx, address, broken.cause)
+// classify gives a connErr call's error its kind.
+func (c *Client) classify(ctx context.Context, address string, err error) error {
+	var connErr *connError
+	if errors.As(err, &connErr) {
+		return responseLost(ctx, address, connErr.cause)
 	}
 	if f, ok := decodeFailure(err); ok {
 		c.clock.sample(address, f.At)
@@ -179,39 +179,39 @@
 
 // attempt makes the call on one connection.
 func attempt[Q, A any](ctx context.Context, c *Client, address string, r rpc[Q, A], request encoded) (*A, error) {
-	conn, err := c.take(ctx, address)
+	conn, err := c.acquire(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	answer := new(A)
+	response := new(A)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	watch := watchProgress(conn.metered, progressBound(ctx, conn, r.progress), cancel)
+	watch := watchProgress(conn.metered, progressTimeout(ctx, conn, r.progressTimeout), cancel)
 	c.options.Traffic.messagesSent.Add(1)
 	var size sizedEncoding
-	err = conn.Invoke(ctx, r.name, &size, request, answer)
-	silent := watch.stop()
+	err = conn.Invoke(ctx, r.name, &size, request, response)
+	stalled := watch.stop()
 	c.options.Traffic.add(r.name, len(request), size.read)
 	if err == nil {
 		c.options.Traffic.messagesReceived.Add(1)
-		c.heard(address)
-		c.giveBack(conn)
-		return answer, nil
+		c.markResponsive(address)
+		c.release(conn)
+		return response, nil
 	}
 	if _, ok := decodeFailure(err); ok {
 		c.options.Traffic.messagesReceived.Add(1)
-		c.heard(address)
-		c.giveBack(conn)
+		c.markResponsive(address)
+		c.release(conn)
 		return nil, err
 	}
-	c.drop(conn)
-	if silent {
-		c.endSilent(address, conn.pool)
+	c.discard(conn)
+	if stalled {
+		c.closeStalled(address, conn.pool)
 	}
-	return nil, &brokenError{reused: conn.reused, cause: err}
+	return nil, &connError{reused: conn.reused, cause: err}
 }
 
-// sizedEncoding notes the size of the answer.
+// sizedEncoding notes the size of the response.
 type sizedEncoding struct {
 	Encoding
 	read int
--- a/messenger/encoder.go
+++ b/messenger/encoder.go
@@ -15,11 +15,11 @@
 
 // The first byte of an encoded message says how the rest is encoded.
 const (
-	formPlain      = 0
-	formCompressed = 1
-	// compressFrom is the size from which compression is tried. Heartbeats are
+	formatPlain      = 0
+	formatCompressed = 1
+	// minCompressBytes is the size from which compression is tried. Heartbeats are
 	// below it; views and rosters, which repeat their field names, above.
-	compressFrom = 512
+	minCompressBytes = 512
 )
 
 // Encoding encodes messages as CBOR, larger ones compressed. Unknown fields are
@@ -62,7 +62,7 @@
 		return data, nil
 	}
 	var buffer bytes.Buffer
-	buffer.WriteByte(formPlain)
+	buffer.WriteByte(formatPlain)
 	if err := encoder.NewEncoder(&buffer).Encode(message); err != nil {
 		return nil, errors.Wrapf(err, "can't encode %T", message)
 	}
@@ -70,7 +70,7 @@
 		err := garnetworks.Errorf(garnetworks.KindTooLarge, "%T of %d bytes is above the bound of %d", message, buffer.Len(), MaxMessageBytes)
 		return nil, encodeFailure(err, garnetworks.Timestamp{})
 	}
-	if buffer.Len() < compressFrom {
+	if buffer.Len() < minCompressBytes {
 		return buffer.Bytes(), nil
 	}
 	return compress(buffer.Bytes())
@@ -78,7 +78,7 @@
 
 func compress(plain []byte) ([]byte, error) {
 	var buffer bytes.Buffer
-	buffer.WriteByte(formCompressed)
+	buffer.WriteByte(formatCompressed)
 	w := compressors.Get().(*flate.Writer)
 	defer compressors.Put(w)
 	w.Reset(&buffer)
@@ -101,8 +101,8 @@
 	}
 	body := data[1:]
 	switch data[0] {
-	case formPlain:
-	case formCompressed:
+	case formatPlain:
+	case formatCompressed:
 		plain, err := decompress(body)
 		if err != nil {
 			return err
--- a/messenger/failure.go
+++ b/messenger/failure.go
@@ -56,8 +56,8 @@
 	return &garnetworks.Error{Kind: f.Kind, Detail: f.Detail, RetryAfter: f.RetryAfter}
 }
 
-// lostAnswer is the error of a call that may have reached the peer.
-func lostAnswer(ctx context.Context, address string, cause error) error {
+// responseLost is the error of a call that may have reached the peer.
+func responseLost(ctx context.Context, address string, cause error) error {
 	if ctx.Err() != nil {
 		cause = ctx.Err()
 	}
--- a/messenger/follow.go
+++ b/messenger/follow.go
@@ -10,16 +10,16 @@
 // event, so they carry no timestamp.
 var (
 	follow = rpc[garnetworks.FollowRequest, garnetworks.FollowResponse]{
-		name: "follow", progress: progressRead,
-		call:     handleFollow,
-		asked:    func(*garnetworks.FollowRequest) *garnetworks.Timestamp { return new(garnetworks.Timestamp) },
-		answered: func(m *garnetworks.FollowResponse) *garnetworks.Timestamp { return &m.At },
+		name: "follow", progressTimeout: readProgressTimeout,
+		call:              handleFollow,
+		requestTimestamp:  func(*garnetworks.FollowRequest) *garnetworks.Timestamp { return new(garnetworks.Timestamp) },
+		responseTimestamp: func(m *garnetworks.FollowResponse) *garnetworks.Timestamp { return &m.At },
 	}
 	exchange = rpc[garnetworks.ExchangeRequest, garnetworks.ExchangeResponse]{
-		name: "exchange", progress: progressState,
-		call:     handleExchange,
-		asked:    func(*garnetworks.ExchangeRequest) *garnetworks.Timestamp { return new(garnetworks.Timestamp) },
-		answered: func(m *garnetworks.ExchangeResponse) *garnetworks.Timestamp { return &m.At },
+		name: "exchange", progressTimeout: stateProgressTimeout,
+		call:              handleExchange,
+		requestTimestamp:  func(*garnetworks.ExchangeRequest) *garnetworks.Timestamp { return new(garnetworks.Timestamp) },
+		responseTimestamp: func(m *garnetworks.ExchangeResponse) *garnetworks.Timestamp { return &m.At },
 	}
 )
 
--- a/messenger/keys.go
+++ b/messenger/keys.go
@@ -36,18 +36,18 @@
 // Keys hold the certificate and the authorities that are in use now.
 type Keys struct {
 	files   Files
-	current atomic.Pointer[loaded]
+	current atomic.Pointer[keyMaterial]
 }
 
-// loaded is the content of the files at one time.
-type loaded struct {
+// keyMaterial is the content of the files at one time.
+type keyMaterial struct {
 	certificate tls.Certificate
 	authorities *x509.CertPool
-	// stamp identifies the files' state, so that unchanged ones are not read.
-	stamp [3]fileStamp
+	// states identifies the files' state, so that unchanged ones are not read.
+	states [3]fileState
 }
 
-type fileStamp struct {
+type fileState struct {
 	size     int64
 	modified time.Time
 }
@@ -81,11 +81,11 @@
 
 // Reload reads the files if they changed, and reports whether they did.
 func (k *Keys) Reload() (bool, error) {
-	stamp, err := k.stamp()
+	states, err := k.statFiles()
 	if err != nil {
 		return false, err
 	}
-	if now := k.current.Load(); now != nil && now.stamp == stamp {
+	if now := k.current.Load(); now != nil && now.states == states {
 		return false, nil
 	}
 	certificate, err := tls.LoadX509KeyPair(k.files.Certificate, k.files.Key)
@@ -100,7 +100,7 @@
 	if !pool.AppendCertsFromPEM(text) {
 		return false, garnetworks.Errorf(garnetworks.KindInvalidSettings, "no certificate in %s", k.files.Authorities)
 	}
-	k.current.Store(&loaded{certificate: certificate, authorities: pool, stamp: stamp})
+	k.current.Store(&keyMaterial{certificate: certificate, authorities: pool, states: states})
 	return true, nil
 }
 
@@ -108,16 +108,16 @@
 	return garnetworks.WrapError(garnetworks.KindInvalidSettings, err, "can't read "+what)
 }
 
-func (k *Keys) stamp() ([3]fileStamp, error) {
-	var stamp [3]fileStamp
+func (k *Keys) statFiles() ([3]fileState, error) {
+	var states [3]fileState
 	for i, path := range []string{k.files.Certificate, k.files.Key, k.files.Authorities} {
 		info, err := os.Stat(path)
 		if err != nil {
-			return stamp, keysError(err, path)
+			return states, keysError(err, path)
 		}
-		stamp[i] = fileStamp{size: info.Size(), modified: info.ModTime()}
+		states[i] = fileState{size: info.Size(), modified: info.ModTime()}
 	}
-	return stamp, nil
+	return states, nil
 }
 
 // Expires is the end of the certificate in use.
--- a/messenger/messenger.go
+++ b/messenger/messenger.go
@@ -30,35 +30,35 @@
 const (
 	// DefaultDeadline bounds a call whose caller set no deadline (rule M1).
 	DefaultDeadline = 5 * time.Second
-	// DialBound bounds connecting, including the TLS handshake.
-	DialBound = time.Second
-	// HandlerBound bounds the work on one received call.
-	HandlerBound = 10 * time.Second
-	// WriteBound ends a connection whose other side takes no bytes.
-	WriteBound = 10 * time.Second
-	// IdleBound is how long an unused connection is kept.
-	IdleBound = 30 * time.Second
-	// ReuseBound is the age from which a client does not use a connection for
+	// DialTimeout bounds connecting, including the TLS handshake.
+	DialTimeout = time.Second
+	// HandlerTimeout bounds the work on one received call.
+	HandlerTimeout = 10 * time.Second
+	// WriteTimeout ends a connection whose other side takes no bytes.
+	WriteTimeout = 10 * time.Second
+	// IdleTimeout is how long an unused connection is kept.
+	IdleTimeout = 30 * time.Second
+	// MaxReuseAge is the age from which a client does not use a connection for
 	// another call, so that changed certificates come into force.
-	ReuseBound = 10 * time.Minute
-	// ConnectionBound is the age at which a server ends a connection; above
-	// ReuseBound, so that only a client that breaks the rules loses a call.
-	ConnectionBound = 15 * time.Minute
-	// InactivityBound is how long a server keeps a connection without calls.
-	InactivityBound = 2 * time.Minute
+	MaxReuseAge = 10 * time.Minute
+	// MaxConnectionAge is the age at which a server ends a connection; above
+	// MaxReuseAge, so that only a client that breaks the rules loses a call.
+	MaxConnectionAge = 15 * time.Minute
+	// InactivityTimeout is how long a server keeps a connection without calls.
+	InactivityTimeout = 2 * time.Minute
 	// MaxMessageBytes bounds one message, compressed or not: a value of the
 	// object API's largest size with its envelope.
 	MaxMessageBytes = garnetworks.MaxObjectBytes + 256<<10
 	// MaxConnections bounds a server's connections.
 	MaxConnections = 1024
-	// MaxInProgress bounds a server's calls in progress.
-	MaxInProgress = 256
-	// MaxIdle bounds a client's unused connections over all addresses; the one
+	// MaxConcurrentCalls bounds a server's calls in progress.
+	MaxConcurrentCalls = 256
+	// MaxIdleConnections bounds a client's unused connections over all addresses; the one
 	// that was unused for longest gives way. Trees that differ from update to
 	// update would else join each node with each other one.
-	MaxIdle = 24
-	// MaxPerAddress bounds a client's connections to one address.
-	MaxPerAddress = 4
+	MaxIdleConnections = 24
+	// MaxConnectionsPerAddress bounds a client's connections to one address.
+	MaxConnectionsPerAddress = 4
 )
 
 // Clock stamps messages (rule M5). recorder.Recorder is one.
@@ -72,32 +72,32 @@
 	Sample(source string, t garnetworks.Timestamp)
 }
 
-// stamper stamps messages by a clock; without one it leaves them as they are.
-type stamper struct{ clock Clock }
+// optionalClock stamps messages by a clock; without one it leaves them as they are.
+type optionalClock struct{ clock Clock }
 
-func (s stamper) stamp(t *garnetworks.Timestamp) {
-	if s.clock != nil {
-		*t = s.clock.Now()
+func (o optionalClock) stamp(t *garnetworks.Timestamp) {
+	if o.clock != nil {
+		*t = o.clock.Now()
 	}
 }
 
-func (s stamper) observe(t garnetworks.Timestamp) error {
-	if s.clock == nil {
+func (o optionalClock) observe(t garnetworks.Timestamp) error {
+	if o.clock == nil {
 		return nil
 	}
-	return s.clock.Observe(t)
+	return o.clock.Observe(t)
 }
 
-func (s stamper) sample(source string, t garnetworks.Timestamp) {
-	if s.clock != nil {
-		s.clock.Sample(source, t)
+func (o optionalClock) sample(source string, t garnetworks.Timestamp) {
+	if o.clock != nil {
+		o.clock.Sample(source, t)
 	}
 }
 
-// silent is the recorder of a program that records nothing.
-type silent struct{}
+// nopRecorder is the recorder of a program that records nothing.
+type nopRecorder struct{}
 
-func (silent) Record(garnetworks.Event) {}
+func (nopRecorder) Record(garnetworks.Event) {}
 
 // Listen opens the address for a server. Without keys it refuses any but a
 // loopback address, unless insecure is set (rule M7).
@@ -130,9 +130,9 @@
 	return nil
 }
 
-// bounded returns a context that ends by the default deadline if ctx has none
+// withDefaultDeadline returns a context that ends by the default deadline if ctx has none
 // (rule M1).
-func bounded(ctx context.Context) (context.Context, context.CancelFunc) {
+func withDefaultDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	if _, ok := ctx.Deadline(); ok {
 		return context.WithCancel(ctx)
 	}
--- a/messenger/messenger_test.go
+++ b/messenger/messenger_test.go
@@ -107,9 +107,9 @@
 		From:     garnetworks.NodeInfo{ID: "entry-1", Incarnation: 7, Zone: "zone-a", Ready: true},
 		Versions: map[garnetworks.Topic]garnetworks.UpdateVersion{"roster/zone-a": {Term: 2, Sequence: 9}},
 	}
-	heard, err := c.Heartbeat(ctx, address, q)
-	if err != nil || heard.From != q.From {
-		t.Fatalf("heartbeat returned %+v, %v", heard, err)
+	response, err := c.Heartbeat(ctx, address, q)
+	if err != nil || response.From != q.From {
+		t.Fatalf("heartbeat returned %+v, %v", response, err)
 	}
 	got, err := c.Fetch(ctx, address, &garnetworks.FetchRequest{Topics: []garnetworks.Topic{"manifest"}})
 	if err != nil || string(got.Updates[0].Body) != string(large.Body) {
@@ -146,13 +146,13 @@
 	}
 }
 
-// TestSilentConnectionIsReplaced: Something between two nodes loses track of
+// TestStalledConnectionIsReplaced: Something between two nodes loses track of
 // their open connections. Nothing is closed and no error shows; heartbeats over
 // the old connections would wait until their deadlines, one after the other,
 // and the nodes would be taken for lost, while new connections work.
-func TestSilentConnectionIsReplaced(t *testing.T) {
+func TestStalledConnectionIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network := newPipes()
+		network := newPipeNetwork()
 		server := must(NewServer(ServerOptions{Handler: &handler{
 			heartbeat: func(*garnetworks.HeartbeatRequest) (*garnetworks.HeartbeatResponse, error) {
 				time.Sleep(50 * time.Millisecond)
@@ -182,15 +182,15 @@
 			})
 		}
 		group.Wait()
-		network.forget()
+		network.stall()
 		for range 3 {
 			if err := call(); err != nil {
-				t.Fatalf("call after the connections fell silent: %v", err)
+				t.Fatalf("call after the connections fell stalled: %v", err)
 			}
 		}
-		want := TrafficCount{Dials: 4, Silent: 1, Retries: 1}
-		if got := traffic.Count(); got.Dials != want.Dials || got.Silent != want.Silent || got.Retries != want.Retries {
-			t.Errorf("opened %d connections, found %d silent, sent %d calls again; want %+v", got.Dials, got.Silent, got.Retries, want)
+		want := TrafficCount{Dials: 4, Stalled: 1, Retries: 1}
+		if got := traffic.Count(); got.Dials != want.Dials || got.Stalled != want.Stalled || got.Retries != want.Retries {
+			t.Errorf("opened %d connections, found %d stalled, sent %d calls again; want %+v", got.Dials, got.Stalled, got.Retries, want)
 		}
 	})
 }
@@ -200,9 +200,9 @@
 // tell of their clocks.
 func TestClockIsCarriedBothWays(t *testing.T) {
 	now := time.Now()
-	sound, ahead := &fixedClock{at: now}, &fixedClock{at: now.Add(time.Hour)}
+	accurate, ahead := &fixedClock{at: now}, &fixedClock{at: now.Add(time.Hour)}
 	handled := 0
-	address := serveTest(t, ServerOptions{Clock: sound, Handler: &handler{
+	address := serveTest(t, ServerOptions{Clock: accurate, Handler: &handler{
 		heartbeat: func(*garnetworks.HeartbeatRequest) (*garnetworks.HeartbeatResponse, error) {
 			handled++
 			return &garnetworks.HeartbeatResponse{}, nil
@@ -221,8 +221,8 @@
 	if len(ahead.sampled) != 2 || ahead.sampled[0] != want || ahead.sampled[1] != want {
 		t.Errorf("sampled %v, want %v from the refusal and from the answer", ahead.sampled, want)
 	}
-	if len(sound.observed) != 1 || len(ahead.observed) != 1 {
-		t.Errorf("the server accepted %v, the client %v", sound.observed, ahead.observed)
+	if len(accurate.observed) != 1 || len(ahead.observed) != 1 {
+		t.Errorf("the server accepted %v, the client %v", accurate.observed, ahead.observed)
 	}
 }
 
@@ -358,7 +358,7 @@
 	} {
 		f.Add(must(Encoding{}.Marshal(m)))
 	}
-	f.Add([]byte{formCompressed, 0x9b, 0xff, 0xff})
+	f.Add([]byte{formatCompressed, 0x9b, 0xff, 0xff})
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		var m garnetworks.HeartbeatRequest
 		_ = Encoding{}.Unmarshal(data, &m)
@@ -369,7 +369,7 @@
 // each time. Kept open, the connections would use up its memory and files.
 func TestIdleConnectionsAreBounded(t *testing.T) {
 	c := newTestClient(t, ClientOptions{})
-	for range MaxIdle + 6 {
+	for range MaxIdleConnections + 6 {
 		address := serveTest(t, ServerOptions{Handler: &handler{}})
 		if _, err := c.Heartbeat(t.Context(), address, &garnetworks.HeartbeatRequest{}); err != nil {
 			t.Fatal(err)
@@ -379,8 +379,8 @@
 	for _, p := range c.pools {
 		idle += len(p.idle)
 	}
-	if idle != MaxIdle {
-		t.Errorf("%d idle connections, want %d", idle, MaxIdle)
+	if idle != MaxIdleConnections {
+		t.Errorf("%d idle connections, want %d", idle, MaxIdleConnections)
 	}
 }
 
--- a/messenger/pipes_test.go
+++ b/messenger/pipes_test.go
@@ -6,37 +6,37 @@
 	"sync"
 )
 
-// pipes is a network in memory whose connections can be forgotten: from then on
+// pipeNetwork is a network in memory whose connections can be forgotten: from then on
 // they take bytes and pass nothing, without being closed.
-type pipes struct {
+type pipeNetwork struct {
 	accepted chan net.Conn
 	closed   chan struct{}
 	mu       sync.Mutex
-	// forgot is closed when the connections opened so far are forgotten.
-	forgot chan struct{}
+	// stalled is closed when the connections opened so far are forgotten.
+	stalled chan struct{}
 }
 
-func newPipes() *pipes {
-	return &pipes{accepted: make(chan net.Conn), closed: make(chan struct{}), forgot: make(chan struct{})}
+func newPipeNetwork() *pipeNetwork {
+	return &pipeNetwork{accepted: make(chan net.Conn), closed: make(chan struct{}), stalled: make(chan struct{})}
 }
 
-func (p *pipes) forget() {
+func (p *pipeNetwork) stall() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	close(p.forgot)
-	p.forgot = make(chan struct{})
+	close(p.stalled)
+	p.stalled = make(chan struct{})
 }
 
-func (p *pipes) dial(context.Context, string) (net.Conn, error) {
+func (p *pipeNetwork) dial(context.Context, string) (net.Conn, error) {
 	p.mu.Lock()
-	forgot := p.forgot
+	stalled := p.stalled
 	p.mu.Unlock()
 	near, far := net.Pipe()
-	p.accepted <- &pipe{far, forgot}
-	return &pipe{near, forgot}, nil
+	p.accepted <- &pipeConn{far, stalled}
+	return &pipeConn{near, stalled}, nil
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeNetwork) Accept() (net.Conn, error) {
 	select {
 	case conn := <-p.accepted:
 		return conn, nil
@@ -45,17 +45,17 @@
 	}
 }
 
-func (p *pipes) Close() error   { close(p.closed); return nil }
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *pipeNetwork) Close() error   { close(p.closed); return nil }
+func (p *pipeNetwork) Addr() net.Addr { return &net.TCPAddr{} }
 
-type pipe struct {
+type pipeConn struct {
 	net.Conn
-	forgot chan struct{}
+	stalled chan struct{}
 }
 
-func (p *pipe) Write(b []byte) (int, error) {
+func (p *pipeConn) Write(b []byte) (int, error) {
 	select {
-	case <-p.forgot:
+	case <-p.stalled:
 		return len(b), nil
 	default:
 		return p.Conn.Write(b)
--- a/messenger/pool.go
+++ b/messenger/pool.go
@@ -36,13 +36,13 @@
 	return garnetworks.WrapError(garnetworks.KindUnreachable, cause, "can't connect to "+address)
 }
 
-// take returns a connection to the address, an idle one if there is one.
-func (c *Client) take(ctx context.Context, address string) (*peerConn, error) {
+// acquire returns a connection to the address, an idle one if there is one.
+func (c *Client) acquire(ctx context.Context, address string) (*peerConn, error) {
 	p := c.pool(address)
 	select {
 	case p.slots <- struct{}{}:
 	case <-ctx.Done():
-		c.leave(p)
+		c.releasePool(p)
 		return nil, unreachable(address, ctx.Err())
 	}
 	if conn := c.idle(p); conn != nil {
@@ -52,7 +52,7 @@
 	conn, err := c.dial(ctx, address)
 	if err != nil {
 		<-p.slots
-		c.leave(p)
+		c.releasePool(p)
 		return nil, unreachable(address, err)
 	}
 	conn.pool = p
@@ -64,13 +64,13 @@
 func (c *Client) pool(address string) *pool {
 	c.mu.Lock()
 	var stale []*peerConn
-	if now := time.Now(); now.Sub(c.swept) > IdleBound {
-		c.swept = now
+	if now := time.Now(); now.Sub(c.lastSweep) > IdleTimeout {
+		c.lastSweep = now
 		stale = c.sweep(now)
 	}
 	p, ok := c.pools[address]
 	if !ok {
-		p = &pool{slots: make(chan struct{}, MaxPerAddress)}
+		p = &pool{slots: make(chan struct{}, MaxConnectionsPerAddress)}
 		c.pools[address] = p
 	}
 	p.users++
@@ -79,8 +79,8 @@
 	return p
 }
 
-// leave ends a call's use of the pool.
-func (c *Client) leave(p *pool) {
+// releasePool ends a call's use of the pool.
+func (c *Client) releasePool(p *pool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p.users--
@@ -92,7 +92,7 @@
 	for address, p := range c.pools {
 		var kept []*peerConn
 		for _, conn := range p.idle {
-			if now.Sub(conn.used) > IdleBound {
+			if now.Sub(conn.used) > IdleTimeout {
 				stale = append(stale, conn)
 				continue
 			}
@@ -132,11 +132,11 @@
 		return false
 	default:
 	}
-	return now.Sub(conn.used) <= IdleBound && now.Sub(conn.metered.opened) <= ReuseBound
+	return now.Sub(conn.used) <= IdleTimeout && now.Sub(conn.metered.opened) <= MaxReuseAge
 }
 
 func (c *Client) dial(ctx context.Context, address string) (*peerConn, error) {
-	ctx, cancel := context.WithTimeout(ctx, DialBound)
+	ctx, cancel := context.WithTimeout(ctx, DialTimeout)
 	defer cancel()
 	c.options.Traffic.dials.Add(1)
 	conn, err := c.options.Dial(ctx, address)
@@ -156,26 +156,26 @@
 	return &peerConn{Conn: drpcconn.NewWithOptions(secured, options), metered: metered}, nil
 }
 
-// giveBack makes the connection idle.
-func (c *Client) giveBack(conn *peerConn) {
+// release makes the connection idle.
+func (c *Client) release(conn *peerConn) {
 	conn.used = time.Now()
 	c.mu.Lock()
-	surplus := conn
+	evicted := conn
 	if !c.closed {
 		conn.pool.idle = append(conn.pool.idle, conn)
-		surplus = c.surplus()
+		evicted = c.evictOldestIdle()
 	}
 	conn.pool.users--
 	c.mu.Unlock()
 	<-conn.pool.slots
-	if surplus != nil {
-		_ = surplus.Close()
+	if evicted != nil {
+		_ = evicted.Close()
 	}
 }
 
-// surplus takes out the connection that was idle for longest if there are more
-// than MaxIdle; nil if there are not. The caller holds mu.
-func (c *Client) surplus() *peerConn {
+// evictOldestIdle takes out the connection that was idle for longest if there are more
+// than MaxIdleConnections; nil if there are not. The caller holds mu.
+func (c *Client) evictOldestIdle() *peerConn {
 	count := 0
 	var oldest *pool
 	for _, p := range c.pools {
@@ -184,7 +184,7 @@
 			oldest = p
 		}
 	}
-	if count <= MaxIdle {
+	if count <= MaxIdleConnections {
 		return nil
 	}
 	conn := oldest.idle[0]
@@ -192,31 +192,31 @@
 	return conn
 }
 
-// drop ends a connection that failed.
-func (c *Client) drop(conn *peerConn) {
+// discard ends a connection that failed.
+func (c *Client) discard(conn *peerConn) {
 	<-conn.pool.slots
-	c.leave(conn.pool)
+	c.releasePool(conn.pool)
 	_ = conn.Close()
 }
 
-// heard takes that an address has answered.
-func (c *Client) heard(address string) {
+// markResponsive takes that an address has answered.
+func (c *Client) markResponsive(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.silent.Remove(address)
+	c.stalled.Remove(address)
 }
 
-// endSilent closes the idle connections to the address: what forgot one of
+// closeStalled closes the idle connections to the address: what forgot one of
 // them has likely forgotten all.
-func (c *Client) endSilent(address string, p *pool) {
-	c.options.Traffic.silent.Add(1)
+func (c *Client) closeStalled(address string, p *pool) {
+	c.options.Traffic.stalled.Add(1)
 	c.mu.Lock()
 	idle := p.idle
 	p.idle = nil
-	told := c.silent.Has(address)
-	c.silent.Add(address)
+	reported := c.stalled.Has(address)
+	c.stalled.Add(address)
 	c.mu.Unlock()
-	if !told { // a dead peer is called each second, and would fill the time line
+	if !reported { // a dead peer is called each second, and would fill the time line
 		c.options.Recorder.Record(garnetworks.Event{
 			Kind:   garnetworks.EventStalledConnection,
 			Detail: "peer " + address,
--- a/messenger/progress.go
+++ b/messenger/progress.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// progressBound is the method's bound, and on a reused connection at most the
+// progressTimeout is the method's bound, and on a reused connection at most the
 // share of the time left that leaves enough for a second try (rule M3). With
-// the whole time spent on a silent connection, calls with short deadlines would
+// the whole time spent on a stalled connection, calls with short deadlines would
 // fail one after the other until all old connections are used up.
-func progressBound(ctx context.Context, conn *peerConn, bound time.Duration) time.Duration {
+func progressTimeout(ctx context.Context, conn *peerConn, bound time.Duration) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok || !conn.reused {
 		return bound
@@ -20,12 +20,12 @@
 
 // progressWatch ends a call whose connection moves no byte (rule M2).
 type progressWatch struct {
-	mu              sync.Mutex
-	timer           *time.Timer
-	silent, stopped bool
+	mu               sync.Mutex
+	timer            *time.Timer
+	stalled, stopped bool
 }
 
-// watchProgress cancels when conn has been still for bound. The failure is a
+// watchProgress cancels when conn has been idleFor for bound. The failure is a
 // connection that something between the ends has forgotten: writes go into the
 // buffer, no answer ever comes, and no error shows. Looking at moved bytes in
 // place of the call's age lets a large message over a slow link pass.
@@ -37,14 +37,14 @@
 	w.timer = time.AfterFunc(bound, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		still := min(conn.still(), time.Since(began))
+		idleFor := min(conn.idleFor(), time.Since(began))
 		switch {
 		case w.stopped:
-		case still >= bound:
-			w.silent = true
+		case idleFor >= bound:
+			w.stalled = true
 			cancel()
 		default:
-			w.timer.Reset(bound - still)
+			w.timer.Reset(bound - idleFor)
 		}
 	})
 	return w
@@ -56,5 +56,5 @@
 	defer w.mu.Unlock()
 	w.stopped = true
 	w.timer.Stop()
-	return w.silent
+	return w.stalled
 }
--- a/messenger/server.go
+++ b/messenger/server.go
@@ -32,7 +32,7 @@
 // Server answers other nodes and operators.
 type Server struct {
 	options ServerOptions
-	clock   stamper
+	clock   optionalClock
 	drpc    *drpcserver.Server
 	// connections and calls hold a token for each that is open (rule M4).
 	connections, calls chan struct{}
@@ -48,9 +48,9 @@
 	}
 	s := &Server{
 		options:     options,
-		clock:       stamper{options.Clock},
+		clock:       optionalClock{options.Clock},
 		connections: make(chan struct{}, MaxConnections),
-		calls:       make(chan struct{}, MaxInProgress),
+		calls:       make(chan struct{}, MaxConcurrentCalls),
 	}
 	mux := drpcmux.New()
 	if err := mux.Register(s, peerMethods); err != nil {
@@ -63,7 +63,7 @@
 func managerOptions() drpcmanager.Options {
 	return drpcmanager.Options{
 		Reader:            drpcwire.ReaderOptions{MaximumBufferSize: MaxMessageBytes + 1024},
-		InactivityTimeout: InactivityBound,
+		InactivityTimeout: InactivityTimeout,
 	}
 }
 
@@ -82,7 +82,7 @@
 			return nil
 		}
 		if err != nil {
-			if !s.recovered(ctx, err) {
+			if !s.backOff(ctx, err) {
 				return errors.Wrap(err, "can't accept peers")
 			}
 			continue
@@ -97,9 +97,9 @@
 	}
 }
 
-// recovered waits after a failure to accept that may pass, such as too many
+// backOff waits after a failure to accept that may pass, such as too many
 // open files, and reports whether to go on.
-func (s *Server) recovered(ctx context.Context, err error) bool {
+func (s *Server) backOff(ctx context.Context, err error) bool {
 	if errors.Is(err, net.ErrClosed) {
 		return false
 	}
@@ -124,7 +124,7 @@
 }
 
 func (s *Server) serveConn(ctx context.Context, conn net.Conn) {
-	ctx, cancel := context.WithTimeout(ctx, ConnectionBound)
+	ctx, cancel := context.WithTimeout(ctx, MaxConnectionAge)
 	defer cancel()
 	metered := newMeteredConn(conn, s.options.Traffic)
 	defer func() { _ = metered.Close() }()
@@ -142,7 +142,7 @@
 }
 
 func handshake(ctx context.Context, conn *tls.Conn) (role, error) {
-	ctx, cancel := context.WithTimeout(ctx, DialBound)
+	ctx, cancel := context.WithTimeout(ctx, DialTimeout)
 	defer cancel()
 	if err := conn.HandshakeContext(ctx); err != nil {
 		return "", err
@@ -152,7 +152,7 @@
 
 // serve runs one received call.
 func serve[Q, A any](ctx context.Context, s *Server, r rpc[Q, A], request *Q) (*A, error) {
-	answer, err := handle(ctx, s, r, request)
+	response, err := handle(ctx, s, r, request)
 	s.options.Traffic.messagesReceived.Add(1)
 	s.options.Traffic.messagesSent.Add(1)
 	if err != nil {
@@ -160,9 +160,9 @@
 		s.clock.stamp(&at)
 		return nil, encodeFailure(err, at)
 	}
-	// The handler may have given the same answer to several calls.
-	stamped := *answer
-	s.clock.stamp(r.answered(&stamped))
+	// The handler may have given the same response to several calls.
+	stamped := *response
+	s.clock.stamp(r.responseTimestamp(&stamped))
 	return &stamped, nil
 }
 
@@ -172,19 +172,19 @@
 		defer func() { <-s.calls }()
 	default:
 		s.options.Traffic.refused.Add(1)
-		return nil, garnetworks.Errorf(garnetworks.KindOverloaded, "the node works on %d peer calls already", MaxInProgress)
+		return nil, garnetworks.Errorf(garnetworks.KindOverloaded, "the node works on %d peer calls already", MaxConcurrentCalls)
 	}
-	if !r.operators && roleFrom(ctx) != roleNode {
+	if !r.allowOperators && roleFrom(ctx) != roleNode {
 		return nil, garnetworks.Errorf(garnetworks.KindForbidden, "%s needs a node's certificate", r.name)
 	}
-	if err := s.clock.observe(*r.asked(request)); err != nil {
+	if err := s.clock.observe(*r.requestTimestamp(request)); err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, HandlerBound)
+	ctx, cancel := context.WithTimeout(ctx, HandlerTimeout)
 	defer cancel()
-	answer, err := r.call(s.options.Handler, ctx, request)
-	if err == nil && answer == nil {
+	response, err := r.call(s.options.Handler, ctx, request)
+	if err == nil && response == nil {
 		err = garnetworks.Errorf(garnetworks.KindInternal, "%s gave no answer", r.name)
 	}
-	return answer, err
+	return response, err
 }
--- a/messenger/traffic.go
+++ b/messenger/traffic.go
@@ -13,7 +13,7 @@
 type Traffic struct {
 	messagesSent, messagesReceived atomic.Uint64
 	bytesSent, bytesReceived       atomic.Uint64
-	dials, silent, retries         atomic.Uint64
+	dials, stalled, retries        atomic.Uint64
 	refused                        atomic.Uint64
 
 	mu sync.Mutex
@@ -56,8 +56,8 @@
 	// but not the headers of TCP and IP.
 	BytesSent, BytesReceived uint64
 	Dials                    uint64
-	// Silent counts connections that were ended because they moved no byte.
-	Silent uint64
+	// Stalled counts connections that were ended because they lastProgress no byte.
+	Stalled uint64
 	// Retries counts calls that were sent a second time.
 	Retries uint64
 	// Refused counts connections and calls turned away by a bound.
@@ -72,19 +72,19 @@
 		BytesSent:        t.bytesSent.Load(),
 		BytesReceived:    t.bytesReceived.Load(),
 		Dials:            t.dials.Load(),
-		Silent:           t.silent.Load(),
+		Stalled:          t.stalled.Load(),
 		Retries:          t.retries.Load(),
 		Refused:          t.refused.Load(),
 	}
 }
 
-// meteredConn counts bytes, notes when the last one moved, and bounds writes.
+// meteredConn counts bytes, notes when the last one lastProgress, and bounds writes.
 type meteredConn struct {
 	net.Conn
 	traffic *Traffic
 	opened  time.Time
-	// moved is when the last byte moved, in nanoseconds after opened.
-	moved atomic.Int64
+	// lastProgress is when the last byte lastProgress, in nanoseconds after opened.
+	lastProgress atomic.Int64
 }
 
 func newMeteredConn(conn net.Conn, traffic *Traffic) *meteredConn {
@@ -95,29 +95,29 @@
 func (c *meteredConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.traffic.bytesReceived.Add(uint64(n))
-	c.note(n)
+	c.recordProgress(n)
 	return n, err
 }
 
 // Write writes to the connection. Without the deadline, a peer that stops
 // reading would hold the writer and its message for ever.
 func (c *meteredConn) Write(p []byte) (int, error) {
-	if err := c.SetWriteDeadline(time.Now().Add(WriteBound)); err != nil {
+	if err := c.SetWriteDeadline(time.Now().Add(WriteTimeout)); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Write(p)
 	c.traffic.bytesSent.Add(uint64(n))
-	c.note(n)
+	c.recordProgress(n)
 	return n, err
 }
 
-func (c *meteredConn) note(n int) {
+func (c *meteredConn) recordProgress(n int) {
 	if n > 0 {
-		c.moved.Store(int64(time.Since(c.opened)))
+		c.lastProgress.Store(int64(time.Since(c.opened)))
 	}
 }
 
-// still is the time since a byte moved.
-func (c *meteredConn) still() time.Duration {
-	return time.Since(c.opened) - time.Duration(c.moved.Load())
+// idleFor is the time since a byte lastProgress.
+func (c *meteredConn) idleFor() time.Duration {
+	return time.Since(c.opened) - time.Duration(c.lastProgress.Load())
 }
