--- a/messenger/claims.go
+++ b/messenger/claims.go
@@ -6,8 +6,8 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Requests of commitClaims lead to no event, so they carry no timestamp. A
-// group waits for a write to the object API.
+// commitClaims requests cause no event on the receiver, so they carry no timestamp. The
+// progress timeout is the longer one because a handler waits for a write to the object API.
 var commitClaims = rpc[garnetworks.CommitClaimsRequest, garnetworks.CommitClaimsResponse]{
 	name: "commit-claims", progressTimeout: readProgressTimeout,
 	call:              handleCommitClaims,
@@ -15,7 +15,7 @@
 	responseTimestamp: func(m *garnetworks.CommitClaimsResponse) *garnetworks.Timestamp { return &m.At },
 }
 
-// handleCommitClaims answers only where the handler commits claims.
+// handleCommitClaims returns KindInvalidRequest if h does not implement ClaimsHandler.
 func handleCommitClaims(h garnetworks.PeerHandler, ctx context.Context, request *garnetworks.CommitClaimsRequest) (*garnetworks.CommitClaimsResponse, error) {
 	committer, ok := h.(garnetworks.ClaimsHandler)
 	if !ok {
--- a/messenger/client.go
+++ b/messenger/client.go
@@ -12,30 +12,30 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// ClientOptions are what a client needs.
+// ClientOptions configure a Client.
 type ClientOptions struct {
-	// Keys secure the connections; nil leaves them open.
+	// Keys enable mutual TLS; nil means plain TCP.
 	Keys *Keys
-	// Clock may be nil.
+	// Clock may be nil; messages are then neither stamped nor checked.
 	Clock Clock
-	// Traffic may be nil.
+	// Traffic counts the client's traffic; it may be nil.
 	Traffic *Traffic
-	// Recorder may be nil; it gets an event for each stalled connection.
+	// Recorder may be nil; it gets an event when an address stalls.
 	Recorder garnetworks.Recorder
-	// Dial opens a connection to an address; nil dials TCP.
+	// Dial connects to an address; nil dials TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Client calls other nodes. It implements garnetworks.PeerCaller and is safe
-// for concurrent use.
+// Client calls the peer methods of other nodes. It implements garnetworks.PeerCaller and
+// is safe for concurrent use.
 type Client struct {
 	options ClientOptions
 	clock   optionalClock
 
 	mu    sync.Mutex
 	pools map[string]*pool
-	// stalled holds the addresses whose silence was reported and that have not
-	// answered since.
+	// stalled holds the addresses that were reported as stalled and have not responded
+	// since.
 	stalled   garnetworks.Set[string]
 	lastSweep time.Time
 	closed    bool
@@ -61,7 +61,7 @@
 	return new(net.Dialer).DialContext(ctx, "tcp", address)
 }
 
-// Close ends all idle connections; calls in progress end theirs.
+// Close closes all idle connections. Connections in use are closed when their calls end.
 func (c *Client) Close() {
 	c.mu.Lock()
 	var all []*peerConn
@@ -121,12 +121,12 @@
 
 var _ garnetworks.ConfirmCaller = (*Client)(nil)
 
-// invoke makes one call.
+// invoke makes one call. It retries once, if a reused connection failed (rule M3).
 func invoke[Q, A any](ctx context.Context, c *Client, address string, r rpc[Q, A], request *Q) (*A, error) {
 	ctx, cancel := withDefaultDeadline(ctx)
 	defer cancel()
-	// The caller may send one request to several peers at once, so the
-	// timestamp goes into a copy.
+	// Copies the request before stamping it, because the caller may send the same request
+	// to several peers concurrently.
 	stamped := *request
 	c.clock.stamp(r.requestTimestamp(&stamped))
 	message, err := Encoding{}.Marshal(&stamped)
@@ -150,21 +150,21 @@
 	return response, nil
 }
 
-// connError is the failure of the connection under a call.
+// connError reports that a connection failed during a call.
 type connError struct {
-	// reused says that the connection had carried another call before, so that
-	// the failure may be an old one that shows only now (rule M3).
+	// reused reports whether the connection had carried an earlier call, so that it may
+	// have failed before this call was sent (rule M3).
 	reused bool
 	cause  error
 }
 
-// Error returns the cause.
+// Error implements error.
 func (e *connError) Error() string { return e.cause.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause for errors.Is and errors.As.
 func (e *connError) Unwrap() error { return e.cause }
 
-// classify gives a connErr call's error its kind.
+// classify converts the error of a call to one that has a kind, where it can.
 func (c *Client) classify(ctx context.Context, address string, err error) error {
 	var connErr *connError
 	if errors.As(err, &connErr) {
@@ -177,7 +177,7 @@
 	return err
 }
 
-// attempt makes the call on one connection.
+// attempt makes the call once, on one connection.
 func attempt[Q, A any](ctx context.Context, c *Client, address string, r rpc[Q, A], request encoded) (*A, error) {
 	conn, err := c.acquire(ctx, address)
 	if err != nil {
@@ -211,7 +211,7 @@
 	return nil, &connError{reused: conn.reused, cause: err}
 }
 
-// sizedEncoding notes the size of the response.
+// sizedEncoding records the encoded size of the response.
 type sizedEncoding struct {
 	Encoding
 	read int
--- a/messenger/encoder.go
+++ b/messenger/encoder.go
@@ -13,17 +13,17 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// The first byte of an encoded message says how the rest is encoded.
+// The first byte of an encoded message states the format of the rest.
 const (
 	formatPlain      = 0
 	formatCompressed = 1
-	// minCompressBytes is the size from which compression is tried. Heartbeats are
-	// below it; views and rosters, which repeat their field names, above.
+	// minCompressBytes is the size from which compression is tried. Heartbeats are smaller;
+	// zone views and rosters, which repeat their field names, are larger.
 	minCompressBytes = 512
 )
 
-// Encoding encodes messages as CBOR, larger ones compressed. Unknown fields are
-// ignored, so that nodes of neighbouring program versions understand each other.
+// Encoding encodes messages as CBOR and compresses large ones. Unknown fields are ignored,
+// so that nodes of adjacent program versions can communicate.
 type Encoding struct{}
 
 var _ drpc.Encoding = Encoding{}
@@ -52,11 +52,11 @@
 	decompressors = sync.Pool{New: func() any { return flate.NewReader(bytes.NewReader(nil)) }}
 )
 
-// encoded is a message that was encoded before.
+// encoded is a message that is already encoded; Marshal returns it unchanged.
 type encoded []byte
 
-// Marshal encodes a message. Its errors keep their kind when drpc sends them
-// on.
+// Marshal encodes a message. The error for an oversized one is itself encoded, so that
+// drpc carries its kind to the caller.
 func (Encoding) Marshal(message drpc.Message) ([]byte, error) {
 	if data, ok := message.(encoded); ok {
 		return data, nil
@@ -109,13 +109,13 @@
 		}
 		body = plain
 	default:
-		return errors.Errorf("unknown message form %d", data[0])
+		return errors.Errorf("unknown message format %d", data[0])
 	}
 	return errors.Wrapf(decoder.Unmarshal(body, message), "can't decode %T", message)
 }
 
-// decompress stops at the bound on messages: a few kilobytes sent in bad faith
-// would otherwise grow to gigabytes.
+// decompress stops at MaxMessageBytes, so that a small malicious message can't expand to
+// gigabytes.
 func decompress(body []byte) ([]byte, error) {
 	r := decompressors.Get().(io.ReadCloser)
 	defer decompressors.Put(r)
@@ -127,12 +127,12 @@
 		return nil, errors.Wrap(err, "can't decompress")
 	}
 	if len(plain) > MaxMessageBytes {
-		return nil, errors.Errorf("message is above the bound of %d bytes", MaxMessageBytes)
+		return nil, errors.Errorf("message exceeds %d bytes", MaxMessageBytes)
 	}
 	return plain, nil
 }
 
-// EncodeBody encodes a value for the body of an update.
+// EncodeBody encodes a value as the body of an update.
 func EncodeBody(value any) ([]byte, error) {
 	data, err := encoder.Marshal(value)
 	return data, errors.Wrapf(err, "can't encode %T", value)
--- a/messenger/failure.go
+++ b/messenger/failure.go
@@ -14,8 +14,8 @@
 // failureCode marks a drpc error whose text is an encoded failure.
 const failureCode = 1
 
-// failure is an error on its way to the caller (rule M6). The cause stays
-// behind: it may hold what the other side must not see.
+// failure is an error as sent to the caller (rule M6). The cause is not sent: it may
+// contain internals that the caller must not see.
 type failure struct {
 	Kind       garnetworks.Kind      `json:"kind"`
 	Detail     string                `json:"detail"`
@@ -23,7 +23,7 @@
 	At         garnetworks.Timestamp `json:"at"`
 }
 
-// encodeFailure turns a handler's error into one that drpc sends whole.
+// encodeFailure converts a handler's error to a drpc error that carries the kind.
 func encodeFailure(err error, at garnetworks.Timestamp) error {
 	f := failure{Kind: garnetworks.KindOf(err), At: at}
 	var e *garnetworks.Error
@@ -40,7 +40,7 @@
 	return drpcerr.WithCode(errors.New(string(text)), failureCode)
 }
 
-// decodeFailure returns the failure that the handler sent, if it is one.
+// decodeFailure returns the failure that the peer sent; false if err is another error.
 func decodeFailure(err error) (failure, bool) {
 	var f failure
 	if drpcerr.Code(err) != failureCode {
@@ -56,7 +56,7 @@
 	return &garnetworks.Error{Kind: f.Kind, Detail: f.Detail, RetryAfter: f.RetryAfter}
 }
 
-// responseLost is the error of a call that may have reached the peer.
+// responseLost returns the error of a call that may have reached the peer.
 func responseLost(ctx context.Context, address string, cause error) error {
 	if ctx.Err() != nil {
 		cause = ctx.Err()
--- a/messenger/follow.go
+++ b/messenger/follow.go
@@ -6,8 +6,8 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Requests of follow and exchange come several times a second and lead to no
-// event, so they carry no timestamp.
+// Follow and exchange requests are sent several times a second and cause no event, so
+// they carry no timestamp.
 var (
 	follow = rpc[garnetworks.FollowRequest, garnetworks.FollowResponse]{
 		name: "follow", progressTimeout: readProgressTimeout,
@@ -23,7 +23,7 @@
 	}
 )
 
-// handleFollow answers only where the handler follows objects for others.
+// handleFollow returns KindInvalidRequest if h does not implement FollowHandler.
 func handleFollow(h garnetworks.PeerHandler, ctx context.Context, request *garnetworks.FollowRequest) (*garnetworks.FollowResponse, error) {
 	f, ok := h.(garnetworks.FollowHandler)
 	if !ok {
@@ -32,7 +32,7 @@
 	return f.Follow(ctx, request)
 }
 
-// handleExchange answers only where the handler exchanges loads.
+// handleExchange returns KindInvalidRequest if h does not implement ExchangeHandler.
 func handleExchange(h garnetworks.PeerHandler, ctx context.Context, request *garnetworks.ExchangeRequest) (*garnetworks.ExchangeResponse, error) {
 	e, ok := h.(garnetworks.ExchangeHandler)
 	if !ok {
--- a/messenger/keys.go
+++ b/messenger/keys.go
@@ -13,37 +13,37 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Names that certificates carry as DNS names, so that they fit whatever IP
-// number a replaced instance gets.
+// DNS names in the certificates. They name a role instead of an address, so that a
+// certificate stays valid when an instance's IP address changes.
 const (
-	// NodeName is in the certificates of entry nodes.
+	// NodeName is the name in the certificates of entry nodes.
 	NodeName = "node.garnetworks"
-	// OperatorName is in the certificates of operators.
+	// OperatorName is the name in the certificates of operators.
 	OperatorName = "operator.garnetworks"
 )
 
-// ReloadInterval is the time between two looks at the certificate files.
+// ReloadInterval is how often the certificate files are checked for changes.
 const ReloadInterval = 10 * time.Second
 
-// Files are the paths of PEM files for mutual TLS.
+// Files are the paths of the PEM files for mutual TLS.
 type Files struct {
 	Certificate string
 	Key         string
-	// Authorities verify the other side.
+	// Authorities holds the CA certificates that verify the peer.
 	Authorities string
 }
 
-// Keys hold the certificate and the authorities that are in use now.
+// Keys holds the certificate and the CA pool in use, and reloads them from files.
 type Keys struct {
 	files   Files
 	current atomic.Pointer[keyMaterial]
 }
 
-// keyMaterial is the content of the files at one time.
+// keyMaterial is what was loaded from the files.
 type keyMaterial struct {
 	certificate tls.Certificate
 	authorities *x509.CertPool
-	// states identifies the files' state, so that unchanged ones are not read.
+	// states lets Reload skip files that did not change.
 	states [3]fileState
 }
 
@@ -52,7 +52,7 @@
 	modified time.Time
 }
 
-// LoadKeys reads the files.
+// LoadKeys loads the certificate, its key and the CA certificates from files.
 func LoadKeys(files Files) (*Keys, error) {
 	k := &Keys{files: files}
 	if _, err := k.Reload(); err != nil {
@@ -61,9 +61,9 @@
 	return k, nil
 }
 
-// Run reloads the files when they change, until ctx ends. A file that can't be
-// used is reported through log, and the keys in use stay: half-written files
-// during a rotation must not cut a node off.
+// Run reloads changed files every ReloadInterval until ctx ends. If a file is invalid,
+// such as one half written during a rotation, the error goes to log and the keys in use
+// are kept, so that the node stays reachable.
 func (k *Keys) Run(ctx context.Context, log func(error)) {
 	ticker := time.NewTicker(ReloadInterval)
 	defer ticker.Stop()
@@ -79,7 +79,7 @@
 	}
 }
 
-// Reload reads the files if they changed, and reports whether they did.
+// Reload loads the files if any changed, and reports whether it loaded them.
 func (k *Keys) Reload() (bool, error) {
 	states, err := k.statFiles()
 	if err != nil {
@@ -120,7 +120,7 @@
 	return states, nil
 }
 
-// Expires is the end of the certificate in use.
+// Expires returns when the certificate in use expires; zero if that is unknown.
 func (k *Keys) Expires() time.Time {
 	leaf := k.current.Load().certificate.Leaf
 	if leaf == nil {
@@ -129,8 +129,8 @@
 	return leaf.NotAfter
 }
 
-// serverConfig verifies that the other side has a certificate of the
-// authorities; which methods it may call is decided by its name.
+// serverConfig requires a client certificate signed by the authorities. The role named in
+// the certificate decides which methods the client may call.
 func (k *Keys) serverConfig() *tls.Config {
 	l := k.current.Load()
 	return &tls.Config{
@@ -142,7 +142,7 @@
 	}
 }
 
-// clientConfig verifies that the other side is a node.
+// clientConfig requires that the server's certificate carries NodeName.
 func (k *Keys) clientConfig() *tls.Config {
 	l := k.current.Load()
 	return &tls.Config{
@@ -153,7 +153,7 @@
 	}
 }
 
-// role is what a certificate entitles to.
+// role decides which methods a certificate's holder may call.
 type role string
 
 const (
@@ -161,7 +161,7 @@
 	roleOperator role = "operator"
 )
 
-// roleOf returns the role that the other side's certificate names.
+// roleOf returns the role named in the peer's certificate.
 func roleOf(state tls.ConnectionState) (role, error) {
 	if len(state.PeerCertificates) == 0 {
 		return "", errors.New("no certificate")
--- a/messenger/keys_test.go
+++ b/messenger/keys_test.go
@@ -16,7 +16,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// authority issues certificates for tests.
+// authority is a certificate authority for tests.
 type authority struct {
 	t           testing.TB
 	certificate *x509.Certificate
@@ -37,7 +37,7 @@
 	return a
 }
 
-// issue writes a certificate for name and this authority into dir.
+// issue writes a certificate for name, its key and the CA certificate into dir.
 func (a *authority) issue(dir, name string) Files {
 	a.serial++
 	key := must(ecdsa.GenerateKey(elliptic.P256(), rand.Reader))
@@ -96,9 +96,8 @@
 	}
 }
 
-// TestKeysAreReloaded: The operators' rotation replaces a node's certificate
-// and authority while the node runs. A half-written file in between must not
-// cut the node off, and the new files must count without a restart.
+// A certificate rotation must take effect without a restart, and a half-written file in
+// between must not make the node unreachable.
 func TestKeysAreReloaded(t *testing.T) {
 	before, after := newAuthority(t), newAuthority(t)
 	dir := t.TempDir()
--- a/messenger/messenger.go
+++ b/messenger/messenger.go
@@ -1,21 +1,21 @@
-// Package messenger carries the calls between entry nodes, and from operators
-// to nodes: drpc over TCP with CBOR messages, secured by mutual TLS.
+// Package messenger is the RPC layer between entry nodes, and between operators and nodes:
+// drpc over TCP with CBOR messages and mutual TLS.
 //
 // Its rules:
 //
-//	M1  Each call has a deadline, also where the caller set none.
-//	M2  A call whose connection moves no byte within the method's progress bound
-//	    ends its connection and the idle ones to the same address.
-//	M3  A call is sent a second time, on a new connection, only if the first one
-//	    went over a reused connection. That is safe because each peer call is
-//	    idempotent: heartbeats and reports are merged by incarnation, updates
-//	    and proposals by version and commit identifier, the rest only reads.
-//	M4  Messages, connections, calls in progress and times are bounded.
-//	M5  Each message carries a hybrid logical timestamp; one that is too far
-//	    ahead is refused before anything is done for it.
-//	M6  An error keeps its kind on the way.
-//	M7  Without certificates, no address but a loopback one is listened on,
-//	    unless the settings say so outright.
+//	M1  Every call has a deadline, even if the caller set none.
+//	M2  If no byte moves on a call's connection for the method's progress timeout,
+//	    that connection and the idle ones to the same address are closed.
+//	M3  A call is retried once, on a new connection, only if the first attempt used a
+//	    reused connection. This is safe because every peer call is idempotent:
+//	    heartbeats and reports are merged by incarnation, updates and proposals by
+//	    version and commit identifier, the others only read.
+//	M4  Messages, connections, concurrent calls and durations are bounded.
+//	M5  Each message may carry a hybrid logical timestamp; a message whose timestamp is
+//	    too far ahead is rejected before it is processed.
+//	M6  An error keeps its kind when it is sent to the caller.
+//	M7  Without certificates, a server listens only on loopback addresses, unless the
+//	    settings explicitly allow others.
 package messenger
 
 import (
@@ -26,53 +26,53 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Bounds of calls and connections.
+// Limits of calls and connections.
 const (
-	// DefaultDeadline bounds a call whose caller set no deadline (rule M1).
+	// DefaultDeadline is the timeout of a call whose caller set no deadline (rule M1).
 	DefaultDeadline = 5 * time.Second
-	// DialTimeout bounds connecting, including the TLS handshake.
+	// DialTimeout bounds connecting and the TLS handshake.
 	DialTimeout = time.Second
-	// HandlerTimeout bounds the work on one received call.
+	// HandlerTimeout bounds the handling of one received call.
 	HandlerTimeout = 10 * time.Second
-	// WriteTimeout ends a connection whose other side takes no bytes.
+	// WriteTimeout bounds one write to a connection.
 	WriteTimeout = 10 * time.Second
-	// IdleTimeout is how long an unused connection is kept.
+	// IdleTimeout is how long a client keeps an idle connection.
 	IdleTimeout = 30 * time.Second
-	// MaxReuseAge is the age from which a client does not use a connection for
-	// another call, so that changed certificates come into force.
+	// MaxReuseAge is the age beyond which a client does not reuse a connection, so that
+	// changed certificates take effect.
 	MaxReuseAge = 10 * time.Minute
-	// MaxConnectionAge is the age at which a server ends a connection; above
-	// MaxReuseAge, so that only a client that breaks the rules loses a call.
+	// MaxConnectionAge is the age at which a server closes a connection. It exceeds
+	// MaxReuseAge, so that no call of a conforming client is interrupted.
 	MaxConnectionAge = 15 * time.Minute
 	// InactivityTimeout is how long a server keeps a connection without calls.
 	InactivityTimeout = 2 * time.Minute
-	// MaxMessageBytes bounds one message, compressed or not: a value of the
-	// object API's largest size with its envelope.
+	// MaxMessageBytes bounds one message, compressed or not. It fits the largest object of
+	// the object API with its envelope.
 	MaxMessageBytes = garnetworks.MaxObjectBytes + 256<<10
 	// MaxConnections bounds a server's connections.
 	MaxConnections = 1024
-	// MaxConcurrentCalls bounds a server's calls in progress.
+	// MaxConcurrentCalls bounds the calls that a server handles concurrently.
 	MaxConcurrentCalls = 256
-	// MaxIdleConnections bounds a client's unused connections over all addresses; the one
-	// that was unused for longest gives way. Trees that differ from update to
-	// update would else join each node with each other one.
+	// MaxIdleConnections bounds a client's idle connections over all addresses; the one
+	// idle for longest is closed first. Without it, distribution trees that change with
+	// each update would leave every node connected to every other.
 	MaxIdleConnections = 24
 	// MaxConnectionsPerAddress bounds a client's connections to one address.
 	MaxConnectionsPerAddress = 4
 )
 
-// Clock stamps messages (rule M5). recorder.Recorder is one.
+// Clock stamps and checks messages (rule M5). recorder.Recorder implements it.
 type Clock interface {
-	// Now returns a timestamp for a message to be sent.
+	// Now returns the timestamp for a message to be sent.
 	Now() garnetworks.Timestamp
-	// Observe takes in a received timestamp, or says that the message must be
-	// refused.
+	// Observe advances the clock by a received timestamp, or returns an error if the
+	// message must be rejected.
 	Observe(t garnetworks.Timestamp) error
-	// Sample takes in what the clock of the node at an address read just now.
+	// Sample records the current timestamp of the node at the address source.
 	Sample(source string, t garnetworks.Timestamp)
 }
 
-// optionalClock stamps messages by a clock; without one it leaves them as they are.
+// optionalClock wraps a Clock that may be nil; without one it does nothing.
 type optionalClock struct{ clock Clock }
 
 func (o optionalClock) stamp(t *garnetworks.Timestamp) {
@@ -94,13 +94,13 @@
 	}
 }
 
-// nopRecorder is the recorder of a program that records nothing.
+// nopRecorder discards all events.
 type nopRecorder struct{}
 
 func (nopRecorder) Record(garnetworks.Event) {}
 
-// Listen opens the address for a server. Without keys it refuses any but a
-// loopback address, unless insecure is set (rule M7).
+// Listen listens on the address. Without keys it rejects all but loopback addresses,
+// unless insecure is set (rule M7).
 func Listen(address string, keys *Keys, insecure bool) (net.Listener, error) {
 	if err := CheckAddress(address, keys != nil, insecure); err != nil {
 		return nil, err
@@ -112,7 +112,7 @@
 	return listener, nil
 }
 
-// CheckAddress reports whether an address may be listened on (rule M7).
+// CheckAddress returns an error if rule M7 forbids listening on the address.
 func CheckAddress(address string, secured, insecure bool) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -121,8 +121,8 @@
 	if secured || insecure {
 		return nil
 	}
-	// An open port that takes updates from anyone gives the site away. It would
-	// show only once somebody used it, so the process refuses to start instead.
+	// An unsecured port would accept updates from anyone, and nothing would show it until
+	// someone exploited it, so startup fails instead.
 	ip := net.ParseIP(host)
 	if ip == nil || !ip.IsLoopback() {
 		return garnetworks.Errorf(garnetworks.KindInvalidSettings, "peer address %s is not a loopback address and there are no certificates", address)
@@ -130,8 +130,8 @@
 	return nil
 }
 
-// withDefaultDeadline returns a context that ends by the default deadline if ctx has none
-// (rule M1).
+// withDefaultDeadline returns ctx with DefaultDeadline as its timeout if ctx has no
+// deadline (rule M1).
 func withDefaultDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	if _, ok := ctx.Deadline(); ok {
 		return context.WithCancel(ctx)
--- a/messenger/messenger_test.go
+++ b/messenger/messenger_test.go
@@ -14,7 +14,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// handler answers with what the test set; other methods say not-found.
+// handler returns what the test sets; most other methods return fixed errors.
 type handler struct {
 	heartbeat func(*garnetworks.HeartbeatRequest) (*garnetworks.HeartbeatResponse, error)
 	fetch     func(*garnetworks.FetchRequest) (*garnetworks.FetchResponse, error)
@@ -60,7 +60,7 @@
 	return nil, errNotFound
 }
 
-// serveTest serves h on loopback and returns the address.
+// serveTest serves on a loopback address until the test ends, and returns the address.
 func serveTest(t *testing.T, options ServerOptions) string {
 	t.Helper()
 	server, err := NewServer(options)
@@ -113,7 +113,7 @@
 	}
 	got, err := c.Fetch(ctx, address, &garnetworks.FetchRequest{Topics: []garnetworks.Topic{"manifest"}})
 	if err != nil || string(got.Updates[0].Body) != string(large.Body) {
-		t.Fatalf("a large message did not come through: %v", err)
+		t.Fatalf("fetching a large message failed: %v", err)
 	}
 	if n := traffic.Count().BytesReceived; n > uint64(len(large.Body))/10 {
 		t.Errorf("a repetitive message of %d bytes took %d bytes", len(large.Body), n)
@@ -146,10 +146,8 @@
 	}
 }
 
-// TestStalledConnectionIsReplaced: Something between two nodes loses track of
-// their open connections. Nothing is closed and no error shows; heartbeats over
-// the old connections would wait until their deadlines, one after the other,
-// and the nodes would be taken for lost, while new connections work.
+// A middlebox drops the state of idle connections without closing them. Calls must detect
+// this and use new connections within their deadlines, or healthy nodes look dead.
 func TestStalledConnectionIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := newPipeNetwork()
@@ -166,7 +164,7 @@
 		c := NewClient(ClientOptions{Traffic: traffic, Dial: network.dial})
 		defer c.Close()
 
-		// A heartbeat's deadline: the call must come through within it.
+		// The deadline of a heartbeat, within which each call must succeed.
 		call := func() error {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
@@ -185,7 +183,7 @@
 		network.stall()
 		for range 3 {
 			if err := call(); err != nil {
-				t.Fatalf("call after the connections fell stalled: %v", err)
+				t.Fatalf("call after the connections stalled: %v", err)
 			}
 		}
 		want := TrafficCount{Dials: 4, Stalled: 1, Retries: 1}
@@ -195,9 +193,8 @@
 	})
 }
 
-// TestClockIsCarriedBothWays: A node's clock runs an hour ahead. Its peers
-// refuse its messages, and it can only correct itself by what their refusals
-// tell of their clocks.
+// Peers reject the messages of a node whose clock is ahead. The rejections must carry the
+// peers' timestamps, because the node can correct its clock only by them.
 func TestClockIsCarriedBothWays(t *testing.T) {
 	now := time.Now()
 	accurate, ahead := &fixedClock{at: now}, &fixedClock{at: now.Add(time.Hour)}
@@ -226,7 +223,7 @@
 	}
 }
 
-// fixedClock stands still, and refuses what is more than a minute ahead.
+// fixedClock does not advance, and rejects timestamps more than a minute ahead.
 type fixedClock struct {
 	at                time.Time
 	observed, sampled []garnetworks.Timestamp
@@ -246,8 +243,8 @@
 
 func (c *fixedClock) Sample(_ string, t garnetworks.Timestamp) { c.sampled = append(c.sampled, t) }
 
-// TestForeignServer: A setting names the wrong port, and something else answers
-// there. The call must end with a kind in its time, and the process must live.
+// If the peer address belongs to another service, the call must fail in time with a kind
+// that callers know, and must not crash the process.
 func TestForeignServer(t *testing.T) {
 	tests := map[string]func(net.Conn){
 		"closes at once": func(net.Conn) {},
@@ -291,8 +288,8 @@
 	}
 }
 
-// TestForeignClient: Something that speaks another protocol, or sends what no
-// node sends, connects to the peer address. Nodes must be served on.
+// A client that speaks another protocol or sends invalid frames must not keep the server
+// from serving nodes.
 func TestForeignClient(t *testing.T) {
 	address := serveTest(t, ServerOptions{Handler: &handler{}})
 	frames := map[string][]byte{
@@ -315,7 +312,7 @@
 			_, _ = conn.Write(frame)
 			_, _ = conn.Read(make([]byte, 512))
 			if _, err := newTestClient(t, ClientOptions{}).Heartbeat(t.Context(), address, &garnetworks.HeartbeatRequest{}); err != nil {
-				t.Errorf("a node is not served any more: %v", err)
+				t.Errorf("a node's call failed afterwards: %v", err)
 			}
 		})
 	}
@@ -365,8 +362,8 @@
 	})
 }
 
-// TestIdleConnectionsAreBounded: Trees of updates join a node with another one
-// each time. Kept open, the connections would use up its memory and files.
+// Distribution trees connect a node to different peers over time; the connections left
+// idle must not exhaust its memory and file descriptors.
 func TestIdleConnectionsAreBounded(t *testing.T) {
 	c := newTestClient(t, ClientOptions{})
 	for range MaxIdleConnections + 6 {
--- a/messenger/methods.go
+++ b/messenger/methods.go
@@ -9,27 +9,27 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// rpc is a row of the table of methods.
+// rpc describes one peer method with request type Q and response type A.
 type rpc[Q, A any] struct {
 	name string
-	// progress is the time within which a byte must move while the call waits
-	// (rule M2); it allows for the handler's own work.
+	// progressTimeout is how long a waiting call may see no byte move (rule M2). It
+	// includes the time that the handler needs.
 	progressTimeout time.Duration
-	// operators says that an operator's certificate is enough.
+	// allowOperators permits calls with an operator's certificate.
 	allowOperators    bool
 	call              func(h garnetworks.PeerHandler, ctx context.Context, request *Q) (*A, error)
 	requestTimestamp  func(request *Q) *garnetworks.Timestamp
 	responseTimestamp func(response *A) *garnetworks.Timestamp
 }
 
-// Progress bounds.
+// Progress timeouts by type of method.
 const (
 	stateProgressTimeout   = time.Second
 	readProgressTimeout    = 2 * time.Second
 	proposeProgressTimeout = 5 * time.Second
 )
 
-// The methods. Names are short because each call carries its own.
+// The methods. Names are short because every call carries one.
 var (
 	heartbeat = rpc[garnetworks.HeartbeatRequest, garnetworks.HeartbeatResponse]{
 		name: "heartbeat", progressTimeout: stateProgressTimeout,
@@ -79,8 +79,8 @@
 		requestTimestamp:  func(m *garnetworks.ReportRequest) *garnetworks.Timestamp { return &m.At },
 		responseTimestamp: func(m *garnetworks.ReportResponse) *garnetworks.Timestamp { return &m.At },
 	}
-	// Requests of confirm travel to many nodes each second and lead to no event,
-	// so they carry no timestamp.
+	// Confirm requests go to many nodes each second and cause no event, so they carry no
+	// timestamp.
 	confirm = rpc[garnetworks.ConfirmRequest, garnetworks.ConfirmResponse]{
 		name: "confirm", progressTimeout: stateProgressTimeout,
 		call:              handleConfirm,
@@ -89,8 +89,8 @@
 	}
 )
 
-// handleConfirm answers only where the handler takes confirmations; operators'
-// programs and nodes of older versions do not.
+// handleConfirm returns KindInvalidRequest if h does not implement ConfirmHandler, as in
+// operators' programs and nodes of older versions.
 func handleConfirm(h garnetworks.PeerHandler, ctx context.Context, request *garnetworks.ConfirmRequest) (*garnetworks.ConfirmResponse, error) {
 	confirmer, ok := h.(garnetworks.ConfirmHandler)
 	if !ok {
@@ -99,23 +99,23 @@
 	return confirmer.Confirm(ctx, request)
 }
 
-// methods is the drpc description of the peer service. Messages are plain
-// structs and CBOR needs no generated code, so the description is written out.
+// methods is the drpc description of the peer service. It is written by hand because CBOR
+// encodes plain structs without generated code.
 type methods []describer
 
 var _ drpc.Description = methods{}
 
-// describer is a row of the table, whatever its messages.
+// describer is an rpc of any request and response type.
 type describer interface {
 	describe() (name string, receiver drpc.Receiver, method any)
 }
 
 var peerMethods = methods{heartbeat, distribute, fetch, events, status, propose, progress, report, confirm, commitClaims, follow, exchange}
 
-// NumMethods returns the number of methods.
+// NumMethods implements drpc.Description.
 func (m methods) NumMethods() int { return len(m) }
 
-// Method returns the nth method.
+// Method implements drpc.Description.
 func (m methods) Method(n int) (string, drpc.Encoding, drpc.Receiver, any, bool) {
 	if n < 0 || n >= len(m) {
 		return "", nil, nil, nil, false
--- a/messenger/pipes_test.go
+++ b/messenger/pipes_test.go
@@ -6,13 +6,13 @@
 	"sync"
 )
 
-// pipeNetwork is a network in memory whose connections can be forgotten: from then on
-// they take bytes and pass nothing, without being closed.
+// pipeNetwork is an in-memory network whose connections can be stalled: they then accept
+// writes but deliver nothing, and are not closed.
 type pipeNetwork struct {
 	accepted chan net.Conn
 	closed   chan struct{}
 	mu       sync.Mutex
-	// stalled is closed when the connections opened so far are forgotten.
+	// stalled is closed to stall the connections opened so far.
 	stalled chan struct{}
 }
 
--- a/messenger/pool.go
+++ b/messenger/pool.go
@@ -10,14 +10,14 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// pool holds the connections to one address.
+// pool holds the connections to one address. Client.mu guards users and idle.
 type pool struct {
-	// users counts the calls that hold or wait for a slot; a pool in use is not
-	// dropped.
+	// users counts the calls that hold a slot or wait for one; a pool with users is not
+	// removed.
 	users int
 	// slots holds a token for each connection in use (rule M4).
 	slots chan struct{}
-	// idle connections, the most recently used one last.
+	// idle holds the idle connections, the most recently used one last.
 	idle []*peerConn
 }
 
@@ -26,9 +26,9 @@
 	*drpcconn.Conn
 	metered *meteredConn
 	pool    *pool
-	// used is when the last call ended.
+	// used is when the connection last became idle.
 	used time.Time
-	// reused says that the connection carried a call before this one.
+	// reused reports whether the connection carried an earlier call.
 	reused bool
 }
 
@@ -36,7 +36,7 @@
 	return garnetworks.WrapError(garnetworks.KindUnreachable, cause, "can't connect to "+address)
 }
 
-// acquire returns a connection to the address, an idle one if there is one.
+// acquire returns an idle connection to the address, or dials a new one.
 func (c *Client) acquire(ctx context.Context, address string) (*peerConn, error) {
 	p := c.pool(address)
 	select {
@@ -59,8 +59,8 @@
 	return conn, nil
 }
 
-// pool returns the pool of the address, and now and then drops what was idle
-// for long anywhere.
+// pool returns the pool of the address and registers the caller as a user. It also closes
+// expired idle connections of all pools, at most once per IdleTimeout.
 func (c *Client) pool(address string) *pool {
 	c.mu.Lock()
 	var stale []*peerConn
@@ -79,14 +79,15 @@
 	return p
 }
 
-// releasePool ends a call's use of the pool.
+// releasePool unregisters a user of the pool.
 func (c *Client) releasePool(p *pool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p.users--
 }
 
-// sweep takes out connections that were idle for long, and pools without any.
+// sweep removes unused pools and expired idle connections, and returns the connections for
+// the caller to close. The caller holds mu.
 func (c *Client) sweep(now time.Time) []*peerConn {
 	var stale []*peerConn
 	for address, p := range c.pools {
@@ -106,7 +107,7 @@
 	return stale
 }
 
-// idle takes a usable idle connection out of the pool; nil if there is none.
+// idle removes and returns a usable idle connection; nil if there is none.
 func (c *Client) idle(p *pool) *peerConn {
 	c.mu.Lock()
 	var stale []*peerConn
@@ -156,7 +157,7 @@
 	return &peerConn{Conn: drpcconn.NewWithOptions(secured, options), metered: metered}, nil
 }
 
-// release makes the connection idle.
+// release returns a connection to its pool after a completed call.
 func (c *Client) release(conn *peerConn) {
 	conn.used = time.Now()
 	c.mu.Lock()
@@ -173,8 +174,8 @@
 	}
 }
 
-// evictOldestIdle takes out the connection that was idle for longest if there are more
-// than MaxIdleConnections; nil if there are not. The caller holds mu.
+// evictOldestIdle removes and returns the connection that was idle for longest if there
+// are more than MaxIdleConnections, or nil. The caller holds mu.
 func (c *Client) evictOldestIdle() *peerConn {
 	count := 0
 	var oldest *pool
@@ -192,22 +193,22 @@
 	return conn
 }
 
-// discard ends a connection that failed.
+// discard closes a connection that failed and frees its slot.
 func (c *Client) discard(conn *peerConn) {
 	<-conn.pool.slots
 	c.releasePool(conn.pool)
 	_ = conn.Close()
 }
 
-// markResponsive takes that an address has answered.
+// markResponsive records that the address has responded.
 func (c *Client) markResponsive(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stalled.Remove(address)
 }
 
-// closeStalled closes the idle connections to the address: what forgot one of
-// them has likely forgotten all.
+// closeStalled closes the idle connections to an address with a stalled connection: what
+// dropped the state of one, such as a firewall, has probably dropped that of all.
 func (c *Client) closeStalled(address string, p *pool) {
 	c.options.Traffic.stalled.Add(1)
 	c.mu.Lock()
@@ -216,7 +217,7 @@
 	reported := c.stalled.Has(address)
 	c.stalled.Add(address)
 	c.mu.Unlock()
-	if !reported { // a dead peer is called each second, and would fill the time line
+	if !reported { // a dead peer is called each second; without this it would flood the events
 		c.options.Recorder.Record(garnetworks.Event{
 			Kind:   garnetworks.EventStalledConnection,
 			Detail: "peer " + address,
--- a/messenger/progress.go
+++ b/messenger/progress.go
@@ -6,10 +6,9 @@
 	"time"
 )
 
-// progressTimeout is the method's bound, and on a reused connection at most the
-// share of the time left that leaves enough for a second try (rule M3). With
-// the whole time spent on a stalled connection, calls with short deadlines would
-// fail one after the other until all old connections are used up.
+// progressTimeout returns the method's timeout. On a reused connection it is at most 2/5 of
+// the time left, which leaves enough for the retry (rule M3); otherwise calls with short
+// deadlines would fail one after the other until all stalled connections are used up.
 func progressTimeout(ctx context.Context, conn *peerConn, bound time.Duration) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok || !conn.reused {
@@ -18,17 +17,17 @@
 	return min(bound, time.Until(deadline)*2/5)
 }
 
-// progressWatch ends a call whose connection moves no byte (rule M2).
+// progressWatch cancels a call whose connection makes no progress (rule M2).
 type progressWatch struct {
 	mu               sync.Mutex
 	timer            *time.Timer
 	stalled, stopped bool
 }
 
-// watchProgress cancels when conn has been idleFor for bound. The failure is a
-// connection that something between the ends has forgotten: writes go into the
-// buffer, no answer ever comes, and no error shows. Looking at moved bytes in
-// place of the call's age lets a large message over a slow link pass.
+// watchProgress cancels a call if no byte moves on conn for bound. It detects connections
+// whose state a middlebox has dropped: writes succeed, but no response or error ever comes.
+// It measures progress instead of the call's age, so that a large message on a slow link
+// is not cancelled.
 func watchProgress(conn *meteredConn, bound time.Duration, cancel func()) *progressWatch {
 	w := &progressWatch{}
 	began := time.Now()
@@ -50,7 +49,7 @@
 	return w
 }
 
-// stop ends the watch and reports whether it ended the call.
+// stop ends the watch and reports whether it cancelled the call.
 func (w *progressWatch) stop() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/messenger/server.go
+++ b/messenger/server.go
@@ -16,29 +16,29 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// ServerOptions are what a server needs.
+// ServerOptions configure a Server.
 type ServerOptions struct {
 	Handler garnetworks.PeerHandler
-	// Keys secure the connections; nil leaves them open.
+	// Keys enable mutual TLS; nil means plain TCP.
 	Keys *Keys
-	// Clock may be nil.
+	// Clock may be nil; messages are then neither stamped nor checked.
 	Clock Clock
-	// Traffic may be nil.
+	// Traffic counts the server's traffic; it may be nil.
 	Traffic *Traffic
-	// Log may be nil; it gets what can't be told to a caller.
+	// Log receives errors that can't be returned to a caller; it may be nil.
 	Log func(error)
 }
 
-// Server answers other nodes and operators.
+// Server serves the peer methods to other nodes and operators.
 type Server struct {
 	options ServerOptions
 	clock   optionalClock
 	drpc    *drpcserver.Server
-	// connections and calls hold a token for each that is open (rule M4).
+	// connections and calls hold a token for each one that is open (rule M4).
 	connections, calls chan struct{}
 }
 
-// NewServer returns a server that answers through options.Handler.
+// NewServer returns a server that passes calls to options.Handler.
 func NewServer(options ServerOptions) (*Server, error) {
 	if options.Traffic == nil {
 		options.Traffic = new(Traffic)
@@ -67,8 +67,8 @@
 	}
 }
 
-// Serve answers on the listener until ctx ends, and closes it. It returns when
-// all connections have ended.
+// Serve accepts connections until ctx ends, then closes the listener and returns when all
+// connections have ended.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var group sync.WaitGroup
@@ -83,7 +83,7 @@
 		}
 		if err != nil {
 			if !s.backOff(ctx, err) {
-				return errors.Wrap(err, "can't accept peers")
+				return errors.Wrap(err, "can't accept connections")
 			}
 			continue
 		}
@@ -97,8 +97,8 @@
 	}
 }
 
-// backOff waits after a failure to accept that may pass, such as too many
-// open files, and reports whether to go on.
+// backOff logs and waits after a failed accept, such as for too many open files. It
+// returns false if the listener is closed.
 func (s *Server) backOff(ctx context.Context, err error) bool {
 	if errors.Is(err, net.ErrClosed) {
 		return false
@@ -111,7 +111,7 @@
 	return true
 }
 
-// admit takes a connection's token or closes the connection (rule M4).
+// admit takes a slot for the connection, or closes it if there is none (rule M4).
 func (s *Server) admit(conn net.Conn) bool {
 	select {
 	case s.connections <- struct{}{}:
@@ -135,7 +135,7 @@
 	secured := tls.Server(metered, s.options.Keys.serverConfig())
 	role, err := handshake(ctx, secured)
 	if err != nil {
-		s.options.Log(errors.Wrapf(err, "refused the peer %s", conn.RemoteAddr()))
+		s.options.Log(errors.Wrapf(err, "rejected connection from %s", conn.RemoteAddr()))
 		return
 	}
 	_ = s.drpc.ServeOne(withRole(ctx, role), secured)
@@ -150,7 +150,7 @@
 	return roleOf(conn.ConnectionState())
 }
 
-// serve runs one received call.
+// serve handles one received call and encodes its error, if any.
 func serve[Q, A any](ctx context.Context, s *Server, r rpc[Q, A], request *Q) (*A, error) {
 	response, err := handle(ctx, s, r, request)
 	s.options.Traffic.messagesReceived.Add(1)
@@ -160,7 +160,7 @@
 		s.clock.stamp(&at)
 		return nil, encodeFailure(err, at)
 	}
-	// The handler may have given the same response to several calls.
+	// Copies the response, because the handler may return the same one to several calls.
 	stamped := *response
 	s.clock.stamp(r.responseTimestamp(&stamped))
 	return &stamped, nil
--- a/messenger/traffic.go
+++ b/messenger/traffic.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Traffic counts what a node sends to and receives from its peers. The zero
-// value is ready for use; it may be shared by a server and a client.
+// Traffic counts the messages and bytes that a node exchanges with its peers. The zero
+// value is ready for use. A server and a client may share one.
 type Traffic struct {
 	messagesSent, messagesReceived atomic.Uint64
 	bytesSent, bytesReceived       atomic.Uint64
@@ -17,17 +17,17 @@
 	refused                        atomic.Uint64
 
 	mu sync.Mutex
-	// methods counts the calls that this node makes.
+	// methods counts outgoing calls by method; mu guards it.
 	methods map[string]MethodCount
 }
 
-// MethodCount counts the calls of one method that a node makes. Its bytes are
-// those of the messages, without framing.
+// MethodCount counts the outgoing calls of one method. Its bytes are those of the encoded
+// messages, without framing.
 type MethodCount struct {
 	Calls, BytesSent, BytesReceived uint64
 }
 
-// add counts a call.
+// add counts an outgoing call.
 func (t *Traffic) add(method string, sent, received int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -41,30 +41,30 @@
 	t.methods[method] = m
 }
 
-// Methods reads the counters of the calls that the node makes, by method.
+// Methods returns a copy of the counters of outgoing calls by method.
 func (t *Traffic) Methods() map[string]MethodCount {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return maps.Clone(t.methods)
 }
 
-// TrafficCount is a reading of Traffic.
+// TrafficCount is a snapshot of Traffic.
 type TrafficCount struct {
-	// Messages are requests and answers.
+	// Messages are requests and responses.
 	MessagesSent, MessagesReceived uint64
-	// Bytes are counted at the TCP connection, so TLS and framing are in them,
-	// but not the headers of TCP and IP.
+	// Bytes are counted on the TCP connection: they include TLS and framing, but no TCP or
+	// IP headers.
 	BytesSent, BytesReceived uint64
 	Dials                    uint64
-	// Stalled counts connections that were ended because they lastProgress no byte.
+	// Stalled counts connections closed because they made no progress (rule M2).
 	Stalled uint64
-	// Retries counts calls that were sent a second time.
+	// Retries counts calls that were sent a second time (rule M3).
 	Retries uint64
-	// Refused counts connections and calls turned away by a bound.
+	// Refused counts connections and calls rejected by a limit (rule M4).
 	Refused uint64
 }
 
-// Count reads the counters.
+// Count returns a snapshot of the counters.
 func (t *Traffic) Count() TrafficCount {
 	return TrafficCount{
 		MessagesSent:     t.messagesSent.Load(),
@@ -78,12 +78,12 @@
 	}
 }
 
-// meteredConn counts bytes, notes when the last one lastProgress, and bounds writes.
+// meteredConn counts bytes, tracks progress and sets a deadline on each write.
 type meteredConn struct {
 	net.Conn
 	traffic *Traffic
 	opened  time.Time
-	// lastProgress is when the last byte lastProgress, in nanoseconds after opened.
+	// lastProgress is when bytes last moved, in nanoseconds after opened.
 	lastProgress atomic.Int64
 }
 
@@ -91,7 +91,7 @@
 	return &meteredConn{Conn: conn, traffic: traffic, opened: time.Now()}
 }
 
-// Read reads from the connection.
+// Read implements net.Conn.
 func (c *meteredConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.traffic.bytesReceived.Add(uint64(n))
@@ -99,8 +99,8 @@
 	return n, err
 }
 
-// Write writes to the connection. Without the deadline, a peer that stops
-// reading would hold the writer and its message for ever.
+// Write implements net.Conn. Without the deadline, a peer that stops reading would block
+// the writer forever.
 func (c *meteredConn) Write(p []byte) (int, error) {
 	if err := c.SetWriteDeadline(time.Now().Add(WriteTimeout)); err != nil {
 		return 0, err
@@ -117,7 +117,7 @@
 	}
 }
 
-// idleFor is the time since a byte lastProgress.
+// idleFor returns the time since bytes last moved, or since the connection was opened.
 func (c *meteredConn) idleFor() time.Duration {
 	return time.Since(c.opened) - time.Duration(c.lastProgress.Load())
 }
