--- a/checker/contract_test.go
+++ b/checker/contract_test.go
@@ -19,7 +19,7 @@
 
 var (
 	weights = garnetworks.WeightID{Model: "model", Version: "v1"}
-	options = connector.Options{Silence: silence}
+	options = connector.Options{StallTimeout: silence}
 )
 
 const (
--- a/connector/enginecaller.go
+++ b/connector/enginecaller.go
@@ -31,16 +31,16 @@
 		return nil, &garnetworks.AttemptError{Phase: garnetworks.PhaseConnect, Cause: err}
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	watch := newWatchdog(ec.options.Silence, cancel)
+	watch := newWatchdog(ec.options.StallTimeout, cancel)
 	response, t, err := ec.send(ctx, address, request, bytes.NewReader(body), len(body))
 	if err != nil {
-		return nil, ec.abandon(address, watch, cancel, &garnetworks.AttemptError{Phase: t.failed(), Cause: err})
+		return nil, ec.abandon(address, watch, cancel, &garnetworks.AttemptError{Phase: t.failurePhase(), Cause: err})
 	}
 	if failure := checkHeader(response, HeaderAttempt, string(call.Attempt)); failure != nil {
 		_ = response.Body.Close()
 		return nil, ec.abandon(address, watch, cancel, failure)
 	}
-	watch.rest()
+	watch.pause()
 	s := newEngineStream(ec, address, call.Attempt, response.Body, watch, cancel)
 	s.next = call.ResumeFrom
 	return s, nil
@@ -50,17 +50,17 @@
 func (ec *EngineCaller) abandon(address string, watch *watchdog, cancel context.CancelFunc, failure *garnetworks.AttemptError) error {
 	cancel()
 	failure.Stalled = watch.stop()
-	if failure.Stalled || watch.idle() >= suspicion {
-		ec.drop(address)
+	if failure.Stalled || watch.idle() >= minStallToCloseIdle {
+		ec.closeIdle(address)
 	}
 	return failure
 }
 
-// suspicion is how long an attempt must have stood still for the pooled
+// minStallToCloseIdle is how long an attempt must have stood still for the pooled
 // connections to its address to be dropped (rule C6), whoever ended it: those
 // that judge silence earlier than the watchdog end it by its context. Dropping
 // healthy connections costs only a connect each.
-const suspicion = 500 * time.Millisecond
+const minStallToCloseIdle = 500 * time.Millisecond
 
 func generateRequest(address string, call *garnetworks.EngineCall) (*http.Request, []byte, error) {
 	body, err := json.Marshal(GenerateBody{
@@ -109,7 +109,7 @@
 		return failure
 	}
 	if isRefusal(response) {
-		return refused(response)
+		return refusalError(response)
 	}
 	if response.StatusCode != http.StatusOK {
 		return &garnetworks.AttemptError{Phase: garnetworks.PhaseHeaders, Cause: readProblem(response)}
@@ -129,13 +129,13 @@
 	}
 }
 
-func refused(response *http.Response) *garnetworks.AttemptError {
+func refusalError(response *http.Response) *garnetworks.AttemptError {
 	cause := readProblem(response)
-	wait := cause.RetryAfter
-	if wait == 0 {
-		wait = retryAfter(response)
+	delay := cause.RetryAfter
+	if delay == 0 {
+		delay = retryAfter(response)
 	}
-	return &garnetworks.AttemptError{Phase: garnetworks.PhaseRefused, RetryAfter: wait, Cause: cause}
+	return &garnetworks.AttemptError{Phase: garnetworks.PhaseRefused, RetryAfter: delay, Cause: cause}
 }
 
 // isRefusal reports whether the answer proves that the call was not begun
@@ -157,38 +157,38 @@
 // watchdog cancels an attempt that makes no progress. It runs only while
 // someone waits for the other end.
 type watchdog struct {
-	bound  time.Duration
-	cancel context.CancelFunc
-	timer  *time.Timer
-	// waiting is when the present wait last made progress, in nanoseconds after
+	timeout time.Duration
+	cancel  context.CancelFunc
+	timer   *time.Timer
+	// lastProgress is when the present delay last made progress, in nanoseconds after
 	// start; 0 while nobody waits.
-	waiting atomic.Int64
-	start   time.Time
-	bitten  atomic.Bool
+	lastProgress atomic.Int64
+	start        time.Time
+	fired        atomic.Bool
 }
 
-// checksPerBound sets how much longer than its bound a silence can last
+// checksPerTimeout sets how much longer than its bound a silence can last
 // unnoticed: a quarter.
-const checksPerBound = 4
+const checksPerTimeout = 4
 
-func newWatchdog(bound time.Duration, cancel context.CancelFunc) *watchdog {
-	w := &watchdog{bound: bound, cancel: cancel, start: time.Now().Add(-1)}
+func newWatchdog(timeout time.Duration, cancel context.CancelFunc) *watchdog {
+	w := &watchdog{timeout: timeout, cancel: cancel, start: time.Now().Add(-1)}
 	w.progress()
-	w.timer = time.AfterFunc(bound, w.check)
+	w.timer = time.AfterFunc(timeout, w.check)
 	return w
 }
 
 func (w *watchdog) now() int64 { return int64(time.Since(w.start)) }
 
-// progress notes that a wait begins or has made progress.
-func (w *watchdog) progress() { w.waiting.Store(w.now()) }
+// progress notes that a delay begins or has made progress.
+func (w *watchdog) progress() { w.lastProgress.Store(w.now()) }
 
-// rest notes that nobody waits.
-func (w *watchdog) rest() { w.waiting.Store(0) }
+// pause notes that nobody waits.
+func (w *watchdog) pause() { w.lastProgress.Store(0) }
 
-// idle returns how long the present wait has made no progress.
+// idle returns how long the present delay has made no progress.
 func (w *watchdog) idle() time.Duration {
-	since := w.waiting.Load()
+	since := w.lastProgress.Load()
 	if since == 0 {
 		return 0
 	}
@@ -196,19 +196,19 @@
 }
 
 func (w *watchdog) check() {
-	since := w.waiting.Load()
-	if since == 0 || w.now()-since < int64(w.bound) {
-		w.timer.Reset(w.bound / checksPerBound)
+	since := w.lastProgress.Load()
+	if since == 0 || w.now()-since < int64(w.timeout) {
+		w.timer.Reset(w.timeout / checksPerTimeout)
 		return
 	}
-	w.bitten.Store(true)
+	w.fired.Store(true)
 	w.cancel()
 }
 
 // stop ends the watchdog and reports whether it cancelled the attempt.
 func (w *watchdog) stop() bool {
 	w.timer.Stop()
-	return w.bitten.Load()
+	return w.fired.Load()
 }
 
 // engineStream reads an answer.
@@ -264,7 +264,7 @@
 	s.watch.progress()
 	err := s.reader.events.next()
 	if err == nil {
-		s.watch.rest()
+		s.watch.pause()
 		err = s.decode(chunk)
 	}
 	if err != nil {
@@ -283,12 +283,12 @@
 func (s *engineStream) decode(chunk *garnetworks.Chunk) error {
 	r := s.reader
 	if string(r.events.id) != string(s.attempt) {
-		return errCrossed
+		return errAttemptMismatch
 	}
 	if err := r.decoder.decode(r.events.data, &s.event); err != nil {
 		return err
 	}
-	if err := s.inOrder(); err != nil {
+	if err := s.checkOrder(); err != nil {
 		return err
 	}
 	*chunk = garnetworks.Chunk{
@@ -305,8 +305,8 @@
 	return nil
 }
 
-// inOrder checks that the event goes on where the one before it ended.
-func (s *engineStream) inOrder() error {
+// checkOrder checks that the event goes on where the one before it ended.
+func (s *engineStream) checkOrder() error {
 	if s.event.Tokens < 0 || s.event.Index != s.next {
 		return errors.Errorf("token %d came where %d was due", s.event.Index, s.next)
 	}
@@ -314,7 +314,7 @@
 	return nil
 }
 
-var errCrossed = errors.New("an event carries another attempt's identifier")
+var errAttemptMismatch = errors.New("an event carries another attempt's identifier")
 
 // fail ends the attempt with the error that callers see.
 func (s *engineStream) fail(err error) error {
@@ -322,7 +322,7 @@
 	if err == io.EOF {
 		failure.Cause = io.ErrUnexpectedEOF
 	}
-	if err == errCrossed {
+	if err == errAttemptMismatch {
 		failure.Phase = garnetworks.PhaseMismatched
 	}
 	return s.caller.abandon(s.address, s.watch, s.cancel, failure)
@@ -332,19 +332,19 @@
 // goes back to the pool.
 func (s *engineStream) Close() error {
 	if s.ended {
-		s.finish()
+		s.drain()
 	}
 	s.watch.stop()
 	s.cancel()
 	return s.body.Close()
 }
 
-// finishBound is how long the end of the body may take after the end marker;
+// drainTimeout is how long the end of the body may take after the end marker;
 // after it the connection is not reused.
-const finishBound = 100 * time.Millisecond
+const drainTimeout = 100 * time.Millisecond
 
-func (s *engineStream) finish() {
-	timer := time.AfterFunc(finishBound, s.cancel)
+func (s *engineStream) drain() {
+	timer := time.AfterFunc(drainTimeout, s.cancel)
 	defer timer.Stop()
 	_, _ = io.CopyN(io.Discard, s.body, eventBufferBytes)
 }
--- a/connector/eventparser.go
+++ b/connector/eventparser.go
@@ -38,15 +38,15 @@
 func (d *eventDecoder) parse(data []byte, event *EventBody) bool {
 	d.data, d.at = data, 0
 	*event = EventBody{}
-	if !d.take('{') {
+	if !d.consume('{') {
 		return false
 	}
 	for {
 		if !d.field(event) {
 			return false
 		}
-		if !d.take(',') {
-			return d.take('}') && d.at == len(d.data)
+		if !d.consume(',') {
+			return d.consume('}') && d.at == len(d.data)
 		}
 	}
 }
@@ -69,19 +69,19 @@
 
 // name parses a name and the colon after it.
 func (d *eventDecoder) name() []byte {
-	if !d.take('"') {
+	if !d.consume('"') {
 		return nil
 	}
 	name, _, _ := bytes.Cut(d.data[d.at:], []byte{'"'})
 	d.at = min(d.at+len(name)+1, len(d.data))
-	if !d.take(':') {
+	if !d.consume(':') {
 		return nil
 	}
 	return name
 }
 
-// take skips spaces, and c if it comes next.
-func (d *eventDecoder) take(c byte) bool {
+// consume skips spaces, and c if it comes next.
+func (d *eventDecoder) consume(c byte) bool {
 	for d.at < len(d.data) && d.data[d.at] == ' ' {
 		d.at++
 	}
@@ -113,18 +113,18 @@
 
 // text parses a string. Broken UTF-8, which encoding/json replaces, is left to it.
 func (d *eventDecoder) text() (string, bool) {
-	if !d.take('"') {
+	if !d.consume('"') {
 		return "", false
 	}
 	d.scratch = d.scratch[:0]
 	for {
-		d.plain()
+		d.copyUnescaped()
 		if d.at == len(d.data) {
 			return "", false
 		}
 		if d.data[d.at] == '"' {
 			d.at++
-			return d.keep(d.scratch), utf8.Valid(d.scratch)
+			return d.copyText(d.scratch), utf8.Valid(d.scratch)
 		}
 		if d.data[d.at] != '\\' || !d.escape() {
 			return "", false
@@ -132,8 +132,8 @@
 	}
 }
 
-// plain copies what stands for itself.
-func (d *eventDecoder) plain() {
+// copyUnescaped copies what stands for itself.
+func (d *eventDecoder) copyUnescaped() {
 	start := d.at
 	for d.at < len(d.data) {
 		c := d.data[d.at]
@@ -208,9 +208,9 @@
 // for some hundred tokens, and little that a waiting part keeps alive.
 const textBlockBytes = 512
 
-// keep returns text as a string. Strings share blocks: a builder never writes
+// copyText returns text as a string. Strings share blocks: a builder never writes
 // again what it has handed out.
-func (d *eventDecoder) keep(text []byte) string {
+func (d *eventDecoder) copyText(text []byte) string {
 	if d.texts.Cap()-d.texts.Len() < len(text) {
 		d.texts = strings.Builder{}
 		d.texts.Grow(max(textBlockBytes, len(text)))
--- a/connector/link.go
+++ b/connector/link.go
@@ -22,81 +22,81 @@
 	// IdleTimeout is how long an unused connection is kept. It is short, because
 	// what sits between the two ends forgets idle connections first.
 	IdleTimeout time.Duration
-	// Silence is how long an engine's answer may make no progress (rule C6). It
+	// StallTimeout is how long an engine's answer may make no progress (rule C6). It
 	// is a last resort: who knows more of the engine ends an attempt earlier, by
 	// its context.
-	Silence time.Duration
+	StallTimeout time.Duration
 	// MaxIdlePerAddress bounds the pooled connections to one address.
 	MaxIdlePerAddress int
-	// MaxAnswerBytes bounds an answer that is read as a whole.
-	MaxAnswerBytes int64
-	// FreshConnections makes each request open a connection of its own, so that
+	// MaxResponseBytes bounds an answer that is read as a whole.
+	MaxResponseBytes int64
+	// DisableReuse makes each request open a connection of its own, so that
 	// none is written to a pooled connection that has gone silent.
-	FreshConnections bool
+	DisableReuse bool
 }
 
 // Default bounds.
 const (
 	DefaultConnectTimeout    = time.Second
 	DefaultIdleTimeout       = 30 * time.Second
-	DefaultSilence           = 15 * time.Second
+	DefaultStallTimeout      = 15 * time.Second
 	DefaultMaxIdlePerAddress = 64
-	DefaultMaxAnswerBytes    = 32 << 20
+	DefaultMaxResponseBytes  = 32 << 20
 )
 
 func (o Options) withDefaults() Options {
 	o.ConnectTimeout = cmp.Or(o.ConnectTimeout, DefaultConnectTimeout)
 	o.IdleTimeout = cmp.Or(o.IdleTimeout, DefaultIdleTimeout)
-	o.Silence = cmp.Or(o.Silence, DefaultSilence)
+	o.StallTimeout = cmp.Or(o.StallTimeout, DefaultStallTimeout)
 	o.MaxIdlePerAddress = cmp.Or(o.MaxIdlePerAddress, DefaultMaxIdlePerAddress)
-	o.MaxAnswerBytes = cmp.Or(o.MaxAnswerBytes, DefaultMaxAnswerBytes)
+	o.MaxResponseBytes = cmp.Or(o.MaxResponseBytes, DefaultMaxResponseBytes)
 	return o
 }
 
 // pool keeps one transport for each address, so that the connections to one
 // address can be dropped without those to others.
 type pool struct {
-	options Options
-	mu      sync.Mutex
-	links   map[string]*link
-	swept   time.Time
+	options    Options
+	mu         sync.Mutex
+	transports map[string]*addressTransport
+	lastSweep  time.Time
 }
 
-// link is the transport to one address.
-type link struct {
+// addressTransport is the transport to one address.
+type addressTransport struct {
 	http.Transport
-	used time.Time
+	lastUsed time.Time
 }
 
 const (
-	// sweepInterval is how often links are looked through.
+	// sweepInterval is how often transports are looked through.
 	sweepInterval = time.Minute
-	// linkLifetime is how long an unused link is kept; addresses come and go
+	// transportLifetime is how long an unused link is kept; addresses come and go
 	// with instances.
-	linkLifetime = 10 * time.Minute
+	transportLifetime = 10 * time.Minute
 	// connBufferBytes is the size of a connection's buffers.
 	connBufferBytes = 4 << 10
 	maxHeaderBytes  = 64 << 10
 )
 
 func newPool(options Options) *pool {
-	return &pool{options: options.withDefaults(), links: make(map[string]*link)}
+	return &pool{options: options.withDefaults(), transports: make(map[string]*addressTransport)}
 }
 
-func (p *pool) link(address string) *link {
+func (p *pool) transport(address string) *addressTransport {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Sub(p.swept) > sweepInterval {
+	if now.Sub(p.lastSweep) > sweepInterval {
 		p.sweep(now)
 	}
-	l := p.links[address]
+	l := p.transports[address]
 	if l == nil {
-		l = &link{}
+		l = &addressTransport{}
 		p.setUp(&l.Transport)
-		p.links[address] = l
+		p.transports[address] = l
 	}
-	l.used = now
+	l.lastUsed = now
 	return l
 }
 
@@ -110,7 +110,7 @@
 		return &countingConn{Conn: c}, nil
 	}
 	t.DisableCompression = true
-	t.DisableKeepAlives = p.options.FreshConnections
+	t.DisableKeepAlives = p.options.DisableReuse
 	t.IdleConnTimeout = p.options.IdleTimeout
 	t.MaxIdleConnsPerHost = p.options.MaxIdlePerAddress
 	t.MaxResponseHeaderBytes = maxHeaderBytes
@@ -118,21 +118,21 @@
 	t.WriteBufferSize = connBufferBytes
 }
 
-// sweep forgets links that were not used for long.
+// sweep forgets transports that were not used for long.
 func (p *pool) sweep(now time.Time) {
-	p.swept = now
-	for address, l := range p.links {
-		if now.Sub(l.used) > linkLifetime {
+	p.lastSweep = now
+	for address, l := range p.transports {
+		if now.Sub(l.lastUsed) > transportLifetime {
 			l.CloseIdleConnections()
-			delete(p.links, address)
+			delete(p.transports, address)
 		}
 	}
 }
 
-// drop closes the idle connections to an address (rule C6).
-func (p *pool) drop(address string) {
+// closeIdle closes the idle connections to an address (rule C6).
+func (p *pool) closeIdle(address string) {
 	p.mu.Lock()
-	l := p.links[address]
+	l := p.transports[address]
 	p.mu.Unlock()
 	if l != nil {
 		l.CloseIdleConnections()
@@ -143,7 +143,7 @@
 func (p *pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, l := range p.links {
+	for _, l := range p.transports {
 		l.CloseIdleConnections()
 	}
 }
@@ -152,7 +152,7 @@
 type countingConn struct {
 	net.Conn
 	mu      sync.Mutex
-	handed  uint64
+	written uint64
 	writing int
 	sealed  bool
 }
@@ -171,7 +171,7 @@
 	n, err := c.Conn.Write(p)
 	c.mu.Lock()
 	c.writing--
-	c.handed += uint64(n)
+	c.written += uint64(n)
 	c.mu.Unlock()
 	return n, err
 }
@@ -180,31 +180,31 @@
 func (c *countingConn) count() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.handed
+	return c.written
 }
 
-// seal forbids further writes and reports whether more than base bytes have
+// seal forbids further writes and reports whether more than writtenBefore bytes have
 // been sent or are being sent.
 //
 // It guards against a request that is given up between getting its connection
 // and being written: the transport's writing goroutine could still send it
 // after the caller was told "not sent" (rule C1).
-func (c *countingConn) seal(base uint64) bool {
+func (c *countingConn) seal(writtenBefore uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sealed = true
-	return c.handed > base || c.writing > 0
+	return c.written > writtenBefore || c.writing > 0
 }
 
 // trace follows one request through the transport.
 type trace struct {
 	mu sync.Mutex
-	// conn is the connection the request was last given; base is what it had
+	// conn is the connection the request was last given; writtenBefore is what it had
 	// sent before.
-	conn      *countingConn
-	base      uint64
-	sent      bool
-	firstByte bool
+	conn          *countingConn
+	writtenBefore uint64
+	sent          bool
+	firstByte     bool
 }
 
 func (t *trace) hooks() *httptrace.ClientTrace {
@@ -219,18 +219,18 @@
 // one, the transport is about to repeat the request; the new connection is
 // sealed, so that the repetition fails without a byte sent (rule C2).
 func (t *trace) gotConn(info httptrace.GotConnInfo) {
-	c := counting(info.Conn)
+	c := countingConnOf(info.Conn)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.conn != nil && t.conn.seal(t.base) {
+	if t.conn != nil && t.conn.seal(t.writtenBefore) {
 		c.seal(0)
 		return
 	}
-	t.conn, t.base = c, c.count()
+	t.conn, t.writtenBefore = c, c.count()
 }
 
-// counting returns the connection's counter, which lies below TLS.
-func counting(c net.Conn) *countingConn {
+// countingConnOf returns the connection's counter, which lies below TLS.
+func countingConnOf(c net.Conn) *countingConn {
 	if secured, ok := c.(*tls.Conn); ok {
 		c = secured.NetConn()
 	}
@@ -249,13 +249,13 @@
 	t.firstByte = true
 }
 
-// failed returns how far a request without a complete answer header had come.
+// failurePhase returns how far a request without a complete answer header had come.
 // After it, no byte of the request can be sent any more.
-func (t *trace) failed() garnetworks.CallPhase {
+func (t *trace) failurePhase() garnetworks.CallPhase {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
-	case t.conn == nil || !t.conn.seal(t.base):
+	case t.conn == nil || !t.conn.seal(t.writtenBefore):
 		return garnetworks.PhaseConnect
 	case t.firstByte:
 		return garnetworks.PhaseHeaders
@@ -265,23 +265,23 @@
 	return garnetworks.PhaseWait
 }
 
-// oneShot is a body that can be read once. The transport can't rewind it, so
+// singleUseBody is a body that can be read once. The transport can't rewind it, so
 // it can't repeat a request whose body it has begun to read (rule C2).
-type oneShot struct{ r io.Reader }
+type singleUseBody struct{ r io.Reader }
 
-func (o *oneShot) Read(p []byte) (int, error) { return o.r.Read(p) }
+func (o *singleUseBody) Read(p []byte) (int, error) { return o.r.Read(p) }
 
 // Close implements io.Closer.
-func (o *oneShot) Close() error { return nil }
+func (o *singleUseBody) Close() error { return nil }
 
 // send makes a request whose body is body. On failure the trace says how far
 // it came.
 func (p *pool) send(ctx context.Context, address string, request *http.Request, body io.Reader, size int) (*http.Response, *trace, error) {
 	t := &trace{}
 	request = request.WithContext(httptrace.WithClientTrace(ctx, t.hooks()))
-	request.Body = &oneShot{body}
+	request.Body = &singleUseBody{body}
 	request.ContentLength = int64(size)
 	request.GetBody = nil
-	response, err := p.link(address).RoundTrip(request)
+	response, err := p.transport(address).RoundTrip(request)
 	return response, t, err
 }
--- a/connector/link_test.go
+++ b/connector/link_test.go
@@ -17,17 +17,17 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// dyingServer answers the first request on each connection, reads the second
+// disconnectingServer answers the first request on each connection, reads the second
 // one whole and then breaks the connection without an answer.
-type dyingServer struct {
+type disconnectingServer struct {
 	address string
 	mu      sync.Mutex
-	// read holds the identifiers of the requests that arrived whole.
-	read []string
+	// received holds the identifiers of the requests that arrived whole.
+	received []string
 }
 
-func newDyingServer(t *testing.T) *dyingServer {
-	s := &dyingServer{}
+func newDisconnectingServer(t *testing.T) *disconnectingServer {
+	s := &disconnectingServer{}
 	s.address = listen(t, s.serve)
 	return s
 }
@@ -51,7 +51,7 @@
 	return l.Addr().String()
 }
 
-func (s *dyingServer) serve(c net.Conn) {
+func (s *disconnectingServer) serve(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for n := 0; n < 2; n++ {
@@ -62,7 +62,7 @@
 		_, _ = io.Copy(io.Discard, request.Body)
 		id := request.Header.Get(HeaderCall)
 		s.mu.Lock()
-		s.read = append(s.read, id)
+		s.received = append(s.received, id)
 		s.mu.Unlock()
 		if n == 0 {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n"+HeaderCall+": "+id+"\r\nContent-Length: 0\r\n\r\n")
@@ -70,11 +70,11 @@
 	}
 }
 
-func (s *dyingServer) times(id string) int {
+func (s *disconnectingServer) receivedCount(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for _, seen := range s.read {
+	for _, seen := range s.received {
 		if seen == id {
 			n++
 		}
@@ -86,7 +86,7 @@
 // written to a pooled connection, the server reads it, books it and dies
 // before it answers; the transport sees a broken reused connection and, because
 // the request has an Idempotency-Key, sends it again on a new one.
-func TestTransportNeverRepeats(t *testing.T) {
+func TestTransportNeverRetries(t *testing.T) {
 	tests := map[string]struct {
 		method string
 		body   string
@@ -98,7 +98,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := newDyingServer(t)
+			s := newDisconnectingServer(t)
 			p := newPool(Options{})
 			defer p.Close()
 			caller := &ServiceCaller{p}
@@ -115,7 +115,7 @@
 			if err := call("c2"); !errors.As(err, &attempt) || attempt.Phase != garnetworks.PhaseWait {
 				t.Errorf("got error %v, want one in phase wait", err)
 			}
-			if n := s.times("c2"); n != 1 {
+			if n := s.receivedCount("c2"); n != 1 {
 				t.Errorf("the server read the call %d times, want once", n)
 			}
 		})
@@ -125,8 +125,8 @@
 // As above, with the first guard gone: a body that can be read again lets the
 // transport repeat the request. The second guard seals the new connection
 // before a byte of the repetition is sent.
-func TestRepetitionIsSealed(t *testing.T) {
-	s := newDyingServer(t)
+func TestRetryConnectionIsSealed(t *testing.T) {
+	s := newDisconnectingServer(t)
 	p := newPool(Options{})
 	defer p.Close()
 	address := s.address
@@ -138,7 +138,7 @@
 		request.Header.Set(HeaderCall, id)
 		request.Header.Set(HeaderKey, id)
 		tr := &trace{}
-		return p.link(address).RoundTrip(request.WithContext(httptrace.WithClientTrace(t.Context(), tr.hooks())))
+		return p.transport(address).RoundTrip(request.WithContext(httptrace.WithClientTrace(t.Context(), tr.hooks())))
 	}
 	first, err := send("c1")
 	if err != nil {
@@ -150,7 +150,7 @@
 		_ = second.Body.Close()
 		t.Error("the repetition was answered")
 	}
-	if n := s.times("c2"); n != 1 {
+	if n := s.receivedCount("c2"); n != 1 {
 		t.Errorf("the server read the call %d times, want once", n)
 	}
 }
@@ -169,7 +169,7 @@
 	c := &countingConn{Conn: near}
 	tr := &trace{}
 	tr.gotConn(httptrace.GotConnInfo{Conn: c})
-	if phase := tr.failed(); phase != garnetworks.PhaseConnect {
+	if phase := tr.failurePhase(); phase != garnetworks.PhaseConnect {
 		t.Errorf("got phase %s, want connect", phase)
 	}
 	if _, err := c.Write([]byte("late")); err == nil {
@@ -196,7 +196,7 @@
 	for !c.isWriting() {
 		time.Sleep(time.Millisecond)
 	}
-	if phase := tr.failed(); phase != garnetworks.PhaseWrite {
+	if phase := tr.failurePhase(); phase != garnetworks.PhaseWrite {
 		t.Errorf("got phase %s, want write", phase)
 	}
 	_ = near.Close()
@@ -223,7 +223,7 @@
 
 // A caller gets half an answer, another caller's, or "not run" for a call that
 // ran, because the other end answers in a way that the contract does not allow.
-func TestServiceAnswersOutsideTheContract(t *testing.T) {
+func TestInvalidServiceResponses(t *testing.T) {
 	const own = HeaderCall + ": c1\r\n"
 	tests := map[string]struct {
 		answer string
@@ -269,7 +269,7 @@
 
 // An operator's commit is told "conflict" or "failed" though it is in force,
 // because something between the two ends answered in the store's place.
-func TestWritesWithoutAKnownAnswerAreLost(t *testing.T) {
+func TestWritesWithUnknownOutcomeAreResponseLost(t *testing.T) {
 	tests := map[string]struct {
 		answer string
 		kind   garnetworks.Kind
--- a/connector/platform.go
+++ b/connector/platform.go
@@ -24,12 +24,12 @@
 // client makes calls whose answers are read as a whole.
 type client struct {
 	*pool
-	// down is the kind of a call that had no effect.
-	down garnetworks.Kind
+	// unavailable is the kind of a call that had no effect.
+	unavailable garnetworks.Kind
 }
 
-// exchange is one such call.
-type exchange struct {
+// apiRequest is one such call.
+type apiRequest struct {
 	address string
 	method  string
 	path    string
@@ -44,8 +44,8 @@
 
 // target returns the URL of the call. The address is an IP number and port, or
 // a base URL.
-func (x exchange) target() (*url.URL, error) {
-	base := x.address
+func (r apiRequest) target() (*url.URL, error) {
+	base := r.address
 	if !strings.Contains(base, "://") {
 		base = "http://" + base
 	}
@@ -53,81 +53,81 @@
 	if err != nil {
 		return nil, err
 	}
-	target = target.JoinPath(x.path)
-	target.RawQuery = x.query.Encode()
+	target = target.JoinPath(r.path)
+	target.RawQuery = r.query.Encode()
 	return target, nil
 }
 
-// answer is a whole answer with status 200.
-type answer struct {
+// apiResponse is a whole answer with status 200.
+type apiResponse struct {
 	header http.Header
 	body   []byte
 }
 
 // do makes the call and maps failures to kinds.
-func (c client) do(ctx context.Context, x exchange) (answer, error) {
-	if x.timeout == 0 {
-		x.timeout = PlatformTimeout
+func (c client) do(ctx context.Context, r apiRequest) (apiResponse, error) {
+	if r.timeout == 0 {
+		r.timeout = PlatformTimeout
 	}
-	ctx, cancel := context.WithTimeout(ctx, x.timeout)
+	ctx, cancel := context.WithTimeout(ctx, r.timeout)
 	defer cancel()
-	target, err := x.target()
+	target, err := r.target()
 	if err != nil {
-		return answer{}, garnetworks.WrapError(c.down, err, "the address can't be used")
+		return apiResponse{}, garnetworks.WrapError(c.unavailable, err, "the address can't be used")
 	}
-	request, err := http.NewRequest(x.method, target.String(), nil)
+	request, err := http.NewRequest(r.method, target.String(), nil)
 	if err != nil {
-		return answer{}, garnetworks.WrapError(c.down, err, "the address can't be used")
+		return apiResponse{}, garnetworks.WrapError(c.unavailable, err, "the address can't be used")
 	}
-	if x.header != nil {
-		request.Header = x.header
+	if r.header != nil {
+		request.Header = r.header
 	}
-	response, t, err := c.send(ctx, x.address, request, bytes.NewReader(x.body), len(x.body))
+	response, t, err := c.send(ctx, r.address, request, bytes.NewReader(r.body), len(r.body))
 	if err != nil {
-		phase := t.failed()
-		c.drop(x.address)
-		return answer{}, c.lost(x, phase, err)
+		phase := t.failurePhase()
+		c.closeIdle(r.address)
+		return apiResponse{}, c.incompleteError(r, phase, err)
 	}
 	defer response.Body.Close()
-	body, err := readWhole(response, c.options.MaxAnswerBytes)
+	body, err := readWhole(response, c.options.MaxResponseBytes)
 	if err != nil {
-		c.drop(x.address)
-		return answer{}, c.lost(x, garnetworks.PhaseBody, err)
+		c.closeIdle(r.address)
+		return apiResponse{}, c.incompleteError(r, garnetworks.PhaseBody, err)
 	}
 	if response.StatusCode == http.StatusOK {
-		return answer{response.Header, body}, nil
+		return apiResponse{response.Header, body}, nil
 	}
-	return answer{}, c.refused(x, response.StatusCode, body)
+	return apiResponse{}, c.responseError(r, response.StatusCode, body)
 }
 
-// lost names the failure of a call without a whole answer.
-func (c client) lost(x exchange, phase garnetworks.CallPhase, err error) error {
+// incompleteError names the failure of a call without a whole answer.
+func (c client) incompleteError(r apiRequest, phase garnetworks.CallPhase, err error) error {
 	switch {
 	case phase == garnetworks.PhaseConnect:
-		return garnetworks.WrapError(c.down, err, "not sent")
-	case x.writes:
+		return garnetworks.WrapError(c.unavailable, err, "not sent")
+	case r.writes:
 		return garnetworks.WrapError(garnetworks.KindResponseLost, err, "the answer was lost in phase "+string(phase))
 	}
-	return garnetworks.WrapError(c.down, err, "no answer in phase "+string(phase))
+	return garnetworks.WrapError(c.unavailable, err, "no answer in phase "+string(phase))
 }
 
-// refused reads an error answer. One without a known kind proves nothing: it
+// responseError reads an error answer. One without a known kind proves nothing: it
 // may come from something between the two ends.
-func (c client) refused(x exchange, status int, body []byte) error {
+func (c client) responseError(r apiRequest, status int, body []byte) error {
 	var p Problem
 	if json.Unmarshal(body, &p) != nil || !p.known() {
-		return c.lost(x, garnetworks.PhaseHeaders, errors.Errorf("status %d without a known error kind", status))
+		return c.incompleteError(r, garnetworks.PhaseHeaders, errors.Errorf("status %d without a known error kind", status))
 	}
 	kind := p.Kind
 	if kind == garnetworks.KindUnreachable || kind == garnetworks.KindInternal {
-		kind = c.down
+		kind = c.unavailable
 	}
 	return &garnetworks.Error{Kind: kind, Detail: p.Detail, RetryAfter: p.retryAfter()}
 }
 
 var (
 	errNoEndMarker = errors.New("the body has neither a length nor a last chunk")
-	errTooLong     = errors.New("the answer is too large")
+	errTooLarge    = errors.New("the answer is too large")
 )
 
 // readWhole reads a body that has an end marker (rule C4).
@@ -136,14 +136,14 @@
 		return nil, errNoEndMarker
 	}
 	if response.ContentLength > limit {
-		return nil, errTooLong
+		return nil, errTooLarge
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, limit+1))
 	if err != nil {
 		return nil, err
 	}
 	if int64(len(body)) > limit {
-		return nil, errTooLong
+		return nil, errTooLarge
 	}
 	return body, nil
 }
@@ -177,31 +177,31 @@
 const maxRetryAfter = time.Hour
 
 // getJSON makes a call without effect and decodes its answer.
-func getJSON[T any](ctx context.Context, c client, x exchange) (T, error) {
-	x.method = http.MethodGet
-	return doJSON[T](ctx, c, x)
+func getJSON[T any](ctx context.Context, c client, r apiRequest) (T, error) {
+	r.method = http.MethodGet
+	return doJSON[T](ctx, c, r)
 }
 
 // postJSON makes a call with an effect and decodes its answer.
-func postJSON[T any](ctx context.Context, c client, x exchange, body any) (T, error) {
+func postJSON[T any](ctx context.Context, c client, r apiRequest, body any) (T, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		var none T
 		return none, garnetworks.WrapError(garnetworks.KindInvalidRequest, err, "the request can't be encoded")
 	}
-	x.method, x.body, x.writes = http.MethodPost, encoded, true
-	x.header = http.Header{"Content-Type": {"application/json"}}
-	return doJSON[T](ctx, c, x)
+	r.method, r.body, r.writes = http.MethodPost, encoded, true
+	r.header = http.Header{"Content-Type": {"application/json"}}
+	return doJSON[T](ctx, c, r)
 }
 
-func doJSON[T any](ctx context.Context, c client, x exchange) (T, error) {
+func doJSON[T any](ctx context.Context, c client, r apiRequest) (T, error) {
 	var result T
-	a, err := c.do(ctx, x)
+	resp, err := c.do(ctx, r)
 	if err != nil {
 		return result, err
 	}
-	if err := json.Unmarshal(a.body, &result); err != nil {
-		return result, c.lost(x, garnetworks.PhaseBody, err)
+	if err := json.Unmarshal(resp.body, &result); err != nil {
+		return result, c.incompleteError(r, garnetworks.PhaseBody, err)
 	}
 	return result, nil
 }
@@ -221,24 +221,24 @@
 
 // Get implements garnetworks.ObjectAPI.
 func (o *ObjectAPI) Get(ctx context.Context, key string) (garnetworks.Object, error) {
-	x := exchange{address: o.address, method: http.MethodGet, path: PathObject, query: url.Values{"key": {key}}}
-	a, err := o.do(ctx, x)
+	r := apiRequest{address: o.address, method: http.MethodGet, path: PathObject, query: url.Values{"key": {key}}}
+	resp, err := o.do(ctx, r)
 	if err != nil {
 		return garnetworks.Object{}, err
 	}
-	revision, err := o.revision(x, a)
+	revision, err := o.revision(r, resp)
 	if err != nil {
 		return garnetworks.Object{}, err
 	}
-	return garnetworks.Object{Key: key, Value: a.body, Revision: revision}, nil
+	return garnetworks.Object{Key: key, Value: resp.body, Revision: revision}, nil
 }
 
 // revision reads the answer's revision. A revision of 0 means absent and can't
 // be that of an object.
-func (o *ObjectAPI) revision(x exchange, a answer) (garnetworks.Revision, error) {
-	n, err := strconv.ParseUint(a.header.Get(HeaderRevision), 10, 64)
+func (o *ObjectAPI) revision(r apiRequest, resp apiResponse) (garnetworks.Revision, error) {
+	n, err := strconv.ParseUint(resp.header.Get(HeaderRevision), 10, 64)
 	if err != nil || n == 0 {
-		return 0, o.lost(x, garnetworks.PhaseHeaders, errors.New("the answer has no revision"))
+		return 0, o.incompleteError(r, garnetworks.PhaseHeaders, errors.New("the answer has no revision"))
 	}
 	return garnetworks.Revision(n), nil
 }
@@ -248,19 +248,19 @@
 	if len(value) > garnetworks.MaxObjectBytes {
 		return 0, garnetworks.Errorf(garnetworks.KindTooLarge, "object %q has %d bytes; %d are allowed", key, len(value), garnetworks.MaxObjectBytes)
 	}
-	x := o.write(http.MethodPut, key, after)
-	x.body = value
-	a, err := o.do(ctx, x)
+	r := o.write(http.MethodPut, key, after)
+	r.body = value
+	resp, err := o.do(ctx, r)
 	if err != nil {
 		return 0, err
 	}
-	return o.revision(x, a)
+	return o.revision(r, resp)
 }
 
-func (o *ObjectAPI) write(method, key string, after garnetworks.Revision) exchange {
+func (o *ObjectAPI) write(method, key string, after garnetworks.Revision) apiRequest {
 	header := make(http.Header)
 	header.Set(HeaderRevision, strconv.FormatUint(uint64(after), 10))
-	return exchange{
+	return apiRequest{
 		address: o.address,
 		method:  method,
 		path:    PathObject,
@@ -278,8 +278,8 @@
 
 // List implements garnetworks.ObjectAPI.
 func (o *ObjectAPI) List(ctx context.Context, prefix string) ([]garnetworks.Object, garnetworks.Revision, error) {
-	x := exchange{address: o.address, path: PathObjects, query: url.Values{"prefix": {prefix}}}
-	body, err := getJSON[ObjectsBody](ctx, o.client, x)
+	r := apiRequest{address: o.address, path: PathObjects, query: url.Values{"prefix": {prefix}}}
+	body, err := getJSON[ObjectsBody](ctx, o.client, r)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -293,8 +293,8 @@
 		"after":   {strconv.FormatUint(uint64(after), 10)},
 		"wait-ms": {strconv.FormatInt(max(0, wait.Milliseconds()), 10)},
 	}
-	x := exchange{address: o.address, path: PathWatch, query: query, timeout: wait + PlatformTimeout}
-	body, err := getJSON[ObjectsBody](ctx, o.client, x)
+	r := apiRequest{address: o.address, path: PathWatch, query: query, timeout: wait + PlatformTimeout}
+	body, err := getJSON[ObjectsBody](ctx, o.client, r)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -324,8 +324,8 @@
 
 // Instances implements garnetworks.InstanceList.
 func (l *InstanceList) Instances(ctx context.Context, zone garnetworks.ZoneID) ([]garnetworks.ListedInstance, error) {
-	x := exchange{address: l.address, path: PathInstances, query: url.Values{"zone": {string(zone)}}}
-	return getJSON[[]garnetworks.ListedInstance](ctx, l.client, x)
+	r := apiRequest{address: l.address, path: PathInstances, query: url.Values{"zone": {string(zone)}}}
+	return getJSON[[]garnetworks.ListedInstance](ctx, l.client, r)
 }
 
 // PowerSwitch calls the platform's power switch. It implements
@@ -343,14 +343,14 @@
 
 // SetPower implements garnetworks.PowerSwitch.
 func (p *PowerSwitch) SetPower(ctx context.Context, order garnetworks.PowerOrder) error {
-	_, err := postJSON[struct{}](ctx, p.client, exchange{address: p.address, path: PathPower}, order)
+	_, err := postJSON[struct{}](ctx, p.client, apiRequest{address: p.address, path: PathPower}, order)
 	return err
 }
 
 // Power implements garnetworks.PowerSwitch.
 func (p *PowerSwitch) Power(ctx context.Context, instance garnetworks.InstanceID) (garnetworks.PowerState, error) {
-	x := exchange{address: p.address, path: PathPower, query: url.Values{"instance": {string(instance)}}}
-	body, err := getJSON[PowerBody](ctx, p.client, x)
+	r := apiRequest{address: p.address, path: PathPower, query: url.Values{"instance": {string(instance)}}}
+	body, err := getJSON[PowerBody](ctx, p.client, r)
 	if err != nil {
 		return garnetworks.PowerUnknown, err
 	}
@@ -371,14 +371,14 @@
 
 // Rate implements garnetworks.WeightStore.
 func (w *WeightStore) Rate(ctx context.Context) (int64, error) {
-	body, err := getJSON[BytesBody](ctx, w.client, exchange{address: w.address, path: PathWeightRate})
+	body, err := getJSON[BytesBody](ctx, w.client, apiRequest{address: w.address, path: PathWeightRate})
 	return body.Bytes, err
 }
 
 // Size implements garnetworks.WeightStore.
 func (w *WeightStore) Size(ctx context.Context, weights garnetworks.WeightID) (int64, error) {
 	query := url.Values{"model": {string(weights.Model)}, "version": {string(weights.Version)}}
-	body, err := getJSON[BytesBody](ctx, w.client, exchange{address: w.address, path: PathWeightSize, query: query})
+	body, err := getJSON[BytesBody](ctx, w.client, apiRequest{address: w.address, path: PathWeightSize, query: query})
 	return body.Bytes, err
 }
 
@@ -393,16 +393,16 @@
 
 // Order implements garnetworks.EngineOrders.
 func (e *EngineOrders) Order(ctx context.Context, address string, order garnetworks.EngineOrder) (garnetworks.EngineStatus, error) {
-	return postJSON[garnetworks.EngineStatus](ctx, e.client, exchange{address: address, path: PathOrders}, order)
+	return postJSON[garnetworks.EngineStatus](ctx, e.client, apiRequest{address: address, path: PathOrders}, order)
 }
 
 // Status implements garnetworks.EngineOrders.
 func (e *EngineOrders) Status(ctx context.Context, address string) (garnetworks.EngineStatus, error) {
-	return getJSON[garnetworks.EngineStatus](ctx, e.client, exchange{address: address, path: PathStatus})
+	return getJSON[garnetworks.EngineStatus](ctx, e.client, apiRequest{address: address, path: PathStatus})
 }
 
 // CacheEvents implements garnetworks.CacheEvents.
 func (e *EngineOrders) CacheEvents(ctx context.Context, address string, after uint64) ([]garnetworks.CacheEvent, error) {
 	query := url.Values{"after": {strconv.FormatUint(after, 10)}}
-	return getJSON[[]garnetworks.CacheEvent](ctx, e.client, exchange{address: address, path: PathCacheEvents, query: query})
+	return getJSON[[]garnetworks.CacheEvent](ctx, e.client, apiRequest{address: address, path: PathCacheEvents, query: query})
 }
--- a/connector/servicecaller.go
+++ b/connector/servicecaller.go
@@ -20,7 +20,7 @@
 // pooled connection that has gone silent: it would be lost with its outcome
 // unknown although a new connection would have worked.
 func NewServiceCaller(options Options) *ServiceCaller {
-	options.FreshConnections = true
+	options.DisableReuse = true
 	return &ServiceCaller{newPool(options)}
 }
 
@@ -33,7 +33,7 @@
 	}
 	response, t, err := sc.send(ctx, address, request, bytes.NewReader(call.Body), len(call.Body))
 	if err != nil {
-		return garnetworks.ServiceResponse{}, &garnetworks.AttemptError{Phase: t.failed(), Cause: err}
+		return garnetworks.ServiceResponse{}, &garnetworks.AttemptError{Phase: t.failurePhase(), Cause: err}
 	}
 	defer response.Body.Close()
 	return sc.read(response, call.ID)
@@ -44,9 +44,9 @@
 		return garnetworks.ServiceResponse{}, failure
 	}
 	if isRefusal(response) {
-		return garnetworks.ServiceResponse{}, refused(response)
+		return garnetworks.ServiceResponse{}, refusalError(response)
 	}
-	body, err := readWhole(response, sc.options.MaxAnswerBytes)
+	body, err := readWhole(response, sc.options.MaxResponseBytes)
 	if err != nil {
 		return garnetworks.ServiceResponse{}, &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: err}
 	}
--- a/runner/connect.go
+++ b/runner/connect.go
@@ -14,7 +14,7 @@
 // connect returns the HTTP adapters of everything that the settings name.
 func connect(s configurer.Settings) Platform {
 	var pooled connector.Options
-	fresh := connector.Options{FreshConnections: true}
+	fresh := connector.Options{DisableReuse: true}
 	orders := connector.NewEngineOrders(pooled)
 	return Platform{
 		Objects:   connector.NewObjectAPI(s.Platform.ObjectAPI, pooled),
