--- a/connector/enginecaller.go
+++ b/connector/enginecaller.go
@@ -15,11 +15,11 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// EngineCaller calls engines over HTTP/1.1 and reads their answers as
-// server-sent events. It implements garnetworks.EngineCaller.
+// EngineCaller calls engines over HTTP/1.1 and reads their responses as server-sent
+// events. It implements garnetworks.EngineCaller.
 type EngineCaller struct{ *pool }
 
-// NewEngineCaller returns a caller with its own pooled connections.
+// NewEngineCaller returns a caller with its own connection pool.
 func NewEngineCaller(options Options) *EngineCaller {
 	return &EngineCaller{newPool(options)}
 }
@@ -46,7 +46,7 @@
 	return s, nil
 }
 
-// abandon ends an attempt and says if silence ended it.
+// abandon ends an attempt and records in failure whether it stalled.
 func (ec *EngineCaller) abandon(address string, watch *watchdog, cancel context.CancelFunc, failure *garnetworks.AttemptError) error {
 	cancel()
 	failure.Stalled = watch.stop()
@@ -56,10 +56,10 @@
 	return failure
 }
 
-// minStallToCloseIdle is how long an attempt must have stood still for the pooled
-// connections to its address to be dropped (rule C6), whoever ended it: those
-// that judge silence earlier than the watchdog end it by its context. Dropping
-// healthy connections costs only a connect each.
+// minStallToCloseIdle is how long an attempt must have made no progress for the idle
+// connections to its address to be closed (rule C6), even if not the watchdog but the
+// caller's context ended it: callers may detect a stall earlier. Closing healthy
+// connections costs only a reconnect each.
 const minStallToCloseIdle = 500 * time.Millisecond
 
 func generateRequest(address string, call *garnetworks.EngineCall) (*http.Request, []byte, error) {
@@ -75,11 +75,11 @@
 		DeadlineMillis:   millisLeft(call.Deadline),
 	})
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "the call can't be encoded")
+		return nil, nil, errors.Wrap(err, "can't encode call")
 	}
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+PathGenerate, nil)
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "the address can't be used")
+		return nil, nil, errors.Wrap(err, "invalid address")
 	}
 	h := request.Header
 	h.Set("Content-Type", "application/json")
@@ -94,7 +94,7 @@
 	return request, body, nil
 }
 
-// millisLeft returns the time until t, at least 1 if t is set.
+// millisLeft returns the milliseconds until t, at least 1; 0 if t is zero.
 func millisLeft(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
@@ -102,8 +102,7 @@
 	return max(1, time.Until(t).Milliseconds())
 }
 
-// checkHeader reads the answer's header: nil for an answer of the call's own
-// that was begun.
+// checkHeader returns nil if the response echoes the call's identifier and has status 200.
 func checkHeader(response *http.Response, header, id string) *garnetworks.AttemptError {
 	if failure := checkEcho(response, header, id); failure != nil {
 		return failure
@@ -117,7 +116,7 @@
 	return nil
 }
 
-// checkEcho returns nil if the answer echoes the call's identifier (rule C4).
+// checkEcho returns nil if the response echoes the call's identifier (rule C4).
 func checkEcho(response *http.Response, header, id string) *garnetworks.AttemptError {
 	echo := response.Header.Get(header)
 	if echo == id {
@@ -125,7 +124,7 @@
 	}
 	return &garnetworks.AttemptError{
 		Phase: garnetworks.PhaseMismatched,
-		Cause: errors.Errorf("status %d with identifier %.64q in place of the call's own", response.StatusCode, echo),
+		Cause: errors.Errorf("response with status %d has identifier %.64q instead of the call's", response.StatusCode, echo),
 	}
 }
 
@@ -138,14 +137,15 @@
 	return &garnetworks.AttemptError{Phase: garnetworks.PhaseRefused, RetryAfter: delay, Cause: cause}
 }
 
-// isRefusal reports whether the answer proves that the call was not begun
-// (rule C3). The caller has checked the identifier.
+// isRefusal reports whether the response proves that the call was not begun (rule C3). The
+// caller must have checked the identifier.
 func isRefusal(response *http.Response) bool {
 	return response.StatusCode == http.StatusServiceUnavailable &&
 		response.Header.Get(HeaderOutcome) == string(garnetworks.OutcomeNotRun)
 }
 
-// retryAfter reads the header in seconds; it is 0 if there is none.
+// retryAfter returns the Retry-After header's delay, at most maxRetryAfter; 0 if there is
+// no valid one.
 func retryAfter(response *http.Response) time.Duration {
 	seconds, err := strconv.Atoi(response.Header.Get("Retry-After"))
 	if err != nil || seconds < 0 {
@@ -154,21 +154,21 @@
 	return min(time.Duration(seconds)*time.Second, maxRetryAfter)
 }
 
-// watchdog cancels an attempt that makes no progress. It runs only while
-// someone waits for the other end.
+// watchdog cancels an attempt that makes no progress for the timeout. Time counts only
+// while someone waits for the engine.
 type watchdog struct {
 	timeout time.Duration
 	cancel  context.CancelFunc
 	timer   *time.Timer
-	// lastProgress is when the present delay last made progress, in nanoseconds after
-	// start; 0 while nobody waits.
+	// lastProgress is when the current wait began or last made progress, in nanoseconds
+	// after start; 0 while nobody waits.
 	lastProgress atomic.Int64
 	start        time.Time
 	fired        atomic.Bool
 }
 
-// checksPerTimeout sets how much longer than its bound a silence can last
-// unnoticed: a quarter.
+// checksPerTimeout is the number of checks per timeout after the first: a stall is
+// detected at most a quarter of the timeout late.
 const checksPerTimeout = 4
 
 func newWatchdog(timeout time.Duration, cancel context.CancelFunc) *watchdog {
@@ -180,13 +180,13 @@
 
 func (w *watchdog) now() int64 { return int64(time.Since(w.start)) }
 
-// progress notes that a delay begins or has made progress.
+// progress records that a wait begins or has made progress.
 func (w *watchdog) progress() { w.lastProgress.Store(w.now()) }
 
-// pause notes that nobody waits.
+// pause records that nobody waits.
 func (w *watchdog) pause() { w.lastProgress.Store(0) }
 
-// idle returns how long the present delay has made no progress.
+// idle returns for how long the current wait has made no progress.
 func (w *watchdog) idle() time.Duration {
 	since := w.lastProgress.Load()
 	if since == 0 {
@@ -211,7 +211,7 @@
 	return w.fired.Load()
 }
 
-// engineStream reads an answer.
+// engineStream reads the response to an attempt. It implements garnetworks.EngineStream.
 type engineStream struct {
 	caller  *EngineCaller
 	address string
@@ -221,13 +221,13 @@
 	cancel  context.CancelFunc
 	reader  *streamReader
 	event   EventBody
-	// next is the position of the token that is due.
+	// next is the expected index of the next token.
 	next    int
 	ended   bool
 	failure error
 }
 
-// streamReader is the reusable part of a stream.
+// streamReader holds a stream's buffers.
 type streamReader struct {
 	events  eventReader
 	decoder eventDecoder
@@ -247,7 +247,7 @@
 	return s
 }
 
-// Read reads the body and notes the progress.
+// Read implements io.Reader: it reads the body and reports progress to the watchdog.
 func (s *engineStream) Read(p []byte) (int, error) {
 	n, err := s.body.Read(p)
 	if n > 0 {
@@ -278,8 +278,8 @@
 	return nil
 }
 
-// decode reads the event into chunk after checking that it is the attempt's
-// own (rule C4) and that no token is missing or doubled.
+// decode converts the current event to a chunk. It checks that the event belongs to the
+// attempt (rule C4) and that no token is missing or repeated.
 func (s *engineStream) decode(chunk *garnetworks.Chunk) error {
 	r := s.reader
 	if string(r.events.id) != string(s.attempt) {
@@ -305,18 +305,18 @@
 	return nil
 }
 
-// checkOrder checks that the event goes on where the one before it ended.
+// checkOrder checks that the event continues where the previous one ended.
 func (s *engineStream) checkOrder() error {
 	if s.event.Tokens < 0 || s.event.Index != s.next {
-		return errors.Errorf("token %d came where %d was due", s.event.Index, s.next)
+		return errors.Errorf("got token %d, want %d", s.event.Index, s.next)
 	}
 	s.next += s.event.Tokens
 	return nil
 }
 
-var errAttemptMismatch = errors.New("an event carries another attempt's identifier")
+var errAttemptMismatch = errors.New("event has another attempt's identifier")
 
-// fail ends the attempt with the error that callers see.
+// fail ends the attempt and returns the error for the caller.
 func (s *engineStream) fail(err error) error {
 	failure := &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: err}
 	if err == io.EOF {
@@ -328,8 +328,8 @@
 	return s.caller.abandon(s.address, s.watch, s.cancel, failure)
 }
 
-// Close implements garnetworks.EngineStream. The connection of a whole answer
-// goes back to the pool.
+// Close implements garnetworks.EngineStream. The connection of a complete response returns
+// to the pool.
 func (s *engineStream) Close() error {
 	if s.ended {
 		s.drain()
@@ -339,8 +339,8 @@
 	return s.body.Close()
 }
 
-// drainTimeout is how long the end of the body may take after the end marker;
-// after it the connection is not reused.
+// drainTimeout is how long Close waits for the end of the body after the end marker;
+// after that the connection is not reused.
 const drainTimeout = 100 * time.Millisecond
 
 func (s *engineStream) drain() {
--- a/connector/eventparser.go
+++ b/connector/eventparser.go
@@ -11,20 +11,19 @@
 
 // eventDecoder decodes the data of a stream's events.
 //
-// encoding/json decodes any event, at two or three allocations and about a
-// microsecond each. Almost all events are of one shape, an object of small
-// numbers and short texts; those are parsed here. Whatever is not surely of that
-// shape is left to encoding/json, so the result never depends on who decoded it.
+// It parses the common form of an event itself, an object of small numbers and strings,
+// because encoding/json allocates several times for each. Everything else is left to
+// encoding/json, and both give the same result.
 type eventDecoder struct {
 	data []byte
-	// at is the position of the next byte of data.
+	// at is the index of the next byte of data.
 	at int
-	// scratch holds the text that is being parsed.
+	// scratch holds the string being parsed.
 	scratch []byte
 	texts   strings.Builder
 }
 
-// decode fills event from data.
+// decode decodes data into event.
 func (d *eventDecoder) decode(data []byte, event *EventBody) error {
 	if d.parse(data, event) {
 		return nil
@@ -33,8 +32,8 @@
 	return json.Unmarshal(data, event)
 }
 
-// parse fills event from data of the usual shape. False leaves data to
-// encoding/json and event in any state.
+// parse decodes data of the common form into event. If it returns false, event is
+// undefined and encoding/json must decode data.
 func (d *eventDecoder) parse(data []byte, event *EventBody) bool {
 	d.data, d.at = data, 0
 	*event = EventBody{}
@@ -51,8 +50,8 @@
 	}
 }
 
-// field parses a field's name and value; of two with one name the last counts. A
-// load comes once in an answer and is left to encoding/json.
+// field parses a field's name and value; a repeated field overwrites the earlier one. It
+// leaves loads, which are rare, to encoding/json.
 func (d *eventDecoder) field(event *EventBody) (ok bool) {
 	switch string(d.name()) {
 	case "index":
@@ -67,7 +66,7 @@
 	return ok
 }
 
-// name parses a name and the colon after it.
+// name parses a field name and its colon; nil if there is none.
 func (d *eventDecoder) name() []byte {
 	if !d.consume('"') {
 		return nil
@@ -80,7 +79,7 @@
 	return name
 }
 
-// consume skips spaces, and c if it comes next.
+// consume skips spaces and then c, and reports whether c was there.
 func (d *eventDecoder) consume(c byte) bool {
 	for d.at < len(d.data) && d.data[d.at] == ' ' {
 		d.at++
@@ -92,11 +91,10 @@
 	return true
 }
 
-// maxDigits keeps numbers within an int of 32 bits.
+// maxDigits keeps numbers within 32 bits.
 const maxDigits = 9
 
-// number parses a whole number without sign; what follows it is for the caller
-// to refuse.
+// number parses a non-negative integer. It does not check what follows.
 func (d *eventDecoder) number() (int, bool) {
 	for d.at < len(d.data) && d.data[d.at] == ' ' {
 		d.at++
@@ -111,7 +109,7 @@
 	return n, digits > 0 && digits <= maxDigits && !leadingZero
 }
 
-// text parses a string. Broken UTF-8, which encoding/json replaces, is left to it.
+// text parses a string. It rejects invalid UTF-8, which encoding/json replaces.
 func (d *eventDecoder) text() (string, bool) {
 	if !d.consume('"') {
 		return "", false
@@ -132,7 +130,7 @@
 	}
 }
 
-// copyUnescaped copies what stands for itself.
+// copyUnescaped appends to scratch up to the next quote, backslash or control character.
 func (d *eventDecoder) copyUnescaped() {
 	start := d.at
 	for d.at < len(d.data) {
@@ -145,7 +143,7 @@
 	d.scratch = append(d.scratch, d.data[start:d.at]...)
 }
 
-// escape parses a backslash and what belongs to it.
+// escape parses an escape sequence.
 func (d *eventDecoder) escape() bool {
 	if len(d.data)-d.at < 2 {
 		return false
@@ -204,12 +202,12 @@
 	return rune(b[0])<<8 | rune(b[1]), err == nil
 }
 
-// textBlockBytes is the size of the blocks that texts are kept in: one allocation
-// for some hundred tokens, and little that a waiting part keeps alive.
+// textBlockBytes is the size of the blocks that hold texts. One block serves many tokens,
+// and is small enough that a retained text keeps little else alive.
 const textBlockBytes = 512
 
-// copyText returns text as a string. Strings share blocks: a builder never writes
-// again what it has handed out.
+// copyText returns text as a string. Strings share blocks, which is safe because a builder
+// never overwrites what it has returned.
 func (d *eventDecoder) copyText(text []byte) string {
 	if d.texts.Cap()-d.texts.Len() < len(text) {
 		d.texts = strings.Builder{}
--- a/connector/events.go
+++ b/connector/events.go
@@ -8,26 +8,26 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds of one server-sent event.
+// Limits of one server-sent event.
 const (
 	eventBufferBytes = 4 << 10
 	maxEventBytes    = 256 << 10
 )
 
-var errEventTooLarge = errors.New("a server-sent event is too large")
+var errEventTooLarge = errors.New("server-sent event too large")
 
-// eventReader reads server-sent events. Lines end with LF or CRLF. The fields
-// of an event are valid until the next one is read.
+// eventReader reads server-sent events whose lines end with LF or CRLF. The fields of an
+// event are valid until the next call of next.
 type eventReader struct {
 	reader *bufio.Reader
 	id     []byte
 	event  []byte
 	data   []byte
-	// line holds a line that is longer than the reader's buffer.
+	// line holds a line longer than the reader's buffer.
 	line []byte
 }
 
-// reset makes the reader read from r.
+// reset discards all state and continues with r.
 func (e *eventReader) reset(r io.Reader) {
 	if e.reader == nil {
 		e.reader = bufio.NewReaderSize(r, eventBufferBytes)
@@ -41,8 +41,8 @@
 	e.id, e.event, e.data = e.id[:0], e.event[:0], e.data[:0]
 }
 
-// next reads the next event that has data. An event that the input breaks off
-// is dropped; io.EOF says that the input ended.
+// next reads the next event that has data. It returns io.EOF at the end of the input, and
+// drops an incomplete last event.
 func (e *eventReader) next() error {
 	e.clear()
 	hasData := false
@@ -64,7 +64,7 @@
 	}
 }
 
-// field takes in one line of an event; comments and unknown fields are skipped.
+// field parses one line of an event; comments and unknown fields are ignored.
 func (e *eventReader) field(line []byte, hasData *bool) error {
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	value = bytes.TrimPrefix(value, []byte{' '})
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// readLine returns the next line without its end. A last line without an end
-// is not returned.
+// readLine returns the next line without its line end, or an error if the last line has
+// no line end.
 func (e *eventReader) readLine() ([]byte, error) {
 	line, err := e.reader.ReadSlice('\n')
 	if err == bufio.ErrBufferFull {
--- a/connector/events_test.go
+++ b/connector/events_test.go
@@ -15,14 +15,14 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// newTestStream reads an answer to attempt a.1 from r.
+// newTestStream reads a response to attempt a.1 from r.
 func newTestStream(r io.Reader) *engineStream {
 	_, cancel := context.WithCancel(context.Background())
 	caller := NewEngineCaller(Options{})
 	return newEngineStream(caller, "", "a.1", io.NopCloser(r), newWatchdog(time.Hour, cancel), cancel)
 }
 
-// readTestStream returns the text of an answer and the error that ended it.
+// readTestStream returns the text of a response and the error that ended it.
 func readTestStream(s *engineStream) (text string, chunk garnetworks.Chunk, err error) {
 	defer s.Close()
 	var b strings.Builder
@@ -91,9 +91,8 @@
 	}
 }
 
-// FuzzEngineStream holds the reader to what every answer must keep, whatever
-// bytes come: it ends; it is whole only with an end marker of its own; tokens
-// come in order; an answer that breaks off anywhere is not whole.
+// FuzzEngineStream checks that a stream ends on any input, and that it is complete only
+// with an identifier and an end marker, however the bytes are split into reads.
 func FuzzEngineStream(f *testing.F) {
 	const whole = "id: a.1\ndata: {\"index\":0,\"tokens\":1,\"text\":\"one\"}\n\nid: a.1\nevent: end\ndata: {\"index\":1}\n\n"
 	f.Add([]byte(whole), uint16(20))
@@ -104,15 +103,15 @@
 	f.Fuzz(func(t *testing.T, body []byte, cut uint16) {
 		text, last, err := readTestStream(newTestStream(bytes.NewReader(body)))
 		if err == io.EOF && !last.End {
-			t.Fatal("the answer ended without its end marker")
+			t.Fatal("the response ended without its end marker")
 		}
 		if err != io.EOF {
 			return
 		}
 		if !bytes.Contains(body, []byte("a.1")) {
-			t.Fatal("an answer without its identifier was whole")
+			t.Fatal("a response without its identifier was complete")
 		}
-		// The same bytes in small pieces must read the same.
+		// Splitting the same bytes into small reads must not change the result.
 		pieces, _, err := readTestStream(newTestStream(&slowReader{bytes.NewReader(body), int(cut%13) + 1}))
 		if err != io.EOF || pieces != text {
 			t.Fatalf("in pieces: got %q and error %v, want %q", pieces, err, text)
@@ -120,7 +119,7 @@
 	})
 }
 
-// slowReader returns a few bytes at a time.
+// slowReader returns at most size bytes per read.
 type slowReader struct {
 	r    io.Reader
 	size int
@@ -128,7 +127,7 @@
 
 func (s *slowReader) Read(p []byte) (int, error) { return s.r.Read(p[:min(len(p), s.size)]) }
 
-// loopedEvents returns the same events again and again.
+// loopedEvents repeats the same events endlessly.
 type loopedEvents struct{ bytes.Reader }
 
 const loopedCount = 1000
@@ -152,7 +151,7 @@
 	return n, err
 }
 
-// nextLooped reads the next of looped events.
+// nextLooped reads the next event of loopedEvents.
 func nextLooped(tb testing.TB, s *engineStream, chunk *garnetworks.Chunk) {
 	if s.next == loopedCount {
 		s.next = 0
@@ -162,7 +161,7 @@
 	}
 }
 
-// BenchmarkNext measures one token from the body's bytes to the chunk.
+// BenchmarkNext measures decoding one token from the body to the chunk.
 func BenchmarkNext(b *testing.B) {
 	s := newTestStream(newLoopedEvents())
 	defer s.Close()
@@ -173,8 +172,8 @@
 	}
 }
 
-// TestNextAllocations holds the adapter to less than one allocation for each
-// token, also if its text holds an escape.
+// Decoding a token must cost less than one allocation on average, also if its text has an
+// escape sequence.
 func TestNextAllocations(t *testing.T) {
 	s := newTestStream(newLoopedEvents())
 	defer s.Close()
@@ -185,8 +184,8 @@
 	}
 }
 
-// FuzzEventDecoder holds the decoder to encoding/json: what it parses itself, it
-// parses alike, whatever the bytes, and one event leaves nothing to the next.
+// FuzzEventDecoder checks that the decoder agrees with encoding/json on any input, and
+// that no state carries over from one event to the next.
 func FuzzEventDecoder(f *testing.F) {
 	for _, text := range []string{"", " pump\n", "a\"b\\c/\b\f\r\t\x00\x7f", "<&>\u2028", "ö 日本 🛠"} {
 		usual, _ := json.Marshal(EventBody{Index: 7, Tokens: 1, Text: text, FinishReason: "stop"})
--- a/connector/link.go
+++ b/connector/link.go
@@ -15,27 +15,27 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Options bound the connections of an adapter; zero fields mean the defaults.
+// Options configure the connections of an adapter; zero fields get the defaults.
 type Options struct {
 	// ConnectTimeout bounds a TCP connect.
 	ConnectTimeout time.Duration
-	// IdleTimeout is how long an unused connection is kept. It is short, because
-	// what sits between the two ends forgets idle connections first.
+	// IdleTimeout is how long an idle connection is kept. It is short because middleboxes
+	// silently drop idle connections.
 	IdleTimeout time.Duration
-	// StallTimeout is how long an engine's answer may make no progress (rule C6). It
-	// is a last resort: who knows more of the engine ends an attempt earlier, by
-	// its context.
+	// StallTimeout is how long an engine's response may make no progress (rule C6). It is
+	// a last resort: callers that know the engine better end an attempt earlier by its
+	// context.
 	StallTimeout time.Duration
-	// MaxIdlePerAddress bounds the pooled connections to one address.
+	// MaxIdlePerAddress bounds the idle connections to one address.
 	MaxIdlePerAddress int
-	// MaxResponseBytes bounds an answer that is read as a whole.
+	// MaxResponseBytes bounds a response that is read into memory as a whole.
 	MaxResponseBytes int64
-	// DisableReuse makes each request open a connection of its own, so that
-	// none is written to a pooled connection that has gone silent.
+	// DisableReuse opens a new connection for each request, so that no request is written
+	// to a pooled connection that has stalled.
 	DisableReuse bool
 }
 
-// Default bounds.
+// Default options.
 const (
 	DefaultConnectTimeout    = time.Second
 	DefaultIdleTimeout       = 30 * time.Second
@@ -53,8 +53,8 @@
 	return o
 }
 
-// pool keeps one transport for each address, so that the connections to one
-// address can be dropped without those to others.
+// pool keeps one transport per address, so that the idle connections to one address can be
+// closed without affecting others. mu guards transports and lastSweep.
 type pool struct {
 	options    Options
 	mu         sync.Mutex
@@ -69,12 +69,12 @@
 }
 
 const (
-	// sweepInterval is how often transports are looked through.
+	// sweepInterval is the minimum time between two sweeps of the transports.
 	sweepInterval = time.Minute
-	// transportLifetime is how long an unused link is kept; addresses come and go
-	// with instances.
+	// transportLifetime is how long an unused transport is kept; addresses change with the
+	// instances.
 	transportLifetime = 10 * time.Minute
-	// connBufferBytes is the size of a connection's buffers.
+	// connBufferBytes is the size of a connection's read and write buffers.
 	connBufferBytes = 4 << 10
 	maxHeaderBytes  = 64 << 10
 )
@@ -118,7 +118,7 @@
 	t.WriteBufferSize = connBufferBytes
 }
 
-// sweep forgets transports that were not used for long.
+// sweep removes transports unused for longer than transportLifetime. The caller holds mu.
 func (p *pool) sweep(now time.Time) {
 	p.lastSweep = now
 	for address, l := range p.transports {
@@ -148,7 +148,7 @@
 	}
 }
 
-// countingConn counts the bytes that it was given to send.
+// countingConn counts the bytes that were written to it. mu guards the fields.
 type countingConn struct {
 	net.Conn
 	mu      sync.Mutex
@@ -157,9 +157,9 @@
 	sealed  bool
 }
 
-var errSealed = errors.New("the request was given up before it was sent")
+var errSealed = errors.New("request cancelled before it was sent")
 
-// Write counts p before it is sent and takes the count back if none of it was.
+// Write fails if the connection is sealed. While it runs, seal reports bytes as sent.
 func (c *countingConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	if c.sealed {
@@ -176,19 +176,19 @@
 	return n, err
 }
 
-// count returns the bytes sent so far.
+// count returns the bytes written so far.
 func (c *countingConn) count() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.written
 }
 
-// seal forbids further writes and reports whether more than writtenBefore bytes have
-// been sent or are being sent.
+// seal rejects all further writes. It reports whether more than writtenBefore bytes have
+// been written or a write is in progress.
 //
-// It guards against a request that is given up between getting its connection
-// and being written: the transport's writing goroutine could still send it
-// after the caller was told "not sent" (rule C1).
+// It guards against a request that is cancelled between getting its connection and being
+// written: the transport's write goroutine could still send it after the caller was told
+// "not sent" (rule C1).
 func (c *countingConn) seal(writtenBefore uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -196,11 +196,11 @@
 	return c.written > writtenBefore || c.writing > 0
 }
 
-// trace follows one request through the transport.
+// trace records how far one request got in the transport. mu guards the fields.
 type trace struct {
 	mu sync.Mutex
-	// conn is the connection the request was last given; writtenBefore is what it had
-	// sent before.
+	// conn is the last connection that the request got; writtenBefore is what had been
+	// written to it earlier.
 	conn          *countingConn
 	writtenBefore uint64
 	sent          bool
@@ -215,9 +215,9 @@
 	}
 }
 
-// gotConn notes the connection. If the request's bytes have left on an earlier
-// one, the transport is about to repeat the request; the new connection is
-// sealed, so that the repetition fails without a byte sent (rule C2).
+// gotConn records the connection. If bytes of the request were sent on an earlier one, the
+// transport is retrying; the new connection is sealed, so that the retry fails without
+// sending a byte (rule C2).
 func (t *trace) gotConn(info httptrace.GotConnInfo) {
 	c := countingConnOf(info.Conn)
 	t.mu.Lock()
@@ -229,7 +229,7 @@
 	t.conn, t.writtenBefore = c, c.count()
 }
 
-// countingConnOf returns the connection's counter, which lies below TLS.
+// countingConnOf returns the countingConn below c, which may be a TLS connection.
 func countingConnOf(c net.Conn) *countingConn {
 	if secured, ok := c.(*tls.Conn); ok {
 		c = secured.NetConn()
@@ -249,8 +249,8 @@
 	t.firstByte = true
 }
 
-// failurePhase returns how far a request without a complete answer header had come.
-// After it, no byte of the request can be sent any more.
+// failurePhase returns how far a request got that has no complete response header. It
+// seals the connection, so that no further byte of the request can be sent.
 func (t *trace) failurePhase() garnetworks.CallPhase {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -265,8 +265,8 @@
 	return garnetworks.PhaseWait
 }
 
-// singleUseBody is a body that can be read once. The transport can't rewind it, so
-// it can't repeat a request whose body it has begun to read (rule C2).
+// singleUseBody hides that a body can be rewound, so that the transport can't retry a
+// request whose body it has begun to read (rule C2).
 type singleUseBody struct{ r io.Reader }
 
 func (o *singleUseBody) Read(p []byte) (int, error) { return o.r.Read(p) }
@@ -274,8 +274,7 @@
 // Close implements io.Closer.
 func (o *singleUseBody) Close() error { return nil }
 
-// send makes a request whose body is body. On failure the trace says how far
-// it came.
+// send sends the request with the body. If it fails, the trace tells in which phase.
 func (p *pool) send(ctx context.Context, address string, request *http.Request, body io.Reader, size int) (*http.Response, *trace, error) {
 	t := &trace{}
 	request = request.WithContext(httptrace.WithClientTrace(ctx, t.hooks()))
--- a/connector/link_test.go
+++ b/connector/link_test.go
@@ -17,12 +17,12 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// disconnectingServer answers the first request on each connection, reads the second
-// one whole and then breaks the connection without an answer.
+// disconnectingServer answers the first request on each connection, reads the second one
+// completely and then closes the connection without a response.
 type disconnectingServer struct {
 	address string
 	mu      sync.Mutex
-	// received holds the identifiers of the requests that arrived whole.
+	// received holds the identifiers of the requests that were read completely.
 	received []string
 }
 
@@ -32,7 +32,7 @@
 	return s
 }
 
-// listen serves each connection on a goroutine of its own until the test ends.
+// listen serves each connection on its own goroutine until the test ends.
 func listen(t *testing.T, serve func(net.Conn)) (address string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -82,10 +82,8 @@
 	return n
 }
 
-// A parts note is booked twice, though the caller sent it once. The note is
-// written to a pooled connection, the server reads it, books it and dies
-// before it answers; the transport sees a broken reused connection and, because
-// the request has an Idempotency-Key, sends it again on a new one.
+// The transport must not retry a call, even one with an Idempotency-Key, when a reused
+// connection breaks after the server has read the call: it would run twice.
 func TestTransportNeverRetries(t *testing.T) {
 	tests := map[string]struct {
 		method string
@@ -122,9 +120,8 @@
 	}
 }
 
-// As above, with the first guard gone: a body that can be read again lets the
-// transport repeat the request. The second guard seals the new connection
-// before a byte of the repetition is sent.
+// Even if a request's body can be rewound, the transport's retry must fail: the new
+// connection is sealed before a byte is sent.
 func TestRetryConnectionIsSealed(t *testing.T) {
 	s := newDisconnectingServer(t)
 	p := newPool(Options{})
@@ -148,16 +145,15 @@
 	_ = first.Body.Close()
 	if second, err := send("c2"); err == nil {
 		_ = second.Body.Close()
-		t.Error("the repetition was answered")
+		t.Error("the retry got a response")
 	}
 	if n := s.receivedCount("c2"); n != 1 {
 		t.Errorf("the server read the call %d times, want once", n)
 	}
 }
 
-// A caller is told "not run" while its call runs. The call gets a connection
-// and is given up; the adapter says that no byte was sent; then the transport's
-// writing goroutine, which the machine had held up, sends it.
+// After a call was reported as not sent, the transport's write goroutine must not be able
+// to send it.
 func TestSealedConnectionSendsNothing(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
@@ -181,7 +177,7 @@
 	}
 }
 
-// A call that is being written when it is given up may have reached the server.
+// A call that is cancelled while it is written may have reached the server.
 func TestWriteInProgressIsNotUnsent(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
@@ -209,8 +205,7 @@
 	return c.writing > 0
 }
 
-// rawServer answers each connection with fixed text after it has read the
-// request's head.
+// rawServer sends a fixed response on each connection after it has read the request.
 func rawServer(t *testing.T, answer string) string {
 	return listen(t, func(c net.Conn) {
 		defer c.Close()
@@ -221,8 +216,8 @@
 	})
 }
 
-// A caller gets half an answer, another caller's, or "not run" for a call that
-// ran, because the other end answers in a way that the contract does not allow.
+// A response that violates the protocol must not be delivered as complete, or prove that a
+// call was not run.
 func TestInvalidServiceResponses(t *testing.T) {
 	const own = HeaderCall + ": c1\r\n"
 	tests := map[string]struct {
@@ -267,8 +262,8 @@
 	}
 }
 
-// An operator's commit is told "conflict" or "failed" though it is in force,
-// because something between the two ends answered in the store's place.
+// A write must not be reported as rejected, though it may be in force, when a proxy
+// answers instead of the store or the response is incomplete.
 func TestWritesWithUnknownOutcomeAreResponseLost(t *testing.T) {
 	tests := map[string]struct {
 		answer string
--- a/connector/platform.go
+++ b/connector/platform.go
@@ -17,18 +17,18 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// PlatformTimeout bounds a call to the platform or an order to an engine that
-// has no nearer deadline, so that a silent connection never holds a duty up.
+// PlatformTimeout bounds a call to the platform or an order to an engine that has no
+// earlier deadline, so that a stalled connection can't block the caller's loop.
 const PlatformTimeout = 5 * time.Second
 
-// client makes calls whose answers are read as a whole.
+// client makes calls whose responses are read as a whole.
 type client struct {
 	*pool
-	// unavailable is the kind of a call that had no effect.
+	// unavailable is the error kind of a failed call that had no effect.
 	unavailable garnetworks.Kind
 }
 
-// apiRequest is one such call.
+// apiRequest describes one call of a client.
 type apiRequest struct {
 	address string
 	method  string
@@ -36,14 +36,14 @@
 	query   url.Values
 	header  http.Header
 	body    []byte
-	// writes says that the call has an effect (rule C5).
+	// writes reports whether the call has an effect (rule C5).
 	writes bool
-	// timeout replaces PlatformTimeout if it is above 0.
+	// timeout replaces PlatformTimeout if it is not 0.
 	timeout time.Duration
 }
 
-// target returns the URL of the call. The address is an IP number and port, or
-// a base URL.
+// target returns the URL of the call. The address is either an IP address with port or a
+// base URL.
 func (r apiRequest) target() (*url.URL, error) {
 	base := r.address
 	if !strings.Contains(base, "://") {
@@ -58,13 +58,13 @@
 	return target, nil
 }
 
-// apiResponse is a whole answer with status 200.
+// apiResponse is a complete response with status 200.
 type apiResponse struct {
 	header http.Header
 	body   []byte
 }
 
-// do makes the call and maps failures to kinds.
+// do makes the call and converts failures to errors with a kind.
 func (c client) do(ctx context.Context, r apiRequest) (apiResponse, error) {
 	if r.timeout == 0 {
 		r.timeout = PlatformTimeout
@@ -100,7 +100,7 @@
 	return apiResponse{}, c.responseError(r, response.StatusCode, body)
 }
 
-// incompleteError names the failure of a call without a whole answer.
+// incompleteError returns the error of a call that got no complete response.
 func (c client) incompleteError(r apiRequest, phase garnetworks.CallPhase, err error) error {
 	switch {
 	case phase == garnetworks.PhaseConnect:
@@ -111,8 +111,8 @@
 	return garnetworks.WrapError(c.unavailable, err, "no answer in phase "+string(phase))
 }
 
-// responseError reads an error answer. One without a known kind proves nothing: it
-// may come from something between the two ends.
+// responseError converts an error response. One without a known kind is treated as no
+// response, because it may come from a proxy instead of the server.
 func (c client) responseError(r apiRequest, status int, body []byte) error {
 	var p Problem
 	if json.Unmarshal(body, &p) != nil || !p.known() {
@@ -126,11 +126,11 @@
 }
 
 var (
-	errNoEndMarker = errors.New("the body has neither a length nor a last chunk")
-	errTooLarge    = errors.New("the answer is too large")
+	errNoEndMarker = errors.New("response body has neither a length nor chunked encoding")
+	errTooLarge    = errors.New("response too large")
 )
 
-// readWhole reads a body that has an end marker (rule C4).
+// readWhole reads a body of at most limit bytes that has an end marker (rule C4).
 func readWhole(response *http.Response, limit int64) ([]byte, error) {
 	if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
 		return nil, errNoEndMarker
@@ -148,11 +148,11 @@
 	return body, nil
 }
 
-// maxProblemBytes bounds the error answers that are read for their text.
+// maxProblemBytes bounds the error response that is read.
 const maxProblemBytes = 16 << 10
 
-// readProblem reads an error answer. Its kind is KindInternal if the answer
-// names none that is known.
+// readProblem reads an error response. Its kind is KindInternal if the response has no
+// known kind.
 func readProblem(response *http.Response) *garnetworks.Error {
 	body, _ := io.ReadAll(io.LimitReader(response.Body, maxProblemBytes))
 	var p Problem
@@ -166,23 +166,23 @@
 	}
 }
 
-// known reports whether the problem's kind is one of the list.
+// known reports whether the problem has one of the listed error kinds.
 func (p Problem) known() bool { return garnetworks.ErrorResponseFor(p.Kind).Kind == p.Kind }
 
 func (p Problem) retryAfter() time.Duration {
 	return min(time.Duration(max(0, p.RetryAfterMillis))*time.Millisecond, maxRetryAfter)
 }
 
-// maxRetryAfter bounds what other ends ask callers to wait.
+// maxRetryAfter bounds the retry delay that a server can request.
 const maxRetryAfter = time.Hour
 
-// getJSON makes a call without effect and decodes its answer.
+// getJSON makes a call without effect and decodes its response.
 func getJSON[T any](ctx context.Context, c client, r apiRequest) (T, error) {
 	r.method = http.MethodGet
 	return doJSON[T](ctx, c, r)
 }
 
-// postJSON makes a call with an effect and decodes its answer.
+// postJSON makes a call with an effect and decodes its response.
 func postJSON[T any](ctx context.Context, c client, r apiRequest, body any) (T, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -206,15 +206,14 @@
 	return result, nil
 }
 
-// ObjectAPI calls the platform's object API. It implements
-// garnetworks.ObjectAPI.
+// ObjectAPI calls the platform's object API. It implements garnetworks.ObjectAPI.
 type ObjectAPI struct {
 	client
 	address string
 }
 
-// NewObjectAPI returns an adapter for the object API at address, an IP
-// number and port or a base URL.
+// NewObjectAPI returns an adapter for the object API at address, an IP address with port
+// or a base URL.
 func NewObjectAPI(address string, options Options) *ObjectAPI {
 	return &ObjectAPI{client{newPool(options), garnetworks.KindObjectAPIDown}, address}
 }
@@ -233,12 +232,12 @@
 	return garnetworks.Object{Key: key, Value: resp.body, Revision: revision}, nil
 }
 
-// revision reads the answer's revision. A revision of 0 means absent and can't
-// be that of an object.
+// revision returns the response's revision. Revision 0 stands for an absent object, so it
+// is invalid here.
 func (o *ObjectAPI) revision(r apiRequest, resp apiResponse) (garnetworks.Revision, error) {
 	n, err := strconv.ParseUint(resp.header.Get(HeaderRevision), 10, 64)
 	if err != nil || n == 0 {
-		return 0, o.incompleteError(r, garnetworks.PhaseHeaders, errors.New("the answer has no revision"))
+		return 0, o.incompleteError(r, garnetworks.PhaseHeaders, errors.New("response has no revision"))
 	}
 	return garnetworks.Revision(n), nil
 }
@@ -309,15 +308,14 @@
 	return objects
 }
 
-// InstanceList calls the platform's instance list. It implements
-// garnetworks.InstanceList.
+// InstanceList calls the platform's instance list. It implements garnetworks.InstanceList.
 type InstanceList struct {
 	client
 	address string
 }
 
-// NewInstanceList returns an adapter for the instance list at address, an IP
-// number and port or a base URL.
+// NewInstanceList returns an adapter for the instance list at address, an IP address with
+// port or a base URL.
 func NewInstanceList(address string, options Options) *InstanceList {
 	return &InstanceList{client{newPool(options), garnetworks.KindUnreachable}, address}
 }
@@ -328,15 +326,14 @@
 	return getJSON[[]garnetworks.ListedInstance](ctx, l.client, r)
 }
 
-// PowerSwitch calls the platform's power switch. It implements
-// garnetworks.PowerSwitch.
+// PowerSwitch calls the platform's power switch. It implements garnetworks.PowerSwitch.
 type PowerSwitch struct {
 	client
 	address string
 }
 
-// NewPowerSwitch returns an adapter for the power switch at address, an IP
-// number and port or a base URL.
+// NewPowerSwitch returns an adapter for the power switch at address, an IP address with
+// port or a base URL.
 func NewPowerSwitch(address string, options Options) *PowerSwitch {
 	return &PowerSwitch{client{newPool(options), garnetworks.KindUnreachable}, address}
 }
@@ -363,8 +360,8 @@
 	address string
 }
 
-// NewWeightStore returns an adapter for the weight store at address, an IP
-// number and port or a base URL.
+// NewWeightStore returns an adapter for the weight store at address, an IP address with
+// port or a base URL.
 func NewWeightStore(address string, options Options) *WeightStore {
 	return &WeightStore{client{newPool(options), garnetworks.KindUnreachable}, address}
 }
@@ -386,7 +383,7 @@
 // and garnetworks.CacheEvents.
 type EngineOrders struct{ client }
 
-// NewEngineOrders returns an adapter for engines at any address.
+// NewEngineOrders returns an adapter that reaches any engine by its address.
 func NewEngineOrders(options Options) *EngineOrders {
 	return &EngineOrders{client{newPool(options), garnetworks.KindUnreachable}}
 }
--- a/connector/reuse_test.go
+++ b/connector/reuse_test.go
@@ -12,15 +12,15 @@
 	"github.com/garnetworks/garnetworks/connector"
 )
 
-// Under load each call pays a connect, because the connection of a whole answer
-// is closed in place of going back to the pool; refusals and errors too.
+// Connections of complete responses and of refusals must return to the pool, or each call
+// under load pays for a connect.
 func TestConnectionsAreReused(t *testing.T) {
 	answers := map[string]http.HandlerFunc{
 		"whole": func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set(connector.HeaderAttempt, r.Header.Get(connector.HeaderAttempt))
 			_, _ = w.Write([]byte("id: a\nevent: end\ndata: {\"index\":0}\n\n"))
 			_ = http.NewResponseController(w).Flush()
-			// The body's end comes after the answer's.
+			// The body ends some time after the end marker.
 			time.Sleep(5 * time.Millisecond)
 		},
 		"refused": func(w http.ResponseWriter, r *http.Request) {
@@ -55,7 +55,7 @@
 				}
 				_ = stream.Close()
 			}
-			// A connection whose end comes late is given up, so one is not certain.
+			// A connection whose body ends late is closed, so some reconnects are allowed.
 			if got := connections.Load(); got > calls/4 {
 				t.Errorf("%d calls opened %d connections", calls, got)
 			}
--- a/connector/servicecaller.go
+++ b/connector/servicecaller.go
@@ -15,17 +15,16 @@
 // garnetworks.ServiceCaller.
 type ServiceCaller struct{ *pool }
 
-// NewServiceCaller returns a caller that opens a connection for each call. The
-// calls are few, and one that may not be repeated must not be written to a
-// pooled connection that has gone silent: it would be lost with its outcome
+// NewServiceCaller returns a caller that opens a connection for each call. A call that may
+// not be repeated must not be written to a stalled pooled connection: its outcome would be
 // unknown although a new connection would have worked.
 func NewServiceCaller(options Options) *ServiceCaller {
 	options.DisableReuse = true
 	return &ServiceCaller{newPool(options)}
 }
 
-// Call implements garnetworks.ServiceCaller. The context's deadline bounds the
-// call; a plain service shows no progress before its answer.
+// Call implements garnetworks.ServiceCaller. Only the context's deadline bounds the call,
+// because a plain service shows no progress before its response.
 func (sc *ServiceCaller) Call(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
 	request, err := serviceRequest(address, call)
 	if err != nil {
@@ -59,13 +58,13 @@
 }
 
 func serviceRequest(address string, call *garnetworks.ServiceCall) (*http.Request, error) {
-	// Without the slash the path could name another host.
+	// Without the slash, the path would extend the address and could name another host.
 	if !strings.HasPrefix(call.Path, "/") {
-		return nil, errors.Errorf("the path %.64q does not begin with a slash", call.Path)
+		return nil, errors.Errorf("path %.64q does not begin with a slash", call.Path)
 	}
 	request, err := http.NewRequest(call.Method, "http://"+address+call.Path, nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "the call can't be encoded")
+		return nil, errors.Wrap(err, "can't create request")
 	}
 	h := request.Header
 	h.Set(HeaderCall, string(call.ID))
