--- a/connector/link_test.go
+++ b/connector/link_test.go
@@ -84,7 +84,7 @@
 
 // The transport must not retry a call, even one with an Idempotency-Key, when a reused
 // connection breaks after the server has read the call: it would run twice.
-func TestTransportNeverRetries(t *testing.T) {
+func TestTransportNeverRepeats(t *testing.T) {
 	tests := map[string]struct {
 		method string
 		body   string
