--- a/connector/link.go
+++ b/connector/link.go
@@ -15,88 +15,88 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Options bound the connections of an adapter; zero fields mean the defaults.
+// Options configure the connections of an adapter; zero fields get the defaults.
 type Options struct {
 	// ConnectTimeout bounds a TCP connect.
 	ConnectTimeout time.Duration
-	// IdleTimeout is how long an unused connection is kept. It is short, because
-	// what sits between the two ends forgets idle connections first.
+	// IdleTimeout is how long an idle connection is kept. It is short because middleboxes
+	// silently drop idle connections.
 	IdleTimeout time.Duration
-	// Silence is how long an engine's answer may make no progress (rule C6). It
-	// is a last resort: who knows more of the engine ends an attempt earlier, by
-	// its context.
-	Silence time.Duration
-	// MaxIdlePerAddress bounds the pooled connections to one address.
+	// StallTimeout is how long an engine's response may make no progress (rule C6). It is
+	// a last resort: callers that know the engine better end an attempt earlier by its
+	// context.
+	StallTimeout time.Duration
+	// MaxIdlePerAddress bounds the idle connections to one address.
 	MaxIdlePerAddress int
-	// MaxAnswerBytes bounds an answer that is read as a whole.
-	MaxAnswerBytes int64
-	// FreshConnections makes each request open a connection of its own, so that
-	// none is written to a pooled connection that has gone silent.
-	FreshConnections bool
+	// MaxResponseBytes bounds a response that is read into memory as a whole.
+	MaxResponseBytes int64
+	// DisableReuse opens a new connection for each request, so that no request is written
+	// to a pooled connection that has stalled.
+	DisableReuse bool
 }
 
-// Default bounds.
+// Default options.
 const (
 	DefaultConnectTimeout    = time.Second
 	DefaultIdleTimeout       = 30 * time.Second
-	DefaultSilence           = 15 * time.Second
+	DefaultStallTimeout      = 15 * time.Second
 	DefaultMaxIdlePerAddress = 64
-	DefaultMaxAnswerBytes    = 32 << 20
+	DefaultMaxResponseBytes  = 32 << 20
 )
 
 func (o Options) withDefaults() Options {
 	o.ConnectTimeout = cmp.Or(o.ConnectTimeout, DefaultConnectTimeout)
 	o.IdleTimeout = cmp.Or(o.IdleTimeout, DefaultIdleTimeout)
-	o.Silence = cmp.Or(o.Silence, DefaultSilence)
+	o.StallTimeout = cmp.Or(o.StallTimeout, DefaultStallTimeout)
 	o.MaxIdlePerAddress = cmp.Or(o.MaxIdlePerAddress, DefaultMaxIdlePerAddress)
-	o.MaxAnswerBytes = cmp.Or(o.MaxAnswerBytes, DefaultMaxAnswerBytes)
+	o.MaxResponseBytes = cmp.Or(o.MaxResponseBytes, DefaultMaxResponseBytes)
 	return o
 }
 
-// pool keeps one transport for each address, so that the connections to one
-// address can be dropped without those to others.
+// pool keeps one transport per address, so that the idle connections to one address can be
+// closed without affecting others. mu guards transports and lastSweep.
 type pool struct {
-	options Options
-	mu      sync.Mutex
-	links   map[string]*link
-	swept   time.Time
+	options    Options
+	mu         sync.Mutex
+	transports map[string]*addressTransport
+	lastSweep  time.Time
 }
 
-// link is the transport to one address.
-type link struct {
+// addressTransport is the transport to one address.
+type addressTransport struct {
 	http.Transport
-	used time.Time
+	lastUsed time.Time
 }
 
 const (
-	// sweepInterval is how often links are looked through.
+	// sweepInterval is the minimum time between two sweeps of the transports.
 	sweepInterval = time.Minute
-	// linkLifetime is how long an unused link is kept; addresses come and go
-	// with instances.
-	linkLifetime = 10 * time.Minute
-	// connBufferBytes is the size of a connection's buffers.
+	// transportLifetime is how long an unused transport is kept; addresses change with the
+	// instances.
+	transportLifetime = 10 * time.Minute
+	// connBufferBytes is the size of a connection's read and write buffers.
 	connBufferBytes = 4 << 10
 	maxHeaderBytes  = 64 << 10
 )
 
 func newPool(options Options) *pool {
-	return &pool{options: options.withDefaults(), links: make(map[string]*link)}
+	return &pool{options: options.withDefaults(), transports: make(map[string]*addressTransport)}
 }
 
-func (p *pool) link(address string) *link {
+func (p *pool) transport(address string) *addressTransport {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Sub(p.swept) > sweepInterval {
+	if now.Sub(p.lastSweep) > sweepInterval {
 		p.sweep(now)
 	}
-	l := p.links[address]
+	l := p.transports[address]
 	if l == nil {
-		l = &link{}
+		l = &addressTransport{}
 		p.setUp(&l.Transport)
-		p.links[address] = l
+		p.transports[address] = l
 	}
-	l.used = now
+	l.lastUsed = now
 	return l
 }
 
@@ -110,7 +110,7 @@
 		return &countingConn{Conn: c}, nil
 	}
 	t.DisableCompression = true
-	t.DisableKeepAlives = p.options.FreshConnections
+	t.DisableKeepAlives = p.options.DisableReuse
 	t.IdleConnTimeout = p.options.IdleTimeout
 	t.MaxIdleConnsPerHost = p.options.MaxIdlePerAddress
 	t.MaxResponseHeaderBytes = maxHeaderBytes
@@ -118,21 +118,21 @@
 	t.WriteBufferSize = connBufferBytes
 }
 
-// sweep forgets links that were not used for long.
+// sweep removes transports unused for longer than transportLifetime. The caller holds mu.
 func (p *pool) sweep(now time.Time) {
-	p.swept = now
-	for address, l := range p.links {
-		if now.Sub(l.used) > linkLifetime {
+	p.lastSweep = now
+	for address, l := range p.transports {
+		if now.Sub(l.lastUsed) > transportLifetime {
 			l.CloseIdleConnections()
-			delete(p.links, address)
+			delete(p.transports, address)
 		}
 	}
 }
 
-// drop closes the idle connections to an address (rule C6).
-func (p *pool) drop(address string) {
+// closeIdle closes the idle connections to an address (rule C6).
+func (p *pool) closeIdle(address string) {
 	p.mu.Lock()
-	l := p.links[address]
+	l := p.transports[address]
 	p.mu.Unlock()
 	if l != nil {
 		l.CloseIdleConnections()
@@ -143,23 +143,23 @@
 func (p *pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, l := range p.links {
+	for _, l := range p.transports {
 		l.CloseIdleConnections()
 	}
 }
 
-// countingConn counts the bytes that it was given to send.
+// countingConn counts the bytes that were written to it. mu guards the fields.
 type countingConn struct {
 	net.Conn
 	mu      sync.Mutex
-	handed  uint64
+	written uint64
 	writing int
 	sealed  bool
 }
 
-var errSealed = errors.New("the request was given up before it was sent")
+var errSealed = errors.New("request cancelled before it was sent")
 
-// Write counts p before it is sent and takes the count back if none of it was.
+// Write fails if the connection is sealed. While it runs, seal reports bytes as sent.
 func (c *countingConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	if c.sealed {
@@ -171,40 +171,40 @@
 	n, err := c.Conn.Write(p)
 	c.mu.Lock()
 	c.writing--
-	c.handed += uint64(n)
+	c.written += uint64(n)
 	c.mu.Unlock()
 	return n, err
 }
 
-// count returns the bytes sent so far.
+// count returns the bytes written so far.
 func (c *countingConn) count() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.handed
+	return c.written
 }
 
-// seal forbids further writes and reports whether more than base bytes have
-// been sent or are being sent.
+// seal rejects all further writes. It reports whether more than writtenBefore bytes have
+// been written or a write is in progress.
 //
-// It guards against a request that is given up between getting its connection
-// and being written: the transport's writing goroutine could still send it
-// after the caller was told "not sent" (rule C1).
-func (c *countingConn) seal(base uint64) bool {
+// It guards against a request that is cancelled between getting its connection and being
+// written: the transport's write goroutine could still send it after the caller was told
+// "not sent" (rule C1).
+func (c *countingConn) seal(writtenBefore uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sealed = true
-	return c.handed > base || c.writing > 0
+	return c.written > writtenBefore || c.writing > 0
 }
 
-// trace follows one request through the transport.
+// trace records how far one request got in the transport. mu guards the fields.
 type trace struct {
 	mu sync.Mutex
-	// conn is the connection the request was last given; base is what it had
-	// sent before.
-	conn      *countingConn
-	base      uint64
-	sent      bool
-	firstByte bool
+	// conn is the last connection that the request got; writtenBefore is what had been
+	// written to it earlier.
+	conn          *countingConn
+	writtenBefore uint64
+	sent          bool
+	firstByte     bool
 }
 
 func (t *trace) hooks() *httptrace.ClientTrace {
@@ -215,22 +215,22 @@
 	}
 }
 
-// gotConn notes the connection. If the request's bytes have left on an earlier
-// one, the transport is about to repeat the request; the new connection is
-// sealed, so that the repetition fails without a byte sent (rule C2).
+// gotConn records the connection. If bytes of the request were sent on an earlier one, the
+// transport is retrying; the new connection is sealed, so that the retry fails without
+// sending a byte (rule C2).
 func (t *trace) gotConn(info httptrace.GotConnInfo) {
-	c := counting(info.Conn)
+	c := countingConnOf(info.Conn)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.conn != nil && t.conn.seal(t.base) {
+	if t.conn != nil && t.conn.seal(t.writtenBefore) {
 		c.seal(0)
 		return
 	}
-	t.conn, t.base = c, c.count()
+	t.conn, t.writtenBefore = c, c.count()
 }
 
-// counting returns the connection's counter, which lies below TLS.
-func counting(c net.Conn) *countingConn {
+// countingConnOf returns the countingConn below c, which may be a TLS connection.
+func countingConnOf(c net.Conn) *countingConn {
 	if secured, ok := c.(*tls.Conn); ok {
 		c = secured.NetConn()
 	}
@@ -249,13 +249,13 @@
 	t.firstByte = true
 }
 
-// failed returns how far a request without a complete answer header had come.
-// After it, no byte of the request can be sent any more.
-func (t *trace) failed() garnetworks.CallPhase {
+// failurePhase returns how far a request got that has no complete response header. It
+// seals the connection, so that no further byte of the request can be sent.
+func (t *trace) failurePhase() garnetworks.CallPhase {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
-	case t.conn == nil || !t.conn.seal(t.base):
+	case t.conn == nil || !t.conn.seal(t.writtenBefore):
 		return garnetworks.PhaseConnect
 	case t.firstByte:
 		return garnetworks.PhaseHeaders
@@ -265,23 +265,22 @@
 	return garnetworks.PhaseWait
 }
 
-// oneShot is a body that can be read once. The transport can't rewind it, so
-// it can't repeat a request whose body it has begun to read (rule C2).
-type oneShot struct{ r io.Reader }
+// singleUseBody hides that a body can be rewound, so that the transport can't retry a
+// request whose body it has begun to read (rule C2).
+type singleUseBody struct{ r io.Reader }
 
-func (o *oneShot) Read(p []byte) (int, error) { return o.r.Read(p) }
+func (o *singleUseBody) Read(p []byte) (int, error) { return o.r.Read(p) }
 
 // Close implements io.Closer.
-func (o *oneShot) Close() error { return nil }
+func (o *singleUseBody) Close() error { return nil }
 
-// send makes a request whose body is body. On failure the trace says how far
-// it came.
+// send sends the request with the body. If it fails, the trace tells in which phase.
 func (p *pool) send(ctx context.Context, address string, request *http.Request, body io.Reader, size int) (*http.Response, *trace, error) {
 	t := &trace{}
 	request = request.WithContext(httptrace.WithClientTrace(ctx, t.hooks()))
-	request.Body = &oneShot{body}
+	request.Body = &singleUseBody{body}
 	request.ContentLength = int64(size)
 	request.GetBody = nil
-	response, err := p.link(address).RoundTrip(request)
+	response, err := p.transport(address).RoundTrip(request)
 	return response, t, err
 }
--- a/connector/link_test.go
+++ b/connector/link_test.go
@@ -17,22 +17,22 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// dyingServer answers the first request on each connection, reads the second
-// one whole and then breaks the connection without an answer.
-type dyingServer struct {
+// disconnectingServer answers the first request on each connection, reads the second one
+// completely and then closes the connection without a response.
+type disconnectingServer struct {
 	address string
 	mu      sync.Mutex
-	// read holds the identifiers of the requests that arrived whole.
-	read []string
+	// received holds the identifiers of the requests that were read completely.
+	received []string
 }
 
-func newDyingServer(t *testing.T) *dyingServer {
-	s := &dyingServer{}
+func newDisconnectingServer(t *testing.T) *disconnectingServer {
+	s := &disconnectingServer{}
 	s.address = listen(t, s.serve)
 	return s
 }
 
-// listen serves each connection on a goroutine of its own until the test ends.
+// listen serves each connection on its own goroutine until the test ends.
 func listen(t *testing.T, serve func(net.Conn)) (address string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -51,7 +51,7 @@
 	return l.Addr().String()
 }
 
-func (s *dyingServer) serve(c net.Conn) {
+func (s *disconnectingServer) serve(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for n := 0; n < 2; n++ {
@@ -62,7 +62,7 @@
 		_, _ = io.Copy(io.Discard, request.Body)
 		id := request.Header.Get(HeaderCall)
 		s.mu.Lock()
-		s.read = append(s.read, id)
+		s.received = append(s.received, id)
 		s.mu.Unlock()
 		if n == 0 {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n"+HeaderCall+": "+id+"\r\nContent-Length: 0\r\n\r\n")
@@ -70,11 +70,11 @@
 	}
 }
 
-func (s *dyingServer) times(id string) int {
+func (s *disconnectingServer) receivedCount(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for _, seen := range s.read {
+	for _, seen := range s.received {
 		if seen == id {
 			n++
 		}
@@ -82,10 +82,8 @@
 	return n
 }
 
-// A parts note is booked twice, though the caller sent it once. The note is
-// written to a pooled connection, the server reads it, books it and dies
-// before it answers; the transport sees a broken reused connection and, because
-// the request has an Idempotency-Key, sends it again on a new one.
+// The transport must not retry a call, even one with an Idempotency-Key, when a reused
+// connection breaks after the server has read the call: it would run twice.
 func TestTransportNeverRepeats(t *testing.T) {
 	tests := map[string]struct {
 		method string
@@ -98,7 +96,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := newDyingServer(t)
+			s := newDisconnectingServer(t)
 			p := newPool(Options{})
 			defer p.Close()
 			caller := &ServiceCaller{p}
@@ -115,18 +113,17 @@
 			if err := call("c2"); !errors.As(err, &attempt) || attempt.Phase != garnetworks.PhaseWait {
 				t.Errorf("got error %v, want one in phase wait", err)
 			}
-			if n := s.times("c2"); n != 1 {
+			if n := s.receivedCount("c2"); n != 1 {
 				t.Errorf("the server read the call %d times, want once", n)
 			}
 		})
 	}
 }
 
-// As above, with the first guard gone: a body that can be read again lets the
-// transport repeat the request. The second guard seals the new connection
-// before a byte of the repetition is sent.
-func TestRepetitionIsSealed(t *testing.T) {
-	s := newDyingServer(t)
+// Even if a request's body can be rewound, the transport's retry must fail: the new
+// connection is sealed before a byte is sent.
+func TestRetryConnectionIsSealed(t *testing.T) {
+	s := newDisconnectingServer(t)
 	p := newPool(Options{})
 	defer p.Close()
 	address := s.address
@@ -138,7 +135,7 @@
 		request.Header.Set(HeaderCall, id)
 		request.Header.Set(HeaderKey, id)
 		tr := &trace{}
-		return p.link(address).RoundTrip(request.WithContext(httptrace.WithClientTrace(t.Context(), tr.hooks())))
+		return p.transport(address).RoundTrip(request.WithContext(httptrace.WithClientTrace(t.Context(), tr.hooks())))
 	}
 	first, err := send("c1")
 	if err != nil {
@@ -148,16 +145,15 @@
 	_ = first.Body.Close()
 	if second, err := send("c2"); err == nil {
 		_ = second.Body.Close()
-		t.Error("the repetition was answered")
+		t.Error("the retry got a response")
 	}
-	if n := s.times("c2"); n != 1 {
+	if n := s.receivedCount("c2"); n != 1 {
 		t.Errorf("the server read the call %d times, want once", n)
 	}
 }
 
-// A caller is told "not run" while its call runs. The call gets a connection
-// and is given up; the adapter says that no byte was sent; then the transport's
-// writing goroutine, which the machine had held up, sends it.
+// After a call was reported as not sent, the transport's write goroutine must not be able
+// to send it.
 func TestSealedConnectionSendsNothing(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
@@ -169,7 +165,7 @@
 	c := &countingConn{Conn: near}
 	tr := &trace{}
 	tr.gotConn(httptrace.GotConnInfo{Conn: c})
-	if phase := tr.failed(); phase != garnetworks.PhaseConnect {
+	if phase := tr.failurePhase(); phase != garnetworks.PhaseConnect {
 		t.Errorf("got phase %s, want connect", phase)
 	}
 	if _, err := c.Write([]byte("late")); err == nil {
@@ -181,7 +177,7 @@
 	}
 }
 
-// A call that is being written when it is given up may have reached the server.
+// A call that is cancelled while it is written may have reached the server.
 func TestWriteInProgressIsNotUnsent(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
@@ -196,7 +192,7 @@
 	for !c.isWriting() {
 		time.Sleep(time.Millisecond)
 	}
-	if phase := tr.failed(); phase != garnetworks.PhaseWrite {
+	if phase := tr.failurePhase(); phase != garnetworks.PhaseWrite {
 		t.Errorf("got phase %s, want write", phase)
 	}
 	_ = near.Close()
@@ -209,8 +205,7 @@
 	return c.writing > 0
 }
 
-// rawServer answers each connection with fixed text after it has read the
-// request's head.
+// rawServer sends a fixed response on each connection after it has read the request.
 func rawServer(t *testing.T, answer string) string {
 	return listen(t, func(c net.Conn) {
 		defer c.Close()
@@ -221,9 +216,9 @@
 	})
 }
 
-// A caller gets half an answer, another caller's, or "not run" for a call that
-// ran, because the other end answers in a way that the contract does not allow.
-func TestServiceAnswersOutsideTheContract(t *testing.T) {
+// A response that violates the protocol must not be delivered as complete, or prove that a
+// call was not run.
+func TestInvalidServiceResponses(t *testing.T) {
 	const own = HeaderCall + ": c1\r\n"
 	tests := map[string]struct {
 		answer string
@@ -267,9 +262,9 @@
 	}
 }
 
-// An operator's commit is told "conflict" or "failed" though it is in force,
-// because something between the two ends answered in the store's place.
-func TestWritesWithoutAKnownAnswerAreLost(t *testing.T) {
+// A write must not be reported as rejected, though it may be in force, when a proxy
+// answers instead of the store or the response is incomplete.
+func TestWritesWithUnknownOutcomeAreResponseLost(t *testing.T) {
 	tests := map[string]struct {
 		answer string
 		kind   garnetworks.Kind
--- a/messenger/follow.go
+++ b/messenger/follow.go
@@ -6,24 +6,24 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Requests of follow and exchange come several times a second and lead to no
-// event, so they carry no timestamp.
+// Follow and exchange requests are sent several times a second and cause no event, so
+// they carry no timestamp.
 var (
 	follow = rpc[garnetworks.FollowRequest, garnetworks.FollowResponse]{
-		name: "follow", progress: progressRead,
-		call:     handleFollow,
-		asked:    func(*garnetworks.FollowRequest) *garnetworks.Timestamp { return new(garnetworks.Timestamp) },
-		answered: func(m *garnetworks.FollowResponse) *garnetworks.Timestamp { return &m.At },
+		name: "follow", progressTimeout: readProgressTimeout,
+		call:              handleFollow,
+		requestTimestamp:  func(*garnetworks.FollowRequest) *garnetworks.Timestamp { return new(garnetworks.Timestamp) },
+		responseTimestamp: func(m *garnetworks.FollowResponse) *garnetworks.Timestamp { return &m.At },
 	}
 	exchange = rpc[garnetworks.ExchangeRequest, garnetworks.ExchangeResponse]{
-		name: "exchange", progress: progressState,
-		call:     handleExchange,
-		asked:    func(*garnetworks.ExchangeRequest) *garnetworks.Timestamp { return new(garnetworks.Timestamp) },
-		answered: func(m *garnetworks.ExchangeResponse) *garnetworks.Timestamp { return &m.At },
+		name: "exchange", progressTimeout: stateProgressTimeout,
+		call:              handleExchange,
+		requestTimestamp:  func(*garnetworks.ExchangeRequest) *garnetworks.Timestamp { return new(garnetworks.Timestamp) },
+		responseTimestamp: func(m *garnetworks.ExchangeResponse) *garnetworks.Timestamp { return &m.At },
 	}
 )
 
-// handleFollow answers only where the handler follows objects for others.
+// handleFollow returns KindInvalidRequest if h does not implement FollowHandler.
 func handleFollow(h garnetworks.PeerHandler, ctx context.Context, request *garnetworks.FollowRequest) (*garnetworks.FollowResponse, error) {
 	f, ok := h.(garnetworks.FollowHandler)
 	if !ok {
@@ -32,7 +32,7 @@
 	return f.Follow(ctx, request)
 }
 
-// handleExchange answers only where the handler exchanges loads.
+// handleExchange returns KindInvalidRequest if h does not implement ExchangeHandler.
 func handleExchange(h garnetworks.PeerHandler, ctx context.Context, request *garnetworks.ExchangeRequest) (*garnetworks.ExchangeResponse, error) {
 	e, ok := h.(garnetworks.ExchangeHandler)
 	if !ok {
--- a/messenger/server.go
+++ b/messenger/server.go
@@ -16,29 +16,29 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// ServerOptions are what a server needs.
+// ServerOptions configure a Server.
 type ServerOptions struct {
 	Handler garnetworks.PeerHandler
-	// Keys secure the connections; nil leaves them open.
+	// Keys enable mutual TLS; nil means plain TCP.
 	Keys *Keys
-	// Clock may be nil.
+	// Clock may be nil; messages are then neither stamped nor checked.
 	Clock Clock
-	// Traffic may be nil.
+	// Traffic counts the server's traffic; it may be nil.
 	Traffic *Traffic
-	// Log may be nil; it gets what can't be told to a caller.
+	// Log receives errors that can't be returned to a caller; it may be nil.
 	Log func(error)
 }
 
-// Server answers other nodes and operators.
+// Server serves the peer methods to other nodes and operators.
 type Server struct {
 	options ServerOptions
-	clock   stamper
+	clock   optionalClock
 	drpc    *drpcserver.Server
-	// connections and calls hold a token for each that is open (rule M4).
+	// connections and calls hold a token for each one that is open (rule M4).
 	connections, calls chan struct{}
 }
 
-// NewServer returns a server that answers through options.Handler.
+// NewServer returns a server that passes calls to options.Handler.
 func NewServer(options ServerOptions) (*Server, error) {
 	if options.Traffic == nil {
 		options.Traffic = new(Traffic)
@@ -48,9 +48,9 @@
 	}
 	s := &Server{
 		options:     options,
-		clock:       stamper{options.Clock},
+		clock:       optionalClock{options.Clock},
 		connections: make(chan struct{}, MaxConnections),
-		calls:       make(chan struct{}, MaxInProgress),
+		calls:       make(chan struct{}, MaxConcurrentCalls),
 	}
 	mux := drpcmux.New()
 	if err := mux.Register(s, peerMethods); err != nil {
@@ -63,12 +63,12 @@
 func managerOptions() drpcmanager.Options {
 	return drpcmanager.Options{
 		Reader:            drpcwire.ReaderOptions{MaximumBufferSize: MaxMessageBytes + 1024},
-		InactivityTimeout: InactivityBound,
+		InactivityTimeout: InactivityTimeout,
 	}
 }
 
-// Serve answers on the listener until ctx ends, and closes it. It returns when
-// all connections have ended.
+// Serve accepts connections until ctx ends, then closes the listener and returns when all
+// connections have ended.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var group sync.WaitGroup
@@ -82,8 +82,8 @@
 			return nil
 		}
 		if err != nil {
-			if !s.recovered(ctx, err) {
-				return errors.Wrap(err, "can't accept peers")
+			if !s.backOff(ctx, err) {
+				return errors.Wrap(err, "can't accept connections")
 			}
 			continue
 		}
@@ -97,9 +97,9 @@
 	}
 }
 
-// recovered waits after a failure to accept that may pass, such as too many
-// open files, and reports whether to go on.
-func (s *Server) recovered(ctx context.Context, err error) bool {
+// backOff logs and waits after a failed accept, such as for too many open files. It
+// returns false if the listener is closed.
+func (s *Server) backOff(ctx context.Context, err error) bool {
 	if errors.Is(err, net.ErrClosed) {
 		return false
 	}
@@ -111,7 +111,7 @@
 	return true
 }
 
-// admit takes a connection's token or closes the connection (rule M4).
+// admit takes a slot for the connection, or closes it if there is none (rule M4).
 func (s *Server) admit(conn net.Conn) bool {
 	select {
 	case s.connections <- struct{}{}:
@@ -124,7 +124,7 @@
 }
 
 func (s *Server) serveConn(ctx context.Context, conn net.Conn) {
-	ctx, cancel := context.WithTimeout(ctx, ConnectionBound)
+	ctx, cancel := context.WithTimeout(ctx, MaxConnectionAge)
 	defer cancel()
 	metered := newMeteredConn(conn, s.options.Traffic)
 	defer func() { _ = metered.Close() }()
@@ -135,14 +135,14 @@
 	secured := tls.Server(metered, s.options.Keys.serverConfig())
 	role, err := handshake(ctx, secured)
 	if err != nil {
-		s.options.Log(errors.Wrapf(err, "refused the peer %s", conn.RemoteAddr()))
+		s.options.Log(errors.Wrapf(err, "rejected connection from %s", conn.RemoteAddr()))
 		return
 	}
 	_ = s.drpc.ServeOne(withRole(ctx, role), secured)
 }
 
 func handshake(ctx context.Context, conn *tls.Conn) (role, error) {
-	ctx, cancel := context.WithTimeout(ctx, DialBound)
+	ctx, cancel := context.WithTimeout(ctx, DialTimeout)
 	defer cancel()
 	if err := conn.HandshakeContext(ctx); err != nil {
 		return "", err
@@ -150,9 +150,9 @@
 	return roleOf(conn.ConnectionState())
 }
 
-// serve runs one received call.
+// serve handles one received call and encodes its error, if any.
 func serve[Q, A any](ctx context.Context, s *Server, r rpc[Q, A], request *Q) (*A, error) {
-	answer, err := handle(ctx, s, r, request)
+	response, err := handle(ctx, s, r, request)
 	s.options.Traffic.messagesReceived.Add(1)
 	s.options.Traffic.messagesSent.Add(1)
 	if err != nil {
@@ -160,9 +160,9 @@
 		s.clock.stamp(&at)
 		return nil, encodeFailure(err, at)
 	}
-	// The handler may have given the same answer to several calls.
-	stamped := *answer
-	s.clock.stamp(r.answered(&stamped))
+	// Copies the response, because the handler may return the same one to several calls.
+	stamped := *response
+	s.clock.stamp(r.responseTimestamp(&stamped))
 	return &stamped, nil
 }
 
@@ -172,19 +172,19 @@
 		defer func() { <-s.calls }()
 	default:
 		s.options.Traffic.refused.Add(1)
-		return nil, garnetworks.Errorf(garnetworks.KindOverloaded, "the node works on %d peer calls already", MaxInProgress)
+		return nil, garnetworks.Errorf(garnetworks.KindOverloaded, "the node works on %d peer calls already", MaxConcurrentCalls)
 	}
-	if !r.operators && roleFrom(ctx) != roleNode {
+	if !r.allowOperators && roleFrom(ctx) != roleNode {
 		return nil, garnetworks.Errorf(garnetworks.KindForbidden, "%s needs a node's certificate", r.name)
 	}
-	if err := s.clock.observe(*r.asked(request)); err != nil {
+	if err := s.clock.observe(*r.requestTimestamp(request)); err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, HandlerBound)
+	ctx, cancel := context.WithTimeout(ctx, HandlerTimeout)
 	defer cancel()
-	answer, err := r.call(s.options.Handler, ctx, request)
-	if err == nil && answer == nil {
+	response, err := r.call(s.options.Handler, ctx, request)
+	if err == nil && response == nil {
 		err = garnetworks.Errorf(garnetworks.KindInternal, "%s gave no answer", r.name)
 	}
-	return answer, err
+	return response, err
 }
