--- a/runner/admin.go
+++ b/runner/admin.go
@@ -49,11 +49,11 @@
 	}
 }
 
-// countTraffic brings the counters of peer traffic into the metrics.
-func (r *Runner) countTraffic() {
+// updateTrafficMetrics brings the counters of peer traffic into the metrics.
+func (r *Runner) updateTrafficMetrics() {
 	now := r.traffic.Count()
-	last := r.counted
+	last := r.reportedTraffic
 	r.meter.Peer("in", now.BytesReceived-last.BytesReceived, now.MessagesReceived-last.MessagesReceived)
 	r.meter.Peer("out", now.BytesSent-last.BytesSent, now.MessagesSent-last.MessagesSent)
-	r.counted = now
+	r.reportedTraffic = now
 }
--- a/runner/connect.go
+++ b/runner/connect.go
@@ -14,7 +14,7 @@
 // connect returns the HTTP adapters of everything that the settings name.
 func connect(s configurer.Settings) Platform {
 	var pooled connector.Options
-	fresh := connector.Options{FreshConnections: true}
+	unpooled := connector.Options{FreshConnections: true}
 	orders := connector.NewEngineOrders(pooled)
 	return Platform{
 		Objects:   connector.NewObjectAPI(s.Platform.ObjectAPI, pooled),
@@ -23,7 +23,7 @@
 		Weights:   connector.NewWeightStore(s.Platform.WeightStore, pooled),
 		Orders:    orders,
 		Cache:     orders,
-		Probes:    connector.NewEngineOrders(fresh),
+		Probes:    connector.NewEngineOrders(unpooled),
 		Engines:   connector.NewEngineCaller(pooled),
 		Services:  connector.NewServiceCaller(pooled),
 	}
@@ -31,15 +31,15 @@
 
 // limitConnections bounds the open connections of callers; further ones wait in
 // the kernel's queue.
-func limitConnections(listener net.Listener, most int) net.Listener {
-	if most <= 0 {
+func limitConnections(listener net.Listener, limit int) net.Listener {
+	if limit <= 0 {
 		return listener
 	}
-	return netutil.LimitListener(listener, most)
+	return netutil.LimitListener(listener, limit)
 }
 
-// noteObjects notes whether the object API answers, for status and events.
-func (r *Runner) noteObjects(_, _ string, _ time.Duration, err error) {
+// observeObjectAPI notes whether the object API answers, for status and events.
+func (r *Runner) observeObjectAPI(_, _ string, _ time.Duration, err error) {
 	down := garnetworks.IsKind(err, garnetworks.KindObjectAPIDown, garnetworks.KindUnreachable)
 	if !down && err != nil && !garnetworks.IsKind(err, garnetworks.KindNotFound, garnetworks.KindConflict, garnetworks.KindCompacted) {
 		return // says nothing of the object API's health
--- a/runner/control.go
+++ b/runner/control.go
@@ -6,9 +6,9 @@
 	"github.com/garnetworks/garnetworks/pulser"
 )
 
-// joinControl makes the controllers of the zone and of the site.
-func (r *Runner) joinControl() error {
-	r.listed = &listCache{InstanceList: r.platform.Instances, signs: r.signs}
+// buildControllers makes the controllers of the zone and of the site.
+func (r *Runner) buildControllers() error {
+	r.listed = &listCache{InstanceList: r.platform.Instances, leaving: r.leaving}
 	times := controller.DefaultTimes()
 	times.PublishEvery = pulser.Interval // nodes of other zones know of the groups' confirmation by these alone
 	var err error
--- a/runner/faults_test.go
+++ b/runner/faults_test.go
@@ -21,7 +21,7 @@
 
 // scenario is a failure of the whole site and what users still get.
 type scenario struct {
-	story string
+	description string
 	// models says that each call to a model completes all the same, because
 	// other groups serve on.
 	models bool
@@ -31,20 +31,20 @@
 // Bounds that scenarios hold a recovery to, on the test clock. They are sums of
 // the system's own bounds, with some room.
 const (
-	// leaseMoves is a lease's end, the successor's wait and the first steps.
-	leaseMoves = 25 * time.Second
-	// groupBack is the loss of a member, a plan, orders and loading.
-	groupBack = 45 * time.Second
-	// manifestMoves is the users' bound for a change to be in force.
-	manifestMoves = 14 * time.Second
-	// listedWithin is the lag of the instance list and the time between two
+	// leaseTakeoverBound is a lease's end, the successor's wait and the first steps.
+	leaseTakeoverBound = 25 * time.Second
+	// groupRecoveryBound is the loss of a member, a plan, orders and loading.
+	groupRecoveryBound = 45 * time.Second
+	// manifestBound is the users' bound for a change to be in force.
+	manifestBound = 14 * time.Second
+	// listLagBound is the lag of the instance list and the time between two
 	// reads of it.
-	listedWithin = 3500 * time.Millisecond
+	listLagBound = 3500 * time.Millisecond
 )
 
 var scenarios = map[string]scenario{
 	"nothing fails": {
-		story: "A minute without failures: every call completes.",
+		description: "A minute without failures: every call completes.",
 		run: func(s *virtualSite) {
 			time.Sleep(time.Minute)
 			for what, n := range s.load.all() {
@@ -63,24 +63,24 @@
 		},
 	},
 	"a zone's controller crashes": {
-		story: "The node that controls zone-a dies without a word. Its lease lapses, " +
+		description: "The node that controls zone-a dies without a word. Its lease lapses, " +
 			"the other node takes over, and a member lost meanwhile is replaced.",
 		models: true,
 		run: func(s *virtualSite) {
 			holder := s.holder("zone-a")
 			s.crash(holder)
 			s.fleet.Engine(s.memberIn("zone-a")).SetFaults(faker.FaultPlan{Down: true})
-			s.within(leaseMoves, "another node holds the lease", func() string {
+			s.within(leaseTakeoverBound, "another node holds the lease", func() string {
 				if now := s.holder("zone-a"); now == "" || now == holder {
 					return "holder " + string(now)
 				}
 				return ""
 			})
-			s.within(groupBack, "all groups serve", s.serving("zone-c-n0", groupsWanted))
+			s.within(groupRecoveryBound, "all groups serve", s.serving("zone-c-n0", groupsWanted))
 		},
 	},
 	"the object API is away": {
-		story: "The object API answers nothing for two minutes, and an engine dies " +
+		description: "The object API answers nothing for two minutes, and an engine dies " +
 			"meanwhile. Calls to models go on, keyed calls are refused as not run, " +
 			"the broken group is re-formed under the holder's own term, and all is " +
 			"well when the API is back.",
@@ -89,7 +89,7 @@
 			s.objects.SetFaults(faker.FaultPlan{Down: true})
 			time.Sleep(20 * time.Second)
 			s.fleet.Engine(s.memberIn("zone-b")).SetFaults(faker.FaultPlan{Down: true})
-			s.within(groupBack, "the group is back though the object API is away", s.serving("zone-b-n1", groupsWanted))
+			s.within(groupRecoveryBound, "the group is back though the object API is away", s.serving("zone-b-n1", groupsWanted))
 			before := s.load.completed("model")
 			time.Sleep(60 * time.Second)
 			if after := s.load.completed("model"); after-before < 500 {
@@ -100,17 +100,17 @@
 			}
 			s.objects.SetFaults(faker.FaultPlan{})
 			done := s.load.completed("ledger")
-			s.within(leaseMoves, "keyed calls complete again", func() string {
+			s.within(leaseTakeoverBound, "keyed calls complete again", func() string {
 				if s.load.completed("ledger") > done+5 {
 					return ""
 				}
 				return "no keyed call completed"
 			})
-			s.within(leaseMoves, "all groups serve", s.serving("zone-a-n0", groupsWanted))
+			s.within(leaseTakeoverBound, "all groups serve", s.serving("zone-a-n0", groupsWanted))
 		},
 	},
 	"answers of the object API are lost": {
-		story: "Every third write takes effect and its answer is lost, for a minute. " +
+		description: "Every third write takes effect and its answer is lost, for a minute. " +
 			"No call runs twice, no lease has two holders.",
 		models: true,
 		run: func(s *virtualSite) {
@@ -119,11 +119,11 @@
 				time.Sleep(time.Second)
 			}
 			s.objects.SetFaults(faker.FaultPlan{})
-			s.within(leaseMoves, "all groups serve", s.serving("zone-a-n0", groupsWanted))
+			s.within(leaseTakeoverBound, "all groups serve", s.serving("zone-a-n0", groupsWanted))
 		},
 	},
 	"a zone is cut off": {
-		story: "zone-c is cut off from the other zones and the platform for two " +
+		description: "zone-c is cut off from the other zones and the platform for two " +
 			"minutes. Its group goes on serving its own callers, the others go on " +
 			"without it, and a new manifest is held with the zone's name.",
 		models: true,
@@ -154,7 +154,7 @@
 		},
 	},
 	"a member freezes and returns": {
-		story: "An engine is paused for half a minute and goes on as if nothing had " +
+		description: "An engine is paused for half a minute and goes on as if nothing had " +
 			"happened. Its group stops serving within the confirmation bound; the " +
 			"member is not part of any group until it is admitted again.",
 		models: true,
@@ -163,11 +163,11 @@
 			engine.SetFaults(faker.FaultPlan{Frozen: true})
 			time.Sleep(30 * time.Second)
 			engine.SetFaults(faker.FaultPlan{})
-			s.within(groupBack, "all groups serve", s.serving("zone-b-n0", groupsWanted))
+			s.within(groupRecoveryBound, "all groups serve", s.serving("zone-b-n0", groupsWanted))
 		},
 	},
 	"a fabric domain goes dark": {
-		story: "All engines of zone-b's domain lose power at once and come back a " +
+		description: "All engines of zone-b's domain lose power at once and come back a " +
 			"minute later, empty.",
 		models: true,
 		run: func(s *virtualSite) {
@@ -183,18 +183,18 @@
 					e.Restart()
 				}
 			}
-			s.within(2*groupBack, "all groups serve", s.serving("zone-a-n0", groupsWanted))
+			s.within(2*groupRecoveryBound, "all groups serve", s.serving("zone-a-n0", groupsWanted))
 		},
 	},
 	"a node is stopped as planned": {
-		story: "An operator stops a node while calls stream through it. Each call in " +
+		description: "An operator stops a node while calls stream through it. Each call in " +
 			"flight finishes, new ones are refused as not run, and its roles move on.",
 		models: true,
 		run: func(s *virtualSite) {
 			holder := s.holder("zone-a")
 			before := s.load.outcomesOf("model")
 			s.nodes[holder].stop()
-			s.within(leaseMoves, "another node holds the lease", func() string {
+			s.within(leaseTakeoverBound, "another node holds the lease", func() string {
 				if now := s.holder("zone-a"); now == "" || now == holder {
 					return "holder " + string(now)
 				}
@@ -208,7 +208,7 @@
 		},
 	},
 	"operators race with a lower cap": {
-		story: "Two operators commit at once, one of them a lower power cap. One wins, " +
+		description: "Two operators commit at once, one of them a lower power cap. One wins, " +
 			"the other is told who; the site's draw falls to the new cap, and nothing " +
 			"reverts.",
 		models: true,
@@ -236,7 +236,7 @@
 			if caps[won] == 0 {
 				s.t.Fatalf("winners: %q, want one", won)
 			}
-			s.within(manifestMoves, "the winner's manifest is in force", s.inForce("zone-c-n0", won))
+			s.within(manifestBound, "the winner's manifest is in force", s.inForce("zone-c-n0", won))
 			s.within(2*time.Minute, "the draw is at the cap", func() string {
 				if draw := s.fleet.Draw(); draw > caps[won] {
 					return fmt.Sprintf("%d W", draw)
@@ -253,7 +253,7 @@
 		},
 	},
 	"power orders' answers are lost": {
-		story: "The answers to power orders get lost after their effect while engines " +
+		description: "The answers to power orders get lost after their effect while engines " +
 			"die and are replaced; the draw is counted as on until proven off.",
 		run: func(s *virtualSite) {
 			s.power.SetFaults(faker.FaultPlan{LoseAnswers: -1})
@@ -262,16 +262,16 @@
 			}
 			time.Sleep(time.Minute)
 			s.power.SetFaults(faker.FaultPlan{})
-			s.within(2*groupBack, "all groups serve", s.serving("zone-b-n1", groupsWanted))
+			s.within(2*groupRecoveryBound, "all groups serve", s.serving("zone-b-n1", groupsWanted))
 		},
 	},
 	"open connections go silent": {
-		story: "Something between the nodes forgets all open connections of one node; " +
+		description: "Something between the nodes forgets all open connections of one node; " +
 			"new ones work. The node stays a member and its view stays fresh.",
 		models: true,
 		run: func(s *virtualSite) {
 			for range 4 {
-				s.network.silenceOpen("zone-a-n0")
+				s.network.blackholeOpen("zone-a-n0")
 				time.Sleep(15 * time.Second)
 				if got := s.serving("zone-a-n0", groupsWanted)(); got != "" {
 					s.t.Errorf("15 s after connections went silent: %s", got)
@@ -280,7 +280,7 @@
 		},
 	},
 	"backend servers are leaving": {
-		story: "A ledger server's row says that it is leaving, and an engine says so " +
+		description: "A ledger server's row says that it is leaving, and an engine says so " +
 			"itself. Three seconds later neither gets new work, calls go on, and the " +
 			"engine's place is taken by another.",
 		models: true,
@@ -291,7 +291,7 @@
 			leaving := s.memberIn("zone-a")
 			s.fleet.Engine(leaving).SetLeaving()
 			// The list shows changes 2 s late and is read once in a while.
-			time.Sleep(listedWithin + garnetworks.LeavingBound)
+			time.Sleep(listLagBound + garnetworks.LeavingBound)
 			before, group := s.ledgers[1].Executions(), s.groupOf(leaving)
 			attempts, _ := s.fleet.Attempts()
 			time.Sleep(10 * time.Second)
@@ -304,7 +304,7 @@
 					s.t.Errorf("call %s was sent to group %s of the leaving engine", a.Call, a.Group)
 				}
 			}
-			s.within(groupBack, "all groups serve without the engine", func() string {
+			s.within(groupRecoveryBound, "all groups serve without the engine", func() string {
 				if s.groupOf(leaving) != "" {
 					return "the engine is still a member"
 				}
@@ -313,14 +313,14 @@
 		},
 	},
 	"a new version is rolled out": {
-		story: "A manifest brings a new version of the model. Groups move to it one " +
+		description: "A manifest brings a new version of the model. Groups move to it one " +
 			"after the other; calls go on all the time.",
 		models: true,
 		run: func(s *virtualSite) {
 			if _, err := s.propose("zone-a-n0", "v2", 1, s.manifestText(virtualCap, "v2")); err != nil {
 				s.t.Fatal(err)
 			}
-			s.within(manifestMoves, "the manifest is in force", s.inForce("zone-b-n0", "v2"))
+			s.within(manifestBound, "the manifest is in force", s.inForce("zone-b-n0", "v2"))
 			s.within(10*time.Minute, "all groups serve the new version", func() string {
 				got := 0
 				for _, view := range s.nodes["zone-c-n0"].views.all() {
@@ -338,7 +338,7 @@
 		},
 	},
 	"a version can't be loaded": {
-		story: "A manifest names a version that the weight store lacks. One zone's " +
+		description: "A manifest names a version that the weight store lacks. One zone's " +
 			"group stops serving and loads in vain; the others serve the old version " +
 			"on, and each call completes. Its engines are restarted, and operators commit " +
 			"the old version again: no other group moves. Once an engine of the group " +
@@ -352,7 +352,7 @@
 			if _, err := s.propose("zone-a-n0", "missing", 1, s.manifestText(virtualCap, "v9")); err != nil {
 				s.t.Fatal(err)
 			}
-			s.within(manifestMoves, "the manifest is in force", s.inForce("zone-b-n0", "missing"))
+			s.within(manifestBound, "the manifest is in force", s.inForce("zone-b-n0", "missing"))
 			s.within(time.Minute, "a zone has left the old version", func() string {
 				if left := s.groupsServing("v1"); len(left) == groupsWanted {
 					return fmt.Sprint(left)
@@ -379,10 +379,10 @@
 			if _, err := s.propose("zone-b-n0", "back", 2, s.manifestText(virtualCap, "v1")); err != nil {
 				s.t.Fatal(err)
 			}
-			s.within(manifestMoves, "the old version is in force", s.inForce("zone-c-n0", "back"))
+			s.within(manifestBound, "the old version is in force", s.inForce("zone-c-n0", "back"))
 			s.staysFor(30*time.Second, kept)
 			s.fleet.Engine(s.memberIn(left)).Restart()
-			s.within(groupBack, "all groups serve the old version", func() string {
+			s.within(groupRecoveryBound, "all groups serve the old version", func() string {
 				now := s.groupsServing("v1")
 				for zone, id := range kept {
 					if now[zone] != id {
@@ -540,7 +540,7 @@
 	for name, tt := range scenarios {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				t.Log(tt.story)
+				t.Log(tt.description)
 				s := newVirtualSite(t, smallShape)
 				defer s.close()
 				s.begin()
--- a/runner/held_test.go
+++ b/runner/held_test.go
@@ -23,7 +23,7 @@
 		for _, e := range s.fleet.Engines() {
 			e.SetCrashOn(prompt)
 		}
-		ended := func() (sum int) {
+		crashes := func() (sum int) {
 			for _, e := range s.fleet.Engines() {
 				sum += e.Crashes()
 			}
@@ -34,26 +34,26 @@
 			s.node(nodes[0]).answerOf(t.Context(), s.key, "POST", "/v1/completions", "", body)
 			time.Sleep(time.Second)
 		}
-		held := func(id garnetworks.NodeID) {
+		checkQuarantined := func(id garnetworks.NodeID) {
 			a := s.node(id).answerOf(t.Context(), s.key, "POST", "/v1/completions", "", body)
 			if a.kind != string(garnetworks.KindCallQuarantined) || a.outcome != string(garnetworks.OutcomeNotRun) {
 				t.Errorf("node %s answered %+v", id, a)
 			}
 		}
 		for _, id := range nodes {
-			held(id)
+			checkQuarantined(id)
 		}
 		for _, id := range nodes {
 			s.replace(id)
 		}
 		time.Sleep(time.Minute)
 		for _, id := range nodes {
-			held(id)
+			checkQuarantined(id)
 			if a := s.node(id).answerOf(t.Context(), s.key, "POST", "/v1/completions", "", virtualBody); a.outcome != string(garnetworks.OutcomeCompleted) {
 				t.Errorf("a sound call at node %s got %+v", id, a)
 			}
 		}
-		if n := ended(); n > quarantiner.CrashThreshold {
+		if n := crashes(); n > quarantiner.CrashThreshold {
 			t.Errorf("%d engines ended, want %d", n, quarantiner.CrashThreshold)
 		}
 	})
--- a/runner/hints.go
+++ b/runner/hints.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// hintEvery is the time between two reads of a group's cache events.
-	hintEvery = 2 * time.Second
-	// hintGroups is the largest number of groups in the own zone whose events are
+	// hintInterval is the time between two reads of a group's cache events.
+	hintInterval = 2 * time.Second
+	// maxHintGroups is the largest number of groups in the own zone whose events are
 	// read. They gain a few points of hit rate where caches are small; in a larger
 	// zone every node would read more than its control budget.
-	hintGroups = 6
-	// hintBound bounds one read.
-	hintBound = time.Second
+	maxHintGroups = 6
+	// hintTimeout bounds one read.
+	hintTimeout = time.Second
 )
 
 // hintCursor is how far a group's events were read. A group with a new token
@@ -34,7 +34,7 @@
 		return
 	}
 	cursors := make(map[garnetworks.GroupID]hintCursor)
-	ticker := time.NewTicker(hintEvery)
+	ticker := time.NewTicker(hintInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -50,7 +50,7 @@
 func (r *Runner) readHintsOnce(ctx context.Context, cursors map[garnetworks.GroupID]hintCursor) map[garnetworks.GroupID]hintCursor {
 	joined, ok := r.views.own()
 	next := make(map[garnetworks.GroupID]hintCursor)
-	if !ok || len(joined.View.Groups) > hintGroups {
+	if !ok || len(joined.View.Groups) > maxHintGroups {
 		return next
 	}
 	for i := range joined.View.Groups {
@@ -68,7 +68,7 @@
 }
 
 func (r *Runner) readGroupHints(ctx context.Context, g *garnetworks.GroupView, cursor hintCursor) hintCursor {
-	ctx, cancel := context.WithTimeout(ctx, hintBound)
+	ctx, cancel := context.WithTimeout(ctx, hintTimeout)
 	defer cancel()
 	events, err := r.platform.Cache.CacheEvents(ctx, g.Address, cursor.after)
 	if err != nil {
--- a/runner/join.go
+++ b/runner/join.go
@@ -20,8 +20,8 @@
 	"github.com/garnetworks/garnetworks/watcher"
 )
 
-// join makes the parts, from those that need nothing to those that need others.
-func (r *Runner) join(options Options) error {
+// build makes the parts, from those that need nothing to those that need others.
+func (r *Runner) build(options Options) error {
 	r.client = messenger.NewClient(clientOptions(r, options.Network))
 	r.router = router.New(router.Options{Node: r.self.ID, Zone: r.self.Zone})
 	r.admitter = admitter.New(admitter.Options{Node: r.self.ID})
@@ -37,12 +37,12 @@
 		Orders:   r.platform.Orders,
 		Recorder: r.events,
 	})
-	r.signs = drainer.NewShared(drainer.Options{})
+	r.leaving = drainer.NewShared(drainer.Options{})
 	r.views = newViews(r)
 	r.reports = newReports(r)
-	r.joinPeers()
-	r.joinCalls(options)
-	if err := r.joinControl(); err != nil {
+	r.buildMembership()
+	r.buildCallHandling(options)
+	if err := r.buildControllers(); err != nil {
 		return err
 	}
 	var err error
@@ -64,7 +64,7 @@
 	return o
 }
 
-func (r *Runner) joinPeers() {
+func (r *Runner) buildMembership() {
 	r.distributor = distributor.New(distributor.Options{
 		Self:  r.self,
 		Peers: r.client,
@@ -101,9 +101,9 @@
 	})
 }
 
-func (r *Runner) joinCalls(options Options) {
+func (r *Runner) buildCallHandling(options Options) {
 	r.quarantine = quarantiner.New(quarantiner.Options{
-		Probe: r.prove, Objects: r.platform.Objects, Recorder: r.events,
+		Probe: r.probeCrash, Objects: r.platform.Objects, Recorder: r.events,
 		Reads: r.committer.Watches, ReadWait: watcher.DefaultWait,
 		Publish: func(value []byte, revision garnetworks.Revision) {
 			r.publish(garnetworks.Update{Topic: garnetworks.TopicQuarantinedCalls, Version: garnetworks.UpdateVersion{Sequence: uint64(revision)}, Body: value})
@@ -151,8 +151,8 @@
 		r.committer.OnUpdate(u)
 	case u.Topic == garnetworks.TopicQuarantinedCalls:
 		r.quarantine.MergeObject(u.Body)
-	case r.views.take(u):
-	case r.reports.take(u):
+	case r.views.handleUpdate(u):
+	case r.reports.handleUpdate(u):
 	default:
 		r.tracker.Apply(context.Background(), u)
 	}
--- a/runner/network_test.go
+++ b/runner/network_test.go
@@ -36,19 +36,19 @@
 	}
 	for _, c := range n.conns {
 		if (c.from == a && c.to == b) || (c.from == b && c.to == a) {
-			c.silence()
+			c.blackhole()
 		}
 	}
 }
 
-// silenceOpen makes all open connections of a node silent for good; new ones
+// blackholeOpen makes all open connections of a node silent for good; new ones
 // work.
-func (n *memoryNetwork) silenceOpen(id garnetworks.NodeID) {
+func (n *memoryNetwork) blackholeOpen(id garnetworks.NodeID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, c := range n.conns {
 		if c.from == id || c.to == id {
-			c.silence()
+			c.blackhole()
 		}
 	}
 }
@@ -85,8 +85,8 @@
 		return nil, ctx.Err()
 	}
 	here, there := net.Pipe()
-	c := &memoryConn{Conn: here, from: m.id, to: l.owner, silent: make(chan struct{})}
-	back := &memoryConn{Conn: there, from: l.owner, to: m.id, silent: make(chan struct{})}
+	c := &memoryConn{Conn: here, from: m.id, to: l.owner, blackholed: make(chan struct{})}
+	back := &memoryConn{Conn: there, from: l.owner, to: m.id, blackholed: make(chan struct{})}
 	select {
 	case l.accepted <- back:
 	case <-l.closed:
@@ -143,14 +143,14 @@
 // memoryConn is a connection whose writes vanish once it is silent.
 type memoryConn struct {
 	net.Conn
-	from, to garnetworks.NodeID
-	silent   chan struct{}
-	once     sync.Once
+	from, to   garnetworks.NodeID
+	blackholed chan struct{}
+	once       sync.Once
 }
 
-func (c *memoryConn) silence() {
+func (c *memoryConn) blackhole() {
 	c.once.Do(func() {
-		close(c.silent)
+		close(c.blackholed)
 		// A write that waits for its reader would hold the silence up.
 		_ = c.Conn.SetWriteDeadline(time.Now())
 	})
@@ -159,13 +159,13 @@
 // Write implements net.Conn.
 func (c *memoryConn) Write(b []byte) (int, error) {
 	select {
-	case <-c.silent:
+	case <-c.blackholed:
 		return len(b), nil
 	default:
 	}
 	n, err := c.Conn.Write(b)
 	select {
-	case <-c.silent:
+	case <-c.blackholed:
 		return len(b), nil
 	default:
 		return n, err
@@ -175,7 +175,7 @@
 // SetWriteDeadline implements net.Conn.
 func (c *memoryConn) SetWriteDeadline(t time.Time) error {
 	select {
-	case <-c.silent:
+	case <-c.blackholed:
 		return nil
 	default:
 		return c.Conn.SetWriteDeadline(t)
--- a/runner/peers.go
+++ b/runner/peers.go
@@ -73,7 +73,7 @@
 
 // Confirm implements garnetworks.ConfirmHandler.
 func (h *peerHandler) Confirm(ctx context.Context, request *garnetworks.ConfirmRequest) (*garnetworks.ConfirmResponse, error) {
-	h.r.views.hearPeer(time.Now())
+	h.r.views.recordPeerProbe(time.Now())
 	response, err := h.r.prober.Confirm(ctx, request)
 	if err != nil {
 		return nil, err
--- a/runner/prover.go
+++ b/runner/prover.go
@@ -13,32 +13,32 @@
 	"github.com/garnetworks/garnetworks/quarantiner"
 )
 
-// proveTime bounds a question to a server. One that lives answers within milliseconds.
-const proveTime = 500 * time.Millisecond
+// crashProbeTimeout bounds a question to a server. One that lives answers within milliseconds.
+const crashProbeTimeout = 500 * time.Millisecond
 
-// prove finds out whether the head of a group, under the group's token, or a plain server,
+// probeCrash finds out whether the head of a group, under the group's token, or a plain server,
 // which has none, has ended.
-func (r *Runner) prove(ctx context.Context, life garnetworks.Incarnation, _ bool) garnetworks.CrashState {
-	if life.StartMS == 0 {
-		return r.proveServer(ctx, life.Instance)
+func (r *Runner) probeCrash(ctx context.Context, incarnation garnetworks.Incarnation, _ bool) garnetworks.CrashState {
+	if incarnation.StartMS == 0 {
+		return r.probeServerCrash(ctx, incarnation.Instance)
 	}
-	address, zone := r.addressOf(life)
+	address, zone := r.addressOf(incarnation)
 	if address == "" {
 		return garnetworks.CrashSuspected
 	}
-	ctx, cancel := context.WithTimeout(ctx, proveTime)
+	ctx, cancel := context.WithTimeout(ctx, crashProbeTimeout)
 	defer cancel()
 	status, err := r.platform.Probes.Status(ctx, address)
 	switch {
-	case err == nil && status.Instance == life.Instance && int64(status.Token) == life.StartMS:
+	case err == nil && status.Instance == incarnation.Instance && int64(status.Token) == incarnation.StartMS:
 		return garnetworks.CrashRefuted
-	case err == nil && status.Instance == life.Instance && int64(status.Token) > life.StartMS:
+	case err == nil && status.Instance == incarnation.Instance && int64(status.Token) > incarnation.StartMS:
 		// A group that is cut off gets its members back under a later token, though none
 		// of them has ended.
 		return garnetworks.CrashSuspected
 	case err == nil:
 		return garnetworks.CrashProven
-	case errors.Is(err, unix.ECONNREFUSED) && r.reaches(ctx, zone, address):
+	case errors.Is(err, unix.ECONNREFUSED) && r.zoneReachable(ctx, zone, address):
 		return garnetworks.CrashConnectionRefused
 	}
 	return garnetworks.CrashSuspected
@@ -46,16 +46,16 @@
 
 // addressOf returns where the head of a group is, and in which zone, as far as a view tells
 // it.
-func (r *Runner) addressOf(life garnetworks.Incarnation) (string, garnetworks.ZoneID) {
+func (r *Runner) addressOf(incarnation garnetworks.Incarnation) (string, garnetworks.ZoneID) {
 	for _, view := range r.views.all() {
 		for i := range view.Groups {
 			g := &view.Groups[i]
-			if int64(g.Token) == life.StartMS && len(g.Members) > 0 && g.Members[0] == life.Instance {
+			if int64(g.Token) == incarnation.StartMS && len(g.Members) > 0 && g.Members[0] == incarnation.Instance {
 				return g.Address, view.Zone
 			}
 		}
 		for _, e := range view.Engines {
-			if e.Instance == life.Instance {
+			if e.Instance == incarnation.Instance {
 				return e.Address, view.Zone
 			}
 		}
@@ -63,10 +63,10 @@
 	return "", ""
 }
 
-// proveServer asks a plain server by a new connection: its host refuses one once its
+// probeServerCrash asks a plain server by a new connection: its host refuses one once its
 // process has ended. One that starts again at its address meanwhile is not told apart, and
 // counts as the one that lived.
-func (r *Runner) proveServer(ctx context.Context, instance garnetworks.InstanceID) garnetworks.CrashState {
+func (r *Runner) probeServerCrash(ctx context.Context, instance garnetworks.InstanceID) garnetworks.CrashState {
 	address, zone := "", garnetworks.ZoneID("")
 	for _, view := range r.views.all() {
 		for _, s := range view.Servers {
@@ -78,20 +78,20 @@
 	if address == "" {
 		return garnetworks.CrashSuspected
 	}
-	ctx, cancel := context.WithTimeout(ctx, proveTime)
+	ctx, cancel := context.WithTimeout(ctx, crashProbeTimeout)
 	defer cancel()
 	err := dial(ctx, address)
 	switch {
 	case err == nil:
 		return garnetworks.CrashRefuted
-	case errors.Is(err, unix.ECONNREFUSED) && r.reaches(ctx, zone, address):
+	case errors.Is(err, unix.ECONNREFUSED) && r.zoneReachable(ctx, zone, address):
 		return garnetworks.CrashConnectionRefused
 	}
 	return garnetworks.CrashSuspected
 }
 
-// reaches reports whether another server of the zone answers the node.
-func (r *Runner) reaches(ctx context.Context, zone garnetworks.ZoneID, not string) bool {
+// zoneReachable reports whether another server of the zone answers the node.
+func (r *Runner) zoneReachable(ctx context.Context, zone garnetworks.ZoneID, except string) bool {
 	var others []string
 	for _, view := range r.views.all() {
 		if view.Zone != zone {
@@ -104,7 +104,7 @@
 			others = append(others, s.Address)
 		}
 	}
-	others = slices.DeleteFunc(others, func(address string) bool { return address == not })
+	others = slices.DeleteFunc(others, func(address string) bool { return address == except })
 	return quarantiner.AnyReachable(others, func(address string) bool { return dial(ctx, address) == nil })
 }
 
--- a/runner/random_test.go
+++ b/runner/random_test.go
@@ -59,16 +59,16 @@
 		"lose answers":     m.loseAnswers,
 		"freeze an engine": m.freeze,
 		"restart engine":   m.restart,
-		"engine dies":      m.die,
-		"domain goes dark": m.dark,
+		"engine dies":      m.toggleDown,
+		"domain goes dark": m.domainDown,
 		"power answers":    m.powerAnswers,
 		"crash a node":     m.crashNode,
 		"stop a node":      m.stopNode,
-		"forget conns":     m.forget,
+		"forget conns":     m.blackholeConns,
 		"commit":           m.commit,
 	})
-	m.heal()
-	m.recovers()
+	m.clearFaults()
+	m.awaitRecovery()
 	m.settle()
 }
 
@@ -109,12 +109,12 @@
 
 func (m *machine) restart(t *rapid.T) { m.engineOf(t).Restart() }
 
-func (m *machine) die(t *rapid.T) {
+func (m *machine) toggleDown(t *rapid.T) {
 	e := m.engineOf(t)
 	e.SetFaults(faker.FaultPlan{Down: !e.FaultsNow().Down})
 }
 
-func (m *machine) dark(t *rapid.T) {
+func (m *machine) domainDown(t *rapid.T) {
 	zone, down := m.zoneOf(t), rapid.Bool().Draw(t, "down")
 	for _, e := range m.fleet.Engines() {
 		if e.Spec().Zone == zone {
@@ -135,7 +135,7 @@
 
 func (m *machine) stopNode(t *rapid.T) { m.replace(m.nodeOf(t)) }
 
-func (m *machine) forget(t *rapid.T) { m.network.silenceOpen(m.nodeOf(t)) }
+func (m *machine) blackholeConns(t *rapid.T) { m.network.blackholeOpen(m.nodeOf(t)) }
 
 // commit proposes a manifest on what the node knows; whether it is accepted
 // depends on the failures.
@@ -147,8 +147,8 @@
 	_, _ = m.propose(id, fmt.Sprintf("random-%d", m.commits), base, m.manifestText(virtualCap, version))
 }
 
-// heal ends all failures.
-func (m *machine) heal() {
+// clearFaults ends all failures.
+func (m *machine) clearFaults() {
 	for _, zone := range m.size.zones {
 		m.cutZone(zone, false)
 	}
@@ -164,9 +164,9 @@
 // in one zone after the other.
 const recoveryBound = 10 * time.Minute
 
-// recovers waits until all groups serve and calls of both kinds complete at each
+// awaitRecovery waits until all groups serve and calls of both kinds complete at each
 // node.
-func (m *machine) recovers() {
+func (m *machine) awaitRecovery() {
 	m.t.Helper()
 	for _, id := range m.names() {
 		m.within(recoveryBound, "all groups serve by the word of "+string(id), m.serving(id, groupsWanted))
--- a/runner/reports.go
+++ b/runner/reports.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// ReportLeast is the shortest time between two reports of a node to its zone's
+	// MinReportInterval is the shortest time between two reports of a node to its zone's
 	// controller. Two of the longest fit into admitter.ShareBound, so that a lost
 	// one makes no node silent.
-	ReportLeast = 2 * time.Second
-	// ReportMost is the longest time between two reports.
-	ReportMost = 7 * time.Second
-	// reportShare is the time that one report takes up at the controller: reports
+	MinReportInterval = 2 * time.Second
+	// MaxReportInterval is the longest time between two reports.
+	MaxReportInterval = 7 * time.Second
+	// reportIntervalPerNode is the time that one report takes up at the controller: reports
 	// of a larger zone come less often, so that the controller's traffic has a
 	// bound.
-	reportShare = 150 * time.Millisecond
-	// reportBound bounds one report.
-	reportBound = time.Second
-	// demandEvery is the time between two words of a zone's demand to the site.
-	demandEvery = 5 * time.Second
+	reportIntervalPerNode = 150 * time.Millisecond
+	// reportTimeout bounds one report.
+	reportTimeout = time.Second
+	// demandInterval is the time between two words of a zone's demand to the site.
+	demandInterval = 5 * time.Second
 )
 
 // reports sends the node's reports to its zone's controller, and takes those of
@@ -33,8 +33,8 @@
 type reports struct {
 	r *Runner
 
-	mu     sync.Mutex
-	keeper *sharer.Aggregator
+	mu         sync.Mutex
+	aggregator *sharer.Aggregator
 	// slow holds each node's newest word on slow groups.
 	slow map[garnetworks.NodeID][]garnetworks.GroupSlowdown
 	// demandAt is when the zone's demand was last sent to the site.
@@ -43,32 +43,32 @@
 
 func newReports(r *Runner) *reports {
 	return &reports{
-		r:      r,
-		keeper: sharer.New(r.self.Zone),
-		slow:   make(map[garnetworks.NodeID][]garnetworks.GroupSlowdown),
+		r:          r,
+		aggregator: sharer.New(r.self.Zone),
+		slow:       make(map[garnetworks.NodeID][]garnetworks.GroupSlowdown),
 	}
 }
 
-// reportEvery returns the time between two reports in a zone of some nodes.
-func reportEvery(nodes int) time.Duration {
-	return min(max(time.Duration(nodes)*reportShare, ReportLeast), ReportMost)
+// reportInterval returns the time between two reports in a zone of some nodes.
+func reportInterval(nodes int) time.Duration {
+	return min(max(time.Duration(nodes)*reportIntervalPerNode, MinReportInterval), MaxReportInterval)
 }
 
 // run reports now and then (N4).
 func (p *reports) run(ctx context.Context) {
 	for {
-		wait := time.NewTimer(reportEvery(len(zoneNodes(p.r.nodes(), p.r.self.Zone))))
+		wait := time.NewTimer(reportInterval(len(zoneNodes(p.r.nodes(), p.r.self.Zone))))
 		select {
 		case <-ctx.Done():
 			wait.Stop()
 			return
 		case <-wait.C:
-			p.once(ctx)
+			p.reportOnce(ctx)
 		}
 	}
 }
 
-func (p *reports) once(ctx context.Context) {
+func (p *reports) reportOnce(ctx context.Context) {
 	now := time.Now()
 	request := &garnetworks.HeartbeatRequest{
 		From:    p.r.tracker.Self(),
@@ -80,7 +80,7 @@
 		return
 	}
 	if joined.View.Controller.ID == p.r.self.ID {
-		p.control(now, request)
+		p.reportOwn(now, request)
 		return
 	}
 	p.send(ctx, joined.View.Controller.Address, request)
@@ -95,7 +95,7 @@
 }
 
 func (p *reports) send(ctx context.Context, address string, request *garnetworks.HeartbeatRequest) {
-	ctx, cancel := context.WithTimeout(ctx, reportBound)
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	response, err := p.r.client.Heartbeat(ctx, address, request)
 	if err != nil {
@@ -103,7 +103,7 @@
 		return
 	}
 	for _, u := range response.Updates {
-		p.take(u)
+		p.handleUpdate(u)
 	}
 }
 
@@ -115,11 +115,11 @@
 	if request.From.Zone != p.r.self.Zone || p.r.zone.Lease().Term(now) == 0 {
 		return
 	}
-	row, ok := p.note(now, request).Get()
+	share, ok := p.record(now, request).Get()
 	if !ok {
 		return
 	}
-	body, err := messenger.EncodeBody(admitter.ShareTable{Nodes: []admitter.NodeShare{row}})
+	body, err := messenger.EncodeBody(admitter.ShareTable{Nodes: []admitter.NodeShare{share}})
 	if err != nil {
 		p.r.log.Error("shares not sent", "error", err)
 		return
@@ -130,34 +130,34 @@
 	})
 }
 
-// note takes a node's report and returns its shares.
-func (p *reports) note(now time.Time, request *garnetworks.HeartbeatRequest) garnetworks.Option[admitter.NodeShare] {
+// record takes a node's report and returns its shares.
+func (p *reports) record(now time.Time, request *garnetworks.HeartbeatRequest) garnetworks.Option[admitter.NodeShare] {
 	manifest, known := p.r.committer.Manifest()
 	nodes := p.r.nodes()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.slow[request.From.ID] = request.Slow
-	p.keeper.Report(now, request.From.ID, request.Demands)
-	p.keeper.SetNodes(nodes)
+	p.aggregator.Report(now, request.From.ID, request.Demands)
+	p.aggregator.SetNodes(nodes)
 	if !known {
 		return garnetworks.Option[admitter.NodeShare]{}
 	}
-	return p.keeper.NodeShare(now, manifest.Manifest.Workspaces, request.From.ID)
+	return p.aggregator.NodeShare(now, manifest.Manifest.Workspaces, request.From.ID)
 }
 
-// control takes the controller's own report and tells the site of the zone's
+// reportOwn takes the controller's own report and tells the site of the zone's
 // demand.
-func (p *reports) control(now time.Time, request *garnetworks.HeartbeatRequest) {
-	if row, ok := p.note(now, request).Get(); ok {
-		p.r.admitter.SetShares(admitter.ShareTable{Nodes: []admitter.NodeShare{row}})
+func (p *reports) reportOwn(now time.Time, request *garnetworks.HeartbeatRequest) {
+	if share, ok := p.record(now, request).Get(); ok {
+		p.r.admitter.SetShares(admitter.ShareTable{Nodes: []admitter.NodeShare{share}})
 	}
 	term := p.r.zone.Lease().Term(now)
 	p.mu.Lock()
-	due := now.Sub(p.demandAt) >= demandEvery
+	due := now.Sub(p.demandAt) >= demandInterval
 	if due {
 		p.demandAt = now
 	}
-	demand := p.keeper.ZoneDemand(now)
+	demand := p.aggregator.ZoneDemand(now)
 	p.mu.Unlock()
 	if !due || term == 0 {
 		return
@@ -174,9 +174,9 @@
 	})
 }
 
-// take takes an update of shares or of a zone's demand, and reports whether it
+// handleUpdate takes an update of shares or of a zone's demand, and reports whether it
 // was one.
-func (p *reports) take(u garnetworks.Update) bool {
+func (p *reports) handleUpdate(u garnetworks.Update) bool {
 	if _, ok := garnetworks.CutTopic(u.Topic, garnetworks.TopicLimitShares); ok {
 		var table admitter.ShareTable
 		if p.decode(u, &table) {
@@ -188,7 +188,7 @@
 		var demand sharer.ZoneDemand
 		if p.decode(u, &demand) {
 			p.mu.Lock()
-			p.keeper.SetZoneDemand(time.Now(), garnetworks.ZoneID(zone), demand)
+			p.aggregator.SetZoneDemand(time.Now(), garnetworks.ZoneID(zone), demand)
 			p.mu.Unlock()
 		}
 		return true
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -14,7 +14,7 @@
 //	    less often: what they are asked for and which groups are slow. The answer
 //	    carries the node's shares of the limits.
 //	N5  A node that hears neither a fresh pulse of its own zone nor another node's
-//	    probes for PulseSilence is cut off and probes all engines of the zone
+//	    probes for PulseTimeout is cut off and probes all engines of the zone
 //	    itself, so that its router goes on by its own findings (rule G1). While
 //	    only the controller is being replaced, the nodes' shared probes do.
 //	N6  A duty that ends before the node is stopped ends the node: a node that
@@ -118,15 +118,15 @@
 	site        *controller.Site
 
 	// signs tells which backend servers are leaving.
-	signs   *drainer.Shared
+	leaving *drainer.Shared
 	views   *views
 	reports *reports
 	listed  *listCache
 
 	// expired is when servers were last forgotten; upkeep alone uses it.
-	expired time.Time
+	lastExpiry time.Time
 	// counted is the traffic that the metrics hold; upkeep alone uses it.
-	counted messenger.TrafficCount
+	reportedTraffic messenger.TrafficCount
 
 	objectsDown atomic.Bool
 	stopping    atomic.Bool
@@ -150,9 +150,9 @@
 	r.timeline = recorder.New(r.settings.Node, r.settings.EventRing)
 	r.events = r.meter.Recorder(r.timeline)
 	r.platform = options.Platform.Or(connect(r.settings))
-	r.platform.Objects = meter.Observe(r.meter.ObjectAPI(r.platform.Objects), r.noteObjects)
+	r.platform.Objects = meter.Observe(r.meter.ObjectAPI(r.platform.Objects), r.observeObjectAPI)
 	r.self = r.describe(options.Program)
-	if err := r.join(options); err != nil {
+	if err := r.build(options); err != nil {
 		r.closeListeners()
 		return nil, err
 	}
@@ -193,8 +193,8 @@
 }
 
 // Run runs the node until ctx ends, and then stops it as planned. A second
-// context, hurry, ends the grace period; it may be nil.
-func (r *Runner) Run(ctx, hurry context.Context) error {
+// context, forceStop, ends the grace period; it may be nil.
+func (r *Runner) Run(ctx, forceStop context.Context) error {
 	r.events.Record(garnetworks.Event{Kind: garnetworks.EventNodeStarted, Zone: r.self.Zone, Detail: r.self.Address})
 	r.log.Info("node started", "node", r.self.ID, "zone", r.self.Zone,
 		"callers", r.callers.Addr(), "peers", r.peers.Addr(), "admin", r.admin.Addr())
@@ -210,7 +210,7 @@
 	case <-r.superseded:
 		r.log.Error("another process took this node's name", "node", r.self.ID)
 	}
-	r.stop(work, hurry)
+	r.stop(work, forceStop)
 	stopWork()
 	if err := group.Wait(); err != nil && !errors.Is(err, context.Canceled) {
 		return err
@@ -225,7 +225,7 @@
 }
 
 func (r *Runner) duties() []duty {
-	plain := func(run func(context.Context)) func(context.Context) error {
+	noError := func(run func(context.Context)) func(context.Context) error {
 		return func(ctx context.Context) error {
 			run(ctx)
 			return ctx.Err()
@@ -235,20 +235,20 @@
 		{"callers", r.serveCallers},
 		{"admin", r.serveAdmin},
 		{"peers", func(ctx context.Context) error { return r.peerServer.Serve(ctx, r.peers) }},
-		{"membership", plain(r.tracker.Run)},
-		{"distribution", plain(r.distributor.Run)},
+		{"membership", noError(r.tracker.Run)},
+		{"distribution", noError(r.distributor.Run)},
 		{"manifest", r.committer.Run},
 		{"claims", r.claimer.Run},
 		{"quarantine", r.quarantine.Run},
 		{"probes", r.prober.Run},
 		{"zone-controller", r.zone.Run},
 		{"site-controller", r.site.Run},
-		{"reports", plain(r.reports.run)},
-		{"cache-events", plain(r.readHints)},
-		{"upkeep", plain(r.upkeep)},
+		{"reports", noError(r.reports.run)},
+		{"cache-events", noError(r.readHints)},
+		{"upkeep", noError(r.upkeep)},
 	}
 	if r.keys != nil {
-		list = append(list, duty{"keys", plain(func(ctx context.Context) {
+		list = append(list, duty{"keys", noError(func(ctx context.Context) {
 			r.keys.Run(ctx, func(err error) { r.log.Warn("peer-tls not reloaded", "error", err) })
 		})})
 	}
@@ -269,19 +269,19 @@
 }
 
 // stop ends the node's calls as planned (N3).
-func (r *Runner) stop(work, hurry context.Context) {
+func (r *Runner) stop(work, forceStop context.Context) {
 	r.stopping.Store(true)
 	r.events.Record(garnetworks.Event{Kind: garnetworks.EventNodeStopping, Zone: r.self.Zone})
 	r.tracker.SetReady(work, false)
 	grace, cancel := context.WithTimeout(work, r.settings.DrainGrace)
 	defer cancel()
-	if hurry != nil {
-		defer context.AfterFunc(hurry, cancel)()
+	if forceStop != nil {
+		defer context.AfterFunc(forceStop, cancel)()
 	}
 	if err := r.server.Drain(grace); err != nil {
 		r.log.Warn("calls ended by the node", "error", err)
 	}
-	flush, cancelFlush := context.WithTimeout(work, flushBound)
+	flush, cancelFlush := context.WithTimeout(work, flushTimeout)
 	defer cancelFlush()
 	if err := r.claimer.Flush(flush); err != nil {
 		r.log.Warn("outcomes not recorded; later calls with their keys are answered as unknown", "error", err)
--- a/runner/site_test.go
+++ b/runner/site_test.go
@@ -212,14 +212,14 @@
 	})
 }
 
-// patience ends a wait that is stuck; nothing is asserted about how long a wait
+// waitTimeout ends a wait that is stuck; nothing is asserted about how long a wait
 // takes.
-const patience = 60 * time.Second
+const waitTimeout = 60 * time.Second
 
 // eventually waits until check returns an empty string.
 func (s *testSite) eventually(what string, check func() string) {
 	s.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for {
 		missing := check()
 		if missing == "" {
--- a/runner/upkeep.go
+++ b/runner/upkeep.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// flushBound bounds what a stopping node does after its last call.
-	flushBound = 5 * time.Second
-	// upkeepEvery is the time between two rounds of upkeep.
-	upkeepEvery = 250 * time.Millisecond
-	// expireEvery is the time between two looks for servers to forget; each makes
+	// flushTimeout bounds what a stopping node does after its last call.
+	flushTimeout = 5 * time.Second
+	// upkeepInterval is the time between two rounds of upkeep.
+	upkeepInterval = 250 * time.Millisecond
+	// expireInterval is the time between two looks for servers to forget; each makes
 	// a snapshot of all signs.
-	expireEvery = time.Minute
+	expireInterval = time.Minute
 )
 
 // upkeep carries what changes slowly between the parts.
 func (r *Runner) upkeep(ctx context.Context) {
-	ticker := time.NewTicker(upkeepEvery)
+	ticker := time.NewTicker(upkeepInterval)
 	defer ticker.Stop()
 	for {
 		r.upkeepOnce(ctx)
@@ -47,15 +47,15 @@
 	r.admitter.SetCapacity(r.router.Capacities(now))
 	r.claimer.SetRoster(nodes)
 	r.views.refresh(now, nodes)
-	r.views.takeOwnWords(now)
-	if now.Sub(r.expired) >= expireEvery {
-		r.expired = now
-		r.signs.Update(func(d *drainer.Drainer) { d.Expire(now) })
+	r.views.observeLeavingStatuses(now)
+	if now.Sub(r.lastExpiry) >= expireInterval {
+		r.lastExpiry = now
+		r.leaving.Update(func(d *drainer.Drainer) { d.Expire(now) })
 	}
 	r.zone.Lease().SetContenders(zoneNodes(nodes, r.self.Zone))
 	r.site.Lease().SetContenders(nodes)
 	r.meter.InFlight(r.server.InFlight())
-	r.countTraffic()
+	r.updateTrafficMetrics()
 	claims := r.claimer.Stats()
 	r.meter.Upkeep(meter.Claims{
 		Written:   claims.Writes,
--- a/runner/views.go
+++ b/runner/views.go
@@ -12,25 +12,25 @@
 	"github.com/garnetworks/garnetworks/pulser"
 )
 
-// PulseSilence is how long a node waits for a pulse of its own zone before it
+// PulseTimeout is how long a node waits for a pulse of its own zone before it
 // probes by itself (N5). It is longer than a pulse can take to come: the pulses'
 // interval, a tick of the controller that sends them, and the way. With one
 // round of probes it stays below garnetworks.ConfirmationBound.
-const PulseSilence = 1900 * time.Millisecond
+const PulseTimeout = 1900 * time.Millisecond
 
 // views holds what the node knows of each zone's backend servers, and sends the
 // own zone's view while the node controls it.
 type views struct {
 	r *Runner
 
-	mu        sync.Mutex
-	receivers map[garnetworks.ZoneID]*pulser.Receiver
-	joined    map[garnetworks.ZoneID]pulser.Joined
-	sender    *pulser.Sender
-	term      uint32
-	alone     bool
-	// heard is when a node of the zone last told what it has probed.
-	heard time.Time
+	mu           sync.Mutex
+	receivers    map[garnetworks.ZoneID]*pulser.Receiver
+	joined       map[garnetworks.ZoneID]pulser.Joined
+	sender       *pulser.Sender
+	term         uint32
+	probingAlone bool
+	// peerProbeAt is when a node of the zone last told what it has probed.
+	peerProbeAt time.Time
 }
 
 func newViews(r *Runner) *views {
@@ -41,9 +41,9 @@
 	}
 }
 
-// take takes an update of a zone's view or pulse, and reports whether it was
+// handleUpdate takes an update of a zone's view or pulse, and reports whether it was
 // one.
-func (v *views) take(u garnetworks.Update) bool {
+func (v *views) handleUpdate(u garnetworks.Update) bool {
 	zone, ok := garnetworks.CutTopic(u.Topic, garnetworks.TopicZoneView)
 	if !ok {
 		zone, ok = garnetworks.CutTopic(u.Topic, garnetworks.TopicZoneStatus)
@@ -57,7 +57,7 @@
 		return true
 	}
 	if j, ok := joined.Get(); ok {
-		v.r.signs.Update(func(d *drainer.Drainer) { d.ObserveView(time.Now(), j.Version, &j.View) })
+		v.r.leaving.Update(func(d *drainer.Drainer) { d.ObserveView(time.Now(), j.Version, &j.View) })
 		v.route(j)
 		v.r.meter.View(j.View)
 		v.setTargets(j.View)
@@ -68,30 +68,30 @@
 // route hands a view to the router with all signs of leaving servers in it
 // (rule G8).
 func (v *views) route(j pulser.Joined) {
-	v.r.router.SetView(j.At, v.r.signs.Snapshot().Apply(&j.View))
+	v.r.router.SetView(j.At, v.r.leaving.Snapshot().Apply(&j.View))
 }
 
-// takeOwnWords looks for engines of the own zone that say that they are leaving;
+// observeLeavingStatuses looks for engines of the own zone that say that they are leaving;
 // a probe hears that before the instance list or the controller does.
-func (v *views) takeOwnWords(now time.Time) {
+func (v *views) observeLeavingStatuses(now time.Time) {
 	joined, ok := v.own()
 	if !ok {
 		return
 	}
-	known := v.r.signs.Snapshot()
-	var words []garnetworks.EngineStatus
+	snapshot := v.r.leaving.Snapshot()
+	var statuses []garnetworks.EngineStatus
 	for _, e := range joined.View.Engines {
-		status, _, heard := v.r.prober.Table().Status(e.Instance)
-		if heard && status.Leaving == known.ServerEligible(e.Instance) {
-			words = append(words, status)
+		status, _, found := v.r.prober.Table().Status(e.Instance)
+		if found && status.Leaving == snapshot.ServerEligible(e.Instance) {
+			statuses = append(statuses, status)
 		}
 	}
-	if len(words) == 0 {
+	if len(statuses) == 0 {
 		return
 	}
-	v.r.signs.Update(func(d *drainer.Drainer) {
-		for i := range words {
-			d.ObserveStatus(now, &words[i])
+	v.r.leaving.Update(func(d *drainer.Drainer) {
+		for i := range statuses {
+			d.ObserveStatus(now, &statuses[i])
 		}
 	})
 	v.route(joined)
@@ -152,8 +152,8 @@
 	return list
 }
 
-// otherBound is the age at which another zone's view no longer counts as fresh.
-const otherBound = 3 * garnetworks.ConfirmationBound
+// otherViewMaxAge is the age at which another zone's view no longer counts as fresh.
+const otherViewMaxAge = 3 * garnetworks.ConfirmationBound
 
 // others returns the fresh views of the other zones.
 func (v *views) others() []garnetworks.ZoneView {
@@ -162,7 +162,7 @@
 	defer v.mu.Unlock()
 	var fresh []garnetworks.ZoneView
 	for zone, j := range v.joined {
-		if zone != v.r.self.Zone && now.Sub(j.At) <= otherBound {
+		if zone != v.r.self.Zone && now.Sub(j.At) <= otherViewMaxAge {
 			fresh = append(fresh, j.View)
 		}
 	}
@@ -172,12 +172,12 @@
 // refresh keeps probes and routes going by the node's own findings.
 func (v *views) refresh(now time.Time, nodes []garnetworks.NodeInfo) {
 	joined, ok := v.own()
-	silent := !ok || now.Sub(joined.At) > PulseSilence
-	alone := silent && now.Sub(v.peersHeard()) > PulseSilence
+	pulseLost := !ok || now.Sub(joined.At) > PulseTimeout
+	alone := pulseLost && now.Sub(v.lastPeerProbe()) > PulseTimeout
 	if alone {
 		nodes = []garnetworks.NodeInfo{readySelf(v.r.self)} // N5
 	}
-	v.noteAlone(alone && ok)
+	v.setProbingAlone(alone && ok)
 	v.r.prober.SetRoster(nodes)
 	table := v.r.prober.Table()
 	for i := range joined.View.Groups {
@@ -185,22 +185,22 @@
 		if g.State != garnetworks.GroupServing || !table.ConfirmedView(now, g) {
 			continue
 		}
-		v.r.router.ConfirmGroup(oldestWord(table, g.Members), g.ID, g.Token)
+		v.r.router.ConfirmGroup(oldestConfirmation(table, g.Members), g.ID, g.Token)
 	}
 }
 
-// hearPeer notes that a node of the zone told what it has probed.
-func (v *views) hearPeer(now time.Time) {
+// recordPeerProbe notes that a node of the zone told what it has probed.
+func (v *views) recordPeerProbe(now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.heard = now
+	v.peerProbeAt = now
 }
 
-// peersHeard returns when a node of the zone last told what it has probed.
-func (v *views) peersHeard() time.Time {
+// lastPeerProbe returns when a node of the zone last told what it has probed.
+func (v *views) lastPeerProbe() time.Time {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.heard
+	return v.peerProbeAt
 }
 
 // readySelf makes the node the only one that probes; whether it takes calls
@@ -210,8 +210,8 @@
 	return self
 }
 
-// oldestWord returns when the member that was asked longest ago was asked.
-func oldestWord(table *prober.Table, members []garnetworks.InstanceID) time.Time {
+// oldestConfirmation returns when the member that was asked longest ago was asked.
+func oldestConfirmation(table *prober.Table, members []garnetworks.InstanceID) time.Time {
 	var oldest time.Time
 	for _, m := range members {
 		c, ok := table.Confirmation(m)
@@ -225,11 +225,11 @@
 	return oldest
 }
 
-// noteAlone logs when the node begins to probe its zone alone.
-func (v *views) noteAlone(alone bool) {
+// setProbingAlone logs when the node begins to probe its zone alone.
+func (v *views) setProbingAlone(alone bool) {
 	v.mu.Lock()
-	changed := v.alone != alone
-	v.alone = alone
+	changed := v.probingAlone != alone
+	v.probingAlone = alone
 	v.mu.Unlock()
 	if changed && alone {
 		v.r.log.Info("no pulse and no other node of the own zone; probing its engines alone", "zone", v.r.self.Zone)
@@ -261,7 +261,7 @@
 // so that the view can name the engines without another read.
 type listCache struct {
 	garnetworks.InstanceList
-	signs *drainer.Shared
+	leaving *drainer.Shared
 
 	mu   sync.Mutex
 	rows []garnetworks.ListedInstance
@@ -274,7 +274,7 @@
 		l.mu.Lock()
 		l.rows = rows
 		l.mu.Unlock()
-		l.signs.Update(func(d *drainer.Drainer) { d.ObserveList(time.Now(), rows) })
+		l.leaving.Update(func(d *drainer.Drainer) { d.ObserveList(time.Now(), rows) })
 	}
 	return rows, err
 }
--- a/runner/views_test.go
+++ b/runner/views_test.go
@@ -14,13 +14,13 @@
 // that fears silence sooner takes each late tick for a lost controller: in a
 // calm site its log says so every few seconds, and it probes all of its zone's
 // engines alone each time.
-func TestSilenceOutlastsAPulse(t *testing.T) {
+func TestPulseTimeoutExceedsPulseInterval(t *testing.T) {
 	longest := pulser.Interval + controller.DefaultTimes().Tick
-	if PulseSilence <= longest {
-		t.Errorf("silence is feared after %v, and a pulse can take %v", PulseSilence, longest)
+	if PulseTimeout <= longest {
+		t.Errorf("silence is feared after %v, and a pulse can take %v", PulseTimeout, longest)
 	}
-	if PulseSilence+garnetworks.ProbeInterval >= garnetworks.ConfirmationBound {
-		t.Errorf("silence of %v and one round of probes outlast the bound %v", PulseSilence, garnetworks.ConfirmationBound)
+	if PulseTimeout+garnetworks.ProbeInterval >= garnetworks.ConfirmationBound {
+		t.Errorf("silence of %v and one round of probes outlast the bound %v", PulseTimeout, garnetworks.ConfirmationBound)
 	}
 }
 
@@ -47,12 +47,12 @@
 		}
 		before := probes()
 		time.Sleep(window)
-		calm := probes() - before
+		baseline := probes() - before
 		s.crash(s.holder("zone-a"))
 		before = probes()
 		time.Sleep(window)
-		if storm := probes() - before; storm > calm*3/2 {
-			t.Errorf("%d probes in %v after the loss, %d before it", storm, window, calm)
+		if after := probes() - before; after > baseline*3/2 {
+			t.Errorf("%d probes in %v after the loss, %d before it", after, window, baseline)
 		}
 	})
 }
--- a/runner/virtual_test.go
+++ b/runner/virtual_test.go
@@ -223,14 +223,14 @@
 	old.crashed = false
 	for _, other := range s.names() {
 		if other != id {
-			s.network.setCut(id, other, s.apart(id, other))
+			s.network.setCut(id, other, s.partitioned(id, other))
 		}
 	}
 	s.startNode(id, old.self.Zone).cutOff(s)
 }
 
-// apart reports whether a cut lies between the nodes.
-func (s *virtualSite) apart(a, b garnetworks.NodeID) bool {
+// partitioned reports whether a cut lies between the nodes.
+func (s *virtualSite) partitioned(a, b garnetworks.NodeID) bool {
 	if s.node(a).crashed || s.node(b).crashed {
 		return true
 	}
@@ -358,7 +358,7 @@
 	names := s.names()
 	for i, id := range names {
 		for _, other := range names[i+1:] {
-			s.network.setCut(id, other, s.apart(id, other))
+			s.network.setCut(id, other, s.partitioned(id, other))
 		}
 		s.node(id).cutOff(s)
 	}
