--- a/runner/admin.go
+++ b/runner/admin.go
@@ -27,7 +27,7 @@
 	return mux
 }
 
-// callObserver counts calls that ended.
+// callObserver records the metrics of finished calls.
 type callObserver struct{ meter *meter.Meter }
 
 // CallEnded implements server.Observer.
@@ -38,7 +38,7 @@
 	}
 	o.meter.CallEnded(target, report.Outcome, report.Kind)
 	if report.Workspace == "" {
-		return // the key was not known, so the label would be the caller's choice
+		return // the key is unknown, so the caller would choose the label
 	}
 	o.meter.Tokens(report.Workspace, report.Summary.Tokens)
 	if report.Summary.FirstToken > 0 {
@@ -49,7 +49,7 @@
 	}
 }
 
-// updateTrafficMetrics brings the counters of peer traffic into the metrics.
+// updateTrafficMetrics adds the peer traffic since the last update to the metrics.
 func (r *Runner) updateTrafficMetrics() {
 	now := r.traffic.Count()
 	last := r.reportedTraffic
--- a/runner/connect.go
+++ b/runner/connect.go
@@ -11,7 +11,7 @@
 	"github.com/garnetworks/garnetworks/connector"
 )
 
-// connect returns the HTTP adapters of everything that the settings name.
+// connect returns HTTP clients for the platform APIs in the settings and for backend servers.
 func connect(s configurer.Settings) Platform {
 	var pooled connector.Options
 	unpooled := connector.Options{FreshConnections: true}
@@ -29,8 +29,8 @@
 	}
 }
 
-// limitConnections bounds the open connections of callers; further ones wait in
-// the kernel's queue.
+// limitConnections limits the number of open caller connections; further ones wait in the
+// kernel's accept queue.
 func limitConnections(listener net.Listener, limit int) net.Listener {
 	if limit <= 0 {
 		return listener
@@ -38,11 +38,11 @@
 	return netutil.LimitListener(listener, limit)
 }
 
-// observeObjectAPI notes whether the object API answers, for status and events.
+// observeObjectAPI records whether the object API is reachable, for status and events.
 func (r *Runner) observeObjectAPI(_, _ string, _ time.Duration, err error) {
 	down := garnetworks.IsKind(err, garnetworks.KindObjectAPIDown, garnetworks.KindUnreachable)
 	if !down && err != nil && !garnetworks.IsKind(err, garnetworks.KindNotFound, garnetworks.KindConflict, garnetworks.KindCompacted) {
-		return // says nothing of the object API's health
+		return // the error says nothing about the object API's health
 	}
 	if r.objectsDown.Swap(down) == down {
 		return
--- a/runner/control.go
+++ b/runner/control.go
@@ -6,11 +6,11 @@
 	"github.com/garnetworks/garnetworks/pulser"
 )
 
-// buildControllers makes the controllers of the zone and of the site.
+// buildControllers creates the zone and site controllers.
 func (r *Runner) buildControllers() error {
 	r.listed = &listCache{InstanceList: r.platform.Instances, leaving: r.leaving}
 	times := controller.DefaultTimes()
-	times.PublishEvery = pulser.Interval // nodes of other zones know of the groups' confirmation by these alone
+	times.PublishEvery = pulser.Interval // nodes of other zones learn that groups are confirmed only from pulses
 	var err error
 	r.zone, err = controller.NewZone(controller.Options{
 		Node:      r.self.ID,
@@ -51,5 +51,5 @@
 	return held
 }
 
-// zoneLease returns the name of the own zone's lease.
+// zoneLease returns the name of the zone's lease.
 func zoneLease(zone garnetworks.ZoneID) string { return controller.ZoneLeaseKey(zone) }
--- a/runner/cost_test.go
+++ b/runner/cost_test.go
@@ -16,13 +16,13 @@
 	"github.com/garnetworks/garnetworks/messenger"
 )
 
-// eightZones returns the first n of the zones of the design size.
+// eightZones returns the first n of eight zones.
 func eightZones(n int) []garnetworks.ZoneID {
 	all := []garnetworks.ZoneID{"zone-a", "zone-b", "zone-c", "zone-d", "zone-e", "zone-f", "zone-g", "zone-h"}
 	return all[:n]
 }
 
-// costShapes grow towards the design size, 8 zones of 41 nodes and 75 engines.
+// costShapes grow up to the largest supported site: 8 zones of 41 nodes and 75 engines.
 var costShapes = []shape{
 	{zones: eightZones(3), nodes: 2, engines: 22, on: 21, groups: 15},
 	{zones: eightZones(4), nodes: 6, engines: 36, on: 34, groups: 32},
@@ -32,18 +32,16 @@
 	{zones: eightZones(8), nodes: 41, engines: 75, on: 72, groups: 144},
 }
 
-// cpuSeconds returns the processor time that this process's Go code has used.
+// cpuSeconds returns the user CPU time that this process has spent in Go code.
 func cpuSeconds() float64 {
 	sample := []metrics.Sample{{Name: "/cpu/classes/user:cpu-seconds"}}
-	runtime.GC() // the runtime brings the estimate up to date
+	runtime.GC() // a collection updates the estimate
 	metrics.Read(sample)
 	return sample[0].Value.Float64()
 }
 
-// TestControlCost measures what a node spends on control while nothing fails and
-// no caller calls: messages, bytes, processor time, memory, and the calls to the
-// object API of the whole site. It runs only where COST is set to the number of
-// shapes to measure, since the large ones take minutes.
+// TestControlCost measures control traffic, CPU time, memory and object API calls of an idle
+// site. It runs the first COST shapes and is skipped if COST is not set.
 func TestControlCost(t *testing.T) {
 	count := 0
 	if _, err := fmt.Sscan(os.Getenv("COST"), &count); err != nil {
@@ -93,12 +91,12 @@
 			most, worst = sent+received, id
 		}
 	}
-	t.Logf("formed in %v; a node: %.0f B/s (worst %s %.0f B/s), %.1f messages/s, %.2f %% of a core with its stand-ins, %.1f MB; site: %v calls to the object API in %v",
+	t.Logf("groups formed in %v; per node: %.0f B/s (worst %s %.0f B/s), %.1f messages/s, %.2f %% of a core including its fakes, %.1f MB; site: %v calls to the object API in %v",
 		formed, bytes/nodes/seconds, worst, most/seconds, messages/nodes/seconds, 100*used/nodes/seconds,
 		float64(memory.HeapInuse)/nodes/1e6, difference(callsNow, calls), costWindow)
 }
 
-// resetMethods notes where the counters of methods stand.
+// resetMethods stores the current method counters as the start of a measurement.
 func (s *virtualSite) resetMethods() {
 	s.methodsBefore = s.methods()
 }
@@ -118,14 +116,14 @@
 	return sums
 }
 
-// methodTable tells what the calls of each method cost a node.
+// methodTable formats the cost of each method's calls per node.
 func methodTable(s *virtualSite, window time.Duration) string {
 	var b strings.Builder
 	per := float64(len(s.nodes)) * window.Seconds()
 	now := s.methods()
 	for _, name := range slices.Sorted(maps.Keys(now)) {
 		m, before := now[name], s.methodsBefore[name]
-		fmt.Fprintf(&b, "\n  %-10s %6.2f calls/s, %7.0f B/s asked, %7.0f B/s answered", name,
+		fmt.Fprintf(&b, "\n  %-10s %6.2f calls/s, %7.0f B/s sent, %7.0f B/s received", name,
 			float64(m.Calls-before.Calls)/per, float64(m.BytesSent-before.BytesSent)/per, float64(m.BytesReceived-before.BytesReceived)/per)
 	}
 	return b.String()
--- a/runner/faults_test.go
+++ b/runner/faults_test.go
@@ -19,26 +19,25 @@
 
 func hashOf(secret string) string { return keymaker.Hash(secret) }
 
-// scenario is a failure of the whole site and what users still get.
+// scenario is a failure of the site and what callers may see of it.
 type scenario struct {
 	description string
-	// models says that each call to a model completes all the same, because
-	// other groups serve on.
+	// models requires that every call to a model completes, because other groups keep
+	// serving.
 	models bool
 	run    func(s *virtualSite)
 }
 
-// Bounds that scenarios hold a recovery to, on the test clock. They are sums of
-// the system's own bounds, with some room.
+// Recovery bounds on the test clock: sums of the bounds of the steps involved, with some
+// margin.
 const (
-	// leaseTakeoverBound is a lease's end, the successor's wait and the first steps.
+	// leaseTakeoverBound covers lease expiry, the successor's wait and its first steps.
 	leaseTakeoverBound = 25 * time.Second
-	// groupRecoveryBound is the loss of a member, a plan, orders and loading.
+	// groupRecoveryBound covers losing a member, planning, orders and loading.
 	groupRecoveryBound = 45 * time.Second
-	// manifestBound is the users' bound for a change to be in force.
+	// manifestBound limits how long a change takes to be in force.
 	manifestBound = 14 * time.Second
-	// listLagBound is the lag of the instance list and the time between two
-	// reads of it.
+	// listLagBound covers the lag of the instance list and the interval between reads.
 	listLagBound = 3500 * time.Millisecond
 )
 
@@ -53,7 +52,7 @@
 				}
 			}
 			if s.recorded(garnetworks.EventOrderSent) == 0 || s.recorded(garnetworks.EventGroupFormed) == 0 {
-				s.t.Error("the time lines hold no orders or no groups")
+				s.t.Error("the timelines hold no orders or no groups")
 			}
 			for _, id := range s.names() {
 				if s.node(id).eventReads.Load() == 0 {
@@ -63,7 +62,7 @@
 		},
 	},
 	"a zone's controller crashes": {
-		description: "The node that controls zone-a dies without a word. Its lease lapses, " +
+		description: "The node that controls zone-a crashes. Its lease expires, " +
 			"the other node takes over, and a member lost meanwhile is replaced.",
 		models: true,
 		run: func(s *virtualSite) {
@@ -80,16 +79,16 @@
 		},
 	},
 	"the object API is away": {
-		description: "The object API answers nothing for two minutes, and an engine dies " +
+		description: "The object API is unavailable, and an engine fails " +
 			"meanwhile. Calls to models go on, keyed calls are refused as not run, " +
-			"the broken group is re-formed under the holder's own term, and all is " +
-			"well when the API is back.",
+			"the broken group is re-formed under the holder's own term, and all " +
+			"groups serve once the API is back.",
 		models: true,
 		run: func(s *virtualSite) {
 			s.objects.SetFaults(faker.FaultPlan{Down: true})
 			time.Sleep(20 * time.Second)
 			s.fleet.Engine(s.memberIn("zone-b")).SetFaults(faker.FaultPlan{Down: true})
-			s.within(groupRecoveryBound, "the group is back though the object API is away", s.serving("zone-b-n1", groupsWanted))
+			s.within(groupRecoveryBound, "the group serves while the object API is unavailable", s.serving("zone-b-n1", groupsWanted))
 			before := s.load.completed("model")
 			time.Sleep(60 * time.Second)
 			if after := s.load.completed("model"); after-before < 500 {
@@ -110,7 +109,7 @@
 		},
 	},
 	"answers of the object API are lost": {
-		description: "Every third write takes effect and its answer is lost, for a minute. " +
+		description: "Every third write takes effect but its response is lost, for a minute. " +
 			"No call runs twice, no lease has two holders.",
 		models: true,
 		run: func(s *virtualSite) {
@@ -125,7 +124,7 @@
 	"a zone is cut off": {
 		description: "zone-c is cut off from the other zones and the platform for two " +
 			"minutes. Its group goes on serving its own callers, the others go on " +
-			"without it, and a new manifest is held with the zone's name.",
+			"without it, and a pending manifest names the zone.",
 		models: true,
 		run: func(s *virtualSite) {
 			s.cutZone("zone-c", true)
@@ -139,9 +138,9 @@
 			}
 			time.Sleep(30 * time.Second)
 			if got := s.inForce("zone-a-n0", "during")(); got == "" {
-				s.t.Error("a manifest is in force though zone-c is cut off and not left out")
+				s.t.Error("a manifest is in force although zone-c is partitioned and not excluded")
 			} else if !regexp.MustCompile("zone-c").MatchString(got) {
-				s.t.Errorf("the held proposal does not name the zone: %s", got)
+				s.t.Errorf("the pending proposal does not name the zone: %s", got)
 			}
 			time.Sleep(80 * time.Second)
 			inside = s.nodes["zone-c-n1"].answerOf(context.Background(), s.key, "POST", "/v1/completions", "", virtualBody)
@@ -149,12 +148,12 @@
 				s.t.Errorf("a call inside the zone after two minutes: %+v", inside)
 			}
 			s.cutZone("zone-c", false)
-			s.within(time.Minute, "the held manifest is in force", s.inForce("zone-a-n0", "during"))
+			s.within(time.Minute, "the pending manifest is in force", s.inForce("zone-a-n0", "during"))
 			s.within(time.Minute, "all groups serve", s.serving("zone-a-n0", groupsWanted))
 		},
 	},
 	"a member freezes and returns": {
-		description: "An engine is paused for half a minute and goes on as if nothing had " +
+		description: "An engine is paused for half a minute and resumes as if nothing had " +
 			"happened. Its group stops serving within the confirmation bound; the " +
 			"member is not part of any group until it is admitted again.",
 		models: true,
@@ -208,8 +207,8 @@
 		},
 	},
 	"operators race with a lower cap": {
-		description: "Two operators commit at once, one of them a lower power cap. One wins, " +
-			"the other is told who; the site's draw falls to the new cap, and nothing " +
+		description: "Two operators commit lower power caps at once. One wins, " +
+			"the other gets a conflict; the site's draw falls to the new cap, and nothing " +
 			"reverts.",
 		models: true,
 		run: func(s *virtualSite) {
@@ -230,7 +229,7 @@
 				if r := <-results; r.err == nil {
 					won += r.id
 				} else if !garnetworks.IsKind(r.err, garnetworks.KindConflict, garnetworks.KindStaleGeneration) {
-					s.t.Errorf("the loser was told %v", r.err)
+					s.t.Errorf("the losing proposal failed with %v", r.err)
 				}
 			}
 			if caps[won] == 0 {
@@ -253,7 +252,7 @@
 		},
 	},
 	"power orders' answers are lost": {
-		description: "The answers to power orders get lost after their effect while engines " +
+		description: "The answers to power orders are lost after they took effect while engines " +
 			"die and are replaced; the draw is counted as on until proven off.",
 		run: func(s *virtualSite) {
 			s.power.SetFaults(faker.FaultPlan{LoseAnswers: -1})
@@ -266,7 +265,7 @@
 		},
 	},
 	"open connections go silent": {
-		description: "Something between the nodes forgets all open connections of one node; " +
+		description: "A middlebox drops the state of all open connections of one node; " +
 			"new ones work. The node stays a member and its view stays fresh.",
 		models: true,
 		run: func(s *virtualSite) {
@@ -274,7 +273,7 @@
 				s.network.blackholeOpen("zone-a-n0")
 				time.Sleep(15 * time.Second)
 				if got := s.serving("zone-a-n0", groupsWanted)(); got != "" {
-					s.t.Errorf("15 s after connections went silent: %s", got)
+					s.t.Errorf("15 s after connections were blackholed: %s", got)
 				}
 			}
 		},
@@ -282,7 +281,7 @@
 	"backend servers are leaving": {
 		description: "A ledger server's row says that it is leaving, and an engine says so " +
 			"itself. Three seconds later neither gets new work, calls go on, and the " +
-			"engine's place is taken by another.",
+			"engine is replaced by another.",
 		models: true,
 		run: func(s *virtualSite) {
 			row := ledgerRow("zone-b")
@@ -290,7 +289,7 @@
 			s.list.Report(row)
 			leaving := s.memberIn("zone-a")
 			s.fleet.Engine(leaving).SetLeaving()
-			// The list shows changes 2 s late and is read once in a while.
+			// The list shows changes 2 s late and is read periodically.
 			time.Sleep(listLagBound + garnetworks.LeavingBound)
 			before, group := s.ledgers[1].Executions(), s.groupOf(leaving)
 			attempts, _ := s.fleet.Attempts()
@@ -338,10 +337,10 @@
 		},
 	},
 	"a version can't be loaded": {
-		description: "A manifest names a version that the weight store lacks. One zone's " +
-			"group stops serving and loads in vain; the others serve the old version " +
+		description: "A manifest names a version that is missing from the weight store. One zone's " +
+			"group stops serving and fails to load; the others serve the old version " +
 			"on, and each call completes. Its engines are restarted, and operators commit " +
-			"the old version again: no other group moves. Once an engine of the group " +
+			"the old version again: no other group is replaced. Once an engine of the group " +
 			"that still loads is restarted, the zone is back.",
 		models: true,
 		run: func(s *virtualSite) {
@@ -365,7 +364,7 @@
 				s.t.Errorf("groups that still serve the old version: %v, want those of all zones but one of %v", kept, before)
 			}
 			left := s.zoneWithout(kept)
-			// With too few engines for a group the zone shows none.
+			// With too few engines for a group, the zone's views list none.
 			away := s.enginesOf(left)[:s.size.engines-3]
 			for _, e := range away {
 				e.SetFaults(faker.FaultPlan{Down: true})
@@ -401,8 +400,8 @@
 	},
 }
 
-// groupsServing returns the confirmed groups that serve the version, by zone, as
-// each zone's own node sees them.
+// groupsServing returns the confirmed groups that serve the version, by zone, as seen by a
+// node of that zone.
 func (s *virtualSite) groupsServing(version garnetworks.VersionName) map[garnetworks.ZoneID]garnetworks.GroupID {
 	found := make(map[garnetworks.ZoneID]garnetworks.GroupID)
 	for _, zone := range zones {
@@ -425,7 +424,7 @@
 	return slices.DeleteFunc(s.fleet.Engines(), func(e *faker.Engine) bool { return e.Spec().Zone != zone })
 }
 
-// zoneWithout returns the first zone that is not among the keys.
+// zoneWithout returns the first zone that is not a key of groups.
 func (s *virtualSite) zoneWithout(groups map[garnetworks.ZoneID]garnetworks.GroupID) garnetworks.ZoneID {
 	s.t.Helper()
 	for _, zone := range zones {
@@ -437,17 +436,17 @@
 	return ""
 }
 
-// staysFor fails unless the groups of the old version stay the same for a while.
+// staysFor fails if the groups that serve v1 change within the duration.
 func (s *virtualSite) staysFor(while time.Duration, want map[garnetworks.ZoneID]garnetworks.GroupID) {
 	s.t.Helper()
 	for begun := time.Now(); time.Since(begun) < while; time.Sleep(time.Second) {
 		if got := s.groupsServing("v1"); !maps.Equal(got, want) {
-			s.t.Fatalf("%v on, the groups that serve the old version are %v, want %v", time.Since(begun), got, want)
+			s.t.Fatalf("after %v, the groups that serve the old version are %v, want %v", time.Since(begun), got, want)
 		}
 	}
 }
 
-// recorded counts the events of a kind on all nodes' time lines.
+// recorded counts the events of a kind in the timelines of all nodes.
 func (s *virtualSite) recorded(kind garnetworks.EventKind) int {
 	count := 0
 	for _, id := range s.names() {
@@ -461,14 +460,14 @@
 	return count
 }
 
-// outcomesWithoutFailure are what callers see while nothing fails. Of two calls
-// with one key at the same time, one may be told that the other is in progress.
+// outcomesWithoutFailure are the outcomes callers see while nothing fails. Of two simultaneous
+// calls with one key, one may get the error that the other is in progress.
 var outcomesWithoutFailure = []string{
 	"model completed ", "ledger completed ", "ledger again completed ",
 	"ledger at once completed ", "ledger at once unknown in-progress",
 }
 
-// holder returns the node that holds the zone's lease, or nothing.
+// holder returns the node that holds the zone's lease, or an empty string.
 func (s *virtualSite) holder(zone garnetworks.ZoneID) garnetworks.NodeID {
 	for id, n := range s.nodes {
 		if n.self.Zone == zone && n.zone.Lease().Term(time.Now()) > 0 {
@@ -493,8 +492,8 @@
 	return ""
 }
 
-// modelsComplete reports calls to models that did not complete. Calls to a node
-// that stops are refused as not run, so that the balancer's next one takes them.
+// modelsComplete reports calls to models that did not complete. A stopping node may refuse
+// them as not run, because the load balancer then sends the next ones elsewhere.
 func (s *virtualSite) modelsComplete() {
 	s.t.Helper()
 	for what, n := range s.load.outcomesOf("model") {
@@ -504,7 +503,7 @@
 	}
 }
 
-// groupOf returns the group that the instance is a member of, by the views.
+// groupOf returns the group that the instance is a member of, according to zone-b-n0's views.
 func (s *virtualSite) groupOf(id garnetworks.InstanceID) garnetworks.GroupID {
 	for _, view := range s.nodes["zone-b-n0"].views.all() {
 		for i := range view.Groups {
@@ -516,7 +515,7 @@
 	return ""
 }
 
-// refused returns how many calls were refused as not run by the kind.
+// refused returns how many calls had the outcome not-run with the error kind.
 func (l *load) refused(what string, kind garnetworks.Kind) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/runner/held_test.go
+++ b/runner/held_test.go
@@ -10,9 +10,8 @@
 	"github.com/garnetworks/garnetworks/quarantiner"
 )
 
-// A call ended each engine that began to run it, at all nodes, and its caller sent it once
-// a second. Groups were formed anew only to be lost again, and sound calls found none. The
-// engines that it ended are three, all nodes know it, and so do nodes that start later.
+// Guards against a call that crashes every engine it runs on while its caller keeps retrying:
+// at most CrashThreshold engines crash, and all nodes reject it, also after a restart.
 func TestCallThatEndsEnginesIsKnownAtAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const prompt, copies = "ends its engine", 10
@@ -50,11 +49,11 @@
 		for _, id := range nodes {
 			checkQuarantined(id)
 			if a := s.node(id).answerOf(t.Context(), s.key, "POST", "/v1/completions", "", virtualBody); a.outcome != string(garnetworks.OutcomeCompleted) {
-				t.Errorf("a sound call at node %s got %+v", id, a)
+				t.Errorf("a call without a crash at node %s got %+v", id, a)
 			}
 		}
 		if n := crashes(); n > quarantiner.CrashThreshold {
-			t.Errorf("%d engines ended, want %d", n, quarantiner.CrashThreshold)
+			t.Errorf("%d engines crashed, want at most %d", n, quarantiner.CrashThreshold)
 		}
 	})
 }
--- a/runner/hints.go
+++ b/runner/hints.go
@@ -10,24 +10,24 @@
 const (
 	// hintInterval is the time between two reads of a group's cache events.
 	hintInterval = 2 * time.Second
-	// maxHintGroups is the largest number of groups in the own zone whose events are
-	// read. They gain a few points of hit rate where caches are small; in a larger
-	// zone every node would read more than its control budget.
+	// maxHintGroups is the largest number of groups in the node's zone for which cache
+	// events are read. In a larger zone the reads would exceed a node's control traffic
+	// budget.
 	maxHintGroups = 6
-	// hintTimeout bounds one read.
+	// hintTimeout limits one read.
 	hintTimeout = time.Second
 )
 
-// hintCursor is how far a group's events were read. A group with a new token
-// counts its events anew.
+// hintCursor is the position up to which a group's events were read. Event numbers restart
+// when the group gets a new token.
 type hintCursor struct {
 	token garnetworks.FencingToken
 	after uint64
 }
 
-// readHints brings the cache events of the own zone's groups to the router,
-// which drops a group's hints when its events have a gap. What can't be read is
-// left: hints only improve on the hash.
+// readHints passes the cache events of the groups in the node's zone to the router, which
+// drops a group's hints when its events have a gap. Failed reads are only logged: hints
+// improve routing but are not needed for it.
 func (r *Runner) readHints(ctx context.Context) {
 	if r.platform.Cache == nil {
 		<-ctx.Done()
@@ -46,7 +46,7 @@
 	}
 }
 
-// readHintsOnce reads each group's new events and returns how far it came.
+// readHintsOnce reads each group's new events and returns the new cursors.
 func (r *Runner) readHintsOnce(ctx context.Context, cursors map[garnetworks.GroupID]hintCursor) map[garnetworks.GroupID]hintCursor {
 	joined, ok := r.views.own()
 	next := make(map[garnetworks.GroupID]hintCursor)
--- a/runner/join.go
+++ b/runner/join.go
@@ -20,7 +20,7 @@
 	"github.com/garnetworks/garnetworks/watcher"
 )
 
-// build makes the parts, from those that need nothing to those that need others.
+// build creates the components in the order of their dependencies.
 func (r *Runner) build(options Options) error {
 	r.client = messenger.NewClient(clientOptions(r, options.Network))
 	r.router = router.New(router.Options{Node: r.self.ID, Zone: r.self.Zone})
@@ -136,15 +136,15 @@
 	})
 }
 
-// publish hands an update to the distribution. An update that is refused because
-// a newer one is held is no fault: another node was quicker.
+// publish hands an update to the distributor. A conflict is not logged: it means that
+// another node has already published a newer version.
 func (r *Runner) publish(u garnetworks.Update) {
 	if err := r.distributor.Publish(u); err != nil && !garnetworks.IsKind(err, garnetworks.KindConflict) {
 		r.log.Warn("update not published", "topic", u.Topic, "error", err)
 	}
 }
 
-// apply takes an update that the distribution brought, in the topic's order.
+// apply passes a received update to the component that handles its topic.
 func (r *Runner) apply(u garnetworks.Update) {
 	switch {
 	case committer.Topics(u.Topic):
@@ -158,7 +158,7 @@
 	}
 }
 
-// applied takes a manifest that the node begins to decide by.
+// applied configures the components for a manifest that has come into force.
 func (r *Runner) applied(m *garnetworks.AcceptedManifest) {
 	r.router.SetZones(m.Manifest.Site.Zones)
 	r.admitter.SetManifest(&m.Manifest)
--- a/runner/listen.go
+++ b/runner/listen.go
@@ -78,7 +78,7 @@
 	return serveHTTP(ctx, s, func() error { return s.Serve(r.admin) })
 }
 
-// serveHTTP serves until ctx ends; the calls have ended by then.
+// serveHTTP serves until ctx ends. Calls in flight must have ended by then.
 func serveHTTP(ctx context.Context, s *http.Server, serve func() error) error {
 	stop := context.AfterFunc(ctx, func() { _ = s.Close() })
 	defer stop()
--- a/runner/main_test.go
+++ b/runner/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes what stateful tests draw, so that each run reaches the same
-// verdict; flags on the command line go before.
+// TestMain sets the seed and number of rapid's checks, so that runs are reproducible.
+// Command-line flags take precedence.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "3", "rapid.nofailfile": "true", "rapid.shrinktime": "0s"} {
 		if err := flag.Set(name, value); err != nil {
--- a/runner/network_test.go
+++ b/runner/network_test.go
@@ -11,11 +11,11 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// memoryNetwork joins nodes in one process and cuts them off from each other.
+// memoryNetwork connects nodes in one process and simulates partitions between them.
 type memoryNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*memoryListener
-	// cut reports whether bytes from one zone's node reach another's.
+	// cut reports whether connections from the first node to the second are cut.
 	cut   map[[2]garnetworks.NodeID]bool
 	conns []*memoryConn
 }
@@ -24,8 +24,8 @@
 	return &memoryNetwork{listeners: make(map[string]*memoryListener), cut: make(map[[2]garnetworks.NodeID]bool)}
 }
 
-// setCut cuts or joins two nodes. Connections that were open when it is cut stay
-// silent for good, as after a middlebox has forgotten them.
+// setCut cuts or restores the path between two nodes. Connections that were open when it
+// is cut stay blackholed, as after a middlebox has dropped their state.
 func (n *memoryNetwork) setCut(a, b garnetworks.NodeID, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -41,8 +41,7 @@
 	}
 }
 
-// blackholeOpen makes all open connections of a node silent for good; new ones
-// work.
+// blackholeOpen blackholes all open connections of a node; new ones work.
 func (n *memoryNetwork) blackholeOpen(id garnetworks.NodeID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -53,7 +52,7 @@
 	}
 }
 
-// at returns the network as one node sees it.
+// at returns the network as seen by a node.
 func (n *memoryNetwork) at(id garnetworks.NodeID) Network { return &memoryNode{n, id} }
 
 type memoryNode struct {
@@ -140,7 +139,7 @@
 // Addr implements net.Listener.
 func (l *memoryListener) Addr() net.Addr { return l.address }
 
-// memoryConn is a connection whose writes vanish once it is silent.
+// memoryConn is a connection whose writes are dropped once it is blackholed.
 type memoryConn struct {
 	net.Conn
 	from, to   garnetworks.NodeID
@@ -151,7 +150,7 @@
 func (c *memoryConn) blackhole() {
 	c.once.Do(func() {
 		close(c.blackholed)
-		// A write that waits for its reader would hold the silence up.
+		// Unblocks a write that waits for its reader.
 		_ = c.Conn.SetWriteDeadline(time.Now())
 	})
 }
--- a/runner/peers.go
+++ b/runner/peers.go
@@ -8,7 +8,7 @@
 	"github.com/garnetworks/garnetworks/controller"
 )
 
-// peerHandler answers other nodes and operators.
+// peerHandler handles requests of other nodes and of operators.
 type peerHandler struct{ r *Runner }
 
 // Heartbeat implements garnetworks.PeerHandler.
@@ -92,7 +92,7 @@
 	return response, nil
 }
 
-// leaseStates tells of each lease whether the node holds it.
+// leaseStates returns, for each lease, whether the node holds it.
 func (r *Runner) leaseStates() map[string]bool {
 	now := time.Now()
 	return map[string]bool{
--- a/runner/probe_test.go
+++ b/runner/probe_test.go
@@ -13,7 +13,8 @@
 	"github.com/garnetworks/garnetworks/faker"
 )
 
-// countingRelay passes bytes on to an address and counts them, both ways.
+// countingRelay forwards TCP connections to an address and counts the bytes in both
+// directions.
 func countingRelay(b *testing.B, to string) (address string, count *atomic.Int64, passes *sync.WaitGroup) {
 	b.Helper()
 	passes = new(sync.WaitGroup)
@@ -46,8 +47,8 @@
 	return listener.Addr().String(), count, passes
 }
 
-// BenchmarkProbeBytes reports what a probe of an engine costs on the wire, with
-// HTTP's headers and without those of TCP and IP.
+// BenchmarkProbeBytes reports the bytes that a probe of an engine costs, including HTTP headers
+// but not those of TCP and IP.
 func BenchmarkProbeBytes(b *testing.B) {
 	weights := faker.NewWeightStore(1<<30, map[garnetworks.WeightID]int64{{Model: "chat", Version: "v1"}: 1})
 	fleet := faker.NewFleet(weights, faker.NewInstanceList(0))
--- a/runner/prover.go
+++ b/runner/prover.go
@@ -13,11 +13,11 @@
 	"github.com/garnetworks/garnetworks/quarantiner"
 )
 
-// crashProbeTimeout bounds a question to a server. One that lives answers within milliseconds.
+// crashProbeTimeout limits one crash probe.
 const crashProbeTimeout = 500 * time.Millisecond
 
-// probeCrash finds out whether the head of a group, under the group's token, or a plain server,
-// which has none, has ended.
+// probeCrash checks whether a server has crashed: a plain server if the incarnation has no
+// start time, otherwise the head of the group whose token is the start time.
 func (r *Runner) probeCrash(ctx context.Context, incarnation garnetworks.Incarnation, _ bool) garnetworks.CrashState {
 	if incarnation.StartMS == 0 {
 		return r.probeServerCrash(ctx, incarnation.Instance)
@@ -33,8 +33,8 @@
 	case err == nil && status.Instance == incarnation.Instance && int64(status.Token) == incarnation.StartMS:
 		return garnetworks.CrashRefuted
 	case err == nil && status.Instance == incarnation.Instance && int64(status.Token) > incarnation.StartMS:
-		// A group that is cut off gets its members back under a later token, though none
-		// of them has ended.
+		// A group that was cut off can be formed again under a later token although no
+		// member has crashed.
 		return garnetworks.CrashSuspected
 	case err == nil:
 		return garnetworks.CrashProven
@@ -44,8 +44,8 @@
 	return garnetworks.CrashSuspected
 }
 
-// addressOf returns where the head of a group is, and in which zone, as far as a view tells
-// it.
+// addressOf returns the address and zone of a group's head, or empty strings if no view
+// lists it.
 func (r *Runner) addressOf(incarnation garnetworks.Incarnation) (string, garnetworks.ZoneID) {
 	for _, view := range r.views.all() {
 		for i := range view.Groups {
@@ -63,9 +63,9 @@
 	return "", ""
 }
 
-// probeServerCrash asks a plain server by a new connection: its host refuses one once its
-// process has ended. One that starts again at its address meanwhile is not told apart, and
-// counts as the one that lived.
+// probeServerCrash probes a plain server by opening a connection, which its host refuses
+// once the process has ended. A process restarted at the same address is not
+// distinguished from the old one and counts as alive.
 func (r *Runner) probeServerCrash(ctx context.Context, instance garnetworks.InstanceID) garnetworks.CrashState {
 	address, zone := "", garnetworks.ZoneID("")
 	for _, view := range r.views.all() {
@@ -90,7 +90,8 @@
 	return garnetworks.CrashSuspected
 }
 
-// zoneReachable reports whether another server of the zone answers the node.
+// zoneReachable reports whether any server of the zone other than except accepts
+// connections from the node.
 func (r *Runner) zoneReachable(ctx context.Context, zone garnetworks.ZoneID, except string) bool {
 	var others []string
 	for _, view := range r.views.all() {
--- a/runner/random_test.go
+++ b/runner/random_test.go
@@ -13,15 +13,14 @@
 	"github.com/garnetworks/garnetworks/faker"
 )
 
-// machine brings failures about at random, together and twice over.
+// machine is a rapid state machine that injects failures into a site.
 type machine struct {
 	*virtualSite
 	commits int
 }
 
-// TestSiteUnderRandomFailures runs the whole site through random failures. While
-// they last, the load checks what must always hold; once they are over, the site
-// must come back by itself.
+// TestSiteUnderRandomFailures checks that the site's invariants hold during random failures
+// and that it recovers by itself afterwards.
 func TestSiteUnderRandomFailures(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes some seconds for each check")
@@ -31,8 +30,8 @@
 	})
 }
 
-// inBubble runs a check under the test clock. A failed check panics, which must
-// reach rapid on its own goroutine.
+// inBubble runs a check in a synctest bubble. It passes the panic of a failed check on to
+// rapid's goroutine.
 func inBubble(t *testing.T, check func()) {
 	var failure any
 	synctest.Test(t, func(*testing.T) {
@@ -137,8 +136,8 @@
 
 func (m *machine) blackholeConns(t *rapid.T) { m.network.blackholeOpen(m.nodeOf(t)) }
 
-// commit proposes a manifest on what the node knows; whether it is accepted
-// depends on the failures.
+// commit proposes a manifest based on the generation that a node has applied; whether it is
+// accepted depends on the failures.
 func (m *machine) commit(t *rapid.T) {
 	id := m.nodeOf(t)
 	m.commits++
@@ -147,7 +146,7 @@
 	_, _ = m.propose(id, fmt.Sprintf("random-%d", m.commits), base, m.manifestText(virtualCap, version))
 }
 
-// clearFaults ends all failures.
+// clearFaults removes all injected faults.
 func (m *machine) clearFaults() {
 	for _, zone := range m.size.zones {
 		m.cutZone(zone, false)
@@ -159,17 +158,15 @@
 	}
 }
 
-// recoveryBound is how long the site may take to come back from anything: the
-// longest is an instance that counts as lost while it boots, then a new version
-// in one zone after the other.
+// recoveryBound is the longest time that the site may take to recover. The worst case is an
+// instance that counts as lost while it boots, followed by a rollout zone by zone.
 const recoveryBound = 10 * time.Minute
 
-// awaitRecovery waits until all groups serve and calls of both kinds complete at each
-// node.
+// awaitRecovery waits until all groups serve and calls of both kinds complete at each node.
 func (m *machine) awaitRecovery() {
 	m.t.Helper()
 	for _, id := range m.names() {
-		m.within(recoveryBound, "all groups serve by the word of "+string(id), m.serving(id, groupsWanted))
+		m.within(recoveryBound, "all groups serve according to node "+string(id), m.serving(id, groupsWanted))
 	}
 	for i, id := range m.names() {
 		m.within(time.Minute, "calls complete at "+string(id), func() string {
--- a/runner/reports.go
+++ b/runner/reports.go
@@ -13,31 +13,30 @@
 
 const (
 	// MinReportInterval is the shortest time between two reports of a node to its zone's
-	// controller. Two of the longest fit into admitter.ShareBound, so that a lost
-	// one makes no node silent.
+	// controller.
 	MinReportInterval = 2 * time.Second
-	// MaxReportInterval is the longest time between two reports.
+	// MaxReportInterval is the longest time between two reports. Two of them fit into
+	// admitter.ShareBound, so that one lost report does not make a node count as silent.
 	MaxReportInterval = 7 * time.Second
-	// reportIntervalPerNode is the time that one report takes up at the controller: reports
-	// of a larger zone come less often, so that the controller's traffic has a
-	// bound.
+	// reportIntervalPerNode is multiplied by the number of nodes in the zone to get the
+	// report interval, which limits the controller's traffic.
 	reportIntervalPerNode = 150 * time.Millisecond
-	// reportTimeout bounds one report.
+	// reportTimeout limits one report.
 	reportTimeout = time.Second
-	// demandInterval is the time between two words of a zone's demand to the site.
+	// demandInterval is the time between two updates of a zone's demand to the site.
 	demandInterval = 5 * time.Second
 )
 
-// reports sends the node's reports to its zone's controller, and takes those of
-// others while the node is the controller (N4).
+// reports sends the node's reports to its zone's controller, and handles those of other
+// nodes while the node is the controller (N4).
 type reports struct {
 	r *Runner
 
 	mu         sync.Mutex
 	aggregator *sharer.Aggregator
-	// slow holds each node's newest word on slow groups.
+	// slow holds each node's latest list of slow groups.
 	slow map[garnetworks.NodeID][]garnetworks.GroupSlowdown
-	// demandAt is when the zone's demand was last sent to the site.
+	// demandAt is when the zone's demand was last published to the site.
 	demandAt time.Time
 }
 
@@ -49,12 +48,12 @@
 	}
 }
 
-// reportInterval returns the time between two reports in a zone of some nodes.
+// reportInterval returns the time between two reports in a zone with that many nodes.
 func reportInterval(nodes int) time.Duration {
 	return min(max(time.Duration(nodes)*reportIntervalPerNode, MinReportInterval), MaxReportInterval)
 }
 
-// run reports now and then (N4).
+// run sends reports periodically (N4).
 func (p *reports) run(ctx context.Context) {
 	for {
 		wait := time.NewTimer(reportInterval(len(zoneNodes(p.r.nodes(), p.r.self.Zone))))
@@ -107,7 +106,7 @@
 	}
 }
 
-// receive takes a peer's report and answers with its shares.
+// receive handles a peer's report and adds its limit shares to the response.
 func (p *reports) receive(now time.Time, request *garnetworks.HeartbeatRequest, response *garnetworks.HeartbeatResponse) {
 	if len(request.Demands) == 0 && len(request.Slow) == 0 {
 		return
@@ -130,7 +129,7 @@
 	})
 }
 
-// record takes a node's report and returns its shares.
+// record stores a node's report and returns the node's shares.
 func (p *reports) record(now time.Time, request *garnetworks.HeartbeatRequest) garnetworks.Option[admitter.NodeShare] {
 	manifest, known := p.r.committer.Manifest()
 	nodes := p.r.nodes()
@@ -145,8 +144,8 @@
 	return p.aggregator.NodeShare(now, manifest.Manifest.Workspaces, request.From.ID)
 }
 
-// reportOwn takes the controller's own report and tells the site of the zone's
-// demand.
+// reportOwn handles the controller's own report and publishes the zone's demand to the
+// site when it is due.
 func (p *reports) reportOwn(now time.Time, request *garnetworks.HeartbeatRequest) {
 	if share, ok := p.record(now, request).Get(); ok {
 		p.r.admitter.SetShares(admitter.ShareTable{Nodes: []admitter.NodeShare{share}})
@@ -174,8 +173,8 @@
 	})
 }
 
-// handleUpdate takes an update of shares or of a zone's demand, and reports whether it
-// was one.
+// handleUpdate handles updates of shares and of a zone's demand. It reports whether the
+// update was one of them.
 func (p *reports) handleUpdate(u garnetworks.Update) bool {
 	if _, ok := garnetworks.CutTopic(u.Topic, garnetworks.TopicLimitShares); ok {
 		var table admitter.ShareTable
@@ -204,9 +203,9 @@
 	return true
 }
 
-// slowdowns returns how much slower than their like the instances of slow groups
-// are: for each group the median of the nodes' words, so that one node with a
-// bad way to a group does not have it replaced.
+// slowdowns returns the slowdown ratios of the instances in slow groups. A group's ratio is
+// the median over the reporting nodes, so that one node with a slow path to a group does
+// not get the group replaced.
 func (p *reports) slowdowns() map[garnetworks.InstanceID]float64 {
 	joined, known := p.r.views.own()
 	if !known {
@@ -219,7 +218,7 @@
 	for i := range joined.View.Groups {
 		g := &joined.View.Groups[i]
 		if ratio, ok := ratios[g.ID]; ok {
-			for _, m := range g.Members { // from outside, no one can tell which member it is
+			for _, m := range g.Members { // which member is slow can't be told from outside the group
 				slow[m] = ratio
 			}
 		}
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -1,24 +1,24 @@
-// Package runner joins the parts of an entry node and runs its duties, each on
-// a goroutine of its own, until it is stopped.
+// Package runner builds the components of an entry node and runs its duties, each in its
+// own goroutine, until the node is stopped.
 //
 // The rules:
 //
-//	N1  Every node runs the same duties. The controllers of the zone and of the
-//	    site run on each node and act on the one that holds their lease.
-//	N2  A node is ready once it knows the manifest in force; it says so to the
-//	    balancer and to its peers, and says the opposite first when it stops.
-//	N3  A planned stop drops the readiness, lets calls in flight finish within
-//	    the grace period, records what is left to record, gives up leases, and
-//	    only then closes the connections. A second signal ends the grace period.
-//	N4  Nodes of a zone report to its controller now and then, in a larger zone
-//	    less often: what they are asked for and which groups are slow. The answer
-//	    carries the node's shares of the limits.
-//	N5  A node that hears neither a fresh pulse of its own zone nor another node's
-//	    probes for PulseTimeout is cut off and probes all engines of the zone
-//	    itself, so that its router goes on by its own findings (rule G1). While
-//	    only the controller is being replaced, the nodes' shared probes do.
-//	N6  A duty that ends before the node is stopped ends the node: a node that
-//	    only seems to work is worse than one that is replaced.
+//	N1  Every node runs the same duties. The zone and site controllers run on each
+//	    node and act only on the node that holds their lease.
+//	N2  A node is ready once it knows the manifest in force. It reports this to the
+//	    load balancer and to its peers, and withdraws it first when it stops.
+//	N3  A planned stop withdraws readiness, lets calls in flight finish within the
+//	    grace period, flushes unrecorded outcomes, releases leases, and only then
+//	    closes the connections. A second signal ends the grace period.
+//	N4  The nodes of a zone report their demand and slow groups to the zone's
+//	    controller periodically, less often in larger zones. The response carries
+//	    the node's shares of the limits.
+//	N5  A node that receives neither a pulse of its own zone nor another node's
+//	    probe results for PulseTimeout is isolated and probes all engines of the
+//	    zone itself, so that its router can rely on its own results (rule G1).
+//	    While only the controller is being replaced, the shared probes suffice.
+//	N6  A duty that ends before the node is stopped ends the node, because a node
+//	    that works only partly is worse than one that gets replaced.
 package runner
 
 import (
@@ -50,20 +50,19 @@
 	"github.com/garnetworks/garnetworks/tracker"
 )
 
-// Options are what a node is made from.
+// Options configure a Runner.
 type Options struct {
 	Settings configurer.Settings
 	// Logger may be nil.
 	Logger hclog.Logger
-	// Platform replaces the adapters that the settings name; embedders and tests
-	// set it.
+	// Platform replaces the HTTP clients made from the settings; embedders and tests set it.
 	Platform garnetworks.Option[Platform]
-	// Network replaces TCP; tests set it to cut nodes off from each other.
+	// Network replaces TCP; tests set it to simulate partitions.
 	Network garnetworks.Option[Network]
-	// Program is the program's version.
+	// Program is the version of the program.
 	Program string
-	// LameDuck is how long a stopping node goes on taking calls after it dropped
-	// its readiness.
+	// LameDuck is how long a stopping node still accepts calls after withdrawing its
+	// readiness.
 	LameDuck time.Duration
 }
 
@@ -73,14 +72,14 @@
 	Dial(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Platform is everything outside the node that it calls.
+// Platform holds the clients of everything outside the node that it calls.
 type Platform struct {
 	Objects   garnetworks.ObjectAPI
 	Instances garnetworks.InstanceList
 	Power     garnetworks.PowerSwitch
 	Weights   garnetworks.WeightStore
 	Orders    garnetworks.EngineOrders
-	// Probes read engines' status on a new connection each time.
+	// Probes reads the status of engines over a new connection each time.
 	Probes garnetworks.EngineOrders
 	// Cache reads engines' cache events; it may be nil.
 	Cache    garnetworks.CacheEvents
@@ -117,15 +116,16 @@
 	zone        *controller.Zone
 	site        *controller.Site
 
-	// signs tells which backend servers are leaving.
+	// leaving tracks which backend servers are leaving.
 	leaving *drainer.Shared
 	views   *views
 	reports *reports
 	listed  *listCache
 
-	// expired is when servers were last forgotten; upkeep alone uses it.
+	// lastExpiry is when unreported servers were last removed from the drain state; only
+	// upkeep uses it.
 	lastExpiry time.Time
-	// counted is the traffic that the metrics hold; upkeep alone uses it.
+	// reportedTraffic is the traffic already added to the metrics; only upkeep uses it.
 	reportedTraffic messenger.TrafficCount
 
 	objectsDown atomic.Bool
@@ -133,7 +133,7 @@
 	superseded  chan struct{}
 }
 
-// New opens the node's addresses and joins its parts; Run starts them.
+// New opens the node's listeners and builds its components; Run starts them.
 func New(options Options) (*Runner, error) {
 	r := &Runner{
 		settings:   options.Settings,
@@ -159,12 +159,12 @@
 	return r, nil
 }
 
-// Addresses tells where the node listens.
+// Addresses are the addresses the node listens on.
 type Addresses struct {
 	Callers, Peers, Admin string
 }
 
-// Addresses returns the node's addresses as bound.
+// Addresses returns the addresses of the bound listeners.
 func (r *Runner) Addresses() Addresses {
 	return Addresses{
 		Callers: r.callers.Addr().String(),
@@ -173,10 +173,10 @@
 	}
 }
 
-// describe returns the node's description. The start time as incarnation grows
-// with each start of the process, also on another instance, as long as clocks
-// are within the time that a replacement takes; the tracker raises it above a
-// higher one that it finds.
+// describe returns the node's description. The start time serves as incarnation: it
+// grows with each start of the process, also on another instance, as long as clock skew
+// is smaller than the time a replacement takes. The tracker raises it above any higher one
+// that it finds.
 func (r *Runner) describe(program string) garnetworks.NodeInfo {
 	address := r.settings.Advertise
 	if address == "" {
@@ -192,8 +192,8 @@
 	}
 }
 
-// Run runs the node until ctx ends, and then stops it as planned. A second
-// context, forceStop, ends the grace period; it may be nil.
+// Run runs the node until ctx ends, and then stops it as planned. The end of forceStop ends
+// the grace period; forceStop may be nil.
 func (r *Runner) Run(ctx, forceStop context.Context) error {
 	r.events.Record(garnetworks.Event{Kind: garnetworks.EventNodeStarted, Zone: r.self.Zone, Detail: r.self.Address})
 	r.log.Info("node started", "node", r.self.ID, "zone", r.self.Zone,
@@ -218,7 +218,7 @@
 	return nil
 }
 
-// duty is one goroutine's work; it returns when its context ends.
+// duty is the work of one goroutine; run returns when its context ends.
 type duty struct {
 	name string
 	run  func(ctx context.Context) error
@@ -255,7 +255,7 @@
 	return list
 }
 
-// runDuty runs a duty and makes its early end the node's end (N6).
+// runDuty runs a duty and returns an error if it ends before ctx does (N6).
 func (r *Runner) runDuty(ctx context.Context, d duty) error {
 	err := d.run(ctx)
 	if ctx.Err() != nil {
@@ -268,7 +268,7 @@
 	return errors.Wrapf(err, "duty %s", d.name)
 }
 
-// stop ends the node's calls as planned (N3).
+// stop performs a planned stop (N3).
 func (r *Runner) stop(work, forceStop context.Context) {
 	r.stopping.Store(true)
 	r.events.Record(garnetworks.Event{Kind: garnetworks.EventNodeStopping, Zone: r.self.Zone})
--- a/runner/site_test.go
+++ b/runner/site_test.go
@@ -23,7 +23,7 @@
 
 var zones = []garnetworks.ZoneID{"zone-a", "zone-b", "zone-c"}
 
-// testSite is a site of three zones on stand-ins, with one node in each.
+// testSite is a site of three zones with fake backends and one node in each zone.
 type testSite struct {
 	t        *testing.T
 	objects  *faker.Objects
@@ -35,7 +35,7 @@
 	nodes    map[garnetworks.ZoneID]*testNode
 	client   *messenger.Client
 	key      string
-	// adjust changes the settings of each node before it starts.
+	// adjust holds changes to the settings of each node, applied before it starts.
 	adjust []func(*configurer.Settings)
 }
 
@@ -191,7 +191,7 @@
 `, key.Hash)
 }
 
-// commit hands a manifest to the node and waits until it is in force.
+// commit proposes a manifest to the node and waits until it is in force.
 func (s *testSite) commit(zone garnetworks.ZoneID, id string, base garnetworks.Generation, text string) {
 	s.t.Helper()
 	address := s.nodes[zone].Addresses().Peers
@@ -212,8 +212,7 @@
 	})
 }
 
-// waitTimeout ends a wait that is stuck; nothing is asserted about how long a wait
-// takes.
+// waitTimeout ends a wait that makes no progress; it is not a bound that tests assert.
 const waitTimeout = 60 * time.Second
 
 // eventually waits until check returns an empty string.
@@ -226,13 +225,13 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			s.t.Fatalf("waited in vain until %s: %s", what, missing)
+			s.t.Fatalf("timed out waiting until %s: %s", what, missing)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// answer is a node's answer over HTTP.
+// answer is a node's HTTP response.
 type answer struct {
 	status  int
 	outcome string
--- a/runner/tls_test.go
+++ b/runner/tls_test.go
@@ -20,7 +20,7 @@
 	"github.com/garnetworks/garnetworks/messenger"
 )
 
-// testAuthority issues certificates into a directory of its own.
+// testAuthority issues certificates into its own directory.
 type testAuthority struct {
 	t           *testing.T
 	directory   string
@@ -72,7 +72,7 @@
 	return path
 }
 
-// issue makes a certificate with the DNS name.
+// issue creates a certificate for the DNS name.
 func (a *testAuthority) issue(file, name string) configurer.TLSFiles {
 	a.t.Helper()
 	key := newTestKey(a.t)
@@ -92,7 +92,7 @@
 	}
 }
 
-// clientWith returns a client that shows the certificate.
+// clientWith returns a client that presents the certificate.
 func clientWith(t *testing.T, files configurer.TLSFiles) *messenger.Client {
 	t.Helper()
 	keys, err := messenger.LoadKeys(messenger.Files(files))
@@ -104,10 +104,8 @@
 	return client
 }
 
-// TestSiteUnderMutualTLS: A site whose nodes have certificates for each other.
-// An operator with a certificate commits a manifest, every zone's node takes it
-// and answers calls. Who has no certificate of the site's authority learns and
-// changes nothing, and an operator can't speak as a node.
+// TestSiteUnderMutualTLS checks that nodes with certificates serve calls, that clients
+// without a valid one are refused, and that operators can't call node methods.
 func TestSiteUnderMutualTLS(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts a whole site")
@@ -133,15 +131,14 @@
 
 	open := messenger.NewClient(messenger.ClientOptions{})
 	t.Cleanup(open.Close)
-	// The foreign client trusts the site's authority, so that it is the node
-	// that refuses.
+	// The foreign client trusts the site's authority, so that it is the node that refuses.
 	stolen := foreign.issue("node", messenger.NodeName)
 	stolen.Authorities = filepath.Join(site.directory, "authorities.pem")
 	refused := []garnetworks.Kind{garnetworks.KindUnreachable, garnetworks.KindResponseLost}
 	clients := map[string]struct {
 		client *messenger.Client
-		// status and node are the kinds that an operator's and a node's methods
-		// end with; none for success.
+		// status and node are the expected error kinds of methods for operators and of
+		// methods for nodes; nil means success.
 		status, node []garnetworks.Kind
 	}{
 		"operator":                       {s.client, nil, []garnetworks.Kind{garnetworks.KindForbidden}},
@@ -166,8 +163,7 @@
 	}
 }
 
-// checkKind fails unless the error is of one of the kinds, or nil if there are
-// none.
+// checkKind fails unless the error is of one of the kinds, or nil if there are none.
 func checkKind(t *testing.T, method string, err error, want []garnetworks.Kind) {
 	t.Helper()
 	if len(want) == 0 && err == nil {
--- a/runner/upkeep.go
+++ b/runner/upkeep.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// flushTimeout bounds what a stopping node does after its last call.
+	// flushTimeout limits the work of a stopping node after its last call.
 	flushTimeout = 5 * time.Second
 	// upkeepInterval is the time between two rounds of upkeep.
 	upkeepInterval = 250 * time.Millisecond
-	// expireInterval is the time between two looks for servers to forget; each makes
-	// a snapshot of all signs.
+	// expireInterval is the time between two removals of unreported servers; each copies the
+	// whole drain state.
 	expireInterval = time.Minute
 )
 
-// upkeep carries what changes slowly between the parts.
+// upkeep periodically passes slowly changing state between the components.
 func (r *Runner) upkeep(ctx context.Context) {
 	ticker := time.NewTicker(upkeepInterval)
 	defer ticker.Stop()
--- a/runner/views.go
+++ b/runner/views.go
@@ -12,14 +12,14 @@
 	"github.com/garnetworks/garnetworks/pulser"
 )
 
-// PulseTimeout is how long a node waits for a pulse of its own zone before it
-// probes by itself (N5). It is longer than a pulse can take to come: the pulses'
-// interval, a tick of the controller that sends them, and the way. With one
-// round of probes it stays below garnetworks.ConfirmationBound.
+// PulseTimeout is the time without a pulse of its own zone after which a node that also
+// receives no probe results probes by itself (N5). It must exceed the pulse interval plus a
+// controller tick and network delay, and together with one round of probes stay below
+// garnetworks.ConfirmationBound.
 const PulseTimeout = 1900 * time.Millisecond
 
-// views holds what the node knows of each zone's backend servers, and sends the
-// own zone's view while the node controls it.
+// views holds the latest view of each zone's backend servers, and publishes the view of the
+// node's own zone while the node controls it.
 type views struct {
 	r *Runner
 
@@ -29,7 +29,7 @@
 	sender       *pulser.Sender
 	term         uint32
 	probingAlone bool
-	// peerProbeAt is when a node of the zone last told what it has probed.
+	// peerProbeAt is when a node of the zone last sent probe results.
 	peerProbeAt time.Time
 }
 
@@ -41,8 +41,8 @@
 	}
 }
 
-// handleUpdate takes an update of a zone's view or pulse, and reports whether it was
-// one.
+// handleUpdate handles updates of zone views and pulses. It reports whether the update was
+// one of them.
 func (v *views) handleUpdate(u garnetworks.Update) bool {
 	zone, ok := garnetworks.CutTopic(u.Topic, garnetworks.TopicZoneView)
 	if !ok {
@@ -65,14 +65,13 @@
 	return true
 }
 
-// route hands a view to the router with all signs of leaving servers in it
-// (rule G8).
+// route passes a view to the router, with all leaving servers marked in it (rule G8).
 func (v *views) route(j pulser.Joined) {
 	v.r.router.SetView(j.At, v.r.leaving.Snapshot().Apply(&j.View))
 }
 
-// observeLeavingStatuses looks for engines of the own zone that say that they are leaving;
-// a probe hears that before the instance list or the controller does.
+// observeLeavingStatuses applies changes of the leaving state that engines of the node's zone
+// report in probes, before the instance list or the controller shows them.
 func (v *views) observeLeavingStatuses(now time.Time) {
 	joined, ok := v.own()
 	if !ok {
@@ -112,7 +111,7 @@
 	return joined, err
 }
 
-// setTargets tells the prober which engines its zone has.
+// setTargets sets the engines of the node's zone as probe targets.
 func (v *views) setTargets(view garnetworks.ZoneView) {
 	if view.Zone != v.r.self.Zone {
 		return
@@ -127,7 +126,7 @@
 	v.r.prober.Table().Keep(known)
 }
 
-// own returns the own zone's view.
+// own returns the view of the node's own zone.
 func (v *views) own() (pulser.Joined, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -135,7 +134,7 @@
 	return j, ok
 }
 
-// all returns every zone's view, sorted by zone.
+// all returns the views of all zones, sorted by zone.
 func (v *views) all() []garnetworks.ZoneView {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -152,7 +151,7 @@
 	return list
 }
 
-// otherViewMaxAge is the age at which another zone's view no longer counts as fresh.
+// otherViewMaxAge is the age up to which another zone's view counts as fresh.
 const otherViewMaxAge = 3 * garnetworks.ConfirmationBound
 
 // others returns the fresh views of the other zones.
@@ -169,7 +168,8 @@
 	return fresh
 }
 
-// refresh keeps probes and routes going by the node's own findings.
+// refresh sets the nodes that share the probes and confirms groups in the router from the
+// node's own probe results.
 func (v *views) refresh(now time.Time, nodes []garnetworks.NodeInfo) {
 	joined, ok := v.own()
 	pulseLost := !ok || now.Sub(joined.At) > PulseTimeout
@@ -189,28 +189,29 @@
 	}
 }
 
-// recordPeerProbe notes that a node of the zone told what it has probed.
+// recordPeerProbe records that a node of the zone sent probe results.
 func (v *views) recordPeerProbe(now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.peerProbeAt = now
 }
 
-// lastPeerProbe returns when a node of the zone last told what it has probed.
+// lastPeerProbe returns when a node of the zone last sent probe results.
 func (v *views) lastPeerProbe() time.Time {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.peerProbeAt
 }
 
-// readySelf makes the node the only one that probes; whether it takes calls
-// does not matter for that.
+// readySelf returns the node's description marked as ready, since the prober assigns probes
+// to ready nodes only. Whether the node accepts calls does not matter here.
 func readySelf(self garnetworks.NodeInfo) garnetworks.NodeInfo {
 	self.Ready = true
 	return self
 }
 
-// oldestConfirmation returns when the member that was asked longest ago was asked.
+// oldestConfirmation returns the time of the members' oldest confirmation, or the zero time
+// if a member has none.
 func oldestConfirmation(table *prober.Table, members []garnetworks.InstanceID) time.Time {
 	var oldest time.Time
 	for _, m := range members {
@@ -225,18 +226,18 @@
 	return oldest
 }
 
-// setProbingAlone logs when the node begins to probe its zone alone.
+// setProbingAlone stores whether the node probes its zone alone, and logs when that begins.
 func (v *views) setProbingAlone(alone bool) {
 	v.mu.Lock()
 	changed := v.probingAlone != alone
 	v.probingAlone = alone
 	v.mu.Unlock()
 	if changed && alone {
-		v.r.log.Info("no pulse and no other node of the own zone; probing its engines alone", "zone", v.r.self.Zone)
+		v.r.log.Info("no pulse and no probes of other nodes in this zone; probing its engines alone", "zone", v.r.self.Zone)
 	}
 }
 
-// publish sends the own zone's view on; the zone's controller calls it.
+// publish distributes the view of the node's own zone; the zone's controller calls it.
 func (v *views) publish(version garnetworks.UpdateVersion, view garnetworks.ZoneView) {
 	view.Controller = v.r.tracker.Self()
 	view.Controller.Incarnation = v.r.self.Incarnation
@@ -257,8 +258,8 @@
 	}
 }
 
-// listCache keeps the instance list's last rows on their way to the controller,
-// so that the view can name the engines without another read.
+// listCache keeps the rows of the instance list that the controller last read, so that the
+// view can include the engines without another read.
 type listCache struct {
 	garnetworks.InstanceList
 	leaving *drainer.Shared
@@ -279,7 +280,7 @@
 	return rows, err
 }
 
-// engines returns the engines of the last rows, sorted by instance.
+// engines returns the engines in the cached rows, sorted by instance.
 func (l *listCache) engines() []garnetworks.EngineView {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/runner/views_test.go
+++ b/runner/views_test.go
@@ -10,23 +10,20 @@
 	"github.com/garnetworks/garnetworks/pulser"
 )
 
-// Pulses come when the controller's tick after their interval lets them. A node
-// that fears silence sooner takes each late tick for a lost controller: in a
-// calm site its log says so every few seconds, and it probes all of its zone's
-// engines alone each time.
+// Guards against a PulseTimeout shorter than a pulse can take: nodes would then take a late
+// pulse for a lost controller and probe all engines of their zone alone.
 func TestPulseTimeoutExceedsPulseInterval(t *testing.T) {
 	longest := pulser.Interval + controller.DefaultTimes().Tick
 	if PulseTimeout <= longest {
-		t.Errorf("silence is feared after %v, and a pulse can take %v", PulseTimeout, longest)
+		t.Errorf("PulseTimeout is %v, but a pulse can take %v", PulseTimeout, longest)
 	}
 	if PulseTimeout+garnetworks.ProbeInterval >= garnetworks.ConfirmationBound {
-		t.Errorf("silence of %v and one round of probes outlast the bound %v", PulseTimeout, garnetworks.ConfirmationBound)
+		t.Errorf("PulseTimeout of %v plus one round of probes exceeds the bound %v", PulseTimeout, garnetworks.ConfirmationBound)
 	}
 }
 
-// TestNewControllerCausesNoStormOfProbes: a zone's controller dies, and for ten
-// seconds no pulse comes. The zone's other nodes go on sharing their probes; were
-// each to probe all engines alone, the probes would multiply with the nodes.
+// Guards against each node of a zone probing all engines alone while no pulse comes because
+// the controller is being replaced: probes would multiply with the nodes.
 func TestNewControllerCausesNoStormOfProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		size := smallShape
--- a/runner/virtual_test.go
+++ b/runner/virtual_test.go
@@ -17,8 +17,8 @@
 	"github.com/garnetworks/garnetworks/messenger"
 )
 
-// virtualSite is a site on the test clock: the real nodes, joined by a network in
-// memory, on stand-ins in process. It runs inside a synctest bubble.
+// virtualSite is a site in a synctest bubble: real nodes on an in-memory network with fake
+// backends.
 type virtualSite struct {
 	t        reporter
 	size     shape
@@ -28,34 +28,34 @@
 	fleet    *faker.Fleet
 	power    *faker.Power
 	services *faker.Services
-	// ledgers are the servers of the plain service, in zone-a and zone-b.
+	// ledgers are the servers of the plain service, one each in the first two zones.
 	ledgers []*faker.Service
 	weights *faker.WeightStore
-	// mu guards nodes, which change when one is replaced.
+	// mu guards nodes, whose entries change when a node is replaced.
 	mu    sync.Mutex
 	nodes map[garnetworks.NodeID]*virtualNode
-	// isCut holds the zones that are cut off now.
+	// isCut holds the zones that are currently cut off.
 	isCut    map[garnetworks.ZoneID]bool
 	key      string
 	load     *load
 	stopLoad context.CancelFunc
 	loading  sync.WaitGroup
-	// methodsBefore are the counters of methods when a measurement began.
+	// methodsBefore holds the method counters at the start of a measurement.
 	methodsBefore map[string]messenger.MethodCount
 }
 
-// virtualNode is a node and what can be done to it.
+// virtualNode is a node of a virtualSite and its fault switches.
 type virtualNode struct {
 	*Runner
 	objects *faker.ObjectsView
-	// cut holds the zones whose backend servers the node can't reach; the empty
-	// name stands for the platform.
+	// cut holds the zones whose backend servers the node can't reach; the empty zone
+	// stands for the platform.
 	cut sync.Map
 	// eventReads counts the reads of engines' cache events.
 	eventReads atomic.Int64
 	// probes counts the reads of engines' status.
 	probes atomic.Int64
-	// crashed nodes are heard by nobody until they are replaced.
+	// crashed nodes are unreachable until they are replaced.
 	crashed bool
 	stop    context.CancelFunc
 	done    chan error
@@ -71,7 +71,7 @@
 // domainEngines is the number of engines in a fabric domain.
 const domainEngines = 16
 
-// reporter is what testing.T and rapid.T have in common.
+// reporter holds the common methods of testing.T and rapid.T.
 type reporter interface {
 	Helper()
 	Log(args ...any)
@@ -85,20 +85,19 @@
 // shape is the size of a site.
 type shape struct {
 	zones []garnetworks.ZoneID
-	// nodes, engines and on are numbers in each zone; the first engines are on.
+	// nodes, engines and on are counts per zone; the first on engines are powered on.
 	nodes, engines, on int
-	// groups is the number of groups wanted over the site.
+	// groups is the number of groups wanted in the site.
 	groups int
 	cap    garnetworks.Watts
-	// weight is the size of a version's weights on one engine, loaded at 1 GB/s
-	// over the site.
+	// weight is the size in bytes of a version's weights on one engine, loaded at 1 GB/s in
+	// total.
 	weight int64
-	// ignoresTokens makes the engines obey orders with old fencing tokens.
+	// ignoresTokens makes the engines accept orders with outdated fencing tokens.
 	ignoresTokens bool
 }
 
-// smallShape has one group in each zone, with a powered spare and one that is
-// off.
+// smallShape has one group in each zone, with one spare engine on and one off.
 var smallShape = shape{zones: zones, nodes: 2, engines: 6, on: 5, groups: groupsWanted, cap: virtualCap, weight: 1 << 30}
 
 func newVirtualSite(t reporter, size shape) *virtualSite {
@@ -132,7 +131,7 @@
 	}
 }
 
-// executions counts how often a keyed call ran, at any server.
+// executions counts how often a keyed call ran, over all servers.
 func (s *virtualSite) executions(key string) int {
 	sum := 0
 	for _, l := range s.ledgers {
@@ -192,13 +191,13 @@
 	return n
 }
 
-// region returns the region of a zone: three zones to each.
+// region returns the region of a zone; each region has three zones.
 func (s *virtualSite) region(zone garnetworks.ZoneID) garnetworks.RegionID {
 	i := slices.Index(s.size.zones, zone)
 	return garnetworks.RegionID(fmt.Sprintf("region-%d", i/3+1))
 }
 
-// node returns the process that runs under a name now.
+// node returns the current process of a node.
 func (s *virtualSite) node(id garnetworks.NodeID) *virtualNode {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -212,7 +211,7 @@
 	return slices.Sorted(maps.Keys(s.nodes))
 }
 
-// replace starts a new process under the name of one that has ended.
+// replace stops a node's process and starts a new one under its name.
 func (s *virtualSite) replace(id garnetworks.NodeID) {
 	s.t.Helper()
 	old := s.node(id)
@@ -229,7 +228,7 @@
 	s.startNode(id, old.self.Zone).cutOff(s)
 }
 
-// partitioned reports whether a cut lies between the nodes.
+// partitioned reports whether two nodes can't reach each other.
 func (s *virtualSite) partitioned(a, b garnetworks.NodeID) bool {
 	if s.node(a).crashed || s.node(b).crashed {
 		return true
@@ -238,7 +237,7 @@
 	return from != to && (s.isCut[from] || s.isCut[to])
 }
 
-// close ends everything, so that the bubble can end.
+// close stops the load and all nodes, so that the bubble can end.
 func (s *virtualSite) close() {
 	if s.stopLoad != nil {
 		s.stopLoad()
@@ -255,16 +254,16 @@
 	s.fleet.Close()
 }
 
-// cutPlatform is everything outside as one node reaches it.
+// cutPlatform is the platform and the backend servers as one node reaches them.
 type cutPlatform struct {
 	node *virtualNode
 	site *virtualSite
 }
 
-// connectTimeout is how long a connect to a cut-off address takes to fail.
+// connectTimeout is how long connecting to an unreachable address takes to fail.
 const connectTimeout = time.Second
 
-// reach fails like a connect that times out if the name's zone is cut off.
+// reach fails after connectTimeout if the zone in the address is cut off from the node.
 func (c *cutPlatform) reach(ctx context.Context, name string) error {
 	zone := garnetworks.ZoneID("")
 	if len(name) >= len("zone-a") {
@@ -351,8 +350,7 @@
 	return c.site.services.Call(ctx, address, call)
 }
 
-// cutZone cuts a zone off from the other zones and from the platform, or joins
-// it again.
+// cutZone cuts a zone off from the other zones and the platform, or restores it.
 func (s *virtualSite) cutZone(zone garnetworks.ZoneID, cut bool) {
 	s.isCut[zone] = cut
 	names := s.names()
@@ -364,7 +362,7 @@
 	}
 }
 
-// cutOff cuts the node off from what lies beyond its zone's cut.
+// cutOff updates which zones and platform APIs the node can reach.
 func (n *virtualNode) cutOff(s *virtualSite) {
 	if n.crashed {
 		return
@@ -380,7 +378,7 @@
 	n.objects.SetFaults(faker.FaultPlan{Down: s.isCut[own]})
 }
 
-// crash ends a node without any farewell: nobody hears it any more.
+// crash stops a node and cuts it off, so that its shutdown messages reach nobody.
 func (s *virtualSite) crash(id garnetworks.NodeID) {
 	n := s.node(id)
 	n.crashed = true
@@ -423,7 +421,7 @@
 	return b.String()
 }
 
-// propose hands a manifest to a node and returns its progress.
+// propose proposes a manifest to a node and returns its progress.
 func (s *virtualSite) propose(node garnetworks.NodeID, id string, base garnetworks.Generation, text string) (garnetworks.CommitProgress, error) {
 	response, err := s.nodes[node].committer.Propose(context.Background(), &garnetworks.ProposeRequest{
 		CommitID: id, Operator: "operator-" + id, Base: base, Text: []byte(text),
@@ -434,7 +432,7 @@
 	return response.Progress, nil
 }
 
-// within waits on the test clock until check returns an empty string.
+// within waits until check returns an empty string, and fails after the bound.
 func (s *virtualSite) within(bound time.Duration, what string, check func() string) time.Duration {
 	s.t.Helper()
 	begun := time.Now()
@@ -450,7 +448,7 @@
 	}
 }
 
-// inForce is a check that a commit is in force by a node's word.
+// inForce returns a check that a commit is in force according to a node.
 func (s *virtualSite) inForce(node garnetworks.NodeID, id string) func() string {
 	return func() string {
 		r, err := s.nodes[node].committer.Progress(context.Background(), &garnetworks.ProgressRequest{CommitID: id})
@@ -464,7 +462,7 @@
 	}
 }
 
-// serving is a check that the node sees a number of confirmed groups.
+// serving returns a check that a node sees at least the wanted number of confirmed groups.
 func (s *virtualSite) serving(node garnetworks.NodeID, want int) func() string {
 	return func() string {
 		serving := 0
@@ -482,7 +480,7 @@
 	}
 }
 
-// begin brings the site to where all groups serve.
+// begin commits the first manifest and waits until all groups serve.
 func (s *virtualSite) begin() {
 	s.t.Helper()
 	if _, err := s.propose(nodeName("zone-a", 0), "first", 0, s.manifestText(s.size.cap, "v1")); err != nil {
@@ -492,7 +490,7 @@
 	s.within(2*time.Minute, "all groups serve", s.serving(nodeName("zone-c", 0), s.size.groups))
 }
 
-// answerOf calls a node in process.
+// answerOf calls a node's HTTP handler in process.
 func (n *virtualNode) answerOf(ctx context.Context, key, method, path, idempotency, body string) answer {
 	request := httptest.NewRequestWithContext(ctx, method, path, strings.NewReader(body))
 	request.Header.Set("Authorization", "Bearer "+key)
@@ -510,7 +508,7 @@
 	return answer{result.StatusCode, outcome, result.Header.Get("Garnet-Error-Kind"), w.Body.String()}
 }
 
-// load calls every node at a steady pace and checks each answer.
+// load calls every node periodically and checks each answer.
 type load struct {
 	site *virtualSite
 
@@ -547,7 +545,7 @@
 
 const virtualBody = `{"model":"chat","prompt":"the pump at well 9 has failed","max_tokens":20}`
 
-// callModels sends completions; a completed one must be whole (rule G7).
+// callModels sends completions; one with outcome completed must have the full text (rule G7).
 func (l *load) callModels(ctx context.Context, id garnetworks.NodeID) {
 	want := faker.AnswerText(&garnetworks.CallRequest{Model: "chat", Prompt: "the pump at well 9 has failed"}, 0, virtualTokens)
 	for ctx.Err() == nil {
@@ -559,14 +557,13 @@
 		a := n.answerOf(ctx, l.site.key, "POST", "/v1/completions", "", virtualBody)
 		l.count("model", a)
 		if a.outcome == string(garnetworks.OutcomeCompleted) && !strings.Contains(a.body, want) {
-			l.fault("node %s: an answer that looks whole is not: %s", id, a.body)
+			l.fault("node %s: a completed answer is incomplete: %s", id, a.body)
 		}
 	}
 }
 
-// callLedger sends keyed calls that may not be repeated, each a second time to
-// another node; they must run once at most, and not at all behind "not run"
-// (rules G5 and G6).
+// callLedger sends each non-repeatable keyed call twice, the second time to another node. It
+// must run at most once, and never if the outcome is not-run (rules G5 and G6).
 func (l *load) callLedger(ctx context.Context, id garnetworks.NodeID) {
 	for ctx.Err() == nil {
 		time.Sleep(700 * time.Millisecond)
@@ -584,7 +581,7 @@
 		l.count("ledger", first)
 		ran := l.site.executions(key)
 		if first.outcome == string(garnetworks.OutcomeNotRun) && ran > 0 {
-			l.fault("node %s: call %s ran %d times behind not-run: %+v", id, key, ran, first)
+			l.fault("node %s: call %s ran %d times despite outcome not-run: %+v", id, key, ran, first)
 		}
 		other := l.site.node(l.otherNode(id))
 		if other.stopping.Load() {
@@ -601,8 +598,8 @@
 	}
 }
 
-// callAtOnce sends one keyed call through two nodes at the same time, as a
-// caller does that gave up waiting.
+// callAtOnce sends one keyed call through two nodes at the same time, like a caller that
+// retries after a timeout.
 func (l *load) callAtOnce(ctx context.Context, a, b *virtualNode, key string) {
 	answers := make(chan answer, 2)
 	for _, n := range []*virtualNode{a, b} {
@@ -619,7 +616,7 @@
 	}
 	notRun := string(garnetworks.OutcomeNotRun)
 	if first.outcome == notRun && second.outcome == notRun && ran > 0 {
-		l.fault("call %s ran behind two not-runs: %+v and %+v", key, first, second)
+		l.fault("call %s ran despite two not-run outcomes: %+v and %+v", key, first, second)
 	}
 }
 
@@ -632,7 +629,7 @@
 	return id
 }
 
-// watch samples what must hold at any moment: the draw and the leases.
+// watch checks invariants that must always hold: the power cap, and one holder per lease.
 func (l *load) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(20 * time.Millisecond)
@@ -655,7 +652,7 @@
 	}
 }
 
-// settle ends the load and reports what did not hold.
+// settle stops the load and reports the violations it found.
 func (s *virtualSite) settle() {
 	s.t.Helper()
 	s.stopLoad()
@@ -668,7 +665,7 @@
 	}
 	attempts, _ := s.fleet.Attempts()
 	for _, a := range attempts {
-		// A call can be on its way when the last confirmation lapses.
+		// A call can be in flight when the last confirmation expires.
 		if a.Refused == "" && a.MissingFor > garnetworks.ConfirmationBound+time.Second {
 			s.t.Errorf("group %s served call %s %v after a member was lost", a.Group, a.Call, a.MissingFor)
 		}
@@ -676,7 +673,7 @@
 	s.t.Logf("outcomes: %v; %d attempts at engines; %v calls to the object API", s.load.outcomes, len(attempts), s.objects.Counts())
 }
 
-// all returns the outcomes up to now.
+// all returns the outcomes so far.
 func (l *load) all() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
