--- a/recorder/clock.go
+++ b/recorder/clock.go
@@ -11,12 +11,12 @@
 
 // Bounds of the hybrid logical clock.
 const (
-	// MaxAhead is how far a received timestamp may lie ahead of the node's
+	// MaxClockSkew is how far a received timestamp may lie ahead of the node's
 	// corrected time (rule C3). Clocks that differ by seconds stay within it.
-	MaxAhead = 30 * time.Second
-	// SampleAge is how long a peer's reading counts for the correction (rule
+	MaxClockSkew = 30 * time.Second
+	// MaxSampleAge is how long a peer's reading counts for the correction (rule
 	// C4).
-	SampleAge = 60 * time.Second
+	MaxSampleAge = 60 * time.Second
 	// MinSamples is the number of peers without which a node can't tell whose
 	// clock is wrong.
 	MinSamples = 2
@@ -36,7 +36,7 @@
 // sample is the difference between a peer's reading and the node's own time.
 type sample struct {
 	source string
-	ahead  time.Duration
+	offset time.Duration
 	at     time.Time
 }
 
@@ -59,7 +59,7 @@
 // it (rule C2), or refuses it with KindInvalidRequest if it is too far ahead (rule
 // C3). The zero timestamp, of a sender without a clock, is accepted and ignored.
 func (c *Clock) Observe(t garnetworks.Timestamp, now time.Time) error {
-	limit := now.Add(c.correction + MaxAhead).UnixMilli()
+	limit := now.Add(c.correction + MaxClockSkew).UnixMilli()
 	// A sender's broken clock shows as a timestamp far in the future. Adopting
 	// it would take the clock of every node there for good. The message is
 	// refused instead of the timestamp alone: what did not happen here can't be
@@ -80,17 +80,17 @@
 	if t.Wall == 0 {
 		return false
 	}
-	c.keep(sample{source: source, ahead: t.Time().Sub(now), at: now})
+	c.addSample(sample{source: source, offset: t.Time().Sub(now), at: now})
 	if len(c.samples) < MinSamples {
 		return false
 	}
 	median := c.median()
 	drift := median - c.correction
-	if drift.Abs() <= MaxAhead {
+	if drift.Abs() <= MaxClockSkew {
 		return false
 	}
 	c.correction = median
-	limit := now.Add(median + MaxAhead).UnixMilli()
+	limit := now.Add(median + MaxClockSkew).UnixMilli()
 	if c.last.Wall > limit {
 		c.last = garnetworks.Timestamp{Wall: now.Add(median).UnixMilli()}
 	}
@@ -100,9 +100,9 @@
 // Correction is what the clock adds to the node's own time.
 func (c *Clock) Correction() time.Duration { return c.correction }
 
-func (c *Clock) keep(s sample) {
+func (c *Clock) addSample(s sample) {
 	c.samples = slices.DeleteFunc(c.samples, func(o sample) bool {
-		return o.source == s.source || s.at.Sub(o.at) > SampleAge
+		return o.source == s.source || s.at.Sub(o.at) > MaxSampleAge
 	})
 	if len(c.samples) == MaxSamples {
 		c.samples = slices.Delete(c.samples, 0, 1)
@@ -115,7 +115,7 @@
 func (c *Clock) median() time.Duration {
 	all := []time.Duration{0}
 	for _, s := range c.samples {
-		all = append(all, s.ahead)
+		all = append(all, s.offset)
 	}
 	slices.SortFunc(all, cmp.Compare[time.Duration])
 	return all[(len(all)-1)/2]
--- a/recorder/recorder.go
+++ b/recorder/recorder.go
@@ -8,11 +8,11 @@
 //	C2  A reading is above every timestamp that the node has accepted, so an
 //	    event that follows from a message is ordered after the message's
 //	    sending, however the clocks of the two nodes differ.
-//	C3  A message whose timestamp lies more than MaxAhead ahead of the node's
+//	C3  A message whose timestamp lies more than MaxClockSkew ahead of the node's
 //	    corrected time is refused as a whole. No clock, however wrong, moves the
-//	    readings of others by more than MaxAhead, and no accepted message loses
+//	    readings of others by more than MaxClockSkew, and no accepted message loses
 //	    its order.
-//	C4  A node whose own time differs by more than MaxAhead from the lower median
+//	C4  A node whose own time differs by more than MaxClockSkew from the lower median
 //	    of its own and at least MinSamples peers' readings corrects its own time
 //	    by the difference. While most clocks are right, a correction backwards
 //	    happens only at a node whose readings its peers refused (rule C3), so no
@@ -34,8 +34,8 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// refusedEvery is the time between two events about refused messages.
-const refusedEvery = 10 * time.Second
+// refusalEventInterval is the time between two events about refused messages.
+const refusalEventInterval = 10 * time.Second
 
 // DefaultSize is the number of events kept where settings say nothing.
 const DefaultSize = 4096
@@ -49,8 +49,8 @@
 	clock Clock
 	// ring holds the event with sequence number s at index (s-1) % len(ring).
 	ring []garnetworks.Event
-	// refused is when the last event about a refused message was recorded.
-	refused time.Time
+	// lastRefusal is when the last event about a refused message was recorded.
+	lastRefusal time.Time
 	// sequence is the number of the newest event; 0 before the first.
 	sequence uint64
 }
@@ -95,9 +95,9 @@
 	defer r.mu.Unlock()
 	now := time.Now()
 	err := r.clock.Observe(t, now)
-	if err != nil && now.Sub(r.refused) >= refusedEvery {
+	if err != nil && now.Sub(r.lastRefusal) >= refusalEventInterval {
 		// One sender would otherwise fill the ring with its heartbeats.
-		r.refused = now
+		r.lastRefusal = now
 		r.record(garnetworks.Event{Kind: garnetworks.EventClockRefused, Error: garnetworks.KindOf(err), Detail: err.Error()}, now)
 	}
 	return err
@@ -119,7 +119,7 @@
 
 // restamp keeps rule E3.
 func (r *Recorder) restamp(now time.Time) {
-	limit := now.Add(r.clock.Correction() + MaxAhead).UnixMilli()
+	limit := now.Add(r.clock.Correction() + MaxClockSkew).UnixMilli()
 	for s := r.oldest(); s <= r.sequence; s++ {
 		e := &r.ring[r.index(s)]
 		if e.At.Wall > limit {
--- a/recorder/recorder_test.go
+++ b/recorder/recorder_test.go
@@ -93,7 +93,7 @@
 
 // restampForTest mirrors rule E3 for the test's own list of events.
 func restampForTest(c *Clock, events []stamped, own time.Time) []stamped {
-	limit := own.Add(c.Correction() + MaxAhead).UnixMilli()
+	limit := own.Add(c.Correction() + MaxClockSkew).UnixMilli()
 	for i := range events {
 		if events[i].at.Wall > limit {
 			events[i].at = c.Now(own)
