--- a/recorder/clock.go
+++ b/recorder/clock.go
@@ -9,23 +9,22 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Bounds of the hybrid logical clock.
+// Limits of the hybrid logical clock.
 const (
-	// MaxClockSkew is how far a received timestamp may lie ahead of the node's
-	// corrected time (rule C3). Clocks that differ by seconds stay within it.
+	// MaxClockSkew is how far a received timestamp may be ahead of the node's corrected time
+	// (rule C3).
 	MaxClockSkew = 30 * time.Second
-	// MaxSampleAge is how long a peer's reading counts for the correction (rule
-	// C4).
+	// MaxSampleAge is how long a peer's reading is used for the correction (rule C4).
 	MaxSampleAge = 60 * time.Second
-	// MinSamples is the number of peers without which a node can't tell whose
-	// clock is wrong.
+	// MinSamples is the minimum number of peers for a correction; with fewer, a node can't
+	// tell whose clock is wrong.
 	MinSamples = 2
-	// MaxSamples bounds the peers whose readings are kept.
+	// MaxSamples limits the number of peers whose readings are kept.
 	MaxSamples = 8
 )
 
-// Clock is a hybrid logical clock. It is pure: the caller passes in the node's
-// own time. The zero value is ready for use. It is not safe for concurrent use.
+// Clock is a hybrid logical clock. The caller passes in the node's own time. The zero value
+// is ready for use. It is not safe for concurrent use.
 type Clock struct {
 	last garnetworks.Timestamp
 	// correction is added to the node's own time.
@@ -33,15 +32,15 @@
 	samples    []sample
 }
 
-// sample is the difference between a peer's reading and the node's own time.
+// sample is the offset of a peer's clock from the node's own time.
 type sample struct {
 	source string
 	offset time.Duration
 	at     time.Time
 }
 
-// Now returns a timestamp above every one returned or accepted before (rules
-// C1 and C2).
+// Now returns a timestamp later than all that were returned or accepted before (rules C1
+// and C2).
 func (c *Clock) Now(now time.Time) garnetworks.Timestamp {
 	wall := now.Add(c.correction).UnixMilli()
 	switch {
@@ -55,15 +54,14 @@
 	return c.last
 }
 
-// Observe accepts a received timestamp, so that every later reading is above
-// it (rule C2), or refuses it with KindInvalidRequest if it is too far ahead (rule
-// C3). The zero timestamp, of a sender without a clock, is accepted and ignored.
+// Observe accepts a received timestamp, so that every later reading is after it (rule C2),
+// or returns a KindInvalidRequest error if it is too far ahead (rule C3). The zero timestamp,
+// sent by nodes without a clock, is accepted and ignored.
 func (c *Clock) Observe(t garnetworks.Timestamp, now time.Time) error {
 	limit := now.Add(c.correction + MaxClockSkew).UnixMilli()
-	// A sender's broken clock shows as a timestamp far in the future. Adopting
-	// it would take the clock of every node there for good. The message is
-	// refused instead of the timestamp alone: what did not happen here can't be
-	// an effect that is ordered before its cause.
+	// A timestamp far in the future comes from a broken clock, and accepting it would
+	// move the clocks of all nodes ahead for good. Rejecting the whole message instead
+	// of the timestamp alone keeps effects ordered after their causes.
 	if t.Wall > limit {
 		return garnetworks.Errorf(garnetworks.KindInvalidRequest, "the sender's clock is %d ms ahead", t.Wall-now.Add(c.correction).UnixMilli())
 	}
@@ -73,9 +71,9 @@
 	return nil
 }
 
-// Sample notes what a peer's clock read when the node's own time was now, and
-// reports whether the node's own clock was corrected by it (rule C4). After a
-// backward correction, readings start again below the ones that peers refused.
+// Sample records the reading of a peer's clock at the node's own time now, and reports
+// whether it led to a correction of the node's clock (rule C4). After a correction backwards,
+// readings restart below those that peers refused.
 func (c *Clock) Sample(source string, t garnetworks.Timestamp, now time.Time) bool {
 	if t.Wall == 0 {
 		return false
@@ -97,7 +95,7 @@
 	return true
 }
 
-// Correction is what the clock adds to the node's own time.
+// Correction returns the duration that the clock adds to the node's own time.
 func (c *Clock) Correction() time.Duration { return c.correction }
 
 func (c *Clock) addSample(s sample) {
@@ -110,8 +108,8 @@
 	c.samples = append(c.samples, s)
 }
 
-// median returns the lower median of the samples and of the node's own time,
-// whose difference to itself is zero.
+// median returns the lower median of the samples' offsets and of zero, the offset of the
+// node's own time.
 func (c *Clock) median() time.Duration {
 	all := []time.Duration{0}
 	for _, s := range c.samples {
--- a/recorder/recorder.go
+++ b/recorder/recorder.go
@@ -1,30 +1,29 @@
-// Package recorder keeps a node's part of the time line: typed events in a
-// bounded ring, stamped by a hybrid logical clock that all messages between
-// nodes carry.
+// Package recorder keeps a node's part of the timeline: typed events in a bounded ring
+// buffer, stamped by a hybrid logical clock whose timestamps all messages between nodes
+// carry.
 //
 // The rules of the clock:
 //
 //	C1  A node's readings never go back while peers accept them.
-//	C2  A reading is above every timestamp that the node has accepted, so an
-//	    event that follows from a message is ordered after the message's
-//	    sending, however the clocks of the two nodes differ.
-//	C3  A message whose timestamp lies more than MaxClockSkew ahead of the node's
+//	C2  A reading is after every timestamp that the node has accepted, so an event
+//	    caused by a message is ordered after the sending of the message, however
+//	    the clocks of the two nodes differ.
+//	C3  A message whose timestamp is more than MaxClockSkew ahead of the node's
 //	    corrected time is refused as a whole. No clock, however wrong, moves the
-//	    readings of others by more than MaxClockSkew, and no accepted message loses
-//	    its order.
+//	    readings of others by more than MaxClockSkew, and accepted messages keep
+//	    their order.
 //	C4  A node whose own time differs by more than MaxClockSkew from the lower median
-//	    of its own and at least MinSamples peers' readings corrects its own time
-//	    by the difference. While most clocks are right, a correction backwards
-//	    happens only at a node whose readings its peers refused (rule C3), so no
-//	    accepted message carries one of them.
+//	    of its own and at least MinSamples peers' readings corrects its time by the
+//	    difference. While most clocks are right, a correction backwards happens
+//	    only at a node whose readings its peers refused (rule C3), so no accepted
+//	    message carries one of them.
 //
-// The rules of the ring:
+// The rules of the ring buffer:
 //
-//	E1  Recording never waits for a reader; the oldest event gives way.
-//	E2  Sequence numbers have no gaps, so a reader sees how many events it
-//	    missed.
-//	E3  After a correction backwards, the events that carry refused readings
-//	    are stamped again in their order.
+//	E1  Recording never blocks on readers; a full ring overwrites the oldest event.
+//	E2  Sequence numbers have no gaps, so a reader knows how many events it missed.
+//	E3  After a correction backwards, the events that carry refused readings are
+//	    stamped again in their order.
 package recorder
 
 import (
@@ -34,14 +33,14 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// refusalEventInterval is the time between two events about refused messages.
+// refusalEventInterval is the minimum time between two events about refused messages.
 const refusalEventInterval = 10 * time.Second
 
-// DefaultSize is the number of events kept where settings say nothing.
+// DefaultSize is the default number of events kept.
 const DefaultSize = 4096
 
-// Recorder is the time line of one node. It implements garnetworks.Recorder
-// and is safe for concurrent use.
+// Recorder holds the timeline of one node. It implements garnetworks.Recorder and is safe
+// for concurrent use.
 type Recorder struct {
 	node garnetworks.NodeID
 
@@ -49,14 +48,14 @@
 	clock Clock
 	// ring holds the event with sequence number s at index (s-1) % len(ring).
 	ring []garnetworks.Event
-	// lastRefusal is when the last event about a refused message was recorded.
+	// lastRefusal is when an event about a refused message was last recorded.
 	lastRefusal time.Time
 	// sequence is the number of the newest event; 0 before the first.
 	sequence uint64
 }
 
-// New returns the recorder of a node that keeps the newest size events;
-// DefaultSize if size is not above 0.
+// New returns a recorder for a node that keeps the latest size events, or DefaultSize if
+// size is not positive.
 func New(node garnetworks.NodeID, size int) *Recorder {
 	if size <= 0 {
 		size = DefaultSize
@@ -64,7 +63,7 @@
 	return &Recorder{node: node, ring: make([]garnetworks.Event, size)}
 }
 
-// Record stamps the event and keeps it (rules E1 and E2).
+// Record stamps the event and adds it to the ring (rules E1 and E2).
 func (r *Recorder) Record(event garnetworks.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,23 +87,22 @@
 	return r.clock.Now(time.Now())
 }
 
-// Observe takes in the timestamp of a received message; an error says that the
-// message must be refused (rule C3).
+// Observe processes the timestamp of a received message. An error means that the message
+// must be refused (rule C3).
 func (r *Recorder) Observe(t garnetworks.Timestamp) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
 	err := r.clock.Observe(t, now)
 	if err != nil && now.Sub(r.lastRefusal) >= refusalEventInterval {
-		// One sender would otherwise fill the ring with its heartbeats.
+		// Otherwise one sender's heartbeats would fill the ring.
 		r.lastRefusal = now
 		r.record(garnetworks.Event{Kind: garnetworks.EventClockRefused, Error: garnetworks.KindOf(err), Detail: err.Error()}, now)
 	}
 	return err
 }
 
-// Sample takes in a peer's reading for the correction of the node's own clock
-// (rule C4).
+// Sample records a peer's reading for the correction of the node's own clock (rule C4).
 func (r *Recorder) Sample(source string, t garnetworks.Timestamp) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -117,7 +115,7 @@
 	r.record(garnetworks.Event{Kind: garnetworks.EventClockCorrected, Detail: detail}, now)
 }
 
-// restamp keeps rule E3.
+// restamp stamps events that carry refused readings again (rule E3).
 func (r *Recorder) restamp(now time.Time) {
 	limit := now.Add(r.clock.Correction() + MaxClockSkew).UnixMilli()
 	for s := r.oldest(); s <= r.sequence; s++ {
@@ -128,8 +126,7 @@
 	}
 }
 
-// oldest is the sequence number of the oldest event that is kept, and 1 before
-// the first event.
+// oldest returns the sequence number of the oldest event kept, or 1 if there is none yet.
 func (r *Recorder) oldest() uint64 {
 	size := uint64(len(r.ring))
 	if r.sequence <= size {
@@ -138,10 +135,10 @@
 	return r.sequence - size + 1
 }
 
-// Events returns up to limit events after the given sequence number, in order,
-// and how many of the events after it are gone (rule E2). A limit of 0 or below
-// returns all. An after beyond the newest event comes from a reader of an
-// earlier process of the node; it reads from the start.
+// Events returns up to limit events after the given sequence number, in order, and how many
+// events after it were overwritten (rule E2). A limit that is not positive means no limit.
+// If after is beyond the latest event, the reader got it from an earlier process of the node,
+// and reading restarts from the beginning.
 func (r *Recorder) Events(after uint64, limit int) (events []garnetworks.Event, lost uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -161,14 +158,14 @@
 	return events, lost
 }
 
-// Overwritten is the number of events that gave way to newer ones.
+// Overwritten returns the number of events overwritten by newer ones.
 func (r *Recorder) Overwritten() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.oldest() - 1
 }
 
-// Handle answers a reader of the time line.
+// Handle returns the events that a reader requests.
 func (r *Recorder) Handle(request *garnetworks.EventsRequest) *garnetworks.EventsResponse {
 	events, lost := r.Events(request.After, request.Limit)
 	return &garnetworks.EventsResponse{Node: r.node, Events: events, Lost: lost}
--- a/recorder/recorder_test.go
+++ b/recorder/recorder_test.go
@@ -30,18 +30,15 @@
 
 var start = time.Date(2027, time.March, 1, 8, 0, 0, 0, time.UTC)
 
-// message is a message on its way, with the identifiers of all events that came
-// before its sending.
+// message is a message in flight, with the IDs of all events that happened before it was sent.
 type message struct {
 	from   int
 	at     garnetworks.Timestamp
 	causes []int
 }
 
-// TestCausalOrderAcrossClocks: An operator follows a failure over several
-// nodes whose clocks differ by seconds, one by hours. Node A records a cause,
-// sends a message, and node B records the effect with a clock that runs behind.
-// Sorted by the nodes' own clocks the effect would stand before its cause.
+// TestCausalOrderAcrossClocks checks that merged events of nodes with skewed clocks never show
+// an effect before its cause.
 func TestCausalOrderAcrossClocks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		offsets := []time.Duration{0, 7 * time.Second, -9 * time.Second, 2 * time.Second, 0}
@@ -91,7 +88,7 @@
 	causes []int
 }
 
-// restampForTest mirrors rule E3 for the test's own list of events.
+// restampForTest applies rule E3 to the test's own list of events.
 func restampForTest(c *Clock, events []stamped, own time.Time) []stamped {
 	limit := own.Add(c.Correction() + MaxClockSkew).UnixMilli()
 	for i := range events {
@@ -120,9 +117,8 @@
 	}
 }
 
-// TestBrokenClockIsContained: One node's clock jumps a year ahead. Without a
-// bound, each node that hears it would stamp its events a year ahead from then
-// on, and keep that after the broken node is gone.
+// TestBrokenClockIsContained guards against one node's clock a year ahead moving the clocks of
+// the nodes that receive its messages.
 func TestBrokenClockIsContained(t *testing.T) {
 	var broken, a, b Clock
 	ahead := start.Add(365 * 24 * time.Hour)
@@ -144,13 +140,12 @@
 	}
 	a.Sample("broken", first, start)
 	if a.Sample("b", b.Now(start), start) {
-		t.Errorf("one broken peer corrected a sound clock by %v", a.Correction())
+		t.Errorf("one broken peer corrected a correct clock by %v", a.Correction())
 	}
 }
 
-// TestRestampsAfterCorrection: A node starts with a clock a day ahead and
-// records events before it has heard a peer. An operator must not see them
-// after events that they caused.
+// TestRestampsAfterCorrection guards against events of a node that started with a wrong clock
+// being ordered after their effects.
 func TestRestampsAfterCorrection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := New("entry-1", 8)
--- a/recorder/timeline.go
+++ b/recorder/timeline.go
@@ -7,33 +7,32 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// NodeEvents is what a reader got from one node.
+// NodeEvents holds the events read from one node.
 type NodeEvents struct {
 	Node garnetworks.NodeID
 	// Events are in sequence order.
 	Events []garnetworks.Event
-	// Lost is the number of events before the first of Events, and after what
-	// the reader had, that the node no longer holds.
+	// Lost is the number of events between the last one the reader had and the first of
+	// Events that the node no longer holds.
 	Lost uint64
-	// Err says why the node could not be read; Events is then empty.
+	// Err is why the node could not be read; Events is then empty.
 	Err error
 }
 
-// Timeline is the joined time line of several nodes.
+// Timeline is the merged timeline of several nodes.
 type Timeline struct {
 	// Events are in causal order: by timestamp, then node, then sequence.
 	Events []garnetworks.Event `json:"events"`
-	// Gaps are sorted by the timestamp before which events are missing.
+	// Gaps are sorted by Before and node.
 	Gaps []Gap `json:"gaps,omitempty"`
-	// Unreachable nodes may have events that are not shown; sorted by node.
+	// Unreachable lists the nodes whose events may be missing, sorted by node.
 	Unreachable []Unreachable `json:"unreachable,omitempty"`
 }
 
-// Gap marks events that a node's ring no longer held.
+// Gap marks events that were overwritten in a node's ring before they were read.
 type Gap struct {
 	Node garnetworks.NodeID `json:"node"`
-	// Before is the timestamp of the first event after the gap; zero if there is
-	// none yet.
+	// Before is the timestamp of the first event after the gap; zero if there is none yet.
 	Before garnetworks.Timestamp `json:"before"`
 	Lost   uint64                `json:"lost"`
 }
@@ -44,7 +43,7 @@
 	Reason string             `json:"reason"`
 }
 
-// Merge joins the events of several nodes.
+// Merge merges the events of several nodes into one timeline.
 func Merge(nodes []NodeEvents) Timeline {
 	var t Timeline
 	for _, n := range nodes {
@@ -86,8 +85,7 @@
 	return cmp.Or(cmp.Compare(a.Wall, b.Wall), cmp.Compare(a.Logical, b.Logical))
 }
 
-// Filter selects events. Empty fields select all; fields that are set must all
-// match.
+// Filter selects events. Fields that are set must all match; empty fields match all events.
 type Filter struct {
 	Node     garnetworks.NodeID
 	Zone     garnetworks.ZoneID
@@ -109,8 +107,8 @@
 
 func matches[T ~string](want, got T) bool { return want == "" || want == got }
 
-// Apply returns the time line with only the events that the filter selects.
-// Gaps and unreachable nodes stay: what they hide may have been selected.
+// Apply returns the timeline with only the events that the filter selects. It keeps all gaps
+// and unreachable nodes, since the missing events might match.
 func (f Filter) Apply(t Timeline) Timeline {
 	t.Events = slices.DeleteFunc(slices.Clone(t.Events), func(e garnetworks.Event) bool { return !f.Match(e) })
 	return t
