--- a/emitter/emitter.go
+++ b/emitter/emitter.go
@@ -61,11 +61,11 @@
 // Dropped returns the number of lines dropped since the start.
 func (e *Emitter) Dropped() uint64 { return e.total.Load() }
 
-// Close writes what waits and returns, or returns after patience. Nothing may be
+// Close writes what waits and returns, or returns after timeout. Nothing may be
 // written afterwards.
-func (e *Emitter) Close(patience time.Duration) {
+func (e *Emitter) Close(timeout time.Duration) {
 	close(e.lines)
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-e.done:
@@ -84,70 +84,72 @@
 	}
 }
 
-// Folder bounds the lines of each cause (rule E2). It is safe for concurrent use.
-type Folder struct {
-	most   int
-	mu     sync.Mutex
-	causes map[string]*cause
-	folded atomic.Uint64
+// RateLimiter bounds the lines of each cause (rule E2). It is safe for concurrent use.
+type RateLimiter struct {
+	limit      int
+	mu         sync.Mutex
+	causes     map[string]*cause
+	suppressed atomic.Uint64
 }
 
 type cause struct {
-	second int64
-	lines  int
-	folded int
+	second     int64
+	lines      int
+	suppressed int
 }
 
-// maxCauses bounds the memory of a folder; the oldest causes are forgotten.
+// maxCauses bounds the memory of a rate limiter; the oldest causes are forgotten.
 const maxCauses = 256
 
-// NewFolder returns a folder that lets most lines of a cause through in a second.
-func NewFolder(most int) *Folder { return &Folder{most: most, causes: make(map[string]*cause)} }
+// NewRateLimiter returns a rate limiter that lets limit lines of a cause through in a second.
+func NewRateLimiter(limit int) *RateLimiter {
+	return &RateLimiter{limit: limit, causes: make(map[string]*cause)}
+}
 
-// Folded returns the number of lines held back since the start.
-func (f *Folder) Folded() uint64 { return f.folded.Load() }
+// Suppressed returns the number of lines held back since the start.
+func (l *RateLimiter) Suppressed() uint64 { return l.suppressed.Load() }
 
 // Allow reports whether a line of the cause may be written now, and how many of it
 // were held back since the last one.
-func (f *Folder) Allow(now time.Time, name string) (folded int, ok bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	c := f.causes[name]
+func (l *RateLimiter) Allow(now time.Time, name string) (suppressed int, ok bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	c := l.causes[name]
 	if c == nil {
-		if len(f.causes) >= maxCauses {
-			clear(f.causes)
+		if len(l.causes) >= maxCauses {
+			clear(l.causes)
 		}
 		c = &cause{}
-		f.causes[name] = c
+		l.causes[name] = c
 	}
 	if second := now.Unix(); second != c.second {
 		c.second, c.lines = second, 0
 	}
-	if c.lines >= f.most {
-		c.folded++
-		f.folded.Add(1)
+	if c.lines >= l.limit {
+		c.suppressed++
+		l.suppressed.Add(1)
 		return 0, false
 	}
 	c.lines++
-	folded, c.folded = c.folded, 0
-	return folded, true
+	suppressed, c.suppressed = c.suppressed, 0
+	return suppressed, true
 }
 
 // Recorder returns a recorder that tells each event in the log (rule E3) before it
 // hands it to next.
 func Recorder(logger hclog.Logger, next garnetworks.Recorder) garnetworks.Recorder {
-	return &teller{Recorder: next, logger: logger}
+	return &eventLogger{Recorder: next, logger: logger}
 }
 
-type teller struct {
+type eventLogger struct {
 	garnetworks.Recorder
 	logger hclog.Logger
 }
 
 // Record tells the event and passes it on.
-func (t *teller) Record(event garnetworks.Event) {
-	t.logger.Info(string(event.Kind), fields(&event)...)
-	t.Recorder.Record(event)
+func (l *eventLogger) Record(event garnetworks.Event) {
+	l.logger.Info(string(event.Kind), fields(&event)...)
+	l.Recorder.Record(event)
 }
 
 // fields returns the fields of an event that are set, by the names of the time
--- a/emitter/emitter_test.go
+++ b/emitter/emitter_test.go
@@ -28,7 +28,7 @@
 
 // Story: whoever collects the logs stands still for ten seconds. Calls wait for
 // their log lines, and callers wait for their answers.
-func TestNobodyWaitsForABlockedWriter(t *testing.T) {
+func TestWriteDoesNotBlockOnSlowWriter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size, lines = 10, 100
 		start := time.Now()
@@ -60,32 +60,32 @@
 // Story: a group is gone, and 2,000 calls a second are refused for it. The log
 // holds some of them and the number of the others.
 func TestLinesOfOneCauseAreBounded(t *testing.T) {
-	f := emitter.NewFolder(3)
+	l := emitter.NewRateLimiter(3)
 	now := time.Unix(100, 0)
-	written, told := 0, 0
+	written, reported := 0, 0
 	for second := range 3 {
 		for range 2000 {
-			if folded, ok := f.Allow(now.Add(time.Duration(second)*time.Second), "no-group"); ok {
+			if suppressed, ok := l.Allow(now.Add(time.Duration(second)*time.Second), "no-group"); ok {
 				written++
-				told += folded
+				reported += suppressed
 			}
 		}
 	}
-	if written != 9 || told != 2*1997 || f.Folded() != 3*1997 {
-		t.Errorf("%d lines written, %d told, %d folded", written, told, f.Folded())
+	if written != 9 || reported != 2*1997 || l.Suppressed() != 3*1997 {
+		t.Errorf("%d lines written, %d told, %d folded", written, reported, l.Suppressed())
 	}
-	if _, ok := f.Allow(now, "other"); !ok {
+	if _, ok := l.Allow(now, "other"); !ok {
 		t.Error("a line of another cause was held back")
 	}
 }
 
-type kept []garnetworks.Event
+type eventList []garnetworks.Event
 
-func (k *kept) Record(e garnetworks.Event) { *k = append(*k, e) }
+func (l *eventList) Record(e garnetworks.Event) { *l = append(*l, e) }
 
-func TestEventsAreToldInTheLog(t *testing.T) {
+func TestRecorderLogsEvents(t *testing.T) {
 	var out bytes.Buffer
-	var events kept
+	var events eventList
 	logger := hclog.New(&hclog.LoggerOptions{Output: &out, JSONFormat: true})
 	emitter.Recorder(logger, &events).Record(garnetworks.Event{Kind: garnetworks.EventMemberLost, Group: "m.1", Instance: "i-1", Detail: "why"})
 	for _, want := range []string{`"@message":"member-lost"`, `"group":"m.1"`, `"instance":"i-1"`, `"detail":"why"`} {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -76,7 +76,7 @@
 	bounds   atomic.Pointer[garnetworks.SiteBounds]
 	sequence atomic.Uint64
 	// successLines and failureLines limit the log lines of calls.
-	successLines, failureLines *emitter.Folder
+	successLines, failureLines *emitter.RateLimiter
 	stalls                     stalls
 	// onTimeCalls counts the calls that were on time, to sample them for detailed lines.
 	onTimeCalls atomic.Uint64
@@ -102,8 +102,8 @@
 	g := &Gateway{
 		options:        options,
 		changed:        options.Follower.Changed(),
-		successLines:   emitter.NewFolder(SuccessLinesPerSecond),
-		failureLines:   emitter.NewFolder(FailureLinesPerSecond),
+		successLines:   emitter.NewRateLimiter(SuccessLinesPerSecond),
+		failureLines:   emitter.NewRateLimiter(FailureLinesPerSecond),
 		scheduler:      scheduler.New(options.Zone, random),
 		picker:         picker.New(options.Zone),
 		waiters:        make(map[garnetworks.CallID]chan scheduler.Decision),
