--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -166,11 +166,11 @@
 	clocks := timekeeper.New()
 	var err error
 	prefixes := []string{options.Reader.RoutingKey(), options.Reader.ServerPrefix()}
-	if l.peers, err = newPeers(&options, objects, events, l.recorder, clocks.Woke, prefixes); err != nil {
+	if l.peers, err = newPeers(&options, objects, events, l.recorder, clocks.LastResume, prefixes); err != nil {
 		return nil, err
 	}
 	l.follower = follower.New(follower.Options{
-		Objects: l.peers.relayer, Confirmed: l.peers.relayer.Confirmed, LastResume: clocks.Woke, Reader: options.Reader, Recorder: events,
+		Objects: l.peers.relayer, Confirmed: l.peers.relayer.Confirmed, LastResume: clocks.LastResume, Reader: options.Reader, Recorder: events,
 		Acting: func() bool { return l.peers.leading() }, Alone: l.peers.relayer.Isolated,
 	})
 	l.lease, err = leaser.New(leaser.Options{
--- a/timekeeper/timekeeper.go
+++ b/timekeeper/timekeeper.go
@@ -14,29 +14,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// shortest is the difference that counts as a suspension; reading two clocks one
+// minSuspension is the difference that counts as a suspension; reading two clocks one
 // after the other takes some microseconds, and a thread may lose its turn between.
-const shortest = 100 * time.Millisecond
-
-// Keeper remembers when the instance last woke.
-type Keeper struct {
-	mu    sync.Mutex
-	slept time.Duration
-	woke  time.Time
-	read  func() (time.Duration, bool)
+const minSuspension = 100 * time.Millisecond
+
+// Detector remembers when the instance last woke.
+type Detector struct {
+	mu         sync.Mutex
+	suspended  time.Duration
+	lastResume time.Time
+	read       func() (time.Duration, bool)
 }
 
 // New returns a keeper of the instance's clocks.
-func New() *Keeper { return newKeeper(readSlept) }
+func New() *Detector { return newDetector(readSuspended) }
 
-func newKeeper(read func() (time.Duration, bool)) *Keeper {
-	k := &Keeper{read: read}
-	k.slept, _ = read()
-	return k
+func newDetector(read func() (time.Duration, bool)) *Detector {
+	d := &Detector{read: read}
+	d.suspended, _ = read()
+	return d
 }
 
-// readSlept returns how long the instance has slept since its boot.
-func readSlept() (time.Duration, bool) {
+// readSuspended returns how long the instance has slept since its boot.
+func readSuspended() (time.Duration, bool) {
 	var boot, mono unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &mono) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil {
 		return 0, false
@@ -44,18 +44,18 @@
 	return time.Duration(boot.Nano() - mono.Nano()), true
 }
 
-// Woke returns when the instance was last found to have slept; what was known
+// LastResume returns when the instance was last found to have slept; what was known
 // before that may be older than it looks. It is zero if that never happened.
-func (k *Keeper) Woke(now time.Time) time.Time {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	slept, ok := k.read()
+func (d *Detector) LastResume(now time.Time) time.Time {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	suspended, ok := d.read()
 	if !ok {
-		return k.woke
+		return d.lastResume
 	}
-	if slept-k.slept > shortest {
-		k.woke = now
+	if suspended-d.suspended > minSuspension {
+		d.lastResume = now
 	}
-	k.slept = max(k.slept, slept)
-	return k.woke
+	d.suspended = max(d.suspended, suspended)
+	return d.lastResume
 }
