--- a/emitter/emitter.go
+++ b/emitter/emitter.go
@@ -1,14 +1,14 @@
-// Package emitter writes a process's log lines, and tells the events of its time
-// line as such lines, so that the log and the time line are one account.
+// Package emitter writes a process's log without blocking its callers, limits repeated lines,
+// and logs the events of the timeline.
 //
-//	E1  Writing never waits: lines go through a bounded ring to one goroutine
-//	    that writes. What finds the ring full is dropped and counted, and the next
-//	    line that gets through is preceded by one that tells the number.
-//	E2  Lines of one cause are bounded in a second; what is beyond is counted, and
-//	    told with the cause's next line. So the volume depends on the number of
-//	    causes, not on the load.
+//	E1  Writing never blocks: lines go through a bounded queue to one goroutine
+//	    that writes them. Lines that find the queue full are dropped and counted,
+//	    and the next line written is preceded by one that gives the number.
+//	E2  Lines of one cause are limited per second. Suppressed lines are counted and
+//	    reported with the cause's next line, so the volume of the log depends on
+//	    the number of causes, not on the load.
 //	E3  An event is one line with the event's kind as its message and the same
-//	    field names as on the time line.
+//	    field names as on the timeline.
 package emitter
 
 import (
@@ -23,11 +23,11 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// DefaultLines is the number of lines that wait for a writer that is slow. At 400
-// bytes a line they take 0.8 MB.
+// DefaultLines is the default capacity of the queue of lines, which bounds its memory while
+// the writer is slow.
 const DefaultLines = 2048
 
-// Emitter is a writer that never waits (rule E1).
+// Emitter is an io.Writer that never blocks (rule E1).
 type Emitter struct {
 	out     io.Writer
 	lines   chan []byte
@@ -36,8 +36,8 @@
 	done    chan struct{}
 }
 
-// New returns an emitter that writes to out from a goroutine of its own, and holds
-// up to size lines; DefaultLines if size is not above 0.
+// New returns an emitter that writes to out in its own goroutine and queues up to size lines,
+// or DefaultLines if size is not positive.
 func New(out io.Writer, size int) *Emitter {
 	if size <= 0 {
 		size = DefaultLines
@@ -47,7 +47,7 @@
 	return e
 }
 
-// Write takes one line. It always succeeds.
+// Write queues one line, or drops it if the queue is full. It always succeeds.
 func (e *Emitter) Write(line []byte) (int, error) {
 	select {
 	case e.lines <- append([]byte(nil), line...):
@@ -61,8 +61,8 @@
 // Dropped returns the number of lines dropped since the start.
 func (e *Emitter) Dropped() uint64 { return e.total.Load() }
 
-// Close writes what waits and returns, or returns after timeout. Nothing may be
-// written afterwards.
+// Close writes the queued lines and returns when that is done or the timeout has passed.
+// Write must not be called afterwards.
 func (e *Emitter) Close(timeout time.Duration) {
 	close(e.lines)
 	timer := time.NewTimer(timeout)
@@ -77,14 +77,15 @@
 	defer close(e.done)
 	for line := range e.lines {
 		if n := e.dropped.Swap(0); n > 0 {
-			// A log that can't be written has nowhere to tell of it.
+			// A failure to write the log can't be reported anywhere.
 			_, _ = fmt.Fprintf(e.out, `{"@level":"warn","@message":"log lines dropped","count":%d}`+"\n", n)
 		}
 		_, _ = e.out.Write(line)
 	}
 }
 
-// RateLimiter bounds the lines of each cause (rule E2). It is safe for concurrent use.
+// RateLimiter limits the lines per second of each cause (rule E2). It is safe for concurrent
+// use.
 type RateLimiter struct {
 	limit      int
 	mu         sync.Mutex
@@ -98,19 +99,19 @@
 	suppressed int
 }
 
-// maxCauses bounds the memory of a rate limiter; the oldest causes are forgotten.
+// maxCauses limits the memory of a RateLimiter; when it is reached, all causes are forgotten.
 const maxCauses = 256
 
-// NewRateLimiter returns a rate limiter that lets limit lines of a cause through in a second.
+// NewRateLimiter returns a rate limiter that allows limit lines per cause and second.
 func NewRateLimiter(limit int) *RateLimiter {
 	return &RateLimiter{limit: limit, causes: make(map[string]*cause)}
 }
 
-// Suppressed returns the number of lines held back since the start.
+// Suppressed returns the number of lines suppressed since the start.
 func (l *RateLimiter) Suppressed() uint64 { return l.suppressed.Load() }
 
-// Allow reports whether a line of the cause may be written now, and how many of it
-// were held back since the last one.
+// Allow reports whether a line of the named cause may be written now, and if so, how many of
+// its lines were suppressed since the last one.
 func (l *RateLimiter) Allow(now time.Time, name string) (suppressed int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -135,8 +136,7 @@
 	return suppressed, true
 }
 
-// Recorder returns a recorder that tells each event in the log (rule E3) before it
-// hands it to next.
+// Recorder returns a recorder that logs each event (rule E3) and passes it on to next.
 func Recorder(logger hclog.Logger, next garnetworks.Recorder) garnetworks.Recorder {
 	return &eventLogger{Recorder: next, logger: logger}
 }
@@ -146,14 +146,14 @@
 	logger hclog.Logger
 }
 
-// Record tells the event and passes it on.
+// Record logs the event and passes it on.
 func (l *eventLogger) Record(event garnetworks.Event) {
 	l.logger.Info(string(event.Kind), fields(&event)...)
 	l.Recorder.Record(event)
 }
 
-// fields returns the fields of an event that are set, by the names of the time
-// line.
+// fields returns the nonempty fields of an event as log key-value pairs, named as on the
+// timeline.
 func fields(e *garnetworks.Event) []any {
 	var list []any
 	add := func(name, value string) {
--- a/emitter/emitter_test.go
+++ b/emitter/emitter_test.go
@@ -15,7 +15,7 @@
 	"github.com/garnetworks/garnetworks/emitter"
 )
 
-// slowWriter does not take anything for a while.
+// slowWriter blocks writes until a given time.
 type slowWriter struct {
 	bytes.Buffer
 	until time.Time
@@ -26,8 +26,7 @@
 	return w.Buffer.Write(p)
 }
 
-// Story: whoever collects the logs stands still for ten seconds. Calls wait for
-// their log lines, and callers wait for their answers.
+// Guards against calls that wait for their log lines while the log's reader is blocked.
 func TestWriteDoesNotBlockOnSlowWriter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size, lines = 10, 100
@@ -52,13 +51,12 @@
 			t.Errorf("%d lines written and %d dropped of %d", written, e.Dropped(), lines)
 		}
 		if want := fmt.Sprintf(`"count":%d`, e.Dropped()); !strings.Contains(text, want) {
-			t.Errorf("the log does not tell %s: %s", want, text)
+			t.Errorf("the log does not contain %s: %s", want, text)
 		}
 	})
 }
 
-// Story: a group is gone, and 2,000 calls a second are refused for it. The log
-// holds some of them and the number of the others.
+// Guards against a log flooded with lines of one cause, such as refused calls.
 func TestLinesOfOneCauseAreBounded(t *testing.T) {
 	l := emitter.NewRateLimiter(3)
 	now := time.Unix(100, 0)
@@ -72,10 +70,10 @@
 		}
 	}
 	if written != 9 || reported != 2*1997 || l.Suppressed() != 3*1997 {
-		t.Errorf("%d lines written, %d told, %d folded", written, reported, l.Suppressed())
+		t.Errorf("%d lines written, %d reported as suppressed, %d suppressed", written, reported, l.Suppressed())
 	}
 	if _, ok := l.Allow(now, "other"); !ok {
-		t.Error("a line of another cause was held back")
+		t.Error("a line of another cause was suppressed")
 	}
 }
 
