--- a/timekeeper/timekeeper.go
+++ b/timekeeper/timekeeper.go
@@ -1,10 +1,9 @@
-// Package timekeeper finds out whether the instance was suspended.
+// Package timekeeper detects whether the instance was suspended.
 //
-// Failure: a suspended instance's monotonic clock stands still, so that what a node
-// knew before the suspension looks fresh when it wakes; it would honour a key that
-// was taken away meanwhile. The clock that counts since the instance's boot goes on
-// in a suspension, and nobody sets it, so the difference of the two clocks shows
-// how long the instance slept.
+// A suspended instance's monotonic clock stops, so that state from before the suspension
+// looks fresh after it, and a node could accept a key that was revoked meanwhile.
+// CLOCK_BOOTTIME continues during a suspension and can't be set, so its difference to
+// CLOCK_MONOTONIC is the time that the instance was suspended.
 package timekeeper
 
 import (
@@ -14,11 +13,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// minSuspension is the difference that counts as a suspension; reading two clocks one
-// after the other takes some microseconds, and a thread may lose its turn between.
+// minSuspension is the smallest difference that counts as a suspension. It allows for the thread
+// being preempted between the readings of the two clocks.
 const minSuspension = 100 * time.Millisecond
 
-// Detector remembers when the instance last woke.
+// Detector detects suspensions of the instance. It is safe for concurrent use.
 type Detector struct {
 	mu         sync.Mutex
 	suspended  time.Duration
@@ -26,7 +25,7 @@
 	read       func() (time.Duration, bool)
 }
 
-// New returns a keeper of the instance's clocks.
+// New returns a detector that reads the instance's clocks.
 func New() *Detector { return newDetector(readSuspended) }
 
 func newDetector(read func() (time.Duration, bool)) *Detector {
@@ -35,7 +34,7 @@
 	return d
 }
 
-// readSuspended returns how long the instance has slept since its boot.
+// readSuspended returns the time suspended since boot, or false if the clocks can't be read.
 func readSuspended() (time.Duration, bool) {
 	var boot, mono unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &mono) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil {
@@ -44,8 +43,8 @@
 	return time.Duration(boot.Nano() - mono.Nano()), true
 }
 
-// LastResume returns when the instance was last found to have slept; what was known
-// before that may be older than it looks. It is zero if that never happened.
+// LastResume returns when a suspension was last detected, or the zero time if there was none.
+// State from before that time may be older than it looks.
 func (d *Detector) LastResume(now time.Time) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/timekeeper/timekeeper_test.go
+++ b/timekeeper/timekeeper_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Story: an instance is suspended while a key is taken away. When it wakes, its
-// monotonic clock says that the routing was confirmed a moment ago.
+// Guards against an instance that was suspended while a key was revoked and then trusts its
+// stale routing, because its monotonic clock shows a recent confirmation.
 func TestSuspensionIsFound(t *testing.T) {
 	suspended := time.Hour
 	d := newDetector(func() (time.Duration, bool) { return suspended, true })
 	start := time.Unix(0, 0)
 	if !d.LastResume(start).IsZero() {
-		t.Error("a sleep from before the start counts")
+		t.Error("a suspension from before the start counts")
 	}
 	suspended += time.Millisecond
 	if !d.LastResume(start).IsZero() {
@@ -21,10 +21,10 @@
 	suspended += 3 * time.Second
 	resumed := start.Add(time.Second)
 	if got := d.LastResume(resumed); !got.Equal(resumed) {
-		t.Errorf("woke at %v, want %v", got, resumed)
+		t.Errorf("resumed at %v, want %v", got, resumed)
 	}
 	if got := d.LastResume(resumed.Add(time.Second)); !got.Equal(resumed) {
-		t.Errorf("woke at %v later, want %v", got, resumed)
+		t.Errorf("later resumed at %v, want %v", got, resumed)
 	}
 }
 
