--- a/runner/faults_test.go
+++ b/runner/faults_test.go
@@ -22,10 +22,10 @@
 // scenario is a failure of the site and what callers may see of it.
 type scenario struct {
 	description string
-	// models requires that every call to a model completes, because other groups keep
+	// modelCallsComplete requires that every call to a model completes, because other groups keep
 	// serving.
-	models bool
-	run    func(s *virtualSite)
+	modelCallsComplete bool
+	run                func(s *virtualSite)
 }
 
 // Recovery bounds on the test clock: sums of the bounds of the steps involved, with some
@@ -64,7 +64,7 @@
 	"a zone's controller crashes": {
 		description: "The node that controls zone-a crashes. Its lease expires, " +
 			"the other node takes over, and a member lost meanwhile is replaced.",
-		models: true,
+		modelCallsComplete: true,
 		run: func(s *virtualSite) {
 			holder := s.holder("zone-a")
 			s.crash(holder)
@@ -78,12 +78,12 @@
 			s.within(groupRecoveryBound, "all groups serve", s.serving("zone-c-n0", groupsWanted))
 		},
 	},
-	"the object API is away": {
+	"the object API is unavailable": {
 		description: "The object API is unavailable, and an engine fails " +
 			"meanwhile. Calls to models go on, keyed calls are refused as not run, " +
 			"the broken group is re-formed under the holder's own term, and all " +
 			"groups serve once the API is back.",
-		models: true,
+		modelCallsComplete: true,
 		run: func(s *virtualSite) {
 			s.objects.SetFaults(faker.FaultPlan{Down: true})
 			time.Sleep(20 * time.Second)
@@ -111,7 +111,7 @@
 	"answers of the object API are lost": {
 		description: "Every third write takes effect but its response is lost, for a minute. " +
 			"No call runs twice, no lease has two holders.",
-		models: true,
+		modelCallsComplete: true,
 		run: func(s *virtualSite) {
 			for range 60 {
 				s.objects.SetFaults(faker.FaultPlan{LoseAnswers: 8, Methods: []string{faker.MethodPut}})
@@ -125,7 +125,7 @@
 		description: "zone-c is cut off from the other zones and the platform for two " +
 			"minutes. Its group goes on serving its own callers, the others go on " +
 			"without it, and a pending manifest names the zone.",
-		models: true,
+		modelCallsComplete: true,
 		run: func(s *virtualSite) {
 			s.cutZone("zone-c", true)
 			time.Sleep(10 * time.Second)
@@ -156,7 +156,7 @@
 		description: "An engine is paused for half a minute and resumes as if nothing had " +
 			"happened. Its group stops serving within the confirmation bound; the " +
 			"member is not part of any group until it is admitted again.",
-		models: true,
+		modelCallsComplete: true,
 		run: func(s *virtualSite) {
 			engine := s.fleet.Engine(s.memberIn("zone-a"))
 			engine.SetFaults(faker.FaultPlan{Frozen: true})
@@ -165,10 +165,10 @@
 			s.within(groupRecoveryBound, "all groups serve", s.serving("zone-b-n0", groupsWanted))
 		},
 	},
-	"a fabric domain goes dark": {
+	"a fabric domain loses power": {
 		description: "All engines of zone-b's domain lose power at once and come back a " +
 			"minute later, empty.",
-		models: true,
+		modelCallsComplete: true,
 		run: func(s *virtualSite) {
 			for _, e := range s.fleet.Engines() {
 				if e.Spec().Zone == "zone-b" {
@@ -188,7 +188,7 @@
 	"a node is stopped as planned": {
 		description: "An operator stops a node while calls stream through it. Each call in " +
 			"flight finishes, new ones are refused as not run, and its roles move on.",
-		models: true,
+		modelCallsComplete: true,
 		run: func(s *virtualSite) {
 			holder := s.holder("zone-a")
 			before := s.load.outcomesOf("model")
@@ -210,7 +210,7 @@
 		description: "Two operators commit lower power caps at once. One wins, " +
 			"the other gets a conflict; the site's draw falls to the new cap, and nothing " +
 			"reverts.",
-		models: true,
+		modelCallsComplete: true,
 		run: func(s *virtualSite) {
 			type result struct {
 				id  string
@@ -264,10 +264,10 @@
 			s.within(2*groupRecoveryBound, "all groups serve", s.serving("zone-b-n1", groupsWanted))
 		},
 	},
-	"open connections go silent": {
+	"open connections are blackholed": {
 		description: "A middlebox drops the state of all open connections of one node; " +
 			"new ones work. The node stays a member and its view stays fresh.",
-		models: true,
+		modelCallsComplete: true,
 		run: func(s *virtualSite) {
 			for range 4 {
 				s.network.blackholeOpen("zone-a-n0")
@@ -282,7 +282,7 @@
 		description: "A ledger server's row says that it is leaving, and an engine says so " +
 			"itself. Three seconds later neither gets new work, calls go on, and the " +
 			"engine is replaced by another.",
-		models: true,
+		modelCallsComplete: true,
 		run: func(s *virtualSite) {
 			row := ledgerRow("zone-b")
 			row.State = garnetworks.ListedLeaving
@@ -314,7 +314,7 @@
 	"a new version is rolled out": {
 		description: "A manifest brings a new version of the model. Groups move to it one " +
 			"after the other; calls go on all the time.",
-		models: true,
+		modelCallsComplete: true,
 		run: func(s *virtualSite) {
 			if _, err := s.propose("zone-a-n0", "v2", 1, s.manifestText(virtualCap, "v2")); err != nil {
 				s.t.Fatal(err)
@@ -342,7 +342,7 @@
 			"on, and each call completes. Its engines are restarted, and operators commit " +
 			"the old version again: no other group is replaced. Once an engine of the group " +
 			"that still loads is restarted, the zone is back.",
-		models: true,
+		modelCallsComplete: true,
 		run: func(s *virtualSite) {
 			before := s.groupsServing("v1")
 			if len(before) != groupsWanted {
@@ -545,10 +545,10 @@
 				s.begin()
 				s.startLoad()
 				tt.run(s)
-				if tt.models {
+				if tt.modelCallsComplete {
 					s.modelsComplete()
 				}
-				s.settle()
+				s.finishLoad()
 			})
 		})
 	}
--- a/runner/held_test.go
+++ b/runner/held_test.go
@@ -12,7 +12,7 @@
 
 // Guards against a call that crashes every engine it runs on while its caller keeps retrying:
 // at most CrashThreshold engines crash, and all nodes reject it, also after a restart.
-func TestCallThatEndsEnginesIsKnownAtAllNodes(t *testing.T) {
+func TestCallThatCrashesEnginesIsRejectedAtAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const prompt, copies = "ends its engine", 10
 		body := strings.Replace(virtualBody, "the pump at well 9 has failed", prompt, 1)
--- a/runner/random_test.go
+++ b/runner/random_test.go
@@ -68,7 +68,7 @@
 	})
 	m.clearFaults()
 	m.awaitRecovery()
-	m.settle()
+	m.finishLoad()
 }
 
 func (m *machine) wait(t *rapid.T) {
--- a/runner/views_test.go
+++ b/runner/views_test.go
@@ -24,7 +24,7 @@
 
 // Guards against each node of a zone probing all engines alone while no pulse comes because
 // the controller is being replaced: probes would multiply with the nodes.
-func TestNewControllerCausesNoStormOfProbes(t *testing.T) {
+func TestControllerReplacementDoesNotMultiplyProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		size := smallShape
 		size.nodes, size.engines, size.on = 6, 12, 12
--- a/runner/virtual_test.go
+++ b/runner/virtual_test.go
@@ -512,10 +512,10 @@
 type load struct {
 	site *virtualSite
 
-	mu       sync.Mutex
-	outcomes map[string]int
-	faults   []string
-	keys     atomic.Int64
+	mu         sync.Mutex
+	outcomes   map[string]int
+	violations []string
+	keys       atomic.Int64
 }
 
 func (s *virtualSite) startLoad() {
@@ -529,11 +529,11 @@
 	s.loading.Go(func() { s.load.watch(ctx) })
 }
 
-func (l *load) fault(format string, args ...any) {
+func (l *load) addViolation(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.faults) < 20 {
-		l.faults = append(l.faults, fmt.Sprintf(format, args...))
+	if len(l.violations) < 20 {
+		l.violations = append(l.violations, fmt.Sprintf(format, args...))
 	}
 }
 
@@ -557,7 +557,7 @@
 		a := n.answerOf(ctx, l.site.key, "POST", "/v1/completions", "", virtualBody)
 		l.count("model", a)
 		if a.outcome == string(garnetworks.OutcomeCompleted) && !strings.Contains(a.body, want) {
-			l.fault("node %s: a completed answer is incomplete: %s", id, a.body)
+			l.addViolation("node %s: a completed answer is incomplete: %s", id, a.body)
 		}
 	}
 }
@@ -581,7 +581,7 @@
 		l.count("ledger", first)
 		ran := l.site.executions(key)
 		if first.outcome == string(garnetworks.OutcomeNotRun) && ran > 0 {
-			l.fault("node %s: call %s ran %d times despite outcome not-run: %+v", id, key, ran, first)
+			l.addViolation("node %s: call %s ran %d times despite outcome not-run: %+v", id, key, ran, first)
 		}
 		other := l.site.node(l.otherNode(id))
 		if other.stopping.Load() {
@@ -590,10 +590,10 @@
 		second := other.answerOf(ctx, l.site.key, "POST", "/services/ledger/visits", key, `{"visit":"`+key+`"}`)
 		l.count("ledger again", second)
 		if ran := l.site.executions(key); ran > 1 {
-			l.fault("call %s ran %d times: %+v, then %+v", key, ran, first, second)
+			l.addViolation("call %s ran %d times: %+v, then %+v", key, ran, first, second)
 		}
 		if first.outcome == string(garnetworks.OutcomeCompleted) && second.outcome == string(garnetworks.OutcomeCompleted) && first.body != second.body {
-			l.fault("call %s got two answers: %+v, then %+v", key, first, second)
+			l.addViolation("call %s got two answers: %+v, then %+v", key, first, second)
 		}
 	}
 }
@@ -612,11 +612,11 @@
 	l.count("ledger at once", second)
 	ran := l.site.executions(key)
 	if ran > 1 {
-		l.fault("call %s ran %d times: %+v and %+v", key, ran, first, second)
+		l.addViolation("call %s ran %d times: %+v and %+v", key, ran, first, second)
 	}
 	notRun := string(garnetworks.OutcomeNotRun)
 	if first.outcome == notRun && second.outcome == notRun && ran > 0 {
-		l.fault("call %s ran despite two not-run outcomes: %+v and %+v", key, first, second)
+		l.addViolation("call %s ran despite two not-run outcomes: %+v and %+v", key, first, second)
 	}
 }
 
@@ -634,7 +634,7 @@
 	for ctx.Err() == nil {
 		time.Sleep(20 * time.Millisecond)
 		if draw := l.site.fleet.Draw(); draw > l.site.size.cap {
-			l.fault("the site draws %d W over its cap of %d W", draw, l.site.size.cap)
+			l.addViolation("the site draws %d W over its cap of %d W", draw, l.site.size.cap)
 		}
 		holders := make(map[string][]garnetworks.NodeID)
 		for _, id := range l.site.names() {
@@ -646,21 +646,21 @@
 		}
 		for name, list := range holders {
 			if len(list) > 1 {
-				l.fault("lease %s is held by %v", name, list)
+				l.addViolation("lease %s is held by %v", name, list)
 			}
 		}
 	}
 }
 
-// settle stops the load and reports the violations it found.
-func (s *virtualSite) settle() {
+// finishLoad stops the load and reports the violations it found.
+func (s *virtualSite) finishLoad() {
 	s.t.Helper()
 	s.stopLoad()
 	s.loading.Wait()
 	s.stopLoad = nil
 	s.load.mu.Lock()
 	defer s.load.mu.Unlock()
-	for _, f := range s.load.faults {
+	for _, f := range s.load.violations {
 		s.t.Error(f)
 	}
 	attempts, _ := s.fleet.Attempts()
