--- a/runner/cost_test.go
+++ b/runner/cost_test.go
@@ -22,7 +22,7 @@
 	return all[:n]
 }
 
-// costShapes grow up to the largest supported site: 8 zones of 41 nodes and 75 engines.
+// costShapes grow up to the design size: 8 zones of 41 nodes and 75 engines.
 var costShapes = []shape{
 	{zones: eightZones(3), nodes: 2, engines: 22, on: 21, groups: 15},
 	{zones: eightZones(4), nodes: 6, engines: 36, on: 34, groups: 32},
--- a/runner/faults_test.go
+++ b/runner/faults_test.go
@@ -22,8 +22,8 @@
 // scenario is a failure of the site and what callers may see of it.
 type scenario struct {
 	description string
-	// modelCallsComplete requires that every call to a model completes, because other groups keep
-	// serving.
+	// modelCallsComplete requires that every call to a model completes, because other
+	// groups keep serving.
 	modelCallsComplete bool
 	run                func(s *virtualSite)
 }
--- a/runner/probe_test.go
+++ b/runner/probe_test.go
@@ -15,16 +15,16 @@
 
 // countingRelay forwards TCP connections to an address and counts the bytes in both
 // directions.
-func countingRelay(b *testing.B, to string) (address string, count *atomic.Int64, passes *sync.WaitGroup) {
+func countingRelay(b *testing.B, to string) (address string, count *atomic.Int64, copies *sync.WaitGroup) {
 	b.Helper()
-	passes = new(sync.WaitGroup)
+	copies = new(sync.WaitGroup)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { _ = listener.Close() })
 	count = new(atomic.Int64)
-	pass := func(to, from net.Conn) {
+	copyBytes := func(to, from net.Conn) {
 		n, _ := io.Copy(to, from)
 		count.Add(n)
 		_ = to.Close()
@@ -40,11 +40,11 @@
 				_ = here.Close()
 				return
 			}
-			passes.Go(func() { pass(there, here) })
-			passes.Go(func() { pass(here, there) })
+			copies.Go(func() { copyBytes(there, here) })
+			copies.Go(func() { copyBytes(here, there) })
 		}
 	}()
-	return listener.Addr().String(), count, passes
+	return listener.Addr().String(), count, copies
 }
 
 // BenchmarkProbeBytes reports the bytes that a probe of an engine costs, including HTTP headers
@@ -59,7 +59,7 @@
 		b.Fatal(err)
 	}
 	defer func() { _ = server.Close() }()
-	address, count, passes := countingRelay(b, strings.TrimPrefix(server.URL(), "http://"))
+	address, count, copies := countingRelay(b, strings.TrimPrefix(server.URL(), "http://"))
 	orders := connector.NewEngineOrders(connector.Options{})
 	form := garnetworks.EngineOrder{
 		ID: "form-1", Kind: garnetworks.OrderForm, Token: garnetworks.NewFencingToken(3, 7), Group: "zone-a-d-3-7",
@@ -77,6 +77,6 @@
 	}
 	orders.Close()
 	_ = server.Close()
-	passes.Wait()
+	copies.Wait()
 	b.ReportMetric(float64(count.Load())/float64(probes), "B/probe")
 }
--- a/runner/reports.go
+++ b/runner/reports.go
@@ -15,11 +15,11 @@
 	// MinReportInterval is the shortest time between two reports of a node to its zone's
 	// controller.
 	MinReportInterval = 2 * time.Second
-	// MaxReportInterval is the longest time between two reports. Two of them fit into
-	// admitter.ShareBound, so that one lost report does not make a node count as silent.
+	// MaxReportInterval is the longest time between two reports. Two such intervals fit in
+	// admitter.ShareBound, so that one lost report does not make a node unresponsive.
 	MaxReportInterval = 7 * time.Second
-	// reportIntervalPerNode is multiplied by the number of nodes in the zone to get the
-	// report interval, which limits the controller's traffic.
+	// reportIntervalPerNode times the number of nodes in the zone is the report interval,
+	// within the two limits above. It limits the controller's traffic.
 	reportIntervalPerNode = 150 * time.Millisecond
 	// reportTimeout limits one report.
 	reportTimeout = time.Second
--- a/timekeeper/timekeeper.go
+++ b/timekeeper/timekeeper.go
@@ -13,8 +13,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// minSuspension is the smallest difference that counts as a suspension. It allows for the thread
-// being preempted between the readings of the two clocks.
+// minSuspension is the smallest difference that counts as a suspension. It allows for the
+// thread being preempted between the readings of the two clocks.
 const minSuspension = 100 * time.Millisecond
 
 // Detector detects suspensions of the instance. It is safe for concurrent use.
