--- a/emitter/emitter_test.go
+++ b/emitter/emitter_test.go
@@ -15,7 +15,7 @@
 	"github.com/garnetworks/garnetworks/emitter"
 )
 
-// slowWriter does not take anything for a while.
+// slowWriter blocks writes until a given time.
 type slowWriter struct {
 	bytes.Buffer
 	until time.Time
@@ -26,9 +26,8 @@
 	return w.Buffer.Write(p)
 }
 
-// Story: whoever collects the logs stands still for ten seconds. Calls wait for
-// their log lines, and callers wait for their answers.
-func TestNobodyWaitsForABlockedWriter(t *testing.T) {
+// Guards against calls that wait for their log lines while the log's reader is blocked.
+func TestWriteDoesNotBlockOnSlowWriter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size, lines = 10, 100
 		start := time.Now()
@@ -52,40 +51,39 @@
 			t.Errorf("%d lines written and %d dropped of %d", written, e.Dropped(), lines)
 		}
 		if want := fmt.Sprintf(`"count":%d`, e.Dropped()); !strings.Contains(text, want) {
-			t.Errorf("the log does not tell %s: %s", want, text)
+			t.Errorf("the log does not contain %s: %s", want, text)
 		}
 	})
 }
 
-// Story: a group is gone, and 2,000 calls a second are refused for it. The log
-// holds some of them and the number of the others.
+// Guards against a log flooded with lines of one cause, such as refused calls.
 func TestLinesOfOneCauseAreBounded(t *testing.T) {
-	f := emitter.NewFolder(3)
+	l := emitter.NewRateLimiter(3)
 	now := time.Unix(100, 0)
-	written, told := 0, 0
+	written, reported := 0, 0
 	for second := range 3 {
 		for range 2000 {
-			if folded, ok := f.Allow(now.Add(time.Duration(second)*time.Second), "no-group"); ok {
+			if suppressed, ok := l.Allow(now.Add(time.Duration(second)*time.Second), "no-group"); ok {
 				written++
-				told += folded
+				reported += suppressed
 			}
 		}
 	}
-	if written != 9 || told != 2*1997 || f.Folded() != 3*1997 {
-		t.Errorf("%d lines written, %d told, %d folded", written, told, f.Folded())
+	if written != 9 || reported != 2*1997 || l.Suppressed() != 3*1997 {
+		t.Errorf("%d lines written, %d reported as suppressed, %d suppressed", written, reported, l.Suppressed())
 	}
-	if _, ok := f.Allow(now, "other"); !ok {
-		t.Error("a line of another cause was held back")
+	if _, ok := l.Allow(now, "other"); !ok {
+		t.Error("a line of another cause was suppressed")
 	}
 }
 
-type kept []garnetworks.Event
+type eventList []garnetworks.Event
 
-func (k *kept) Record(e garnetworks.Event) { *k = append(*k, e) }
+func (l *eventList) Record(e garnetworks.Event) { *l = append(*l, e) }
 
-func TestEventsAreToldInTheLog(t *testing.T) {
+func TestRecorderLogsEvents(t *testing.T) {
 	var out bytes.Buffer
-	var events kept
+	var events eventList
 	logger := hclog.New(&hclog.LoggerOptions{Output: &out, JSONFormat: true})
 	emitter.Recorder(logger, &events).Record(garnetworks.Event{Kind: garnetworks.EventMemberLost, Group: "m.1", Instance: "i-1", Detail: "why"})
 	for _, want := range []string{`"@message":"member-lost"`, `"group":"m.1"`, `"instance":"i-1"`, `"detail":"why"`} {
--- a/runner/faults_test.go
+++ b/runner/faults_test.go
@@ -19,32 +19,31 @@
 
 func hashOf(secret string) string { return keymaker.Hash(secret) }
 
-// scenario is a failure of the whole site and what users still get.
+// scenario is a failure of the site and what callers may see of it.
 type scenario struct {
-	story string
-	// models says that each call to a model completes all the same, because
-	// other groups serve on.
-	models bool
-	run    func(s *virtualSite)
+	description string
+	// modelCallsComplete requires that every call to a model completes, because other
+	// groups keep serving.
+	modelCallsComplete bool
+	run                func(s *virtualSite)
 }
 
-// Bounds that scenarios hold a recovery to, on the test clock. They are sums of
-// the system's own bounds, with some room.
+// Recovery bounds on the test clock: sums of the bounds of the steps involved, with some
+// margin.
 const (
-	// leaseMoves is a lease's end, the successor's wait and the first steps.
-	leaseMoves = 25 * time.Second
-	// groupBack is the loss of a member, a plan, orders and loading.
-	groupBack = 45 * time.Second
-	// manifestMoves is the users' bound for a change to be in force.
-	manifestMoves = 14 * time.Second
-	// listedWithin is the lag of the instance list and the time between two
-	// reads of it.
-	listedWithin = 3500 * time.Millisecond
+	// leaseTakeoverBound covers lease expiry, the successor's wait and its first steps.
+	leaseTakeoverBound = 25 * time.Second
+	// groupRecoveryBound covers losing a member, planning, orders and loading.
+	groupRecoveryBound = 45 * time.Second
+	// manifestBound limits how long a change takes to be in force.
+	manifestBound = 14 * time.Second
+	// listLagBound covers the lag of the instance list and the interval between reads.
+	listLagBound = 3500 * time.Millisecond
 )
 
 var scenarios = map[string]scenario{
 	"nothing fails": {
-		story: "A minute without failures: every call completes.",
+		description: "A minute without failures: every call completes.",
 		run: func(s *virtualSite) {
 			time.Sleep(time.Minute)
 			for what, n := range s.load.all() {
@@ -53,7 +52,7 @@
 				}
 			}
 			if s.recorded(garnetworks.EventOrderSent) == 0 || s.recorded(garnetworks.EventGroupFormed) == 0 {
-				s.t.Error("the time lines hold no orders or no groups")
+				s.t.Error("the timelines hold no orders or no groups")
 			}
 			for _, id := range s.names() {
 				if s.node(id).eventReads.Load() == 0 {
@@ -63,33 +62,33 @@
 		},
 	},
 	"a zone's controller crashes": {
-		story: "The node that controls zone-a dies without a word. Its lease lapses, " +
+		description: "The node that controls zone-a crashes. Its lease expires, " +
 			"the other node takes over, and a member lost meanwhile is replaced.",
-		models: true,
+		modelCallsComplete: true,
 		run: func(s *virtualSite) {
 			holder := s.holder("zone-a")
 			s.crash(holder)
 			s.fleet.Engine(s.memberIn("zone-a")).SetFaults(faker.FaultPlan{Down: true})
-			s.within(leaseMoves, "another node holds the lease", func() string {
+			s.within(leaseTakeoverBound, "another node holds the lease", func() string {
 				if now := s.holder("zone-a"); now == "" || now == holder {
 					return "holder " + string(now)
 				}
 				return ""
 			})
-			s.within(groupBack, "all groups serve", s.serving("zone-c-n0", groupsWanted))
+			s.within(groupRecoveryBound, "all groups serve", s.serving("zone-c-n0", groupsWanted))
 		},
 	},
-	"the object API is away": {
-		story: "The object API answers nothing for two minutes, and an engine dies " +
+	"the object API is unavailable": {
+		description: "The object API is unavailable, and an engine fails " +
 			"meanwhile. Calls to models go on, keyed calls are refused as not run, " +
-			"the broken group is re-formed under the holder's own term, and all is " +
-			"well when the API is back.",
-		models: true,
+			"the broken group is re-formed under the holder's own term, and all " +
+			"groups serve once the API is back.",
+		modelCallsComplete: true,
 		run: func(s *virtualSite) {
 			s.objects.SetFaults(faker.FaultPlan{Down: true})
 			time.Sleep(20 * time.Second)
 			s.fleet.Engine(s.memberIn("zone-b")).SetFaults(faker.FaultPlan{Down: true})
-			s.within(groupBack, "the group is back though the object API is away", s.serving("zone-b-n1", groupsWanted))
+			s.within(groupRecoveryBound, "the group serves while the object API is unavailable", s.serving("zone-b-n1", groupsWanted))
 			before := s.load.completed("model")
 			time.Sleep(60 * time.Second)
 			if after := s.load.completed("model"); after-before < 500 {
@@ -100,33 +99,33 @@
 			}
 			s.objects.SetFaults(faker.FaultPlan{})
 			done := s.load.completed("ledger")
-			s.within(leaseMoves, "keyed calls complete again", func() string {
+			s.within(leaseTakeoverBound, "keyed calls complete again", func() string {
 				if s.load.completed("ledger") > done+5 {
 					return ""
 				}
 				return "no keyed call completed"
 			})
-			s.within(leaseMoves, "all groups serve", s.serving("zone-a-n0", groupsWanted))
+			s.within(leaseTakeoverBound, "all groups serve", s.serving("zone-a-n0", groupsWanted))
 		},
 	},
 	"answers of the object API are lost": {
-		story: "Every third write takes effect and its answer is lost, for a minute. " +
+		description: "Every third write takes effect but its response is lost, for a minute. " +
 			"No call runs twice, no lease has two holders.",
-		models: true,
+		modelCallsComplete: true,
 		run: func(s *virtualSite) {
 			for range 60 {
 				s.objects.SetFaults(faker.FaultPlan{LoseAnswers: 8, Methods: []string{faker.MethodPut}})
 				time.Sleep(time.Second)
 			}
 			s.objects.SetFaults(faker.FaultPlan{})
-			s.within(leaseMoves, "all groups serve", s.serving("zone-a-n0", groupsWanted))
+			s.within(leaseTakeoverBound, "all groups serve", s.serving("zone-a-n0", groupsWanted))
 		},
 	},
 	"a zone is cut off": {
-		story: "zone-c is cut off from the other zones and the platform for two " +
+		description: "zone-c is cut off from the other zones and the platform for two " +
 			"minutes. Its group goes on serving its own callers, the others go on " +
-			"without it, and a new manifest is held with the zone's name.",
-		models: true,
+			"without it, and a pending manifest names the zone.",
+		modelCallsComplete: true,
 		run: func(s *virtualSite) {
 			s.cutZone("zone-c", true)
 			time.Sleep(10 * time.Second)
@@ -139,9 +138,9 @@
 			}
 			time.Sleep(30 * time.Second)
 			if got := s.inForce("zone-a-n0", "during")(); got == "" {
-				s.t.Error("a manifest is in force though zone-c is cut off and not left out")
+				s.t.Error("a manifest is in force although zone-c is partitioned and not excluded")
 			} else if !regexp.MustCompile("zone-c").MatchString(got) {
-				s.t.Errorf("the held proposal does not name the zone: %s", got)
+				s.t.Errorf("the pending proposal does not name the zone: %s", got)
 			}
 			time.Sleep(80 * time.Second)
 			inside = s.nodes["zone-c-n1"].answerOf(context.Background(), s.key, "POST", "/v1/completions", "", virtualBody)
@@ -149,27 +148,27 @@
 				s.t.Errorf("a call inside the zone after two minutes: %+v", inside)
 			}
 			s.cutZone("zone-c", false)
-			s.within(time.Minute, "the held manifest is in force", s.inForce("zone-a-n0", "during"))
+			s.within(time.Minute, "the pending manifest is in force", s.inForce("zone-a-n0", "during"))
 			s.within(time.Minute, "all groups serve", s.serving("zone-a-n0", groupsWanted))
 		},
 	},
 	"a member freezes and returns": {
-		story: "An engine is paused for half a minute and goes on as if nothing had " +
+		description: "An engine is paused for half a minute and resumes as if nothing had " +
 			"happened. Its group stops serving within the confirmation bound; the " +
 			"member is not part of any group until it is admitted again.",
-		models: true,
+		modelCallsComplete: true,
 		run: func(s *virtualSite) {
 			engine := s.fleet.Engine(s.memberIn("zone-a"))
 			engine.SetFaults(faker.FaultPlan{Frozen: true})
 			time.Sleep(30 * time.Second)
 			engine.SetFaults(faker.FaultPlan{})
-			s.within(groupBack, "all groups serve", s.serving("zone-b-n0", groupsWanted))
+			s.within(groupRecoveryBound, "all groups serve", s.serving("zone-b-n0", groupsWanted))
 		},
 	},
-	"a fabric domain goes dark": {
-		story: "All engines of zone-b's domain lose power at once and come back a " +
+	"a fabric domain loses power": {
+		description: "All engines of zone-b's domain lose power at once and come back a " +
 			"minute later, empty.",
-		models: true,
+		modelCallsComplete: true,
 		run: func(s *virtualSite) {
 			for _, e := range s.fleet.Engines() {
 				if e.Spec().Zone == "zone-b" {
@@ -183,18 +182,18 @@
 					e.Restart()
 				}
 			}
-			s.within(2*groupBack, "all groups serve", s.serving("zone-a-n0", groupsWanted))
+			s.within(2*groupRecoveryBound, "all groups serve", s.serving("zone-a-n0", groupsWanted))
 		},
 	},
 	"a node is stopped as planned": {
-		story: "An operator stops a node while calls stream through it. Each call in " +
+		description: "An operator stops a node while calls stream through it. Each call in " +
 			"flight finishes, new ones are refused as not run, and its roles move on.",
-		models: true,
+		modelCallsComplete: true,
 		run: func(s *virtualSite) {
 			holder := s.holder("zone-a")
 			before := s.load.outcomesOf("model")
 			s.nodes[holder].stop()
-			s.within(leaseMoves, "another node holds the lease", func() string {
+			s.within(leaseTakeoverBound, "another node holds the lease", func() string {
 				if now := s.holder("zone-a"); now == "" || now == holder {
 					return "holder " + string(now)
 				}
@@ -208,10 +207,10 @@
 		},
 	},
 	"operators race with a lower cap": {
-		story: "Two operators commit at once, one of them a lower power cap. One wins, " +
-			"the other is told who; the site's draw falls to the new cap, and nothing " +
+		description: "Two operators commit lower power caps at once. One wins, " +
+			"the other gets a conflict; the site's draw falls to the new cap, and nothing " +
 			"reverts.",
-		models: true,
+		modelCallsComplete: true,
 		run: func(s *virtualSite) {
 			type result struct {
 				id  string
@@ -230,13 +229,13 @@
 				if r := <-results; r.err == nil {
 					won += r.id
 				} else if !garnetworks.IsKind(r.err, garnetworks.KindConflict, garnetworks.KindStaleGeneration) {
-					s.t.Errorf("the loser was told %v", r.err)
+					s.t.Errorf("the losing proposal failed with %v", r.err)
 				}
 			}
 			if caps[won] == 0 {
 				s.t.Fatalf("winners: %q, want one", won)
 			}
-			s.within(manifestMoves, "the winner's manifest is in force", s.inForce("zone-c-n0", won))
+			s.within(manifestBound, "the winner's manifest is in force", s.inForce("zone-c-n0", won))
 			s.within(2*time.Minute, "the draw is at the cap", func() string {
 				if draw := s.fleet.Draw(); draw > caps[won] {
 					return fmt.Sprintf("%d W", draw)
@@ -253,7 +252,7 @@
 		},
 	},
 	"power orders' answers are lost": {
-		story: "The answers to power orders get lost after their effect while engines " +
+		description: "The answers to power orders are lost after they took effect while engines " +
 			"die and are replaced; the draw is counted as on until proven off.",
 		run: func(s *virtualSite) {
 			s.power.SetFaults(faker.FaultPlan{LoseAnswers: -1})
@@ -262,36 +261,36 @@
 			}
 			time.Sleep(time.Minute)
 			s.power.SetFaults(faker.FaultPlan{})
-			s.within(2*groupBack, "all groups serve", s.serving("zone-b-n1", groupsWanted))
+			s.within(2*groupRecoveryBound, "all groups serve", s.serving("zone-b-n1", groupsWanted))
 		},
 	},
-	"open connections go silent": {
-		story: "Something between the nodes forgets all open connections of one node; " +
+	"open connections are blackholed": {
+		description: "A middlebox drops the state of all open connections of one node; " +
 			"new ones work. The node stays a member and its view stays fresh.",
-		models: true,
+		modelCallsComplete: true,
 		run: func(s *virtualSite) {
 			for range 4 {
-				s.network.silenceOpen("zone-a-n0")
+				s.network.blackholeOpen("zone-a-n0")
 				time.Sleep(15 * time.Second)
 				if got := s.serving("zone-a-n0", groupsWanted)(); got != "" {
-					s.t.Errorf("15 s after connections went silent: %s", got)
+					s.t.Errorf("15 s after connections were blackholed: %s", got)
 				}
 			}
 		},
 	},
 	"backend servers are leaving": {
-		story: "A ledger server's row says that it is leaving, and an engine says so " +
+		description: "A ledger server's row says that it is leaving, and an engine says so " +
 			"itself. Three seconds later neither gets new work, calls go on, and the " +
-			"engine's place is taken by another.",
-		models: true,
+			"engine is replaced by another.",
+		modelCallsComplete: true,
 		run: func(s *virtualSite) {
 			row := ledgerRow("zone-b")
 			row.State = garnetworks.ListedLeaving
 			s.list.Report(row)
 			leaving := s.memberIn("zone-a")
 			s.fleet.Engine(leaving).SetLeaving()
-			// The list shows changes 2 s late and is read once in a while.
-			time.Sleep(listedWithin + garnetworks.LeavingBound)
+			// The list shows changes 2 s late and is read periodically.
+			time.Sleep(listLagBound + garnetworks.LeavingBound)
 			before, group := s.ledgers[1].Executions(), s.groupOf(leaving)
 			attempts, _ := s.fleet.Attempts()
 			time.Sleep(10 * time.Second)
@@ -304,7 +303,7 @@
 					s.t.Errorf("call %s was sent to group %s of the leaving engine", a.Call, a.Group)
 				}
 			}
-			s.within(groupBack, "all groups serve without the engine", func() string {
+			s.within(groupRecoveryBound, "all groups serve without the engine", func() string {
 				if s.groupOf(leaving) != "" {
 					return "the engine is still a member"
 				}
@@ -313,14 +312,14 @@
 		},
 	},
 	"a new version is rolled out": {
-		story: "A manifest brings a new version of the model. Groups move to it one " +
+		description: "A manifest brings a new version of the model. Groups move to it one " +
 			"after the other; calls go on all the time.",
-		models: true,
+		modelCallsComplete: true,
 		run: func(s *virtualSite) {
 			if _, err := s.propose("zone-a-n0", "v2", 1, s.manifestText(virtualCap, "v2")); err != nil {
 				s.t.Fatal(err)
 			}
-			s.within(manifestMoves, "the manifest is in force", s.inForce("zone-b-n0", "v2"))
+			s.within(manifestBound, "the manifest is in force", s.inForce("zone-b-n0", "v2"))
 			s.within(10*time.Minute, "all groups serve the new version", func() string {
 				got := 0
 				for _, view := range s.nodes["zone-c-n0"].views.all() {
@@ -338,12 +337,12 @@
 		},
 	},
 	"a version can't be loaded": {
-		story: "A manifest names a version that the weight store lacks. One zone's " +
-			"group stops serving and loads in vain; the others serve the old version " +
+		description: "A manifest names a version that is missing from the weight store. One zone's " +
+			"group stops serving and fails to load; the others serve the old version " +
 			"on, and each call completes. Its engines are restarted, and operators commit " +
-			"the old version again: no other group moves. Once an engine of the group " +
+			"the old version again: no other group is replaced. Once an engine of the group " +
 			"that still loads is restarted, the zone is back.",
-		models: true,
+		modelCallsComplete: true,
 		run: func(s *virtualSite) {
 			before := s.groupsServing("v1")
 			if len(before) != groupsWanted {
@@ -352,7 +351,7 @@
 			if _, err := s.propose("zone-a-n0", "missing", 1, s.manifestText(virtualCap, "v9")); err != nil {
 				s.t.Fatal(err)
 			}
-			s.within(manifestMoves, "the manifest is in force", s.inForce("zone-b-n0", "missing"))
+			s.within(manifestBound, "the manifest is in force", s.inForce("zone-b-n0", "missing"))
 			s.within(time.Minute, "a zone has left the old version", func() string {
 				if left := s.groupsServing("v1"); len(left) == groupsWanted {
 					return fmt.Sprint(left)
@@ -365,7 +364,7 @@
 				s.t.Errorf("groups that still serve the old version: %v, want those of all zones but one of %v", kept, before)
 			}
 			left := s.zoneWithout(kept)
-			// With too few engines for a group the zone shows none.
+			// With too few engines for a group, the zone's views list none.
 			away := s.enginesOf(left)[:s.size.engines-3]
 			for _, e := range away {
 				e.SetFaults(faker.FaultPlan{Down: true})
@@ -379,10 +378,10 @@
 			if _, err := s.propose("zone-b-n0", "back", 2, s.manifestText(virtualCap, "v1")); err != nil {
 				s.t.Fatal(err)
 			}
-			s.within(manifestMoves, "the old version is in force", s.inForce("zone-c-n0", "back"))
+			s.within(manifestBound, "the old version is in force", s.inForce("zone-c-n0", "back"))
 			s.staysFor(30*time.Second, kept)
 			s.fleet.Engine(s.memberIn(left)).Restart()
-			s.within(groupBack, "all groups serve the old version", func() string {
+			s.within(groupRecoveryBound, "all groups serve the old version", func() string {
 				now := s.groupsServing("v1")
 				for zone, id := range kept {
 					if now[zone] != id {
@@ -401,8 +400,8 @@
 	},
 }
 
-// groupsServing returns the confirmed groups that serve the version, by zone, as
-// each zone's own node sees them.
+// groupsServing returns the confirmed groups that serve the version, by zone, as seen by a
+// node of that zone.
 func (s *virtualSite) groupsServing(version garnetworks.VersionName) map[garnetworks.ZoneID]garnetworks.GroupID {
 	found := make(map[garnetworks.ZoneID]garnetworks.GroupID)
 	for _, zone := range zones {
@@ -425,7 +424,7 @@
 	return slices.DeleteFunc(s.fleet.Engines(), func(e *faker.Engine) bool { return e.Spec().Zone != zone })
 }
 
-// zoneWithout returns the first zone that is not among the keys.
+// zoneWithout returns the first zone that is not a key of groups.
 func (s *virtualSite) zoneWithout(groups map[garnetworks.ZoneID]garnetworks.GroupID) garnetworks.ZoneID {
 	s.t.Helper()
 	for _, zone := range zones {
@@ -437,17 +436,17 @@
 	return ""
 }
 
-// staysFor fails unless the groups of the old version stay the same for a while.
+// staysFor fails if the groups that serve v1 change within the duration.
 func (s *virtualSite) staysFor(while time.Duration, want map[garnetworks.ZoneID]garnetworks.GroupID) {
 	s.t.Helper()
 	for begun := time.Now(); time.Since(begun) < while; time.Sleep(time.Second) {
 		if got := s.groupsServing("v1"); !maps.Equal(got, want) {
-			s.t.Fatalf("%v on, the groups that serve the old version are %v, want %v", time.Since(begun), got, want)
+			s.t.Fatalf("after %v, the groups that serve the old version are %v, want %v", time.Since(begun), got, want)
 		}
 	}
 }
 
-// recorded counts the events of a kind on all nodes' time lines.
+// recorded counts the events of a kind in the timelines of all nodes.
 func (s *virtualSite) recorded(kind garnetworks.EventKind) int {
 	count := 0
 	for _, id := range s.names() {
@@ -461,14 +460,14 @@
 	return count
 }
 
-// outcomesWithoutFailure are what callers see while nothing fails. Of two calls
-// with one key at the same time, one may be told that the other is in progress.
+// outcomesWithoutFailure are the outcomes callers see while nothing fails. Of two simultaneous
+// calls with one key, one may get the error that the other is in progress.
 var outcomesWithoutFailure = []string{
 	"model completed ", "ledger completed ", "ledger again completed ",
 	"ledger at once completed ", "ledger at once unknown in-progress",
 }
 
-// holder returns the node that holds the zone's lease, or nothing.
+// holder returns the node that holds the zone's lease, or an empty string.
 func (s *virtualSite) holder(zone garnetworks.ZoneID) garnetworks.NodeID {
 	for id, n := range s.nodes {
 		if n.self.Zone == zone && n.zone.Lease().Term(time.Now()) > 0 {
@@ -493,8 +492,8 @@
 	return ""
 }
 
-// modelsComplete reports calls to models that did not complete. Calls to a node
-// that stops are refused as not run, so that the balancer's next one takes them.
+// modelsComplete reports calls to models that did not complete. A stopping node may refuse
+// them as not run, because the load balancer then sends the next ones elsewhere.
 func (s *virtualSite) modelsComplete() {
 	s.t.Helper()
 	for what, n := range s.load.outcomesOf("model") {
@@ -504,7 +503,7 @@
 	}
 }
 
-// groupOf returns the group that the instance is a member of, by the views.
+// groupOf returns the group that the instance is a member of, according to zone-b-n0's views.
 func (s *virtualSite) groupOf(id garnetworks.InstanceID) garnetworks.GroupID {
 	for _, view := range s.nodes["zone-b-n0"].views.all() {
 		for i := range view.Groups {
@@ -516,7 +515,7 @@
 	return ""
 }
 
-// refused returns how many calls were refused as not run by the kind.
+// refused returns how many calls had the outcome not-run with the error kind.
 func (l *load) refused(what string, kind garnetworks.Kind) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -540,16 +539,16 @@
 	for name, tt := range scenarios {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				t.Log(tt.story)
+				t.Log(tt.description)
 				s := newVirtualSite(t, smallShape)
 				defer s.close()
 				s.begin()
 				s.startLoad()
 				tt.run(s)
-				if tt.models {
+				if tt.modelCallsComplete {
 					s.modelsComplete()
 				}
-				s.settle()
+				s.finishLoad()
 			})
 		})
 	}
--- a/runner/held_test.go
+++ b/runner/held_test.go
@@ -10,10 +10,9 @@
 	"github.com/garnetworks/garnetworks/quarantiner"
 )
 
-// A call ended each engine that began to run it, at all nodes, and its caller sent it once
-// a second. Groups were formed anew only to be lost again, and sound calls found none. The
-// engines that it ended are three, all nodes know it, and so do nodes that start later.
-func TestCallThatEndsEnginesIsKnownAtAllNodes(t *testing.T) {
+// Guards against a call that crashes every engine it runs on while its caller keeps retrying:
+// at most CrashThreshold engines crash, and all nodes reject it, also after a restart.
+func TestCallThatCrashesEnginesIsRejectedAtAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const prompt, copies = "ends its engine", 10
 		body := strings.Replace(virtualBody, "the pump at well 9 has failed", prompt, 1)
@@ -23,7 +22,7 @@
 		for _, e := range s.fleet.Engines() {
 			e.SetCrashOn(prompt)
 		}
-		ended := func() (sum int) {
+		crashes := func() (sum int) {
 			for _, e := range s.fleet.Engines() {
 				sum += e.Crashes()
 			}
@@ -34,27 +33,27 @@
 			s.node(nodes[0]).answerOf(t.Context(), s.key, "POST", "/v1/completions", "", body)
 			time.Sleep(time.Second)
 		}
-		held := func(id garnetworks.NodeID) {
+		checkQuarantined := func(id garnetworks.NodeID) {
 			a := s.node(id).answerOf(t.Context(), s.key, "POST", "/v1/completions", "", body)
 			if a.kind != string(garnetworks.KindCallQuarantined) || a.outcome != string(garnetworks.OutcomeNotRun) {
 				t.Errorf("node %s answered %+v", id, a)
 			}
 		}
 		for _, id := range nodes {
-			held(id)
+			checkQuarantined(id)
 		}
 		for _, id := range nodes {
 			s.replace(id)
 		}
 		time.Sleep(time.Minute)
 		for _, id := range nodes {
-			held(id)
+			checkQuarantined(id)
 			if a := s.node(id).answerOf(t.Context(), s.key, "POST", "/v1/completions", "", virtualBody); a.outcome != string(garnetworks.OutcomeCompleted) {
-				t.Errorf("a sound call at node %s got %+v", id, a)
+				t.Errorf("a call without a crash at node %s got %+v", id, a)
 			}
 		}
-		if n := ended(); n > quarantiner.CrashThreshold {
-			t.Errorf("%d engines ended, want %d", n, quarantiner.CrashThreshold)
+		if n := crashes(); n > quarantiner.CrashThreshold {
+			t.Errorf("%d engines crashed, want at most %d", n, quarantiner.CrashThreshold)
 		}
 	})
 }
--- a/runner/hints.go
+++ b/runner/hints.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	// hintEvery is the time between two reads of a group's cache events.
-	hintEvery = 2 * time.Second
-	// hintGroups is the largest number of groups in the own zone whose events are
-	// read. They gain a few points of hit rate where caches are small; in a larger
-	// zone every node would read more than its control budget.
-	hintGroups = 6
-	// hintBound bounds one read.
-	hintBound = time.Second
+	// hintInterval is the time between two reads of a group's cache events.
+	hintInterval = 2 * time.Second
+	// maxHintGroups is the largest number of groups in the node's zone for which cache
+	// events are read. In a larger zone the reads would exceed a node's control traffic
+	// budget.
+	maxHintGroups = 6
+	// hintTimeout limits one read.
+	hintTimeout = time.Second
 )
 
-// hintCursor is how far a group's events were read. A group with a new token
-// counts its events anew.
+// hintCursor is the position up to which a group's events were read. Event numbers restart
+// when the group gets a new token.
 type hintCursor struct {
 	token garnetworks.FencingToken
 	after uint64
 }
 
-// readHints brings the cache events of the own zone's groups to the router,
-// which drops a group's hints when its events have a gap. What can't be read is
-// left: hints only improve on the hash.
+// readHints passes the cache events of the groups in the node's zone to the router, which
+// drops a group's hints when its events have a gap. Failed reads are only logged: hints
+// improve routing but are not needed for it.
 func (r *Runner) readHints(ctx context.Context) {
 	if r.platform.Cache == nil {
 		<-ctx.Done()
 		return
 	}
 	cursors := make(map[garnetworks.GroupID]hintCursor)
-	ticker := time.NewTicker(hintEvery)
+	ticker := time.NewTicker(hintInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -46,11 +46,11 @@
 	}
 }
 
-// readHintsOnce reads each group's new events and returns how far it came.
+// readHintsOnce reads each group's new events and returns the new cursors.
 func (r *Runner) readHintsOnce(ctx context.Context, cursors map[garnetworks.GroupID]hintCursor) map[garnetworks.GroupID]hintCursor {
 	joined, ok := r.views.own()
 	next := make(map[garnetworks.GroupID]hintCursor)
-	if !ok || len(joined.View.Groups) > hintGroups {
+	if !ok || len(joined.View.Groups) > maxHintGroups {
 		return next
 	}
 	for i := range joined.View.Groups {
@@ -68,7 +68,7 @@
 }
 
 func (r *Runner) readGroupHints(ctx context.Context, g *garnetworks.GroupView, cursor hintCursor) hintCursor {
-	ctx, cancel := context.WithTimeout(ctx, hintBound)
+	ctx, cancel := context.WithTimeout(ctx, hintTimeout)
 	defer cancel()
 	events, err := r.platform.Cache.CacheEvents(ctx, g.Address, cursor.after)
 	if err != nil {
--- a/runner/join.go
+++ b/runner/join.go
@@ -20,8 +20,8 @@
 	"github.com/garnetworks/garnetworks/watcher"
 )
 
-// join makes the parts, from those that need nothing to those that need others.
-func (r *Runner) join(options Options) error {
+// build creates the components in the order of their dependencies.
+func (r *Runner) build(options Options) error {
 	r.client = messenger.NewClient(clientOptions(r, options.Network))
 	r.router = router.New(router.Options{Node: r.self.ID, Zone: r.self.Zone})
 	r.admitter = admitter.New(admitter.Options{Node: r.self.ID})
@@ -37,12 +37,12 @@
 		Orders:   r.platform.Orders,
 		Recorder: r.events,
 	})
-	r.signs = drainer.NewShared(drainer.Options{})
+	r.leaving = drainer.NewShared(drainer.Options{})
 	r.views = newViews(r)
 	r.reports = newReports(r)
-	r.joinPeers()
-	r.joinCalls(options)
-	if err := r.joinControl(); err != nil {
+	r.buildMembership()
+	r.buildCallHandling(options)
+	if err := r.buildControllers(); err != nil {
 		return err
 	}
 	var err error
@@ -64,7 +64,7 @@
 	return o
 }
 
-func (r *Runner) joinPeers() {
+func (r *Runner) buildMembership() {
 	r.distributor = distributor.New(distributor.Options{
 		Self:  r.self,
 		Peers: r.client,
@@ -101,9 +101,9 @@
 	})
 }
 
-func (r *Runner) joinCalls(options Options) {
+func (r *Runner) buildCallHandling(options Options) {
 	r.quarantine = quarantiner.New(quarantiner.Options{
-		Probe: r.prove, Objects: r.platform.Objects, Recorder: r.events,
+		Probe: r.probeCrash, Objects: r.platform.Objects, Recorder: r.events,
 		Reads: r.committer.IsWatcher, ReadWait: watcher.DefaultWait,
 		Publish: func(value []byte, revision garnetworks.Revision) {
 			r.publish(garnetworks.Update{Topic: garnetworks.TopicQuarantinedCalls, Version: garnetworks.UpdateVersion{Sequence: uint64(revision)}, Body: value})
@@ -136,29 +136,29 @@
 	})
 }
 
-// publish hands an update to the distribution. An update that is refused because
-// a newer one is held is no fault: another node was quicker.
+// publish hands an update to the distributor. A conflict is not logged: it means that
+// another node has already published a newer version.
 func (r *Runner) publish(u garnetworks.Update) {
 	if err := r.distributor.Publish(u); err != nil && !garnetworks.IsKind(err, garnetworks.KindConflict) {
 		r.log.Warn("update not published", "topic", u.Topic, "error", err)
 	}
 }
 
-// apply takes an update that the distribution brought, in the topic's order.
+// apply passes a received update to the component that handles its topic.
 func (r *Runner) apply(u garnetworks.Update) {
 	switch {
 	case committer.HandlesTopic(u.Topic):
 		r.committer.OnUpdate(u)
 	case u.Topic == garnetworks.TopicQuarantinedCalls:
 		r.quarantine.MergeObject(u.Body)
-	case r.views.take(u):
-	case r.reports.take(u):
+	case r.views.handleUpdate(u):
+	case r.reports.handleUpdate(u):
 	default:
 		r.tracker.Apply(context.Background(), u)
 	}
 }
 
-// applied takes a manifest that the node begins to decide by.
+// applied configures the components for a manifest that has come into force.
 func (r *Runner) applied(m *garnetworks.AcceptedManifest) {
 	r.router.SetZones(m.Manifest.Site.Zones)
 	r.admitter.SetManifest(&m.Manifest)
--- a/runner/network_test.go
+++ b/runner/network_test.go
@@ -11,11 +11,11 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// memoryNetwork joins nodes in one process and cuts them off from each other.
+// memoryNetwork connects nodes in one process and simulates partitions between them.
 type memoryNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*memoryListener
-	// cut reports whether bytes from one zone's node reach another's.
+	// cut reports whether connections from the first node to the second are cut.
 	cut   map[[2]garnetworks.NodeID]bool
 	conns []*memoryConn
 }
@@ -24,8 +24,8 @@
 	return &memoryNetwork{listeners: make(map[string]*memoryListener), cut: make(map[[2]garnetworks.NodeID]bool)}
 }
 
-// setCut cuts or joins two nodes. Connections that were open when it is cut stay
-// silent for good, as after a middlebox has forgotten them.
+// setCut cuts or restores the path between two nodes. Connections that were open when it
+// is cut stay blackholed, as after a middlebox has dropped their state.
 func (n *memoryNetwork) setCut(a, b garnetworks.NodeID, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -36,24 +36,23 @@
 	}
 	for _, c := range n.conns {
 		if (c.from == a && c.to == b) || (c.from == b && c.to == a) {
-			c.silence()
+			c.blackhole()
 		}
 	}
 }
 
-// silenceOpen makes all open connections of a node silent for good; new ones
-// work.
-func (n *memoryNetwork) silenceOpen(id garnetworks.NodeID) {
+// blackholeOpen blackholes all open connections of a node; new ones work.
+func (n *memoryNetwork) blackholeOpen(id garnetworks.NodeID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, c := range n.conns {
 		if c.from == id || c.to == id {
-			c.silence()
+			c.blackhole()
 		}
 	}
 }
 
-// at returns the network as one node sees it.
+// at returns the network as seen by a node.
 func (n *memoryNetwork) at(id garnetworks.NodeID) Network { return &memoryNode{n, id} }
 
 type memoryNode struct {
@@ -85,8 +84,8 @@
 		return nil, ctx.Err()
 	}
 	here, there := net.Pipe()
-	c := &memoryConn{Conn: here, from: m.id, to: l.owner, silent: make(chan struct{})}
-	back := &memoryConn{Conn: there, from: l.owner, to: m.id, silent: make(chan struct{})}
+	c := &memoryConn{Conn: here, from: m.id, to: l.owner, blackholed: make(chan struct{})}
+	back := &memoryConn{Conn: there, from: l.owner, to: m.id, blackholed: make(chan struct{})}
 	select {
 	case l.accepted <- back:
 	case <-l.closed:
@@ -140,18 +139,18 @@
 // Addr implements net.Listener.
 func (l *memoryListener) Addr() net.Addr { return l.address }
 
-// memoryConn is a connection whose writes vanish once it is silent.
+// memoryConn is a connection whose writes are dropped once it is blackholed.
 type memoryConn struct {
 	net.Conn
-	from, to garnetworks.NodeID
-	silent   chan struct{}
-	once     sync.Once
+	from, to   garnetworks.NodeID
+	blackholed chan struct{}
+	once       sync.Once
 }
 
-func (c *memoryConn) silence() {
+func (c *memoryConn) blackhole() {
 	c.once.Do(func() {
-		close(c.silent)
-		// A write that waits for its reader would hold the silence up.
+		close(c.blackholed)
+		// Unblocks a write that waits for its reader.
 		_ = c.Conn.SetWriteDeadline(time.Now())
 	})
 }
@@ -159,13 +158,13 @@
 // Write implements net.Conn.
 func (c *memoryConn) Write(b []byte) (int, error) {
 	select {
-	case <-c.silent:
+	case <-c.blackholed:
 		return len(b), nil
 	default:
 	}
 	n, err := c.Conn.Write(b)
 	select {
-	case <-c.silent:
+	case <-c.blackholed:
 		return len(b), nil
 	default:
 		return n, err
@@ -175,7 +174,7 @@
 // SetWriteDeadline implements net.Conn.
 func (c *memoryConn) SetWriteDeadline(t time.Time) error {
 	select {
-	case <-c.silent:
+	case <-c.blackholed:
 		return nil
 	default:
 		return c.Conn.SetWriteDeadline(t)
--- a/runner/peers.go
+++ b/runner/peers.go
@@ -8,7 +8,7 @@
 	"github.com/garnetworks/garnetworks/controller"
 )
 
-// peerHandler answers other nodes and operators.
+// peerHandler handles requests of other nodes and of operators.
 type peerHandler struct{ r *Runner }
 
 // Heartbeat implements garnetworks.PeerHandler.
@@ -73,7 +73,7 @@
 
 // Confirm implements garnetworks.ConfirmHandler.
 func (h *peerHandler) Confirm(ctx context.Context, request *garnetworks.ConfirmRequest) (*garnetworks.ConfirmResponse, error) {
-	h.r.views.hearPeer(time.Now())
+	h.r.views.recordPeerProbe(time.Now())
 	response, err := h.r.prober.Confirm(ctx, request)
 	if err != nil {
 		return nil, err
@@ -92,7 +92,7 @@
 	return response, nil
 }
 
-// leaseStates tells of each lease whether the node holds it.
+// leaseStates returns, for each lease, whether the node holds it.
 func (r *Runner) leaseStates() map[string]bool {
 	now := time.Now()
 	return map[string]bool{
--- a/runner/probe_test.go
+++ b/runner/probe_test.go
@@ -13,17 +13,18 @@
 	"github.com/garnetworks/garnetworks/faker"
 )
 
-// countingRelay passes bytes on to an address and counts them, both ways.
-func countingRelay(b *testing.B, to string) (address string, count *atomic.Int64, passes *sync.WaitGroup) {
+// countingRelay forwards TCP connections to an address and counts the bytes in both
+// directions.
+func countingRelay(b *testing.B, to string) (address string, count *atomic.Int64, copies *sync.WaitGroup) {
 	b.Helper()
-	passes = new(sync.WaitGroup)
+	copies = new(sync.WaitGroup)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { _ = listener.Close() })
 	count = new(atomic.Int64)
-	pass := func(to, from net.Conn) {
+	copyBytes := func(to, from net.Conn) {
 		n, _ := io.Copy(to, from)
 		count.Add(n)
 		_ = to.Close()
@@ -39,15 +40,15 @@
 				_ = here.Close()
 				return
 			}
-			passes.Go(func() { pass(there, here) })
-			passes.Go(func() { pass(here, there) })
+			copies.Go(func() { copyBytes(there, here) })
+			copies.Go(func() { copyBytes(here, there) })
 		}
 	}()
-	return listener.Addr().String(), count, passes
+	return listener.Addr().String(), count, copies
 }
 
-// BenchmarkProbeBytes reports what a probe of an engine costs on the wire, with
-// HTTP's headers and without those of TCP and IP.
+// BenchmarkProbeBytes reports the bytes that a probe of an engine costs, including HTTP headers
+// but not those of TCP and IP.
 func BenchmarkProbeBytes(b *testing.B) {
 	weights := faker.NewWeightStore(1<<30, map[garnetworks.WeightID]int64{{Model: "chat", Version: "v1"}: 1})
 	fleet := faker.NewFleet(weights, faker.NewInstanceList(0))
@@ -58,7 +59,7 @@
 		b.Fatal(err)
 	}
 	defer func() { _ = server.Close() }()
-	address, count, passes := countingRelay(b, strings.TrimPrefix(server.URL(), "http://"))
+	address, count, copies := countingRelay(b, strings.TrimPrefix(server.URL(), "http://"))
 	orders := connector.NewEngineOrders(connector.Options{})
 	form := garnetworks.EngineOrder{
 		ID: "form-1", Kind: garnetworks.OrderForm, Token: garnetworks.NewFencingToken(3, 7), Group: "zone-a-d-3-7",
@@ -76,6 +77,6 @@
 	}
 	orders.Close()
 	_ = server.Close()
-	passes.Wait()
+	copies.Wait()
 	b.ReportMetric(float64(count.Load())/float64(probes), "B/probe")
 }
--- a/runner/views.go
+++ b/runner/views.go
@@ -12,25 +12,25 @@
 	"github.com/garnetworks/garnetworks/pulser"
 )
 
-// PulseSilence is how long a node waits for a pulse of its own zone before it
-// probes by itself (N5). It is longer than a pulse can take to come: the pulses'
-// interval, a tick of the controller that sends them, and the way. With one
-// round of probes it stays below garnetworks.ConfirmationBound.
-const PulseSilence = 1900 * time.Millisecond
+// PulseTimeout is the time without a pulse of its own zone after which a node that also
+// receives no probe results probes by itself (N5). It must exceed the pulse interval plus a
+// controller tick and network delay, and together with one round of probes stay below
+// garnetworks.ConfirmationBound.
+const PulseTimeout = 1900 * time.Millisecond
 
-// views holds what the node knows of each zone's backend servers, and sends the
-// own zone's view while the node controls it.
+// views holds the latest view of each zone's backend servers, and publishes the view of the
+// node's own zone while the node controls it.
 type views struct {
 	r *Runner
 
-	mu        sync.Mutex
-	receivers map[garnetworks.ZoneID]*pulser.Receiver
-	joined    map[garnetworks.ZoneID]pulser.Joined
-	sender    *pulser.Sender
-	term      uint32
-	alone     bool
-	// heard is when a node of the zone last told what it has probed.
-	heard time.Time
+	mu           sync.Mutex
+	receivers    map[garnetworks.ZoneID]*pulser.Receiver
+	joined       map[garnetworks.ZoneID]pulser.Joined
+	sender       *pulser.Sender
+	term         uint32
+	probingAlone bool
+	// peerProbeAt is when a node of the zone last sent probe results.
+	peerProbeAt time.Time
 }
 
 func newViews(r *Runner) *views {
@@ -41,9 +41,9 @@
 	}
 }
 
-// take takes an update of a zone's view or pulse, and reports whether it was
-// one.
-func (v *views) take(u garnetworks.Update) bool {
+// handleUpdate handles updates of zone views and pulses. It reports whether the update was
+// one of them.
+func (v *views) handleUpdate(u garnetworks.Update) bool {
 	zone, ok := garnetworks.CutTopic(u.Topic, garnetworks.TopicZoneView)
 	if !ok {
 		zone, ok = garnetworks.CutTopic(u.Topic, garnetworks.TopicZoneStatus)
@@ -57,7 +57,7 @@
 		return true
 	}
 	if j, ok := joined.Get(); ok {
-		v.r.signs.Update(func(d *drainer.Drainer) { d.ObserveView(time.Now(), j.Version, &j.View) })
+		v.r.leaving.Update(func(d *drainer.Drainer) { d.ObserveView(time.Now(), j.Version, &j.View) })
 		v.route(j)
 		v.r.meter.View(j.View)
 		v.setTargets(j.View)
@@ -65,33 +65,32 @@
 	return true
 }
 
-// route hands a view to the router with all signs of leaving servers in it
-// (rule G8).
+// route passes a view to the router, with all leaving servers marked in it (rule G8).
 func (v *views) route(j pulser.Joined) {
-	v.r.router.SetView(j.At, v.r.signs.Snapshot().Apply(&j.View))
+	v.r.router.SetView(j.At, v.r.leaving.Snapshot().Apply(&j.View))
 }
 
-// takeOwnWords looks for engines of the own zone that say that they are leaving;
-// a probe hears that before the instance list or the controller does.
-func (v *views) takeOwnWords(now time.Time) {
+// observeLeavingStatuses applies changes of the leaving state that engines of the node's zone
+// report in probes, before the instance list or the controller shows them.
+func (v *views) observeLeavingStatuses(now time.Time) {
 	joined, ok := v.own()
 	if !ok {
 		return
 	}
-	known := v.r.signs.Snapshot()
-	var words []garnetworks.EngineStatus
+	snapshot := v.r.leaving.Snapshot()
+	var statuses []garnetworks.EngineStatus
 	for _, e := range joined.View.Engines {
-		status, _, heard := v.r.prober.Table().Status(e.Instance)
-		if heard && status.Leaving == known.ServerEligible(e.Instance) {
-			words = append(words, status)
+		status, _, found := v.r.prober.Table().Status(e.Instance)
+		if found && status.Leaving == snapshot.ServerEligible(e.Instance) {
+			statuses = append(statuses, status)
 		}
 	}
-	if len(words) == 0 {
+	if len(statuses) == 0 {
 		return
 	}
-	v.r.signs.Update(func(d *drainer.Drainer) {
-		for i := range words {
-			d.ObserveStatus(now, &words[i])
+	v.r.leaving.Update(func(d *drainer.Drainer) {
+		for i := range statuses {
+			d.ObserveStatus(now, &statuses[i])
 		}
 	})
 	v.route(joined)
@@ -112,7 +111,7 @@
 	return joined, err
 }
 
-// setTargets tells the prober which engines its zone has.
+// setTargets sets the engines of the node's zone as probe targets.
 func (v *views) setTargets(view garnetworks.ZoneView) {
 	if view.Zone != v.r.self.Zone {
 		return
@@ -127,7 +126,7 @@
 	v.r.prober.Table().Keep(known)
 }
 
-// own returns the own zone's view.
+// own returns the view of the node's own zone.
 func (v *views) own() (pulser.Joined, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -135,7 +134,7 @@
 	return j, ok
 }
 
-// all returns every zone's view, sorted by zone.
+// all returns the views of all zones, sorted by zone.
 func (v *views) all() []garnetworks.ZoneView {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -152,8 +151,8 @@
 	return list
 }
 
-// otherBound is the age at which another zone's view no longer counts as fresh.
-const otherBound = 3 * garnetworks.ConfirmationBound
+// otherViewMaxAge is the age up to which another zone's view counts as fresh.
+const otherViewMaxAge = 3 * garnetworks.ConfirmationBound
 
 // others returns the fresh views of the other zones.
 func (v *views) others() []garnetworks.ZoneView {
@@ -162,22 +161,23 @@
 	defer v.mu.Unlock()
 	var fresh []garnetworks.ZoneView
 	for zone, j := range v.joined {
-		if zone != v.r.self.Zone && now.Sub(j.At) <= otherBound {
+		if zone != v.r.self.Zone && now.Sub(j.At) <= otherViewMaxAge {
 			fresh = append(fresh, j.View)
 		}
 	}
 	return fresh
 }
 
-// refresh keeps probes and routes going by the node's own findings.
+// refresh sets the nodes that share the probes and confirms groups in the router from the
+// node's own probe results.
 func (v *views) refresh(now time.Time, nodes []garnetworks.NodeInfo) {
 	joined, ok := v.own()
-	silent := !ok || now.Sub(joined.At) > PulseSilence
-	alone := silent && now.Sub(v.peersHeard()) > PulseSilence
+	pulseLost := !ok || now.Sub(joined.At) > PulseTimeout
+	alone := pulseLost && now.Sub(v.lastPeerProbe()) > PulseTimeout
 	if alone {
 		nodes = []garnetworks.NodeInfo{readySelf(v.r.self)} // N5
 	}
-	v.noteAlone(alone && ok)
+	v.setProbingAlone(alone && ok)
 	v.r.prober.SetRoster(nodes)
 	table := v.r.prober.Table()
 	for i := range joined.View.Groups {
@@ -185,33 +185,34 @@
 		if g.State != garnetworks.GroupServing || !table.ConfirmedView(now, g) {
 			continue
 		}
-		v.r.router.ConfirmGroup(oldestWord(table, g.Members), g.ID, g.Token)
+		v.r.router.ConfirmGroup(oldestConfirmation(table, g.Members), g.ID, g.Token)
 	}
 }
 
-// hearPeer notes that a node of the zone told what it has probed.
-func (v *views) hearPeer(now time.Time) {
+// recordPeerProbe records that a node of the zone sent probe results.
+func (v *views) recordPeerProbe(now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.heard = now
+	v.peerProbeAt = now
 }
 
-// peersHeard returns when a node of the zone last told what it has probed.
-func (v *views) peersHeard() time.Time {
+// lastPeerProbe returns when a node of the zone last sent probe results.
+func (v *views) lastPeerProbe() time.Time {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.heard
+	return v.peerProbeAt
 }
 
-// readySelf makes the node the only one that probes; whether it takes calls
-// does not matter for that.
+// readySelf returns the node's description marked as ready, since the prober assigns probes
+// to ready nodes only. Whether the node accepts calls does not matter here.
 func readySelf(self garnetworks.NodeInfo) garnetworks.NodeInfo {
 	self.Ready = true
 	return self
 }
 
-// oldestWord returns when the member that was asked longest ago was asked.
-func oldestWord(table *prober.Table, members []garnetworks.InstanceID) time.Time {
+// oldestConfirmation returns the time of the members' oldest confirmation, or the zero time
+// if a member has none.
+func oldestConfirmation(table *prober.Table, members []garnetworks.InstanceID) time.Time {
 	var oldest time.Time
 	for _, m := range members {
 		c, ok := table.Confirmation(m)
@@ -225,18 +226,18 @@
 	return oldest
 }
 
-// noteAlone logs when the node begins to probe its zone alone.
-func (v *views) noteAlone(alone bool) {
+// setProbingAlone stores whether the node probes its zone alone, and logs when that begins.
+func (v *views) setProbingAlone(alone bool) {
 	v.mu.Lock()
-	changed := v.alone != alone
-	v.alone = alone
+	changed := v.probingAlone != alone
+	v.probingAlone = alone
 	v.mu.Unlock()
 	if changed && alone {
-		v.r.log.Info("no pulse and no other node of the own zone; probing its engines alone", "zone", v.r.self.Zone)
+		v.r.log.Info("no pulse and no probes of other nodes in this zone; probing its engines alone", "zone", v.r.self.Zone)
 	}
 }
 
-// publish sends the own zone's view on; the zone's controller calls it.
+// publish distributes the view of the node's own zone; the zone's controller calls it.
 func (v *views) publish(version garnetworks.UpdateVersion, view garnetworks.ZoneView) {
 	view.Controller = v.r.tracker.Self()
 	view.Controller.Incarnation = v.r.self.Incarnation
@@ -257,11 +258,11 @@
 	}
 }
 
-// listCache keeps the instance list's last rows on their way to the controller,
-// so that the view can name the engines without another read.
+// listCache keeps the rows of the instance list that the controller last read, so that the
+// view can include the engines without another read.
 type listCache struct {
 	garnetworks.InstanceList
-	signs *drainer.Shared
+	leaving *drainer.Shared
 
 	mu   sync.Mutex
 	rows []garnetworks.ListedInstance
@@ -274,12 +275,12 @@
 		l.mu.Lock()
 		l.rows = rows
 		l.mu.Unlock()
-		l.signs.Update(func(d *drainer.Drainer) { d.ObserveList(time.Now(), rows) })
+		l.leaving.Update(func(d *drainer.Drainer) { d.ObserveList(time.Now(), rows) })
 	}
 	return rows, err
 }
 
-// engines returns the engines of the last rows, sorted by instance.
+// engines returns the engines in the cached rows, sorted by instance.
 func (l *listCache) engines() []garnetworks.EngineView {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/timekeeper/timekeeper.go
+++ b/timekeeper/timekeeper.go
@@ -1,10 +1,9 @@
-// Package timekeeper finds out whether the instance was suspended.
+// Package timekeeper detects whether the instance was suspended.
 //
-// Failure: a suspended instance's monotonic clock stands still, so that what a node
-// knew before the suspension looks fresh when it wakes; it would honour a key that
-// was taken away meanwhile. The clock that counts since the instance's boot goes on
-// in a suspension, and nobody sets it, so the difference of the two clocks shows
-// how long the instance slept.
+// A suspended instance's monotonic clock stops, so that state from before the suspension
+// looks fresh after it, and a node could accept a key that was revoked meanwhile.
+// CLOCK_BOOTTIME continues during a suspension and can't be set, so its difference to
+// CLOCK_MONOTONIC is the time that the instance was suspended.
 package timekeeper
 
 import (
@@ -14,29 +13,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// shortest is the difference that counts as a suspension; reading two clocks one
-// after the other takes some microseconds, and a thread may lose its turn between.
-const shortest = 100 * time.Millisecond
+// minSuspension is the smallest difference that counts as a suspension. It allows for the
+// thread being preempted between the readings of the two clocks.
+const minSuspension = 100 * time.Millisecond
 
-// Keeper remembers when the instance last woke.
-type Keeper struct {
-	mu    sync.Mutex
-	slept time.Duration
-	woke  time.Time
-	read  func() (time.Duration, bool)
+// Detector detects suspensions of the instance. It is safe for concurrent use.
+type Detector struct {
+	mu         sync.Mutex
+	suspended  time.Duration
+	lastResume time.Time
+	read       func() (time.Duration, bool)
 }
 
-// New returns a keeper of the instance's clocks.
-func New() *Keeper { return newKeeper(readSlept) }
+// New returns a detector that reads the instance's clocks.
+func New() *Detector { return newDetector(readSuspended) }
 
-func newKeeper(read func() (time.Duration, bool)) *Keeper {
-	k := &Keeper{read: read}
-	k.slept, _ = read()
-	return k
+func newDetector(read func() (time.Duration, bool)) *Detector {
+	d := &Detector{read: read}
+	d.suspended, _ = read()
+	return d
 }
 
-// readSlept returns how long the instance has slept since its boot.
-func readSlept() (time.Duration, bool) {
+// readSuspended returns the time suspended since boot, or false if the clocks can't be read.
+func readSuspended() (time.Duration, bool) {
 	var boot, mono unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &mono) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil {
 		return 0, false
@@ -44,18 +43,18 @@
 	return time.Duration(boot.Nano() - mono.Nano()), true
 }
 
-// Woke returns when the instance was last found to have slept; what was known
-// before that may be older than it looks. It is zero if that never happened.
-func (k *Keeper) Woke(now time.Time) time.Time {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	slept, ok := k.read()
+// LastResume returns when a suspension was last detected, or the zero time if there was none.
+// State from before that time may be older than it looks.
+func (d *Detector) LastResume(now time.Time) time.Time {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	suspended, ok := d.read()
 	if !ok {
-		return k.woke
+		return d.lastResume
 	}
-	if slept-k.slept > shortest {
-		k.woke = now
+	if suspended-d.suspended > minSuspension {
+		d.lastResume = now
 	}
-	k.slept = max(k.slept, slept)
-	return k.woke
+	d.suspended = max(d.suspended, suspended)
+	return d.lastResume
 }
