--- a/distributor/distributor.go
+++ b/distributor/distributor.go
@@ -40,7 +40,7 @@
 	// DefaultFanout is the number of branches within a zone.
 	DefaultFanout = 4
 	// MaxHeads is how many nodes of a branch are tried (rule D5).
-	MaxHeads = 3
+	MaxForwardAttempts = 3
 	// MaxHops is the most steps an update takes; a tree over 330 nodes takes
 	// five.
 	MaxHops = 12
@@ -51,11 +51,11 @@
 	// any size fits.
 	MaxBatchBytes = 256 << 10
 	// SendBound bounds one handing on.
-	SendBound = 1500 * time.Millisecond
+	SendTimeout = 1500 * time.Millisecond
 	// RepairGrace is the time that the tree gets before repair steps in.
 	RepairGrace = 200 * time.Millisecond
 	// FailedFor is how long an address that did not answer is tried last.
-	FailedFor = 5 * time.Second
+	FailureMemory = 5 * time.Second
 	// maxJobs bounds the handings on that wait or run.
 	maxJobs = 64
 	// maxRepairs bounds the repairs in progress.
@@ -93,13 +93,13 @@
 	// unsent are topics published here that wait for a job.
 	unsent garnetworks.Set[garnetworks.Topic]
 	// failed holds when an address last gave no answer (rule D5).
-	failed map[string]time.Time
+	failedAt map[string]time.Time
 	// lacked is what each peer lacked in the last exchange (rule D6).
-	lacked map[string]map[garnetworks.Topic]garnetworks.UpdateVersion
+	peerMissing map[string]map[garnetworks.Topic]garnetworks.UpdateVersion
 
 	applyReady, sendReady chan struct{}
 	jobs                  chan job
-	slots, repairs        chan struct{}
+	jobSlots, repairSlots chan struct{}
 	synced                chan struct{}
 	syncOnce              sync.Once
 }
@@ -113,29 +113,29 @@
 		options.Log = func(error) {}
 	}
 	if options.Transient == nil {
-		options.Transient = periodic
+		options.Transient = isPeriodic
 	}
 	return &Distributor{
-		options:    options,
-		store:      newStore(options.Transient),
-		unapplied:  garnetworks.NewSet[garnetworks.Topic](),
-		unsent:     garnetworks.NewSet[garnetworks.Topic](),
-		failed:     map[string]time.Time{},
-		lacked:     map[string]map[garnetworks.Topic]garnetworks.UpdateVersion{},
-		applyReady: make(chan struct{}, 1),
-		sendReady:  make(chan struct{}, 1),
-		jobs:       make(chan job, maxJobs),
-		slots:      make(chan struct{}, maxJobs),
-		repairs:    make(chan struct{}, maxRepairs),
-		synced:     make(chan struct{}),
+		options:     options,
+		store:       newStore(options.Transient),
+		unapplied:   garnetworks.NewSet[garnetworks.Topic](),
+		unsent:      garnetworks.NewSet[garnetworks.Topic](),
+		failedAt:    map[string]time.Time{},
+		peerMissing: map[string]map[garnetworks.Topic]garnetworks.UpdateVersion{},
+		applyReady:  make(chan struct{}, 1),
+		sendReady:   make(chan struct{}, 1),
+		jobs:        make(chan job, maxJobs),
+		jobSlots:    make(chan struct{}, maxJobs),
+		repairSlots: make(chan struct{}, maxRepairs),
+		synced:      make(chan struct{}),
 	}
 }
 
 // periodic tells the topics that are sent again and again, changed or not.
-func periodic(t garnetworks.Topic) bool {
-	_, pulse := garnetworks.CutTopic(t, garnetworks.TopicZoneStatus)
+func isPeriodic(t garnetworks.Topic) bool {
+	_, status := garnetworks.CutTopic(t, garnetworks.TopicZoneStatus)
 	_, demand := garnetworks.CutTopic(t, garnetworks.TopicDemand)
-	return pulse || demand
+	return status || demand
 }
 
 // Run applies and hands on until ctx ends; it returns when all its work has
@@ -151,13 +151,13 @@
 			return
 		case j := <-d.jobs:
 			select {
-			case d.slots <- struct{}{}:
+			case d.jobSlots <- struct{}{}:
 			case <-ctx.Done():
 				return
 			}
 			group.Go(func() {
-				defer func() { <-d.slots }()
-				d.handOn(ctx, j)
+				defer func() { <-d.jobSlots }()
+				d.forward(ctx, j)
 			})
 		}
 	}
@@ -167,8 +167,8 @@
 // held one is refused with KindConflict, one above a bound with KindTooLarge.
 func (d *Distributor) Publish(update garnetworks.Update) error {
 	d.mu.Lock()
-	r := d.take(update)
-	if r == taken {
+	r := d.accept(update)
+	if r == accepted {
 		d.unsent.Add(update.Topic)
 		d.counters.published.Add(1)
 	}
@@ -182,7 +182,7 @@
 // is for values that many nodes read at once from the same place.
 func (d *Distributor) Hold(update garnetworks.Update) error {
 	d.mu.Lock()
-	r := d.take(update)
+	r := d.accept(update)
 	d.mu.Unlock()
 	signal(d.applyReady)
 	return r.error(update)
@@ -190,10 +190,10 @@
 
 // take puts the update into the store and counts what became of it. The caller
 // holds mu.
-func (d *Distributor) take(update garnetworks.Update) result {
-	r := d.store.take(update)
+func (d *Distributor) accept(update garnetworks.Update) result {
+	r := d.store.accept(update)
 	switch r {
-	case taken:
+	case accepted:
 		d.counters.accepted.Add(1)
 		d.unapplied.Add(update.Topic)
 	case duplicate:
@@ -211,31 +211,31 @@
 // Handle takes a peer's updates and hands them on to its targets later; the
 // answer is for this node alone.
 func (d *Distributor) Handle(request *garnetworks.DistributeRequest) *garnetworks.DistributeResponse {
-	targets := d.lookUp(request.Targets)
+	targets := d.resolve(request.Targets)
 	d.mu.Lock()
-	accepted := 0
+	fresh := 0
 	var jobs []job
 	for _, u := range request.Updates {
-		if d.take(u) == taken {
-			accepted++
+		if d.accept(u) == accepted {
+			fresh++
 		}
-		jobs = d.plan(jobs, u, targets, request.Hops)
+		jobs = d.appendJob(jobs, u, targets, request.Hops)
 	}
 	d.mu.Unlock()
-	if accepted > 0 {
+	if fresh > 0 {
 		signal(d.applyReady)
 	}
 	for _, j := range jobs {
 		d.enqueue(j)
 	}
-	return &garnetworks.DistributeResponse{Accepted: accepted}
+	return &garnetworks.DistributeResponse{Accepted: fresh}
 }
 
 // runPublish turns published topics into jobs. Topics published while jobs wait
 // are joined, and of one topic only the newest value is sent.
 func (d *Distributor) runPublish(ctx context.Context) {
 	for wait(ctx, d.sendReady) {
-		for _, j := range d.publications() {
+		for _, j := range d.publishJobs() {
 			select {
 			case d.jobs <- j:
 			case <-ctx.Done():
@@ -245,7 +245,7 @@
 	}
 }
 
-func (d *Distributor) publications() []job {
+func (d *Distributor) publishJobs() []job {
 	targets := d.targets()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -281,13 +281,13 @@
 // runApply brings new values into force, one after the other.
 func (d *Distributor) runApply(ctx context.Context) {
 	for wait(ctx, d.applyReady) {
-		for _, u := range d.applicable() {
+		for _, u := range d.pendingUpdates() {
 			d.options.Apply(u)
 		}
 	}
 }
 
-func (d *Distributor) applicable() []garnetworks.Update {
+func (d *Distributor) pendingUpdates() []garnetworks.Update {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var updates []garnetworks.Update
@@ -330,10 +330,10 @@
 
 // UpdatesSince returns the values that the other side, which holds versions,
 // lacks, in topic order and as far as they fit into one message.
-func (d *Distributor) UpdatesSince(versions map[garnetworks.Topic]garnetworks.UpdateVersion) []garnetworks.Update {
+func (d *Distributor) UpdatesNewerThan(versions map[garnetworks.Topic]garnetworks.UpdateVersion) []garnetworks.Update {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return firstBatch(d.store.since(versions))
+	return firstBatch(d.store.newerThan(versions))
 }
 
 // Synced is closed once this node has compared what it holds with a peer and
--- a/distributor/distributor_test.go
+++ b/distributor/distributor_test.go
@@ -29,11 +29,11 @@
 
 // TestSpread publishes at one node of a site of the design size with faults in
 // the tree, and looks when the update is in force in all running nodes.
-func TestSpread(t *testing.T) {
+func TestUpdateReachesAllNodes(t *testing.T) {
 	const nodes, zones, regions = 96, 8, 3
 	tests := map[string]struct {
-		story  string
-		before func(n *network)
+		description string
+		before      func(n *network)
 		// heal, if there is one, ends the fault a minute after the publication.
 		heal func(n *network)
 		// within is the time in which all running nodes must have the update, from
@@ -41,35 +41,35 @@
 		within time.Duration
 	}{
 		"sound": {
-			story:  "Nothing fails; only the tree's hops take time.",
-			before: func(*network) {},
-			within: 10 * time.Millisecond,
+			description: "Nothing fails; only the tree's hops take time.",
+			before:      func(*network) {},
+			within:      10 * time.Millisecond,
 		},
 		"a node is dead": {
-			story:  "A node died a moment ago and is still listed. Its branch goes to the next one.",
-			before: func(n *network) { n.stop(headOf(n, manifest(7))) },
-			within: 10 * time.Millisecond,
+			description: "A node died a moment ago and is still listed. Its branch goes to the next one.",
+			before:      func(n *network) { n.stop(firstBranchHead(n, manifest(7))) },
+			within:      10 * time.Millisecond,
 		},
 		"a node is cut off from the publisher": {
-			story: "Packets to the head of a branch are lost, so that the publisher waits in vain. The branch goes to the next one, and the head asks its neighbours.",
+			description: "Packets to the head of a branch are lost, so that the publisher waits in vain. The branch goes to the next one, and the head asks its neighbours.",
 			before: func(n *network) {
-				i := slices.IndexFunc(n.nodes, func(o garnetworks.NodeInfo) bool { return o.Address == headOf(n, manifest(7)) })
-				n.cutBetween(0, i, true)
+				i := slices.IndexFunc(n.nodes, func(o garnetworks.NodeInfo) bool { return o.Address == firstBranchHead(n, manifest(7)) })
+				n.setBlocked(0, i, true)
 			},
-			within: SendBound + time.Second + RepairGrace + 10*time.Millisecond,
+			within: SendTimeout + time.Second + RepairGrace + 10*time.Millisecond,
 		},
 		"an inner node dies after it acknowledged": {
-			story:  "The head of a region acknowledges the update and dies before it hands it on. The publisher knows nothing of it; a third of the site lacks the update until repair finds it.",
-			before: func(n *network) { n.dieAfterReceipt = headOf(n, manifest(7)) },
-			within: 3 * time.Second,
+			description: "The head of a region acknowledges the update and dies before it hands it on. The publisher knows nothing of it; a third of the site lacks the update until repair finds it.",
+			before:      func(n *network) { n.stopAfterAck = firstBranchHead(n, manifest(7)) },
+			within:      3 * time.Second,
 		},
 		"a region is cut off for a minute": {
-			story: "The publisher's region loses the others. They go on with what they have, and must catch up when the link is back.",
+			description: "The publisher's region loses the others. They go on with what they have, and must catch up when the link is back.",
 			before: func(n *network) {
 				for i, a := range n.nodes {
 					for j, b := range n.nodes {
 						if (a.Region == n.nodes[0].Region) != (b.Region == n.nodes[0].Region) {
-							n.cutBetween(i, j, true)
+							n.setBlocked(i, j, true)
 						}
 					}
 				}
@@ -94,12 +94,12 @@
 					test.heal(n)
 				}
 				began := time.Now()
-				for time.Since(began) < test.within && len(n.lacking(garnetworks.TopicManifest, version(7))) > 0 {
+				for time.Since(began) < test.within && len(n.missing(garnetworks.TopicManifest, version(7))) > 0 {
 					time.Sleep(latency)
 				}
 				t.Logf("in force in all after %v with %v a call", time.Since(began), latency)
-				if lacking := n.lacking(garnetworks.TopicManifest, version(7)); len(lacking) > 0 {
-					t.Errorf("%d nodes lack the update after %v: %v", len(lacking), test.within, lacking)
+				if missing := n.missing(garnetworks.TopicManifest, version(7)); len(missing) > 0 {
+					t.Errorf("%d nodes lack the update after %v: %v", len(missing), test.within, missing)
 				}
 			})
 		})
@@ -107,7 +107,7 @@
 }
 
 // headOf is the first node of the first branch of an update from node 0.
-func headOf(n *network, u garnetworks.Update) string {
+func firstBranchHead(n *network, u garnetworks.Update) string {
 	branches := Split(n.nodes[0], n.nodes[1:], DefaultFanout, seedOf([]garnetworks.Update{u}))
 	return branches[0][0].Address
 }
@@ -115,7 +115,7 @@
 // TestOldValuesTakeNobodyBack: A node was cut off for hours and returns with
 // old values, and a late watch brings it an old one on top. Whatever it
 // publishes or is asked for, no other node may go back, and it must catch up.
-func TestOldValuesTakeNobodyBack(t *testing.T) {
+func TestOldValuesNeverReplaceNewer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork(6, 3, 1)
 		for i := range 5 {
@@ -134,8 +134,8 @@
 			t.Errorf("an old value was taken: %v", err)
 		}
 		time.Sleep(3 * time.Second)
-		if lacking := n.lacking(garnetworks.TopicManifest, version(9)); len(lacking) > 0 {
-			t.Errorf("%v do not hold the newest value", lacking)
+		if missing := n.missing(garnetworks.TopicManifest, version(9)); len(missing) > 0 {
+			t.Errorf("%v do not hold the newest value", missing)
 		}
 		for address, p := range n.running {
 			if applied := p.applied[garnetworks.TopicManifest]; !slices.IsSortedFunc(applied, compareVersions) {
@@ -159,7 +159,7 @@
 // through and no call to it. It is in the roster and serves callers, so it must
 // not miss an update; and one that can be called but calls nobody must not
 // either, when it was cut off for the time of the tree.
-func TestNodeThatNobodyCanCall(t *testing.T) {
+func TestOneWayPartition(t *testing.T) {
 	for name, inbound := range map[string]bool{"can't be called": true, "can't call": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -169,17 +169,17 @@
 				}
 				defer n.stopAll()
 				for i := range 5 {
-					n.cutBetween(i, 5, true)
-					n.cutBetween(5, i, !inbound)
+					n.setBlocked(i, 5, true)
+					n.setBlocked(5, i, !inbound)
 				}
 				mustPublish(t, n.running[n.nodes[2].Address], manifest(1))
 				time.Sleep(500 * time.Millisecond)
 				for i := range 5 {
-					n.cutBetween(i, 5, inbound)
+					n.setBlocked(i, 5, inbound)
 				}
 				time.Sleep(3 * time.Second)
-				if lacking := n.lacking(garnetworks.TopicManifest, version(1)); len(lacking) > 0 {
-					t.Errorf("%v lack the update", lacking)
+				if missing := n.missing(garnetworks.TopicManifest, version(1)); len(missing) > 0 {
+					t.Errorf("%v lack the update", missing)
 				}
 			})
 		})
@@ -189,26 +189,26 @@
 // TestSilentNodeDelaysOneUpdate: Packets to a node that heads a branch are lost
 // and the node is still listed. Only the first update waits for it; if each one
 // did, every change would take seconds until the node is found to be lost.
-func TestSilentNodeDelaysOneUpdate(t *testing.T) {
+func TestUnresponsiveNodeDelaysOneUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork(24, 3, 1)
 		for i := range n.nodes {
 			n.start(i)
 		}
 		defer n.stopAll()
-		head := headOf(n, manifest(7))
+		head := firstBranchHead(n, manifest(7))
 		silent := slices.IndexFunc(n.nodes, func(o garnetworks.NodeInfo) bool { return o.Address == head })
-		n.cutBetween(0, silent, true)
+		n.setBlocked(0, silent, true)
 		next := uint64(8)
-		for headOf(n, manifest(next)) != head {
+		for firstBranchHead(n, manifest(next)) != head {
 			next++
 		}
 		mustPublish(t, n.running[n.nodes[0].Address], manifest(7))
-		time.Sleep(SendBound + 10*time.Millisecond)
+		time.Sleep(SendTimeout + 10*time.Millisecond)
 		mustPublish(t, n.running[n.nodes[0].Address], manifest(next))
 		time.Sleep(20 * time.Millisecond)
-		if lacking := n.lacking(garnetworks.TopicManifest, version(next)); len(lacking) > 0 {
-			t.Errorf("the second update waited, too: %v lack it", lacking)
+		if missing := n.missing(garnetworks.TopicManifest, version(next)); len(missing) > 0 {
+			t.Errorf("the second update waited, too: %v lack it", missing)
 		}
 	})
 }
@@ -216,7 +216,7 @@
 // TestHandsOnOnce: Messages come twice, or go round in a loop of nodes with
 // different rosters. Each would double the traffic of the whole branch, or keep
 // it up for ever.
-func TestHandsOnOnce(t *testing.T) {
+func TestForwardsOnce(t *testing.T) {
 	targets := []string{"10.0.0.1:7000", "10.0.0.2:7000"}
 	tests := map[string]struct {
 		requests []*garnetworks.DistributeRequest
@@ -272,12 +272,12 @@
 		time.Sleep(2 * time.Second)
 		digest := n.running[n.nodes[0].Address].Digest()
 		for i := range n.nodes[1:] {
-			n.cutBetween(i, 5, true)
+			n.setBlocked(i, 5, true)
 		}
-		pulse := garnetworks.Update{Topic: garnetworks.TopicZoneStatus + "zone-0", Version: version(7), Body: []byte("pulse")}
-		mustPublish(t, n.running[n.nodes[0].Address], pulse)
+		status := garnetworks.Update{Topic: garnetworks.TopicZoneStatus + "zone-0", Version: version(7), Body: []byte("pulse")}
+		mustPublish(t, n.running[n.nodes[0].Address], status)
 		time.Sleep(5 * time.Second)
-		if got := n.lacking(pulse.Topic, version(7)); !slices.Equal(got, []string{n.nodes[5].Address}) {
+		if got := n.missing(status.Topic, version(7)); !slices.Equal(got, []string{n.nodes[5].Address}) {
 			t.Errorf("%v lack the pulse, want only the node that was cut off", got)
 		}
 		for address, p := range n.running {
@@ -321,14 +321,14 @@
 	rapid.Check(t, func(r *rapid.T) {
 		steps := drawSteps(r, nodes)
 		var failures []string
-		synctest.Test(t, func(*testing.T) { failures = play(newNetwork(nodes, 3, 2), steps) })
+		synctest.Test(t, func(*testing.T) { failures = runSteps(newNetwork(nodes, 3, 2), steps) })
 		if len(failures) > 0 {
 			r.Fatal(failures)
 		}
 	})
 }
 
-func play(n *network, steps []step) []string {
+func runSteps(n *network, steps []step) []string {
 	var all []*peer
 	for i := range n.nodes {
 		all = append(all, n.start(i))
@@ -342,13 +342,13 @@
 				newest[s.update.Topic] = s.update.Version
 			}
 		case "cut":
-			n.cutBetween(s.node, s.other, true)
+			n.setBlocked(s.node, s.other, true)
 		case "heal":
 			n.heal()
 		case "restart":
 			// Of a value that only one process ever held, nothing is promised.
 			time.Sleep(20 * time.Second)
-			if len(n.lackingAny(newest)) == 0 {
+			if len(n.missingAny(newest)) == 0 {
 				n.stop(n.nodes[s.node].Address)
 				all = append(all, n.start(s.node))
 			}
@@ -357,7 +357,7 @@
 	}
 	n.heal()
 	time.Sleep(40 * time.Second)
-	failures := n.lackingAny(newest)
+	failures := n.missingAny(newest)
 	for _, p := range all {
 		for topic, applied := range p.applied {
 			if !slices.IsSortedFunc(applied, compareVersions) {
@@ -371,13 +371,13 @@
 func (n *network) heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	clear(n.cut)
+	clear(n.blocked)
 }
 
-func (n *network) lackingAny(newest map[garnetworks.Topic]garnetworks.UpdateVersion) []string {
+func (n *network) missingAny(newest map[garnetworks.Topic]garnetworks.UpdateVersion) []string {
 	var all []string
 	for topic, v := range newest {
-		for _, address := range n.lacking(topic, v) {
+		for _, address := range n.missing(topic, v) {
 			all = append(all, fmt.Sprintf("%s lacks %s %v", address, topic, v))
 		}
 	}
@@ -395,7 +395,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			nodes := siteOf(test.nodes, test.zones, test.regions)
+			nodes := siteNodes(test.nodes, test.zones, test.regions)
 			for seed := range uint64(20) {
 				self := nodes[seed%uint64(len(nodes))]
 				targets := slices.DeleteFunc(slices.Clone(nodes), func(o garnetworks.NodeInfo) bool { return o.ID == self.ID })
--- a/distributor/handon.go
+++ b/distributor/handon.go
@@ -17,7 +17,7 @@
 
 // plan adds the handing on of u to the jobs, joined to the last one if the
 // targets are the same. The caller holds mu.
-func (d *Distributor) plan(jobs []job, u garnetworks.Update, targets []garnetworks.NodeInfo, hops int) []job {
+func (d *Distributor) appendJob(jobs []job, u garnetworks.Update, targets []garnetworks.NodeInfo, hops int) []job {
 	if len(targets) == 0 {
 		return jobs
 	}
@@ -27,17 +27,17 @@
 		d.counters.refused.Add(1)
 		return jobs
 	}
-	left := d.store.claim(u, targets)
-	if len(left) == 0 {
+	remaining := d.store.claim(u, targets)
+	if len(remaining) == 0 {
 		return jobs
 	}
 	// Of two bodies under one version, the one held here is handed on.
 	u = d.store.held[u.Topic]
-	if n := len(jobs) - 1; n >= 0 && len(jobs[n].targets) == len(left) && len(left) == len(targets) {
+	if n := len(jobs) - 1; n >= 0 && len(jobs[n].targets) == len(remaining) && len(remaining) == len(targets) {
 		jobs[n].updates = append(jobs[n].updates, u)
 		return jobs
 	}
-	return append(jobs, job{updates: []garnetworks.Update{u}, targets: left, hops: hops})
+	return append(jobs, job{updates: []garnetworks.Update{u}, targets: remaining, hops: hops})
 }
 
 // enqueue never blocks: a peer's call must not wait for other peers. What does
@@ -52,7 +52,7 @@
 
 // lookUp returns the nodes with the given addresses; of an unknown one, only
 // the address is known, and it is treated as one of the own zone.
-func (d *Distributor) lookUp(addresses []string) []garnetworks.NodeInfo {
+func (d *Distributor) resolve(addresses []string) []garnetworks.NodeInfo {
 	if len(addresses) == 0 {
 		return nil
 	}
@@ -72,7 +72,7 @@
 }
 
 // handOn sends the job's updates down its branches (rule D2).
-func (d *Distributor) handOn(ctx context.Context, j job) {
+func (d *Distributor) forward(ctx context.Context, j job) {
 	updates := d.newest(j.updates)
 	seed := seedOf(updates)
 	var group sync.WaitGroup
@@ -86,20 +86,20 @@
 func (d *Distributor) newest(updates []garnetworks.Update) []garnetworks.Update {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	fresh := make([]garnetworks.Update, 0, len(updates))
+	current := make([]garnetworks.Update, 0, len(updates))
 	for _, u := range updates {
 		if held, ok := d.store.held[u.Topic]; ok && u.Version.Less(held.Version) {
 			u = held
 		}
-		fresh = append(fresh, u)
+		current = append(current, u)
 	}
-	return fresh
+	return current
 }
 
 // send hands a branch to its first node that answers (rule D5).
 func (d *Distributor) send(ctx context.Context, updates []garnetworks.Update, branch []garnetworks.NodeInfo, hops int) {
 	branch = d.failedLast(branch)
-	for range MaxHeads {
+	for range MaxForwardAttempts {
 		if len(branch) == 0 || ctx.Err() != nil {
 			return
 		}
@@ -122,15 +122,15 @@
 }
 
 func (d *Distributor) call(ctx context.Context, address string, request *garnetworks.DistributeRequest) error {
-	ctx, cancel := context.WithTimeout(ctx, SendBound)
+	ctx, cancel := context.WithTimeout(ctx, SendTimeout)
 	defer cancel()
 	_, err := d.options.Peers.Distribute(ctx, address, request)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err != nil {
-		d.failed[address] = time.Now()
+		d.failedAt[address] = time.Now()
 	} else {
-		delete(d.failed, address)
+		delete(d.failedAt, address)
 	}
 	return err
 }
@@ -143,12 +143,12 @@
 	now := time.Now()
 	var first, last []garnetworks.NodeInfo
 	for _, n := range branch {
-		at, failed := d.failed[n.Address]
+		at, found := d.failedAt[n.Address]
 		switch {
-		case !failed:
+		case !found:
 			first = append(first, n)
-		case now.Sub(at) > FailedFor:
-			delete(d.failed, n.Address)
+		case now.Sub(at) > FailureMemory:
+			delete(d.failedAt, n.Address)
 			first = append(first, n)
 		default:
 			last = append(last, n)
--- a/distributor/network_test.go
+++ b/distributor/network_test.go
@@ -16,11 +16,11 @@
 	mu      sync.Mutex
 	nodes   []garnetworks.NodeInfo
 	running map[string]*peer
-	cut     map[[2]string]bool
+	blocked map[[2]string]bool
 	// dieAfterReceipt stops the process at an address once it has acknowledged
 	// an update.
-	dieAfterReceipt string
-	calls           int
+	stopAfterAck string
+	calls        int
 }
 
 // peer is a running process.
@@ -37,12 +37,12 @@
 
 // newNetwork returns nodes spread over zones, and zones over regions.
 func newNetwork(nodes, zones, regions int) *network {
-	n := &network{running: map[string]*peer{}, cut: map[[2]string]bool{}}
-	n.nodes = siteOf(nodes, zones, regions)
+	n := &network{running: map[string]*peer{}, blocked: map[[2]string]bool{}}
+	n.nodes = siteNodes(nodes, zones, regions)
 	return n
 }
 
-func siteOf(nodes, zones, regions int) []garnetworks.NodeInfo {
+func siteNodes(nodes, zones, regions int) []garnetworks.NodeInfo {
 	var all []garnetworks.NodeInfo
 	for i := range nodes {
 		z := i % zones
@@ -63,14 +63,14 @@
 	from    string
 }
 
-func (c caller) reach(ctx context.Context, address string) (*peer, error) {
+func (c caller) connect(ctx context.Context, address string) (*peer, error) {
 	c.network.mu.Lock()
 	p, ok := c.network.running[address]
-	cut := c.network.cut[[2]string{c.from, address}]
+	blocked := c.network.blocked[[2]string{c.from, address}]
 	c.network.calls++
 	c.network.mu.Unlock()
 	switch {
-	case cut:
+	case blocked:
 		<-ctx.Done()
 		return nil, garnetworks.Errorf(garnetworks.KindUnreachable, "cut")
 	case !ok:
@@ -82,14 +82,14 @@
 }
 
 func (c caller) Distribute(ctx context.Context, address string, q *garnetworks.DistributeRequest) (*garnetworks.DistributeResponse, error) {
-	p, err := c.reach(ctx, address)
+	p, err := c.connect(ctx, address)
 	if err != nil {
 		return nil, err
 	}
 	c.network.mu.Lock()
-	dies := c.network.dieAfterReceipt == address
+	stops := c.network.stopAfterAck == address
 	c.network.mu.Unlock()
-	if dies {
+	if stops {
 		c.network.stop(address)
 		return &garnetworks.DistributeResponse{Accepted: len(q.Updates)}, nil
 	}
@@ -97,7 +97,7 @@
 }
 
 func (c caller) Fetch(ctx context.Context, address string, q *garnetworks.FetchRequest) (*garnetworks.FetchResponse, error) {
-	p, err := c.reach(ctx, address)
+	p, err := c.connect(ctx, address)
 	if err != nil {
 		return nil, err
 	}
@@ -105,7 +105,7 @@
 }
 
 func (c caller) Heartbeat(ctx context.Context, address string, q *garnetworks.HeartbeatRequest) (*garnetworks.HeartbeatResponse, error) {
-	p, err := c.reach(ctx, address)
+	p, err := c.connect(ctx, address)
 	if err != nil {
 		return nil, err
 	}
@@ -133,13 +133,13 @@
 	n.running[info.Address] = p
 	n.mu.Unlock()
 	p.done.Go(func() { p.Run(ctx) })
-	p.done.Go(func() { n.beat(ctx, i, p) })
+	p.done.Go(func() { n.runHeartbeats(ctx, i, p) })
 	return p
 }
 
 // beat compares with two neighbours each second and with another zone now and
 // then, as the tracker does.
-func (n *network) beat(ctx context.Context, i int, p *peer) {
+func (n *network) runHeartbeats(ctx context.Context, i int, p *peer) {
 	for round := 1; ; round++ {
 		select {
 		case <-ctx.Done():
@@ -158,13 +158,13 @@
 }
 
 func (n *network) neighbours(i int) []garnetworks.NodeInfo {
-	var near []garnetworks.NodeInfo
-	for j := 1; j < len(n.nodes) && len(near) < 2; j++ {
+	var sameZone []garnetworks.NodeInfo
+	for j := 1; j < len(n.nodes) && len(sameZone) < 2; j++ {
 		if other := n.nodes[(i+j)%len(n.nodes)]; other.Zone == n.nodes[i].Zone {
-			near = append(near, other)
+			sameZone = append(sameZone, other)
 		}
 	}
-	return near
+	return sameZone
 }
 
 func (n *network) compare(ctx context.Context, p *peer, address string) {
@@ -199,27 +199,27 @@
 	}
 }
 
-func (n *network) cutBetween(from, to int, cut bool) {
+func (n *network) setBlocked(from, to int, blocked bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[[2]string{n.nodes[from].Address, n.nodes[to].Address}] = cut
+	n.blocked[[2]string{n.nodes[from].Address, n.nodes[to].Address}] = blocked
 }
 
 // lacking returns the running nodes in which the version is not in force.
-func (n *network) lacking(topic garnetworks.Topic, v garnetworks.UpdateVersion) []string {
+func (n *network) missing(topic garnetworks.Topic, v garnetworks.UpdateVersion) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	var lacking []string
+	var missing []string
 	for address, p := range n.running {
 		p.mu.Lock()
 		applied := p.applied[topic]
 		p.mu.Unlock()
 		if len(applied) == 0 || applied[len(applied)-1] != v {
-			lacking = append(lacking, address)
+			missing = append(missing, address)
 		}
 	}
-	slices.Sort(lacking)
-	return lacking
+	slices.Sort(missing)
+	return missing
 }
 
 func version(sequence uint64) garnetworks.UpdateVersion {
--- a/distributor/repair.go
+++ b/distributor/repair.go
@@ -35,13 +35,13 @@
 		return
 	}
 	if len(response.Versions) == 0 && response.Digest == d.Digest() {
-		d.forget(address)
+		d.forgetMissing(address)
 		d.syncOnce.Do(func() { close(d.synced) })
 		return
 	}
 	select {
-	case d.repairs <- struct{}{}:
-		defer func() { <-d.repairs }()
+	case d.repairSlots <- struct{}{}:
+		defer func() { <-d.repairSlots }()
 	default:
 		return
 	}
@@ -68,26 +68,26 @@
 	}
 }
 
-func (d *Distributor) forget(address string) {
+func (d *Distributor) forgetMissing(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.lacked, address)
+	delete(d.peerMissing, address)
 }
 
-func (d *Distributor) repair(ctx context.Context, address string, theirs map[garnetworks.Topic]garnetworks.UpdateVersion) {
-	if err := d.pull(ctx, address, theirs); err != nil {
+func (d *Distributor) repair(ctx context.Context, address string, peerVersions map[garnetworks.Topic]garnetworks.UpdateVersion) {
+	if err := d.pull(ctx, address, peerVersions); err != nil {
 		d.options.Log(err)
 		return
 	}
 	d.syncOnce.Do(func() { close(d.synced) })
-	if err := d.push(ctx, address, theirs); err != nil {
+	if err := d.push(ctx, address, peerVersions); err != nil {
 		d.options.Log(err)
 	}
 }
 
 // pull fetches what the peer has and this node lacks, message by message.
-func (d *Distributor) pull(ctx context.Context, address string, theirs map[garnetworks.Topic]garnetworks.UpdateVersion) error {
-	for missing := d.Missing(theirs); len(missing) > 0; {
+func (d *Distributor) pull(ctx context.Context, address string, peerVersions map[garnetworks.Topic]garnetworks.UpdateVersion) error {
+	for missing := d.Missing(peerVersions); len(missing) > 0; {
 		before := len(missing)
 		response, err := d.fetch(ctx, address, missing)
 		if err != nil {
@@ -95,7 +95,7 @@
 		}
 		request := &garnetworks.DistributeRequest{Updates: response.Updates, Targets: d.zoneTargets(address)}
 		d.counters.repaired.Add(uint64(d.Handle(request).Accepted))
-		missing = d.Missing(theirs)
+		missing = d.Missing(peerVersions)
 		if len(missing) >= before {
 			return garnetworks.Errorf(garnetworks.KindNotFound, "peer %s did not give topic %s", address, missing[0])
 		}
@@ -112,20 +112,20 @@
 	if !d.isSynced() {
 		return nil
 	}
-	var near []string
+	var sameZone []string
 	for _, n := range d.targets() {
 		if n.Address == address && n.Zone == d.options.Self.Zone {
 			return nil
 		}
 		if n.Zone == d.options.Self.Zone {
-			near = append(near, n.Address)
+			sameZone = append(sameZone, n.Address)
 		}
 	}
-	return near
+	return sameZone
 }
 
 func (d *Distributor) fetch(ctx context.Context, address string, topics []garnetworks.Topic) (*garnetworks.FetchResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, SendBound)
+	ctx, cancel := context.WithTimeout(ctx, SendTimeout)
 	defer cancel()
 	return d.options.Peers.Fetch(ctx, address, &garnetworks.FetchRequest{Topics: topics})
 }
@@ -133,19 +133,19 @@
 // push gives the peer what it lacked in this exchange and the one before. A
 // peer that only lags behind the tree, or fetches by its own heartbeats, is
 // left alone; one that can't call anyone is served.
-func (d *Distributor) push(ctx context.Context, address string, theirs map[garnetworks.Topic]garnetworks.UpdateVersion) error {
+func (d *Distributor) push(ctx context.Context, address string, peerVersions map[garnetworks.Topic]garnetworks.UpdateVersion) error {
 	d.mu.Lock()
-	lacking := map[garnetworks.Topic]garnetworks.UpdateVersion{}
+	missing := map[garnetworks.Topic]garnetworks.UpdateVersion{}
 	var updates []garnetworks.Update
-	for _, u := range d.store.since(theirs) {
-		lacking[u.Topic] = u.Version
-		if d.lacked[address][u.Topic] == u.Version {
+	for _, u := range d.store.newerThan(peerVersions) {
+		missing[u.Topic] = u.Version
+		if d.peerMissing[address][u.Topic] == u.Version {
 			updates = append(updates, u)
 		}
 	}
-	d.lacked[address] = lacking
-	if len(d.lacked) > MaxTopics {
-		clear(d.lacked)
+	d.peerMissing[address] = missing
+	if len(d.peerMissing) > MaxTopics {
+		clear(d.peerMissing)
 	}
 	d.mu.Unlock()
 	if len(updates) == 0 {
--- a/distributor/site_test.go
+++ b/distributor/site_test.go
@@ -51,7 +51,7 @@
 
 // openSite starts nodes in zones of three regions and waits until each knows
 // all.
-func openSite(tb testing.TB, nodes, zones int) *entrySite {
+func startSite(tb testing.TB, nodes, zones int) *entrySite {
 	s := &entrySite{objects: faker.NewObjects(faker.ObjectsOptions{})}
 	var listeners []net.Listener
 	var seeds []string
@@ -66,7 +66,7 @@
 		}
 	}
 	for i, l := range listeners {
-		s.entries = append(s.entries, openEntry(tb, s.objects, l, seeds, i, zones))
+		s.entries = append(s.entries, startEntry(tb, s.objects, l, seeds, i, zones))
 	}
 	tb.Cleanup(s.close)
 	s.await(tb)
@@ -74,19 +74,19 @@
 }
 
 // patience ends a test that would hang; it decides nothing else.
-const patience = 2 * time.Minute
+const awaitTimeout = 2 * time.Minute
 
 // await returns when all nodes know all and hold the same values.
 func (s *entrySite) await(tb testing.TB) {
 	tb.Helper()
 	for began := time.Now(); !s.complete(); time.Sleep(50 * time.Millisecond) {
-		if time.Since(began) > patience {
+		if time.Since(began) > awaitTimeout {
 			tb.Fatal("the nodes do not come to one view")
 		}
 	}
 }
 
-func openEntry(tb testing.TB, objects garnetworks.ObjectAPI, l net.Listener, seeds []string, i, zones int) *entry {
+func startEntry(tb testing.TB, objects garnetworks.ObjectAPI, l net.Listener, seeds []string, i, zones int) *entry {
 	zone := i % zones
 	e := &entry{
 		info: garnetworks.NodeInfo{
@@ -97,8 +97,8 @@
 		traffic: new(messenger.Traffic),
 		applied: make(chan garnetworks.Update, 1024),
 	}
-	line := recorder.New(e.info.ID, 0)
-	client := messenger.NewClient(messenger.ClientOptions{Clock: line, Traffic: e.traffic, Recorder: line})
+	rec := recorder.New(e.info.ID, 0)
+	client := messenger.NewClient(messenger.ClientOptions{Clock: rec, Traffic: e.traffic, Recorder: rec})
 	ctx, cancel := context.WithCancel(context.Background())
 	e.cancel = func() { cancel(); client.Close() }
 	e.distributor = distributor.New(distributor.Options{
@@ -112,10 +112,10 @@
 		},
 	})
 	e.tracker = tracker.New(tracker.Options{
-		Self: e.info, Seeds: seeds, Objects: objects, Peers: client, Recorder: line,
+		Self: e.info, Seeds: seeds, Objects: objects, Peers: client, Recorder: rec,
 		Publish: e.distributor.Publish, Hold: e.distributor.Hold, Piggybackers: []tracker.Piggybacker{e.distributor},
 	})
-	server, err := messenger.NewServer(messenger.ServerOptions{Handler: e, Clock: line, Traffic: e.traffic})
+	server, err := messenger.NewServer(messenger.ServerOptions{Handler: e, Clock: rec, Traffic: e.traffic})
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -183,23 +183,23 @@
 // a change reaches all, a new process is told of it, and a stopped one leaves
 // the roster.
 func TestSite(t *testing.T) {
-	s := openSite(t, 6, 3)
+	s := startSite(t, 6, 3)
 	s.publish(t, 4, garnetworks.Update{Topic: garnetworks.TopicManifest, Version: garnetworks.UpdateVersion{Sequence: 3}, Body: []byte("three")})
 
 	l, err := messenger.Listen("127.0.0.1:0", nil, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	late := openEntry(t, s.objects, l, []string{s.entries[1].info.Address}, 6, 3)
-	s.entries = append(s.entries, late)
-	if got := <-late.applied; string(got.Body) != "three" {
+	joining := startEntry(t, s.objects, l, []string{s.entries[1].info.Address}, 6, 3)
+	s.entries = append(s.entries, joining)
+	if got := <-joining.applied; string(got.Body) != "three" {
 		t.Errorf("the new node got %q", got.Body)
 	}
 	s.await(t)
 
-	late.tracker.Leave(t.Context())
-	late.cancel()
-	late.group.Wait()
+	joining.tracker.Leave(t.Context())
+	joining.cancel()
+	joining.group.Wait()
 	s.entries = s.entries[:6]
 	s.await(t)
 }
@@ -210,7 +210,7 @@
 func BenchmarkSite(b *testing.B) {
 	for _, size := range []struct{ nodes, zones int }{{6, 3}, {24, 4}, {96, 8}, {330, 8}} {
 		b.Run(fmt.Sprintf("nodes=%d", size.nodes), func(b *testing.B) {
-			s := openSite(b, size.nodes, size.zones)
+			s := startSite(b, size.nodes, size.zones)
 			time.Sleep(8 * time.Second)
 			report := measureSteady(b, s)
 			measureUpdates(b, s)
@@ -221,14 +221,14 @@
 
 // BenchmarkPulses measures what a pulse of 150 bytes by each zone each second
 // costs a node, heartbeats included.
-func BenchmarkPulses(b *testing.B) {
+func BenchmarkZoneStatus(b *testing.B) {
 	for _, size := range []struct{ nodes, zones int }{{6, 3}, {96, 8}, {330, 8}} {
 		b.Run(fmt.Sprintf("nodes=%d/zones=%d", size.nodes, size.zones), func(b *testing.B) {
-			s := openSite(b, size.nodes, size.zones)
+			s := startSite(b, size.nodes, size.zones)
 			ctx, cancel := context.WithCancel(b.Context())
 			var group sync.WaitGroup
 			for zone := range size.zones {
-				group.Go(func() { s.pulse(ctx, zone) })
+				group.Go(func() { s.publishStatus(ctx, zone) })
 			}
 			time.Sleep(8 * time.Second)
 			report := measureSteady(b, s)
@@ -243,7 +243,7 @@
 }
 
 // pulse publishes a zone's pulses at its first node.
-func (s *entrySite) pulse(ctx context.Context, zone int) {
+func (s *entrySite) publishStatus(ctx context.Context, zone int) {
 	body := make([]byte, 150)
 	for ctx.Err() == nil {
 		_, _ = rand.Read(body)
--- a/distributor/store.go
+++ b/distributor/store.go
@@ -15,7 +15,7 @@
 type result string
 
 const (
-	taken       result = "taken"
+	accepted    result = "taken"
 	duplicate   result = "duplicate"
 	older       result = "older"
 	conflicting result = "conflicting"
@@ -26,7 +26,7 @@
 // error says why an update was refused; nil if it is held now.
 func (r result) error(u garnetworks.Update) error {
 	switch r {
-	case taken, duplicate:
+	case accepted, duplicate:
 		return nil
 	case tooLarge, tooMany:
 		return garnetworks.Errorf(garnetworks.KindTooLarge, "topic %s: %s, body of %d bytes", u.Topic, r, len(u.Body))
@@ -68,7 +68,7 @@
 }
 
 // take keeps the update if it is newer than the held value (rule D1).
-func (s *store) take(u garnetworks.Update) result {
+func (s *store) accept(u garnetworks.Update) result {
 	if len(u.Body) > garnetworks.MaxObjectBytes {
 		return tooLarge
 	}
@@ -85,13 +85,13 @@
 	}
 	s.held[u.Topic] = u
 	if s.transient(u.Topic) {
-		return taken
+		return accepted
 	}
 	if ok {
 		s.digest -= versionHash(held.Topic, held.Version)
 	}
 	s.digest += versionHash(u.Topic, u.Version)
-	return taken
+	return accepted
 }
 
 // claim returns the targets that this node does not yet answer for, and answers
@@ -106,14 +106,14 @@
 		c = claims{version: u.Version, addresses: garnetworks.NewSet[string]()}
 		s.claimed[u.Topic] = c
 	}
-	var left []garnetworks.NodeInfo
+	var remaining []garnetworks.NodeInfo
 	for _, n := range targets {
 		if !c.addresses.Has(n.Address) {
 			c.addresses.Add(n.Address)
-			left = append(left, n)
+			remaining = append(remaining, n)
 		}
 	}
-	return left
+	return remaining
 }
 
 func (s *store) versions() map[garnetworks.Topic]garnetworks.UpdateVersion {
@@ -138,7 +138,7 @@
 	return topics
 }
 
-func (s *store) since(versions map[garnetworks.Topic]garnetworks.UpdateVersion) []garnetworks.Update {
+func (s *store) newerThan(versions map[garnetworks.Topic]garnetworks.UpdateVersion) []garnetworks.Update {
 	var updates []garnetworks.Update
 	for t, u := range s.held {
 		v, ok := versions[t]
--- a/distributor/tree.go
+++ b/distributor/tree.go
@@ -17,11 +17,11 @@
 func Split(self garnetworks.NodeInfo, targets []garnetworks.NodeInfo, fanout int, seed uint64) [][]garnetworks.NodeInfo {
 	regions := map[garnetworks.RegionID][]garnetworks.NodeInfo{}
 	zones := map[garnetworks.ZoneID][]garnetworks.NodeInfo{}
-	var near []garnetworks.NodeInfo
+	var sameZone []garnetworks.NodeInfo
 	for _, n := range targets {
 		switch {
 		case n.Zone == self.Zone:
-			near = append(near, n)
+			sameZone = append(sameZone, n)
 		case n.Region == self.Region:
 			zones[n.Zone] = append(zones[n.Zone], n)
 		default:
@@ -35,7 +35,7 @@
 	for _, z := range slices.Sorted(maps.Keys(zones)) {
 		branches = append(branches, shuffle(zones[z], seed))
 	}
-	return append(branches, chunks(shuffle(near, seed), fanout)...)
+	return append(branches, chunks(shuffle(sameZone, seed), fanout)...)
 }
 
 // shuffle sorts nodes by a hash of each with the seed.
