--- a/distributor/counts.go
+++ b/distributor/counts.go
@@ -4,18 +4,18 @@
 	"sync/atomic"
 )
 
-// Counts are a distributor's counters.
+// Counts is a snapshot of a distributor's counters.
 type Counts struct {
-	// Published, Accepted, Duplicates and Older count updates by what became of
-	// them here.
+	// Published, Accepted, Duplicates and Older count updates by their result at
+	// this node.
 	Published, Accepted, Duplicates, Older uint64
-	// Conflicts counts updates that carried a held version with another body.
+	// Conflicts counts updates with the held version but a different body.
 	Conflicts uint64
-	// Sent counts updates handed on, SendFailures messages without an answer.
+	// Sent counts forwarded updates, SendFailures messages without an answer.
 	Sent, SendFailures uint64
-	// Repaired and Pushed count updates that repair brought and gave.
+	// Repaired counts updates fetched by repair, Pushed those pushed to peers.
 	Repaired, Pushed uint64
-	// Refused counts updates and jobs above a bound.
+	// Refused counts updates and jobs that exceeded a limit.
 	Refused uint64
 }
 
@@ -24,7 +24,7 @@
 	sent, sendFailures, repaired, pushed, refused     atomic.Uint64
 }
 
-// Counts reads the counters.
+// Counts returns the current values of the counters.
 func (d *Distributor) Counts() Counts {
 	c := &d.counters
 	return Counts{
--- a/distributor/distributor.go
+++ b/distributor/distributor.go
@@ -1,30 +1,31 @@
-// Package distributor spreads the newest value of each topic to all nodes: at
-// once through a tree of bounded degree, and by repair between peers for what
-// the tree missed.
+// Package distributor broadcasts the newest value of each topic to all nodes: first
+// along a tree of bounded degree, then by anti-entropy repair between peers for
+// what the tree missed.
 //
 // Its rules:
 //
-//	D1  A node holds one value of a topic, and replaces it only by one with a
-//	    higher version, from whomever it comes. Nothing goes back.
-//	D2  An update is handed down a tree whose root is the publisher: one branch
-//	    for each other region, one for each other zone of the region, Fanout
-//	    branches in the zone. No link but a branch's first crosses a border.
+//	D1  A node holds one value per topic and replaces it only by one with a
+//	    higher version, whichever peer sends it. Versions never decrease.
+//	D2  An update is forwarded along a tree rooted at the publisher: one branch
+//	    for each other region, one for each other zone of the region, and
+//	    Fanout branches within the zone. Only the first link of a branch crosses
+//	    a zone or region boundary.
 //	D3  The order within a branch is a hash of node and update, so that over
-//	    many updates each node forwards about as often as the others.
-//	D4  A node answers for a part of the targets of an update once: whoever hands
-//	    it the same targets again is acknowledged without another round.
-//	D5  If the first node of a branch does not answer, the next one gets the
-//	    branch, MaxHeads in all; what is then left is for repair.
-//	D6  Each heartbeat compares digests of what both sides hold. If they differ,
-//	    the asking node fetches what it lacks after RepairGrace, and pushes what
-//	    the other side lacked in two exchanges running. Thus each node holds
-//	    what a peer in reach holds after one heartbeat interval, and a node that
-//	    nobody can call is served by its own calls.
-//	D7  Bodies, messages, topics, jobs and hops are bounded. What a bound refuses
-//	    is counted, and repair makes up for it.
-//	D8  Transient topics, whose next value comes soon of itself, are spread but
-//	    neither compared nor repaired: they are nearly always on their way
-//	    somewhere, so every comparison would differ.
+//	    many updates the forwarding load is spread evenly over the nodes.
+//	D4  A node forwards a version to each target at most once. A repeated request
+//	    for the same targets is acknowledged but not forwarded again.
+//	D5  If the first node of a branch does not answer, the branch is sent to the
+//	    next one, up to MaxForwardAttempts nodes; repair covers the rest.
+//	D6  Each heartbeat compares digests of the versions that both sides hold. If
+//	    they differ, the requesting node fetches what it lacks after RepairGrace,
+//	    and pushes what the other side lacked in two consecutive exchanges. A
+//	    node thus catches up with a reachable peer within a heartbeat interval,
+//	    and a node that cannot be called is updated by its own calls.
+//	D7  Bodies, messages, topics, jobs and hops are bounded. What exceeds a bound
+//	    is counted and left to repair.
+//	D8  Transient topics, which are published again periodically, are broadcast
+//	    but neither compared nor repaired: some are nearly always in transit, so
+//	    that every comparison would differ.
 package distributor
 
 import (
@@ -35,66 +36,64 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Bounds (rule D7).
+// Limits (rule D7).
 const (
 	// DefaultFanout is the number of branches within a zone.
 	DefaultFanout = 4
-	// MaxHeads is how many nodes of a branch are tried (rule D5).
+	// MaxForwardAttempts is the number of nodes of a branch that are tried (rule D5).
 	MaxForwardAttempts = 3
-	// MaxHops is the most steps an update takes; a tree over 330 nodes takes
-	// five.
+	// MaxHops bounds the hops of an update; trees are far less deep.
 	MaxHops = 12
 	// MaxTopics bounds the topics held. Topics are named after zones, so their
-	// number grows with zones, not with nodes.
+	// number grows with the zones, not with the nodes.
 	MaxTopics = 1024
-	// MaxBatchBytes bounds the bodies in one message, except that one body of
-	// any size fits.
+	// MaxBatchBytes bounds the total size of the bodies in one message; a single
+	// larger body is still sent alone.
 	MaxBatchBytes = 256 << 10
-	// SendBound bounds one handing on.
+	// SendTimeout bounds one call to a peer.
 	SendTimeout = 1500 * time.Millisecond
-	// RepairGrace is the time that the tree gets before repair steps in.
+	// RepairGrace is the time that the tree gets to deliver before repair fetches.
 	RepairGrace = 200 * time.Millisecond
-	// FailedFor is how long an address that did not answer is tried last.
+	// FailureMemory is how long an address that did not answer is tried last.
 	FailureMemory = 5 * time.Second
-	// maxJobs bounds the handings on that wait or run.
+	// maxJobs bounds the forwarding jobs that are queued, and those that run.
 	maxJobs = 64
-	// maxRepairs bounds the repairs in progress.
+	// maxRepairs bounds the repairs that run at once.
 	maxRepairs = 8
 )
 
-// Options are what a distributor needs.
+// Options configure a distributor.
 type Options struct {
 	Self  garnetworks.NodeInfo
 	Peers garnetworks.PeerCaller
-	// Nodes returns the nodes to reach, ready or not; Self is skipped.
+	// Nodes returns all known nodes, ready or not; Self is skipped.
 	Nodes func() []garnetworks.NodeInfo
-	// Apply takes each new value in force at this node. Versions of a topic
-	// come in rising order, versions in between may be left out, and calls never
-	// overlap.
+	// Apply is called with each new value at this node. The versions of a topic
+	// increase, intermediate versions may be skipped, and calls never overlap.
 	Apply func(garnetworks.Update)
-	// Transient tells the transient topics (rule D8); nil means those that the
-	// zones' controllers send each second or so.
+	// Transient reports whether a topic is transient (rule D8); nil selects the
+	// topics that are published periodically.
 	Transient func(garnetworks.Topic) bool
-	// Fanout is the number of branches within a zone; DefaultFanout if 0.
+	// Fanout is the number of branches within a zone; 0 means DefaultFanout.
 	Fanout int
-	// Log may be nil.
+	// Log receives errors of calls to peers; it may be nil.
 	Log func(error)
 }
 
-// Distributor spreads updates. It is safe for concurrent use.
+// Distributor broadcasts updates. It is safe for concurrent use.
 type Distributor struct {
 	options  Options
 	counters counters
 
 	mu    sync.Mutex
 	store store
-	// unapplied are topics whose newest value Apply has not seen.
+	// unapplied are the topics whose newest value was not yet passed to Apply.
 	unapplied garnetworks.Set[garnetworks.Topic]
-	// unsent are topics published here that wait for a job.
+	// unsent are the topics published here that are not yet part of a job.
 	unsent garnetworks.Set[garnetworks.Topic]
-	// failed holds when an address last gave no answer (rule D5).
+	// failedAt is when each address last failed to answer (rule D5).
 	failedAt map[string]time.Time
-	// lacked is what each peer lacked in the last exchange (rule D6).
+	// peerMissing is what each peer lacked in the last exchange (rule D6).
 	peerMissing map[string]map[garnetworks.Topic]garnetworks.UpdateVersion
 
 	applyReady, sendReady chan struct{}
@@ -104,7 +103,7 @@
 	syncOnce              sync.Once
 }
 
-// New returns a distributor; Run starts its work.
+// New returns a distributor, which applies and forwards updates while Run runs.
 func New(options Options) *Distributor {
 	if options.Fanout <= 0 {
 		options.Fanout = DefaultFanout
@@ -131,15 +130,15 @@
 	}
 }
 
-// periodic tells the topics that are sent again and again, changed or not.
+// isPeriodic reports whether a topic is published periodically, changed or not.
 func isPeriodic(t garnetworks.Topic) bool {
 	_, status := garnetworks.CutTopic(t, garnetworks.TopicZoneStatus)
 	_, demand := garnetworks.CutTopic(t, garnetworks.TopicDemand)
 	return status || demand
 }
 
-// Run applies and hands on until ctx ends; it returns when all its work has
-// ended.
+// Run applies and forwards updates until ctx ends, and returns when all its
+// goroutines have ended.
 func (d *Distributor) Run(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -163,8 +162,9 @@
 	}
 }
 
-// Publish takes a new value and spreads it. A value that is not newer than the
-// held one is refused with KindConflict, one above a bound with KindTooLarge.
+// Publish stores a new value and broadcasts it. It returns an error of kind
+// KindConflict if the held value is newer or has the same version and another body,
+// and of kind KindTooLarge if a limit is exceeded.
 func (d *Distributor) Publish(update garnetworks.Update) error {
 	d.mu.Lock()
 	r := d.accept(update)
@@ -178,8 +178,8 @@
 	return r.error(update)
 }
 
-// Hold takes a new value as Publish does, but leaves its spreading to repair. It
-// is for values that many nodes read at once from the same place.
+// Hold stores a new value as Publish does but leaves its distribution to repair.
+// It is for values that many nodes read at once from the same source.
 func (d *Distributor) Hold(update garnetworks.Update) error {
 	d.mu.Lock()
 	r := d.accept(update)
@@ -188,8 +188,8 @@
 	return r.error(update)
 }
 
-// take puts the update into the store and counts what became of it. The caller
-// holds mu.
+// accept offers the update to the store and counts the result. The caller holds
+// mu.
 func (d *Distributor) accept(update garnetworks.Update) result {
 	r := d.store.accept(update)
 	switch r {
@@ -208,8 +208,8 @@
 	return r
 }
 
-// Handle takes a peer's updates and hands them on to its targets later; the
-// answer is for this node alone.
+// Handle stores a peer's updates and queues them for forwarding to the targets.
+// The response acknowledges receipt by this node only.
 func (d *Distributor) Handle(request *garnetworks.DistributeRequest) *garnetworks.DistributeResponse {
 	targets := d.resolve(request.Targets)
 	d.mu.Lock()
@@ -231,8 +231,8 @@
 	return &garnetworks.DistributeResponse{Accepted: fresh}
 }
 
-// runPublish turns published topics into jobs. Topics published while jobs wait
-// are joined, and of one topic only the newest value is sent.
+// runPublish turns published topics into jobs. Topics published while earlier jobs
+// are queued are batched, and only the newest value of each topic is sent.
 func (d *Distributor) runPublish(ctx context.Context) {
 	for wait(ctx, d.sendReady) {
 		for _, j := range d.publishJobs() {
@@ -267,7 +267,7 @@
 	return jobs
 }
 
-// targets are all nodes but this one.
+// targets returns all nodes except this one.
 func (d *Distributor) targets() []garnetworks.NodeInfo {
 	var targets []garnetworks.NodeInfo
 	for _, n := range d.options.Nodes() {
@@ -278,7 +278,7 @@
 	return targets
 }
 
-// runApply brings new values into force, one after the other.
+// runApply passes new values to Apply, one at a time.
 func (d *Distributor) runApply(ctx context.Context) {
 	for wait(ctx, d.applyReady) {
 		for _, u := range d.pendingUpdates() {
@@ -298,7 +298,7 @@
 	return updates
 }
 
-// Versions returns the versions held.
+// Versions returns the held version of each topic that is not transient.
 func (d *Distributor) Versions() map[garnetworks.Topic]garnetworks.UpdateVersion {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -313,30 +313,30 @@
 	return u, ok
 }
 
-// Digest sums up the versions held.
+// Digest returns a hash of the versions held, without transient topics.
 func (d *Distributor) Digest() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.store.digest
 }
 
-// Missing returns the topics of which the other side, that holds versions, has
-// a newer value.
+// Missing returns the topics for which versions, held by a peer, are newer than
+// the values held here.
 func (d *Distributor) Missing(versions map[garnetworks.Topic]garnetworks.UpdateVersion) []garnetworks.Topic {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.store.missing(versions)
 }
 
-// UpdatesSince returns the values that the other side, which holds versions,
-// lacks, in topic order and as far as they fit into one message.
+// UpdatesNewerThan returns the held values that are newer than versions, in topic
+// order and as many as fit into one message.
 func (d *Distributor) UpdatesNewerThan(versions map[garnetworks.Topic]garnetworks.UpdateVersion) []garnetworks.Update {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return firstBatch(d.store.newerThan(versions))
 }
 
-// Synced is closed once this node has compared what it holds with a peer and
+// Synced is closed once this node has compared its versions with a peer's and
 // fetched what it lacked.
 func (d *Distributor) Synced() <-chan struct{} { return d.synced }
 
@@ -347,7 +347,7 @@
 	}
 }
 
-// wait reports false when ctx has ended.
+// wait waits for a signal on c. It returns false if ctx ended.
 func wait(ctx context.Context, c chan struct{}) bool {
 	select {
 	case <-ctx.Done():
--- a/distributor/distributor_test.go
+++ b/distributor/distributor_test.go
@@ -27,44 +27,44 @@
 	os.Exit(m.Run())
 }
 
-// TestSpread publishes at one node of a site of the design size with faults in
-// the tree, and looks when the update is in force in all running nodes.
+// TestUpdateReachesAllNodes publishes at one node while the tree has faults, and
+// checks when all running nodes have applied the update.
 func TestUpdateReachesAllNodes(t *testing.T) {
 	const nodes, zones, regions = 96, 8, 3
 	tests := map[string]struct {
 		description string
 		before      func(n *network)
-		// heal, if there is one, ends the fault a minute after the publication.
+		// heal, if set, ends the fault a minute after the publication.
 		heal func(n *network)
-		// within is the time in which all running nodes must have the update, from
-		// the publication or the healing.
+		// within bounds the time from the publication, or from heal, until all
+		// running nodes have applied the update.
 		within time.Duration
 	}{
-		"sound": {
-			description: "Nothing fails; only the tree's hops take time.",
+		"no fault": {
+			description: "No fault; only the hops of the tree take time.",
 			before:      func(*network) {},
 			within:      10 * time.Millisecond,
 		},
 		"a node is dead": {
-			description: "A node died a moment ago and is still listed. Its branch goes to the next one.",
+			description: "A node has just died and is still listed. Its branch is sent to the next node.",
 			before:      func(n *network) { n.stop(firstBranchHead(n, manifest(7))) },
 			within:      10 * time.Millisecond,
 		},
 		"a node is cut off from the publisher": {
-			description: "Packets to the head of a branch are lost, so that the publisher waits in vain. The branch goes to the next one, and the head asks its neighbours.",
+			description: "Packets to the first node of a branch are lost, so that the publisher's call times out. The branch is sent to the next node, and the first one fetches from its neighbors.",
 			before: func(n *network) {
 				i := slices.IndexFunc(n.nodes, func(o garnetworks.NodeInfo) bool { return o.Address == firstBranchHead(n, manifest(7)) })
 				n.setBlocked(0, i, true)
 			},
 			within: SendTimeout + time.Second + RepairGrace + 10*time.Millisecond,
 		},
-		"an inner node dies after it acknowledged": {
-			description: "The head of a region acknowledges the update and dies before it hands it on. The publisher knows nothing of it; a third of the site lacks the update until repair finds it.",
+		"an inner node dies after its acknowledgment": {
+			description: "The first node of a region acknowledges the update and dies before it forwards it. A third of the site lacks the update until repair.",
 			before:      func(n *network) { n.stopAfterAck = firstBranchHead(n, manifest(7)) },
 			within:      3 * time.Second,
 		},
 		"a region is cut off for a minute": {
-			description: "The publisher's region loses the others. They go on with what they have, and must catch up when the link is back.",
+			description: "The publisher's region is partitioned from the others, which must catch up when the link is back.",
 			before: func(n *network) {
 				for i, a := range n.nodes {
 					for j, b := range n.nodes {
@@ -97,7 +97,7 @@
 				for time.Since(began) < test.within && len(n.missing(garnetworks.TopicManifest, version(7))) > 0 {
 					time.Sleep(latency)
 				}
-				t.Logf("in force in all after %v with %v a call", time.Since(began), latency)
+				t.Logf("applied by all nodes after %v with %v a call", time.Since(began), latency)
 				if missing := n.missing(garnetworks.TopicManifest, version(7)); len(missing) > 0 {
 					t.Errorf("%d nodes lack the update after %v: %v", len(missing), test.within, missing)
 				}
@@ -106,15 +106,15 @@
 	}
 }
 
-// headOf is the first node of the first branch of an update from node 0.
+// firstBranchHead returns the address of the first node of the first branch of an update
+// that node 0 publishes.
 func firstBranchHead(n *network, u garnetworks.Update) string {
 	branches := Split(n.nodes[0], n.nodes[1:], DefaultFanout, seedOf([]garnetworks.Update{u}))
 	return branches[0][0].Address
 }
 
-// TestOldValuesTakeNobodyBack: A node was cut off for hours and returns with
-// old values, and a late watch brings it an old one on top. Whatever it
-// publishes or is asked for, no other node may go back, and it must catch up.
+// TestOldValuesNeverReplaceNewer: A node that returns from a partition publishes
+// old values. No other node may apply them, and the node must catch up.
 func TestOldValuesNeverReplaceNewer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork(6, 3, 1)
@@ -131,7 +131,7 @@
 		mustPublish(t, old, manifest(4))
 		mustPublish(t, old, manifest(5))
 		if err := first.Publish(manifest(8)); !garnetworks.IsKind(err, garnetworks.KindConflict) {
-			t.Errorf("an old value was taken: %v", err)
+			t.Errorf("an old value was accepted: %v", err)
 		}
 		time.Sleep(3 * time.Second)
 		if missing := n.missing(garnetworks.TopicManifest, version(9)); len(missing) > 0 {
@@ -155,10 +155,8 @@
 	return 0
 }
 
-// TestNodeThatNobodyCanCall: A half-open partition lets a node's own calls
-// through and no call to it. It is in the roster and serves callers, so it must
-// not miss an update; and one that can be called but calls nobody must not
-// either, when it was cut off for the time of the tree.
+// TestOneWayPartition: A node that cannot be called, or that cannot call others,
+// must still receive updates.
 func TestOneWayPartition(t *testing.T) {
 	for name, inbound := range map[string]bool{"can't be called": true, "can't call": false} {
 		t.Run(name, func(t *testing.T) {
@@ -186,9 +184,8 @@
 	}
 }
 
-// TestSilentNodeDelaysOneUpdate: Packets to a node that heads a branch are lost
-// and the node is still listed. Only the first update waits for it; if each one
-// did, every change would take seconds until the node is found to be lost.
+// TestUnresponsiveNodeDelaysOneUpdate: Only the first update may wait for the
+// timeout of an unresponsive node that heads a branch, not each update.
 func TestUnresponsiveNodeDelaysOneUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork(24, 3, 1)
@@ -208,14 +205,13 @@
 		mustPublish(t, n.running[n.nodes[0].Address], manifest(next))
 		time.Sleep(20 * time.Millisecond)
 		if missing := n.missing(garnetworks.TopicManifest, version(next)); len(missing) > 0 {
-			t.Errorf("the second update waited, too: %v lack it", missing)
+			t.Errorf("the second update was delayed as well: %v lack it", missing)
 		}
 	})
 }
 
-// TestHandsOnOnce: Messages come twice, or go round in a loop of nodes with
-// different rosters. Each would double the traffic of the whole branch, or keep
-// it up for ever.
+// TestForwardsOnce: Duplicate messages, or a loop of nodes with different rosters,
+// must not multiply the traffic of a branch or keep it up forever.
 func TestForwardsOnce(t *testing.T) {
 	targets := []string{"10.0.0.1:7000", "10.0.0.2:7000"}
 	tests := map[string]struct {
@@ -258,9 +254,8 @@
 	}
 }
 
-// TestTransientTopicsAreNotCompared: Each zone sends a pulse a second. Were
-// pulses compared, most heartbeats would list all versions and fetch what is on
-// its way anyhow; the traffic of heartbeats would grow several times.
+// TestTransientTopicsAreNotCompared: If frequent status updates were compared, most
+// heartbeats would list all versions and fetch what the tree is delivering.
 func TestTransientTopicsAreNotCompared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork(6, 2, 1)
@@ -278,17 +273,17 @@
 		mustPublish(t, n.running[n.nodes[0].Address], status)
 		time.Sleep(5 * time.Second)
 		if got := n.missing(status.Topic, version(7)); !slices.Equal(got, []string{n.nodes[5].Address}) {
-			t.Errorf("%v lack the pulse, want only the node that was cut off", got)
+			t.Errorf("%v lack the status update, want only the partitioned node", got)
 		}
 		for address, p := range n.running {
 			if p.Digest() != digest {
-				t.Errorf("the pulse changed the digest of %s", address)
+				t.Errorf("the status update changed the digest of %s", address)
 			}
 		}
 	})
 }
 
-// step is one action of the state machine.
+// step is one action of TestStateMachine.
 type step struct {
 	action      string
 	node, other int
@@ -313,9 +308,8 @@
 	return steps
 }
 
-// TestStateMachine plays publications, cuts, and restarts with empty memory
-// against an oracle: the versions that a process applies only grow, and once
-// all is healed each node comes to the highest version published of each topic.
+// TestStateMachine checks random publications, partitions and restarts: applied
+// versions only grow, and after healing each node has the newest of each topic.
 func TestStateMachine(t *testing.T) {
 	const nodes = 7
 	rapid.Check(t, func(r *rapid.T) {
@@ -346,7 +340,7 @@
 		case "heal":
 			n.heal()
 		case "restart":
-			// Of a value that only one process ever held, nothing is promised.
+			// A value that only the stopped process holds may be lost.
 			time.Sleep(20 * time.Second)
 			if len(n.missingAny(newest)) == 0 {
 				n.stop(n.nodes[s.node].Address)
@@ -361,7 +355,7 @@
 	for _, p := range all {
 		for topic, applied := range p.applied {
 			if !slices.IsSortedFunc(applied, compareVersions) {
-				failures = append(failures, fmt.Sprintf("%s of a process went back: %v", topic, applied))
+				failures = append(failures, fmt.Sprintf("versions of %s applied by a process decreased: %v", topic, applied))
 			}
 		}
 	}
@@ -387,7 +381,7 @@
 func TestSplit(t *testing.T) {
 	tests := map[string]struct{ nodes, zones, regions, depth int }{
 		"one node":       {1, 1, 1, 0},
-		"today":          {6, 3, 1, 2},
+		"six nodes":      {6, 3, 1, 2},
 		"larger":         {24, 3, 1, 3},
 		"quarter":        {96, 8, 3, 4},
 		"design size":    {330, 8, 3, 5},
@@ -408,8 +402,8 @@
 	}
 }
 
-// checkTree holds that each target is reached once, that no node has more
-// branches than rule D2 allows, and that few links cross borders.
+// checkTree checks that each target is reached once, that no node has more branches
+// than rule D2 allows, and that at most one link leads into each other zone or region.
 func checkTree(t *testing.T, self garnetworks.NodeInfo, targets []garnetworks.NodeInfo, seed uint64, zones, regions int) {
 	reached := garnetworks.NewSet[string]()
 	crossZone, crossRegion := 0, 0
--- a/distributor/handon.go
+++ b/distributor/handon.go
@@ -8,22 +8,21 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// job is a handing on of updates to targets.
+// job holds updates to forward and the targets to reach.
 type job struct {
 	updates []garnetworks.Update
 	targets []garnetworks.NodeInfo
 	hops    int
 }
 
-// plan adds the handing on of u to the jobs, joined to the last one if the
-// targets are the same. The caller holds mu.
+// appendJob adds the forwarding of u to jobs, merged into the last job if both have
+// the same targets. The caller holds mu.
 func (d *Distributor) appendJob(jobs []job, u garnetworks.Update, targets []garnetworks.NodeInfo, hops int) []job {
 	if len(targets) == 0 {
 		return jobs
 	}
 	if hops >= MaxHops {
-		// Trees never get this deep. A loop of old messages would, and would go
-		// round for ever.
+		// No tree is this deep; the limit ends a forwarding loop between nodes.
 		d.counters.refused.Add(1)
 		return jobs
 	}
@@ -31,7 +30,7 @@
 	if len(remaining) == 0 {
 		return jobs
 	}
-	// Of two bodies under one version, the one held here is handed on.
+	// If another body has the same version, the one held here is forwarded.
 	u = d.store.held[u.Topic]
 	if n := len(jobs) - 1; n >= 0 && len(jobs[n].targets) == len(remaining) && len(remaining) == len(targets) {
 		jobs[n].updates = append(jobs[n].updates, u)
@@ -40,8 +39,8 @@
 	return append(jobs, job{updates: []garnetworks.Update{u}, targets: remaining, hops: hops})
 }
 
-// enqueue never blocks: a peer's call must not wait for other peers. What does
-// not fit is left to repair (rule D7).
+// enqueue never blocks, because a peer's call must not wait for other peers. A job
+// that does not fit the queue is dropped and left to repair (rule D7).
 func (d *Distributor) enqueue(j job) {
 	select {
 	case d.jobs <- j:
@@ -50,8 +49,8 @@
 	}
 }
 
-// lookUp returns the nodes with the given addresses; of an unknown one, only
-// the address is known, and it is treated as one of the own zone.
+// resolve returns the nodes with the given addresses. An unknown address is treated
+// as a node of this node's zone.
 func (d *Distributor) resolve(addresses []string) []garnetworks.NodeInfo {
 	if len(addresses) == 0 {
 		return nil
@@ -71,7 +70,7 @@
 	return nodes
 }
 
-// handOn sends the job's updates down its branches (rule D2).
+// forward sends the job's updates along its branches (rule D2).
 func (d *Distributor) forward(ctx context.Context, j job) {
 	updates := d.newest(j.updates)
 	seed := seedOf(updates)
@@ -82,7 +81,7 @@
 	}
 }
 
-// newest replaces updates that have become old while the job waited.
+// newest replaces updates that were superseded while the job was queued.
 func (d *Distributor) newest(updates []garnetworks.Update) []garnetworks.Update {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -96,7 +95,7 @@
 	return current
 }
 
-// send hands a branch to its first node that answers (rule D5).
+// send sends the updates to the first node of the branch that answers (rule D5).
 func (d *Distributor) send(ctx context.Context, updates []garnetworks.Update, branch []garnetworks.NodeInfo, hops int) {
 	branch = d.failedLast(branch)
 	for range MaxForwardAttempts {
@@ -135,8 +134,8 @@
 	return err
 }
 
-// failedLast moves nodes that did not answer of late to the end of the branch.
-// Without it each update would wait SendBound for the same dead node.
+// failedLast moves nodes that recently failed to answer to the end of the branch;
+// otherwise each update would wait SendTimeout for the same dead node.
 func (d *Distributor) failedLast(branch []garnetworks.NodeInfo) []garnetworks.NodeInfo {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/distributor/network_test.go
+++ b/distributor/network_test.go
@@ -10,32 +10,32 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// network joins distributors in one process. Calls take latency; what is cut
-// fails after the caller's bound, as a lost packet would.
+// network connects distributors in one process. Calls take latency; calls over a
+// blocked link fail at the caller's timeout, as with lost packets.
 type network struct {
 	mu      sync.Mutex
 	nodes   []garnetworks.NodeInfo
 	running map[string]*peer
 	blocked map[[2]string]bool
-	// dieAfterReceipt stops the process at an address once it has acknowledged
-	// an update.
+	// stopAfterAck is the address of a process that stops as soon as it has
+	// acknowledged an update.
 	stopAfterAck string
 	calls        int
 }
 
-// peer is a running process.
+// peer is a running node process.
 type peer struct {
 	*Distributor
 	cancel context.CancelFunc
 	done   sync.WaitGroup
 	mu     sync.Mutex
-	// applied are the versions that came into force, in order.
+	// applied are the versions passed to Apply, in order.
 	applied map[garnetworks.Topic][]garnetworks.UpdateVersion
 }
 
 const latency = time.Millisecond
 
-// newNetwork returns nodes spread over zones, and zones over regions.
+// newNetwork returns a network of nodes spread over zones and zones over regions.
 func newNetwork(nodes, zones, regions int) *network {
 	n := &network{running: map[string]*peer{}, blocked: map[[2]string]bool{}}
 	n.nodes = siteNodes(nodes, zones, regions)
@@ -56,7 +56,7 @@
 	return all
 }
 
-// caller calls peers in the name of one node.
+// caller calls peers on behalf of one node.
 type caller struct {
 	garnetworks.PeerCaller
 	network *network
@@ -114,7 +114,7 @@
 	return response, nil
 }
 
-// start runs a process of node i that holds nothing.
+// start runs a new process of node i, which holds no values.
 func (n *network) start(i int) *peer {
 	info := n.nodes[i]
 	ctx, cancel := context.WithCancel(context.Background())
@@ -137,8 +137,8 @@
 	return p
 }
 
-// beat compares with two neighbours each second and with another zone now and
-// then, as the tracker does.
+// runHeartbeats exchanges heartbeats with two neighbors each second and sometimes
+// with a node of any zone, as the tracker does.
 func (n *network) runHeartbeats(ctx context.Context, i int, p *peer) {
 	for round := 1; ; round++ {
 		select {
@@ -205,7 +205,7 @@
 	n.blocked[[2]string{n.nodes[from].Address, n.nodes[to].Address}] = blocked
 }
 
-// lacking returns the running nodes in which the version is not in force.
+// missing returns the running nodes whose last applied version is not v.
 func (n *network) missing(topic garnetworks.Topic, v garnetworks.UpdateVersion) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/distributor/repair.go
+++ b/distributor/repair.go
@@ -9,13 +9,13 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// FillRequest adds to a heartbeat what peers compare (rule D6).
+// FillRequest adds this node's digest to a heartbeat request (rule D6).
 func (d *Distributor) FillRequest(request *garnetworks.HeartbeatRequest) {
 	request.Digest = d.Digest()
 }
 
-// FillResponse answers the comparison: with all versions if the digests differ,
-// with nothing if the heartbeat does not compare.
+// FillResponse adds this node's digest to the response, and all versions if the
+// digests differ. It adds nothing if the request has no digest.
 func (d *Distributor) FillResponse(request *garnetworks.HeartbeatRequest, response *garnetworks.HeartbeatResponse) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -28,8 +28,8 @@
 	}
 }
 
-// TakeResponse repairs what the comparison showed; it may wait and call the
-// peer, and returns when that is done.
+// TakeResponse repairs the differences that a heartbeat showed. It may wait and
+// call the peer, and returns when the repair has ended.
 func (d *Distributor) TakeResponse(ctx context.Context, address string, response *garnetworks.HeartbeatResponse) {
 	if response.Digest == 0 {
 		return
@@ -49,8 +49,8 @@
 		d.repair(ctx, address, response.Versions)
 		return
 	}
-	// While an update is on its way down the tree, every comparison differs.
-	// Fetching at once would send most updates twice.
+	// The tree may still be delivering an update that the digests differ by. An
+	// immediate fetch would send most updates twice.
 	select {
 	case <-ctx.Done():
 		return
@@ -85,7 +85,7 @@
 	}
 }
 
-// pull fetches what the peer has and this node lacks, message by message.
+// pull fetches what the peer has and this node lacks, one message at a time.
 func (d *Distributor) pull(ctx context.Context, address string, peerVersions map[garnetworks.Topic]garnetworks.UpdateVersion) error {
 	for missing := d.Missing(peerVersions); len(missing) > 0; {
 		before := len(missing)
@@ -103,11 +103,11 @@
 	return nil
 }
 
-// zoneTargets are the nodes of the own zone if the address is in another one.
-// What a node learns from there has likely missed its whole zone: the node to
-// which the zone's branch was handed died. Without handing on, the zone would
-// learn of it node by node. A node that has just started lacks everything by
-// itself, and hands nothing on.
+// zoneTargets returns the nodes of this zone if the address is in another zone, and
+// nil otherwise. An update fetched from another zone was probably missed by this
+// whole zone, because the first node of its branch failed; forwarding it avoids
+// repair node by node. A node that is not yet synced forwards nothing, because only
+// it lacks the values.
 func (d *Distributor) zoneTargets(address string) []string {
 	if !d.isSynced() {
 		return nil
@@ -130,9 +130,9 @@
 	return d.options.Peers.Fetch(ctx, address, &garnetworks.FetchRequest{Topics: topics})
 }
 
-// push gives the peer what it lacked in this exchange and the one before. A
-// peer that only lags behind the tree, or fetches by its own heartbeats, is
-// left alone; one that can't call anyone is served.
+// push sends the peer what it lacked in both this exchange and the one before.
+// Peers that wait for the tree or fetch by their own heartbeats are thus not sent
+// updates twice, and peers that cannot call others still get them.
 func (d *Distributor) push(ctx context.Context, address string, peerVersions map[garnetworks.Topic]garnetworks.UpdateVersion) error {
 	d.mu.Lock()
 	missing := map[garnetworks.Topic]garnetworks.UpdateVersion{}
@@ -159,8 +159,8 @@
 	return nil
 }
 
-// HandleFetch answers a peer that lacks topics; no topics asks for all. What
-// does not fit into one message is left out, from the end.
+// HandleFetch returns the values of the requested topics, or of all topics if none
+// are given, as many as fit into one message.
 func (d *Distributor) HandleFetch(request *garnetworks.FetchRequest) *garnetworks.FetchResponse {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/distributor/site_test.go
+++ b/distributor/site_test.go
@@ -19,7 +19,7 @@
 	"github.com/garnetworks/garnetworks/tracker"
 )
 
-// entry is one entry node's peer-to-peer parts, over real connections.
+// entry is an entry node's peer-to-peer components over real connections.
 type entry struct {
 	garnetworks.PeerHandler
 	info        garnetworks.NodeInfo
@@ -43,14 +43,14 @@
 	return e.distributor.HandleFetch(q), nil
 }
 
-// entrySite is a site of entries in one process.
+// entrySite is a site of entry nodes in one process.
 type entrySite struct {
 	objects *faker.Objects
 	entries []*entry
 }
 
-// openSite starts nodes in zones of three regions and waits until each knows
-// all.
+// startSite starts nodes in zones of three regions and waits until each knows all
+// others.
 func startSite(tb testing.TB, nodes, zones int) *entrySite {
 	s := &entrySite{objects: faker.NewObjects(faker.ObjectsOptions{})}
 	var listeners []net.Listener
@@ -73,15 +73,15 @@
 	return s
 }
 
-// patience ends a test that would hang; it decides nothing else.
+// awaitTimeout ends a test that would otherwise hang.
 const awaitTimeout = 2 * time.Minute
 
-// await returns when all nodes know all and hold the same values.
+// await waits until all nodes know each other and hold the same values.
 func (s *entrySite) await(tb testing.TB) {
 	tb.Helper()
 	for began := time.Now(); !s.complete(); time.Sleep(50 * time.Millisecond) {
 		if time.Since(began) > awaitTimeout {
-			tb.Fatal("the nodes do not come to one view")
+			tb.Fatal("the nodes do not converge")
 		}
 	}
 }
@@ -134,7 +134,7 @@
 	}
 }
 
-// complete reports whether all nodes know all and hold the same values.
+// complete reports whether all nodes know each other and hold the same values.
 func (s *entrySite) complete() bool {
 	for _, e := range s.entries {
 		if len(e.tracker.Nodes()) != len(s.entries) || e.distributor.Digest() != s.entries[0].distributor.Digest() {
@@ -144,7 +144,7 @@
 	return true
 }
 
-// publish publishes at one node and waits until the update is in force in all.
+// publish publishes at one node and waits until all nodes have applied the update.
 func (s *entrySite) publish(tb testing.TB, from int, u garnetworks.Update) time.Duration {
 	began := time.Now()
 	if err := s.entries[from].distributor.Publish(u); err != nil {
@@ -179,9 +179,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// TestSite runs today's site over real connections: six nodes find each other,
-// a change reaches all, a new process is told of it, and a stopped one leaves
-// the roster.
+// TestSite checks over real connections that nodes discover each other, that updates
+// reach all and a new node, and that a stopped node leaves the roster.
 func TestSite(t *testing.T) {
 	s := startSite(t, 6, 3)
 	s.publish(t, 4, garnetworks.Update{Topic: garnetworks.TopicManifest, Version: garnetworks.UpdateVersion{Sequence: 3}, Body: []byte("three")})
@@ -204,9 +203,8 @@
 	s.await(t)
 }
 
-// BenchmarkSite measures sites in one process. Each operation is one update of
-// 4 KB, from its publication to its being in force at the last node; the other
-// figures are for one node in steady state, over ten seconds without updates.
+// BenchmarkSite measures the time from publishing a 4 KB update to its application
+// at the last node, and the steady-state cost of a node without updates.
 func BenchmarkSite(b *testing.B) {
 	for _, size := range []struct{ nodes, zones int }{{6, 3}, {24, 4}, {96, 8}, {330, 8}} {
 		b.Run(fmt.Sprintf("nodes=%d", size.nodes), func(b *testing.B) {
@@ -219,8 +217,8 @@
 	}
 }
 
-// BenchmarkPulses measures what a pulse of 150 bytes by each zone each second
-// costs a node, heartbeats included.
+// BenchmarkZoneStatus measures what a status update of 150 bytes from each zone each
+// second costs a node, heartbeats included.
 func BenchmarkZoneStatus(b *testing.B) {
 	for _, size := range []struct{ nodes, zones int }{{6, 3}, {96, 8}, {330, 8}} {
 		b.Run(fmt.Sprintf("nodes=%d/zones=%d", size.nodes, size.zones), func(b *testing.B) {
@@ -242,7 +240,7 @@
 	}
 }
 
-// pulse publishes a zone's pulses at its first node.
+// publishStatus publishes a zone's status updates at its first node.
 func (s *entrySite) publishStatus(ctx context.Context, zone int) {
 	body := make([]byte, 150)
 	for ctx.Err() == nil {
@@ -259,8 +257,8 @@
 	}
 }
 
-// measureSteady returns what reports its figures: the start of a benchmark's
-// loop forgets those reported before.
+// measureSteady measures the steady state and returns a function that reports the
+// figures, because the start of a benchmark's loop discards earlier ones.
 func measureSteady(b *testing.B, s *entrySite) (report func()) {
 	const window = 10 * time.Second
 	traffic, processor, calls := s.traffic(), processorTime(), total(s.objects.Counts())
@@ -284,7 +282,7 @@
 }
 
 func measureUpdates(b *testing.B, s *entrySite) {
-	// Random bytes don't compress: the bytes are an upper bound.
+	// Random bytes do not compress, so the byte counts are an upper bound.
 	body := make([]byte, 4096)
 	_, _ = rand.Read(body)
 	before, processor := s.traffic(), processorTime()
--- a/distributor/store.go
+++ b/distributor/store.go
@@ -11,11 +11,11 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// result says what became of an update.
+// result is the outcome of offering an update to the store.
 type result string
 
 const (
-	accepted    result = "taken"
+	accepted    result = "accepted"
 	duplicate   result = "duplicate"
 	older       result = "older"
 	conflicting result = "conflicting"
@@ -23,7 +23,7 @@
 	tooMany     result = "too-many"
 )
 
-// error says why an update was refused; nil if it is held now.
+// error returns why an update was rejected, or nil if the store holds it.
 func (r result) error(u garnetworks.Update) error {
 	switch r {
 	case accepted, duplicate:
@@ -35,27 +35,26 @@
 	}
 }
 
-// store holds the newest value of each topic. It is pure and not safe for
+// store holds the newest value of each topic. It does no I/O and is not safe for
 // concurrent use.
 type store struct {
 	held map[garnetworks.Topic]garnetworks.Update
-	// transient tells the topics that are not compared (rule D8).
+	// transient reports the topics that are not compared (rule D8).
 	transient func(garnetworks.Topic) bool
-	// digest is emptyDigest and the hashes of all held versions that are
-	// compared.
+	// digest is emptyDigest plus the sum of the hashes of all compared versions.
 	digest uint64
-	// claimed are the targets that this node has answered for (rule D4).
+	// claimed are the targets that this node has undertaken to forward to (rule D4).
 	claimed map[garnetworks.Topic]claims
 }
 
-// claims are the targets of one version of a topic.
+// claims are the claimed targets of one version of a topic.
 type claims struct {
 	version   garnetworks.UpdateVersion
 	addresses garnetworks.Set[string]
 }
 
-// emptyDigest is the digest of a node that holds nothing; 0 says that a
-// heartbeat does not compare.
+// emptyDigest is the digest of an empty store. It is not 0, because a heartbeat
+// with digest 0 asks for no comparison.
 const emptyDigest = 1
 
 func newStore(transient func(garnetworks.Topic) bool) store {
@@ -67,7 +66,7 @@
 	}
 }
 
-// take keeps the update if it is newer than the held value (rule D1).
+// accept stores the update if it is newer than the held value (rule D1).
 func (s *store) accept(u garnetworks.Update) result {
 	if len(u.Body) > garnetworks.MaxObjectBytes {
 		return tooLarge
@@ -94,9 +93,9 @@
 	return accepted
 }
 
-// claim returns the targets that this node does not yet answer for, and answers
-// for them from now on. It returns none for an update that is no longer the
-// newest: the newer one has a tree of its own.
+// claim returns the targets that are not yet claimed for this version, and claims
+// them. It returns none if the update is no longer the newest, because the newer
+// one is forwarded by a tree of its own.
 func (s *store) claim(u garnetworks.Update, targets []garnetworks.NodeInfo) []garnetworks.NodeInfo {
 	if s.held[u.Topic].Version != u.Version {
 		return nil
@@ -160,7 +159,7 @@
 	return d.Sum64()
 }
 
-// batches divides updates into messages of bounded size (rule D7).
+// batches splits updates into messages of bounded size (rule D7).
 func batches(updates []garnetworks.Update) [][]garnetworks.Update {
 	var all [][]garnetworks.Update
 	for len(updates) > 0 {
@@ -171,8 +170,8 @@
 	return all
 }
 
-// firstBatch returns the updates from the front that fit into one message, at
-// least one if there is one.
+// firstBatch returns the longest prefix of updates that fits into one message, at
+// least one update if there is any.
 func firstBatch(updates []garnetworks.Update) []garnetworks.Update {
 	size := 0
 	for i, u := range updates {
--- a/distributor/tree.go
+++ b/distributor/tree.go
@@ -10,10 +10,10 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Split divides targets into branches for a node to hand an update on to (rule
-// D2). The first node of a branch is to get the update and the rest of the
-// branch as its own targets. Branches that cross regions come first: they take
-// the longest. The seed makes the order within branches (rule D3).
+// Split divides targets into the branches to which self forwards an update (rule
+// D2). The first node of a branch receives the update, with the rest of the branch
+// as its targets. Branches to other regions come first because their latency is
+// highest. The seed determines the order within branches (rule D3).
 func Split(self garnetworks.NodeInfo, targets []garnetworks.NodeInfo, fanout int, seed uint64) [][]garnetworks.NodeInfo {
 	regions := map[garnetworks.RegionID][]garnetworks.NodeInfo{}
 	zones := map[garnetworks.ZoneID][]garnetworks.NodeInfo{}
@@ -38,7 +38,7 @@
 	return append(branches, chunks(shuffle(sameZone, seed), fanout)...)
 }
 
-// shuffle sorts nodes by a hash of each with the seed.
+// shuffle sorts nodes by a seeded hash of their addresses.
 func shuffle(nodes []garnetworks.NodeInfo, seed uint64) []garnetworks.NodeInfo {
 	type ranked struct {
 		node garnetworks.NodeInfo
@@ -60,7 +60,7 @@
 	return sorted
 }
 
-// chunks divides nodes into at most count runs of nearly equal length.
+// chunks divides nodes into at most count slices of nearly equal length.
 func chunks(nodes []garnetworks.NodeInfo, count int) [][]garnetworks.NodeInfo {
 	count = min(count, len(nodes))
 	var all [][]garnetworks.NodeInfo
@@ -70,7 +70,7 @@
 	return all
 }
 
-// seedOf is a hash of the updates' topics and versions.
+// seedOf returns a hash of the updates' topics and versions.
 func seedOf(updates []garnetworks.Update) uint64 {
 	var seed uint64
 	for _, u := range updates {
@@ -79,7 +79,7 @@
 	return seed
 }
 
-// Depth is the number of steps that an update takes to the last of the targets.
+// Depth returns the number of hops to the farthest target.
 func Depth(self garnetworks.NodeInfo, targets []garnetworks.NodeInfo, fanout int, seed uint64) int {
 	depth := 0
 	for _, b := range Split(self, targets, fanout, seed) {
