--- a/pulser/pulser.go
+++ b/pulser/pulser.go
@@ -33,7 +33,7 @@
 
 // pulse is the body of garnetworks.TopicZoneStatus. Its fields are encoded by
 // position.
-type pulse struct {
+type status struct {
 	_ struct{} `cbor:",toarray"`
 	// View is the version of the whole view that the pulse refers to.
 	View version
@@ -57,9 +57,9 @@
 // Sender splits the views of one zone, while one node controls it, into whole
 // views and pulses. It is not safe for concurrent use.
 type Sender struct {
-	started time.Time
-	last    garnetworks.ZoneView
-	whole   garnetworks.UpdateVersion
+	started     time.Time
+	last        garnetworks.ZoneView
+	viewVersion garnetworks.UpdateVersion
 }
 
 // NewSender returns a sender that begins at now.
@@ -69,28 +69,28 @@
 // if it is needed (U1), and a pulse.
 func (s *Sender) Next(now time.Time, v garnetworks.UpdateVersion, view garnetworks.ZoneView) ([]garnetworks.Update, error) {
 	var updates []garnetworks.Update
-	lasting := lasting(view)
-	if s.whole == (garnetworks.UpdateVersion{}) || v.Term != s.whole.Term || !reflect.DeepEqual(lasting, s.last) {
+	stable := stableView(view)
+	if s.viewVersion == (garnetworks.UpdateVersion{}) || v.Term != s.viewVersion.Term || !reflect.DeepEqual(stable, s.last) {
 		body, err := cbor.Marshal(view)
 		if err != nil {
 			return nil, garnetworks.WrapError(garnetworks.KindInternal, err, "encode a zone view")
 		}
-		s.last, s.whole = lasting, v
+		s.last, s.viewVersion = stable, v
 		updates = append(updates, garnetworks.Update{Topic: garnetworks.TopicZoneView + garnetworks.Topic(view.Zone), Version: v, Body: body})
 	}
-	body, err := cbor.Marshal(s.pulse(now, view))
+	body, err := cbor.Marshal(s.status(now, view))
 	if err != nil {
 		return nil, garnetworks.WrapError(garnetworks.KindInternal, err, "encode a zone pulse")
 	}
 	return append(updates, garnetworks.Update{Topic: garnetworks.TopicZoneStatus + garnetworks.Topic(view.Zone), Version: v, Body: body}), nil
 }
 
-func (s *Sender) pulse(now time.Time, view garnetworks.ZoneView) pulse {
-	p := pulse{
-		View:     version{Term: s.whole.Term, Sequence: s.whole.Sequence},
+func (s *Sender) status(now time.Time, view garnetworks.ZoneView) status {
+	p := status{
+		View:     version{Term: s.viewVersion.Term, Sequence: s.viewVersion.Sequence},
 		Sent:     uint64(now.Sub(s.started).Milliseconds()),
 		Loads:    make([]byte, 0, len(view.Groups)),
-		Measures: packMeasures(view.Metrics),
+		Measures: packMetrics(view.Metrics),
 	}
 	for i := range view.Groups {
 		g := &view.Groups[i]
@@ -103,7 +103,7 @@
 }
 
 // lasting returns the view without what a pulse carries.
-func lasting(view garnetworks.ZoneView) garnetworks.ZoneView {
+func stableView(view garnetworks.ZoneView) garnetworks.ZoneView {
 	view.Metrics = garnetworks.ZoneMetrics{}
 	groups := make([]garnetworks.GroupView, len(view.Groups))
 	copy(groups, view.Groups)
@@ -118,27 +118,27 @@
 // offsetMemory is how many pulses the smallest delay is remembered for: clocks'
 // rates differ, so a minimum from long ago would make each pulse seem late or
 // early.
-const offsetMemory = 120
+const maxOffsets = 120
 
 // Receiver joins the whole views and pulses of one zone. It is not safe for
 // concurrent use.
 type Receiver struct {
 	zone garnetworks.ZoneID
 	// view is the newest whole view, at version whole.
-	view  garnetworks.ZoneView
-	whole garnetworks.UpdateVersion
+	view        garnetworks.ZoneView
+	viewVersion garnetworks.UpdateVersion
 	// waiting is a pulse that came before its view.
-	waiting garnetworks.Option[taken]
+	pending garnetworks.Option[receivedStatus]
 	// newest is the version of the newest pulse taken.
-	newest garnetworks.UpdateVersion
+	statusVersion garnetworks.UpdateVersion
 	// offsets are receive time less send time of the last pulses of one term.
 	offsets []time.Duration
 	term    uint32
 	base    time.Time
 }
 
-type taken struct {
-	pulse   pulse
+type receivedStatus struct {
+	status  status
 	version garnetworks.UpdateVersion
 	at      time.Time
 }
@@ -155,22 +155,22 @@
 	At time.Time
 }
 
-// Take takes an update of the zone's topics. It returns the joined view if the
+// Apply takes an update of the zone's topics. It returns the joined view if the
 // update refreshed it, and an error of kind garnetworks.KindInvalidRequest if
 // the body is malformed.
-func (r *Receiver) Take(now time.Time, u garnetworks.Update) (garnetworks.Option[Joined], error) {
+func (r *Receiver) Apply(now time.Time, u garnetworks.Update) (garnetworks.Option[Joined], error) {
 	switch u.Topic {
 	case garnetworks.TopicZoneView + garnetworks.Topic(r.zone):
-		return r.takeView(u)
+		return r.applyView(u)
 	case garnetworks.TopicZoneStatus + garnetworks.Topic(r.zone):
-		return r.takePulse(now, u)
+		return r.applyStatus(now, u)
 	}
 	return garnetworks.Option[Joined]{}, nil
 }
 
-func (r *Receiver) takeView(u garnetworks.Update) (garnetworks.Option[Joined], error) {
+func (r *Receiver) applyView(u garnetworks.Update) (garnetworks.Option[Joined], error) {
 	none := garnetworks.Option[Joined]{}
-	if !r.whole.Less(u.Version) { // U3
+	if !r.viewVersion.Less(u.Version) { // U3
 		return none, nil
 	}
 	var view garnetworks.ZoneView
@@ -180,37 +180,37 @@
 	if view.Zone != r.zone {
 		return none, garnetworks.Errorf(garnetworks.KindInvalidRequest, "view of zone %s under the topic of zone %s", view.Zone, r.zone)
 	}
-	r.view, r.whole = view, u.Version
-	if w, ok := r.waiting.Get(); ok {
-		r.waiting = garnetworks.Option[taken]{}
+	r.view, r.viewVersion = view, u.Version
+	if w, ok := r.pending.Get(); ok {
+		r.pending = garnetworks.Option[receivedStatus]{}
 		return r.join(w), nil
 	}
 	return none, nil
 }
 
-func (r *Receiver) takePulse(now time.Time, u garnetworks.Update) (garnetworks.Option[Joined], error) {
+func (r *Receiver) applyStatus(now time.Time, u garnetworks.Update) (garnetworks.Option[Joined], error) {
 	none := garnetworks.Option[Joined]{}
-	if !r.newest.Less(u.Version) { // U3
+	if !r.statusVersion.Less(u.Version) { // U3
 		return none, nil
 	}
-	var p pulse
+	var p status
 	if err := cbor.Unmarshal(u.Body, &p); err != nil {
 		return none, garnetworks.WrapError(garnetworks.KindInvalidRequest, err, "decode a zone pulse")
 	}
-	r.newest = u.Version
-	return r.join(taken{pulse: p, version: u.Version, at: now.Add(-r.late(now, u.Version.Term, p))}), nil
+	r.statusVersion = u.Version
+	return r.join(receivedStatus{status: p, version: u.Version, at: now.Add(-r.delay(now, u.Version.Term, p))}), nil
 }
 
 // late returns how much longer the pulse took than the quickest one of its
 // sender (U4). Failure: a relaying node is paused with a pulse in hand and sends
 // it on when it wakes; taken as fresh it would keep a broken group in use for
 // another ConfirmationBound.
-func (r *Receiver) late(now time.Time, term uint32, p pulse) time.Duration {
+func (r *Receiver) delay(now time.Time, term uint32, p status) time.Duration {
 	if r.base.IsZero() || term != r.term {
 		r.base, r.term, r.offsets = now, term, nil
 	}
 	offset := now.Sub(r.base) - time.Duration(p.Sent)*time.Millisecond
-	if len(r.offsets) == offsetMemory {
+	if len(r.offsets) == maxOffsets {
 		r.offsets = append(r.offsets[:0], r.offsets[1:]...)
 	}
 	r.offsets = append(r.offsets, offset)
@@ -222,13 +222,13 @@
 }
 
 // join lays a pulse over the view that it refers to (U2).
-func (r *Receiver) join(t taken) garnetworks.Option[Joined] {
-	refers := garnetworks.UpdateVersion{Term: t.pulse.View.Term, Sequence: t.pulse.View.Sequence}
-	if r.whole.Less(refers) {
-		r.waiting = garnetworks.Some(t)
+func (r *Receiver) join(t receivedStatus) garnetworks.Option[Joined] {
+	referred := garnetworks.UpdateVersion{Term: t.status.View.Term, Sequence: t.status.View.Sequence}
+	if r.viewVersion.Less(referred) {
+		r.pending = garnetworks.Some(t)
 		return garnetworks.Option[Joined]{}
 	}
-	if r.whole != refers || len(t.pulse.Loads) != len(r.view.Groups) {
+	if r.viewVersion != referred || len(t.status.Loads) != len(r.view.Groups) {
 		return garnetworks.Option[Joined]{}
 	}
 	view := r.view
@@ -237,15 +237,15 @@
 	for i := range view.Groups {
 		g := &view.Groups[i]
 		g.Confirmed = true
-		g.Load = unpackLoad(t.pulse.Loads[i], g.Load.Capacity)
+		g.Load = unpackLoad(t.status.Loads[i], g.Load.Capacity)
 		g.Load.At = t.at
 	}
-	for _, i := range t.pulse.Unconfirmed {
+	for _, i := range t.status.Unconfirmed {
 		if int(i) < len(view.Groups) {
 			view.Groups[i].Confirmed = false
 		}
 	}
-	view.Metrics = unpackMeasures(t.pulse.Measures)
+	view.Metrics = unpackMetrics(t.status.Measures)
 	return garnetworks.Some(Joined{View: view, Version: t.version, At: t.at})
 }
 
@@ -273,14 +273,14 @@
 	return garnetworks.EngineLoad{Running: min(calls, capacity), Waiting: max(0, calls-capacity), Capacity: capacity}
 }
 
-func packMeasures(m garnetworks.ZoneMetrics) []int64 {
+func packMetrics(m garnetworks.ZoneMetrics) []int64 {
 	return []int64{
 		m.GroupDowntime.Milliseconds(), m.Stranded.Milliseconds(),
 		int64(m.GroupsDown), int64(m.InstancesStranded), int64(m.Drawn), int64(m.Limit),
 	}
 }
 
-func unpackMeasures(values []int64) garnetworks.ZoneMetrics {
+func unpackMetrics(values []int64) garnetworks.ZoneMetrics {
 	if len(values) < 6 {
 		return garnetworks.ZoneMetrics{}
 	}
--- a/pulser/pulser_test.go
+++ b/pulser/pulser_test.go
@@ -42,11 +42,11 @@
 	return updates
 }
 
-func take(t *testing.T, r *Receiver, now time.Time, updates ...garnetworks.Update) garnetworks.Option[Joined] {
+func apply(t *testing.T, r *Receiver, now time.Time, updates ...garnetworks.Update) garnetworks.Option[Joined] {
 	t.Helper()
 	var last garnetworks.Option[Joined]
 	for _, u := range updates {
-		joined, err := r.Take(now, u)
+		joined, err := r.Apply(now, u)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -57,14 +57,14 @@
 	return last
 }
 
-func TestWholeViewOnlyWhenLastingThingsChange(t *testing.T) {
+func TestFullViewOnlyWhenStableFieldsChange(t *testing.T) {
 	s, r := NewSender(start), NewReceiver("a")
 	view := zoneView(3)
 	first := next(t, s, start, at(1), view)
 	if len(first) != 2 {
 		t.Fatalf("first view came as %d updates, want whole view and pulse", len(first))
 	}
-	take(t, r, start, first...)
+	apply(t, r, start, first...)
 
 	view.Groups[1].Confirmed = false
 	view.Groups[2].Load = garnetworks.EngineLoad{Running: 7, Capacity: 64}
@@ -72,7 +72,7 @@
 	if len(second) != 1 {
 		t.Fatalf("a change of confirmation and load came as %d updates, want a pulse", len(second))
 	}
-	joined, ok := take(t, r, start.Add(time.Second), second...).Get()
+	joined, ok := apply(t, r, start.Add(time.Second), second...).Get()
 	if !ok {
 		t.Fatal("the pulse did not refresh the view")
 	}
@@ -89,32 +89,32 @@
 	}
 }
 
-func TestPulseOfAnotherViewDoesNotRefresh(t *testing.T) {
+func TestStatusOfAnotherViewDoesNotRefresh(t *testing.T) {
 	// A user's call goes to a group that was released a second ago. The node got
 	// the pulse, but not yet the view without the group; had the pulse counted
 	// for the old view, the old group would have seemed confirmed.
 	s, r := NewSender(start), NewReceiver("a")
 	view := zoneView(3)
-	take(t, r, start, next(t, s, start, at(1), view)...)
+	apply(t, r, start, next(t, s, start, at(1), view)...)
 	view.Groups = view.Groups[1:]
 	updates := next(t, s, start.Add(time.Second), at(2), view)
 
-	if got := take(t, r, start.Add(time.Second), updates[1]); got.Present {
+	if got := apply(t, r, start.Add(time.Second), updates[1]); got.Present {
 		t.Fatalf("the pulse refreshed the older view: %+v", got.Value)
 	}
-	got := take(t, r, start.Add(2*time.Second), updates[0])
+	got := apply(t, r, start.Add(2*time.Second), updates[0])
 	if !got.Present || len(got.Value.View.Groups) != 2 {
 		t.Fatalf("the view did not join with the pulse that waited: %+v", got)
 	}
 	if !got.Value.At.Equal(start.Add(time.Second)) {
 		t.Errorf("joined at %v, want the time of the pulse", got.Value.At)
 	}
-	if again := take(t, r, start.Add(3*time.Second), updates...); again.Present {
+	if again := apply(t, r, start.Add(3*time.Second), updates...); again.Present {
 		t.Errorf("repeated updates refreshed the view")
 	}
 }
 
-func TestHeldUpPulseCountsAsOld(t *testing.T) {
+func TestDelayedStatusCountsAsOld(t *testing.T) {
 	// A user's call waits on a group whose member died ten seconds ago. A node
 	// that relays pulses was paused with one in hand and sent it on when it
 	// woke; taken as fresh, it kept the group in use.
@@ -122,12 +122,12 @@
 	view := zoneView(1)
 	for i := range 5 {
 		now := start.Add(time.Duration(i) * time.Second)
-		take(t, r, now.Add(3*time.Millisecond), next(t, s, now, at(uint64(i+1)), view)...)
+		apply(t, r, now.Add(3*time.Millisecond), next(t, s, now, at(uint64(i+1)), view)...)
 	}
 	sent := start.Add(5 * time.Second)
 	held := next(t, s, sent, at(6), view)
 	received := sent.Add(10 * time.Second)
-	joined, ok := take(t, r, received, held...).Get()
+	joined, ok := apply(t, r, received, held...).Get()
 	if !ok {
 		t.Fatal("the pulse was not taken")
 	}
@@ -136,16 +136,16 @@
 	}
 }
 
-func TestNewTermIsMeasuredAnew(t *testing.T) {
+func TestNewTermResetsDelay(t *testing.T) {
 	r := NewReceiver("a")
-	take(t, r, start.Add(time.Hour), next(t, NewSender(start), start.Add(time.Hour), at(9), zoneView(1))...)
+	apply(t, r, start.Add(time.Hour), next(t, NewSender(start), start.Add(time.Hour), at(9), zoneView(1))...)
 	v := garnetworks.UpdateVersion{Term: 2, Sequence: 1}
 	now := start.Add(time.Hour + time.Second)
-	joined, ok := take(t, r, now, next(t, NewSender(now), now, v, zoneView(1))...).Get()
+	joined, ok := apply(t, r, now, next(t, NewSender(now), now, v, zoneView(1))...).Get()
 	if !ok || !joined.At.Equal(now) {
 		t.Errorf("the first pulse of a new holder: %+v, %t", joined.At, ok)
 	}
-	older, err := r.Take(now, garnetworks.Update{Topic: garnetworks.TopicZoneView + "a", Version: at(99)})
+	older, err := r.Apply(now, garnetworks.Update{Topic: garnetworks.TopicZoneView + "a", Version: at(99)})
 	if err != nil || older.Present {
 		t.Errorf("a view of an older term was taken: %v, %v", older, err)
 	}
@@ -155,14 +155,14 @@
 	for name, topic := range map[string]garnetworks.Topic{"view": garnetworks.TopicZoneView + "a", "pulse": garnetworks.TopicZoneStatus + "a"} {
 		t.Run(name, func(t *testing.T) {
 			r := NewReceiver("a")
-			if _, err := r.Take(start, garnetworks.Update{Topic: topic, Version: at(1), Body: []byte{0xff}}); !garnetworks.IsKind(err, garnetworks.KindInvalidRequest) {
+			if _, err := r.Apply(start, garnetworks.Update{Topic: topic, Version: at(1), Body: []byte{0xff}}); !garnetworks.IsKind(err, garnetworks.KindInvalidRequest) {
 				t.Errorf("Take() error = %v", err)
 			}
 		})
 	}
 }
 
-func TestLoadSurvivesThePulse(t *testing.T) {
+func TestLoadEncoding(t *testing.T) {
 	tests := map[string]struct{ load, want garnetworks.EngineLoad }{
 		"idle":           {garnetworks.EngineLoad{Capacity: 64}, garnetworks.EngineLoad{Capacity: 64}},
 		"one of many":    {garnetworks.EngineLoad{Running: 1, Capacity: 640}, garnetworks.EngineLoad{Running: 10, Capacity: 640}},
@@ -186,16 +186,16 @@
 	for _, groups := range []int{5, 9, 19, 38, 75} {
 		b.Run(fmt.Sprintf("groups=%d", groups), func(b *testing.B) {
 			view := zoneView(groups)
-			var whole, pulses int
+			var viewBytes, statusBytes int
 			for b.Loop() {
 				updates, err := NewSender(start).Next(start, at(1), view)
 				if err != nil {
 					b.Fatal(err)
 				}
-				whole, pulses = len(updates[0].Body), len(updates[1].Body)
+				viewBytes, statusBytes = len(updates[0].Body), len(updates[1].Body)
 			}
-			b.ReportMetric(float64(whole), "view-bytes")
-			b.ReportMetric(float64(pulses), "pulse-bytes")
+			b.ReportMetric(float64(viewBytes), "view-bytes")
+			b.ReportMetric(float64(statusBytes), "pulse-bytes")
 		})
 	}
 }
--- a/runner/views.go
+++ b/runner/views.go
@@ -105,7 +105,7 @@
 		receiver = pulser.NewReceiver(zone)
 		v.receivers[zone] = receiver
 	}
-	joined, err := receiver.Take(time.Now(), u)
+	joined, err := receiver.Apply(time.Now(), u)
 	if j, ok := joined.Get(); ok {
 		v.joined[zone] = j
 	}
