--- a/pulser/pulser.go
+++ b/pulser/pulser.go
@@ -1,19 +1,18 @@
-// Package pulser keeps nodes' views of an availability zone fresh at little
-// cost: the whole view travels when what it holds for long changes, and a pulse
-// of some hundred bytes each second says which of its groups are confirmed and
-// how loaded they are.
+// Package pulser keeps nodes' views of an availability zone fresh at low cost: the
+// full view is sent only when its stable fields change, and a short status update at
+// each Interval says which of its groups are confirmed and how loaded they are.
 //
 // The rules:
 //
-//	U1  A whole view is sent when anything in it changes but confirmations,
-//	    loads and measures; a pulse names the whole view that it refers to.
-//	U2  A receiver uses a pulse only with the very view that it refers to; with
-//	    an older one it does not count as refreshed.
-//	U3  Neither views nor pulses go back: a lower version is ignored.
-//	U4  A pulse carries the sender's monotonic time. A pulse that took longer
-//	    than the quickest of its sender's is taken as older by the difference,
-//	    so that one held up on the way does not refresh what has long changed.
-//	    No clocks are compared.
+//	U1  A full view is sent when anything but confirmations, loads and metrics
+//	    changes. A status update names the version of the view it refers to.
+//	U2  A receiver applies a status update only to the view version that it
+//	    refers to; on any other version it does not count as a refresh.
+//	U3  Neither views nor status updates go back to a lower version.
+//	U4  A status update carries the sender's monotonic time. One that took longer
+//	    than the sender's fastest is dated back by the difference, so that a
+//	    delayed update does not refresh an outdated view. Clocks of different
+//	    machines are never compared.
 package pulser
 
 import (
@@ -26,25 +25,24 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Interval is the time between two pulses of a zone: two of them, with their
-// way, fit into garnetworks.ConfirmationBound, so that one lost pulse takes no
-// group out. A group that stops being confirmed is told at once.
+// Interval is the time between two status updates of a zone. Two intervals plus the
+// transit time fit into garnetworks.ConfirmationBound, so that one lost update takes
+// no group out of service. A group that loses its confirmation is published at once.
 const Interval = 1400 * time.Millisecond
 
-// pulse is the body of garnetworks.TopicZoneStatus. Its fields are encoded by
+// status is the body of garnetworks.TopicZoneStatus. Its fields are encoded by
 // position.
 type status struct {
 	_ struct{} `cbor:",toarray"`
-	// View is the version of the whole view that the pulse refers to.
+	// View is the version of the full view that the status refers to.
 	View version
-	// Sent is the sender's monotonic time since it began to send, in
-	// milliseconds.
+	// Sent is the sender's monotonic time since its start, in milliseconds.
 	Sent uint64
-	// Unconfirmed are the positions of groups that are not confirmed now.
+	// Unconfirmed are the indexes of the view's groups that are not confirmed.
 	Unconfirmed []uint16
-	// Loads holds one step of loadStep for each group, in the view's order.
+	// Loads holds each group's load as packed by packLoad, in the view's order.
 	Loads []byte
-	// Measures holds the zone's measures in the order of packMeasures.
+	// Measures holds the zone's metrics in the order of packMetrics.
 	Measures []int64
 }
 
@@ -54,19 +52,19 @@
 	Sequence uint64
 }
 
-// Sender splits the views of one zone, while one node controls it, into whole
-// views and pulses. It is not safe for concurrent use.
+// Sender turns the views of one zone, while one node controls it, into full views
+// and status updates. It is not safe for concurrent use.
 type Sender struct {
 	started     time.Time
 	last        garnetworks.ZoneView
 	viewVersion garnetworks.UpdateVersion
 }
 
-// NewSender returns a sender that begins at now.
+// NewSender returns a sender whose monotonic time starts at now.
 func NewSender(now time.Time) *Sender { return &Sender{started: now} }
 
-// Next returns the updates that bring the view to all nodes: a whole view only
-// if it is needed (U1), and a pulse.
+// Next returns the updates that publish the view: a full view only if its stable
+// fields changed or the term is new (U1), and a status update.
 func (s *Sender) Next(now time.Time, v garnetworks.UpdateVersion, view garnetworks.ZoneView) ([]garnetworks.Update, error) {
 	var updates []garnetworks.Update
 	stable := stableView(view)
@@ -80,7 +78,7 @@
 	}
 	body, err := cbor.Marshal(s.status(now, view))
 	if err != nil {
-		return nil, garnetworks.WrapError(garnetworks.KindInternal, err, "encode a zone pulse")
+		return nil, garnetworks.WrapError(garnetworks.KindInternal, err, "encode a zone status")
 	}
 	return append(updates, garnetworks.Update{Topic: garnetworks.TopicZoneStatus + garnetworks.Topic(view.Zone), Version: v, Body: body}), nil
 }
@@ -102,7 +100,7 @@
 	return p
 }
 
-// lasting returns the view without what a pulse carries.
+// stableView returns the view without the fields that a status update carries.
 func stableView(view garnetworks.ZoneView) garnetworks.ZoneView {
 	view.Metrics = garnetworks.ZoneMetrics{}
 	groups := make([]garnetworks.GroupView, len(view.Groups))
@@ -115,23 +113,23 @@
 	return view
 }
 
-// offsetMemory is how many pulses the smallest delay is remembered for: clocks'
-// rates differ, so a minimum from long ago would make each pulse seem late or
-// early.
+// maxOffsets is the number of status updates over which the smallest offset is
+// taken. Clock rates differ, so an older minimum would distort the delay.
 const maxOffsets = 120
 
-// Receiver joins the whole views and pulses of one zone. It is not safe for
-// concurrent use.
+// Receiver combines the full views and status updates of one zone. It is not safe
+// for concurrent use.
 type Receiver struct {
 	zone garnetworks.ZoneID
-	// view is the newest whole view, at version whole.
+	// view is the newest full view, at viewVersion.
 	view        garnetworks.ZoneView
 	viewVersion garnetworks.UpdateVersion
-	// waiting is a pulse that came before its view.
+	// pending is a status update that arrived before its view.
 	pending garnetworks.Option[receivedStatus]
-	// newest is the version of the newest pulse taken.
+	// statusVersion is the version of the newest status update received.
 	statusVersion garnetworks.UpdateVersion
-	// offsets are receive time less send time of the last pulses of one term.
+	// offsets are the receive time minus the send time of the last status updates
+	// of one term, relative to base.
 	offsets []time.Duration
 	term    uint32
 	base    time.Time
@@ -143,21 +141,21 @@
 	at      time.Time
 }
 
-// NewReceiver returns a receiver for the zone that holds nothing.
+// NewReceiver returns a receiver for the zone without a view.
 func NewReceiver(zone garnetworks.ZoneID) *Receiver { return &Receiver{zone: zone} }
 
-// Joined is the zone's view as it was confirmed at a time.
+// Joined is a zone's view combined with a status update.
 type Joined struct {
 	View garnetworks.ZoneView
-	// Version is that of the pulse.
+	// Version is the version of the status update.
 	Version garnetworks.UpdateVersion
-	// At is when the view was fresh by the receiver's clock, at the latest.
+	// At is the time, by the receiver's clock, for which the status is valid.
 	At time.Time
 }
 
-// Apply takes an update of the zone's topics. It returns the joined view if the
-// update refreshed it, and an error of kind garnetworks.KindInvalidRequest if
-// the body is malformed.
+// Apply processes an update of the zone's topics and ignores other topics. It
+// returns the joined view if the update refreshed it, and an error of kind
+// garnetworks.KindInvalidRequest if the body is malformed.
 func (r *Receiver) Apply(now time.Time, u garnetworks.Update) (garnetworks.Option[Joined], error) {
 	switch u.Topic {
 	case garnetworks.TopicZoneView + garnetworks.Topic(r.zone):
@@ -195,16 +193,16 @@
 	}
 	var p status
 	if err := cbor.Unmarshal(u.Body, &p); err != nil {
-		return none, garnetworks.WrapError(garnetworks.KindInvalidRequest, err, "decode a zone pulse")
+		return none, garnetworks.WrapError(garnetworks.KindInvalidRequest, err, "decode a zone status")
 	}
 	r.statusVersion = u.Version
 	return r.join(receivedStatus{status: p, version: u.Version, at: now.Add(-r.delay(now, u.Version.Term, p))}), nil
 }
 
-// late returns how much longer the pulse took than the quickest one of its
-// sender (U4). Failure: a relaying node is paused with a pulse in hand and sends
-// it on when it wakes; taken as fresh it would keep a broken group in use for
-// another ConfirmationBound.
+// delay returns how much longer the status update took than the fastest recent one
+// of its term (U4). Failure: a relaying node is paused and forwards an update when it
+// resumes; taken as fresh, it would keep a broken group in use for another
+// ConfirmationBound.
 func (r *Receiver) delay(now time.Time, term uint32, p status) time.Duration {
 	if r.base.IsZero() || term != r.term {
 		r.base, r.term, r.offsets = now, term, nil
@@ -221,7 +219,8 @@
 	return offset - least
 }
 
-// join lays a pulse over the view that it refers to (U2).
+// join applies a status update to the view that it refers to, or keeps it as pending
+// if that view has not arrived (U2).
 func (r *Receiver) join(t receivedStatus) garnetworks.Option[Joined] {
 	referred := garnetworks.UpdateVersion{Term: t.status.View.Term, Sequence: t.status.View.Sequence}
 	if r.viewVersion.Less(referred) {
@@ -249,13 +248,12 @@
 	return garnetworks.Some(Joined{View: view, Version: t.version, At: t.at})
 }
 
-// loadSteps is the number of steps of a group's capacity in a pulse. A byte
-// holds calls up to four times the capacity, finer than the load changes between
-// two pulses.
+// loadSteps is the number of steps into which a group's capacity is divided. A byte
+// thus holds up to four times the capacity.
 const loadSteps = 63
 
-// packLoad returns the calls of a group in steps of its capacity, rounded up so
-// that a busy group never looks idle.
+// packLoad returns a group's calls in steps of its capacity, rounded up so that a
+// busy group never looks idle.
 func packLoad(load garnetworks.EngineLoad) byte {
 	calls := max(0, load.Running) + max(0, load.Waiting)
 	if load.Capacity <= 0 {
@@ -264,7 +262,7 @@
 	return byte(min((calls*loadSteps+load.Capacity-1)/load.Capacity, math.MaxUint8))
 }
 
-// unpackLoad is the inverse of packLoad, down to a step.
+// unpackLoad is the inverse of packLoad, to the precision of a step.
 func unpackLoad(steps byte, capacity int) garnetworks.EngineLoad {
 	if capacity <= 0 {
 		return garnetworks.EngineLoad{Running: int(steps)}
--- a/pulser/pulser_test.go
+++ b/pulser/pulser_test.go
@@ -62,7 +62,7 @@
 	view := zoneView(3)
 	first := next(t, s, start, at(1), view)
 	if len(first) != 2 {
-		t.Fatalf("first view came as %d updates, want whole view and pulse", len(first))
+		t.Fatalf("first view came as %d updates, want full view and status", len(first))
 	}
 	apply(t, r, start, first...)
 
@@ -70,29 +70,28 @@
 	view.Groups[2].Load = garnetworks.EngineLoad{Running: 7, Capacity: 64}
 	second := next(t, s, start.Add(time.Second), at(2), view)
 	if len(second) != 1 {
-		t.Fatalf("a change of confirmation and load came as %d updates, want a pulse", len(second))
+		t.Fatalf("a change of confirmation and load came as %d updates, want a status", len(second))
 	}
 	joined, ok := apply(t, r, start.Add(time.Second), second...).Get()
 	if !ok {
-		t.Fatal("the pulse did not refresh the view")
+		t.Fatal("the status did not refresh the view")
 	}
 	if got := joined.View.Groups; got[1].Confirmed || !got[0].Confirmed || got[2].Load.Running != 7 {
 		t.Errorf("joined groups: %+v", got)
 	}
 	if joined.View.Metrics.Limit != 100000 {
-		t.Errorf("joined measures: %+v", joined.View.Metrics)
+		t.Errorf("joined metrics: %+v", joined.View.Metrics)
 	}
 
 	view.Groups[0].State = garnetworks.GroupDraining
 	if got := len(next(t, s, start.Add(2*time.Second), at(3), view)); got != 2 {
-		t.Errorf("a change of state came as %d updates, want whole view and pulse", got)
+		t.Errorf("a change of state came as %d updates, want full view and status", got)
 	}
 }
 
 func TestStatusOfAnotherViewDoesNotRefresh(t *testing.T) {
-	// A user's call goes to a group that was released a second ago. The node got
-	// the pulse, but not yet the view without the group; had the pulse counted
-	// for the old view, the old group would have seemed confirmed.
+	// A status update that arrives before its view must not refresh the older view: a
+	// group that was released since would seem confirmed.
 	s, r := NewSender(start), NewReceiver("a")
 	view := zoneView(3)
 	apply(t, r, start, next(t, s, start, at(1), view)...)
@@ -100,14 +99,14 @@
 	updates := next(t, s, start.Add(time.Second), at(2), view)
 
 	if got := apply(t, r, start.Add(time.Second), updates[1]); got.Present {
-		t.Fatalf("the pulse refreshed the older view: %+v", got.Value)
+		t.Fatalf("the status refreshed the older view: %+v", got.Value)
 	}
 	got := apply(t, r, start.Add(2*time.Second), updates[0])
 	if !got.Present || len(got.Value.View.Groups) != 2 {
-		t.Fatalf("the view did not join with the pulse that waited: %+v", got)
+		t.Fatalf("the view did not join with the pending status: %+v", got)
 	}
 	if !got.Value.At.Equal(start.Add(time.Second)) {
-		t.Errorf("joined at %v, want the time of the pulse", got.Value.At)
+		t.Errorf("joined at %v, want the time of the status", got.Value.At)
 	}
 	if again := apply(t, r, start.Add(3*time.Second), updates...); again.Present {
 		t.Errorf("repeated updates refreshed the view")
@@ -115,9 +114,8 @@
 }
 
 func TestDelayedStatusCountsAsOld(t *testing.T) {
-	// A user's call waits on a group whose member died ten seconds ago. A node
-	// that relays pulses was paused with one in hand and sent it on when it
-	// woke; taken as fresh, it kept the group in use.
+	// A relay that resumes after a pause forwards an old status update; taken as fresh,
+	// it would keep a group with a dead member in use.
 	s, r := NewSender(start), NewReceiver("a")
 	view := zoneView(1)
 	for i := range 5 {
@@ -129,10 +127,10 @@
 	received := sent.Add(10 * time.Second)
 	joined, ok := apply(t, r, received, held...).Get()
 	if !ok {
-		t.Fatal("the pulse was not taken")
+		t.Fatal("the status was not applied")
 	}
 	if age := received.Sub(joined.At); age < 9990*time.Millisecond {
-		t.Errorf("a pulse held up for 10 s is taken as %v old", age)
+		t.Errorf("a status delayed by 10 s counts as %v old", age)
 	}
 }
 
@@ -143,16 +141,16 @@
 	now := start.Add(time.Hour + time.Second)
 	joined, ok := apply(t, r, now, next(t, NewSender(now), now, v, zoneView(1))...).Get()
 	if !ok || !joined.At.Equal(now) {
-		t.Errorf("the first pulse of a new holder: %+v, %t", joined.At, ok)
+		t.Errorf("the first status of a new term: %+v, %t", joined.At, ok)
 	}
 	older, err := r.Apply(now, garnetworks.Update{Topic: garnetworks.TopicZoneView + "a", Version: at(99)})
 	if err != nil || older.Present {
-		t.Errorf("a view of an older term was taken: %v, %v", older, err)
+		t.Errorf("a view of an older term was applied: %v, %v", older, err)
 	}
 }
 
 func TestMalformedBodies(t *testing.T) {
-	for name, topic := range map[string]garnetworks.Topic{"view": garnetworks.TopicZoneView + "a", "pulse": garnetworks.TopicZoneStatus + "a"} {
+	for name, topic := range map[string]garnetworks.Topic{"view": garnetworks.TopicZoneView + "a", "status": garnetworks.TopicZoneStatus + "a"} {
 		t.Run(name, func(t *testing.T) {
 			r := NewReceiver("a")
 			if _, err := r.Apply(start, garnetworks.Update{Topic: topic, Version: at(1), Body: []byte{0xff}}); !garnetworks.IsKind(err, garnetworks.KindInvalidRequest) {
@@ -181,7 +179,7 @@
 	}
 }
 
-// BenchmarkBytes reports what a zone's view costs on the wire.
+// BenchmarkBytes reports the encoded size of a zone's view and status update.
 func BenchmarkBytes(b *testing.B) {
 	for _, groups := range []int{5, 9, 19, 38, 75} {
 		b.Run(fmt.Sprintf("groups=%d", groups), func(b *testing.B) {
