--- a/parser/check.go
+++ b/parser/check.go
@@ -31,7 +31,7 @@
 
 // checker holds what the checks of one manifest share.
 type checker struct {
-	*places
+	*diagnostics
 	manifest *garnetworks.Manifest
 	classes  map[string]garnetworks.InstanceClass
 	models   garnetworks.Set[garnetworks.ModelName]
@@ -39,19 +39,19 @@
 }
 
 // check records what is wrong with the values of a manifest (rules P6 to P8).
-func check(p *places, manifest *garnetworks.Manifest, fleet []garnetworks.ListedInstance) {
-	if p.bad[""] {
+func check(d *diagnostics, manifest *garnetworks.Manifest, fleet []garnetworks.ListedInstance) {
+	if d.unreadable[""] {
 		return
 	}
 	c := &checker{
-		places:   p,
-		manifest: manifest,
-		classes:  map[string]garnetworks.InstanceClass{},
-		models:   garnetworks.NewSet[garnetworks.ModelName](),
-		services: garnetworks.NewSet[garnetworks.ServiceName](),
+		diagnostics: d,
+		manifest:    manifest,
+		classes:     map[string]garnetworks.InstanceClass{},
+		models:      garnetworks.NewSet[garnetworks.ModelName](),
+		services:    garnetworks.NewSet[garnetworks.ServiceName](),
 	}
 	if manifest.Format < 1 {
-		c.refuse("format", "must be %d", garnetworks.ManifestFormat)
+		c.report("format", "must be %d", garnetworks.ManifestFormat)
 	}
 	c.site()
 	for i, m := range manifest.Models {
@@ -68,7 +68,7 @@
 
 // kebab reports whether name is in kebab case: lower-case letters, digits and
 // single hyphens between them.
-func kebab(name string) bool {
+func isKebabCase(name string) bool {
 	if name == "" || len(name) > maxNameLength {
 		return false
 	}
@@ -83,35 +83,35 @@
 // name refuses a name that is not in kebab case. Adapters and versions may
 // hold dots, which version numbers need.
 func (c *checker) name(path, name string) {
-	if !kebab(name) {
-		c.refuse(path, "%q is not a name in kebab case of at most %d letters, digits and hyphens", shorten(name), maxNameLength)
+	if !isKebabCase(name) {
+		c.report(path, "%q is not a name in kebab case of at most %d letters, digits and hyphens", shorten(name), maxNameLength)
 	}
 }
 
 func (c *checker) version(path, name string) {
-	if !kebab(strings.ReplaceAll(name, ".", "-")) {
-		c.refuse(path, "%q is not a name of at most %d lower-case letters, digits, hyphens and dots", shorten(name), maxNameLength)
+	if !isKebabCase(strings.ReplaceAll(name, ".", "-")) {
+		c.report(path, "%q is not a name of at most %d lower-case letters, digits, hyphens and dots", shorten(name), maxNameLength)
 	}
 }
 
 // count refuses a number outside low and high.
 func (c *checker) count(path string, value, low, high int64) {
 	if value < low || value > high {
-		c.refuse(path, "must be between %d and %d, not %d", low, high, value)
+		c.report(path, "must be between %d and %d, not %d", low, high, value)
 	}
 }
 
 // rate refuses a number that is negative or not finite.
 func (c *checker) rate(path string, value float64) {
 	if !(value >= 0 && value <= maxRate) {
-		c.refuse(path, "must be between 0 and %g, not %g", maxRate, value)
+		c.report(path, "must be between 0 and %g, not %g", maxRate, value)
 	}
 }
 
 // duration refuses a duration outside low and high.
 func (c *checker) duration(path string, value, low, high time.Duration) {
 	if value < low || value > high {
-		c.refuse(path, "must be between %v and %v, not %v", low, high, value)
+		c.report(path, "must be between %v and %v, not %v", low, high, value)
 	}
 }
 
@@ -120,11 +120,11 @@
 	first := map[T]int{}
 	for i, n := range names {
 		at := fmt.Sprintf("%s[%d]%s", list, i, suffix)
-		if c.unread(at) {
+		if c.isUnreadable(at) {
 			continue
 		}
-		if j, twice := first[n]; twice {
-			c.refuse(at, "%q stands twice; first as %s[%d]", shorten(string(n)), list, j)
+		if j, duplicate := first[n]; duplicate {
+			c.report(at, "%q stands twice; first as %s[%d]", shorten(string(n)), list, j)
 			continue
 		}
 		first[n] = i
@@ -139,8 +139,8 @@
 	c.instanceClasses(s.Classes)
 	c.rate("site.weights.group-downtime", s.CostWeights.GroupDowntime)
 	c.rate("site.weights.stranded", s.CostWeights.Stranded)
-	if s.CostWeights.GroupDowntime == 0 && s.CostWeights.Stranded == 0 && !c.partlyUnread("site.weights") {
-		c.refuse("site.weights", "one of group-downtime and stranded must be above 0")
+	if s.CostWeights.GroupDowntime == 0 && s.CostWeights.Stranded == 0 && !c.isPartlyUnreadable("site.weights") {
+		c.report("site.weights", "one of group-downtime and stranded must be above 0")
 	}
 	c.duration("site.grace.drain", s.Grace.Drain, time.Millisecond, maxDuration)
 	c.duration("site.grace.shed", s.Grace.Shed, 0, maxDuration)
@@ -148,7 +148,7 @@
 
 func (c *checker) zones(zones []garnetworks.ZoneSpec) {
 	const path = "site.zones"
-	in := 0
+	included := 0
 	list := make([]garnetworks.ZoneID, len(zones))
 	for i, z := range zones {
 		at := fmt.Sprintf("%s[%d]", path, i)
@@ -156,15 +156,15 @@
 		c.name(at+".region", string(z.Region))
 		list[i] = z.Name
 		if !z.Excluded {
-			in++
+			included++
 		}
 	}
 	unique(c, path, list, ".name")
 	if len(zones) == 0 {
-		c.refuse(path, "must name at least one zone")
+		c.report(path, "must name at least one zone")
 	}
-	if len(zones) > 0 && in == 0 {
-		c.refuse(path, "at least one zone must not be left out, or nobody would confirm the manifest")
+	if len(zones) > 0 && included == 0 {
+		c.report(path, "at least one zone must not be left out, or nobody would confirm the manifest")
 	}
 }
 
@@ -184,15 +184,15 @@
 	}
 	unique(c, path, list, ".name")
 	if len(classes) == 0 {
-		c.refuse(path, "must name at least one class of instances")
+		c.report(path, "must name at least one class of instances")
 	}
 }
 
 // class returns the class that is referred to at path.
 func (c *checker) class(path, name string) (garnetworks.InstanceClass, bool) {
 	k, ok := c.classes[name]
-	if !ok && !c.namesUnread("site.instance-classes") {
-		c.refuse(path, "there is no instance class %q in site.instance-classes", shorten(name))
+	if !ok && !c.hasUnreadableNames("site.instance-classes") {
+		c.report(path, "there is no instance class %q in site.instance-classes", shorten(name))
 	}
 	return k, ok
 }
@@ -200,7 +200,7 @@
 func (c *checker) model(at string, m garnetworks.ModelSpec) {
 	c.name(at+".name", string(m.Name))
 	if c.models.Has(m.Name) {
-		c.refuse(at+".name", "%q stands twice in models", shorten(string(m.Name)))
+		c.report(at+".name", "%q stands twice in models", shorten(string(m.Name)))
 	}
 	c.models.Add(m.Name)
 	c.version(at+".version", string(m.Version))
@@ -212,36 +212,36 @@
 	c.count(at+".group-size", int64(m.GroupSize), 1, maxGroupSize)
 	c.count(at+".min-groups", int64(m.MinGroups), 0, maxCount)
 	c.count(at+".max-groups", int64(m.MaxGroups), 0, maxCount)
-	if m.MaxGroups < m.MinGroups && !c.unread(at+".min-groups") {
-		c.refuse(at+".max-groups", "must be at least min-groups, %d, not %d", m.MinGroups, m.MaxGroups)
+	if m.MaxGroups < m.MinGroups && !c.isUnreadable(at+".min-groups") {
+		c.report(at+".max-groups", "must be at least min-groups, %d, not %d", m.MinGroups, m.MaxGroups)
 	}
 	c.count(at+".priority", int64(m.Priority), 0, maxPriority)
 	if k, ok := c.class(at+".instance-class", m.Class); ok && k.Accelerators == 0 {
-		c.refuse(at+".instance-class", "instances of class %q have no accelerators, which a model needs", shorten(m.Class))
+		c.report(at+".instance-class", "instances of class %q have no accelerators, which a model needs", shorten(m.Class))
 	}
 }
 
 func (c *checker) service(at string, s garnetworks.ServiceSpec) {
 	c.name(at+".name", string(s.Name))
 	if c.services.Has(s.Name) {
-		c.refuse(at+".name", "%q stands twice in services", shorten(string(s.Name)))
+		c.report(at+".name", "%q stands twice in services", shorten(string(s.Name)))
 	}
 	c.services.Add(s.Name)
 	c.class(at+".instance-class", s.Class)
 	c.duration(at+".timeout", s.Timeout, time.Millisecond, maxTimeout)
 	for i, call := range s.Calls {
 		c.call(fmt.Sprintf("%s.calls[%d]", at, i), call)
-		c.hidden(at, s.Calls, i)
+		c.checkShadowed(at, s.Calls, i)
 	}
 }
 
 func (c *checker) call(at string, call garnetworks.ServiceCallSpec) {
 	if !strings.HasPrefix(call.PathPrefix, "/") {
-		c.refuse(at+".path-prefix", "must begin with /, not %q", shorten(call.PathPrefix))
+		c.report(at+".path-prefix", "must begin with /, not %q", shorten(call.PathPrefix))
 	}
 	for i, m := range call.Methods {
 		if !methods.Has(m) {
-			c.refuse(fmt.Sprintf("%s.methods[%d]", at, i), "%q is not one of %s", shorten(m), strings.Join(garnetworks.Sorted(methods), ", "))
+			c.report(fmt.Sprintf("%s.methods[%d]", at, i), "%q is not one of %s", shorten(m), strings.Join(garnetworks.Sorted(methods), ", "))
 		}
 	}
 	unique(c, at+".methods", call.Methods, "")
@@ -249,15 +249,15 @@
 
 // hidden refuses a rule that an earlier one decides for: a rule that says
 // repeatable hides one that says not, and the calls would be sent twice.
-func (c *checker) hidden(at string, calls []garnetworks.ServiceCallSpec, i int) {
+func (c *checker) checkShadowed(at string, calls []garnetworks.ServiceCallSpec, i int) {
 	later := calls[i]
 	path := fmt.Sprintf("%s.calls[%d]", at, i)
 	for j, earlier := range calls[:i] {
-		if c.partlyUnread(path) || c.partlyUnread(fmt.Sprintf("%s.calls[%d]", at, j)) {
+		if c.isPartlyUnreadable(path) || c.isPartlyUnreadable(fmt.Sprintf("%s.calls[%d]", at, j)) {
 			continue
 		}
 		if covers(earlier, later) {
-			c.refuse(path, "calls[%d] matches all of its calls, so it never decides; put it first", j)
+			c.report(path, "calls[%d] matches all of its calls, so it never decides; put it first", j)
 			return
 		}
 	}
@@ -298,14 +298,14 @@
 func (c *checker) workspace(at string, w garnetworks.WorkspaceSpec) {
 	c.name(at+".name", string(w.Name))
 	for i, m := range w.Models {
-		if !c.models.Has(m) && !c.namesUnread("models") {
-			c.refuse(fmt.Sprintf("%s.models[%d]", at, i), "there is no model %q in models", shorten(string(m)))
+		if !c.models.Has(m) && !c.hasUnreadableNames("models") {
+			c.report(fmt.Sprintf("%s.models[%d]", at, i), "there is no model %q in models", shorten(string(m)))
 		}
 	}
 	unique(c, at+".models", w.Models, "")
 	for i, s := range w.Services {
-		if !c.services.Has(s) && !c.namesUnread("services") {
-			c.refuse(fmt.Sprintf("%s.services[%d]", at, i), "there is no service %q in services", shorten(string(s)))
+		if !c.services.Has(s) && !c.hasUnreadableNames("services") {
+			c.report(fmt.Sprintf("%s.services[%d]", at, i), "there is no service %q in services", shorten(string(s)))
 		}
 	}
 	unique(c, at+".services", w.Services, "")
@@ -316,7 +316,7 @@
 	c.duration(at+".deadline.first-token", w.Deadline.FirstToken, 0, maxDuration)
 	c.duration(at+".deadline.total", w.Deadline.Total, 0, maxDuration)
 	if w.Deadline.Total > 0 && w.Deadline.Total < w.Deadline.FirstToken {
-		c.refuse(at+".deadline.total", "must be at least first-token, %v, not %v", w.Deadline.FirstToken, w.Deadline.Total)
+		c.report(at+".deadline.total", "must be at least first-token, %v, not %v", w.Deadline.FirstToken, w.Deadline.Total)
 	}
 }
 
@@ -324,16 +324,16 @@
 // workspaces would let in the callers of one as the other.
 func (c *checker) hashes(at string, hashes []string, owners map[string]string) {
 	if len(hashes) == 0 || len(hashes) > maxHashes {
-		c.refuse(at+".key-hashes", "must hold 1 to %d hashes, not %d", maxHashes, len(hashes))
+		c.report(at+".key-hashes", "must hold 1 to %d hashes, not %d", maxHashes, len(hashes))
 	}
 	for i, h := range hashes {
 		path := fmt.Sprintf("%s.key-hashes[%d]", at, i)
 		if err := keymaker.CheckHash(h); err != nil {
-			c.refuse(path, "%s", detail(err))
+			c.report(path, "%s", errorDetail(err))
 			continue
 		}
-		if owner, twice := owners[h]; twice {
-			c.refuse(path, "the hash stands twice; first as %s", owner)
+		if owner, duplicate := owners[h]; duplicate {
+			c.report(path, "the hash stands twice; first as %s", owner)
 			continue
 		}
 		owners[h] = path
@@ -346,7 +346,7 @@
 	m := c.manifest.Models[i]
 	at := fmt.Sprintf("models[%d]", i)
 	k, ok := c.classes[m.Class]
-	if !ok || c.partlyUnread(at) || c.partlyUnread("site.instance-classes") || m.GroupSize > maxGroupSize || k.Watts > maxWatts {
+	if !ok || c.isPartlyUnreadable(at) || c.isPartlyUnreadable("site.instance-classes") || m.GroupSize > maxGroupSize || k.Watts > maxWatts {
 		return 0, false
 	}
 	return k.Watts * garnetworks.Watts(m.GroupSize), true
@@ -355,13 +355,13 @@
 // power refuses a cap under which a wanted group can never be powered.
 func (c *checker) power() {
 	limit := c.manifest.Site.PowerCap
-	if limit < 1 || c.unread("site.power-cap-watts") {
+	if limit < 1 || c.isUnreadable("site.power-cap-watts") {
 		return
 	}
-	top := math.MinInt
+	topPriority := math.MinInt
 	for _, m := range c.manifest.Models {
 		if m.MaxGroups > 0 {
-			top = max(top, m.Priority)
+			topPriority = max(topPriority, m.Priority)
 		}
 	}
 	for i, m := range c.manifest.Models {
@@ -369,11 +369,11 @@
 		if !ok || watts <= limit || m.MaxGroups == 0 {
 			continue
 		}
-		if m.Priority == top {
-			c.refuse("site.power-cap-watts", "%d W is below one group of model %q, which has the top priority and draws %d W", limit, m.Name, watts)
+		if m.Priority == topPriority {
+			c.report("site.power-cap-watts", "%d W is below one group of model %q, which has the top priority and draws %d W", limit, m.Name, watts)
 			continue
 		}
-		c.refuse(fmt.Sprintf("models[%d].group-size", i), "one group draws %d W, above the cap of %d W, so none can ever serve", watts, limit)
+		c.report(fmt.Sprintf("models[%d].group-size", i), "one group draws %d W, above the cap of %d W, so none can ever serve", watts, limit)
 	}
 }
 
@@ -396,7 +396,7 @@
 	for i, m := range c.manifest.Models {
 		at := fmt.Sprintf("models[%d].group-size", i)
 		if m.MaxGroups > 0 && m.GroupSize > largest[m.Class] {
-			c.refuse(at, "a group needs %d instances of class %q in one fabric domain, and the largest has %d", m.GroupSize, m.Class, largest[m.Class])
+			c.report(at, "a group needs %d instances of class %q in one fabric domain, and the largest has %d", m.GroupSize, m.Class, largest[m.Class])
 		}
 	}
 }
@@ -405,16 +405,16 @@
 func (c *checker) size() {
 	body, err := Encode(c.manifest)
 	if err != nil {
-		c.refuse("", "%s", detail(err))
+		c.report("", "%s", errorDetail(err))
 		return
 	}
 	if len(body) > MaxManifestBytes {
-		c.refuse("", "the manifest has %d bytes when stored; at most %d fit into the object API", len(body), MaxManifestBytes)
+		c.report("", "the manifest has %d bytes when stored; at most %d fit into the object API", len(body), MaxManifestBytes)
 	}
 }
 
 // detail returns the sentence of an error without its kind.
-func detail(err error) string {
+func errorDetail(err error) string {
 	_, text, found := strings.Cut(err.Error(), ": ")
 	if !found {
 		return err.Error()
--- a/parser/decoder.go
+++ b/parser/decoder.go
@@ -36,129 +36,129 @@
 
 // decodeManifest fills in the manifest from the root node. The format comes
 // first: it decides whether this program can judge the rest (rule P4).
-func decodeManifest(p *places, root ast.Node, manifest *garnetworks.Manifest) {
+func decodeManifest(d *diagnostics, root ast.Node, manifest *garnetworks.Manifest) {
 	for _, entry := range entriesOf(root) {
 		if keyOf(entry) != "format" {
 			continue
 		}
-		p.at["format"] = place(entry.Value)
+		d.positions["format"] = nodePosition(entry.Value)
 		if n, ok := entry.Value.(*ast.IntegerNode); ok {
 			if format, ok := integer(n); ok && format > garnetworks.ManifestFormat && format < math.MaxInt32 {
-				p.refuseNewer(int(format))
+				d.reportNewerFormat(int(format))
 				return
 			}
 		}
 	}
-	decode(p, root, reflect.ValueOf(manifest).Elem(), "")
+	decode(d, root, reflect.ValueOf(manifest).Elem(), "")
 }
 
 // decode fills in v from the node and records what does not fit.
-func decode(p *places, n ast.Node, v reflect.Value, path string) {
-	at := place(n)
-	p.at[path] = at
+func decode(d *diagnostics, n ast.Node, v reflect.Value, path string) {
+	at := nodePosition(n)
+	d.positions[path] = at
 	if n == nil || n.Type() == ast.NullType {
-		p.reject(at, path, "the value is missing")
+		d.reportUnreadable(at, path, "the value is missing")
 		return
 	}
 	switch {
 	case v.Type() == durationType:
-		decodeDuration(p, n, v, path)
+		decodeDuration(d, n, v, path)
 	case v.Kind() == reflect.Struct:
-		decodeStruct(p, n, v, path)
+		decodeStruct(d, n, v, path)
 	case v.Kind() == reflect.Slice:
-		decodeSlice(p, n, v, path)
+		decodeSlice(d, n, v, path)
 	default:
-		decodeScalar(p, n, v, path)
+		decodeScalar(d, n, v, path)
 	}
 }
 
-func decodeStruct(p *places, n ast.Node, v reflect.Value, path string) {
-	at := place(n)
+func decodeStruct(d *diagnostics, n ast.Node, v reflect.Value, path string) {
+	at := nodePosition(n)
 	entries := entriesOf(n)
 	if entries == nil {
-		p.reject(at, path, "must be a mapping, not %s", describe(n))
+		d.reportUnreadable(at, path, "must be a mapping, not %s", describeNode(n))
 		return
 	}
 	fields := fieldsOf(v.Type())
 	seen := map[string]position{}
 	for _, entry := range entries {
-		decodeEntry(p, entry, v, path, fields, seen)
+		decodeEntry(d, entry, v, path, fields, seen)
 	}
 	for _, f := range fields {
 		if _, given := seen[f.name]; !given && !f.optional {
-			p.reject(at, join(path, f.name), "is missing")
+			d.reportUnreadable(at, join(path, f.name), "is missing")
 		}
 	}
 }
 
-func decodeEntry(p *places, entry *ast.MappingValueNode, v reflect.Value, path string, fields []field, seen map[string]position) {
+func decodeEntry(d *diagnostics, entry *ast.MappingValueNode, v reflect.Value, path string, fields []field, seen map[string]position) {
 	key := keyOf(entry)
-	at := place(entry)
-	if first, twice := seen[key]; twice {
-		p.add(at, join(path, key), "the key stands twice; first on line %d", first.line)
+	at := nodePosition(entry)
+	if first, duplicate := seen[key]; duplicate {
+		d.add(at, join(path, key), "the key stands twice; first on line %d", first.line)
 		return
 	}
 	seen[key] = at
 	for _, f := range fields {
 		if f.name == key {
-			decode(p, entry.Value, v.Field(f.index), join(path, key))
+			decode(d, entry.Value, v.Field(f.index), join(path, key))
 			return
 		}
 	}
-	p.add(at, join(path, key), "unknown key; known here: %s", names(fields))
+	d.add(at, join(path, key), "unknown key; known here: %s", fieldNames(fields))
 }
 
-func decodeSlice(p *places, n ast.Node, v reflect.Value, path string) {
+func decodeSlice(d *diagnostics, n ast.Node, v reflect.Value, path string) {
 	sequence, ok := n.(*ast.SequenceNode)
 	if !ok {
-		p.reject(place(n), path, "must be a list, not %s", describe(n))
+		d.reportUnreadable(nodePosition(n), path, "must be a list, not %s", describeNode(n))
 		return
 	}
 	list := reflect.MakeSlice(v.Type(), len(sequence.Values), len(sequence.Values))
 	for i, value := range sequence.Values {
-		decode(p, value, list.Index(i), fmt.Sprintf("%s[%d]", path, i))
+		decode(d, value, list.Index(i), fmt.Sprintf("%s[%d]", path, i))
 	}
 	v.Set(list)
 }
 
-func decodeDuration(p *places, n ast.Node, v reflect.Value, path string) {
+func decodeDuration(d *diagnostics, n ast.Node, v reflect.Value, path string) {
 	s, ok := n.(*ast.StringNode)
 	if !ok {
-		p.reject(place(n), path, "must be a duration with its unit, such as 30s, not %s", describe(n))
+		d.reportUnreadable(nodePosition(n), path, "must be a duration with its unit, such as 30s, not %s", describeNode(n))
 		return
 	}
-	d, err := time.ParseDuration(s.Value)
+	duration, err := time.ParseDuration(s.Value)
 	if err != nil {
-		p.reject(place(n), path, "must be a duration with its unit, such as 30s, not %q", shorten(s.Value))
+		d.reportUnreadable(nodePosition(n), path, "must be a duration with its unit, such as 30s, not %q", shorten(s.Value))
 		return
 	}
-	v.SetInt(int64(d))
+	v.SetInt(int64(duration))
 }
 
-func decodeScalar(p *places, n ast.Node, v reflect.Value, path string) {
+func decodeScalar(d *diagnostics, n ast.Node, v reflect.Value, path string) {
 	switch v.Kind() {
 	case reflect.String:
 		if s, ok := n.(*ast.StringNode); ok {
 			v.SetString(s.Value)
 			return
 		}
-		p.reject(place(n), path, "must be text, not %s; put it in quotes", describe(n))
+		d.reportUnreadable(nodePosition(n), path, "must be text, not %s; put it in quotes", describeNode(n))
 	case reflect.Bool:
 		if b, ok := n.(*ast.BoolNode); ok {
 			v.SetBool(b.Value)
 			return
 		}
-		p.reject(place(n), path, "must be true or false, not %s", describe(n))
+		d.reportUnreadable(nodePosition(n), path, "must be true or false, not %s", describeNode(n))
 	case reflect.Float64:
 		if f, ok := float(n); ok {
 			v.SetFloat(f)
 			return
 		}
-		p.reject(place(n), path, "must be a number, not %s", describe(n))
+		d.reportUnreadable(nodePosition(n), path, "must be a number, not %s", describeNode(n))
 	default:
 		i, ok := integer(n)
 		if !ok || v.OverflowInt(i) {
-			p.reject(place(n), path, "must be a whole number, not %s", describe(n))
+			d.reportUnreadable(nodePosition(n), path, "must be a whole number, not %s", describeNode(n))
 			return
 		}
 		v.SetInt(i)
@@ -225,7 +225,7 @@
 	return path + "." + key
 }
 
-func names(fields []field) string {
+func fieldNames(fields []field) string {
 	list := make([]string, len(fields))
 	for i, f := range fields {
 		list[i] = f.name
@@ -234,7 +234,7 @@
 }
 
 // describe names the kind of a node for a reader.
-func describe(n ast.Node) string {
+func describeNode(n ast.Node) string {
 	switch s := n.(type) {
 	case *ast.MappingNode, *ast.MappingValueNode:
 		return "a mapping"
@@ -251,10 +251,10 @@
 
 // shorten bounds what a problem repeats of the text.
 func shorten(s string) string {
-	const most = 40
+	const maxLength = 40
 	runes := []rune(s)
-	if len(runes) <= most {
+	if len(runes) <= maxLength {
 		return s
 	}
-	return string(runes[:most]) + "…"
+	return string(runes[:maxLength]) + "…"
 }
--- a/parser/diff.go
+++ b/parser/diff.go
@@ -67,9 +67,9 @@
 	}
 	d := &differ{before: before, after: after}
 	d.site()
-	named(d, "models", before.Models, after.Models, modelName, d.model)
-	named(d, "workspaces", before.Workspaces, after.Workspaces, workspaceName, d.workspace)
-	named(d, "services", before.Services, after.Services, serviceName, d.service)
+	diffNamed(d, "models", before.Models, after.Models, modelName, d.model)
+	diffNamed(d, "workspaces", before.Workspaces, after.Workspaces, workspaceName, d.workspace)
+	diffNamed(d, "services", before.Services, after.Services, serviceName, d.service)
 	return d.changes
 }
 
@@ -103,14 +103,14 @@
 }
 
 // list records the entries of a list that come and go.
-func list[T cmp.Ordered](d *differ, path string, before, after []T, added, removed note) {
-	old, fresh := garnetworks.NewSet(before...), garnetworks.NewSet(after...)
+func diffList[T cmp.Ordered](d *differ, path string, before, after []T, added, removed note) {
+	old, updated := garnetworks.NewSet(before...), garnetworks.NewSet(after...)
 	for _, v := range garnetworks.Sorted(old) {
-		if !fresh.Has(v) {
+		if !updated.Has(v) {
 			d.add(ChangeRemoved, path, fmt.Sprint(v), "", removed)
 		}
 	}
-	for _, v := range garnetworks.Sorted(fresh) {
+	for _, v := range garnetworks.Sorted(updated) {
 		if !old.Has(v) {
 			d.add(ChangeAdded, path, "", fmt.Sprint(v), added)
 		}
@@ -119,32 +119,32 @@
 
 // named compares two lists by name and hands each entry with its counterparts
 // to compare; nil stands for an absent one.
-func named[T any](d *differ, part string, before, after []T, name func(T) string, compare func(path string, before, after *T)) {
-	old, fresh := map[string]*T{}, map[string]*T{}
+func diffNamed[T any](d *differ, part string, before, after []T, name func(T) string, compare func(path string, before, after *T)) {
+	old, updated := map[string]*T{}, map[string]*T{}
 	for i := range before {
 		old[name(before[i])] = &before[i]
 	}
 	for i := range after {
-		fresh[name(after[i])] = &after[i]
+		updated[name(after[i])] = &after[i]
 	}
 	all := maps.Clone(old)
-	maps.Copy(all, fresh)
+	maps.Copy(all, updated)
 	for _, n := range slices.Sorted(maps.Keys(all)) {
-		compare(part+"/"+n, old[n], fresh[n])
+		compare(part+"/"+n, old[n], updated[n])
 	}
 }
 
 func (d *differ) site() {
-	old, fresh := d.before.Site, d.after.Site
+	old, updated := d.before.Site, d.after.Site
 	d.value("format", d.before.Format, d.after.Format, note{})
-	d.value("site/name", old.Name, fresh.Name, note{})
-	d.value("site/power-cap-watts", old.PowerCap, fresh.PowerCap, capNote(old.PowerCap, fresh.PowerCap))
-	named(d, "site/zones", old.Zones, fresh.Zones, zoneName, d.zone)
-	named(d, "site/instance-classes", old.Classes, fresh.Classes, className, d.class)
-	d.value("site/weights/group-downtime", old.CostWeights.GroupDowntime, fresh.CostWeights.GroupDowntime, note{})
-	d.value("site/weights/stranded", old.CostWeights.Stranded, fresh.CostWeights.Stranded, note{})
-	d.value("site/grace/drain", old.Grace.Drain, fresh.Grace.Drain, note{})
-	d.value("site/grace/shed", old.Grace.Shed, fresh.Grace.Shed, note{})
+	d.value("site/name", old.Name, updated.Name, note{})
+	d.value("site/power-cap-watts", old.PowerCap, updated.PowerCap, capNote(old.PowerCap, updated.PowerCap))
+	diffNamed(d, "site/zones", old.Zones, updated.Zones, zoneName, d.zone)
+	diffNamed(d, "site/instance-classes", old.Classes, updated.Classes, className, d.class)
+	d.value("site/weights/group-downtime", old.CostWeights.GroupDowntime, updated.CostWeights.GroupDowntime, note{})
+	d.value("site/weights/stranded", old.CostWeights.Stranded, updated.CostWeights.Stranded, note{})
+	d.value("site/grace/drain", old.Grace.Drain, updated.Grace.Drain, note{})
+	d.value("site/grace/shed", old.Grace.Shed, updated.Grace.Shed, note{})
 }
 
 func capNote(before, after garnetworks.Watts) note {
@@ -162,12 +162,12 @@
 		d.add(ChangeRemoved, path, string(before.Region), "", note{EffectDrains, "the zone's groups drain and its nodes are no longer waited for"})
 	default:
 		d.value(path+"/region", before.Region, after.Region, note{})
-		d.value(path+"/left-out", before.Excluded, after.Excluded, leftOutNote(after.Excluded))
+		d.value(path+"/left-out", before.Excluded, after.Excluded, excludedNote(after.Excluded))
 	}
 }
 
-func leftOutNote(leftOut bool) note {
-	if leftOut {
+func excludedNote(excluded bool) note {
+	if excluded {
 		return note{EffectTrust, "commits no longer wait for the zone; it serves on by its last manifest until it is back"}
 	}
 	return note{EffectTrust, "commits wait for the zone again"}
@@ -220,7 +220,7 @@
 	replaced := note{EffectDrains, loadText(after) + "; each old group drains once its successor serves"}
 	d.value(path+"/version", before.Version, after.Version, replaced)
 	d.value(path+"/weight-bytes", before.WeightBytes, after.WeightBytes, note{})
-	list(d, path+"/adapters", before.Adapters, after.Adapters,
+	diffList(d, path+"/adapters", before.Adapters, after.Adapters,
 		note{EffectLoads, "the groups load the adapter while they serve"}, note{EffectRefuses, "calls for the adapter are refused"})
 	d.value(path+"/group-size", before.GroupSize, after.GroupSize, replaced)
 	d.value(path+"/instance-class", before.Class, after.Class, replaced)
@@ -250,14 +250,14 @@
 }
 
 func (d *differ) workspaceValues(path string, before, after *garnetworks.WorkspaceSpec) {
-	list(d, path+"/key-hashes", before.KeyHashes, after.KeyHashes, note{}, note{EffectRefuses, "calls with the old key are refused"})
-	list(d, path+"/models", before.Models, after.Models, note{}, note{EffectRefuses, "its calls to the model are refused"})
-	list(d, path+"/services", before.Services, after.Services, note{}, note{EffectRefuses, "its calls to the service are refused"})
+	diffList(d, path+"/key-hashes", before.KeyHashes, after.KeyHashes, note{}, note{EffectRefuses, "calls with the old key are refused"})
+	diffList(d, path+"/models", before.Models, after.Models, note{}, note{EffectRefuses, "its calls to the model are refused"})
+	diffList(d, path+"/services", before.Services, after.Services, note{}, note{EffectRefuses, "its calls to the service are refused"})
 	d.value(path+"/priority", before.Priority, after.Priority, note{})
-	old, fresh := before.Limits, after.Limits
-	d.value(path+"/limits/requests-per-second", old.RequestsPerSecond, fresh.RequestsPerSecond, limitNote(old.RequestsPerSecond, fresh.RequestsPerSecond))
-	d.value(path+"/limits/tokens-per-second", old.TokensPerSecond, fresh.TokensPerSecond, limitNote(old.TokensPerSecond, fresh.TokensPerSecond))
-	d.value(path+"/limits/concurrency", old.Concurrency, fresh.Concurrency, limitNote(float64(old.Concurrency), float64(fresh.Concurrency)))
+	old, updated := before.Limits, after.Limits
+	d.value(path+"/limits/requests-per-second", old.RequestsPerSecond, updated.RequestsPerSecond, limitNote(old.RequestsPerSecond, updated.RequestsPerSecond))
+	d.value(path+"/limits/tokens-per-second", old.TokensPerSecond, updated.TokensPerSecond, limitNote(old.TokensPerSecond, updated.TokensPerSecond))
+	d.value(path+"/limits/concurrency", old.Concurrency, updated.Concurrency, limitNote(float64(old.Concurrency), float64(updated.Concurrency)))
 	d.value(path+"/deadline/first-token", before.Deadline.FirstToken, after.Deadline.FirstToken, note{})
 	d.value(path+"/deadline/total", before.Deadline.Total, after.Deadline.Total, note{})
 }
--- a/parser/parser.go
+++ b/parser/parser.go
@@ -116,14 +116,14 @@
 // known.
 func ParseForFleet(name string, data []byte, fleet []garnetworks.ListedInstance) (*garnetworks.Manifest, Problems) {
 	manifest := &garnetworks.Manifest{}
-	places := &places{file: name, at: map[string]position{}, bad: map[string]bool{}}
-	if root, ok := scan(places, data); ok {
-		decodeManifest(places, root, manifest)
+	d := &diagnostics{file: name, positions: map[string]position{}, unreadable: map[string]bool{}}
+	if root, ok := scan(d, data); ok {
+		decodeManifest(d, root, manifest)
 	}
-	if !places.newer {
-		check(places, manifest, fleet)
+	if !d.newerFormat {
+		check(d, manifest, fleet)
 	}
-	problems := places.sorted()
+	problems := d.sorted()
 	if len(problems) > 0 {
 		return nil, problems
 	}
@@ -133,13 +133,13 @@
 // Check returns the problems of a manifest that was not read from a text, such
 // as one that another node sent.
 func Check(manifest *garnetworks.Manifest) Problems {
-	places := &places{at: map[string]position{}, bad: map[string]bool{}}
+	d := &diagnostics{positions: map[string]position{}, unreadable: map[string]bool{}}
 	if manifest.Format > garnetworks.ManifestFormat {
-		places.refuseNewer(manifest.Format)
-		return places.sorted()
+		d.reportNewerFormat(manifest.Format)
+		return d.sorted()
 	}
-	check(places, manifest, nil)
-	return places.sorted()
+	check(d, manifest, nil)
+	return d.sorted()
 }
 
 // Encode returns the manifest as it is stored and sent.
@@ -159,7 +159,7 @@
 		return nil, garnetworks.WrapError(garnetworks.KindInvalidManifest, err, "the stored manifest is damaged")
 	}
 	if head.Format > garnetworks.ManifestFormat {
-		return nil, garnetworks.Errorf(garnetworks.KindInvalidManifest, "%s", newerText(head.Format))
+		return nil, garnetworks.Errorf(garnetworks.KindInvalidManifest, "%s", newerFormatText(head.Format))
 	}
 	manifest := &garnetworks.Manifest{}
 	decoder := json.NewDecoder(strings.NewReader(string(body)))
@@ -170,7 +170,7 @@
 	return manifest, nil
 }
 
-func newerText(format int) string {
+func newerFormatText(format int) string {
 	return fmt.Sprintf("the manifest has format %d and comes from a newer program; this one reads up to format %d",
 		format, garnetworks.ManifestFormat)
 }
@@ -180,64 +180,64 @@
 
 // places collects the problems of one manifest and knows where its values
 // stand.
-type places struct {
+type diagnostics struct {
 	file string
 	// at holds the position of each value that was read, by path.
-	at map[string]position
+	positions map[string]position
 	// bad holds the paths of values that could not be read; nothing further is
 	// said of them.
-	bad      map[string]bool
-	problems Problems
+	unreadable map[string]bool
+	problems   Problems
 	// newer is set if the text comes from a newer program (rule P4).
-	newer bool
+	newerFormat bool
 }
 
 // add records a problem at a position.
-func (p *places) add(at position, path, format string, args ...any) {
-	p.problems = append(p.problems, Problem{
-		File: p.file, Line: at.line, Column: at.column, Path: path, Text: fmt.Sprintf(format, args...),
+func (d *diagnostics) add(at position, path, format string, args ...any) {
+	d.problems = append(d.problems, Problem{
+		File: d.file, Line: at.line, Column: at.column, Path: path, Text: fmt.Sprintf(format, args...),
 	})
 }
 
 // reject records that the value at path could not be read.
-func (p *places) reject(at position, path, format string, args ...any) {
-	p.bad[path] = true
-	p.add(at, path, format, args...)
+func (d *diagnostics) reportUnreadable(at position, path, format string, args ...any) {
+	d.unreadable[path] = true
+	d.add(at, path, format, args...)
 }
 
 // refuse records a problem with a value that was read. Values that were not
 // read, and all within them, already have their problem.
-func (p *places) refuse(path, format string, args ...any) {
-	if p.unread(path) {
+func (d *diagnostics) report(path, format string, args ...any) {
+	if d.isUnreadable(path) {
 		return
 	}
-	p.add(p.find(path), path, format, args...)
+	d.add(d.positionOf(path), path, format, args...)
 }
 
 // refuseNewer drops all other problems (rule P4).
-func (p *places) refuseNewer(format int) {
-	p.newer = true
-	p.problems = nil
-	p.add(p.find("format"), "format", "%s", newerText(format))
+func (d *diagnostics) reportNewerFormat(format int) {
+	d.newerFormat = true
+	d.problems = nil
+	d.add(d.positionOf("format"), "format", "%s", newerFormatText(format))
 }
 
 // unread reports whether the value at path or one around it could not be read.
-func (p *places) unread(path string) bool {
+func (d *diagnostics) isUnreadable(path string) bool {
 	for ; path != ""; path = parent(path) {
-		if p.bad[path] {
+		if d.unreadable[path] {
 			return true
 		}
 	}
-	return p.bad[""]
+	return d.unreadable[""]
 }
 
 // partlyUnread reports whether the value at path, one around it or one within
 // it could not be read.
-func (p *places) partlyUnread(path string) bool {
-	if p.unread(path) {
+func (d *diagnostics) isPartlyUnreadable(path string) bool {
+	if d.isUnreadable(path) {
 		return true
 	}
-	for b := range p.bad {
+	for b := range d.unreadable {
 		if strings.HasPrefix(b, path+".") || strings.HasPrefix(b, path+"[") {
 			return true
 		}
@@ -247,11 +247,11 @@
 
 // namesUnread reports whether the name of an entry of a list could not be read,
 // so that a reference to an unknown name may mean that entry.
-func (p *places) namesUnread(list string) bool {
-	if p.unread(list) {
+func (d *diagnostics) hasUnreadableNames(list string) bool {
+	if d.isUnreadable(list) {
 		return true
 	}
-	for b := range p.bad {
+	for b := range d.unreadable {
 		entry, within := strings.CutPrefix(b, list+"[")
 		if _, rest, _ := strings.Cut(entry, "]"); within && (rest == "" || rest == ".name") {
 			return true
@@ -262,13 +262,13 @@
 
 // find returns the position of the value at path, or of the nearest one around
 // it.
-func (p *places) find(path string) position {
+func (d *diagnostics) positionOf(path string) position {
 	for ; path != ""; path = parent(path) {
-		if at, ok := p.at[path]; ok {
+		if at, ok := d.positions[path]; ok {
 			return at
 		}
 	}
-	return p.at[""]
+	return d.positions[""]
 }
 
 // parent returns the path around path.
@@ -280,15 +280,15 @@
 	return path[:i]
 }
 
-func (p *places) sorted() Problems {
-	slices.SortStableFunc(p.problems, func(a, b Problem) int {
+func (d *diagnostics) sorted() Problems {
+	slices.SortStableFunc(d.problems, func(a, b Problem) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column), cmp.Compare(a.Path, b.Path), cmp.Compare(a.Text, b.Text))
 	})
-	problems := slices.Compact(p.problems)
+	problems := slices.Compact(d.problems)
 	if more := len(problems) - maxProblems; more > 0 {
 		last := problems[maxProblems-1]
 		problems = append(problems[:maxProblems:maxProblems], Problem{
-			File: p.file, Line: last.Line, Column: last.Column, Text: fmt.Sprintf("%d more problems are not shown", more),
+			File: d.file, Line: last.Line, Column: last.Column, Text: fmt.Sprintf("%d more problems are not shown", more),
 		})
 	}
 	return problems
--- a/parser/parser_test.go
+++ b/parser/parser_test.go
@@ -29,7 +29,7 @@
 		"fractions":       strings.Replace(parser.Example(), "drain: 60s", "drain: 1.5s", 1),
 		"line ends":       strings.ReplaceAll(parser.Example(), "\n", "\r\n"),
 		"blank end":       parser.Example() + "\n  \n",
-		"no services":     strings.Replace(cut(parser.Example(), "# May be absent.\nservices:", "# The last line"), "    # May be absent.\n    services:\n      - ledger\n", "", 1),
+		"no services":     strings.Replace(removeRange(parser.Example(), "# May be absent.\nservices:", "# The last line"), "    # May be absent.\n    services:\n      - ledger\n", "", 1),
 		"numeric version": strings.Replace(parser.Example(), `"2026.11"`, `"12"`, 1),
 	}
 	for name, text := range texts {
@@ -55,14 +55,14 @@
 }
 
 // cut removes the text from one mark up to another.
-func cut(text, from, to string) string {
+func removeRange(text, from, to string) string {
 	i, j := strings.Index(text, from), strings.Index(text, to)
 	return text[:i] + text[j:]
 }
 
 // Each case changes the example in one place; the problem must name that place
 // and nothing else.
-func TestRefuses(t *testing.T) {
+func TestParseRejects(t *testing.T) {
 	hash := keymaker.Hash("another")
 	cases := map[string]struct{ old, new, want string }{
 		"newer format":        {"format: 1", "format: 2\nwhatever: 3", "m.yaml:5:9: format: the manifest has format 2 and comes from a newer program; this one reads up to format 1"},
@@ -99,8 +99,8 @@
 		"key not hash":        {"sha256:3b64db95cb55c763391c707108489ae18b4112d783300de38e033b4c98c3deaf", keymaker.New().Secret, "this is a key, not its hash"},
 		"bad hash":            {"sha256:3b64", "md5:3b64", "a key hash is sha256: and 64 lower-case hexadecimal digits"},
 		"no hash":             {"      - \"sha256:3b64db95cb55c763391c707108489ae18b4112d783300de38e033b4c98c3deaf\"\n", "      []\n", "must hold 1 to 8 hashes, not 0"},
-		"hash of two":         {"# May be absent.\nservices:", second("sha256:3b64db95cb55c763391c707108489ae18b4112d783300de38e033b4c98c3deaf"), "workspaces[1].key-hashes[0]: the hash stands twice; first as workspaces[0].key-hashes[0]"},
-		"workspace twice":     {"# May be absent.\nservices:", strings.Replace(second(hash), "second", "dispatch", 1), `workspaces[1].name: "dispatch" stands twice`},
+		"hash of two":         {"# May be absent.\nservices:", secondWorkspace("sha256:3b64db95cb55c763391c707108489ae18b4112d783300de38e033b4c98c3deaf"), "workspaces[1].key-hashes[0]: the hash stands twice; first as workspaces[0].key-hashes[0]"},
+		"workspace twice":     {"# May be absent.\nservices:", strings.Replace(secondWorkspace(hash), "second", "dispatch", 1), `workspaces[1].name: "dispatch" stands twice`},
 		"deadlines":           {"total: 120s", "total: 1s", "must be at least first-token, 2s, not 1s"},
 		"negative limit":      {"requests-per-second: 200", "requests-per-second: -0.5", "must be between 0 and 1e+12, not -0.5"},
 		"path prefix":         {"path-prefix: /visits", "path-prefix: visits", `must begin with /, not "visits"`},
@@ -159,7 +159,7 @@
 `
 
 // second returns the text of another workspace, to be put before the services.
-func second(hash string) string {
+func secondWorkspace(hash string) string {
 	return fmt.Sprintf(`  - name: second
     key-hashes: [%q]
     priority: 1
@@ -170,7 +170,7 @@
 // A pipeline writes a manifest while another process reads it, or its disk is
 // full: the file ends early. Wherever it ends, the text must be refused, also
 // where what stands there is good YAML with fewer workspaces.
-func TestRefusesEveryCutOff(t *testing.T) {
+func TestParseRejectsTruncatedText(t *testing.T) {
 	text := parser.Example()
 	for i := range len(text) - len("...\n") {
 		if m, _ := parser.Parse("", []byte(text[:i])); m != nil {
@@ -179,7 +179,7 @@
 	}
 }
 
-func TestRefusesTooLarge(t *testing.T) {
+func TestParseRejectsTooLarge(t *testing.T) {
 	var workspaces strings.Builder
 	for i := range 5000 {
 		fmt.Fprintf(&workspaces, `  - {name: w%d, key-hashes: [%q, %q], priority: 1, limits: {requests-per-second: 0, tokens-per-second: 0, concurrency: 0}}
@@ -196,7 +196,7 @@
 	}
 }
 
-func TestTellsAllProblemsInOrder(t *testing.T) {
+func TestReportsAllProblemsInOrder(t *testing.T) {
 	text := strings.NewReplacer("name: pump-hall", "name: Pump", "watts: 1400", "watts: none", "priority: 50", "priority: -1",
 		"shed: 20s", "shed: 20", "timeout: 10s", "timeout: 2h").Replace(parser.Example())
 	_, problems := parser.Parse("", []byte(text))
@@ -216,7 +216,7 @@
 // A node of an older program gets a manifest that a newer one has written. A
 // field that it does not know may decide what is served, so it must not be
 // dropped.
-func TestDecodeRefusesTheUnknown(t *testing.T) {
+func TestDecodeRejectsUnknownFields(t *testing.T) {
 	body, err := parser.Encode(parse(t, parser.Example()))
 	if err != nil {
 		t.Fatal(err)
@@ -296,7 +296,7 @@
 
 // The page is what people read, so it must hold every key and the example as it
 // is checked here.
-func TestPageMatchesTheFormat(t *testing.T) {
+func TestDocsMatchFormat(t *testing.T) {
 	page, err := os.ReadFile("../docs/manifest.md")
 	if err != nil {
 		t.Fatal(err)
@@ -326,7 +326,7 @@
 
 // A field that Diff does not know would be changed by a commit without a word in
 // its plan.
-func TestDiffSeesEveryField(t *testing.T) {
+func TestDiffCoversEveryField(t *testing.T) {
 	var walk func(path string, field func(*garnetworks.Manifest) reflect.Value, s reflect.Type)
 	walk = func(path string, field func(*garnetworks.Manifest) reflect.Value, s reflect.Type) {
 		switch s.Kind() {
--- a/parser/scan.go
+++ b/parser/scan.go
@@ -39,36 +39,36 @@
 }
 
 // scan returns the root node of the text if its structure is sound.
-func scan(p *places, data []byte) (ast.Node, bool) {
-	body, ok := frame(p, data)
+func scan(d *diagnostics, data []byte) (ast.Node, bool) {
+	body, ok := checkText(d, data)
 	if !ok {
-		p.bad[""] = true
+		d.unreadable[""] = true
 		return nil, false
 	}
-	root, ok := structure(p, body)
+	root, ok := parseNodes(d, body)
 	if !ok {
-		p.bad[""] = true
+		d.unreadable[""] = true
 	}
 	return root, ok
 }
 
 // frame checks size, encoding and end marker, and returns the text before the
 // marker.
-func frame(p *places, data []byte) ([]byte, bool) {
+func checkText(d *diagnostics, data []byte) ([]byte, bool) {
 	start := position{1, 1}
 	if len(data) > MaxTextBytes {
-		p.add(start, "", "the text has %d bytes; at most %d are allowed", len(data), MaxTextBytes)
+		d.add(start, "", "the text has %d bytes; at most %d are allowed", len(data), MaxTextBytes)
 		return nil, false
 	}
 	if !utf8.Valid(data) || bytes.IndexByte(data, 0) >= 0 {
-		p.add(start, "", "the text is not UTF-8 or holds a zero byte")
+		d.add(start, "", "the text is not UTF-8 or holds a zero byte")
 		return nil, false
 	}
 	data = bytes.ReplaceAll(data, []byte("\r\n"), []byte("\n"))
 	lines := bytes.Split(data, []byte("\n"))
 	for i, line := range lines {
 		if indent := len(line) - len(bytes.TrimLeft(line, " \t")); indent > maxIndent && indent < len(line) {
-			p.add(position{i + 1, maxIndent + 1}, "", "the line is indented by more than %d", maxIndent)
+			d.add(position{i + 1, maxIndent + 1}, "", "the line is indented by more than %d", maxIndent)
 			return nil, false
 		}
 	}
@@ -78,7 +78,7 @@
 	}
 	if string(bytes.TrimRight(lines[last], " \t")) != endMarker {
 		// Rule P3.
-		p.add(position{last + 1, len(lines[last]) + 1}, "",
+		d.add(position{last + 1, len(lines[last]) + 1}, "",
 			"the text does not end with the line %q; it may have been cut off while it was written", endMarker)
 		return nil, false
 	}
@@ -86,57 +86,57 @@
 }
 
 // structure parses the text into nodes.
-func structure(p *places, body []byte) (root ast.Node, ok bool) {
+func parseNodes(d *diagnostics, body []byte) (root ast.Node, ok bool) {
 	// The YAML library has panicked on malformed texts before; a text from an
 	// operator must not end the node that judges it, so it counts as malformed.
 	defer func() {
 		if r := recover(); r != nil {
-			p.add(position{1, 1}, "", "the text is not YAML")
+			d.add(position{1, 1}, "", "the text is not YAML")
 			root, ok = nil, false
 		}
 	}()
-	if !allowed(p, lexer.Tokenize(string(body))) {
+	if !checkTokens(d, lexer.Tokenize(string(body))) {
 		return nil, false
 	}
 	file, err := yamlparser.ParseBytes(body, 0, yamlparser.AllowDuplicateMapKey())
 	if err != nil {
-		addSyntax(p, err)
+		addSyntaxError(d, err)
 		return nil, false
 	}
 	var roots []ast.Node
-	for _, d := range file.Docs {
-		if d.Body != nil {
-			roots = append(roots, d.Body)
+	for _, doc := range file.Docs {
+		if doc.Body != nil {
+			roots = append(roots, doc.Body)
 		}
 	}
 	switch len(roots) {
 	case 0:
-		p.add(position{1, 1}, "", "the text holds no manifest")
+		d.add(position{1, 1}, "", "the text holds no manifest")
 		return nil, false
 	case 1:
 		return roots[0], true
 	}
-	p.add(place(roots[1]), "", "the text holds more than one document")
+	d.add(nodePosition(roots[1]), "", "the text holds more than one document")
 	return nil, false
 }
 
 // allowed refuses the tokens that rule P5 names before anything is built from
 // them.
-func allowed(p *places, tokens token.Tokens) bool {
+func checkTokens(d *diagnostics, tokens token.Tokens) bool {
 	ok := true
 	bounds := &bounds{}
 	for _, t := range tokens {
 		at := position{t.Position.Line, t.Position.Column}
 		if text, forbidden := forbiddenTokens[t.Type]; forbidden {
-			p.add(at, "", "%s", text)
+			d.add(at, "", "%s", text)
 			ok = false
 		}
 		if t.Type == token.DocumentEndType {
-			p.add(at, "", "the end marker %q stands before the end of the text", endMarker)
+			d.add(at, "", "the end marker %q stands before the end of the text", endMarker)
 			return false
 		}
 		if text := bounds.exceeded(t); text != "" {
-			p.add(at, "", "%s", text)
+			d.add(at, "", "%s", text)
 			return false
 		}
 	}
@@ -173,13 +173,13 @@
 	switch t.Type {
 	case token.SequenceEntryType:
 		b.entries++
-		b.leave(t.Position.Column)
+		b.closeBlocks(t.Position.Column)
 	case token.SequenceStartType, token.MappingStartType:
 		b.flow++
 		b.open = append(b.open, mapping{line: t.Position.Line})
 	case token.SequenceEndType, token.MappingEndType:
 		b.flow--
-		b.leaveFlow()
+		b.closeFlow()
 	case token.MappingValueType:
 		b.key(t)
 	}
@@ -196,14 +196,14 @@
 }
 
 // leave ends the block mappings that begin at or after a column.
-func (b *bounds) leave(column int) {
+func (b *bounds) closeBlocks(column int) {
 	for n := len(b.open); n > 0 && b.open[n-1].column >= column; n = len(b.open) {
 		b.open = b.open[:n-1]
 	}
 }
 
 // leaveFlow ends the innermost flow collection.
-func (b *bounds) leaveFlow() {
+func (b *bounds) closeFlow() {
 	for n := len(b.open); n > 0; n = len(b.open) {
 		last := b.open[n-1]
 		b.open = b.open[:n-1]
@@ -222,7 +222,7 @@
 	if b.flow > 0 {
 		column = 0
 	} else {
-		b.leave(column + 1)
+		b.closeBlocks(column + 1)
 	}
 	if n := len(b.open); n > 0 && b.open[n-1].column == column {
 		b.open[n-1].keys++
@@ -232,21 +232,21 @@
 }
 
 // addSyntax records the YAML library's error at its token.
-func addSyntax(p *places, err error) {
+func addSyntaxError(d *diagnostics, err error) {
 	var e yaml.Error
 	if !errors.As(err, &e) {
-		p.add(position{1, 1}, "", "the text is not YAML: %v", err)
+		d.add(position{1, 1}, "", "the text is not YAML: %v", err)
 		return
 	}
 	at := position{1, 1}
 	if t := e.GetToken(); t != nil {
 		at = position{t.Position.Line, t.Position.Column}
 	}
-	p.add(at, "", "the text is not YAML: %s", e.GetMessage())
+	d.add(at, "", "the text is not YAML: %s", e.GetMessage())
 }
 
 // place returns a node's position.
-func place(n ast.Node) position {
+func nodePosition(n ast.Node) position {
 	if n == nil {
 		return position{1, 1}
 	}
