--- a/parser/check.go
+++ b/parser/check.go
@@ -11,8 +11,8 @@
 	"github.com/garnetworks/garnetworks/keymaker"
 )
 
-// Ranges of numbers. They are far above any site and keep sums and products
-// of them within their types.
+// Limits of numbers. They are far above what a site needs and prevent overflow in sums
+// and products.
 const (
 	maxNameLength = 63
 	maxCount      = 1_000_000
@@ -26,10 +26,10 @@
 	maxTimeout    = time.Hour
 )
 
-// methods are the HTTP methods that a call rule may name.
+// methods are the HTTP methods that a call rule may list.
 var methods = garnetworks.NewSet("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS")
 
-// checker holds what the checks of one manifest share.
+// checker holds the state shared by the checks of one manifest.
 type checker struct {
 	*diagnostics
 	manifest *garnetworks.Manifest
@@ -38,7 +38,7 @@
 	services garnetworks.Set[garnetworks.ServiceName]
 }
 
-// check records what is wrong with the values of a manifest (rules P6 to P8).
+// check reports invalid values of a manifest (rules P6 to P8).
 func check(d *diagnostics, manifest *garnetworks.Manifest, fleet []garnetworks.ListedInstance) {
 	if d.unreadable[""] {
 		return
@@ -66,7 +66,7 @@
 	c.size()
 }
 
-// kebab reports whether name is in kebab case: lower-case letters, digits and
+// isKebabCase reports whether name consists of lower-case letters and digits, with
 // single hyphens between them.
 func isKebabCase(name string) bool {
 	if name == "" || len(name) > maxNameLength {
@@ -80,42 +80,42 @@
 	return true
 }
 
-// name refuses a name that is not in kebab case. Adapters and versions may
-// hold dots, which version numbers need.
+// name checks that a name is in kebab case.
 func (c *checker) name(path, name string) {
 	if !isKebabCase(name) {
 		c.report(path, "%q is not a name in kebab case of at most %d letters, digits and hyphens", shorten(name), maxNameLength)
 	}
 }
 
+// version checks the name of an adapter or version, which may also contain dots.
 func (c *checker) version(path, name string) {
 	if !isKebabCase(strings.ReplaceAll(name, ".", "-")) {
 		c.report(path, "%q is not a name of at most %d lower-case letters, digits, hyphens and dots", shorten(name), maxNameLength)
 	}
 }
 
-// count refuses a number outside low and high.
+// count checks that a number is between low and high.
 func (c *checker) count(path string, value, low, high int64) {
 	if value < low || value > high {
 		c.report(path, "must be between %d and %d, not %d", low, high, value)
 	}
 }
 
-// rate refuses a number that is negative or not finite.
+// rate checks that a number is finite, not negative and at most maxRate.
 func (c *checker) rate(path string, value float64) {
 	if !(value >= 0 && value <= maxRate) {
 		c.report(path, "must be between 0 and %g, not %g", maxRate, value)
 	}
 }
 
-// duration refuses a duration outside low and high.
+// duration checks that a duration is between low and high.
 func (c *checker) duration(path string, value, low, high time.Duration) {
 	if value < low || value > high {
 		c.report(path, "must be between %v and %v, not %v", low, high, value)
 	}
 }
 
-// unique refuses a name that an earlier entry of the list has.
+// unique reports names that an earlier entry of the list has.
 func unique[T ~string](c *checker, list string, names []T, suffix string) {
 	first := map[T]int{}
 	for i, n := range names {
@@ -188,7 +188,7 @@
 	}
 }
 
-// class returns the class that is referred to at path.
+// class returns the named instance class and reports a reference to an unknown one.
 func (c *checker) class(path, name string) (garnetworks.InstanceClass, bool) {
 	k, ok := c.classes[name]
 	if !ok && !c.hasUnreadableNames("site.instance-classes") {
@@ -247,8 +247,9 @@
 	unique(c, at+".methods", call.Methods, "")
 }
 
-// hidden refuses a rule that an earlier one decides for: a rule that says
-// repeatable hides one that says not, and the calls would be sent twice.
+// checkShadowed reports a call rule that never applies because an earlier one matches
+// all of its calls. Failure: an idempotent rule shadows one that is not, and calls
+// are sent twice.
 func (c *checker) checkShadowed(at string, calls []garnetworks.ServiceCallSpec, i int) {
 	later := calls[i]
 	path := fmt.Sprintf("%s.calls[%d]", at, i)
@@ -263,8 +264,8 @@
 	}
 }
 
-// covers reports whether the earlier rule matches every call that the later
-// one matches.
+// covers reports whether the earlier rule matches every call that the later one
+// matches.
 func covers(earlier, later garnetworks.ServiceCallSpec) bool {
 	if !strings.HasPrefix(later.PathPrefix, earlier.PathPrefix) {
 		return false
@@ -320,8 +321,8 @@
 	}
 }
 
-// hashes refuses hashes that are malformed or stand twice: a key of two
-// workspaces would let in the callers of one as the other.
+// hashes reports malformed and duplicate hashes. A key of two workspaces would
+// authenticate the callers of one as the other.
 func (c *checker) hashes(at string, hashes []string, owners map[string]string) {
 	if len(hashes) == 0 || len(hashes) > maxHashes {
 		c.report(at+".key-hashes", "must hold 1 to %d hashes, not %d", maxHashes, len(hashes))
@@ -340,8 +341,8 @@
 	}
 }
 
-// groupWatts returns what one group of the model draws; false if the model's
-// values can't be relied on.
+// groupWatts returns the power draw of one group of the model, or false if the
+// model's or its class's values are invalid.
 func (c *checker) groupWatts(i int) (garnetworks.Watts, bool) {
 	m := c.manifest.Models[i]
 	at := fmt.Sprintf("models[%d]", i)
@@ -352,7 +353,7 @@
 	return k.Watts * garnetworks.Watts(m.GroupSize), true
 }
 
-// power refuses a cap under which a wanted group can never be powered.
+// power reports a power cap below the draw of a single group that is wanted.
 func (c *checker) power() {
 	limit := c.manifest.Site.PowerCap
 	if limit < 1 || c.isUnreadable("site.power-cap-watts") {
@@ -377,7 +378,7 @@
 	}
 }
 
-// fleet refuses groups that no fabric domain has instances for.
+// fleet reports models whose group does not fit into any fabric domain.
 func (c *checker) fleet(fleet []garnetworks.ListedInstance) {
 	if len(fleet) == 0 {
 		return
@@ -401,7 +402,7 @@
 	}
 }
 
-// size refuses what one object can't hold (rule P8).
+// size reports a manifest that is too large for one object (rule P8).
 func (c *checker) size() {
 	body, err := Encode(c.manifest)
 	if err != nil {
@@ -413,7 +414,7 @@
 	}
 }
 
-// detail returns the sentence of an error without its kind.
+// errorDetail returns the text of an error without its kind.
 func errorDetail(err error) string {
 	_, text, found := strings.Cut(err.Error(), ": ")
 	if !found {
--- a/parser/decoder.go
+++ b/parser/decoder.go
@@ -24,7 +24,7 @@
 	optional bool
 }
 
-// fieldsOf returns the schema of a struct, in its order.
+// fieldsOf returns the schema of a struct, in the order of its fields.
 func fieldsOf(t reflect.Type) []field {
 	fields := make([]field, 0, t.NumField())
 	for i := range t.NumField() {
@@ -34,8 +34,8 @@
 	return fields
 }
 
-// decodeManifest fills in the manifest from the root node. The format comes
-// first: it decides whether this program can judge the rest (rule P4).
+// decodeManifest decodes the root node into the manifest. It checks the format first,
+// because a newer format cannot be checked by this program (rule P4).
 func decodeManifest(d *diagnostics, root ast.Node, manifest *garnetworks.Manifest) {
 	for _, entry := range entriesOf(root) {
 		if keyOf(entry) != "format" {
@@ -52,7 +52,7 @@
 	decode(d, root, reflect.ValueOf(manifest).Elem(), "")
 }
 
-// decode fills in v from the node and records what does not fit.
+// decode decodes the node into v and reports values that do not match the schema.
 func decode(d *diagnostics, n ast.Node, v reflect.Value, path string) {
 	at := nodePosition(n)
 	d.positions[path] = at
@@ -165,7 +165,7 @@
 	}
 }
 
-// integer returns the value of a whole number that fits 64 bits.
+// integer returns the value of an integer node that fits into an int64.
 func integer(n ast.Node) (int64, bool) {
 	i, ok := n.(*ast.IntegerNode)
 	if !ok {
@@ -180,11 +180,11 @@
 	return 0, false
 }
 
-// exponential matches a number that YAML's core schema knows and the YAML
-// library takes for text, such as 2e+06.
+// exponential matches numbers of YAML's core schema that the YAML library returns as
+// strings, such as 2e+06.
 var exponential = regexp.MustCompile(`^[-+]?[0-9]+[eE][-+]?[0-9]+$`)
 
-// float returns the value of a finite number.
+// float returns the value of a node that is a finite number.
 func float(n ast.Node) (float64, bool) {
 	if s, ok := n.(*ast.StringNode); ok && s.Token.Type == token.StringType && exponential.MatchString(s.Value) {
 		f, err := strconv.ParseFloat(s.Value, 64)
@@ -197,7 +197,7 @@
 	return float64(i), ok
 }
 
-// entriesOf returns the entries of a mapping, or nil if n is none.
+// entriesOf returns the entries of a mapping, or nil if n is not a mapping.
 func entriesOf(n ast.Node) []*ast.MappingValueNode {
 	switch m := n.(type) {
 	case *ast.MappingNode:
@@ -233,7 +233,7 @@
 	return strings.Join(list, ", ")
 }
 
-// describe names the kind of a node for a reader.
+// describeNode describes a node's kind or value for an error message.
 func describeNode(n ast.Node) string {
 	switch s := n.(type) {
 	case *ast.MappingNode, *ast.MappingValueNode:
@@ -249,7 +249,7 @@
 	return "something else"
 }
 
-// shorten bounds what a problem repeats of the text.
+// shorten limits the length of values quoted in problems.
 func shorten(s string) string {
 	const maxLength = 40
 	runes := []rune(s)
--- a/parser/diff.go
+++ b/parser/diff.go
@@ -10,54 +10,54 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// ChangeKind says what happens to a value.
+// ChangeKind says whether a value was added, removed or changed.
 type ChangeKind string
 
-// The kinds of change.
+// Kinds of change.
 const (
 	ChangeAdded   ChangeKind = "added"
 	ChangeRemoved ChangeKind = "removed"
 	ChangeChanged ChangeKind = "changed"
 )
 
-// Effect is what a change does to running work.
+// Effect is the effect of a change on running work.
 type Effect string
 
-// The effects of changes.
+// Effects of changes.
 const (
-	// EffectNone changes touch no running work.
+	// EffectNone changes do not affect running work.
 	EffectNone Effect = ""
 	// EffectLoads changes load weights or adapters.
 	EffectLoads Effect = "loads"
-	// EffectDrains changes drain groups or stop taking calls.
+	// EffectDrains changes drain groups or stop accepting calls.
 	EffectDrains Effect = "drains"
 	// EffectPower changes turn instances on or off.
 	EffectPower Effect = "power"
-	// EffectRefuses changes refuse calls that are accepted today.
+	// EffectRefuses changes refuse calls that were accepted before.
 	EffectRefuses Effect = "refuses"
-	// EffectRepeats changes alter which calls may be sent twice.
+	// EffectRepeats changes alter which calls may be retried.
 	EffectRepeats Effect = "repeats"
-	// EffectTrust changes alter what is relied on to keep the rules.
+	// EffectTrust changes alter the assumptions on which safety depends.
 	EffectTrust Effect = "trust"
 )
 
-// Change is one difference between two manifests.
+// Change is a difference between two manifests.
 type Change struct {
 	Kind ChangeKind `json:"kind"`
-	// Path names the value by the names of what it belongs to, such as
+	// Path is made of the names of the enclosing entries, such as
 	// models/field-brief/version.
 	Path string `json:"path"`
-	// Old and New are empty where there is no value.
+	// Old and New are empty where the value does not exist.
 	Old string `json:"old,omitempty"`
 	New string `json:"new,omitempty"`
-	// Effect and Note say what the change does to running work; empty if it
-	// touches none.
+	// Effect and Note describe the effect on running work; both are empty if there
+	// is none.
 	Effect Effect `json:"effect,omitempty"`
 	Note   string `json:"note,omitempty"`
 }
 
-// Diff returns what a new manifest changes, in the order of the manifest's
-// parts and, within a part, by name. Nil stands for no manifest.
+// Diff returns the differences between two manifests, in the order of the manifest's
+// parts and, within a part, by name. A nil manifest counts as an empty one.
 func Diff(before, after *garnetworks.Manifest) []Change {
 	if before == nil {
 		before = &garnetworks.Manifest{}
@@ -85,7 +85,7 @@
 	changes       []Change
 }
 
-// note is what a change does to running work.
+// note describes the effect of a change on running work.
 type note struct {
 	effect Effect
 	text   string
@@ -95,14 +95,14 @@
 	d.changes = append(d.changes, Change{Kind: kind, Path: path, Old: before, New: after, Effect: n.effect, Note: n.text})
 }
 
-// value records a change of one value.
+// value records a change of a single value.
 func (d *differ) value(path string, before, after any, n note) {
 	if !reflect.DeepEqual(before, after) {
 		d.add(ChangeChanged, path, fmt.Sprint(before), fmt.Sprint(after), n)
 	}
 }
 
-// list records the entries of a list that come and go.
+// diffList records the entries added to and removed from a list.
 func diffList[T cmp.Ordered](d *differ, path string, before, after []T, added, removed note) {
 	old, updated := garnetworks.NewSet(before...), garnetworks.NewSet(after...)
 	for _, v := range garnetworks.Sorted(old) {
@@ -117,8 +117,8 @@
 	}
 }
 
-// named compares two lists by name and hands each entry with its counterparts
-// to compare; nil stands for an absent one.
+// diffNamed pairs the entries of two lists by name and calls compare for each pair; nil
+// stands for an entry that does not exist.
 func diffNamed[T any](d *differ, part string, before, after []T, name func(T) string, compare func(path string, before, after *T)) {
 	old, updated := map[string]*T{}, map[string]*T{}
 	for i := range before {
@@ -262,7 +262,7 @@
 	d.value(path+"/deadline/total", before.Deadline.Total, after.Deadline.Total, note{})
 }
 
-// limitNote warns of a lower limit; 0 means none.
+// limitNote warns of a lower limit; 0 means unlimited.
 func limitNote(before, after float64) note {
 	if after > 0 && (before == 0 || after < before) {
 		return note{EffectRefuses, "calls above the new limit are refused"}
@@ -286,7 +286,7 @@
 	}
 }
 
-// describeCalls writes the rules one after the other.
+// describeCalls formats call rules on one line.
 func describeCalls(calls []garnetworks.ServiceCallSpec) string {
 	text := ""
 	for i, c := range calls {
--- a/parser/example.go
+++ b/parser/example.go
@@ -5,5 +5,5 @@
 //go:embed example.yaml
 var example string
 
-// Example returns the text of a whole, commented manifest that Parse accepts.
+// Example returns a complete, commented manifest that Parse accepts.
 func Example() string { return example }
--- a/parser/format.go
+++ b/parser/format.go
@@ -9,8 +9,8 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Format returns a text that Parse reads as the same manifest, or an error of
-// kind garnetworks.KindInternal if there is none.
+// Format returns a text that Parse reads as the same manifest, or an error of kind
+// garnetworks.KindInternal if it cannot produce one.
 func Format(manifest *garnetworks.Manifest) (string, error) {
 	body, err := yaml.MarshalWithOptions(manifest, yaml.IndentSequence(true),
 		yaml.CustomMarshaler(func(d time.Duration) ([]byte, error) { return []byte(d.String()), nil }),
@@ -19,8 +19,8 @@
 		return "", garnetworks.WrapError(garnetworks.KindInternal, err, "the manifest can't be written")
 	}
 	text := string(body) + endMarker + "\n"
-	// A text that says something else than the manifest would be committed in
-	// its place, so it is read again before anyone gets it.
+	// Reads the text back, because a text that differs from the manifest would be
+	// committed in its place.
 	again, problems := Parse("", []byte(text))
 	if len(problems) > 0 {
 		return "", garnetworks.WrapError(garnetworks.KindInternal, problems, "the written manifest can't be read")
--- a/parser/parser.go
+++ b/parser/parser.go
@@ -1,27 +1,27 @@
-// Package parser reads manifests, refuses the ones that can't work, and says
-// what a new one changes.
+// Package parser parses manifests, rejects those that cannot work, and lists the
+// changes between two manifests.
 //
 // The rules:
 //
-//	P1  All problems of a text are told at once, each with line and column, in
-//	    the text's order.
-//	P2  The schema is the yaml tags of garnetworks.Manifest: a key that it does
-//	    not hold, a key that stands twice, a missing one that is not marked
-//	    omitempty, and a value of another type are refused.
+//	P1  All problems of a text are reported at once, each with line and column,
+//	    in the order of the text.
+//	P2  The schema is given by the yaml tags of garnetworks.Manifest: unknown and
+//	    duplicate keys, missing keys that are not marked omitempty, and values of
+//	    another type are rejected.
 //	P3  A text ends with the document end marker "..." on a line of its own. A
-//	    text cut off between two list entries is still good YAML, and would
-//	    silently drop the rest of the models or workspaces.
+//	    text truncated between two list entries is still valid YAML, and would
+//	    silently drop the remaining models or workspaces.
 //	P4  A format above garnetworks.ManifestFormat comes from a newer program;
-//	    nothing else is said of such a text, because this program can't judge
-//	    it.
+//	    no other problem of such a text is reported, because this program cannot
+//	    check it.
 //	P5  Anchors, aliases, tags, merge keys, explicit keys, directives and more
-//	    than one document are refused, and nesting is bounded, so that the work
+//	    than one document are rejected, and nesting is bounded, so that the work
 //	    and memory for a text are bounded by its length.
-//	P6  Every reference names something that the manifest holds, names are
-//	    unique and in kebab case, and numbers are in their ranges.
-//	P7  What can never work is refused: a power cap below one group of the top
-//	    priority or of a model that is wanted at all, a group larger than every
-//	    fabric domain, a call rule that an earlier one hides, a key hash of two
+//	P6  Every reference names something that the manifest defines, names are
+//	    unique and in kebab case, and numbers are within their limits.
+//	P7  What can never work is rejected: a power cap below one group of the top
+//	    priority or of any model with groups, a group larger than every fabric
+//	    domain, a call rule shadowed by an earlier one, a key hash of two
 //	    workspaces.
 //	P8  The accepted manifest fits into one object of the object API.
 package parser
@@ -37,31 +37,31 @@
 )
 
 const (
-	// MaxTextBytes bounds a manifest's text.
+	// MaxTextBytes bounds the text of a manifest.
 	MaxTextBytes = garnetworks.MaxObjectBytes
 	// MaxManifestBytes bounds a manifest as stored; the rest of the object is
-	// left to the record around it.
+	// reserved for the enclosing record.
 	MaxManifestBytes = garnetworks.MaxObjectBytes - 64<<10
-	// maxProblems bounds the list of problems.
+	// maxProblems bounds the number of problems reported.
 	maxProblems = 100
 )
 
-// Problem is one thing that is wrong with a manifest.
+// Problem is one error in a manifest.
 type Problem struct {
-	// File is the name that was given to Parse.
+	// File is the name given to Parse.
 	File string `json:"file,omitempty"`
-	// Line and Column count from 1; 0 if the manifest was not read from a text.
+	// Line and Column start at 1; both are 0 if the manifest was not parsed from a
+	// text.
 	Line   int `json:"line,omitempty"`
 	Column int `json:"column,omitempty"`
-	// Path is the value's place, such as models[2].group-size; empty for the
+	// Path locates the value, such as models[2].group-size; it is empty for the
 	// whole text.
 	Path string `json:"path,omitempty"`
 	// Text says what is wrong and what is allowed.
 	Text string `json:"text"`
 }
 
-// String returns file:line:column: path: text, without the parts that are
-// empty.
+// String returns "file:line:column: path: text" without the empty parts.
 func (p Problem) String() string {
 	var b strings.Builder
 	if p.File != "" {
@@ -83,7 +83,7 @@
 // Problems are all problems of a manifest, sorted by line, column and path.
 type Problems []Problem
 
-// Error joins the problems, one a line.
+// Error returns the problems, one per line.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, problem := range p {
@@ -92,7 +92,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns an error of kind garnetworks.KindInvalidManifest that names the
+// Err returns an error of kind garnetworks.KindInvalidManifest that describes the
 // problems, or nil if there are none.
 func (p Problems) Err() error {
 	if len(p) == 0 {
@@ -105,15 +105,13 @@
 	return &garnetworks.Error{Kind: garnetworks.KindInvalidManifest, Detail: detail, Cause: p}
 }
 
-// Parse returns the manifest in data, or its problems. The name stands in the
-// problems' File.
+// Parse returns the manifest in data, or its problems with name as their File.
 func Parse(name string, data []byte) (*garnetworks.Manifest, Problems) {
 	return ParseForFleet(name, data, nil)
 }
 
-// ParseForFleet is Parse with the instances that the site has: it refuses
-// groups that no fabric domain can hold. No instances means that they are not
-// known.
+// ParseForFleet is Parse with the site's instances: it also rejects groups that no
+// fabric domain can hold. An empty fleet means that the instances are unknown.
 func ParseForFleet(name string, data []byte, fleet []garnetworks.ListedInstance) (*garnetworks.Manifest, Problems) {
 	manifest := &garnetworks.Manifest{}
 	d := &diagnostics{file: name, positions: map[string]position{}, unreadable: map[string]bool{}}
@@ -130,8 +128,8 @@
 	return manifest, nil
 }
 
-// Check returns the problems of a manifest that was not read from a text, such
-// as one that another node sent.
+// Check returns the problems of a manifest that was not parsed from a text, such as one
+// received from another node.
 func Check(manifest *garnetworks.Manifest) Problems {
 	d := &diagnostics{positions: map[string]position{}, unreadable: map[string]bool{}}
 	if manifest.Format > garnetworks.ManifestFormat {
@@ -142,15 +140,15 @@
 	return d.sorted()
 }
 
-// Encode returns the manifest as it is stored and sent.
+// Encode returns the stored and transmitted form of the manifest.
 func Encode(manifest *garnetworks.Manifest) ([]byte, error) {
 	body, err := json.Marshal(manifest)
 	return body, garnetworks.WrapError(garnetworks.KindInternal, err, "a manifest can't be encoded")
 }
 
-// Decode returns the manifest that Encode wrote. A field that this program does
-// not know is refused, not dropped: it comes from a newer program, and to
-// decide without it would be to decide by another manifest.
+// Decode returns the manifest that Encode encoded. Unknown fields are rejected, not
+// ignored: they come from a newer program, and a node that ignored them would act on
+// a different manifest.
 func Decode(body []byte) (*garnetworks.Manifest, error) {
 	var head struct {
 		Format int `json:"format"`
@@ -175,38 +173,37 @@
 		format, garnetworks.ManifestFormat)
 }
 
-// position is a place in the text.
+// position is a line and column of the text, both starting at 1.
 type position struct{ line, column int }
 
-// places collects the problems of one manifest and knows where its values
-// stand.
+// diagnostics collects the problems of one manifest and the positions of its values.
 type diagnostics struct {
 	file string
-	// at holds the position of each value that was read, by path.
+	// positions holds the position of each value that was decoded, by path.
 	positions map[string]position
-	// bad holds the paths of values that could not be read; nothing further is
-	// said of them.
+	// unreadable holds the paths of values that could not be decoded; no further
+	// problems are reported for them.
 	unreadable map[string]bool
 	problems   Problems
-	// newer is set if the text comes from a newer program (rule P4).
+	// newerFormat is set if the text comes from a newer program (rule P4).
 	newerFormat bool
 }
 
-// add records a problem at a position.
+// add adds a problem at a position.
 func (d *diagnostics) add(at position, path, format string, args ...any) {
 	d.problems = append(d.problems, Problem{
 		File: d.file, Line: at.line, Column: at.column, Path: path, Text: fmt.Sprintf(format, args...),
 	})
 }
 
-// reject records that the value at path could not be read.
+// reportUnreadable adds a problem and marks the value at path as unreadable.
 func (d *diagnostics) reportUnreadable(at position, path, format string, args ...any) {
 	d.unreadable[path] = true
 	d.add(at, path, format, args...)
 }
 
-// refuse records a problem with a value that was read. Values that were not
-// read, and all within them, already have their problem.
+// report adds a problem with the value at path, unless that value or one that encloses
+// it is unreadable and thus already reported.
 func (d *diagnostics) report(path, format string, args ...any) {
 	if d.isUnreadable(path) {
 		return
@@ -214,14 +211,14 @@
 	d.add(d.positionOf(path), path, format, args...)
 }
 
-// refuseNewer drops all other problems (rule P4).
+// reportNewerFormat replaces all problems by that of the newer format (rule P4).
 func (d *diagnostics) reportNewerFormat(format int) {
 	d.newerFormat = true
 	d.problems = nil
 	d.add(d.positionOf("format"), "format", "%s", newerFormatText(format))
 }
 
-// unread reports whether the value at path or one around it could not be read.
+// isUnreadable reports whether the value at path or one that encloses it is unreadable.
 func (d *diagnostics) isUnreadable(path string) bool {
 	for ; path != ""; path = parent(path) {
 		if d.unreadable[path] {
@@ -231,8 +228,8 @@
 	return d.unreadable[""]
 }
 
-// partlyUnread reports whether the value at path, one around it or one within
-// it could not be read.
+// isPartlyUnreadable reports whether the value at path, one that encloses it or one
+// within it is unreadable.
 func (d *diagnostics) isPartlyUnreadable(path string) bool {
 	if d.isUnreadable(path) {
 		return true
@@ -245,8 +242,8 @@
 	return false
 }
 
-// namesUnread reports whether the name of an entry of a list could not be read,
-// so that a reference to an unknown name may mean that entry.
+// hasUnreadableNames reports whether the name of any entry of a list is unreadable, so
+// that a reference to an unknown name may mean that entry.
 func (d *diagnostics) hasUnreadableNames(list string) bool {
 	if d.isUnreadable(list) {
 		return true
@@ -260,8 +257,8 @@
 	return false
 }
 
-// find returns the position of the value at path, or of the nearest one around
-// it.
+// positionOf returns the position of the value at path, or of the nearest enclosing
+// value.
 func (d *diagnostics) positionOf(path string) position {
 	for ; path != ""; path = parent(path) {
 		if at, ok := d.positions[path]; ok {
@@ -271,7 +268,7 @@
 	return d.positions[""]
 }
 
-// parent returns the path around path.
+// parent returns the path of the enclosing value.
 func parent(path string) string {
 	i := strings.LastIndexAny(path, ".[")
 	if i < 0 {
--- a/parser/parser_test.go
+++ b/parser/parser_test.go
@@ -48,20 +48,20 @@
 				t.Fatal(err)
 			}
 			if changes := append(parser.Diff(m, decoded), parser.Diff(m, parse(t, formatted))...); len(changes) > 0 {
-				t.Errorf("the manifest changes: %v", changes)
+				t.Errorf("the manifest changed: %v", changes)
 			}
 		})
 	}
 }
 
-// cut removes the text from one mark up to another.
+// removeRange removes the text from one marker up to another.
 func removeRange(text, from, to string) string {
 	i, j := strings.Index(text, from), strings.Index(text, to)
 	return text[:i] + text[j:]
 }
 
-// Each case changes the example in one place; the problem must name that place
-// and nothing else.
+// Each case breaks the example in one place; Parse must report that place and nothing
+// else.
 func TestParseRejects(t *testing.T) {
 	hash := keymaker.Hash("another")
 	cases := map[string]struct{ old, new, want string }{
@@ -145,7 +145,7 @@
 				t.Fatalf("problems:\n%v\nwant one with %q", problems, c.want)
 			}
 			if p := problems[0]; p.Line < 1 || p.Column < 1 || p.File != "m.yaml" {
-				t.Errorf("the problem has no place: %+v", p)
+				t.Errorf("the problem has no position: %+v", p)
 			}
 			if err := problems.Err(); !garnetworks.IsKind(err, garnetworks.KindInvalidManifest) {
 				t.Errorf("the problems are an error of kind %s", garnetworks.KindOf(err))
@@ -158,7 +158,7 @@
 workspaces:
 `
 
-// second returns the text of another workspace, to be put before the services.
+// secondWorkspace returns the text of another workspace, to precede the services.
 func secondWorkspace(hash string) string {
 	return fmt.Sprintf(`  - name: second
     key-hashes: [%q]
@@ -167,14 +167,13 @@
 services:`, hash)
 }
 
-// A pipeline writes a manifest while another process reads it, or its disk is
-// full: the file ends early. Wherever it ends, the text must be refused, also
-// where what stands there is good YAML with fewer workspaces.
+// A file that was truncated at any byte must be rejected, even where the rest is valid
+// YAML with fewer workspaces.
 func TestParseRejectsTruncatedText(t *testing.T) {
 	text := parser.Example()
 	for i := range len(text) - len("...\n") {
 		if m, _ := parser.Parse("", []byte(text[:i])); m != nil {
-			t.Fatalf("the first %d of %d bytes are taken for a whole manifest", i, len(text))
+			t.Fatalf("the first %d of %d bytes are accepted as a manifest", i, len(text))
 		}
 	}
 }
@@ -204,7 +203,7 @@
 	for i, p := range problems {
 		paths = append(paths, p.Path)
 		if i > 0 && p.Line < problems[i-1].Line {
-			t.Errorf("line %d stands after line %d", p.Line, problems[i-1].Line)
+			t.Errorf("line %d is listed after line %d", p.Line, problems[i-1].Line)
 		}
 	}
 	want := "site.name site.instance-classes[0].watts site.grace.shed models[1].priority services[0].timeout"
@@ -213,9 +212,8 @@
 	}
 }
 
-// A node of an older program gets a manifest that a newer one has written. A
-// field that it does not know may decide what is served, so it must not be
-// dropped.
+// A node of an older program must not drop fields that a newer one wrote, because they
+// may decide what is served.
 func TestDecodeRejectsUnknownFields(t *testing.T) {
 	body, err := parser.Encode(parse(t, parser.Example()))
 	if err != nil {
@@ -266,8 +264,8 @@
 	}
 }
 
-// FuzzParse looks for texts that panic, take long, or are taken for a manifest
-// that can't be written down again.
+// FuzzParse looks for texts that panic, take long, or are accepted as a manifest that
+// cannot be formatted again.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(parser.Example()))
 	for _, seed := range []string{
@@ -286,7 +284,7 @@
 			return
 		}
 		if problems := parser.Check(m); len(problems) > 0 {
-			t.Fatalf("what Parse takes, Check refuses: %v", problems)
+			t.Fatalf("Parse accepts what Check rejects: %v", problems)
 		}
 		if _, err := parser.Format(m); err != nil {
 			t.Fatalf("the manifest can't be written: %v", err)
@@ -294,15 +292,14 @@
 	})
 }
 
-// The page is what people read, so it must hold every key and the example as it
-// is checked here.
+// The documentation must contain every key and the embedded example.
 func TestDocsMatchFormat(t *testing.T) {
 	page, err := os.ReadFile("../docs/manifest.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(page), "```yaml\n"+parser.Example()+"```\n") {
-		t.Error("the page's example is not the one that the program prints")
+		t.Error("the page's example differs from the embedded one")
 	}
 	reference, _, _ := strings.Cut(string(page), "## A whole example")
 	var walk func(reflect.Type)
@@ -324,8 +321,7 @@
 	walk(reflect.TypeFor[garnetworks.Manifest]())
 }
 
-// A field that Diff does not know would be changed by a commit without a word in
-// its plan.
+// A field that Diff ignores would be committed without appearing in the plan.
 func TestDiffCoversEveryField(t *testing.T) {
 	var walk func(path string, field func(*garnetworks.Manifest) reflect.Value, s reflect.Type)
 	walk = func(path string, field func(*garnetworks.Manifest) reflect.Value, s reflect.Type) {
@@ -342,14 +338,14 @@
 		m := parse(t, parser.Example())
 		change(field(m))
 		if len(parser.Diff(parse(t, parser.Example()), m)) == 0 {
-			t.Errorf("Diff does not see a change of %s", path)
+			t.Errorf("Diff ignores a change of %s", path)
 		}
 	}
 	root := func(m *garnetworks.Manifest) reflect.Value { return reflect.ValueOf(m).Elem() }
 	walk("", root, reflect.TypeFor[garnetworks.Manifest]())
 }
 
-// change gives a value another one.
+// change sets v to a different value.
 func change(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.String:
--- a/parser/scan.go
+++ b/parser/scan.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// endMarker is the last line of a whole text (rule P3).
+	// endMarker is the last line of a complete text (rule P3).
 	endMarker = "..."
 	// maxNesting bounds the nesting of flow collections and of sequences on one
 	// line; the schema needs six levels.
@@ -25,7 +25,7 @@
 	maxIndent = 64
 )
 
-// forbiddenTokens are YAML features that manifests do without (rule P5).
+// forbiddenTokens are the YAML features that manifests may not use (rule P5).
 var forbiddenTokens = map[token.Type]string{
 	token.AnchorType:         "anchors are not allowed in a manifest",
 	token.AliasType:          "aliases are not allowed in a manifest",
@@ -38,7 +38,7 @@
 	token.DocumentHeaderType: "the document start marker is not allowed in a manifest",
 }
 
-// scan returns the root node of the text if its structure is sound.
+// scan returns the root node of the text if its syntax is valid.
 func scan(d *diagnostics, data []byte) (ast.Node, bool) {
 	body, ok := checkText(d, data)
 	if !ok {
@@ -52,8 +52,8 @@
 	return root, ok
 }
 
-// frame checks size, encoding and end marker, and returns the text before the
-// marker.
+// checkText checks size, encoding, indentation and end marker, and returns the text
+// before the marker.
 func checkText(d *diagnostics, data []byte) ([]byte, bool) {
 	start := position{1, 1}
 	if len(data) > MaxTextBytes {
@@ -85,10 +85,10 @@
 	return bytes.Join(lines[:last], []byte("\n")), true
 }
 
-// structure parses the text into nodes.
+// parseNodes parses the text into YAML nodes.
 func parseNodes(d *diagnostics, body []byte) (root ast.Node, ok bool) {
-	// The YAML library has panicked on malformed texts before; a text from an
-	// operator must not end the node that judges it, so it counts as malformed.
+	// The YAML library may panic on malformed input; an operator's text must not
+	// crash the node.
 	defer func() {
 		if r := recover(); r != nil {
 			d.add(position{1, 1}, "", "the text is not YAML")
@@ -120,8 +120,7 @@
 	return nil, false
 }
 
-// allowed refuses the tokens that rule P5 names before anything is built from
-// them.
+// checkTokens reports the tokens that rule P5 forbids, before any nodes are built.
 func checkTokens(d *diagnostics, tokens token.Tokens) bool {
 	ok := true
 	bounds := &bounds{}
@@ -143,29 +142,29 @@
 	return ok
 }
 
-// bounds follows the structure of a text token by token. The YAML library's work
-// grows with the square of the keys of one mapping and with the nesting, so both
-// are bounded before it sees the text.
+// bounds tracks the structure of a text token by token. The YAML library's work grows
+// with the square of the keys of one mapping and with the nesting depth, so both are
+// limited before it parses the text.
 type bounds struct {
-	// line and entries count the sequence entries that begin on one line.
+	// line and entries count the sequence entries that start on one line.
 	line, entries int
-	// open are the mappings around the token, the innermost last.
+	// open are the collections that enclose the token, the innermost last.
 	open []mapping
-	// flow is the number of flow collections around the token.
+	// flow is the number of flow collections that enclose the token.
 	flow int
 }
 
 // mapping counts the keys of one mapping.
 type mapping struct {
-	// column is where a block mapping's keys begin; 0 marks a flow mapping or
+	// column is the column of a block mapping's keys; 0 marks a flow mapping or
 	// sequence.
 	column int
 	keys   int
-	// line is where a flow collection begins.
+	// line is the line on which a flow collection starts.
 	line int
 }
 
-// exceeded takes the next token and returns which bound it exceeds, or "".
+// exceeded processes the next token and describes the limit it exceeds, or returns "".
 func (b *bounds) exceeded(t *token.Token) string {
 	if t.Position.Line != b.line {
 		b.line, b.entries = t.Position.Line, 0
@@ -195,14 +194,14 @@
 	return fmt.Sprintf("the mapping has more than %d keys", maxKeys)
 }
 
-// leave ends the block mappings that begin at or after a column.
+// closeBlocks closes the block mappings that start at or after a column.
 func (b *bounds) closeBlocks(column int) {
 	for n := len(b.open); n > 0 && b.open[n-1].column >= column; n = len(b.open) {
 		b.open = b.open[:n-1]
 	}
 }
 
-// leaveFlow ends the innermost flow collection.
+// closeFlow closes the innermost flow collection.
 func (b *bounds) closeFlow() {
 	for n := len(b.open); n > 0; n = len(b.open) {
 		last := b.open[n-1]
@@ -213,7 +212,7 @@
 	}
 }
 
-// key counts a key, whose token is the one before the colon.
+// key counts a key, which is the token before the colon.
 func (b *bounds) key(colon *token.Token) {
 	column := colon.Position.Column
 	if colon.Prev != nil {
@@ -231,7 +230,7 @@
 	b.open = append(b.open, mapping{column: column, keys: 1})
 }
 
-// addSyntax records the YAML library's error at its token.
+// addSyntaxError reports the YAML library's error at the token it names.
 func addSyntaxError(d *diagnostics, err error) {
 	var e yaml.Error
 	if !errors.As(err, &e) {
@@ -245,7 +244,8 @@
 	d.add(at, "", "the text is not YAML: %s", e.GetMessage())
 }
 
-// place returns a node's position.
+// nodePosition returns the position of a node, or of its first key if it is a block
+// mapping.
 func nodePosition(n ast.Node) position {
 	if n == nil {
 		return position{1, 1}
