--- a/keymaker/keymaker.go
+++ b/keymaker/keymaker.go
@@ -37,9 +37,9 @@
 	// randomBytes is the entropy of a key.
 	randomBytes = 32
 	// bodyLength is the number of base32 digits that hold randomBytes.
-	bodyLength = 52
+	encodedLength = 52
 	// Length is the length of every key.
-	Length = len(Prefix) + bodyLength
+	Length = len(Prefix) + encodedLength
 )
 
 // encoding writes keys in lower case without padding, so that they can be read
--- a/keymaker/keymaker_test.go
+++ b/keymaker/keymaker_test.go
@@ -22,8 +22,8 @@
 func TestRotationOverlaps(t *testing.T) {
 	before, after, other := keymaker.New(), keymaker.New(), keymaker.New()
 	stages := map[string]struct {
-		hashes     []string
-		old, fresh bool
+		hashes             []string
+		oldValid, newValid bool
 	}{
 		"before":  {[]string{before.Hash}, true, false},
 		"overlap": {[]string{before.Hash, after.Hash}, true, true},
@@ -42,8 +42,8 @@
 					t.Errorf("Lookup = %q, %v, want field: %v", workspace, ok, want)
 				}
 			}
-			check(before, stage.old)
-			check(after, stage.fresh)
+			check(before, stage.oldValid)
+			check(after, stage.newValid)
 			if w, ok := x.Lookup(other.Secret); !ok || w != "other" {
 				t.Errorf("the other workspace's key gives %q, %v", w, ok)
 			}
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestLookupRefuses(t *testing.T) {
+func TestLookupRejectsInvalidKeys(t *testing.T) {
 	key := keymaker.New()
 	x := keymaker.NewIndex(manifest(map[garnetworks.WorkspaceName][]string{"w": {key.Hash, "sha256:bad"}}))
 	if x.Len() != 1 {
@@ -83,8 +83,8 @@
 func TestCheckHash(t *testing.T) {
 	key := keymaker.New()
 	cases := map[string]struct {
-		hash string
-		good bool
+		hash  string
+		valid bool
 	}{
 		"made here":   {key.Hash, true},
 		"a key":       {key.Secret, false},
@@ -96,8 +96,8 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			err := keymaker.CheckHash(c.hash)
-			if (err == nil) != c.good {
-				t.Fatalf("CheckHash = %v, want good: %v", err, c.good)
+			if (err == nil) != c.valid {
+				t.Fatalf("CheckHash = %v, want good: %v", err, c.valid)
 			}
 			if err != nil && strings.Contains(err.Error(), key.Secret) {
 				t.Errorf("the error shows the key: %v", err)
