--- a/keymaker/keymaker.go
+++ b/keymaker/keymaker.go
@@ -1,20 +1,19 @@
-// Package keymaker makes workspace keys and finds the workspace of a key.
+// Package keymaker generates workspace keys and looks up the workspace of a key.
 //
 // The rules:
 //
-//	K1  A key is "gnk-" and 256 random bits. It is shown once; only its hash is
-//	    kept, in the manifest.
-//	K2  The hash is one unsalted SHA-256. A slow or salted hash protects
-//	    secrets that people choose, because these can be guessed or looked up
-//	    in a table; 256 random bits can be neither guessed nor tabled, so it
-//	    would only cost the hot path time. Equal hashes therefore mean equal
-//	    keys, and a hash finds its workspace through an index.
-//	K3  Hashes are compared in constant time. The index is reached by the first
-//	    bytes of the hash, not of the key: what its timing tells of a stored
-//	    hash does not help to find a key with that hash.
+//	K1  A key is "gnk-" followed by 256 random bits. It is shown once; only its
+//	    hash is stored, in the manifest.
+//	K2  The hash is a single unsalted SHA-256. Slow or salted hashes protect
+//	    low-entropy secrets from guessing and precomputed tables; for 256 random
+//	    bits they would only add latency to each request. Equal hashes thus mean
+//	    equal keys, and a hash can be looked up in an index.
+//	K3  Hashes are compared in constant time. The index is keyed by the first
+//	    bytes of the hash, not of the key: what the lookup's timing reveals of a
+//	    stored hash does not help to find a key with that hash.
 //	K4  A workspace may have several hashes at once, so that a new key works
-//	    before the old one is taken away.
-//	K5  A lookup allocates nothing.
+//	    before the old one is removed.
+//	K5  A lookup does not allocate.
 package keymaker
 
 import (
@@ -30,51 +29,51 @@
 )
 
 const (
-	// Prefix begins each key, so that people and secret scanners know it.
+	// Prefix starts each key, so that people and secret scanners recognize it.
 	Prefix = "gnk-"
-	// HashPrefix begins each hash and names its function.
+	// HashPrefix starts each hash and names the hash function.
 	HashPrefix = "sha256:"
-	// randomBytes is the entropy of a key.
+	// randomBytes is the number of random bytes of a key.
 	randomBytes = 32
-	// bodyLength is the number of base32 digits that hold randomBytes.
+	// encodedLength is the number of base32 digits that encode randomBytes.
 	encodedLength = 52
-	// Length is the length of every key.
+	// Length is the length of a key in bytes, Prefix included.
 	Length = len(Prefix) + encodedLength
 )
 
-// encoding writes keys in lower case without padding, so that they can be read
-// out and never need quoting.
+// encoding is lower-case base32 without padding, so that keys are easy to read out and
+// need no quoting.
 var encoding = base32.NewEncoding("abcdefghijklmnopqrstuvwxyz234567").WithPadding(base32.NoPadding)
 
-// Key is a new key with the hash that goes into the manifest.
+// Key is a newly generated key and its hash.
 type Key struct {
-	// Secret is shown to its owner once and kept nowhere.
+	// Secret is shown to its owner once and never stored.
 	Secret string `json:"key"`
-	// Hash goes into the manifest.
+	// Hash is the form stored in the manifest.
 	Hash string `json:"key-hash"`
 }
 
-// New returns a new random key.
+// New generates a random key.
 func New() Key {
 	var random [randomBytes]byte
-	// The reader never fails: it ends the process instead, so that no key is
-	// ever made of fewer random bits (rule K1).
+	// Read never returns an error: it crashes the program instead, so that no key has
+	// less entropy (rule K1).
 	rand.Read(random[:])
 	secret := Prefix + encoding.EncodeToString(random[:])
 	return Key{Secret: secret, Hash: Hash(secret)}
 }
 
-// Hash returns the hash of a key as it stands in the manifest (rule K2).
+// Hash returns the hash of a key in the form stored in the manifest (rule K2).
 func Hash(secret string) string {
 	sum := sha256.Sum256([]byte(secret))
 	return HashPrefix + hex.EncodeToString(sum[:])
 }
 
-// CheckHash returns an error of kind garnetworks.KindInvalidManifest if hash is
-// not in the form that Hash returns.
+// CheckHash returns an error of kind garnetworks.KindInvalidManifest if hash does not
+// have the form that Hash returns.
 func CheckHash(hash string) error {
 	if strings.HasPrefix(hash, Prefix) {
-		// A key in a manifest is a secret in the build pipeline's logs.
+		// A key in a manifest leaks into the build pipeline's logs.
 		return garnetworks.Errorf(garnetworks.KindInvalidManifest,
 			"this is a key, not its hash: anyone who read the manifest can use it, so make a new one with garnetctl key new")
 	}
@@ -94,20 +93,20 @@
 	return sum, err == nil
 }
 
-// entry is one valid hash and its workspace.
+// entry is a valid hash and its workspace.
 type entry struct {
 	sum       [sha256.Size]byte
 	workspace garnetworks.WorkspaceName
 }
 
-// Index finds the workspace of a key. It is never changed once made.
+// Index maps keys to workspaces. It is immutable.
 type Index struct {
-	// buckets hold the entries by the first eight bytes of their hash.
+	// buckets holds the entries by the first eight bytes of their hash.
 	buckets map[uint64][]entry
 }
 
-// NewIndex returns the index of the manifest's keys. Hashes that are malformed
-// match no key; the parser refuses them before a manifest is accepted.
+// NewIndex returns the index of the manifest's keys. It skips malformed hashes, which
+// the parser rejects before a manifest is accepted.
 func NewIndex(manifest *garnetworks.Manifest) *Index {
 	x := &Index{buckets: map[uint64][]entry{}}
 	if manifest == nil {
@@ -126,12 +125,12 @@
 	return x
 }
 
-// Lookup returns the workspace that the key belongs to.
+// Lookup returns the workspace to which the key belongs.
 func (x *Index) Lookup(key string) (garnetworks.WorkspaceName, bool) {
 	if len(key) != Length || key[:len(Prefix)] != Prefix {
 		return "", false
 	}
-	// The copy lives on the stack (rule K5).
+	// The copy stays on the stack (rule K5).
 	var buffer [Length]byte
 	copy(buffer[:], key)
 	sum := sha256.Sum256(buffer[:])
@@ -146,7 +145,7 @@
 	return "", false
 }
 
-// Len returns the number of valid hashes.
+// Len returns the number of hashes in the index.
 func (x *Index) Len() int {
 	n := 0
 	for _, entries := range x.buckets {
--- a/keymaker/keymaker_test.go
+++ b/keymaker/keymaker_test.go
@@ -16,9 +16,8 @@
 	return m
 }
 
-// A workspace's key is rotated: the new hash is added, callers move over, the
-// old hash is taken away. A caller with either key must get in while both
-// stand, and the old key must stop working with the manifest that drops it.
+// TestRotationOverlaps checks that both keys work while the manifest has both hashes,
+// and that the old key stops working once its hash is removed.
 func TestRotationOverlaps(t *testing.T) {
 	before, after, other := keymaker.New(), keymaker.New(), keymaker.New()
 	stages := map[string]struct {
@@ -45,7 +44,7 @@
 			check(before, stage.oldValid)
 			check(after, stage.newValid)
 			if w, ok := x.Lookup(other.Secret); !ok || w != "other" {
-				t.Errorf("the other workspace's key gives %q, %v", w, ok)
+				t.Errorf("Lookup of the other workspace's key = %q, %v", w, ok)
 			}
 		})
 	}
@@ -74,7 +73,7 @@
 	for name, k := range keys {
 		t.Run(name, func(t *testing.T) {
 			if w, ok := x.Lookup(k); ok {
-				t.Errorf("Lookup accepts it as %q", w)
+				t.Errorf("Lookup = %q, want no workspace", w)
 			}
 		})
 	}
@@ -86,12 +85,12 @@
 		hash  string
 		valid bool
 	}{
-		"made here":   {key.Hash, true},
-		"a key":       {key.Secret, false},
-		"upper case":  {"sha256:" + strings.ToUpper(key.Hash[7:]), false},
-		"short":       {key.Hash[:len(key.Hash)-1], false},
-		"no function": {key.Hash[7:], false},
-		"not hex":     {"sha256:" + strings.Repeat("g", 64), false},
+		"generated":  {key.Hash, true},
+		"a key":      {key.Secret, false},
+		"upper case": {"sha256:" + strings.ToUpper(key.Hash[7:]), false},
+		"short":      {key.Hash[:len(key.Hash)-1], false},
+		"no prefix":  {key.Hash[7:], false},
+		"not hex":    {"sha256:" + strings.Repeat("g", 64), false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -110,7 +109,7 @@
 	key := keymaker.New()
 	x := keymaker.NewIndex(manifest(map[garnetworks.WorkspaceName][]string{"w": {key.Hash}}))
 	if n := testing.AllocsPerRun(100, func() { x.Lookup(key.Secret) }); n != 0 {
-		t.Errorf("a lookup makes %v allocations, want 0", n)
+		t.Errorf("Lookup allocates %v times, want 0", n)
 	}
 }
 
