--- a/keymaker/keymaker_test.go
+++ b/keymaker/keymaker_test.go
@@ -96,7 +96,7 @@
 		t.Run(name, func(t *testing.T) {
 			err := keymaker.CheckHash(c.hash)
 			if (err == nil) != c.valid {
-				t.Fatalf("CheckHash = %v, want good: %v", err, c.valid)
+				t.Fatalf("CheckHash = %v, want valid: %v", err, c.valid)
 			}
 			if err != nil && strings.Contains(err.Error(), key.Secret) {
 				t.Errorf("the error shows the key: %v", err)
