--- a/configurer/configurer.go
+++ b/configurer/configurer.go
@@ -150,14 +150,14 @@
 	if err := yaml.Unmarshal(data, &tree); err != nil {
 		return Settings{}, invalid(Faults{syntaxFault(err)})
 	}
-	given := make(map[string]any)
-	flatten("", tree, given)
+	values := make(map[string]any)
+	flatten("", tree, values)
 
 	var s Settings
-	faults := setFields(&s, given)
-	faults = append(faults, unknownFields(given)...)
+	faults := setFields(&s, values)
+	faults = append(faults, unknownFields(values)...)
 	if len(faults) == 0 {
-		faults = together(&s)
+		faults = checkCombinations(&s)
 	}
 	if len(faults) > 0 {
 		sort.Slice(faults, func(i, j int) bool { return faults[i].Field < faults[j].Field })
@@ -179,25 +179,25 @@
 
 // flatten turns nested maps into dotted paths; an empty map stays as a value,
 // so that a section that should have fields is told as unknown or missing.
-func flatten(prefix string, tree map[string]any, into map[string]any) {
+func flatten(prefix string, tree map[string]any, values map[string]any) {
 	for name, value := range tree {
 		path := name
 		if prefix != "" {
 			path = prefix + "." + name
 		}
 		if nested, ok := value.(map[string]any); ok && len(nested) > 0 {
-			flatten(path, nested, into)
+			flatten(path, nested, values)
 			continue
 		}
-		into[path] = value
+		values[path] = value
 	}
 }
 
-func setFields(s *Settings, given map[string]any) Faults {
+func setFields(s *Settings, values map[string]any) Faults {
 	var faults Faults
 	for i := range Fields {
 		f := &Fields[i]
-		value, ok := given[f.Path]
+		value, ok := values[f.Path]
 		if !ok || value == nil {
 			if f.Required {
 				faults = append(faults, Fault{Field: f.Path, Problem: "missing value", Allowed: f.Allowed}) // C3
@@ -212,14 +212,14 @@
 	return faults
 }
 
-func unknownFields(given map[string]any) Faults {
+func unknownFields(values map[string]any) Faults {
 	known := make(garnetworks.Set[string], len(Fields))
 	for i := range Fields {
 		known.Add(Fields[i].Path)
 	}
 	var faults Faults
-	for path, value := range given {
-		if known.Has(path) || emptySection(path, value) {
+	for path, value := range values {
+		if known.Has(path) || isEmptySection(path, value) {
 			continue
 		}
 		faults = append(faults, Fault{Field: path, Value: shorten(value), Problem: "unknown field", Allowed: "the fields of garnetd --print-example"}) // C2
@@ -229,7 +229,7 @@
 
 // emptySection reports whether path is a section that was left empty, which is
 // the same as leaving it out.
-func emptySection(path string, value any) bool {
+func isEmptySection(path string, value any) bool {
 	if nested, isMap := value.(map[string]any); value != nil && (!isMap || len(nested) > 0) {
 		return false
 	}
@@ -241,18 +241,18 @@
 	return false
 }
 
-const shownValueBytes = 60
+const maxValueBytes = 60
 
 func shorten(value any) string {
 	s := fmt.Sprint(value)
-	if len(s) > shownValueBytes {
-		return s[:shownValueBytes] + "…"
+	if len(s) > maxValueBytes {
+		return s[:maxValueBytes] + "…"
 	}
 	return s
 }
 
 // together checks what only shows when fields are seen side by side (C5).
-func together(s *Settings) Faults {
+func checkCombinations(s *Settings) Faults {
 	var faults Faults
 	for name, files := range map[string]TLSFiles{"peer-tls": s.PeerTLS, "caller-tls": s.CallerTLS} {
 		if (files.Certificate == "") != (files.Key == "") {
@@ -263,17 +263,17 @@
 		faults = append(faults, Fault{Field: "peer-tls.authorities", Problem: "missing value", Allowed: "a PEM file that verifies the peers"})
 	}
 	if !s.PeerTLS.Enabled() && !s.AllowInsecure {
-		faults = append(faults, openAddresses(s)...)
+		faults = append(faults, insecureAddresses(s)...)
 	}
 	return faults
 }
 
 // openAddresses refuses peer and admin addresses that other machines reach
 // while nothing proves who calls: anybody there could stage a manifest.
-func openAddresses(s *Settings) Faults {
+func insecureAddresses(s *Settings) Faults {
 	var faults Faults
-	open := map[string]string{"listen.peers": s.Listen.Peers, "listen.admin": s.Listen.Admin}
-	for field, address := range open {
+	addresses := map[string]string{"listen.peers": s.Listen.Peers, "listen.admin": s.Listen.Admin}
+	for field, address := range addresses {
 		if isLoopback(address) {
 			continue
 		}
--- a/configurer/configurer_test.go
+++ b/configurer/configurer_test.go
@@ -9,7 +9,7 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-const whole = `
+const validSettings = `
 node: entry-a-1
 zone: zone-a
 listen: {callers: "127.0.0.1:0", peers: "127.0.0.1:0", admin: "127.0.0.1:0"}
@@ -50,7 +50,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			text := whole + tt.extra
+			text := validSettings + tt.extra
 			if tt.replace[0] != "" {
 				text = strings.Replace(text, tt.replace[0], tt.replace[1], 1)
 			}
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestParseTellsAllFaults(t *testing.T) {
+func TestParseReportsAllFaults(t *testing.T) {
 	_, err := Parse([]byte("node: 1\nzone: 2\n"))
 	var faults Faults
 	if !errors.As(err, &faults) {
--- a/configurer/fields.go
+++ b/configurer/fields.go
@@ -74,20 +74,20 @@
 var (
 	logLevels   = []string{"trace", "debug", "info", "warn", "error"}
 	namePattern = regexp.MustCompile(`^[a-z][a-z0-9-]{0,62}$`)
-	errNotValid = errors.New("not valid")
+	errInvalid  = errors.New("not valid")
 )
 
 func durationAllowed(low, high time.Duration) string {
 	return fmt.Sprintf(allowedDuration, low, high)
 }
 
-func setName(put func(*Settings, string)) func(*Settings, any) error {
+func setName(assign func(*Settings, string)) func(*Settings, any) error {
 	return func(s *Settings, value any) error {
 		text, ok := value.(string)
 		if !ok || !namePattern.MatchString(text) {
-			return errNotValid
+			return errInvalid
 		}
-		put(s, text)
+		assign(s, text)
 		return nil
 	}
 }
@@ -96,7 +96,7 @@
 	return func(s *Settings, value any) error {
 		text, ok := value.(string)
 		if !ok {
-			return errNotValid
+			return errInvalid
 		}
 		*field(s) = text
 		return nil
@@ -114,7 +114,7 @@
 	return func(s *Settings, value any) error {
 		text, ok := value.(string)
 		if !ok || !validAddress(text) {
-			return errNotValid
+			return errInvalid
 		}
 		*field(s) = text
 		return nil
@@ -131,12 +131,12 @@
 func setSeeds(s *Settings, value any) error {
 	list, ok := value.([]any)
 	if !ok {
-		return errNotValid
+		return errInvalid
 	}
 	for _, item := range list {
 		text, ok := item.(string)
 		if !ok || !validAddress(text) {
-			return errNotValid
+			return errInvalid
 		}
 		s.Seeds = append(s.Seeds, text)
 	}
@@ -147,27 +147,27 @@
 	return func(s *Settings, value any) error {
 		text, ok := value.(string)
 		if !ok {
-			return errNotValid
+			return errInvalid
 		}
 		u, err := url.Parse(text)
 		if err != nil || (u.Scheme != "http" && u.Scheme != "https") {
-			return errNotValid
+			return errInvalid
 		}
 		if net.ParseIP(u.Hostname()) == nil {
-			return errNotValid
+			return errInvalid
 		}
 		*field(s) = strings.TrimSuffix(text, "/")
 		return nil
 	}
 }
 
-func setInteger(low, high int64, put func(*Settings, int64)) func(*Settings, any) error {
+func setInteger(low, high int64, assign func(*Settings, int64)) func(*Settings, any) error {
 	return func(s *Settings, value any) error {
 		n, err := strconv.ParseInt(fmt.Sprint(value), 10, 64)
 		if err != nil || n < low || n > high {
-			return errNotValid
+			return errInvalid
 		}
-		put(s, n)
+		assign(s, n)
 		return nil
 	}
 }
@@ -176,11 +176,11 @@
 	return func(s *Settings, value any) error {
 		text, ok := value.(string)
 		if !ok {
-			return errNotValid
+			return errInvalid
 		}
 		d, err := time.ParseDuration(text)
 		if err != nil || d < low || d > high {
-			return errNotValid
+			return errInvalid
 		}
 		*field(s) = d
 		return nil
@@ -190,7 +190,7 @@
 func setInsecure(s *Settings, value any) error {
 	b, ok := value.(bool)
 	if !ok {
-		return errNotValid
+		return errInvalid
 	}
 	s.AllowInsecure = b
 	return nil
@@ -199,7 +199,7 @@
 func setLogLevel(s *Settings, value any) error {
 	text, ok := value.(string)
 	if !ok || !slices.Contains(logLevels, text) {
-		return errNotValid
+		return errInvalid
 	}
 	s.LogLevel = text
 	return nil
