--- a/configurer/configurer.go
+++ b/configurer/configurer.go
@@ -1,16 +1,17 @@
-// Package configurer reads the settings of an entry node and refuses what is
-// not right before anything starts.
+// Package configurer parses and checks the settings of an entry node before anything
+// starts.
 //
 // The rules:
 //
-//	C1  Every field stands once in the table Fields, with its help, default,
-//	    check and setter; the printed example and the errors come from there.
-//	C2  A field that the table does not hold is refused.
-//	C3  A field without a default must be given.
+//	C1  Every field is declared once in the table Fields, with its help, default
+//	    and setter, which also checks it; the printed example and the errors are
+//	    made from the table.
+//	C2  Unknown fields are rejected.
+//	C3  A field without a default is required.
 //	C4  Each fault is one line with the field, the value and what is allowed;
-//	    all faults are told at once.
-//	C5  Settings that are right one by one but not together are refused by
-//	    the same kind of line.
+//	    all faults are reported at once.
+//	C5  Settings that are valid alone but not in combination are reported in the
+//	    same form.
 package configurer
 
 import (
@@ -27,36 +28,36 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Settings are everything that an entry node learns from its surroundings.
+// Settings is the configuration of an entry node.
 type Settings struct {
-	// Node is the node's name, unique over the site.
+	// Node is the node's name, unique in the site.
 	Node garnetworks.NodeID
 	// Zone is the availability zone of the node's instance.
 	Zone garnetworks.ZoneID
 	// Region is the region of Zone.
 	Region garnetworks.RegionID
-	// Listen holds the addresses to listen on, each ip:port.
+	// Listen holds the addresses to listen on, each as ip:port.
 	Listen Listen
-	// Advertise is the ip:port under which peers reach this node; empty means
-	// Listen.Peers as bound.
+	// Advertise is the ip:port at which peers reach this node; empty means the
+	// address that Listen.Peers is bound to.
 	Advertise string
-	// Seeds are peers' addresses to ask first; the object API's rosters add to
-	// them.
+	// Seeds are the peer addresses to contact first, in addition to the rosters in
+	// the object API.
 	Seeds []string
 	// Platform holds the base URLs of the platform's services.
 	Platform Platform
-	// PeerTLS secures the traffic between nodes and from operators.
+	// PeerTLS secures connections between nodes and from operators.
 	PeerTLS TLSFiles
-	// CallerTLS secures the callers' interface; empty when the platform's
-	// balancer ends TLS.
+	// CallerTLS secures callers' connections; empty if the platform's load balancer
+	// terminates TLS.
 	CallerTLS TLSFiles
-	// AllowInsecure permits a non-loopback peer address without certificates.
+	// AllowInsecure permits non-loopback peer and admin addresses without PeerTLS.
 	AllowInsecure bool
-	// Limits bound what one caller can take.
+	// Limits bound the resources that callers can use.
 	Limits Limits
-	// DrainGrace is the time that a planned stop leaves to calls in flight.
+	// DrainGrace is how long a planned stop waits for calls in flight.
 	DrainGrace time.Duration
-	// EventRing is the number of time-line events kept.
+	// EventRing is the number of timeline events kept.
 	EventRing int
 	// LogLevel is one of trace, debug, info, warn, error.
 	LogLevel string
@@ -77,42 +78,42 @@
 	WeightStore  string
 }
 
-// TLSFiles names PEM files; all are empty or Certificate and Key are set.
+// TLSFiles holds names of PEM files. Certificate and Key are both set or both empty.
 type TLSFiles struct {
 	Certificate string
 	Key         string
-	// Authorities verifies the other side.
+	// Authorities are the certificate authorities that verify the other side.
 	Authorities string
 }
 
-// Enabled reports whether certificates are set.
+// Enabled reports whether a certificate is set.
 func (t TLSFiles) Enabled() bool { return t.Certificate != "" }
 
-// Limits bound what one caller can take.
+// Limits bound the resources that callers can use.
 type Limits struct {
-	// BodyBytes bounds a request's body.
+	// BodyBytes bounds the size of a request body.
 	BodyBytes int64
-	// HeaderBytes bounds a request's headers.
+	// HeaderBytes bounds the size of a request's headers.
 	HeaderBytes int
-	// HeaderTime bounds the reading of a request's headers.
+	// HeaderTime bounds the time to read a request's headers.
 	HeaderTime time.Duration
-	// Connections bounds the callers' open connections.
+	// Connections bounds the number of open caller connections.
 	Connections int
 }
 
-// Fault is one thing that is wrong with a settings file.
+// Fault is one error in a settings file.
 type Fault struct {
 	// Field is the path of the field, such as listen.peers.
 	Field string
-	// Value is what was given, shortened; empty if nothing was.
+	// Value is the given value, shortened; empty if there was none.
 	Value string
-	// Allowed says what the field takes.
+	// Allowed describes the values that the field accepts.
 	Allowed string
-	// Problem is unknown field, missing value, bad value or bad syntax.
+	// Problem is the kind of error, such as unknown field or bad value.
 	Problem string
 }
 
-// String returns the fault's one line.
+// String returns the fault as one line.
 func (f Fault) String() string {
 	if f.Value == "" {
 		return fmt.Sprintf("settings: %s: %s; allowed: %s", f.Field, f.Problem, f.Allowed)
@@ -120,10 +121,10 @@
 	return fmt.Sprintf("settings: %s: %s %q; allowed: %s", f.Field, f.Problem, f.Value, f.Allowed)
 }
 
-// Faults is every fault of a settings file, sorted by field.
+// Faults are all faults of a settings file, sorted by field.
 type Faults []Fault
 
-// Error joins the lines.
+// Error returns the faults, one per line.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
@@ -132,8 +133,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Load reads the file and returns its settings, or an error of kind
-// garnetworks.KindInvalidSettings whose cause is Faults.
+// Load parses the settings file at path. Its errors are of kind
+// garnetworks.KindInvalidSettings with Faults as their cause.
 func Load(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -143,8 +144,8 @@
 	return Parse(data)
 }
 
-// Parse returns the settings in data, or an error of kind
-// garnetworks.KindInvalidSettings whose cause is Faults (rule C4).
+// Parse parses settings. Its errors are of kind garnetworks.KindInvalidSettings with
+// Faults as their cause (rule C4).
 func Parse(data []byte) (Settings, error) {
 	var tree map[string]any
 	if err := yaml.Unmarshal(data, &tree); err != nil {
@@ -170,15 +171,15 @@
 	return &garnetworks.Error{Kind: garnetworks.KindInvalidSettings, Cause: faults}
 }
 
-// syntaxFault keeps the first line of the parser's message, which holds the
-// position; the rest repeats the file.
+// syntaxFault keeps the first line of the parser's message, which has the position;
+// the others quote the file.
 func syntaxFault(err error) Fault {
 	first, _, _ := strings.Cut(err.Error(), "\n")
 	return Fault{Field: "file", Problem: "bad syntax: " + first, Allowed: "YAML with each key once"}
 }
 
-// flatten turns nested maps into dotted paths; an empty map stays as a value,
-// so that a section that should have fields is told as unknown or missing.
+// flatten converts nested maps to dotted paths. An empty map is kept as a value, so
+// that an empty section is reported if it is unknown.
 func flatten(prefix string, tree map[string]any, values map[string]any) {
 	for name, value := range tree {
 		path := name
@@ -227,8 +228,8 @@
 	return faults
 }
 
-// emptySection reports whether path is a section that was left empty, which is
-// the same as leaving it out.
+// isEmptySection reports whether path is a known section without content, which is the
+// same as leaving it out.
 func isEmptySection(path string, value any) bool {
 	if nested, isMap := value.(map[string]any); value != nil && (!isMap || len(nested) > 0) {
 		return false
@@ -251,7 +252,7 @@
 	return s
 }
 
-// together checks what only shows when fields are seen side by side (C5).
+// checkCombinations checks fields whose validity depends on each other (rule C5).
 func checkCombinations(s *Settings) Faults {
 	var faults Faults
 	for name, files := range map[string]TLSFiles{"peer-tls": s.PeerTLS, "caller-tls": s.CallerTLS} {
@@ -268,8 +269,8 @@
 	return faults
 }
 
-// openAddresses refuses peer and admin addresses that other machines reach
-// while nothing proves who calls: anybody there could stage a manifest.
+// insecureAddresses rejects non-loopback peer and admin addresses without
+// authentication: anyone who can connect could stage a manifest.
 func insecureAddresses(s *Settings) Faults {
 	var faults Faults
 	addresses := map[string]string{"listen.peers": s.Listen.Peers, "listen.admin": s.Listen.Admin}
@@ -294,8 +295,7 @@
 	return ip != nil && ip.IsLoopback()
 }
 
-// Lines returns the lines to show for an error of Load or Parse, one for each
-// fault.
+// Lines returns the text to show for an error of Load or Parse, one line per fault.
 func Lines(err error) string {
 	var faults Faults
 	if errors.As(err, &faults) {
--- a/configurer/configurer_test.go
+++ b/configurer/configurer_test.go
@@ -21,9 +21,8 @@
 `
 
 func TestParseFaults(t *testing.T) {
-	// A user starts a node with a typing error in its settings. A node that
-	// started with a default instead would serve from the wrong zone or listen
-	// where nobody looks; the fault must show at once and name its field.
+	// A wrong setting must be reported with its field; a node that started with a default
+	// instead could serve from the wrong zone or listen at the wrong address.
 	tests := map[string]struct {
 		extra   string
 		replace [2]string
--- a/configurer/fields.go
+++ b/configurer/fields.go
@@ -16,19 +16,19 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Field is a row of the table of settings.
+// Field is a row of the settings table.
 type Field struct {
-	// Path is the dotted path in the file.
+	// Path is the field's dotted path in the file.
 	Path string
-	// Help is one sentence for the printed example.
+	// Help is a sentence for the printed example.
 	Help string
-	// Allowed says what the field takes; it stands in each error.
+	// Allowed describes the accepted values; it is part of each error.
 	Allowed string
-	// Required fields have no default.
+	// Required marks a field without a default.
 	Required bool
-	// Default is used where the file says nothing.
+	// Default is the value if the file has none.
 	Default any
-	// Example stands in the printed example for required fields.
+	// Example is the value of a required field in the printed example.
 	Example string
 
 	set func(s *Settings, value any) error
@@ -42,7 +42,7 @@
 	allowedDuration = "a duration between %s and %s, such as 30s"
 )
 
-// Fields is the table of settings, in the order of the printed example (rule C1).
+// Fields is the settings table, in the order of the printed example (rule C1).
 var Fields = []Field{
 	{Path: "node", Help: "The node's name, unique over the site.", Allowed: allowedName, Required: true, Example: "entry-a-1", set: setName(func(s *Settings, v string) { s.Node = garnetworks.NodeID(v) })},
 	{Path: "zone", Help: "The availability zone of this instance.", Allowed: allowedName, Required: true, Example: "zone-a", set: setName(func(s *Settings, v string) { s.Zone = garnetworks.ZoneID(v) })},
@@ -103,8 +103,8 @@
 	}
 }
 
-// validAddress refuses host names: a node must start while name resolution is
-// down, and a name could lead to another machine tomorrow.
+// validAddress rejects host names, because a node must be able to start without name
+// resolution, and a name may later resolve to another machine.
 func validAddress(text string) bool {
 	_, err := netip.ParseAddrPort(text)
 	return err == nil
