--- a/pulser/pulser.go
+++ b/pulser/pulser.go
@@ -84,7 +84,7 @@
 }
 
 func (s *Sender) status(now time.Time, view garnetworks.ZoneView) status {
-	p := status{
+	st := status{
 		View:     version{Term: s.viewVersion.Term, Sequence: s.viewVersion.Sequence},
 		Sent:     uint64(now.Sub(s.started).Milliseconds()),
 		Loads:    make([]byte, 0, len(view.Groups)),
@@ -93,11 +93,11 @@
 	for i := range view.Groups {
 		g := &view.Groups[i]
 		if !g.Confirmed {
-			p.Unconfirmed = append(p.Unconfirmed, uint16(i))
+			st.Unconfirmed = append(st.Unconfirmed, uint16(i))
 		}
-		p.Loads = append(p.Loads, packLoad(g.Load))
+		st.Loads = append(st.Loads, packLoad(g.Load))
 	}
-	return p
+	return st
 }
 
 // stableView returns the view without the fields that a status update carries.
@@ -179,9 +179,9 @@
 		return none, garnetworks.Errorf(garnetworks.KindInvalidRequest, "view of zone %s under the topic of zone %s", view.Zone, r.zone)
 	}
 	r.view, r.viewVersion = view, u.Version
-	if w, ok := r.pending.Get(); ok {
+	if t, ok := r.pending.Get(); ok {
 		r.pending = garnetworks.Option[receivedStatus]{}
-		return r.join(w), nil
+		return r.join(t), nil
 	}
 	return none, nil
 }
@@ -191,23 +191,23 @@
 	if !r.statusVersion.Less(u.Version) { // U3
 		return none, nil
 	}
-	var p status
-	if err := cbor.Unmarshal(u.Body, &p); err != nil {
+	var st status
+	if err := cbor.Unmarshal(u.Body, &st); err != nil {
 		return none, garnetworks.WrapError(garnetworks.KindInvalidRequest, err, "decode a zone status")
 	}
 	r.statusVersion = u.Version
-	return r.join(receivedStatus{status: p, version: u.Version, at: now.Add(-r.delay(now, u.Version.Term, p))}), nil
+	return r.join(receivedStatus{status: st, version: u.Version, at: now.Add(-r.delay(now, u.Version.Term, st))}), nil
 }
 
 // delay returns how much longer the status update took than the fastest recent one
 // of its term (U4). Failure: a relaying node is paused and forwards an update when it
 // resumes; taken as fresh, it would keep a broken group in use for another
 // ConfirmationBound.
-func (r *Receiver) delay(now time.Time, term uint32, p status) time.Duration {
+func (r *Receiver) delay(now time.Time, term uint32, st status) time.Duration {
 	if r.base.IsZero() || term != r.term {
 		r.base, r.term, r.offsets = now, term, nil
 	}
-	offset := now.Sub(r.base) - time.Duration(p.Sent)*time.Millisecond
+	offset := now.Sub(r.base) - time.Duration(st.Sent)*time.Millisecond
 	if len(r.offsets) == maxOffsets {
 		r.offsets = append(r.offsets[:0], r.offsets[1:]...)
 	}
