--- a/pulser/pulser.go
+++ b/pulser/pulser.go
@@ -149,7 +149,7 @@
 	View garnetworks.ZoneView
 	// Version is the version of the status update.
 	Version garnetworks.UpdateVersion
-	// At is the time, by the receiver's clock, for which the status is valid.
+	// At is an upper bound, by the receiver's clock, of when the status was current.
 	At time.Time
 }
 
@@ -219,8 +219,8 @@
 	return offset - least
 }
 
-// join applies a status update to the view that it refers to, or keeps it as pending
-// if that view has not arrived (U2).
+// join applies a status update to the view that it refers to. It keeps the update as
+// pending if that view has not arrived, and otherwise ignores a mismatch (U2).
 func (r *Receiver) join(t receivedStatus) garnetworks.Option[Joined] {
 	referred := garnetworks.UpdateVersion{Term: t.status.View.Term, Sequence: t.status.View.Sequence}
 	if r.viewVersion.Less(referred) {
