--- a/configurer/configurer_test.go
+++ b/configurer/configurer_test.go
@@ -9,7 +9,7 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-const whole = `
+const validSettings = `
 node: entry-a-1
 zone: zone-a
 listen: {callers: "127.0.0.1:0", peers: "127.0.0.1:0", admin: "127.0.0.1:0"}
@@ -21,9 +21,8 @@
 `
 
 func TestParseFaults(t *testing.T) {
-	// A user starts a node with a typing error in its settings. A node that
-	// started with a default instead would serve from the wrong zone or listen
-	// where nobody looks; the fault must show at once and name its field.
+	// A wrong setting must be reported with its field; a node that started with a default
+	// instead could serve from the wrong zone or listen at the wrong address.
 	tests := map[string]struct {
 		extra   string
 		replace [2]string
@@ -50,7 +49,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			text := whole + tt.extra
+			text := validSettings + tt.extra
 			if tt.replace[0] != "" {
 				text = strings.Replace(text, tt.replace[0], tt.replace[1], 1)
 			}
@@ -88,7 +87,7 @@
 	}
 }
 
-func TestParseTellsAllFaults(t *testing.T) {
+func TestParseReportsAllFaults(t *testing.T) {
 	_, err := Parse([]byte("node: 1\nzone: 2\n"))
 	var faults Faults
 	if !errors.As(err, &faults) {
--- a/configurer/fields.go
+++ b/configurer/fields.go
@@ -16,19 +16,19 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Field is a row of the table of settings.
+// Field is a row of the settings table.
 type Field struct {
-	// Path is the dotted path in the file.
+	// Path is the field's dotted path in the file.
 	Path string
-	// Help is one sentence for the printed example.
+	// Help is a sentence for the printed example.
 	Help string
-	// Allowed says what the field takes; it stands in each error.
+	// Allowed describes the accepted values; it is part of each error.
 	Allowed string
-	// Required fields have no default.
+	// Required marks a field without a default.
 	Required bool
-	// Default is used where the file says nothing.
+	// Default is the value if the file has none.
 	Default any
-	// Example stands in the printed example for required fields.
+	// Example is the value of a required field in the printed example.
 	Example string
 
 	set func(s *Settings, value any) error
@@ -42,7 +42,7 @@
 	allowedDuration = "a duration between %s and %s, such as 30s"
 )
 
-// Fields is the table of settings, in the order of the printed example (rule C1).
+// Fields is the settings table, in the order of the printed example (rule C1).
 var Fields = []Field{
 	{Path: "node", Help: "The node's name, unique over the site.", Allowed: allowedName, Required: true, Example: "entry-a-1", set: setName(func(s *Settings, v string) { s.Node = garnetworks.NodeID(v) })},
 	{Path: "zone", Help: "The availability zone of this instance.", Allowed: allowedName, Required: true, Example: "zone-a", set: setName(func(s *Settings, v string) { s.Zone = garnetworks.ZoneID(v) })},
@@ -74,20 +74,20 @@
 var (
 	logLevels   = []string{"trace", "debug", "info", "warn", "error"}
 	namePattern = regexp.MustCompile(`^[a-z][a-z0-9-]{0,62}$`)
-	errNotValid = errors.New("not valid")
+	errInvalid  = errors.New("not valid")
 )
 
 func durationAllowed(low, high time.Duration) string {
 	return fmt.Sprintf(allowedDuration, low, high)
 }
 
-func setName(put func(*Settings, string)) func(*Settings, any) error {
+func setName(assign func(*Settings, string)) func(*Settings, any) error {
 	return func(s *Settings, value any) error {
 		text, ok := value.(string)
 		if !ok || !namePattern.MatchString(text) {
-			return errNotValid
+			return errInvalid
 		}
-		put(s, text)
+		assign(s, text)
 		return nil
 	}
 }
@@ -96,15 +96,15 @@
 	return func(s *Settings, value any) error {
 		text, ok := value.(string)
 		if !ok {
-			return errNotValid
+			return errInvalid
 		}
 		*field(s) = text
 		return nil
 	}
 }
 
-// validAddress refuses host names: a node must start while name resolution is
-// down, and a name could lead to another machine tomorrow.
+// validAddress rejects host names, because a node must be able to start without name
+// resolution, and a name may later resolve to another machine.
 func validAddress(text string) bool {
 	_, err := netip.ParseAddrPort(text)
 	return err == nil
@@ -114,7 +114,7 @@
 	return func(s *Settings, value any) error {
 		text, ok := value.(string)
 		if !ok || !validAddress(text) {
-			return errNotValid
+			return errInvalid
 		}
 		*field(s) = text
 		return nil
@@ -131,12 +131,12 @@
 func setSeeds(s *Settings, value any) error {
 	list, ok := value.([]any)
 	if !ok {
-		return errNotValid
+		return errInvalid
 	}
 	for _, item := range list {
 		text, ok := item.(string)
 		if !ok || !validAddress(text) {
-			return errNotValid
+			return errInvalid
 		}
 		s.Seeds = append(s.Seeds, text)
 	}
@@ -147,27 +147,27 @@
 	return func(s *Settings, value any) error {
 		text, ok := value.(string)
 		if !ok {
-			return errNotValid
+			return errInvalid
 		}
 		u, err := url.Parse(text)
 		if err != nil || (u.Scheme != "http" && u.Scheme != "https") {
-			return errNotValid
+			return errInvalid
 		}
 		if net.ParseIP(u.Hostname()) == nil {
-			return errNotValid
+			return errInvalid
 		}
 		*field(s) = strings.TrimSuffix(text, "/")
 		return nil
 	}
 }
 
-func setInteger(low, high int64, put func(*Settings, int64)) func(*Settings, any) error {
+func setInteger(low, high int64, assign func(*Settings, int64)) func(*Settings, any) error {
 	return func(s *Settings, value any) error {
 		n, err := strconv.ParseInt(fmt.Sprint(value), 10, 64)
 		if err != nil || n < low || n > high {
-			return errNotValid
+			return errInvalid
 		}
-		put(s, n)
+		assign(s, n)
 		return nil
 	}
 }
@@ -176,11 +176,11 @@
 	return func(s *Settings, value any) error {
 		text, ok := value.(string)
 		if !ok {
-			return errNotValid
+			return errInvalid
 		}
 		d, err := time.ParseDuration(text)
 		if err != nil || d < low || d > high {
-			return errNotValid
+			return errInvalid
 		}
 		*field(s) = d
 		return nil
@@ -190,7 +190,7 @@
 func setInsecure(s *Settings, value any) error {
 	b, ok := value.(bool)
 	if !ok {
-		return errNotValid
+		return errInvalid
 	}
 	s.AllowInsecure = b
 	return nil
@@ -199,7 +199,7 @@
 func setLogLevel(s *Settings, value any) error {
 	text, ok := value.(string)
 	if !ok || !slices.Contains(logLevels, text) {
-		return errNotValid
+		return errInvalid
 	}
 	s.LogLevel = text
 	return nil
--- a/distributor/handon.go
+++ b/distributor/handon.go
@@ -8,40 +8,39 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// job is a handing on of updates to targets.
+// job holds updates to forward and the targets to reach.
 type job struct {
 	updates []garnetworks.Update
 	targets []garnetworks.NodeInfo
 	hops    int
 }
 
-// plan adds the handing on of u to the jobs, joined to the last one if the
-// targets are the same. The caller holds mu.
-func (d *Distributor) plan(jobs []job, u garnetworks.Update, targets []garnetworks.NodeInfo, hops int) []job {
+// appendJob adds the forwarding of u to jobs, merged into the last job if both have
+// the same targets. The caller holds mu.
+func (d *Distributor) appendJob(jobs []job, u garnetworks.Update, targets []garnetworks.NodeInfo, hops int) []job {
 	if len(targets) == 0 {
 		return jobs
 	}
 	if hops >= MaxHops {
-		// Trees never get this deep. A loop of old messages would, and would go
-		// round for ever.
+		// No tree is this deep; the limit ends a forwarding loop between nodes.
 		d.counters.refused.Add(1)
 		return jobs
 	}
-	left := d.store.claim(u, targets)
-	if len(left) == 0 {
+	remaining := d.store.claim(u, targets)
+	if len(remaining) == 0 {
 		return jobs
 	}
-	// Of two bodies under one version, the one held here is handed on.
+	// If another body has the same version, the one held here is forwarded.
 	u = d.store.held[u.Topic]
-	if n := len(jobs) - 1; n >= 0 && len(jobs[n].targets) == len(left) && len(left) == len(targets) {
+	if n := len(jobs) - 1; n >= 0 && len(jobs[n].targets) == len(remaining) && len(remaining) == len(targets) {
 		jobs[n].updates = append(jobs[n].updates, u)
 		return jobs
 	}
-	return append(jobs, job{updates: []garnetworks.Update{u}, targets: left, hops: hops})
+	return append(jobs, job{updates: []garnetworks.Update{u}, targets: remaining, hops: hops})
 }
 
-// enqueue never blocks: a peer's call must not wait for other peers. What does
-// not fit is left to repair (rule D7).
+// enqueue never blocks, because a peer's call must not wait for other peers. A job
+// that does not fit the queue is dropped and left to repair (rule D7).
 func (d *Distributor) enqueue(j job) {
 	select {
 	case d.jobs <- j:
@@ -50,9 +49,9 @@
 	}
 }
 
-// lookUp returns the nodes with the given addresses; of an unknown one, only
-// the address is known, and it is treated as one of the own zone.
-func (d *Distributor) lookUp(addresses []string) []garnetworks.NodeInfo {
+// resolve returns the nodes with the given addresses. An unknown address is treated
+// as a node of this node's zone.
+func (d *Distributor) resolve(addresses []string) []garnetworks.NodeInfo {
 	if len(addresses) == 0 {
 		return nil
 	}
@@ -71,8 +70,8 @@
 	return nodes
 }
 
-// handOn sends the job's updates down its branches (rule D2).
-func (d *Distributor) handOn(ctx context.Context, j job) {
+// forward sends the job's updates along its branches (rule D2).
+func (d *Distributor) forward(ctx context.Context, j job) {
 	updates := d.newest(j.updates)
 	seed := seedOf(updates)
 	var group sync.WaitGroup
@@ -82,24 +81,24 @@
 	}
 }
 
-// newest replaces updates that have become old while the job waited.
+// newest replaces updates that were superseded while the job was queued.
 func (d *Distributor) newest(updates []garnetworks.Update) []garnetworks.Update {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	fresh := make([]garnetworks.Update, 0, len(updates))
+	current := make([]garnetworks.Update, 0, len(updates))
 	for _, u := range updates {
 		if held, ok := d.store.held[u.Topic]; ok && u.Version.Less(held.Version) {
 			u = held
 		}
-		fresh = append(fresh, u)
+		current = append(current, u)
 	}
-	return fresh
+	return current
 }
 
-// send hands a branch to its first node that answers (rule D5).
+// send sends the updates to the first node of the branch that answers (rule D5).
 func (d *Distributor) send(ctx context.Context, updates []garnetworks.Update, branch []garnetworks.NodeInfo, hops int) {
 	branch = d.failedLast(branch)
-	for range MaxHeads {
+	for range MaxForwardAttempts {
 		if len(branch) == 0 || ctx.Err() != nil {
 			return
 		}
@@ -122,33 +121,33 @@
 }
 
 func (d *Distributor) call(ctx context.Context, address string, request *garnetworks.DistributeRequest) error {
-	ctx, cancel := context.WithTimeout(ctx, SendBound)
+	ctx, cancel := context.WithTimeout(ctx, SendTimeout)
 	defer cancel()
 	_, err := d.options.Peers.Distribute(ctx, address, request)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err != nil {
-		d.failed[address] = time.Now()
+		d.failedAt[address] = time.Now()
 	} else {
-		delete(d.failed, address)
+		delete(d.failedAt, address)
 	}
 	return err
 }
 
-// failedLast moves nodes that did not answer of late to the end of the branch.
-// Without it each update would wait SendBound for the same dead node.
+// failedLast moves nodes that recently failed to answer to the end of the branch;
+// otherwise each update would wait SendTimeout for the same dead node.
 func (d *Distributor) failedLast(branch []garnetworks.NodeInfo) []garnetworks.NodeInfo {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
 	var first, last []garnetworks.NodeInfo
 	for _, n := range branch {
-		at, failed := d.failed[n.Address]
+		at, found := d.failedAt[n.Address]
 		switch {
-		case !failed:
+		case !found:
 			first = append(first, n)
-		case now.Sub(at) > FailedFor:
-			delete(d.failed, n.Address)
+		case now.Sub(at) > FailureMemory:
+			delete(d.failedAt, n.Address)
 			first = append(first, n)
 		default:
 			last = append(last, n)
--- a/distributor/site_test.go
+++ b/distributor/site_test.go
@@ -19,7 +19,7 @@
 	"github.com/garnetworks/garnetworks/tracker"
 )
 
-// entry is one entry node's peer-to-peer parts, over real connections.
+// entry is an entry node's peer-to-peer components over real connections.
 type entry struct {
 	garnetworks.PeerHandler
 	info        garnetworks.NodeInfo
@@ -43,15 +43,15 @@
 	return e.distributor.HandleFetch(q), nil
 }
 
-// entrySite is a site of entries in one process.
+// entrySite is a site of entry nodes in one process.
 type entrySite struct {
 	objects *faker.Objects
 	entries []*entry
 }
 
-// openSite starts nodes in zones of three regions and waits until each knows
-// all.
-func openSite(tb testing.TB, nodes, zones int) *entrySite {
+// startSite starts nodes in zones of three regions and waits until each knows all
+// others.
+func startSite(tb testing.TB, nodes, zones int) *entrySite {
 	s := &entrySite{objects: faker.NewObjects(faker.ObjectsOptions{})}
 	var listeners []net.Listener
 	var seeds []string
@@ -66,27 +66,27 @@
 		}
 	}
 	for i, l := range listeners {
-		s.entries = append(s.entries, openEntry(tb, s.objects, l, seeds, i, zones))
+		s.entries = append(s.entries, startEntry(tb, s.objects, l, seeds, i, zones))
 	}
 	tb.Cleanup(s.close)
 	s.await(tb)
 	return s
 }
 
-// patience ends a test that would hang; it decides nothing else.
-const patience = 2 * time.Minute
+// awaitTimeout ends a test that would otherwise hang.
+const awaitTimeout = 2 * time.Minute
 
-// await returns when all nodes know all and hold the same values.
+// await waits until all nodes know each other and hold the same values.
 func (s *entrySite) await(tb testing.TB) {
 	tb.Helper()
 	for began := time.Now(); !s.complete(); time.Sleep(50 * time.Millisecond) {
-		if time.Since(began) > patience {
-			tb.Fatal("the nodes do not come to one view")
+		if time.Since(began) > awaitTimeout {
+			tb.Fatal("the nodes do not converge")
 		}
 	}
 }
 
-func openEntry(tb testing.TB, objects garnetworks.ObjectAPI, l net.Listener, seeds []string, i, zones int) *entry {
+func startEntry(tb testing.TB, objects garnetworks.ObjectAPI, l net.Listener, seeds []string, i, zones int) *entry {
 	zone := i % zones
 	e := &entry{
 		info: garnetworks.NodeInfo{
@@ -97,8 +97,8 @@
 		traffic: new(messenger.Traffic),
 		applied: make(chan garnetworks.Update, 1024),
 	}
-	line := recorder.New(e.info.ID, 0)
-	client := messenger.NewClient(messenger.ClientOptions{Clock: line, Traffic: e.traffic, Recorder: line})
+	rec := recorder.New(e.info.ID, 0)
+	client := messenger.NewClient(messenger.ClientOptions{Clock: rec, Traffic: e.traffic, Recorder: rec})
 	ctx, cancel := context.WithCancel(context.Background())
 	e.cancel = func() { cancel(); client.Close() }
 	e.distributor = distributor.New(distributor.Options{
@@ -112,10 +112,10 @@
 		},
 	})
 	e.tracker = tracker.New(tracker.Options{
-		Self: e.info, Seeds: seeds, Objects: objects, Peers: client, Recorder: line,
+		Self: e.info, Seeds: seeds, Objects: objects, Peers: client, Recorder: rec,
 		Publish: e.distributor.Publish, Hold: e.distributor.Hold, Piggybackers: []tracker.Piggybacker{e.distributor},
 	})
-	server, err := messenger.NewServer(messenger.ServerOptions{Handler: e, Clock: line, Traffic: e.traffic})
+	server, err := messenger.NewServer(messenger.ServerOptions{Handler: e, Clock: rec, Traffic: e.traffic})
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -134,7 +134,7 @@
 	}
 }
 
-// complete reports whether all nodes know all and hold the same values.
+// complete reports whether all nodes know each other and hold the same values.
 func (s *entrySite) complete() bool {
 	for _, e := range s.entries {
 		if len(e.tracker.Nodes()) != len(s.entries) || e.distributor.Digest() != s.entries[0].distributor.Digest() {
@@ -144,7 +144,7 @@
 	return true
 }
 
-// publish publishes at one node and waits until the update is in force in all.
+// publish publishes at one node and waits until all nodes have applied the update.
 func (s *entrySite) publish(tb testing.TB, from int, u garnetworks.Update) time.Duration {
 	began := time.Now()
 	if err := s.entries[from].distributor.Publish(u); err != nil {
@@ -179,38 +179,36 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// TestSite runs today's site over real connections: six nodes find each other,
-// a change reaches all, a new process is told of it, and a stopped one leaves
-// the roster.
+// TestSite checks over real connections that nodes discover each other, that updates
+// reach all and a new node, and that a stopped node leaves the roster.
 func TestSite(t *testing.T) {
-	s := openSite(t, 6, 3)
+	s := startSite(t, 6, 3)
 	s.publish(t, 4, garnetworks.Update{Topic: garnetworks.TopicManifest, Version: garnetworks.UpdateVersion{Sequence: 3}, Body: []byte("three")})
 
 	l, err := messenger.Listen("127.0.0.1:0", nil, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	late := openEntry(t, s.objects, l, []string{s.entries[1].info.Address}, 6, 3)
-	s.entries = append(s.entries, late)
-	if got := <-late.applied; string(got.Body) != "three" {
+	joining := startEntry(t, s.objects, l, []string{s.entries[1].info.Address}, 6, 3)
+	s.entries = append(s.entries, joining)
+	if got := <-joining.applied; string(got.Body) != "three" {
 		t.Errorf("the new node got %q", got.Body)
 	}
 	s.await(t)
 
-	late.tracker.Leave(t.Context())
-	late.cancel()
-	late.group.Wait()
+	joining.tracker.Leave(t.Context())
+	joining.cancel()
+	joining.group.Wait()
 	s.entries = s.entries[:6]
 	s.await(t)
 }
 
-// BenchmarkSite measures sites in one process. Each operation is one update of
-// 4 KB, from its publication to its being in force at the last node; the other
-// figures are for one node in steady state, over ten seconds without updates.
+// BenchmarkSite measures the time from publishing a 4 KB update to its application
+// at the last node, and the steady-state cost of a node without updates.
 func BenchmarkSite(b *testing.B) {
 	for _, size := range []struct{ nodes, zones int }{{6, 3}, {24, 4}, {96, 8}, {330, 8}} {
 		b.Run(fmt.Sprintf("nodes=%d", size.nodes), func(b *testing.B) {
-			s := openSite(b, size.nodes, size.zones)
+			s := startSite(b, size.nodes, size.zones)
 			time.Sleep(8 * time.Second)
 			report := measureSteady(b, s)
 			measureUpdates(b, s)
@@ -219,16 +217,16 @@
 	}
 }
 
-// BenchmarkPulses measures what a pulse of 150 bytes by each zone each second
-// costs a node, heartbeats included.
-func BenchmarkPulses(b *testing.B) {
+// BenchmarkZoneStatus measures what a status update of 150 bytes from each zone each
+// second costs a node, heartbeats included.
+func BenchmarkZoneStatus(b *testing.B) {
 	for _, size := range []struct{ nodes, zones int }{{6, 3}, {96, 8}, {330, 8}} {
 		b.Run(fmt.Sprintf("nodes=%d/zones=%d", size.nodes, size.zones), func(b *testing.B) {
-			s := openSite(b, size.nodes, size.zones)
+			s := startSite(b, size.nodes, size.zones)
 			ctx, cancel := context.WithCancel(b.Context())
 			var group sync.WaitGroup
 			for zone := range size.zones {
-				group.Go(func() { s.pulse(ctx, zone) })
+				group.Go(func() { s.publishStatus(ctx, zone) })
 			}
 			time.Sleep(8 * time.Second)
 			report := measureSteady(b, s)
@@ -242,8 +240,8 @@
 	}
 }
 
-// pulse publishes a zone's pulses at its first node.
-func (s *entrySite) pulse(ctx context.Context, zone int) {
+// publishStatus publishes a zone's status updates at its first node.
+func (s *entrySite) publishStatus(ctx context.Context, zone int) {
 	body := make([]byte, 150)
 	for ctx.Err() == nil {
 		_, _ = rand.Read(body)
@@ -259,8 +257,8 @@
 	}
 }
 
-// measureSteady returns what reports its figures: the start of a benchmark's
-// loop forgets those reported before.
+// measureSteady measures the steady state and returns a function that reports the
+// figures, because the start of a benchmark's loop discards earlier ones.
 func measureSteady(b *testing.B, s *entrySite) (report func()) {
 	const window = 10 * time.Second
 	traffic, processor, calls := s.traffic(), processorTime(), total(s.objects.Counts())
@@ -284,7 +282,7 @@
 }
 
 func measureUpdates(b *testing.B, s *entrySite) {
-	// Random bytes don't compress: the bytes are an upper bound.
+	// Random bytes do not compress, so the byte counts are an upper bound.
 	body := make([]byte, 4096)
 	_, _ = rand.Read(body)
 	before, processor := s.traffic(), processorTime()
--- a/keymaker/keymaker_test.go
+++ b/keymaker/keymaker_test.go
@@ -16,14 +16,13 @@
 	return m
 }
 
-// A workspace's key is rotated: the new hash is added, callers move over, the
-// old hash is taken away. A caller with either key must get in while both
-// stand, and the old key must stop working with the manifest that drops it.
+// TestRotationOverlaps checks that both keys work while the manifest has both hashes,
+// and that the old key stops working once its hash is removed.
 func TestRotationOverlaps(t *testing.T) {
 	before, after, other := keymaker.New(), keymaker.New(), keymaker.New()
 	stages := map[string]struct {
-		hashes     []string
-		old, fresh bool
+		hashes             []string
+		oldValid, newValid bool
 	}{
 		"before":  {[]string{before.Hash}, true, false},
 		"overlap": {[]string{before.Hash, after.Hash}, true, true},
@@ -42,16 +41,16 @@
 					t.Errorf("Lookup = %q, %v, want field: %v", workspace, ok, want)
 				}
 			}
-			check(before, stage.old)
-			check(after, stage.fresh)
+			check(before, stage.oldValid)
+			check(after, stage.newValid)
 			if w, ok := x.Lookup(other.Secret); !ok || w != "other" {
-				t.Errorf("the other workspace's key gives %q, %v", w, ok)
+				t.Errorf("Lookup of the other workspace's key = %q, %v", w, ok)
 			}
 		})
 	}
 }
 
-func TestLookupRefuses(t *testing.T) {
+func TestLookupRejectsInvalidKeys(t *testing.T) {
 	key := keymaker.New()
 	x := keymaker.NewIndex(manifest(map[garnetworks.WorkspaceName][]string{"w": {key.Hash, "sha256:bad"}}))
 	if x.Len() != 1 {
@@ -74,7 +73,7 @@
 	for name, k := range keys {
 		t.Run(name, func(t *testing.T) {
 			if w, ok := x.Lookup(k); ok {
-				t.Errorf("Lookup accepts it as %q", w)
+				t.Errorf("Lookup = %q, want no workspace", w)
 			}
 		})
 	}
@@ -83,21 +82,21 @@
 func TestCheckHash(t *testing.T) {
 	key := keymaker.New()
 	cases := map[string]struct {
-		hash string
-		good bool
+		hash  string
+		valid bool
 	}{
-		"made here":   {key.Hash, true},
-		"a key":       {key.Secret, false},
-		"upper case":  {"sha256:" + strings.ToUpper(key.Hash[7:]), false},
-		"short":       {key.Hash[:len(key.Hash)-1], false},
-		"no function": {key.Hash[7:], false},
-		"not hex":     {"sha256:" + strings.Repeat("g", 64), false},
+		"generated":  {key.Hash, true},
+		"a key":      {key.Secret, false},
+		"upper case": {"sha256:" + strings.ToUpper(key.Hash[7:]), false},
+		"short":      {key.Hash[:len(key.Hash)-1], false},
+		"no prefix":  {key.Hash[7:], false},
+		"not hex":    {"sha256:" + strings.Repeat("g", 64), false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			err := keymaker.CheckHash(c.hash)
-			if (err == nil) != c.good {
-				t.Fatalf("CheckHash = %v, want good: %v", err, c.good)
+			if (err == nil) != c.valid {
+				t.Fatalf("CheckHash = %v, want valid: %v", err, c.valid)
 			}
 			if err != nil && strings.Contains(err.Error(), key.Secret) {
 				t.Errorf("the error shows the key: %v", err)
@@ -110,7 +109,7 @@
 	key := keymaker.New()
 	x := keymaker.NewIndex(manifest(map[garnetworks.WorkspaceName][]string{"w": {key.Hash}}))
 	if n := testing.AllocsPerRun(100, func() { x.Lookup(key.Secret) }); n != 0 {
-		t.Errorf("a lookup makes %v allocations, want 0", n)
+		t.Errorf("Lookup allocates %v times, want 0", n)
 	}
 }
 
--- a/parser/diff.go
+++ b/parser/diff.go
@@ -10,54 +10,54 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// ChangeKind says what happens to a value.
+// ChangeKind says whether a value was added, removed or changed.
 type ChangeKind string
 
-// The kinds of change.
+// Kinds of change.
 const (
 	ChangeAdded   ChangeKind = "added"
 	ChangeRemoved ChangeKind = "removed"
 	ChangeChanged ChangeKind = "changed"
 )
 
-// Effect is what a change does to running work.
+// Effect is the effect of a change on running work.
 type Effect string
 
-// The effects of changes.
+// Effects of changes.
 const (
-	// EffectNone changes touch no running work.
+	// EffectNone changes do not affect running work.
 	EffectNone Effect = ""
 	// EffectLoads changes load weights or adapters.
 	EffectLoads Effect = "loads"
-	// EffectDrains changes drain groups or stop taking calls.
+	// EffectDrains changes drain groups or stop accepting calls.
 	EffectDrains Effect = "drains"
 	// EffectPower changes turn instances on or off.
 	EffectPower Effect = "power"
-	// EffectRefuses changes refuse calls that are accepted today.
+	// EffectRefuses changes refuse calls that were accepted before.
 	EffectRefuses Effect = "refuses"
-	// EffectRepeats changes alter which calls may be sent twice.
+	// EffectRepeats changes alter which calls may be retried.
 	EffectRepeats Effect = "repeats"
-	// EffectTrust changes alter what is relied on to keep the rules.
+	// EffectTrust changes alter the assumptions on which safety depends.
 	EffectTrust Effect = "trust"
 )
 
-// Change is one difference between two manifests.
+// Change is a difference between two manifests.
 type Change struct {
 	Kind ChangeKind `json:"kind"`
-	// Path names the value by the names of what it belongs to, such as
+	// Path is made of the names of the enclosing entries, such as
 	// models/field-brief/version.
 	Path string `json:"path"`
-	// Old and New are empty where there is no value.
+	// Old and New are empty where the value does not exist.
 	Old string `json:"old,omitempty"`
 	New string `json:"new,omitempty"`
-	// Effect and Note say what the change does to running work; empty if it
-	// touches none.
+	// Effect and Note describe the effect on running work; both are empty if there
+	// is none.
 	Effect Effect `json:"effect,omitempty"`
 	Note   string `json:"note,omitempty"`
 }
 
-// Diff returns what a new manifest changes, in the order of the manifest's
-// parts and, within a part, by name. Nil stands for no manifest.
+// Diff returns the differences between two manifests, in the order of the manifest's
+// parts and, within a part, by name. A nil manifest counts as an empty one.
 func Diff(before, after *garnetworks.Manifest) []Change {
 	if before == nil {
 		before = &garnetworks.Manifest{}
@@ -67,9 +67,9 @@
 	}
 	d := &differ{before: before, after: after}
 	d.site()
-	named(d, "models", before.Models, after.Models, modelName, d.model)
-	named(d, "workspaces", before.Workspaces, after.Workspaces, workspaceName, d.workspace)
-	named(d, "services", before.Services, after.Services, serviceName, d.service)
+	diffNamed(d, "models", before.Models, after.Models, modelName, d.model)
+	diffNamed(d, "workspaces", before.Workspaces, after.Workspaces, workspaceName, d.workspace)
+	diffNamed(d, "services", before.Services, after.Services, serviceName, d.service)
 	return d.changes
 }
 
@@ -85,7 +85,7 @@
 	changes       []Change
 }
 
-// note is what a change does to running work.
+// note describes the effect of a change on running work.
 type note struct {
 	effect Effect
 	text   string
@@ -95,56 +95,56 @@
 	d.changes = append(d.changes, Change{Kind: kind, Path: path, Old: before, New: after, Effect: n.effect, Note: n.text})
 }
 
-// value records a change of one value.
+// value records a change of a single value.
 func (d *differ) value(path string, before, after any, n note) {
 	if !reflect.DeepEqual(before, after) {
 		d.add(ChangeChanged, path, fmt.Sprint(before), fmt.Sprint(after), n)
 	}
 }
 
-// list records the entries of a list that come and go.
-func list[T cmp.Ordered](d *differ, path string, before, after []T, added, removed note) {
-	old, fresh := garnetworks.NewSet(before...), garnetworks.NewSet(after...)
+// diffList records the entries added to and removed from a list.
+func diffList[T cmp.Ordered](d *differ, path string, before, after []T, added, removed note) {
+	old, updated := garnetworks.NewSet(before...), garnetworks.NewSet(after...)
 	for _, v := range garnetworks.Sorted(old) {
-		if !fresh.Has(v) {
+		if !updated.Has(v) {
 			d.add(ChangeRemoved, path, fmt.Sprint(v), "", removed)
 		}
 	}
-	for _, v := range garnetworks.Sorted(fresh) {
+	for _, v := range garnetworks.Sorted(updated) {
 		if !old.Has(v) {
 			d.add(ChangeAdded, path, "", fmt.Sprint(v), added)
 		}
 	}
 }
 
-// named compares two lists by name and hands each entry with its counterparts
-// to compare; nil stands for an absent one.
-func named[T any](d *differ, part string, before, after []T, name func(T) string, compare func(path string, before, after *T)) {
-	old, fresh := map[string]*T{}, map[string]*T{}
+// diffNamed pairs the entries of two lists by name and calls compare for each pair; nil
+// stands for an entry that does not exist.
+func diffNamed[T any](d *differ, part string, before, after []T, name func(T) string, compare func(path string, before, after *T)) {
+	old, updated := map[string]*T{}, map[string]*T{}
 	for i := range before {
 		old[name(before[i])] = &before[i]
 	}
 	for i := range after {
-		fresh[name(after[i])] = &after[i]
+		updated[name(after[i])] = &after[i]
 	}
 	all := maps.Clone(old)
-	maps.Copy(all, fresh)
+	maps.Copy(all, updated)
 	for _, n := range slices.Sorted(maps.Keys(all)) {
-		compare(part+"/"+n, old[n], fresh[n])
+		compare(part+"/"+n, old[n], updated[n])
 	}
 }
 
 func (d *differ) site() {
-	old, fresh := d.before.Site, d.after.Site
+	old, updated := d.before.Site, d.after.Site
 	d.value("format", d.before.Format, d.after.Format, note{})
-	d.value("site/name", old.Name, fresh.Name, note{})
-	d.value("site/power-cap-watts", old.PowerCap, fresh.PowerCap, capNote(old.PowerCap, fresh.PowerCap))
-	named(d, "site/zones", old.Zones, fresh.Zones, zoneName, d.zone)
-	named(d, "site/instance-classes", old.Classes, fresh.Classes, className, d.class)
-	d.value("site/weights/group-downtime", old.CostWeights.GroupDowntime, fresh.CostWeights.GroupDowntime, note{})
-	d.value("site/weights/stranded", old.CostWeights.Stranded, fresh.CostWeights.Stranded, note{})
-	d.value("site/grace/drain", old.Grace.Drain, fresh.Grace.Drain, note{})
-	d.value("site/grace/shed", old.Grace.Shed, fresh.Grace.Shed, note{})
+	d.value("site/name", old.Name, updated.Name, note{})
+	d.value("site/power-cap-watts", old.PowerCap, updated.PowerCap, capNote(old.PowerCap, updated.PowerCap))
+	diffNamed(d, "site/zones", old.Zones, updated.Zones, zoneName, d.zone)
+	diffNamed(d, "site/instance-classes", old.Classes, updated.Classes, className, d.class)
+	d.value("site/weights/group-downtime", old.CostWeights.GroupDowntime, updated.CostWeights.GroupDowntime, note{})
+	d.value("site/weights/stranded", old.CostWeights.Stranded, updated.CostWeights.Stranded, note{})
+	d.value("site/grace/drain", old.Grace.Drain, updated.Grace.Drain, note{})
+	d.value("site/grace/shed", old.Grace.Shed, updated.Grace.Shed, note{})
 }
 
 func capNote(before, after garnetworks.Watts) note {
@@ -162,12 +162,12 @@
 		d.add(ChangeRemoved, path, string(before.Region), "", note{EffectDrains, "the zone's groups drain and its nodes are no longer waited for"})
 	default:
 		d.value(path+"/region", before.Region, after.Region, note{})
-		d.value(path+"/left-out", before.Excluded, after.Excluded, leftOutNote(after.Excluded))
+		d.value(path+"/left-out", before.Excluded, after.Excluded, excludedNote(after.Excluded))
 	}
 }
 
-func leftOutNote(leftOut bool) note {
-	if leftOut {
+func excludedNote(excluded bool) note {
+	if excluded {
 		return note{EffectTrust, "commits no longer wait for the zone; it serves on by its last manifest until it is back"}
 	}
 	return note{EffectTrust, "commits wait for the zone again"}
@@ -220,7 +220,7 @@
 	replaced := note{EffectDrains, loadText(after) + "; each old group drains once its successor serves"}
 	d.value(path+"/version", before.Version, after.Version, replaced)
 	d.value(path+"/weight-bytes", before.WeightBytes, after.WeightBytes, note{})
-	list(d, path+"/adapters", before.Adapters, after.Adapters,
+	diffList(d, path+"/adapters", before.Adapters, after.Adapters,
 		note{EffectLoads, "the groups load the adapter while they serve"}, note{EffectRefuses, "calls for the adapter are refused"})
 	d.value(path+"/group-size", before.GroupSize, after.GroupSize, replaced)
 	d.value(path+"/instance-class", before.Class, after.Class, replaced)
@@ -250,19 +250,19 @@
 }
 
 func (d *differ) workspaceValues(path string, before, after *garnetworks.WorkspaceSpec) {
-	list(d, path+"/key-hashes", before.KeyHashes, after.KeyHashes, note{}, note{EffectRefuses, "calls with the old key are refused"})
-	list(d, path+"/models", before.Models, after.Models, note{}, note{EffectRefuses, "its calls to the model are refused"})
-	list(d, path+"/services", before.Services, after.Services, note{}, note{EffectRefuses, "its calls to the service are refused"})
+	diffList(d, path+"/key-hashes", before.KeyHashes, after.KeyHashes, note{}, note{EffectRefuses, "calls with the old key are refused"})
+	diffList(d, path+"/models", before.Models, after.Models, note{}, note{EffectRefuses, "its calls to the model are refused"})
+	diffList(d, path+"/services", before.Services, after.Services, note{}, note{EffectRefuses, "its calls to the service are refused"})
 	d.value(path+"/priority", before.Priority, after.Priority, note{})
-	old, fresh := before.Limits, after.Limits
-	d.value(path+"/limits/requests-per-second", old.RequestsPerSecond, fresh.RequestsPerSecond, limitNote(old.RequestsPerSecond, fresh.RequestsPerSecond))
-	d.value(path+"/limits/tokens-per-second", old.TokensPerSecond, fresh.TokensPerSecond, limitNote(old.TokensPerSecond, fresh.TokensPerSecond))
-	d.value(path+"/limits/concurrency", old.Concurrency, fresh.Concurrency, limitNote(float64(old.Concurrency), float64(fresh.Concurrency)))
+	old, updated := before.Limits, after.Limits
+	d.value(path+"/limits/requests-per-second", old.RequestsPerSecond, updated.RequestsPerSecond, limitNote(old.RequestsPerSecond, updated.RequestsPerSecond))
+	d.value(path+"/limits/tokens-per-second", old.TokensPerSecond, updated.TokensPerSecond, limitNote(old.TokensPerSecond, updated.TokensPerSecond))
+	d.value(path+"/limits/concurrency", old.Concurrency, updated.Concurrency, limitNote(float64(old.Concurrency), float64(updated.Concurrency)))
 	d.value(path+"/deadline/first-token", before.Deadline.FirstToken, after.Deadline.FirstToken, note{})
 	d.value(path+"/deadline/total", before.Deadline.Total, after.Deadline.Total, note{})
 }
 
-// limitNote warns of a lower limit; 0 means none.
+// limitNote warns of a lower limit; 0 means unlimited.
 func limitNote(before, after float64) note {
 	if after > 0 && (before == 0 || after < before) {
 		return note{EffectRefuses, "calls above the new limit are refused"}
@@ -286,7 +286,7 @@
 	}
 }
 
-// describeCalls writes the rules one after the other.
+// describeCalls formats call rules on one line.
 func describeCalls(calls []garnetworks.ServiceCallSpec) string {
 	text := ""
 	for i, c := range calls {
--- a/parser/scan.go
+++ b/parser/scan.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// endMarker is the last line of a whole text (rule P3).
+	// endMarker is the last line of a complete text (rule P3).
 	endMarker = "..."
 	// maxNesting bounds the nesting of flow collections and of sequences on one
 	// line; the schema needs six levels.
@@ -25,7 +25,7 @@
 	maxIndent = 64
 )
 
-// forbiddenTokens are YAML features that manifests do without (rule P5).
+// forbiddenTokens are the YAML features that manifests may not use (rule P5).
 var forbiddenTokens = map[token.Type]string{
 	token.AnchorType:         "anchors are not allowed in a manifest",
 	token.AliasType:          "aliases are not allowed in a manifest",
@@ -38,37 +38,37 @@
 	token.DocumentHeaderType: "the document start marker is not allowed in a manifest",
 }
 
-// scan returns the root node of the text if its structure is sound.
-func scan(p *places, data []byte) (ast.Node, bool) {
-	body, ok := frame(p, data)
+// scan returns the root node of the text if its syntax is valid.
+func scan(d *diagnostics, data []byte) (ast.Node, bool) {
+	body, ok := checkText(d, data)
 	if !ok {
-		p.bad[""] = true
+		d.unreadable[""] = true
 		return nil, false
 	}
-	root, ok := structure(p, body)
+	root, ok := parseNodes(d, body)
 	if !ok {
-		p.bad[""] = true
+		d.unreadable[""] = true
 	}
 	return root, ok
 }
 
-// frame checks size, encoding and end marker, and returns the text before the
-// marker.
-func frame(p *places, data []byte) ([]byte, bool) {
+// checkText checks size, encoding, indentation and end marker, and returns the text
+// before the marker.
+func checkText(d *diagnostics, data []byte) ([]byte, bool) {
 	start := position{1, 1}
 	if len(data) > MaxTextBytes {
-		p.add(start, "", "the text has %d bytes; at most %d are allowed", len(data), MaxTextBytes)
+		d.add(start, "", "the text has %d bytes; at most %d are allowed", len(data), MaxTextBytes)
 		return nil, false
 	}
 	if !utf8.Valid(data) || bytes.IndexByte(data, 0) >= 0 {
-		p.add(start, "", "the text is not UTF-8 or holds a zero byte")
+		d.add(start, "", "the text is not UTF-8 or holds a zero byte")
 		return nil, false
 	}
 	data = bytes.ReplaceAll(data, []byte("\r\n"), []byte("\n"))
 	lines := bytes.Split(data, []byte("\n"))
 	for i, line := range lines {
 		if indent := len(line) - len(bytes.TrimLeft(line, " \t")); indent > maxIndent && indent < len(line) {
-			p.add(position{i + 1, maxIndent + 1}, "", "the line is indented by more than %d", maxIndent)
+			d.add(position{i + 1, maxIndent + 1}, "", "the line is indented by more than %d", maxIndent)
 			return nil, false
 		}
 	}
@@ -78,94 +78,93 @@
 	}
 	if string(bytes.TrimRight(lines[last], " \t")) != endMarker {
 		// Rule P3.
-		p.add(position{last + 1, len(lines[last]) + 1}, "",
+		d.add(position{last + 1, len(lines[last]) + 1}, "",
 			"the text does not end with the line %q; it may have been cut off while it was written", endMarker)
 		return nil, false
 	}
 	return bytes.Join(lines[:last], []byte("\n")), true
 }
 
-// structure parses the text into nodes.
-func structure(p *places, body []byte) (root ast.Node, ok bool) {
-	// The YAML library has panicked on malformed texts before; a text from an
-	// operator must not end the node that judges it, so it counts as malformed.
+// parseNodes parses the text into YAML nodes.
+func parseNodes(d *diagnostics, body []byte) (root ast.Node, ok bool) {
+	// The YAML library may panic on malformed input; an operator's text must not
+	// crash the node.
 	defer func() {
 		if r := recover(); r != nil {
-			p.add(position{1, 1}, "", "the text is not YAML")
+			d.add(position{1, 1}, "", "the text is not YAML")
 			root, ok = nil, false
 		}
 	}()
-	if !allowed(p, lexer.Tokenize(string(body))) {
+	if !checkTokens(d, lexer.Tokenize(string(body))) {
 		return nil, false
 	}
 	file, err := yamlparser.ParseBytes(body, 0, yamlparser.AllowDuplicateMapKey())
 	if err != nil {
-		addSyntax(p, err)
+		addSyntaxError(d, err)
 		return nil, false
 	}
 	var roots []ast.Node
-	for _, d := range file.Docs {
-		if d.Body != nil {
-			roots = append(roots, d.Body)
+	for _, doc := range file.Docs {
+		if doc.Body != nil {
+			roots = append(roots, doc.Body)
 		}
 	}
 	switch len(roots) {
 	case 0:
-		p.add(position{1, 1}, "", "the text holds no manifest")
+		d.add(position{1, 1}, "", "the text holds no manifest")
 		return nil, false
 	case 1:
 		return roots[0], true
 	}
-	p.add(place(roots[1]), "", "the text holds more than one document")
+	d.add(nodePosition(roots[1]), "", "the text holds more than one document")
 	return nil, false
 }
 
-// allowed refuses the tokens that rule P5 names before anything is built from
-// them.
-func allowed(p *places, tokens token.Tokens) bool {
+// checkTokens reports the tokens that rule P5 forbids, before any nodes are built.
+func checkTokens(d *diagnostics, tokens token.Tokens) bool {
 	ok := true
 	bounds := &bounds{}
 	for _, t := range tokens {
 		at := position{t.Position.Line, t.Position.Column}
 		if text, forbidden := forbiddenTokens[t.Type]; forbidden {
-			p.add(at, "", "%s", text)
+			d.add(at, "", "%s", text)
 			ok = false
 		}
 		if t.Type == token.DocumentEndType {
-			p.add(at, "", "the end marker %q stands before the end of the text", endMarker)
+			d.add(at, "", "the end marker %q stands before the end of the text", endMarker)
 			return false
 		}
 		if text := bounds.exceeded(t); text != "" {
-			p.add(at, "", "%s", text)
+			d.add(at, "", "%s", text)
 			return false
 		}
 	}
 	return ok
 }
 
-// bounds follows the structure of a text token by token. The YAML library's work
-// grows with the square of the keys of one mapping and with the nesting, so both
-// are bounded before it sees the text.
+// bounds tracks the structure of a text token by token. The YAML library's work grows
+// with the square of the keys of one mapping and with the nesting depth, so both are
+// limited before it parses the text.
 type bounds struct {
-	// line and entries count the sequence entries that begin on one line.
+	// line and entries count the sequence entries that start on one line.
 	line, entries int
-	// open are the mappings around the token, the innermost last.
+	// open are the collections that enclose the token, the innermost last.
 	open []mapping
-	// flow is the number of flow collections around the token.
+	// flow is the number of flow collections that enclose the token.
 	flow int
 }
 
 // mapping counts the keys of one mapping.
 type mapping struct {
-	// column is where a block mapping's keys begin; 0 marks a flow mapping or
+	// column is the column of a block mapping's keys; 0 marks a flow mapping or
 	// sequence.
 	column int
 	keys   int
-	// line is where a flow collection begins.
+	// line is the line on which a flow collection starts.
 	line int
 }
 
-// exceeded takes the next token and returns which bound it exceeds, or "".
+// exceeded processes the next token and describes the limit it exceeds, or returns "".
 func (b *bounds) exceeded(t *token.Token) string {
 	if t.Position.Line != b.line {
 		b.line, b.entries = t.Position.Line, 0
@@ -173,13 +172,13 @@
 	switch t.Type {
 	case token.SequenceEntryType:
 		b.entries++
-		b.leave(t.Position.Column)
+		b.closeBlocks(t.Position.Column)
 	case token.SequenceStartType, token.MappingStartType:
 		b.flow++
 		b.open = append(b.open, mapping{line: t.Position.Line})
 	case token.SequenceEndType, token.MappingEndType:
 		b.flow--
-		b.leaveFlow()
+		b.closeFlow()
 	case token.MappingValueType:
 		b.key(t)
 	}
@@ -195,15 +194,15 @@
 	return fmt.Sprintf("the mapping has more than %d keys", maxKeys)
 }
 
-// leave ends the block mappings that begin at or after a column.
-func (b *bounds) leave(column int) {
+// closeBlocks closes the block mappings that start at or after a column.
+func (b *bounds) closeBlocks(column int) {
 	for n := len(b.open); n > 0 && b.open[n-1].column >= column; n = len(b.open) {
 		b.open = b.open[:n-1]
 	}
 }
 
-// leaveFlow ends the innermost flow collection.
-func (b *bounds) leaveFlow() {
+// closeFlow closes the innermost flow collection.
+func (b *bounds) closeFlow() {
 	for n := len(b.open); n > 0; n = len(b.open) {
 		last := b.open[n-1]
 		b.open = b.open[:n-1]
@@ -213,7 +212,7 @@
 	}
 }
 
-// key counts a key, whose token is the one before the colon.
+// key counts a key, which is the token before the colon.
 func (b *bounds) key(colon *token.Token) {
 	column := colon.Position.Column
 	if colon.Prev != nil {
@@ -222,7 +221,7 @@
 	if b.flow > 0 {
 		column = 0
 	} else {
-		b.leave(column + 1)
+		b.closeBlocks(column + 1)
 	}
 	if n := len(b.open); n > 0 && b.open[n-1].column == column {
 		b.open[n-1].keys++
@@ -231,22 +230,23 @@
 	b.open = append(b.open, mapping{column: column, keys: 1})
 }
 
-// addSyntax records the YAML library's error at its token.
-func addSyntax(p *places, err error) {
+// addSyntaxError reports the YAML library's error at the token it names.
+func addSyntaxError(d *diagnostics, err error) {
 	var e yaml.Error
 	if !errors.As(err, &e) {
-		p.add(position{1, 1}, "", "the text is not YAML: %v", err)
+		d.add(position{1, 1}, "", "the text is not YAML: %v", err)
 		return
 	}
 	at := position{1, 1}
 	if t := e.GetToken(); t != nil {
 		at = position{t.Position.Line, t.Position.Column}
 	}
-	p.add(at, "", "the text is not YAML: %s", e.GetMessage())
+	d.add(at, "", "the text is not YAML: %s", e.GetMessage())
 }
 
-// place returns a node's position.
-func place(n ast.Node) position {
+// nodePosition returns the position of a node, or of its first key if it is a block
+// mapping.
+func nodePosition(n ast.Node) position {
 	if n == nil {
 		return position{1, 1}
 	}
--- a/pulser/pulser.go
+++ b/pulser/pulser.go
@@ -1,19 +1,18 @@
-// Package pulser keeps nodes' views of an availability zone fresh at little
-// cost: the whole view travels when what it holds for long changes, and a pulse
-// of some hundred bytes each second says which of its groups are confirmed and
-// how loaded they are.
+// Package pulser keeps nodes' views of an availability zone fresh at low cost: the
+// full view is sent only when its stable fields change, and a short status update at
+// each Interval says which of its groups are confirmed and how loaded they are.
 //
 // The rules:
 //
-//	U1  A whole view is sent when anything in it changes but confirmations,
-//	    loads and measures; a pulse names the whole view that it refers to.
-//	U2  A receiver uses a pulse only with the very view that it refers to; with
-//	    an older one it does not count as refreshed.
-//	U3  Neither views nor pulses go back: a lower version is ignored.
-//	U4  A pulse carries the sender's monotonic time. A pulse that took longer
-//	    than the quickest of its sender's is taken as older by the difference,
-//	    so that one held up on the way does not refresh what has long changed.
-//	    No clocks are compared.
+//	U1  A full view is sent when anything but confirmations, loads and metrics
+//	    changes. A status update names the version of the view it refers to.
+//	U2  A receiver applies a status update only to the view version that it
+//	    refers to; on any other version it does not count as a refresh.
+//	U3  Neither views nor status updates go back to a lower version.
+//	U4  A status update carries the sender's monotonic time. One that took longer
+//	    than the sender's fastest is dated back by the difference, so that a
+//	    delayed update does not refresh an outdated view. Clocks of different
+//	    machines are never compared.
 package pulser
 
 import (
@@ -26,25 +25,24 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Interval is the time between two pulses of a zone: two of them, with their
-// way, fit into garnetworks.ConfirmationBound, so that one lost pulse takes no
-// group out. A group that stops being confirmed is told at once.
+// Interval is the time between two status updates of a zone. Two intervals plus the
+// transit time fit into garnetworks.ConfirmationBound, so that one lost update takes
+// no group out of service. A group that loses its confirmation is published at once.
 const Interval = 1400 * time.Millisecond
 
-// pulse is the body of garnetworks.TopicZoneStatus. Its fields are encoded by
+// status is the body of garnetworks.TopicZoneStatus. Its fields are encoded by
 // position.
-type pulse struct {
+type status struct {
 	_ struct{} `cbor:",toarray"`
-	// View is the version of the whole view that the pulse refers to.
+	// View is the version of the full view that the status refers to.
 	View version
-	// Sent is the sender's monotonic time since it began to send, in
-	// milliseconds.
+	// Sent is the sender's monotonic time since its start, in milliseconds.
 	Sent uint64
-	// Unconfirmed are the positions of groups that are not confirmed now.
+	// Unconfirmed are the indexes of the view's groups that are not confirmed.
 	Unconfirmed []uint16
-	// Loads holds one step of loadStep for each group, in the view's order.
+	// Loads holds each group's load as packed by packLoad, in the view's order.
 	Loads []byte
-	// Measures holds the zone's measures in the order of packMeasures.
+	// Measures holds the zone's metrics in the order of packMetrics.
 	Measures []int64
 }
 
@@ -54,56 +52,56 @@
 	Sequence uint64
 }
 
-// Sender splits the views of one zone, while one node controls it, into whole
-// views and pulses. It is not safe for concurrent use.
+// Sender turns the views of one zone, while one node controls it, into full views
+// and status updates. It is not safe for concurrent use.
 type Sender struct {
-	started time.Time
-	last    garnetworks.ZoneView
-	whole   garnetworks.UpdateVersion
+	started     time.Time
+	last        garnetworks.ZoneView
+	viewVersion garnetworks.UpdateVersion
 }
 
-// NewSender returns a sender that begins at now.
+// NewSender returns a sender whose monotonic time starts at now.
 func NewSender(now time.Time) *Sender { return &Sender{started: now} }
 
-// Next returns the updates that bring the view to all nodes: a whole view only
-// if it is needed (U1), and a pulse.
+// Next returns the updates that publish the view: a full view only if its stable
+// fields changed or the term is new (U1), and a status update.
 func (s *Sender) Next(now time.Time, v garnetworks.UpdateVersion, view garnetworks.ZoneView) ([]garnetworks.Update, error) {
 	var updates []garnetworks.Update
-	lasting := lasting(view)
-	if s.whole == (garnetworks.UpdateVersion{}) || v.Term != s.whole.Term || !reflect.DeepEqual(lasting, s.last) {
+	stable := stableView(view)
+	if s.viewVersion == (garnetworks.UpdateVersion{}) || v.Term != s.viewVersion.Term || !reflect.DeepEqual(stable, s.last) {
 		body, err := cbor.Marshal(view)
 		if err != nil {
 			return nil, garnetworks.WrapError(garnetworks.KindInternal, err, "encode a zone view")
 		}
-		s.last, s.whole = lasting, v
+		s.last, s.viewVersion = stable, v
 		updates = append(updates, garnetworks.Update{Topic: garnetworks.TopicZoneView + garnetworks.Topic(view.Zone), Version: v, Body: body})
 	}
-	body, err := cbor.Marshal(s.pulse(now, view))
+	body, err := cbor.Marshal(s.status(now, view))
 	if err != nil {
-		return nil, garnetworks.WrapError(garnetworks.KindInternal, err, "encode a zone pulse")
+		return nil, garnetworks.WrapError(garnetworks.KindInternal, err, "encode a zone status")
 	}
 	return append(updates, garnetworks.Update{Topic: garnetworks.TopicZoneStatus + garnetworks.Topic(view.Zone), Version: v, Body: body}), nil
 }
 
-func (s *Sender) pulse(now time.Time, view garnetworks.ZoneView) pulse {
-	p := pulse{
-		View:     version{Term: s.whole.Term, Sequence: s.whole.Sequence},
+func (s *Sender) status(now time.Time, view garnetworks.ZoneView) status {
+	st := status{
+		View:     version{Term: s.viewVersion.Term, Sequence: s.viewVersion.Sequence},
 		Sent:     uint64(now.Sub(s.started).Milliseconds()),
 		Loads:    make([]byte, 0, len(view.Groups)),
-		Measures: packMeasures(view.Metrics),
+		Measures: packMetrics(view.Metrics),
 	}
 	for i := range view.Groups {
 		g := &view.Groups[i]
 		if !g.Confirmed {
-			p.Unconfirmed = append(p.Unconfirmed, uint16(i))
+			st.Unconfirmed = append(st.Unconfirmed, uint16(i))
 		}
-		p.Loads = append(p.Loads, packLoad(g.Load))
+		st.Loads = append(st.Loads, packLoad(g.Load))
 	}
-	return p
+	return st
 }
 
-// lasting returns the view without what a pulse carries.
-func lasting(view garnetworks.ZoneView) garnetworks.ZoneView {
+// stableView returns the view without the fields that a status update carries.
+func stableView(view garnetworks.ZoneView) garnetworks.ZoneView {
 	view.Metrics = garnetworks.ZoneMetrics{}
 	groups := make([]garnetworks.GroupView, len(view.Groups))
 	copy(groups, view.Groups)
@@ -115,62 +113,62 @@
 	return view
 }
 
-// offsetMemory is how many pulses the smallest delay is remembered for: clocks'
-// rates differ, so a minimum from long ago would make each pulse seem late or
-// early.
-const offsetMemory = 120
+// maxOffsets is the number of status updates over which the smallest offset is
+// taken. Clock rates differ, so an older minimum would distort the delay.
+const maxOffsets = 120
 
-// Receiver joins the whole views and pulses of one zone. It is not safe for
-// concurrent use.
+// Receiver combines the full views and status updates of one zone. It is not safe
+// for concurrent use.
 type Receiver struct {
 	zone garnetworks.ZoneID
-	// view is the newest whole view, at version whole.
-	view  garnetworks.ZoneView
-	whole garnetworks.UpdateVersion
-	// waiting is a pulse that came before its view.
-	waiting garnetworks.Option[taken]
-	// newest is the version of the newest pulse taken.
-	newest garnetworks.UpdateVersion
-	// offsets are receive time less send time of the last pulses of one term.
+	// view is the newest full view, at viewVersion.
+	view        garnetworks.ZoneView
+	viewVersion garnetworks.UpdateVersion
+	// pending is a status update that arrived before its view.
+	pending garnetworks.Option[receivedStatus]
+	// statusVersion is the version of the newest status update received.
+	statusVersion garnetworks.UpdateVersion
+	// offsets are the receive time minus the send time of the last status updates
+	// of one term, relative to base.
 	offsets []time.Duration
 	term    uint32
 	base    time.Time
 }
 
-type taken struct {
-	pulse   pulse
+type receivedStatus struct {
+	status  status
 	version garnetworks.UpdateVersion
 	at      time.Time
 }
 
-// NewReceiver returns a receiver for the zone that holds nothing.
+// NewReceiver returns a receiver for the zone without a view.
 func NewReceiver(zone garnetworks.ZoneID) *Receiver { return &Receiver{zone: zone} }
 
-// Joined is the zone's view as it was confirmed at a time.
+// Joined is a zone's view combined with a status update.
 type Joined struct {
 	View garnetworks.ZoneView
-	// Version is that of the pulse.
+	// Version is the version of the status update.
 	Version garnetworks.UpdateVersion
-	// At is when the view was fresh by the receiver's clock, at the latest.
+	// At is an upper bound, by the receiver's clock, of when the status was current.
 	At time.Time
 }
 
-// Take takes an update of the zone's topics. It returns the joined view if the
-// update refreshed it, and an error of kind garnetworks.KindInvalidRequest if
-// the body is malformed.
-func (r *Receiver) Take(now time.Time, u garnetworks.Update) (garnetworks.Option[Joined], error) {
+// Apply processes an update of the zone's topics and ignores other topics. It
+// returns the joined view if the update refreshed it, and an error of kind
+// garnetworks.KindInvalidRequest if the body is malformed.
+func (r *Receiver) Apply(now time.Time, u garnetworks.Update) (garnetworks.Option[Joined], error) {
 	switch u.Topic {
 	case garnetworks.TopicZoneView + garnetworks.Topic(r.zone):
-		return r.takeView(u)
+		return r.applyView(u)
 	case garnetworks.TopicZoneStatus + garnetworks.Topic(r.zone):
-		return r.takePulse(now, u)
+		return r.applyStatus(now, u)
 	}
 	return garnetworks.Option[Joined]{}, nil
 }
 
-func (r *Receiver) takeView(u garnetworks.Update) (garnetworks.Option[Joined], error) {
+func (r *Receiver) applyView(u garnetworks.Update) (garnetworks.Option[Joined], error) {
 	none := garnetworks.Option[Joined]{}
-	if !r.whole.Less(u.Version) { // U3
+	if !r.viewVersion.Less(u.Version) { // U3
 		return none, nil
 	}
 	var view garnetworks.ZoneView
@@ -180,37 +178,37 @@
 	if view.Zone != r.zone {
 		return none, garnetworks.Errorf(garnetworks.KindInvalidRequest, "view of zone %s under the topic of zone %s", view.Zone, r.zone)
 	}
-	r.view, r.whole = view, u.Version
-	if w, ok := r.waiting.Get(); ok {
-		r.waiting = garnetworks.Option[taken]{}
-		return r.join(w), nil
+	r.view, r.viewVersion = view, u.Version
+	if t, ok := r.pending.Get(); ok {
+		r.pending = garnetworks.Option[receivedStatus]{}
+		return r.join(t), nil
 	}
 	return none, nil
 }
 
-func (r *Receiver) takePulse(now time.Time, u garnetworks.Update) (garnetworks.Option[Joined], error) {
+func (r *Receiver) applyStatus(now time.Time, u garnetworks.Update) (garnetworks.Option[Joined], error) {
 	none := garnetworks.Option[Joined]{}
-	if !r.newest.Less(u.Version) { // U3
+	if !r.statusVersion.Less(u.Version) { // U3
 		return none, nil
 	}
-	var p pulse
-	if err := cbor.Unmarshal(u.Body, &p); err != nil {
-		return none, garnetworks.WrapError(garnetworks.KindInvalidRequest, err, "decode a zone pulse")
+	var st status
+	if err := cbor.Unmarshal(u.Body, &st); err != nil {
+		return none, garnetworks.WrapError(garnetworks.KindInvalidRequest, err, "decode a zone status")
 	}
-	r.newest = u.Version
-	return r.join(taken{pulse: p, version: u.Version, at: now.Add(-r.late(now, u.Version.Term, p))}), nil
+	r.statusVersion = u.Version
+	return r.join(receivedStatus{status: st, version: u.Version, at: now.Add(-r.delay(now, u.Version.Term, st))}), nil
 }
 
-// late returns how much longer the pulse took than the quickest one of its
-// sender (U4). Failure: a relaying node is paused with a pulse in hand and sends
-// it on when it wakes; taken as fresh it would keep a broken group in use for
-// another ConfirmationBound.
-func (r *Receiver) late(now time.Time, term uint32, p pulse) time.Duration {
+// delay returns how much longer the status update took than the fastest recent one
+// of its term (U4). Failure: a relaying node is paused and forwards an update when it
+// resumes; taken as fresh, it would keep a broken group in use for another
+// ConfirmationBound.
+func (r *Receiver) delay(now time.Time, term uint32, st status) time.Duration {
 	if r.base.IsZero() || term != r.term {
 		r.base, r.term, r.offsets = now, term, nil
 	}
-	offset := now.Sub(r.base) - time.Duration(p.Sent)*time.Millisecond
-	if len(r.offsets) == offsetMemory {
+	offset := now.Sub(r.base) - time.Duration(st.Sent)*time.Millisecond
+	if len(r.offsets) == maxOffsets {
 		r.offsets = append(r.offsets[:0], r.offsets[1:]...)
 	}
 	r.offsets = append(r.offsets, offset)
@@ -221,14 +219,15 @@
 	return offset - least
 }
 
-// join lays a pulse over the view that it refers to (U2).
-func (r *Receiver) join(t taken) garnetworks.Option[Joined] {
-	refers := garnetworks.UpdateVersion{Term: t.pulse.View.Term, Sequence: t.pulse.View.Sequence}
-	if r.whole.Less(refers) {
-		r.waiting = garnetworks.Some(t)
+// join applies a status update to the view that it refers to. It keeps the update as
+// pending if that view has not arrived, and otherwise ignores a mismatch (U2).
+func (r *Receiver) join(t receivedStatus) garnetworks.Option[Joined] {
+	referred := garnetworks.UpdateVersion{Term: t.status.View.Term, Sequence: t.status.View.Sequence}
+	if r.viewVersion.Less(referred) {
+		r.pending = garnetworks.Some(t)
 		return garnetworks.Option[Joined]{}
 	}
-	if r.whole != refers || len(t.pulse.Loads) != len(r.view.Groups) {
+	if r.viewVersion != referred || len(t.status.Loads) != len(r.view.Groups) {
 		return garnetworks.Option[Joined]{}
 	}
 	view := r.view
@@ -237,25 +236,24 @@
 	for i := range view.Groups {
 		g := &view.Groups[i]
 		g.Confirmed = true
-		g.Load = unpackLoad(t.pulse.Loads[i], g.Load.Capacity)
+		g.Load = unpackLoad(t.status.Loads[i], g.Load.Capacity)
 		g.Load.At = t.at
 	}
-	for _, i := range t.pulse.Unconfirmed {
+	for _, i := range t.status.Unconfirmed {
 		if int(i) < len(view.Groups) {
 			view.Groups[i].Confirmed = false
 		}
 	}
-	view.Metrics = unpackMeasures(t.pulse.Measures)
+	view.Metrics = unpackMetrics(t.status.Measures)
 	return garnetworks.Some(Joined{View: view, Version: t.version, At: t.at})
 }
 
-// loadSteps is the number of steps of a group's capacity in a pulse. A byte
-// holds calls up to four times the capacity, finer than the load changes between
-// two pulses.
+// loadSteps is the number of steps into which a group's capacity is divided. A byte
+// thus holds up to four times the capacity.
 const loadSteps = 63
 
-// packLoad returns the calls of a group in steps of its capacity, rounded up so
-// that a busy group never looks idle.
+// packLoad returns a group's calls in steps of its capacity, rounded up so that a
+// busy group never looks idle.
 func packLoad(load garnetworks.EngineLoad) byte {
 	calls := max(0, load.Running) + max(0, load.Waiting)
 	if load.Capacity <= 0 {
@@ -264,7 +262,7 @@
 	return byte(min((calls*loadSteps+load.Capacity-1)/load.Capacity, math.MaxUint8))
 }
 
-// unpackLoad is the inverse of packLoad, down to a step.
+// unpackLoad is the inverse of packLoad, to the precision of a step.
 func unpackLoad(steps byte, capacity int) garnetworks.EngineLoad {
 	if capacity <= 0 {
 		return garnetworks.EngineLoad{Running: int(steps)}
@@ -273,14 +271,14 @@
 	return garnetworks.EngineLoad{Running: min(calls, capacity), Waiting: max(0, calls-capacity), Capacity: capacity}
 }
 
-func packMeasures(m garnetworks.ZoneMetrics) []int64 {
+func packMetrics(m garnetworks.ZoneMetrics) []int64 {
 	return []int64{
 		m.GroupDowntime.Milliseconds(), m.Stranded.Milliseconds(),
 		int64(m.GroupsDown), int64(m.InstancesStranded), int64(m.Drawn), int64(m.Limit),
 	}
 }
 
-func unpackMeasures(values []int64) garnetworks.ZoneMetrics {
+func unpackMetrics(values []int64) garnetworks.ZoneMetrics {
 	if len(values) < 6 {
 		return garnetworks.ZoneMetrics{}
 	}
