--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -172,13 +172,13 @@
 	return f.budget.Available(time.Now())
 }
 
-func (f *Forwarder) recordCall() {
+func (f *Forwarder) creditRetryBudget() {
 	f.budgetMu.Lock()
 	defer f.budgetMu.Unlock()
 	f.budget.RecordCall(time.Now())
 }
 
-func (f *Forwarder) takeRetry() bool {
+func (f *Forwarder) takeFromRetryBudget() bool {
 	f.budgetMu.Lock()
 	defer f.budgetMu.Unlock()
 	return f.budget.Take(time.Now())
--- a/forwarder/model.go
+++ b/forwarder/model.go
@@ -74,7 +74,7 @@
 // the answer is not whole, whatever was written to sink; its kind states what is known of the
 // call.
 func (f *Forwarder) Generate(ctx context.Context, call *garnetworks.CallRequest, sink Sink) (Summary, error) {
-	f.recordCall()
+	f.creditRetryBudget()
 	ctx, cancelDeadline := context.WithDeadline(ctx, call.Deadline)
 	defer cancelDeadline()
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -184,7 +184,7 @@
 		return true
 	}
 	deadline := time.Now().Add(m.options.Timeouts.ResumeWait)
-	for !m.takeRetry() {
+	for !m.takeFromRetryBudget() {
 		if !decision.Resume || time.Now().After(deadline) {
 			return false
 		}
--- a/forwarder/service.go
+++ b/forwarder/service.go
@@ -17,7 +17,7 @@
 const claimMargin = time.Second
 
 // recordBackoff is the pause between two attempts to record an answer.
-const recordBackoff = 250 * time.Millisecond
+const recordRetryInterval = 250 * time.Millisecond
 
 // serviceCall is one call to a plain service.
 type serviceCall struct {
@@ -29,13 +29,13 @@
 	tried       []garnetworks.InstanceID
 	lastFailure *failure
 	// instance is the server of the last attempt.
-	instance garnetworks.InstanceID
+	lastInstance garnetworks.InstanceID
 }
 
 // CallService runs the call and returns the service's whole answer, or an error whose kind
 // states what is known of the call.
 func (f *Forwarder) CallService(ctx context.Context, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
-	f.recordCall()
+	f.creditRetryBudget()
 	s, err := f.newServiceCall(call)
 	if err != nil {
 		f.recordFailure(call.ID, "", "", err)
@@ -47,7 +47,7 @@
 	ctx, cancel := context.WithTimeout(ctx, s.spec.Timeout)
 	defer cancel()
 	answer, err := s.run(ctx)
-	f.recordFailure(call.ID, "", s.instance, err)
+	f.recordFailure(call.ID, "", s.lastInstance, err)
 	return answer, err
 }
 
@@ -125,7 +125,7 @@
 		defer cancel(nil)
 		defer stop()
 		answer, err := s.runClaimed(detachedCtx)
-		s.recordFailure(s.call.ID, "", s.instance, err)
+		s.recordFailure(s.call.ID, "", s.lastInstance, err)
 		results <- result{answer, err}
 	})
 	select {
@@ -262,7 +262,7 @@
 			return err
 		}
 		select {
-		case <-time.After(recordBackoff):
+		case <-time.After(recordRetryInterval):
 		case <-ctx.Done():
 			return err
 		}
@@ -294,7 +294,7 @@
 		if ctx.Err() != nil {
 			return garnetworks.ServiceResponse{}, s.contextError(ctx)
 		}
-		if !decision.Retry || (!decision.Free && !s.takeRetry()) {
+		if !decision.Retry || (!decision.Free && !s.takeFromRetryBudget()) {
 			return garnetworks.ServiceResponse{}, attemptsFailedError(&s.history, s.lastFailure, s.lastFailure.cause)
 		}
 		s.tried = append(s.tried, server.Instance)
@@ -330,7 +330,7 @@
 // attempt sends the call to one server.
 func (s *serviceCall) attempt(ctx context.Context, server *garnetworks.ServerView) (garnetworks.ServiceResponse, *failure) {
 	started := time.Now()
-	s.instance = server.Instance
+	s.lastInstance = server.Instance
 	call := *s.call
 	call.ID = attemptID(s.call.ID, s.history.Attempts+1)
 	s.options.Servers.ServerCallStarted(started, s.call.Service, server.Instance)
