--- a/quarantiner/keeper.go
+++ b/quarantiner/keeper.go
@@ -200,7 +200,7 @@
 	r := record{runs: make(map[garnetworks.Incarnation]run)}
 	now := time.Now()
 	if reported.LastCompletedAgeMS >= 0 {
-		r.completed = now.Add(-time.Duration(reported.LastCompletedAgeMS) * time.Millisecond)
+		r.completedAt = now.Add(-time.Duration(reported.LastCompletedAgeMS) * time.Millisecond)
 	}
 	for i := range reported.Runs {
 		x := &reported.Runs[i]
@@ -256,7 +256,7 @@
 	defer q.mu.Unlock()
 	return slices.ContainsFunc(q.storable(), func(content garnetworks.ContentDigest) bool {
 		r := q.records[content]
-		responsible := r.observed || reads && now.Sub(r.changed) > takeoverDelay
+		responsible := r.observed || reads && now.Sub(r.changedAt) > takeoverDelay
 		return responsible && q.stored[content] != r.checksum(content)
 	})
 }
--- a/quarantiner/quarantiner.go
+++ b/quarantiner/quarantiner.go
@@ -130,7 +130,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	remaining = q.quarantined[content].Sub(now)
-	if r := q.records[content]; remaining <= 0 && r != nil && r.pending() {
+	if r := q.records[content]; remaining <= 0 && r != nil && r.awaitsProof() {
 		proofDue = r.lastInterruption().Add(proofTimeout).Sub(now)
 	}
 	return remaining, proofDue, q.updated
@@ -200,17 +200,17 @@
 	}
 	least := slices.MinFunc(slices.Collect(maps.Keys(q.records)), func(a, b garnetworks.ContentDigest) int {
 		x, y := q.records[a], q.records[b]
-		return cmp.Or(cmp.Compare(len(x.runs), len(y.runs)), x.changed.Compare(y.changed), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(len(x.runs), len(y.runs)), x.changedAt.Compare(y.changedAt), cmp.Compare(a, b))
 	})
 	delete(q.records, least)
 }
 
 // markChanged notes that a record changed, before updateQuarantined; q.mu is held.
 func (q *Quarantiner) markChanged(now time.Time, content garnetworks.ContentDigest, r *record) {
-	if at := q.completed[content]; at.After(r.completed) && now.Sub(at) < ExemptionPeriod {
-		r.completed = at
+	if at := q.completed[content]; at.After(r.completedAt) && now.Sub(at) < ExemptionPeriod {
+		r.completedAt = at
 	}
-	r.changed = now
+	r.changedAt = now
 	if r.retained() {
 		signal(q.probeWake)
 		signal(q.storeWake)
@@ -286,8 +286,8 @@
 	}
 	// Ages differ by milliseconds of transmission, which is not a change.
 	const margin = time.Second
-	if reported.LastCompletedAgeMS >= 0 && age(reported.LastCompletedAgeMS).Sub(r.completed) > margin {
-		r.completed = age(reported.LastCompletedAgeMS)
+	if reported.LastCompletedAgeMS >= 0 && age(reported.LastCompletedAgeMS).Sub(r.completedAt) > margin {
+		r.completedAt = age(reported.LastCompletedAgeMS)
 		updated = true
 	}
 	if r.expiresAt().Before(now) {
@@ -306,7 +306,7 @@
 	now := time.Now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.reports(now, q.selectContents(maxReported, func(r *record) bool { return now.Sub(r.changed) < recentPeriod }))
+	return q.reports(now, q.selectContents(maxReported, func(r *record) bool { return now.Sub(r.changedAt) < recentPeriod }))
 }
 
 // Retained implements garnetworks.ContentRecordStore.
--- a/quarantiner/record.go
+++ b/quarantiner/record.go
@@ -42,9 +42,9 @@
 type record struct {
 	runs map[garnetworks.Incarnation]run
 	// completed is when a server last completed such a call; zero if never.
-	completed time.Time
+	completedAt time.Time
 	// changed is when the record last changed.
-	changed time.Time
+	changedAt time.Time
 	// observed says that this node itself saw a call with the content interrupted.
 	observed bool
 }
@@ -80,7 +80,7 @@
 
 // attributable reports whether a run may be caused by the content (Z4).
 func (r *record) attributable(x run) bool {
-	return x.state != garnetworks.CrashRefuted && (r.completed.IsZero() || x.at.Sub(r.completed) > ExemptionPeriod)
+	return x.state != garnetworks.CrashRefuted && (r.completedAt.IsZero() || x.at.Sub(r.completedAt) > ExemptionPeriod)
 }
 
 // incarnations returns the incarnations of the attributable runs whose state is at least
@@ -96,9 +96,9 @@
 	return list
 }
 
-// pending reports whether the content would be quarantined if all suspected crashes were
+// awaitsProof reports whether the content would be quarantined if all suspected crashes were
 // confirmed.
-func (r *record) pending() bool {
+func (r *record) awaitsProof() bool {
 	all := len(r.incarnations(garnetworks.CrashSuspected))
 	return all >= CrashThreshold && len(r.incarnations(garnetworks.CrashConnectionRefused)) < all
 }
@@ -116,8 +116,8 @@
 
 // quarantineTime is the length of the quarantine from the last interruption (Z7).
 func quarantineTime(crashes int) time.Duration {
-	const doublings = 10
-	return min(MaxQuarantine, MinQuarantine<<min(max(crashes-CrashThreshold, 0), doublings))
+	const maxDoublings = 10
+	return min(MaxQuarantine, MinQuarantine<<min(max(crashes-CrashThreshold, 0), maxDoublings))
 }
 
 // expiresAt is when the record may be removed. The record of a quarantined content outlives
@@ -150,8 +150,8 @@
 // report returns the record as sent to other nodes.
 func (r *record) report(content garnetworks.ContentDigest, now time.Time) garnetworks.ContentRecord {
 	rec := garnetworks.ContentRecord{Digest: content, LastCompletedAgeMS: -1}
-	if !r.completed.IsZero() {
-		rec.LastCompletedAgeMS = max(0, now.Sub(r.completed).Milliseconds())
+	if !r.completedAt.IsZero() {
+		rec.LastCompletedAgeMS = max(0, now.Sub(r.completedAt).Milliseconds())
 	}
 	for id, x := range r.runs {
 		rec.Runs = append(rec.Runs, garnetworks.InterruptedRun{Instance: id.Instance, StartMS: id.StartMS, AgeMS: max(0, now.Sub(x.at).Milliseconds()), State: x.state})
