--- a/estimator/estimator.go
+++ b/estimator/estimator.go
@@ -39,19 +39,19 @@
 }
 
 // New estimates the difference of values that are paired by index.
-func New(before, after []float64) Estimate {
-	e := Estimate{Pairs: len(before)}
+func New(oldValues, newValues []float64) Estimate {
+	e := Estimate{Pairs: len(oldValues)}
 	if e.Pairs == 0 {
 		return e
 	}
-	e.Old, e.New = stat.Mean(before, nil), stat.Mean(after, nil)
+	e.Old, e.New = stat.Mean(oldValues, nil), stat.Mean(newValues, nil)
 	e.Difference = e.New - e.Old
 	if e.Pairs < MinPairs {
 		return e
 	}
 	differences := make([]float64, e.Pairs)
-	for i := range before {
-		differences[i] = after[i] - before[i]
+	for i := range oldValues {
+		differences[i] = newValues[i] - oldValues[i]
 	}
 	low, high := bootstrap(differences)
 	e.Low, e.High = &low, &high
