--- a/quarantiner/record.go
+++ b/quarantiner/record.go
@@ -11,45 +11,50 @@
 )
 
 const (
-	// MaxRuns bounds the runs that are kept of a content; the oldest are evicted.
+	// MaxRuns bounds the interrupted runs that a record holds; the oldest are evicted.
 	MaxRuns = 16
-	// ExemptionPeriod is how long a content is exempt after it was completed (Z4). It exceeds
-	// the time between copies of a popular call, and bounds how long a content that has become
-	// harmful, for example by a new model version, goes undetected.
+	// ExemptionPeriod is how long after a call with a content has completed no crash is
+	// attributed to the content (Z4). It exceeds the time between the calls of a frequently
+	// sent content, and bounds how long a content that has become harmful, for example by a
+	// new model version, goes undetected.
 	ExemptionPeriod = time.Minute
-	// RetainThreshold is the number of runs from which a content's record is retained (Z6). A
-	// node that knows of fewer lets at most two more servers crash.
+	// RetainThreshold is the number of runs from which a record is stored in the object API
+	// (Z6). It is one below CrashThreshold, so that a node that reads the record can quarantine
+	// the content after one more crash.
 	RetainThreshold = 2
-	// recordTTL is how long a content is remembered that is not quarantined.
+	// recordTTL is how long after its last interruption the record of a content that isn't
+	// quarantined is kept.
 	recordTTL = 10 * time.Minute
-	// MinQuarantine is the quarantine after CrashThreshold crashes. It leaves an operator time
-	// to repair or roll back a model version.
+	// MinQuarantine is the length of a quarantine after CrashThreshold crashes. It leaves an
+	// operator time to repair or roll back a model version.
 	MinQuarantine = 10 * time.Minute
-	// MaxQuarantine bounds a quarantine: a content that crashes a server twice a day does no harm.
+	// MaxQuarantine bounds the length of a quarantine; a crash every 12 hours is tolerable.
 	MaxQuarantine = 12 * time.Hour
 )
 
-// run is an incarnation at which a call with the content was interrupted.
+// run is an interrupted run of a call with the content. A record holds at most one for each
+// incarnation.
 type run struct {
-	at    time.Time
+	at    time.Time // first interruption known
 	state garnetworks.CrashState
-	// probes is the number of times the incarnation was probed, the last at probedAt.
+	// probes is the number of times the incarnation was probed, the last time at probedAt.
 	probes   int
 	probedAt time.Time
 }
 
-// record is what a node knows of a content (Z5).
+// record is what a node knows of a content and its interrupted runs (Z5).
 type record struct {
 	runs map[garnetworks.Incarnation]run
-	// completed is when a server last completed such a call; zero if never.
+	// completedAt is when a server last completed a call with the content; zero if never.
 	completedAt time.Time
-	// changed is when the record last changed.
+	// changedAt is when the record last changed.
 	changedAt time.Time
 	// observed says that this node itself saw a call with the content interrupted.
 	observed bool
 }
 
-// add adds or updates a run, and reports whether that changed the record.
+// add adds a run, or replaces the state of a known one by a stronger one, and reports whether
+// that changed the record. The time of a known run stays.
 func (r *record) add(incarnation garnetworks.Incarnation, at time.Time, state garnetworks.CrashState) bool {
 	old, known := r.runs[incarnation]
 	switch {
@@ -78,7 +83,8 @@
 	delete(r.runs, oldest)
 }
 
-// attributable reports whether a run may be caused by the content (Z4).
+// attributable reports whether the content may have caused the interruption of a run: the
+// crash isn't refuted, and came more than ExemptionPeriod after the last completion (Z4).
 func (r *record) attributable(x run) bool {
 	return x.state != garnetworks.CrashRefuted && (r.completedAt.IsZero() || x.at.Sub(r.completedAt) > ExemptionPeriod)
 }
@@ -96,14 +102,14 @@
 	return list
 }
 
-// awaitsProof reports whether the content would be quarantined if all suspected crashes were
-// confirmed.
+// awaitsProof reports whether proofs of the suspected crashes could quarantine the content.
 func (r *record) awaitsProof() bool {
 	all := len(r.incarnations(garnetworks.CrashSuspected))
 	return all >= CrashThreshold && len(r.incarnations(garnetworks.CrashConnectionRefused)) < all
 }
 
-// lastInterruption is when the content was last interrupted.
+// lastInterruption returns when a call with the content was last interrupted, by any run,
+// attributable or not.
 func (r *record) lastInterruption() time.Time {
 	var last time.Time
 	for _, x := range r.runs {
@@ -114,14 +120,14 @@
 	return last
 }
 
-// quarantineTime is the length of the quarantine from the last interruption (Z7).
+// quarantineTime returns the length of a quarantine, from the last interruption on (Z7).
 func quarantineTime(crashes int) time.Duration {
 	const maxDoublings = 10
 	return min(MaxQuarantine, MinQuarantine<<min(max(crashes-CrashThreshold, 0), maxDoublings))
 }
 
-// expiresAt is when the record may be removed. The record of a quarantined content outlives
-// the quarantine, so that the next crash extends it.
+// expiresAt returns when the record may be removed. If the content is quarantined, that is after
+// twice the length of the quarantine, so that a crash after its end leads to a longer one.
 func (r *record) expiresAt() time.Time {
 	if crashes := len(r.incarnations(garnetworks.CrashConnectionRefused)); crashes >= CrashThreshold {
 		return r.lastInterruption().Add(2 * quarantineTime(crashes))
@@ -129,13 +135,13 @@
 	return r.lastInterruption().Add(recordTTL)
 }
 
-// retained reports whether the record belongs to Retained and may be stored in the object API
-// (Z6). Refuted runs and those before a completion count too: other nodes must learn of them
-// to stop counting the crashes.
+// retained reports whether the record has enough runs for Quarantiner.Retained and the object
+// API (Z6). Refuted runs and those that a completion exempts count too: other nodes must learn
+// of them to stop counting the crashes.
 func (r *record) retained() bool { return len(r.runs) >= RetainThreshold }
 
-// checksum is a digest of the record without its times, which differ between nodes by the
-// transmission time of messages.
+// checksum returns a hash of the record's runs, their states and whether they are attributable,
+// but not of its times, which differ between nodes by the transmission time of messages.
 func (r *record) checksum(content garnetworks.ContentDigest) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(content)) // Write of a hash.Hash never fails
@@ -149,6 +155,7 @@
 
 // report returns the record as sent to other nodes.
 func (r *record) report(content garnetworks.ContentDigest, now time.Time) garnetworks.ContentRecord {
+	// A negative age means that no completion is known.
 	rec := garnetworks.ContentRecord{Digest: content, LastCompletedAgeMS: -1}
 	if !r.completedAt.IsZero() {
 		rec.LastCompletedAgeMS = max(0, now.Sub(r.completedAt).Milliseconds())
