--- a/estimator/estimator.go
+++ b/estimator/estimator.go
@@ -1,5 +1,6 @@
-// Package estimator estimates from paired measurements which of two versions is better. It
-// does no I/O, and its random numbers are seeded, so that results are reproducible.
+// Package estimator estimates from paired measurements, of which larger values are better,
+// which of two versions is better. It does no I/O and uses a fixed seed, so that results are
+// reproducible.
 package estimator
 
 import (
@@ -17,16 +18,17 @@
 	// resamples is the number of bootstrap samples. It is large enough that the bounds of
 	// the interval hardly depend on the seed.
 	resamples = 10_000
-	// tailProbability is the probability that the true mean lies beyond one given bound of
-	// the confidence interval.
+	// tailProbability is the probability that the true mean is below the confidence interval,
+	// and likewise that it is above: the interval is one of 95 % confidence.
 	tailProbability = 0.025
 	// MinPairs is the number of pairs below which no interval is given: its bounds would
-	// be little more than the smallest and largest differences.
+	// nearly be the smallest and the largest difference.
 	MinPairs = 6
 )
 
 // Estimate is the mean of paired differences with its confidence interval.
 type Estimate struct {
+	// Pairs is the number of paired values, Old and New are the means of the two versions.
 	Pairs int     `json:"pairs"`
 	Old   float64 `json:"old"`
 	New   float64 `json:"new"`
@@ -38,7 +40,8 @@
 	High *float64 `json:"high,omitempty"`
 }
 
-// New estimates the difference of values that are paired by index.
+// New estimates the difference of values that are paired by index. Both slices must have the
+// same length.
 func New(oldValues, newValues []float64) Estimate {
 	e := Estimate{Pairs: len(oldValues)}
 	if e.Pairs == 0 {
@@ -58,10 +61,8 @@
 	return e
 }
 
-// bootstrap returns the expanded percentile interval of the mean of values. A plain
-// percentile interval of few values is too narrow, since their variance is estimated from
-// the same values; so the percentiles are moved outwards by the ratio of Student's
-// distribution to the normal one. The seed is fixed, so that results are reproducible.
+// bootstrap returns the expanded percentile interval (Hesterberg, 2015) of the mean of values.
+// A plain percentile interval of few values is too narrow; expandedTail corrects for it.
 func bootstrap(values []float64) (low, high float64) {
 	source := rand.NewPCG(1, 2)
 	index := sampleuv.IIDer{Dist: uniformIndex{rand.New(source), len(values)}}
@@ -79,7 +80,10 @@
 	return stat.Quantile(tailFraction, stat.Empirical, means, nil), stat.Quantile(1-tailFraction, stat.Empirical, means, nil)
 }
 
-// expandedTail returns the fraction of the resamples beyond each bound for n values.
+// expandedTail returns the fraction of the resamples beyond each bound for n values. In place
+// of the normal quantile it takes that of Student's distribution, since the variance is
+// estimated from few values, times sqrt(n/(n-1)), since the variance of the resamples divides
+// by n instead of n-1.
 func expandedTail(n int) float64 {
 	studentT := distuv.StudentsT{Sigma: 1, Nu: float64(n - 1)}
 	expandedQuantile := math.Sqrt(float64(n)/float64(n-1)) * studentT.Quantile(tailProbability)
@@ -95,12 +99,13 @@
 // Rand returns a random index; it implements distuv.Rander.
 func (u uniformIndex) Rand() float64 { return float64(u.random.IntN(u.n)) }
 
-// containsZero reports whether the interval contains zero or is missing.
+// containsZero reports whether the interval is missing or contains zero.
 func (e *Estimate) containsZero() bool {
 	return e.Low == nil || *e.Low <= 0 && *e.High >= 0
 }
 
-// Interval formats the confidence interval.
+// Interval formats the confidence interval with the given number of decimals; "-" if there is
+// none.
 func (e *Estimate) Interval(digits int) string {
 	if e.Low == nil {
 		return "-"
@@ -108,7 +113,8 @@
 	return fmt.Sprintf("%+.*f to %+.*f", digits, *e.Low, digits, *e.High)
 }
 
-// Verdict says which version is better, if the interval excludes zero.
+// Verdict says which version is better, or why that can't be told: there are too few pairs for
+// an interval, or it contains zero.
 func (e *Estimate) Verdict() string {
 	switch {
 	case e.Low == nil:
