--- a/forwarder/service.go
+++ b/forwarder/service.go
@@ -13,27 +13,28 @@
 	"github.com/pkg/errors"
 )
 
-// claimMargin extends a claim to allow for pauses of the node between claiming and forwarding.
+// claimMargin is added to a claim's duration, since the process can be suspended between
+// claiming and forwarding.
 const claimMargin = time.Second
 
-// recordBackoff is the pause between two attempts to record an answer.
+// recordRetryInterval is the time between two attempts to complete or abandon a claim.
 const recordRetryInterval = 250 * time.Millisecond
 
-// serviceCall is one call to a plain service.
+// serviceCall is one call to a plain service, run by the embedded Forwarder.
 type serviceCall struct {
 	*Forwarder
 	call        *garnetworks.ServiceCall
 	content     garnetworks.ContentDigest
 	spec        *garnetworks.ServiceSpec
 	history     retrier.History
-	tried       []garnetworks.InstanceID
+	tried       []garnetworks.InstanceID // instances of the failed attempts, which are avoided
 	lastFailure *failure
-	// instance is the server of the last attempt.
+	// lastInstance is the instance to which the last attempt was sent.
 	lastInstance garnetworks.InstanceID
 }
 
 // CallService runs the call and returns the service's whole answer, or an error whose kind
-// states what is known of the call.
+// tells whether the call may have run.
 func (f *Forwarder) CallService(ctx context.Context, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
 	f.creditRetryBudget()
 	s, err := f.newServiceCall(call)
@@ -41,6 +42,7 @@
 		f.recordFailure(call.ID, "", "", err)
 		return garnetworks.ServiceResponse{}, err
 	}
+	// The timeout of a keyed call starts only when it is claimed, in runUnderClaim.
 	if s.history.Repeatability == retrier.Keyed {
 		return s.runDetached(ctx)
 	}
@@ -89,8 +91,8 @@
 	return nil
 }
 
-// MatchCall returns the first rule of the service that matches the call; a call that matches
-// none is not repeatable. The query of path is ignored.
+// MatchCall returns the first of spec.Calls that matches the call; if none does, the zero
+// ServiceCallSpec, which is not idempotent. The query of path is ignored.
 func MatchCall(spec *garnetworks.ServiceSpec, method, path string) garnetworks.ServiceCallSpec {
 	path, _, _ = strings.Cut(path, "?")
 	for _, c := range spec.Calls {
@@ -106,9 +108,9 @@
 
 // runDetached runs a keyed call on its own goroutine, which outlives the caller (rule F6).
 //
-// Failure: a caller disconnects while its call runs, and repeats it with the same key. If the
-// first call were cancelled, its outcome would be unknown. So it is finished and recorded, and
-// the repetition gets the answer.
+// The call is not cancelled when its caller disconnects, since a repetition with the same key
+// would then find its outcome unknown. It is finished and recorded, so that the repetition
+// gets the answer.
 func (s *serviceCall) runDetached(ctx context.Context) (garnetworks.ServiceResponse, error) {
 	type result struct {
 		answer garnetworks.ServiceResponse
@@ -116,6 +118,7 @@
 	}
 	results := make(chan result, 1)
 	detachedCtx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
+	// Of the ends of the caller's context, only that of the node's grace period cancels the call.
 	stop := context.AfterFunc(ctx, func() {
 		if cause := context.Cause(ctx); errors.Is(cause, ErrGraceEnded) {
 			cancel(cause)
@@ -133,6 +136,7 @@
 		return r.answer, r.err
 	case <-ctx.Done():
 	}
+	// The call was cancelled too, so it ends soon with an error that tells whether it may have run.
 	if cause := context.Cause(ctx); errors.Is(cause, ErrGraceEnded) {
 		r := <-results
 		return r.answer, r.err
@@ -159,8 +163,9 @@
 	return answer, nil
 }
 
-// claim claims the call. After any error the call is not forwarded, so each error may say "not
-// run" of this call; errors about an earlier call with the key are returned unchanged.
+// claim claims the call. After an error the call is not sent. Errors about an earlier call with
+// the key (reused, in progress, outcome unknown) are returned unchanged; all others become
+// KindClaimsUnavailable, whose outcome is "not run".
 func (s *serviceCall) claim(ctx context.Context) (garnetworks.ClaimResult, error) {
 	if s.options.Claims == nil {
 		return garnetworks.ClaimResult{}, garnetworks.Errorf(garnetworks.KindClaimsUnavailable, "this node has no claims")
@@ -191,8 +196,8 @@
 }
 
 func (s *serviceCall) runUnderClaim(ctx context.Context, claim garnetworks.Claim) (garnetworks.ServiceResponse, error) {
-	// Failure: the node is paused between claiming and forwarding until other nodes answer
-	// "unknown" for the key. The call would still run only once, but nobody waits for it.
+	// Other nodes report the outcome as unknown once the claim has ended, so that an answer would
+	// come too late. The process may have been suspended since it claimed the call.
 	if !claimer.MayForward(time.Now(), &claim) {
 		return garnetworks.ServiceResponse{}, garnetworks.Errorf(garnetworks.KindDeadlineUnreachable, "the claim ended before the call was sent")
 	}
@@ -201,7 +206,8 @@
 	return s.run(ctx)
 }
 
-// hashCall hashes everything that distinguishes calls with the same key.
+// hashCall hashes what calls with the same idempotency key must have in common: method, path,
+// content type and body.
 func hashCall(call *garnetworks.ServiceCall) [sha256.Size]byte {
 	h := sha256.New()
 	for _, part := range []string{call.Method, call.Path, call.ContentType} {
@@ -212,8 +218,8 @@
 	return [sha256.Size]byte(h.Sum(nil))
 }
 
-// record records the answer. It returns when that is done or after RecordWait, while the
-// recording continues: an unavailable store must not hold the answer back.
+// record records the answer in the background and waits for that, but at most for RecordWait:
+// an unavailable store must not hold the answer back.
 func (s *serviceCall) record(ctx context.Context, claim garnetworks.Claim, answer *garnetworks.ServiceResponse) {
 	done := make(chan struct{})
 	recordedAnswer := *answer
@@ -229,6 +235,8 @@
 	}
 }
 
+// complete records the answer, or abandons the claim if the answer can't be recorded. If
+// Timeouts.Record has passed, the claim stays open until it ends at Claim.Until.
 func (s *serviceCall) complete(ctx context.Context, claim garnetworks.Claim, answer *garnetworks.ServiceResponse) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.Timeouts.Record)
 	defer cancel()
@@ -236,8 +244,8 @@
 	if err == nil || ctx.Err() != nil {
 		return
 	}
-	// If an answer can't be recorded, for instance because it is too large, the key must not
-	// run another call.
+	// If an answer can't be recorded, for instance because it is too large, no other call with
+	// the key may run, so the claim is ended with an unknown outcome.
 	s.abandon(ctx, claim, garnetworks.OutcomeUnknown)
 }
 
@@ -247,13 +255,14 @@
 	s.tasks.Run(func() {
 		ctx, cancel := context.WithTimeout(ctx, s.options.Timeouts.Record)
 		defer cancel()
-		// If this never succeeds, the claim ends at Until as unknown, which is weaker than "not
-		// run" but also correct.
+		// If this never succeeds, the claim ends at Claim.Until with an unknown outcome, which is
+		// correct for any call.
 		_ = s.retryWhileUnavailable(ctx, func() error { return s.options.Claims.Abandon(ctx, claim, outcome) })
 	})
 }
 
-// retryWhileUnavailable repeats write while the store is unavailable.
+// retryWhileUnavailable repeats write until it succeeds, fails with an error that a repetition
+// doesn't mend, or ctx ends. write must be idempotent: its response may have been lost.
 func (s *serviceCall) retryWhileUnavailable(ctx context.Context, write func() error) error {
 	for {
 		err := write()
@@ -269,7 +278,7 @@
 	}
 }
 
-// run makes attempts until the answer is whole or the call fails.
+// run makes attempts until one succeeds or no further one is allowed.
 func (s *serviceCall) run(ctx context.Context) (garnetworks.ServiceResponse, error) {
 	for {
 		if ctx.Err() != nil {
@@ -286,6 +295,7 @@
 		attemptCtx, cancel := s.attemptContext(ctx)
 		answer, s.lastFailure = s.attempt(attemptCtx, &server)
 		cancel()
+		// The start time of a plain service's server is not known, so its incarnation has none.
 		s.reportToQuarantine(ctx, s.content, garnetworks.Incarnation{Instance: server.Instance}, s.lastFailure)
 		if s.lastFailure == nil {
 			return answer, nil
@@ -312,12 +322,10 @@
 	return s.options.Servers.ChooseServer(now, s.call.Service, nil)
 }
 
-// attemptContext returns the context of an attempt.
-//
-// Failure: a server accepts the connection and does not answer. A plain service shows no
-// progress before its answer, so it can't be told from a slow one, and the call would use up
-// its whole time. An attempt of a repeatable call, except the last, gets half of the
-// remaining time.
+// attemptContext returns the context of an attempt. An attempt of a repeatable call, except
+// the last, gets half of the remaining time: a server that accepts the connection and never
+// answers can't be told from a slow one, since a plain service shows no progress before its
+// answer, and would use up the whole time of the call.
 func (s *serviceCall) attemptContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
 	last := s.history.Attempts+1 >= s.history.MaxAttempts
@@ -342,7 +350,7 @@
 	if err == nil && answer.ID != call.ID {
 		err = &garnetworks.AttemptError{
 			Phase: garnetworks.PhaseMismatched,
-			Cause: errors.Errorf("the answer echoes call %q", answer.ID),
+			Cause: errors.Errorf("the answer is for call %q, want %q", answer.ID, call.ID),
 		}
 	}
 	result := garnetworks.AttemptResult{Phase: garnetworks.PhaseDone}
@@ -357,10 +365,12 @@
 	now := time.Now()
 	result.Elapsed = now.Sub(started)
 	s.options.Servers.ServerCallFinished(now, s.call.Service, server.Instance, result)
+	// The caller knows the identifier of the call, not that of the attempt.
 	answer.ID = s.call.ID
 	return answer, failed
 }
 
+// contextError returns the error of a call whose context has ended.
 func (s *serviceCall) contextError(ctx context.Context) error {
 	cause := context.Cause(ctx)
 	if errors.Is(cause, context.Canceled) {
