--- a/matcher/matcher_test.go
+++ b/matcher/matcher_test.go
@@ -57,11 +57,11 @@
 }
 
 func TestTarget(t *testing.T) {
-	split := &garnetworks.Route{Targets: []garnetworks.RouteTarget{{Service: "a", Weight: 90}, {Service: "none"}, {Service: "b", Weight: 10}}}
+	weighted := &garnetworks.Route{Targets: []garnetworks.RouteTarget{{Service: "a", Weight: 90}, {Service: "none"}, {Service: "b", Weight: 10}}}
 	counts := make(map[garnetworks.ServiceName]int)
 	const draws = 1000
 	for i := range draws {
-		name, ok := matcher.Target(split, float64(i)/draws)
+		name, ok := matcher.Target(weighted, float64(i)/draws)
 		if !ok {
 			t.Fatal("no target")
 		}
