--- a/router/capacity.go
+++ b/router/capacity.go
@@ -23,22 +23,22 @@
 
 func (t *table) capacity(now int64, model garnetworks.ModelName, p *pool) garnetworks.ModelCapacity {
 	p.site.refresh(now)
-	sum := garnetworks.ModelCapacity{Model: model}
+	result := garnetworks.ModelCapacity{Model: model}
 	t.scratch = t.scratch[:0]
 	for _, e := range p.site.entries {
 		g := e.group
 		if !g.eligible(now) {
 			continue
 		}
-		sum.Slots += int(g.load.capacity)
-		sum.InUse += g.load.inUse()
+		result.Slots += int(g.load.capacity)
+		result.InUse += g.load.inUse()
 		if g.pace.reliable(now) {
 			t.scratch = append(t.scratch, g.pace.firstToken)
 		}
 	}
 	if len(t.scratch) > 0 {
 		slices.Sort(t.scratch)
-		sum.FirstToken = time.Duration(t.scratch[len(t.scratch)/2] * float64(time.Second))
+		result.FirstToken = time.Duration(t.scratch[len(t.scratch)/2] * float64(time.Second))
 	}
-	return sum
+	return result
 }
