--- a/former/lost_test.go
+++ b/former/lost_test.go
@@ -9,9 +9,9 @@
 
 // Groups with unresponsive members are reported as lost, unless the group is progressing or the
 // unresponsive instance is of an earlier incarnation or in no group.
-func TestLeaseHolderReportsLostGroups(t *testing.T) {
-	server := func(id garnetworks.InstanceID, born int64, group garnetworks.GroupID) garnetworks.RegisteredServer {
-		s := garnetworks.RegisteredServer{ListedInstance: garnetworks.ListedInstance{ID: id}, StartMS: born}
+func TestFindLostGroups(t *testing.T) {
+	server := func(id garnetworks.InstanceID, startMS int64, group garnetworks.GroupID) garnetworks.RegisteredServer {
+		s := garnetworks.RegisteredServer{ListedInstance: garnetworks.ListedInstance{ID: id}, StartMS: startMS}
 		s.Membership.Group = group
 		return s
 	}
