--- a/watcher/state.go
+++ b/watcher/state.go
@@ -13,8 +13,8 @@
 type State struct {
 	// Revision is the store's revision that the state reflects; it never decreases.
 	Revision garnetworks.Revision
-	// Known maps the key of each existing object to the revision last delivered.
-	Known map[string]garnetworks.Revision
+	// Revisions maps the key of each existing object to the revision last delivered.
+	Revisions map[string]garnetworks.Revision
 }
 
 // ApplyList applies the result of a list call and returns the objects to deliver, in key
@@ -29,24 +29,24 @@
 	var updates []garnetworks.Object
 	for _, o := range objects {
 		present[o.Key] = o.Revision
-		if o.Revision > s.Known[o.Key] {
+		if o.Revision > s.Revisions[o.Key] {
 			updates = append(updates, o)
 		}
 	}
-	for _, key := range slices.Sorted(maps.Keys(s.Known)) {
+	for _, key := range slices.Sorted(maps.Keys(s.Revisions)) {
 		if _, ok := present[key]; !ok {
 			updates = append(updates, garnetworks.Object{Key: key, Revision: revision, Deleted: true}) // rule W3
 		}
 	}
 	slices.SortStableFunc(updates, func(a, b garnetworks.Object) int { return cmp.Compare(a.Key, b.Key) })
-	s.Known = present
+	s.Revisions = present
 	return updates, true
 }
 
 // ApplyChanges applies the result of a watch and returns the changes to deliver, in order.
 func (s *State) ApplyChanges(objects []garnetworks.Object, revision garnetworks.Revision) []garnetworks.Object {
-	if s.Known == nil {
-		s.Known = make(map[string]garnetworks.Revision)
+	if s.Revisions == nil {
+		s.Revisions = make(map[string]garnetworks.Revision)
 	}
 	var updates []garnetworks.Object
 	for _, o := range objects {
@@ -61,14 +61,14 @@
 // applyChange applies one change and reports whether it is new (rule W2). A change at or
 // below Revision for an unknown key repeats one from before the key's deletion.
 func (s *State) applyChange(o garnetworks.Object) bool {
-	known, exists := s.Known[o.Key]
+	known, exists := s.Revisions[o.Key]
 	if o.Revision <= known || !exists && (o.Deleted || o.Revision <= s.Revision) {
 		return false
 	}
 	if o.Deleted {
-		delete(s.Known, o.Key)
+		delete(s.Revisions, o.Key)
 		return true
 	}
-	s.Known[o.Key] = o.Revision
+	s.Revisions[o.Key] = o.Revision
 	return true
 }
