--- a/placer/plan.go
+++ b/placer/plan.go
@@ -20,7 +20,7 @@
 		p.ended = ended
 		p.decide()
 		if !p.rerun {
-			p.orderDecisions()
+			p.sequenceDecisions()
 			p.countWanted()
 			p.saveState()
 			return p.out
@@ -53,9 +53,9 @@
 	return c
 }
 
-// orderDecisions puts the decisions in an order in which they can be executed:
+// sequenceDecisions puts the decisions in an order in which they can be executed:
 // those that free members and power come before those that need them.
-func (p *planner) orderDecisions() {
+func (p *planner) sequenceDecisions() {
 	count := len(p.groupEnds) + len(p.powerOffs) + len(p.powerOns) + len(p.pendingGroups) + len(p.loadOrders)
 	if count == 0 {
 		return
