--- a/scheduler/others.go
+++ b/scheduler/others.go
@@ -106,33 +106,33 @@
 // applyPeerLoad sets the peers' calls of a pool and computes the node's allowance. With many
 // nodes, a node's proportional share can be less than one slot although slots are free; it
 // then gets a minimum, so that it doesn't reject its second call in a burst.
-func (s *Scheduler) applyPeerLoad(now time.Time, p *pool, running map[garnetworks.GroupID]int, demand float64, nodes int) {
-	free, total := 0.0, 0.0
+func (s *Scheduler) applyPeerLoad(now time.Time, p *pool, running map[garnetworks.GroupID]int, peerDemand float64, nodes int) {
+	freeSlots, runningCalls := 0.0, 0.0
 	for _, g := range p.groups {
 		g.peerCalls, g.placed = running[g.ID], 0
-		total += float64(g.peerCalls + g.inflight)
+		runningCalls += float64(g.peerCalls + g.inflight)
 		if !g.gone && !now.Before(g.cooldownUntil) && !s.zoneUnreachable(now, g.Zone) && !g.isLost(now) {
-			free += max(0, g.window-float64(g.peerCalls+g.inflight))
+			freeSlots += max(0, g.window-float64(g.peerCalls+g.inflight))
 		}
 	}
-	own := p.demand(now)
-	p.peerDemand = demand
+	ownDemand := p.demand(now)
+	p.peerDemand = peerDemand
 	p.share = 1
-	if own+demand > 0 {
-		p.share = own / (own + demand)
+	if ownDemand+peerDemand > 0 {
+		p.share = ownDemand / (ownDemand + peerDemand)
 	}
 	// Carries over the fractional part, so that a node with few calls gets a whole slot in time.
 	remainder := p.allowance - math.Floor(p.allowance)
-	p.allowance = free*p.share + min(max(remainder, 0), 1)
-	fraction := max(p.share, 1/float64(nodes))
-	p.refill = fraction * free / peerReportDelay.Seconds()
+	p.allowance = freeSlots*p.share + min(max(remainder, 0), 1)
+	refillShare := max(p.share, 1/float64(nodes))
+	p.refill = refillShare * freeSlots / peerReportDelay.Seconds()
 	if p.serviceTime > 0 {
-		p.refill += fraction * total / p.serviceTime.Seconds()
+		p.refill += refillShare * runningCalls / p.serviceTime.Seconds()
 	}
-	if free >= surplusFactor*(own+demand)*peerReportDelay.Seconds()+1 {
-		p.allowance = max(p.allowance, free*surplusShare)
+	if freeSlots >= surplusFactor*(ownDemand+peerDemand)*peerReportDelay.Seconds()+1 {
+		p.allowance = max(p.allowance, freeSlots*surplusShare)
 	}
 	// Between two calls the demand of a node with few calls is near zero. If there is a free
 	// slot for each node, it need not wait for the next report.
-	p.allowance = max(p.allowance, math.Floor(free/float64(nodes)))
+	p.allowance = max(p.allowance, math.Floor(freeSlots/float64(nodes)))
 }
