--- a/matcher/matcher_test.go
+++ b/matcher/matcher_test.go
@@ -21,20 +21,20 @@
 
 func TestRoute(t *testing.T) {
 	cases := map[string]struct{ host, target, want string }{
-		"prefix":                {"a.example", "/p/x", "short"},
-		"the prefix alone":      {"a.example", "/p/", "short"},
-		"longest prefix":        {"a.example", "/p/q/x", "long"},
-		"no slash after":        {"a.example", "/p/q", "short"},
-		"not a whole segment":   {"a.example", "/pq/x", ""},
-		"query":                 {"a.example", "/p/x?a=/p/q/", "short"},
-		"query with slash":      {"a.example", "/o?/p/", ""},
-		"other host":            {"b.example", "/p/q/x", "other-host"},
-		"unknown host":          {"c.example", "/p/x", ""},
-		"host with port":        {"a.example:80", "/p/x", "short"},
-		"upper-case host":       {"A.Example", "/p/x", "short"},
-		"escaped slash":         {"a.example", "/p%2fx", ""},
-		"dots are not resolved": {"a.example", "/p/../o/x", "short"},
-		"empty":                 {"", "", ""},
+		"prefix":                         {"a.example", "/p/x", "short"},
+		"the prefix alone":               {"a.example", "/p/", "short"},
+		"longest prefix":                 {"a.example", "/p/q/x", "long"},
+		"prefix without its final slash": {"a.example", "/p/q", "short"},
+		"not a whole segment":            {"a.example", "/pq/x", ""},
+		"query is ignored":               {"a.example", "/p/x?a=/p/q/", "short"},
+		"query is not a path":            {"a.example", "/o?/p/", ""},
+		"other host":                     {"b.example", "/p/q/x", "other-host"},
+		"unknown host":                   {"c.example", "/p/x", ""},
+		"host with port":                 {"a.example:80", "/p/x", "short"},
+		"upper-case host":                {"A.Example", "/p/x", "short"},
+		"escaped slash":                  {"a.example", "/p%2fx", ""},
+		"dots are not resolved":          {"a.example", "/p/../o/x", "short"},
+		"empty":                          {"", "", ""},
 	}
 	x := newIndex()
 	for name, c := range cases {
@@ -51,7 +51,7 @@
 	x := newIndex()
 	for key, want := range map[string]bool{"k1": true, "k2": true, "k3": false, "": false} {
 		if _, ok := x.Workspace(key); ok != want {
-			t.Errorf("key %q: found is %t", key, ok)
+			t.Errorf("key %q: got %t, want %t", key, ok, want)
 		}
 	}
 }
@@ -63,7 +63,7 @@
 	for i := range draws {
 		name, ok := matcher.Target(weighted, float64(i)/draws)
 		if !ok {
-			t.Fatal("no target")
+			t.Fatal("no target for the random number", float64(i)/draws)
 		}
 		counts[name]++
 	}
