--- a/router/capacity.go
+++ b/router/capacity.go
@@ -8,8 +8,8 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// capacities returns the total capacity and load of each model's eligible groups, sorted by
-// model.
+// capacities returns for each base model the slots and the calls in use of its eligible groups
+// and the median time to first token, sorted by model. Pools with an adapter are left out.
 func (t *table) capacities(now int64) []garnetworks.ModelCapacity {
 	var all []garnetworks.ModelCapacity
 	for key, p := range t.pools {
@@ -21,6 +21,7 @@
 	return all
 }
 
+// capacity sums up the eligible groups of a pool over the whole site.
 func (t *table) capacity(now int64, model garnetworks.ModelName, p *pool) garnetworks.ModelCapacity {
 	p.site.refresh(now)
 	result := garnetworks.ModelCapacity{Model: model}
