--- a/former/lost_test.go
+++ b/former/lost_test.go
@@ -15,6 +15,8 @@
 		s.Membership.Group = group
 		return s
 	}
+	// Group "gone" is lost. Server d has restarted since it was found unresponsive at start 1, e is
+	// in no group, and f responds.
 	servers := follower.Servers{
 		"a": server("a", 1, "gone"), "b": server("b", 1, "gone"), "c": server("c", 1, "progressing"),
 		"d": server("d", 2, "restarted"), "e": server("e", 1, ""), "f": server("f", 1, "healthy"),
@@ -28,6 +30,6 @@
 	}
 	f.findLostGroups(servers)
 	if got := f.Lost(); len(got) != 1 || got[0] != "gone" {
-		t.Errorf("lost groups are %v", got)
+		t.Errorf("got lost groups %v, want [gone]", got)
 	}
 }
