--- a/watcher/state.go
+++ b/watcher/state.go
@@ -8,8 +8,8 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// State is the known state of the objects under a prefix. The zero State knows no
-// objects. It does no I/O and is not safe for concurrent use.
+// State is the known state of the objects under a prefix; the zero State is empty. State does
+// no I/O and is not safe for concurrent use.
 type State struct {
 	// Revision is the store's revision that the state reflects; it never decreases.
 	Revision garnetworks.Revision
@@ -18,8 +18,9 @@
 }
 
 // ApplyList applies the result of a list call and returns the objects to deliver, in key
-// order. It returns false and changes nothing if the list is older than the state (rule
-// W2), as it can be from a lagging replica or a restored backup of the store.
+// order, with a deletion for each known object that the list lacks (rule W3). It returns
+// false and changes nothing if the list is older than the state (rule W2): a lagging replica
+// or a store restored from a backup can return such a list.
 func (s *State) ApplyList(objects []garnetworks.Object, revision garnetworks.Revision) ([]garnetworks.Object, bool) {
 	if revision < s.Revision {
 		return nil, false
@@ -43,7 +44,8 @@
 	return updates, true
 }
 
-// ApplyChanges applies the result of a watch and returns the changes to deliver, in order.
+// ApplyChanges applies the result of a watch and returns the changes to deliver, in the order
+// of objects.
 func (s *State) ApplyChanges(objects []garnetworks.Object, revision garnetworks.Revision) []garnetworks.Object {
 	if s.Revisions == nil {
 		s.Revisions = make(map[string]garnetworks.Revision)
@@ -58,8 +60,9 @@
 	return updates
 }
 
-// applyChange applies one change and reports whether it is new (rule W2). A change at or
-// below Revision for an unknown key repeats one from before the key's deletion.
+// applyChange applies one change and reports whether it is new (rule W2). If no object exists
+// under the key, two kinds of change are old: one at or below Revision repeats a change from
+// before the key's deletion, and a deletion has nothing to delete.
 func (s *State) applyChange(o garnetworks.Object) bool {
 	known, exists := s.Revisions[o.Key]
 	if o.Revision <= known || !exists && (o.Deleted || o.Revision <= s.Revision) {
