--- a/placer/plan.go
+++ b/placer/plan.go
@@ -9,10 +9,10 @@
 
 // Plan decides what to do next in the zone.
 //
-// Ending a group frees members that earlier slots may want. So a plan that ends
-// groups while it fills slots is computed again, with those groups ending from
-// the start. Each round ends at least one more group, so the number of rounds is
-// bounded.
+// Ending a group frees members that earlier slots (rule P1) may want. So if filling
+// slots or replacing groups dissolved or drained some, the plan is computed again,
+// with those groups ending from the start: recordEnd adds them to ended. Each round
+// ends at least one more group, so the number of rounds is bounded.
 func Plan(in Input) Output {
 	ended := map[garnetworks.GroupID]groupEnd{}
 	for {
@@ -25,11 +25,14 @@
 			p.saveState()
 			return p.out
 		}
+		// What this round decided isn't decided again, so its records are kept.
 		in.State.Sheds = p.out.State.Sheds
 		in.State.StragglerReplacements = p.out.State.StragglerReplacements
 	}
 }
 
+// decide makes one round's decisions. It stops after those on groups if the plan is to be
+// computed again.
 func (p *planner) decide() {
 	p.out.State.Sheds = copyMap(p.in.State.Sheds)
 	p.out.State.StragglerReplacements = copyMap(p.in.State.StragglerReplacements)
@@ -53,7 +56,7 @@
 	return c
 }
 
-// sequenceDecisions puts the decisions in an order in which they can be executed:
+// sequenceDecisions puts the decisions in a sequence in which they can be executed:
 // those that free members and power come before those that need them.
 func (p *planner) sequenceDecisions() {
 	count := len(p.groupEnds) + len(p.powerOffs) + len(p.powerOns) + len(p.pendingGroups) + len(p.loadOrders)
@@ -70,6 +73,7 @@
 	p.out.Decisions = append(p.out.Decisions, p.loadOrders...)
 }
 
+// decision returns the decision that forms the group.
 func (f *pendingGroup) decision() FormGroup {
 	d := FormGroup{
 		Domain:   f.placement.domain.ID,
