--- a/scheduler/others.go
+++ b/scheduler/others.go
@@ -9,7 +9,8 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Load returns the calls that this node has at each group, and the demand for each model.
+// Load returns the number of this node's calls at each group that has any, and this node's
+// arrival rate of calls to each model.
 func (s *Scheduler) Load(now time.Time) garnetworks.LoadReport {
 	var report garnetworks.LoadReport
 	for _, model := range slices.Sorted(maps.Keys(s.pools)) {
@@ -25,8 +26,8 @@
 }
 
 // OfferedLoad returns the number of calls of each model that would be running if all arrivals
-// were served: the arrival rate at all nodes, by the last report, times the service time.
-// Models without a completed call are left out.
+// were served: the node's own arrival rate plus that of its peers by their last report (0
+// while unknown), times the service time. Models without a completed call are left out.
 func (s *Scheduler) OfferedLoad(now time.Time) map[garnetworks.ModelName]float64 {
 	load := make(map[garnetworks.ModelName]float64)
 	for model, p := range s.pools {
@@ -37,7 +38,7 @@
 	return load
 }
 
-// recordServiceTime adds the time that a call was at a group to the moving average.
+// recordServiceTime adds the time from a call's dispatch to its end to the moving average.
 func (p *pool) recordServiceTime(took time.Duration) {
 	if p.serviceTime == 0 {
 		p.serviceTime = took
@@ -45,6 +46,8 @@
 	p.serviceTime += time.Duration(serviceTimeWeight * float64(took-p.serviceTime))
 }
 
+// demand returns the arrival rate in calls per second, an exponential average with the time
+// constant demandDecay.
 func (p *pool) demand(now time.Time) float64 {
 	if p.demandAt.IsZero() {
 		return 0
@@ -52,13 +55,14 @@
 	return p.demandRate * math.Exp(-float64(now.Sub(p.demandAt))/float64(demandDecay))
 }
 
+// recordArrival adds a call's arrival to the average arrival rate.
 func (p *pool) recordArrival(now time.Time) {
 	p.demandRate = p.demand(now) + 1/demandDecay.Seconds()
 	p.demandAt = now
 }
 
-// SetPeerLoad sets the load and demand of the other nodes, or that they are unknown, and
-// returns decisions on waiting calls (Q6).
+// SetPeerLoad sets the load and demand of the other nodes by a new report and returns decisions
+// on waiting calls (Q6). If known is false, there is no report: peers is ignored.
 func (s *Scheduler) SetPeerLoad(now time.Time, peers garnetworks.LoadReport, known bool) []Decision {
 	if known != s.peersKnown {
 		s.peersKnown = known
@@ -66,6 +70,7 @@
 	}
 	if !known {
 		for _, p := range s.pools {
+			// share keeps its last value; allowance isn't read while the peers are unknown.
 			p.peerDemand, p.refill = 0, 0
 			for _, g := range p.groups {
 				g.lost = false
@@ -91,8 +96,8 @@
 	return s.Advance(now)
 }
 
-// resetWindows reinitializes all windows. Whether a window covers the calls of one node or
-// of the whole site depends on peersKnown.
+// resetWindows clears what depends on whether the peers' load is known: the allowances, the
+// calls of peers, and the windows, which cover the calls of one node or of the whole site.
 func (s *Scheduler) resetWindows() {
 	for _, p := range s.pools {
 		p.allowance = 0
@@ -103,9 +108,8 @@
 	}
 }
 
-// applyPeerLoad sets the peers' calls of a pool and computes the node's allowance. With many
-// nodes, a node's proportional share can be less than one slot although slots are free; it
-// then gets a minimum, so that it doesn't reject its second call in a burst.
+// applyPeerLoad sets the peers' calls of a pool and computes the node's allowance. peerDemand
+// is in calls per second; nodes includes this one.
 func (s *Scheduler) applyPeerLoad(now time.Time, p *pool, running map[garnetworks.GroupID]int, peerDemand float64, nodes int) {
 	freeSlots, runningCalls := 0.0, 0.0
 	for _, g := range p.groups {
@@ -121,18 +125,21 @@
 	if ownDemand+peerDemand > 0 {
 		p.share = ownDemand / (ownDemand + peerDemand)
 	}
-	// Carries over the fractional part, so that a node with few calls gets a whole slot in time.
+	// The fraction of a slot is carried over, so that small shares add up to a slot.
 	remainder := p.allowance - math.Floor(p.allowance)
 	p.allowance = freeSlots*p.share + min(max(remainder, 0), 1)
+	// The share of a node with few calls can be close to 0. At least 1/nodes is assumed here, so
+	// that the node doesn't overestimate its wait and reject calls (Q1).
 	refillShare := max(p.share, 1/float64(nodes))
 	p.refill = refillShare * freeSlots / peerReportDelay.Seconds()
 	if p.serviceTime > 0 {
 		p.refill += refillShare * runningCalls / p.serviceTime.Seconds()
 	}
+	// While there are many free slots, the node may exceed its share; see surplusFactor.
 	if freeSlots >= surplusFactor*(ownDemand+peerDemand)*peerReportDelay.Seconds()+1 {
 		p.allowance = max(p.allowance, freeSlots*surplusShare)
 	}
-	// Between two calls the demand of a node with few calls is near zero. If there is a free
-	// slot for each node, it need not wait for the next report.
+	// Each node may take an equal part of the free slots, if that is a slot at least: between two
+	// calls the demand of a node with few calls decays to almost zero, and so does its share.
 	p.allowance = max(p.allowance, math.Floor(freeSlots/float64(nodes)))
 }
