--- a/matcher/matcher_test.go
+++ b/matcher/matcher_test.go
@@ -51,7 +51,7 @@
 	x := newIndex()
 	for key, want := range map[string]bool{"k1": true, "k2": true, "k3": false, "": false} {
 		if _, ok := x.Workspace(key); ok != want {
-			t.Errorf("key %q: got %t, want %t", key, ok, want)
+			t.Errorf("key %q: got ok %t", key, ok)
 		}
 	}
 }
@@ -63,7 +63,7 @@
 	for i := range draws {
 		name, ok := matcher.Target(weighted, float64(i)/draws)
 		if !ok {
-			t.Fatal("no target for the random number", float64(i)/draws)
+			t.Fatal("no target for a random number below 1")
 		}
 		counts[name]++
 	}
