--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -172,12 +172,14 @@
 	return f.budget.Available(time.Now())
 }
 
+// creditRetryBudget counts a call, which adds to the retries that the budget allows.
 func (f *Forwarder) creditRetryBudget() {
 	f.budgetMu.Lock()
 	defer f.budgetMu.Unlock()
 	f.budget.RecordCall(time.Now())
 }
 
+// takeFromRetryBudget takes a retry from the budget and reports whether there was one.
 func (f *Forwarder) takeFromRetryBudget() bool {
 	f.budgetMu.Lock()
 	defer f.budgetMu.Unlock()
@@ -200,10 +202,9 @@
 	return t
 }
 
-// recoverPanic calls run and returns its panic as an error.
-//
-// Failure: an adapter panics on an unexpected answer. Attempts run on their own goroutines,
-// where the HTTP server does not recover, so the panic would end the process and all its calls.
+// recoverPanic calls run and returns its panic as an error. Attempts run on their own
+// goroutines, where the HTTP server doesn't recover panics: an adapter that panics on an
+// unexpected answer would end the process and all its calls.
 func recoverPanic(run func() error) (err error) {
 	defer func() {
 		if value := recover(); value != nil {
--- a/forwarder/model.go
+++ b/forwarder/model.go
@@ -175,10 +175,9 @@
 	}
 }
 
-// awaitRetry takes a retry from the budget (rule F8).
-//
-// Failure: the loss of a zone interrupts many streams at once. They must not all be resumed
-// at the same time, so each waits for the budget, up to ResumeWait.
+// awaitRetry takes a retry from the budget (rule F8). The loss of a zone interrupts many
+// streams at once; so that they aren't all resumed at the same time, each waits for the budget,
+// up to ResumeWait.
 func (m *modelCall) awaitRetry(ctx context.Context, decision retrier.Decision) bool {
 	if decision.Free {
 		return true
@@ -217,9 +216,9 @@
 // chooseAnyGroup waits up to ResumeWait for a group to resume an interrupted stream on, tried
 // or not.
 //
-// Failure: the model's only group is lost, or a lost probe removes its confirmation for a
-// moment. The caller has part of the answer already, which would be generated again from the
-// start.
+// The model may have no group for a moment, because its only one is lost or a lost probe has
+// removed the group's confirmation. Without the wait, the part of the answer that the caller
+// already has would be generated again from the start.
 func (m *modelCall) chooseAnyGroup(ctx context.Context) (garnetworks.GroupView, error) {
 	deadline := time.Now().Add(m.options.Timeouts.ResumeWait)
 	for {
@@ -361,8 +360,8 @@
 			Cause: errors.New("the engine ended the answer with an error"),
 		}
 	}
-	// Failure: a resumed attempt ends before the position at which the first one was
-	// interrupted, so its end marker belongs to another text.
+	// If a resumed attempt ends before the position at which the first one was interrupted, its
+	// end marker belongs to another text.
 	if chunk.Index+chunk.Tokens < m.transcript.tokens {
 		return &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: errContradictingChunk}
 	}
@@ -388,7 +387,7 @@
 		failed.timedOut = attempt.Stalled
 		failed.connectionStalled = attempt.Stalled
 	}
-	// Failure: an adapter reports an answer without an end marker as done. An error is never
+	// An adapter may report an answer without an end marker as done, but an error is never
 	// PhaseDone.
 	if failed.phase == garnetworks.PhaseDone {
 		failed.phase = garnetworks.PhaseBody
--- a/forwarder/service.go
+++ b/forwarder/service.go
@@ -350,7 +350,7 @@
 	if err == nil && answer.ID != call.ID {
 		err = &garnetworks.AttemptError{
 			Phase: garnetworks.PhaseMismatched,
-			Cause: errors.Errorf("the answer is for call %q, want %q", answer.ID, call.ID),
+			Cause: errors.Errorf("the answer is for another call, %q", answer.ID),
 		}
 	}
 	result := garnetworks.AttemptResult{Phase: garnetworks.PhaseDone}
--- a/forwarder/silence.go
+++ b/forwarder/silence.go
@@ -141,9 +141,9 @@
 
 // watchdog cancels an attempt that makes no progress (rule F4).
 //
-// Failure: a device between the node and the engine drops the state of an open connection.
-// Reads on it block forever without an error. Only the missing progress shows it, and only a
-// new connection distinguishes it from a slow engine.
+// If a device between the node and the engine drops the state of an open connection, reads on
+// it block forever without an error. Only the missing progress shows that, and only a new
+// connection distinguishes it from a slow engine.
 type watchdog struct {
 	f     *Forwarder
 	group *garnetworks.GroupView
--- a/forwarder/transcript.go
+++ b/forwarder/transcript.go
@@ -53,8 +53,8 @@
 	}
 	switch {
 	case c.Index > t.tokens:
-		// Failure: an engine skips tokens when it resumes; the caller would get an answer with a
-		// gap that looks whole.
+		// An engine that skips tokens when it resumes would leave a gap in an answer that looks
+		// complete to the caller.
 		return Part{}, errContradictingChunk
 	case c.Index < t.tokens:
 		return t.overlap(c)
@@ -64,9 +64,9 @@
 
 // overlap handles a chunk that begins before the end of the delivered answer.
 //
-// Failure: an engine ignores the resume position and generates the answer again, which differs
-// if sampling is random. Cut by position alone, two different texts would be joined, so the
-// repeated text must match.
+// An engine that ignores the resume position generates the answer again, and with random
+// sampling a different one. Cut by position alone, two different texts would be joined, so
+// the repeated text must match.
 func (t *transcript) overlap(c *garnetworks.Chunk) (Part, error) {
 	offset, ok := t.offset(c.Index)
 	if !ok {
