--- a/estimator/estimator.go
+++ b/estimator/estimator.go
@@ -99,8 +99,8 @@
 // Rand returns a random index; it implements distuv.Rander.
 func (u uniformIndex) Rand() float64 { return float64(u.random.IntN(u.n)) }
 
-// containsZero reports whether the interval is missing or contains zero.
-func (e *Estimate) containsZero() bool {
+// inconclusive reports whether the interval is missing or contains zero.
+func (e *Estimate) inconclusive() bool {
 	return e.Low == nil || *e.Low <= 0 && *e.High >= 0
 }
 
@@ -119,7 +119,7 @@
 	switch {
 	case e.Low == nil:
 		return "too few pairs"
-	case e.containsZero():
+	case e.inconclusive():
 		return "not told apart"
 	case e.Difference > 0:
 		return "new is better"
