--- a/router/capacity.go
+++ b/router/capacity.go
@@ -9,7 +9,8 @@
 )
 
 // capacities returns for each base model the slots and the calls in use of its eligible groups
-// and the median time to first token, sorted by model. Pools with an adapter are left out.
+// and the median time to first token, sorted by model. Pools with an adapter are left out. now
+// is in nanoseconds.
 func (t *table) capacities(now int64) []garnetworks.ModelCapacity {
 	var all []garnetworks.ModelCapacity
 	for key, p := range t.pools {
@@ -23,6 +24,7 @@
 
 // capacity sums up the eligible groups of a pool over the whole site.
 func (t *table) capacity(now int64, model garnetworks.ModelName, p *pool) garnetworks.ModelCapacity {
+	// Recomputes the expected loads that inUse reads.
 	p.site.refresh(now)
 	result := garnetworks.ModelCapacity{Model: model}
 	t.scratch = t.scratch[:0]
@@ -39,6 +41,7 @@
 	}
 	if len(t.scratch) > 0 {
 		slices.Sort(t.scratch)
+		// The upper median over the groups, in seconds.
 		result.FirstToken = time.Duration(t.scratch[len(t.scratch)/2] * float64(time.Second))
 	}
 	return result
