--- a/quarantiner/record.go
+++ b/quarantiner/record.go
@@ -22,8 +22,8 @@
 	// (Z6). It is one below CrashThreshold, so that a node that reads the record can quarantine
 	// the content after one more crash.
 	RetainThreshold = 2
-	// recordTTL is how long after its last interruption the record of a content that isn't
-	// quarantined is kept.
+	// recordTTL is how long after its last interruption the record of a content with fewer than
+	// CrashThreshold crashes is kept.
 	recordTTL = 10 * time.Minute
 	// MinQuarantine is the length of a quarantine after CrashThreshold crashes. It leaves an
 	// operator time to repair or roll back a model version.
@@ -104,6 +104,7 @@
 
 // awaitsProof reports whether proofs of the suspected crashes could quarantine the content.
 func (r *record) awaitsProof() bool {
+	// Refused connections count as a confirmed crash until the incarnation answers (Z2).
 	all := len(r.incarnations(garnetworks.CrashSuspected))
 	return all >= CrashThreshold && len(r.incarnations(garnetworks.CrashConnectionRefused)) < all
 }
@@ -126,7 +127,7 @@
 	return min(MaxQuarantine, MinQuarantine<<min(max(crashes-CrashThreshold, 0), maxDoublings))
 }
 
-// expiresAt returns when the record may be removed. If the content is quarantined, that is after
+// expiresAt returns when the record may be removed. With CrashThreshold crashes, that is after
 // twice the length of the quarantine, so that a crash after its end leads to a longer one.
 func (r *record) expiresAt() time.Time {
 	if crashes := len(r.incarnations(garnetworks.CrashConnectionRefused)); crashes >= CrashThreshold {
