--- a/placer/doc.go
+++ b/placer/doc.go
@@ -91,13 +91,13 @@
 //	    the fewest bytes left, which minimizes the sum of waits. Loading groups
 //	    keep a small minimum rate; preloads get only what is left.
 //	P13 No flapping: an instance that was powered on is not powered off by
-//	    choice (without a fault or a need for its power) before FlapDampingTime
-//	    has passed, and a spare that was powered off by choice is not powered on
-//	    again as a spare before then. A model that lost groups to a lowered limit
-//	    or maximum regains those above its minimum no sooner than FlapDampingTime
+//	    choice (that is, without a fault) before FlapDampingTime has passed,
+//	    and a spare that was powered off by choice is not powered on again as a
+//	    spare before then. A model that lost groups to a lowered limit or
+//	    maximum regains those above its minimum no sooner than FlapDampingTime
 //	    after that, those of its minimum no sooner than ReformDelay; the groups
-//	    that remained are replaced without delay. Members reserved for a slot are
-//	    kept until another choice is sooner by ReservationHysteresis. Rates
+//	    that remained are replaced without delay. Members reserved for a slot
+//	    are kept until another choice is sooner by ReservationHysteresis. Rates
 //	    change by steps of at least an eighth. A plan applied to its own result
 //	    has no decisions.
 //	P14 If S·g > D, a group's members are powered on so late that their boots
