--- a/matcher/matcher_test.go
+++ b/matcher/matcher_test.go
@@ -71,6 +71,6 @@
 		t.Errorf("got %v, want 900 of a and 100 of b", counts)
 	}
 	if _, ok := matcher.Target(&garnetworks.Route{}, 0); ok {
-		t.Error("got a target of a route without targets")
+		t.Error("got a service, but the route has no targets")
 	}
 }
