--- a/router/capacity.go
+++ b/router/capacity.go
@@ -8,8 +8,9 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// capacities returns the total capacity and load of each model's eligible groups, sorted by
-// model.
+// capacities returns for each base model the slots and the calls in use of its eligible groups
+// and the median time to first token, sorted by model. Pools with an adapter are left out. now
+// is in nanoseconds.
 func (t *table) capacities(now int64) []garnetworks.ModelCapacity {
 	var all []garnetworks.ModelCapacity
 	for key, p := range t.pools {
@@ -21,24 +22,27 @@
 	return all
 }
 
+// capacity sums up the eligible groups of a pool over the whole site.
 func (t *table) capacity(now int64, model garnetworks.ModelName, p *pool) garnetworks.ModelCapacity {
+	// Recomputes the expected loads that inUse reads.
 	p.site.refresh(now)
-	sum := garnetworks.ModelCapacity{Model: model}
+	result := garnetworks.ModelCapacity{Model: model}
 	t.scratch = t.scratch[:0]
 	for _, e := range p.site.entries {
 		g := e.group
 		if !g.eligible(now) {
 			continue
 		}
-		sum.Slots += int(g.load.capacity)
-		sum.InUse += g.load.inUse()
+		result.Slots += int(g.load.capacity)
+		result.InUse += g.load.inUse()
 		if g.pace.reliable(now) {
 			t.scratch = append(t.scratch, g.pace.firstToken)
 		}
 	}
 	if len(t.scratch) > 0 {
 		slices.Sort(t.scratch)
-		sum.FirstToken = time.Duration(t.scratch[len(t.scratch)/2] * float64(time.Second))
+		// The upper median over the groups, in seconds.
+		result.FirstToken = time.Duration(t.scratch[len(t.scratch)/2] * float64(time.Second))
 	}
-	return sum
+	return result
 }
