--- a/controller/act.go
+++ b/controller/act.go
@@ -9,13 +9,13 @@
 	"github.com/garnetworks/garnetworks/grouper"
 )
 
-// deciding is one step of an active holder.
-type deciding struct {
+// activeStep is one step of an active holder.
+type activeStep struct {
 	*ZoneState
-	o     Observation
-	e     *Effects
-	fresh grouper.Statuses
-	heard map[garnetworks.InstanceID]time.Time
+	o          Observation
+	e          *Effects
+	fresh      grouper.Statuses
+	lastStatus map[garnetworks.InstanceID]time.Time
 	// open are the domains in the course of the decision, in order of name.
 	open []*openDomain
 }
@@ -29,9 +29,9 @@
 	if s.superseded(o, e) {
 		return
 	}
-	p := &deciding{ZoneState: s, o: o, e: e}
-	p.hear()
-	p.forget()
+	p := &activeStep{ZoneState: s, o: o, e: e}
+	p.collectStatuses()
+	p.pruneInstances()
 	if p.isolated() {
 		return
 	}
@@ -42,13 +42,13 @@
 	if p.observe() {
 		return
 	}
-	if p.statePower() {
+	if p.planPower() {
 		p.planGroups()
 	}
 	p.commit()
 	p.sendOrders()
 	p.sendPower()
-	p.measure()
+	p.updateMetrics()
 	p.publish()
 }
 
@@ -62,68 +62,68 @@
 	}
 	switch {
 	case highest > s.Term:
-		s.giveIn(o, e, highest, "the object API holds a higher term")
+		s.stepDown(o, e, highest, "the object API holds a higher term")
 	case s.refused != "":
-		s.giveIn(o, e, s.Term, s.refused)
+		s.stepDown(o, e, s.Term, s.refused)
 	default:
 		return false
 	}
 	return true
 }
 
-func (s *ZoneState) giveIn(o Observation, e *Effects, floor uint32, why string) {
-	e.Events = append(e.Events, garnetworks.Event{Kind: garnetworks.EventOrderRefused, Zone: s.Zone, Error: garnetworks.KindStaleToken, Detail: why})
+func (s *ZoneState) stepDown(o Observation, e *Effects, floor uint32, reason string) {
+	e.Events = append(e.Events, garnetworks.Event{Kind: garnetworks.EventOrderRefused, Zone: s.Zone, Error: garnetworks.KindStaleToken, Detail: reason})
 	if o.Term != 0 {
 		e.RaiseFloor = max(e.RaiseFloor, floor)
 	}
 	s.reset()
 }
 
-// forget drops what is kept for instances that no domain holds any more.
-func (p *deciding) forget() {
-	maps.DeleteFunc(p.direct, func(id garnetworks.InstanceID, _ Witness) bool { return !p.holds(id) })
-	maps.DeleteFunc(p.orders, func(id garnetworks.InstanceID, _ *sentOrder) bool { return !p.holds(id) })
-	maps.DeleteFunc(p.reads, func(id garnetworks.InstanceID, _ *nextCall) bool { return !p.holds(id) })
-	maps.DeleteFunc(p.power, func(id garnetworks.InstanceID, _ *sentPower) bool { return !p.holds(id) })
-	maps.DeleteFunc(p.offAt, func(id garnetworks.InstanceID, _ time.Time) bool { return !p.holds(id) })
-	maps.DeleteFunc(p.loads.Rates, func(id garnetworks.InstanceID, _ int64) bool { return !p.holds(id) })
-	maps.DeleteFunc(p.loads.Preloads, func(id garnetworks.InstanceID, _ garnetworks.WeightID) bool { return !p.holds(id) })
+// pruneInstances drops what is kept for instances that no domain holds any more.
+func (p *activeStep) pruneInstances() {
+	maps.DeleteFunc(p.direct, func(id garnetworks.InstanceID, _ TimedStatus) bool { return !p.hasInstance(id) })
+	maps.DeleteFunc(p.orders, func(id garnetworks.InstanceID, _ *sentOrder) bool { return !p.hasInstance(id) })
+	maps.DeleteFunc(p.reads, func(id garnetworks.InstanceID, _ *periodicCall) bool { return !p.hasInstance(id) })
+	maps.DeleteFunc(p.power, func(id garnetworks.InstanceID, _ *sentPower) bool { return !p.hasInstance(id) })
+	maps.DeleteFunc(p.offAt, func(id garnetworks.InstanceID, _ time.Time) bool { return !p.hasInstance(id) })
+	maps.DeleteFunc(p.loads.Rates, func(id garnetworks.InstanceID, _ int64) bool { return !p.hasInstance(id) })
+	maps.DeleteFunc(p.loads.Preloads, func(id garnetworks.InstanceID, _ garnetworks.WeightID) bool { return !p.hasInstance(id) })
 }
 
-func (p *deciding) holds(id garnetworks.InstanceID) bool {
-	_, ok := p.heard[id]
+func (p *activeStep) hasInstance(id garnetworks.InstanceID) bool {
+	_, ok := p.lastStatus[id]
 	return ok
 }
 
-// hear collects the statuses that are fresh enough to count (rule G1) and when
+// collectStatuses collects the statuses that are fresh enough to count (rule G1) and when
 // each instance was last heard.
-func (p *deciding) hear() {
+func (p *activeStep) collectStatuses() {
 	p.fresh = grouper.Statuses{}
-	p.heard = map[garnetworks.InstanceID]time.Time{}
-	for _, d := range p.sorted() {
-		for n := range d.Ahead.Instances {
-			p.hearOne(d.Ahead.Instances[n].ID)
+	p.lastStatus = map[garnetworks.InstanceID]time.Time{}
+	for _, d := range p.sortedDomains() {
+		for n := range d.Decided.Instances {
+			p.collectStatus(d.Decided.Instances[n].ID)
 		}
 	}
 }
 
-func (p *deciding) hearOne(id garnetworks.InstanceID) {
-	w, ok := p.o.Statuses[id]
-	if own, known := p.direct[id]; known && (!ok || own.At.After(w.At)) {
-		w, ok = own, true
+func (p *activeStep) collectStatus(id garnetworks.InstanceID) {
+	s, ok := p.o.Statuses[id]
+	if own, known := p.direct[id]; known && (!ok || own.At.After(s.At)) {
+		s, ok = own, true
 	}
-	p.heard[id] = p.HearFrom
+	p.lastStatus[id] = p.ListeningSince
 	// A status from before the power was proven off is the echo of a machine that
 	// no longer runs.
-	if !ok || !w.At.After(p.offAt[id]) {
+	if !ok || !s.At.After(p.offAt[id]) {
 		return
 	}
-	if w.At.After(p.HearFrom) {
-		p.heard[id] = w.At
+	if s.At.After(p.ListeningSince) {
+		p.lastStatus[id] = s.At
 	}
-	if p.o.Now.Sub(w.At) <= garnetworks.ConfirmationBound {
-		p.fresh[id] = w.EngineStatus
-		p.heardAny = p.o.Now
+	if p.o.Now.Sub(s.At) <= garnetworks.ConfirmationBound {
+		p.fresh[id] = s.EngineStatus
+		p.lastContact = p.o.Now
 	}
 }
 
@@ -131,35 +131,35 @@
 // (C8). It guards against a holder that is cut off from the engines: to it all
 // groups look broken while other nodes reach them. Silence does not count
 // against instances while it lasts.
-func (p *deciding) isolated() bool {
-	if len(p.fresh) > 0 || p.running() < 2 {
+func (p *activeStep) isolated() bool {
+	if len(p.fresh) > 0 || p.countRunning() < 2 {
 		return false
 	}
-	silent := p.o.Now.Sub(p.heardAny)
-	given := !p.gaveAway.IsZero() && p.o.Now.Sub(p.gaveAway) < believeDark
+	silent := p.o.Now.Sub(p.lastContact)
+	yielded := !p.yieldedAt.IsZero() && p.o.Now.Sub(p.yieldedAt) < yieldCooldown
 	if silent <= p.Times.Isolation {
 		p.readBack()
 		return true
 	}
-	if given {
+	if yielded {
 		return false
 	}
-	p.e.GiveAway = true
+	p.e.YieldLease = true
 	p.e.Events = append(p.e.Events, garnetworks.Event{Kind: garnetworks.EventLeaseLost, Zone: p.Zone, Detail: "no instance answers this node; another node may reach them"})
 	p.reset()
-	p.gaveAway = p.o.Now
+	p.yieldedAt = p.o.Now
 	return true
 }
 
 // believeDark is how long after giving the lease away for silence a holder
 // believes the silence.
-const believeDark = 10 * time.Minute
+const yieldCooldown = 10 * time.Minute
 
-func (p *deciding) running() int {
+func (p *activeStep) countRunning() int {
 	n := 0
 	for _, d := range p.Domains {
-		for k := range d.Ahead.Instances {
-			if d.Ahead.Instances[k].Power == garnetworks.PowerOn && d.Ahead.Instances[k].Condition != garnetworks.ConditionLost {
+		for k := range d.Decided.Instances {
+			if d.Decided.Instances[k].Power == garnetworks.PowerOn && d.Decided.Instances[k].Condition != garnetworks.ConditionLost {
 				n++
 			}
 		}
@@ -168,20 +168,20 @@
 }
 
 // addDomains makes an object for each listed domain that has none.
-func (p *deciding) addDomains() {
+func (p *activeStep) addDomains() {
 	for _, l := range p.Listed {
 		if l.Service != "" || l.Domain == "" || p.Domains[l.Domain] != nil {
 			continue
 		}
 		d := &DomainState{Record: Record[garnetworks.FabricDomain]{Key: DomainKey(p.Zone, l.Domain)}}
-		d.Ahead = garnetworks.FabricDomain{ID: l.Domain, Zone: p.Zone}
+		d.Decided = garnetworks.FabricDomain{ID: l.Domain, Zone: p.Zone}
 		p.Domains[l.Domain] = d
 	}
 }
 
-func (p *deciding) openDomains() bool {
-	for _, d := range p.sorted() {
-		a, err := grouper.Open(&d.Ahead, p.Term)
+func (p *activeStep) openDomains() bool {
+	for _, d := range p.sortedDomains() {
+		a, err := grouper.Open(&d.Decided, p.Term)
 		if err != nil {
 			return false
 		}
@@ -190,9 +190,9 @@
 	return true
 }
 
-func (p *deciding) domain(id garnetworks.DomainID) *openDomain {
+func (p *activeStep) domain(id garnetworks.DomainID) *openDomain {
 	for _, d := range p.open {
-		if d.Ahead.ID == id {
+		if d.Decided.ID == id {
 			return d
 		}
 	}
@@ -201,25 +201,25 @@
 
 // observe takes in what instances and the list say. It reports that another
 // holder has taken over.
-func (p *deciding) observe() bool {
+func (p *activeStep) observe() bool {
 	observation := grouper.Observation{
 		Now:         p.o.Now,
 		Fresh:       p.fresh,
-		LastStatus:  p.heard,
+		LastStatus:  p.lastStatus,
 		Leaving:     garnetworks.NewSet[garnetworks.InstanceID](),
 		PowerOnSent: map[garnetworks.InstanceID]time.Time{},
 		FormSent:    map[garnetworks.InstanceID]time.Time{},
-		Timeouts:    p.bounds(),
+		Timeouts:    p.timeouts(),
 	}
 	for _, d := range p.open {
 		for n := range d.Domain().Instances {
 			i := &d.Domain().Instances[n]
 			if s := p.orders[i.ID]; s != nil && s.kind == garnetworks.OrderForm && s.token == i.Token {
-				observation.FormSent[i.ID] = s.first
+				observation.FormSent[i.ID] = s.firstSent
 			}
 			// An order of an earlier decision tells nothing of this one's boot.
 			if s := p.power[i.ID]; s != nil && s.token == i.Token {
-				observation.PowerOnSent[i.ID] = s.first
+				observation.PowerOnSent[i.ID] = s.firstSent
 			}
 		}
 	}
@@ -233,42 +233,42 @@
 	}
 	for _, d := range p.open {
 		if token, over := d.Observe(observation); over {
-			p.giveIn(p.o, p.e, token.Term(), "an engine holds the token "+token.String())
+			p.stepDown(p.o, p.e, token.Term(), "an engine holds the token "+token.String())
 			return true
 		}
-		for id := range p.gone {
+		for id := range p.removed {
 			if !listed.Has(id) && p.o.Term != 0 {
 				d.RemoveVanished(id, p.o.Now)
 			}
 		}
-		p.followManifest(d)
+		p.applyManifest(d)
 	}
 	return false
 }
 
 // register takes listed engines in. A row of a domain that holds the instance
 // under another domain's name is left alone until the old domain lets it go.
-func (p *deciding) register(l garnetworks.ListedInstance) {
+func (p *activeStep) register(l garnetworks.ListedInstance) {
 	class, known := p.class(l.Class)
 	if l.Service != "" || !known {
 		return
 	}
 	for _, d := range p.open {
-		if d.Ahead.ID != l.Domain && grouper.FindInstance(&d.Ahead, l.ID) != nil {
+		if d.Decided.ID != l.Domain && grouper.FindInstance(&d.Decided, l.ID) != nil {
 			return
 		}
 	}
 	if d := p.domain(l.Domain); d != nil {
 		d.Register(l, class)
-		p.gone.Remove(l.ID)
+		p.removed.Remove(l.ID)
 	}
-	if _, known := p.heard[l.ID]; !known {
-		p.heard[l.ID] = p.o.Now
+	if _, known := p.lastStatus[l.ID]; !known {
+		p.lastStatus[l.ID] = p.o.Now
 	}
 }
 
-// followManifest notes the generation and the adapters of serving groups.
-func (p *deciding) followManifest(d *openDomain) {
+// applyManifest notes the generation and the adapters of serving groups.
+func (p *activeStep) applyManifest(d *openDomain) {
 	if p.Manifest == nil {
 		return
 	}
@@ -283,7 +283,7 @@
 	}
 }
 
-func (p *deciding) bounds() grouper.Timeouts {
+func (p *activeStep) timeouts() grouper.Timeouts {
 	b := grouper.Timeouts{Loss: p.Times.Loss, Form: p.Times.Form, Load: p.Times.Load, Boot: map[string]time.Duration{}}
 	if p.Manifest == nil {
 		return b
@@ -295,15 +295,15 @@
 	return b
 }
 
-// statePower decides the zone's limit and its statement. It reports false while
+// planPower decides the zone's limit and its statement. It reports false while
 // the limit is not known: a plan made then would take the zone for one without
 // power and shed its groups.
-func (p *deciding) statePower() bool {
+func (p *activeStep) planPower() bool {
 	if p.Manifest == nil {
 		return false
 	}
 	if !p.ListKnown {
-		return p.withoutList()
+		return p.proceedWithoutList()
 	}
 	drawn := p.drawn()
 	needs := granter.Needs(p.models(), p.Manifest.Manifest.Site.Classes)
@@ -328,23 +328,23 @@
 }
 
 // listPatience is how long a new holder waits for the instance list.
-const listPatience = 5 * time.Second
+const listWait = 5 * time.Second
 
-// withoutList lets a new holder go on with the instances that the domains hold
+// proceedWithoutList lets a new holder go on with the instances that the domains hold
 // while the instance list is down. What plain services draw is not known then, so
 // nothing is powered on or off and nothing is stated.
-func (p *deciding) withoutList() bool {
+func (p *activeStep) proceedWithoutList() bool {
 	p.Limit, p.granted = p.Power.Stored.Limit, false
-	return p.Power.Stored.SeenSequence != 0 && p.o.Now.Sub(p.Since) >= listPatience
+	return p.Power.Stored.SeenSequence != 0 && p.o.Now.Sub(p.Since) >= listWait
 }
 
 // commit keeps the decisions and asks for the writes that are due.
-func (p *deciding) commit() {
+func (p *activeStep) commit() {
 	for _, d := range p.open {
 		p.e.Events = append(p.e.Events, d.Events()...)
 		if d.Aggregate.Urgency() != grouper.Unchanged {
 			p.changed = true
-			d.Ahead = *d.Domain()
+			d.Decided = *d.Domain()
 			d.DomainState.Urgency = max(d.DomainState.Urgency, d.Aggregate.Urgency())
 			if d.SoftSince.IsZero() {
 				d.SoftSince = p.o.Now
@@ -354,7 +354,7 @@
 	}
 }
 
-func (p *deciding) store(d *DomainState) {
+func (p *activeStep) store(d *DomainState) {
 	switch {
 	case d.MustRead:
 		d.read(p.o.Now, p.e)
@@ -366,4 +366,4 @@
 }
 
 // failing reports whether the object API can't be relied on for the domain now.
-func (p *deciding) failing(d *DomainState) bool { return p.o.Term == 0 || !d.Failing.IsZero() }
+func (p *activeStep) failing(d *DomainState) bool { return p.o.Term == 0 || !d.FailingSince.IsZero() }
--- a/controller/effects.go
+++ b/controller/effects.go
@@ -27,7 +27,7 @@
 	// RaiseFloor, if above 0, asks for a lease term above it.
 	RaiseFloor uint32
 	// GiveAway asks to leave the lease to another node for a while.
-	GiveAway bool
+	YieldLease bool
 }
 
 // ReadBack asks for an engine's own word.
@@ -41,9 +41,9 @@
 	grouper.AddressedOrder
 	// BeyondLease says that the order may go out though the lease can't be
 	// renewed (rule C4).
-	BeyondLease bool
+	WithoutLease bool
 	// Again says that the same order was sent before and showed no effect.
-	Again bool
+	Retry bool
 }
 
 // PowerEffect is a power order; after its acknowledgement an order to power off
--- a/controller/fuzz_test.go
+++ b/controller/fuzz_test.go
@@ -14,20 +14,20 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	pin("rapid.seed", "1")
+	setFlagDefault("rapid.seed", "1")
 	checks := "10"
 	if testing.Short() {
 		checks = "4"
 	}
-	pin("rapid.checks", checks)
-	pin("rapid.steps", "25")
-	pin("rapid.nofailfile", "true")
+	setFlagDefault("rapid.checks", checks)
+	setFlagDefault("rapid.steps", "25")
+	setFlagDefault("rapid.nofailfile", "true")
 	os.Exit(m.Run())
 }
 
 // pin sets a flag that the command line left alone, so that CI reaches the same
 // verdict each time.
-func pin(name, value string) {
+func setFlagDefault(name, value string) {
 	given := false
 	flag.Visit(func(f *flag.Flag) { given = given || f.Name == name })
 	if !given {
@@ -87,24 +87,24 @@
 	}
 	rt.Repeat(map[string]func(*rapid.T){
 		"quiet":         func(rt *rapid.T) { s.step(rt) },
-		"pause":         fault(func(n *simNode) { n.pausedTo = s.now.Add(time.Duration(1+s.random.IntN(25)) * time.Second) }),
+		"pause":         fault(func(n *simNode) { n.pausedUntil = s.now.Add(time.Duration(1+s.random.IntN(25)) * time.Second) }),
 		"cut-api":       fault(func(n *simNode) { n.apiCut = !n.apiCut }),
-		"cut-engines":   fault(func(n *simNode) { n.cut = !n.cut }),
-		"lose-writes":   fault(func(n *simNode) { n.loseAPI = 3 }),
-		"late-writes":   fault(func(n *simNode) { n.lateAPI = 3 }),
-		"lose-answers":  fault(func(n *simNode) { n.lose = 3 }),
+		"cut-engines":   fault(func(n *simNode) { n.enginesCut = !n.enginesCut }),
+		"lose-writes":   fault(func(n *simNode) { n.loseWriteAnswers = 3 }),
+		"late-writes":   fault(func(n *simNode) { n.delayWrites = 3 }),
+		"lose-answers":  fault(func(n *simNode) { n.loseOrderAnswers = 3 }),
 		"restart-node":  fault(func(n *simNode) { s.restart(n) }),
 		"outage":        func(rt *rapid.T) { s.apiDown = !s.apiDown; simFaults++; s.step(rt) },
 		"list":          func(rt *rapid.T) { s.listDown = !s.listDown; simFaults++; s.step(rt) },
 		"site-cut":      func(rt *rapid.T) { t := s.sites[s.random.IntN(2)]; t.cut = !t.cut; s.step(rt) },
 		"site-lose":     func(rt *rapid.T) { s.sites[s.random.IntN(2)].lose = 2; s.step(rt) },
 		"cap":           func(rt *rapid.T) { s.changeCap(rapid.IntRange(5, 16).Draw(rt, "cap")); simFaults++; s.step(rt) },
-		"dark":          engine(func(e *simEngine) { e.dark = true }),
-		"return":        engine(func(e *simEngine) { e.dark = false }),
+		"dark":          engine(func(e *simEngine) { e.unreachable = true }),
+		"return":        engine(func(e *simEngine) { e.unreachable = false }),
 		"restart":       engine(func(e *simEngine) { e.restart() }),
 		"leave":         engine(func(e *simEngine) { e.leaving = true }),
-		"dark-domain":   engine(func(e *simEngine) { s.domain(e, func(e *simEngine) { e.dark = true }) }),
-		"return-domain": engine(func(e *simEngine) { s.domain(e, func(e *simEngine) { e.dark = false }) }),
+		"dark-domain":   engine(func(e *simEngine) { s.forDomain(e, func(e *simEngine) { e.unreachable = true }) }),
+		"return-domain": engine(func(e *simEngine) { s.forDomain(e, func(e *simEngine) { e.unreachable = false }) }),
 	})
 	s.recover(rt, groups)
 	simTicks += s.ticks
@@ -112,10 +112,10 @@
 
 func (s *sim) step(rt *rapid.T) {
 	s.run(time.Duration(rapid.IntRange(1, 15).Draw(rt, "seconds")) * time.Second)
-	s.verdict(rt)
+	s.failIfBroken(rt)
 }
 
-func (s *sim) verdict(rt *rapid.T) {
+func (s *sim) failIfBroken(rt *rapid.T) {
 	if s.broken == "" {
 		return
 	}
@@ -133,7 +133,7 @@
 	s.cap = max(s.cap, m.Manifest.Site.PowerCap)
 }
 
-func (s *sim) domain(e *simEngine, do func(*simEngine)) {
+func (s *sim) forDomain(e *simEngine, do func(*simEngine)) {
 	for _, other := range s.engines {
 		if other.row.Domain == e.row.Domain {
 			do(other)
@@ -159,13 +159,13 @@
 func (s *sim) recover(rt *rapid.T, groups int) {
 	s.apiDown, s.listDown = false, false
 	for _, n := range s.nodes {
-		n.apiCut, n.cut, n.lose, n.loseAPI, n.lateAPI = false, false, 0, 0, 0
+		n.apiCut, n.enginesCut, n.loseOrderAnswers, n.loseWriteAnswers, n.delayWrites = false, false, 0, 0, 0
 	}
 	for _, t := range s.sites {
 		t.cut, t.lose = false, 0
 	}
 	for _, e := range s.engines {
-		e.dark = false
+		e.unreachable = false
 		if e.leaving {
 			e.restart()
 		}
@@ -173,7 +173,7 @@
 	s.changeCap(16)
 	for range 100 {
 		s.run(10 * time.Second)
-		s.verdict(rt)
+		s.failIfBroken(rt)
 		if s.serving() == groups {
 			return
 		}
@@ -192,8 +192,8 @@
 			continue
 		}
 		rt.Logf("%s stated %+v limit %d unmet %+v", n.id, n.state.Power.Stored, n.state.Limit, n.state.Plan.Unmet)
-		for _, d := range n.state.sorted() {
-			for _, i := range d.Ahead.Instances {
+		for _, d := range n.state.sortedDomains() {
+			for _, i := range d.Decided.Instances {
 				e := s.engines[i.ID]
 				rt.Logf("%s %s %s group %q token %s; engine %s %s group %q", i.ID, i.Power, i.Condition, i.Group, i.Token, e.power, e.phase, e.group)
 			}
--- a/controller/plan.go
+++ b/controller/plan.go
@@ -10,7 +10,7 @@
 
 // leastShare is the part of the zone's store rate below which a group that has
 // yet to load waits for its turn.
-const leastShare = 100
+const minRateDivisor = 100
 
 // models returns the zone's share of the manifest's models.
 func (s *ZoneState) models() []garnetworks.ModelSpec {
@@ -18,14 +18,14 @@
 }
 
 // planGroups asks the placer and carries its decisions out on the aggregates.
-func (p *deciding) planGroups() {
+func (p *activeStep) planGroups() {
 	if !p.planDue() {
 		return
 	}
 	manifest := &p.Manifest.Manifest
 	p.Plan = placer.Plan(placer.Input{
 		Now:       p.o.Now,
-		Domains:   p.current(),
+		Domains:   p.currentDomains(),
 		Models:    p.models(),
 		Classes:   manifest.Site.Classes,
 		Costs:     manifest.Site.CostWeights,
@@ -34,28 +34,28 @@
 		StoreRate: p.storeShare(),
 		Instances: p.instanceObservations(),
 		Groups:    p.groupObservations(),
-		NoOutage:  heldModels(manifest, p.Zone, p.o.Others),
+		NoOutage:  noOutageModels(manifest, p.Zone, p.o.Others),
 		State:     p.Plan.State,
 	})
-	p.planned = p.o.Now
+	p.plannedAt = p.o.Now
 	p.changed = false
-	p.loads.MinRate = p.storeShare() / leastShare
+	p.loads.MinRate = p.storeShare() / minRateDivisor
 	for _, decision := range p.Plan.Decisions {
 		p.apply(decision)
 	}
 }
 
-func (p *deciding) planDue() bool {
-	wake := !p.Plan.ReplanAt.IsZero() && !p.o.Now.Before(p.Plan.ReplanAt)
-	return p.changed || wake || p.o.Now.Sub(p.planned) >= p.Times.PlanEvery || p.opened()
+func (p *activeStep) planDue() bool {
+	replanDue := !p.Plan.ReplanAt.IsZero() && !p.o.Now.Before(p.Plan.ReplanAt)
+	return p.changed || replanDue || p.o.Now.Sub(p.plannedAt) >= p.Times.PlanEvery || p.domainsChanged()
 }
 
 // opened reports whether this step has changed a domain already.
-func (p *deciding) opened() bool {
+func (p *activeStep) domainsChanged() bool {
 	return slices.ContainsFunc(p.open, func(d *openDomain) bool { return d.Aggregate.Urgency() != grouper.Unchanged })
 }
 
-func (p *deciding) current() []garnetworks.FabricDomain {
+func (p *activeStep) currentDomains() []garnetworks.FabricDomain {
 	domains := make([]garnetworks.FabricDomain, 0, len(p.open))
 	for _, d := range p.open {
 		domains = append(domains, *d.Domain())
@@ -64,11 +64,11 @@
 }
 
 // storeShare is the zone's part of the weight store's rate.
-func (p *deciding) storeShare() int64 {
+func (p *activeStep) storeShare() int64 {
 	return p.StoreRate / max(int64(len(p.Manifest.Manifest.Site.Zones)), 1)
 }
 
-func (p *deciding) instanceObservations() map[garnetworks.InstanceID]placer.InstanceObservation {
+func (p *activeStep) instanceObservations() map[garnetworks.InstanceID]placer.InstanceObservation {
 	observations := map[garnetworks.InstanceID]placer.InstanceObservation{}
 	for id, s := range p.fresh {
 		o := placer.InstanceObservation{Slowdown: p.o.Slowdowns[id]}
@@ -85,7 +85,7 @@
 	return observations
 }
 
-func (p *deciding) groupObservations() map[garnetworks.GroupID]placer.GroupObservation {
+func (p *activeStep) groupObservations() map[garnetworks.GroupID]placer.GroupObservation {
 	observations := map[garnetworks.GroupID]placer.GroupObservation{}
 	for _, d := range p.open {
 		for n := range d.Domain().Groups {
@@ -100,13 +100,13 @@
 
 // idle reports whether the group's engines said that they have no call, after
 // the last router can have heard of the drain (rule G9).
-func (p *deciding) idle(g *garnetworks.Group) bool {
+func (p *activeStep) idle(g *garnetworks.Group) bool {
 	for _, m := range g.Members {
 		s, ok := p.fresh[m]
 		if !ok || s.Load.Running > 0 || s.Load.Waiting > 0 {
 			return false
 		}
-		if p.heard[m].Sub(g.Since) < garnetworks.LeavingBound {
+		if p.lastStatus[m].Sub(g.Since) < garnetworks.LeavingBound {
 			return false
 		}
 	}
@@ -115,7 +115,7 @@
 
 // apply carries out one decision. One that the domain's rules refuse is left
 // out: the next plan is made from what holds then.
-func (p *deciding) apply(decision placer.Decision) {
+func (p *activeStep) apply(decision placer.Decision) {
 	switch d := decision.(type) {
 	case placer.FormGroup:
 		p.form(d)
@@ -141,9 +141,9 @@
 	}
 }
 
-func (p *deciding) form(d placer.FormGroup) {
+func (p *activeStep) form(d placer.FormGroup) {
 	a := p.domain(d.Domain)
-	if a == nil || (p.failing(a.DomainState) && !allCheck(a.Domain(), d.Members)) {
+	if a == nil || (p.failing(a.DomainState) && !allCheckFencing(a.Domain(), d.Members)) {
 		return
 	}
 	_, err := a.Form(garnetworks.Group{
@@ -163,7 +163,7 @@
 }
 
 // powerOn keeps rule C9 whatever the plan says, and C5.
-func (p *deciding) powerOn(d placer.PowerOn) {
+func (p *activeStep) powerOn(d placer.PowerOn) {
 	a := p.domain(d.Domain)
 	if a == nil || !p.granted || p.failing(a.DomainState) {
 		return
@@ -176,7 +176,7 @@
 }
 
 // drawn is the zone's draw by the decisions of this step.
-func (p *deciding) drawn() garnetworks.Watts {
+func (p *activeStep) drawn() garnetworks.Watts {
 	sum := p.servicesDraw()
 	for _, d := range p.open {
 		sum += grouper.Drawn(d.Domain())
@@ -185,7 +185,7 @@
 }
 
 // allCheck reports whether all the instances check fencing tokens.
-func allCheck(d *garnetworks.FabricDomain, members []garnetworks.InstanceID) bool {
+func allCheckFencing(d *garnetworks.FabricDomain, members []garnetworks.InstanceID) bool {
 	for _, m := range members {
 		if i := grouper.FindInstance(d, m); i == nil || !i.ChecksFencing {
 			return false
--- a/controller/record.go
+++ b/controller/record.go
@@ -22,7 +22,7 @@
 	// MustRead says that the last write's fate is not known.
 	MustRead bool
 	// Failing is when calls about the object began to fail; zero while they work.
-	Failing time.Time
+	FailingSince time.Time
 	// NotBefore delays the next call after a failure.
 	NotBefore time.Time
 }
@@ -41,8 +41,8 @@
 // retryLongest with the time for which they have failed, so that an API that is
 // down is not kept busy by those that wait for it.
 const (
-	retryFailed  = 500 * time.Millisecond
-	retryLongest = 5 * time.Second
+	minRetryDelay = 500 * time.Millisecond
+	maxRetryDelay = 5 * time.Second
 )
 
 // due reports whether a call about the object may be made now.
@@ -77,23 +77,23 @@
 	if err == nil {
 		r.Stored, r.Revision = r.Sent, revision
 		r.MustRead = false
-		r.Failing = time.Time{}
+		r.FailingSince = time.Time{}
 		return true
 	}
 	r.MustRead = true
-	r.fail(now, err)
+	r.onFailure(now, err)
 	return false
 }
 
-func (r *Record[T]) fail(now time.Time, err error) {
+func (r *Record[T]) onFailure(now time.Time, err error) {
 	if garnetworks.IsKind(err, garnetworks.KindConflict) {
 		return
 	}
-	if r.Failing.IsZero() {
-		r.Failing = now
+	if r.FailingSince.IsZero() {
+		r.FailingSince = now
 	}
 	if !garnetworks.IsKind(err, garnetworks.KindResponseLost) {
-		r.NotBefore = now.Add(min(max(now.Sub(r.Failing)/2, retryFailed), retryLongest))
+		r.NotBefore = now.Add(min(max(now.Sub(r.FailingSince)/2, minRetryDelay), maxRetryDelay))
 	}
 }
 
@@ -111,11 +111,11 @@
 		}
 	}
 	if err != nil {
-		r.fail(now, err)
+		r.onFailure(now, err)
 		return err
 	}
 	r.Stored, r.Revision = stored, object.Revision
 	r.MustRead = false
-	r.Failing = time.Time{}
+	r.FailingSince = time.Time{}
 	return nil
 }
--- a/controller/send.go
+++ b/controller/send.go
@@ -8,13 +8,13 @@
 )
 
 // sendOrders asks for the engine orders that are due and may go out.
-func (p *deciding) sendOrders() {
+func (p *activeStep) sendOrders() {
 	for _, d := range p.open {
-		for _, order := range grouper.Orders(&d.Ahead, p.fresh, p.loads) {
-			beyond, ok := p.maySend(d.DomainState, order)
-			if ok && p.pace(order) {
-				again := p.orders[order.Instance].first.Before(p.o.Now)
-				p.e.Orders = append(p.e.Orders, EngineEffect{AddressedOrder: order, BeyondLease: beyond, Again: again})
+		for _, order := range grouper.Orders(&d.Decided, p.fresh, p.loads) {
+			withoutLease, ok := p.maySend(d.DomainState, order)
+			if ok && p.startOrder(order) {
+				retry := p.orders[order.Instance].firstSent.Before(p.o.Now)
+				p.e.Orders = append(p.e.Orders, EngineEffect{AddressedOrder: order, WithoutLease: withoutLease, Retry: retry})
 			}
 		}
 	}
@@ -22,16 +22,16 @@
 }
 
 // maySend keeps rules C2 to C4 and C7.
-func (p *deciding) maySend(d *DomainState, order grouper.AddressedOrder) (beyond, ok bool) {
-	written := recorded(d, order.Instance)
+func (p *activeStep) maySend(d *DomainState, order grouper.AddressedOrder) (withoutLease, ok bool) {
+	written := decisionStored(d, order.Instance)
 	if written && p.o.Term != 0 {
 		return false, true
 	}
 	if !p.failing(d) || !order.ChecksFencing {
 		return false, false
 	}
-	i := grouper.FindInstance(&d.Ahead, order.Instance)
-	if g := grouper.FindGroup(&d.Ahead, i.Group); g != nil && !allCheck(&d.Ahead, g.Members) {
+	i := grouper.FindInstance(&d.Decided, order.Instance)
+	if g := grouper.FindGroup(&d.Decided, i.Group); g != nil && !allCheckFencing(&d.Decided, g.Members) {
 		return false, false
 	}
 	return true, true
@@ -40,22 +40,22 @@
 // recorded reports whether the newest decision about the instance is proven to
 // be written. Every decision issues a token but for a drain, which keeps the
 // group's.
-func recorded(d *DomainState, id garnetworks.InstanceID) bool {
+func decisionStored(d *DomainState, id garnetworks.InstanceID) bool {
 	stored := grouper.FindInstance(&d.Stored, id)
-	decided := grouper.FindInstance(&d.Ahead, id)
+	decided := grouper.FindInstance(&d.Decided, id)
 	return stored != nil && decided != nil &&
-		stored.Token == decided.Token && stored.Group == decided.Group && d.Stored.Term == d.Ahead.Term &&
-		drains(&d.Stored, stored.Group) == drains(&d.Ahead, decided.Group)
+		stored.Token == decided.Token && stored.Group == decided.Group && d.Stored.Term == d.Decided.Term &&
+		isDraining(&d.Stored, stored.Group) == isDraining(&d.Decided, decided.Group)
 }
 
-func drains(d *garnetworks.FabricDomain, id garnetworks.GroupID) bool {
+func isDraining(d *garnetworks.FabricDomain, id garnetworks.GroupID) bool {
 	g := grouper.FindGroup(d, id)
 	return g != nil && g.State == garnetworks.GroupDraining
 }
 
 // pace lets one order at a time go to an instance, and the same one again only
 // after a while.
-func (p *deciding) pace(order grouper.AddressedOrder) bool {
+func (p *activeStep) startOrder(order grouper.AddressedOrder) bool {
 	sent := p.orders[order.Instance]
 	if sent == nil {
 		sent = &sentOrder{}
@@ -64,11 +64,11 @@
 	if sent.busy || (sent.id == order.ID && p.o.Now.Sub(sent.at) < p.Times.Retry) {
 		return false
 	}
-	first := p.o.Now
+	firstSent := p.o.Now
 	if sent.kind == order.Kind && sent.token == order.Token {
-		first = sent.first
+		firstSent = sent.firstSent
 	}
-	*sent = sentOrder{id: order.ID, kind: order.Kind, token: order.Token, busy: true, at: p.o.Now, first: first}
+	*sent = sentOrder{id: order.ID, kind: order.Kind, token: order.Token, busy: true, at: p.o.Now, firstSent: firstSent}
 	return true
 }
 
@@ -89,10 +89,10 @@
 // they say decides (C7): those that must show their release, those whose newest
 // word the shared table does not take because its token is lower, and silent
 // ones.
-func (p *deciding) readBack() {
-	for _, d := range p.sorted() {
-		for n := range d.Ahead.Instances {
-			i := &d.Ahead.Instances[n]
+func (p *activeStep) readBack() {
+	for _, d := range p.sortedDomains() {
+		for n := range d.Decided.Instances {
+			i := &d.Decided.Instances[n]
 			if p.wantsReadBack(i) {
 				p.e.ReadBacks = append(p.e.ReadBacks, ReadBack{i.ID, i.Address})
 			}
@@ -100,17 +100,17 @@
 	}
 }
 
-func (p *deciding) wantsReadBack(i *garnetworks.Instance) bool {
+func (p *activeStep) wantsReadBack(i *garnetworks.Instance) bool {
 	if i.Power == garnetworks.PowerOff || i.Power == garnetworks.PowerStopping || i.Address == "" {
 		return false
 	}
 	_, fresh := p.fresh[i.ID]
-	if fresh && i.Condition != garnetworks.ConditionReturned && p.o.Now.Sub(p.heard[i.ID]) < p.Times.ReadBack {
+	if fresh && i.Condition != garnetworks.ConditionReturned && p.o.Now.Sub(p.lastStatus[i.ID]) < p.Times.ReadBack {
 		return false
 	}
 	read := p.reads[i.ID]
 	if read == nil {
-		read = &nextCall{}
+		read = &periodicCall{}
 		p.reads[i.ID] = read
 	}
 	return read.start(p.o.Now)
@@ -126,23 +126,23 @@
 
 // sendPower asks for the power orders that are due: only of written decisions
 // and only under the lease (C2, C5).
-func (p *deciding) sendPower() {
+func (p *activeStep) sendPower() {
 	if p.o.Term == 0 {
 		return
 	}
 	for _, d := range p.open {
-		for _, order := range grouper.PowerOrders(&d.Ahead) {
-			if recorded(d.DomainState, order.Instance) && p.pacePower(order) {
+		for _, order := range grouper.PowerOrders(&d.Decided) {
+			if decisionStored(d.DomainState, order.Instance) && p.startPowerOrder(order) {
 				p.e.Power = append(p.e.Power, PowerEffect{order})
 			}
 		}
 	}
 }
 
-func (p *deciding) pacePower(order garnetworks.PowerOrder) bool {
+func (p *activeStep) startPowerOrder(order garnetworks.PowerOrder) bool {
 	sent := p.power[order.Instance]
 	if sent == nil || sent.id != order.ID {
-		p.power[order.Instance] = &sentPower{id: order.ID, token: order.Token, busy: true, at: p.o.Now, first: p.o.Now}
+		p.power[order.Instance] = &sentPower{id: order.ID, token: order.Token, busy: true, at: p.o.Now, firstSent: p.o.Now}
 		return true
 	}
 	if sent.busy || (sent.acked && order.On) || p.o.Now.Sub(sent.at) < p.Times.Retry {
@@ -155,7 +155,7 @@
 
 // OnPower takes in the answer to a power order; for an order to power off,
 // proven is what the switch read after it acknowledged the order.
-func (s *ZoneState) OnPower(now time.Time, order garnetworks.PowerOrder, proven garnetworks.PowerState, err error) {
+func (s *ZoneState) OnPower(now time.Time, order garnetworks.PowerOrder, state garnetworks.PowerState, err error) {
 	sent := s.power[order.Instance]
 	if sent == nil || sent.id != order.ID {
 		return
@@ -168,22 +168,22 @@
 			s.refused = "the power switch refused " + order.ID
 		}
 	case garnetworks.IsKind(err, garnetworks.KindNotFound):
-		s.gone.Add(order.Instance)
+		s.removed.Add(order.Instance)
 	case err != nil:
 	case order.On:
 		sent.acked = true
-	case proven == garnetworks.PowerOff:
-		s.proveOff(now, order)
+	case state == garnetworks.PowerOff:
+		s.confirmOff(now, order)
 	}
 }
 
-func (s *ZoneState) proveOff(now time.Time, order garnetworks.PowerOrder) {
+func (s *ZoneState) confirmOff(now time.Time, order garnetworks.PowerOrder) {
 	for _, d := range s.Domains {
-		a, err := grouper.Open(&d.Ahead, s.Term)
+		a, err := grouper.Open(&d.Decided, s.Term)
 		if err != nil || !a.ConfirmOff(order.Instance, order.Token) {
 			continue
 		}
-		d.Ahead = *a.Domain()
+		d.Decided = *a.Domain()
 		d.Urgency = grouper.Hard
 		s.offAt[order.Instance] = now
 	}
--- a/controller/sim_test.go
+++ b/controller/sim_test.go
@@ -19,24 +19,24 @@
 	now time.Time
 	// cap is the most that the ledger's cap may be; whole says that the ledger has
 	// a row for each zone.
-	cap      garnetworks.Watts
-	whole    bool
-	manifest *garnetworks.AcceptedManifest
-	objects  map[string]simObject
-	revision garnetworks.Revision
-	puts     int
-	gets     int
-	engines  map[garnetworks.InstanceID]*simEngine
-	ids      []garnetworks.InstanceID
-	nodes    []*simNode
-	sites    []*simSite
-	later    []simEvent
-	apiDown  bool
-	listDown bool
-	views    map[garnetworks.ZoneID]simView
-	random   *rand.Rand
-	broken   string
-	ticks    int
+	cap            garnetworks.Watts
+	ledgerComplete bool
+	manifest       *garnetworks.AcceptedManifest
+	objects        map[string]simObject
+	revision       garnetworks.Revision
+	puts           int
+	gets           int
+	engines        map[garnetworks.InstanceID]*simEngine
+	ids            []garnetworks.InstanceID
+	nodes          []*simNode
+	sites          []*simSite
+	scheduled      []simEvent
+	apiDown        bool
+	listDown       bool
+	views          map[garnetworks.ZoneID]simView
+	random         *rand.Rand
+	broken         string
+	ticks          int
 	// ledgerSeen and domainsSeen check that stored values never go back.
 	domainsSeen map[string]garnetworks.FabricDomain
 	events      map[garnetworks.EventKind]int
@@ -61,25 +61,25 @@
 }
 
 type simNode struct {
-	s        *sim
-	id       garnetworks.NodeID
-	zone     garnetworks.ZoneID
-	lease    *leaser.State
-	leaseAt  bool
-	state    *ZoneState
-	pausedTo time.Time
-	apiCut   bool
-	cut      bool
-	loseAPI  int
-	lateAPI  int
-	lose     int
-	table    map[garnetworks.InstanceID]Witness
-	probed   time.Time
+	s                *sim
+	id               garnetworks.NodeID
+	zone             garnetworks.ZoneID
+	lease            *leaser.State
+	leaseBusy        bool
+	state            *ZoneState
+	pausedUntil      time.Time
+	apiCut           bool
+	enginesCut       bool
+	loseWriteAnswers int
+	delayWrites      int
+	loseOrderAnswers int
+	table            map[garnetworks.InstanceID]TimedStatus
+	probed           time.Time
 	// slowTo is until when each instance is probed only every three seconds.
-	slowTo   time.Time
-	writeID  int
-	sequence uint64
-	inbox    []func()
+	slowProbesUntil time.Time
+	writeID         int
+	sequence        uint64
+	inbox           []func()
 	// outbox holds orders that were decided and not sent: a pause may fall between.
 	outbox []func()
 	// process counts restarts: answers to an older process are lost.
@@ -130,7 +130,7 @@
 					Domain: garnetworks.DomainID(fmt.Sprintf("%s-d%d", zone, d)),
 				},
 				checks: checks, power: garnetworks.PowerOn, incarnation: 1, bootTime: boot,
-				phase: garnetworks.EngineIdle, truth: map[garnetworks.GroupID]time.Time{},
+				phase: garnetworks.EngineIdle, readyAt: map[garnetworks.GroupID]time.Time{},
 			}
 		}
 	}
@@ -140,7 +140,7 @@
 	lease := leaser.NewState(id, leaser.Defaults())
 	lease.Rank, lease.Candidates = rank, 3
 	times := DefaultTimes()
-	s.nodes = append(s.nodes, &simNode{s: s, id: id, zone: zone, lease: lease, state: NewZoneState(zone, times), table: map[garnetworks.InstanceID]Witness{}})
+	s.nodes = append(s.nodes, &simNode{s: s, id: id, zone: zone, lease: lease, state: NewZoneState(zone, times), table: map[garnetworks.InstanceID]TimedStatus{}})
 }
 
 func (s *sim) fail(format string, args ...any) {
@@ -150,7 +150,7 @@
 }
 
 func (s *sim) after(d time.Duration, do func()) {
-	s.later = append(s.later, simEvent{s.now.Add(d), do})
+	s.scheduled = append(s.scheduled, simEvent{s.now.Add(d), do})
 }
 
 // run advances the clock.
@@ -173,12 +173,12 @@
 }
 
 func (s *sim) deliver() {
-	due := s.later
-	s.later = nil
+	due := s.scheduled
+	s.scheduled = nil
 	sort.SliceStable(due, func(i, j int) bool { return due[i].at.Before(due[j].at) })
 	for _, e := range due {
 		if e.at.After(s.now) {
-			s.later = append(s.later, e)
+			s.scheduled = append(s.scheduled, e)
 			continue
 		}
 		e.do()
@@ -216,11 +216,11 @@
 	}
 	var ledger garnetworks.PowerLedger
 	_ = json.Unmarshal(value, &ledger)
-	whole := len(ledger.Grants) == len(s.manifest.Manifest.Site.Zones)
-	if whole && s.whole && ledger.Cap > s.cap {
+	ledgerComplete := len(ledger.Grants) == len(s.manifest.Manifest.Site.Zones)
+	if ledgerComplete && s.ledgerComplete && ledger.Cap > s.cap {
 		s.fail("the ledger's cap rises from %d W to %d W", s.cap, ledger.Cap)
 	}
-	s.whole = whole
+	s.ledgerComplete = ledgerComplete
 	s.cap = max(ledger.Cap, s.manifest.Manifest.Site.PowerCap)
 }
 
@@ -234,15 +234,15 @@
 		n.answer(simTick, func() { answer(errDown) })
 		return
 	}
-	if write && n.lateAPI > 0 {
-		n.lateAPI--
+	if write && n.delayWrites > 0 {
+		n.delayWrites--
 		s.after(time.Duration(1+s.random.IntN(20))*time.Second, func() { _ = do() })
 		n.answer(simTick, func() { answer(garnetworks.Errorf(garnetworks.KindResponseLost, "late")) })
 		return
 	}
 	err := do()
-	if write && n.loseAPI > 0 {
-		n.loseAPI--
+	if write && n.loseWriteAnswers > 0 {
+		n.loseWriteAnswers--
 		err = garnetworks.Errorf(garnetworks.KindResponseLost, "lost")
 	}
 	n.answer(simTick, func() { answer(err) })
@@ -262,7 +262,7 @@
 
 func (n *simNode) tick() {
 	s := n.s
-	if s.now.Before(n.pausedTo) {
+	if s.now.Before(n.pausedUntil) {
 		return
 	}
 	inbox := append(n.outbox, n.inbox...)
@@ -281,7 +281,7 @@
 }
 
 func (n *simNode) tickLease() {
-	if n.leaseAt {
+	if n.leaseBusy {
 		return
 	}
 	s := n.s
@@ -290,10 +290,10 @@
 	key := ZoneLeaseKey(n.zone)
 	switch a.Kind {
 	case leaser.ActionRead:
-		n.leaseAt = true
+		n.leaseBusy = true
 		var o garnetworks.Object
 		n.call(false, func() (err error) { o, err = s.get(key); return err }, func(err error) {
-			n.leaseAt = false
+			n.leaseBusy = false
 			var record garnetworks.LeaseRecord
 			if err == nil {
 				err = json.Unmarshal(o.Value, &record)
@@ -301,11 +301,11 @@
 			n.lease.OnRead(s.now, record, o.Revision, err, s.random.Float64())
 		})
 	case leaser.ActionWrite:
-		n.leaseAt = true
+		n.leaseBusy = true
 		value, _ := json.Marshal(a.Record)
 		var revision garnetworks.Revision
 		n.call(true, func() (err error) { revision, err = s.put(key, value, a.After); return err }, func(err error) {
-			n.leaseAt = false
+			n.leaseBusy = false
 			n.lease.OnWrite(s.now, revision, err)
 		})
 	}
@@ -320,11 +320,11 @@
 	for k, id := range s.ids {
 		e := s.engines[id]
 		// A node that has just started spreads its first probes over three seconds.
-		if s.now.Before(n.slowTo) && k%3 != int(s.now.Unix()%3) {
+		if s.now.Before(n.slowProbesUntil) && k%3 != int(s.now.Unix()%3) {
 			continue
 		}
-		if !n.cut && e.answers() && e.row.Zone == n.zone {
-			n.table[id] = Witness{e.status(), s.now}
+		if !n.enginesCut && e.answers() && e.row.Zone == n.zone {
+			n.table[id] = TimedStatus{e.status(), s.now}
 		}
 	}
 }
@@ -362,8 +362,8 @@
 	if e.RaiseFloor > 0 {
 		n.lease.RaiseFloor(s.now, e.RaiseFloor)
 	}
-	if e.GiveAway {
-		n.lease.GiveAway(s.now, giveAwayFor)
+	if e.YieldLease {
+		n.lease.GiveAway(s.now, yieldPeriod)
 	}
 }
 
@@ -425,8 +425,8 @@
 	s := n.s
 	sent := s.now
 	bound := n.lease.Settings.OrderBound
-	ok := o.BeyondLease && n.lease.Holding
-	if !o.BeyondLease {
+	ok := o.WithoutLease && n.lease.Holding
+	if !o.WithoutLease {
 		_, ok = n.lease.MayAct(sent, bound)
 	}
 	if !ok {
@@ -436,16 +436,16 @@
 		return
 	}
 	e := s.engines[o.Instance]
-	if n.cut || !e.answers() {
+	if n.enginesCut || !e.answers() {
 		n.answer(bound, func() {
 			n.state.OnOrder(sent, o, garnetworks.EngineStatus{}, garnetworks.Errorf(garnetworks.KindUnreachable, ""))
 		})
 		return
 	}
 	delay := time.Duration(s.random.Int64N(int64(bound)))
-	lost := n.lose > 0
+	lost := n.loseOrderAnswers > 0
 	if lost {
-		n.lose--
+		n.loseOrderAnswers--
 	}
 	s.after(delay, func() {
 		status, err := e.order(s, o.EngineOrder)
@@ -458,7 +458,7 @@
 
 func (n *simNode) readBack(r ReadBack) {
 	sent, e := n.s.now, n.s.engines[r.Instance]
-	if n.cut || !e.answers() {
+	if n.enginesCut || !e.answers() {
 		n.answer(simTick, func() {
 			n.state.OnReadBack(sent, r.Instance, garnetworks.EngineStatus{}, garnetworks.Errorf(garnetworks.KindUnreachable, ""))
 		})
@@ -479,8 +479,8 @@
 		})
 		return
 	}
-	if n.lose > 0 {
-		n.lose--
+	if n.loseOrderAnswers > 0 {
+		n.loseOrderAnswers--
 		s.after(time.Duration(s.random.IntN(30))*time.Second, func() { _ = e.setPower(s.now, p.PowerOrder) })
 		n.answer(simTick, func() {
 			n.state.OnPower(s.now, p.PowerOrder, garnetworks.PowerUnknown, garnetworks.Errorf(garnetworks.KindResponseLost, ""))
@@ -564,7 +564,7 @@
 				s.fail("%s tells routers that %s is in %s and %s", n.id, m, other, g.ID)
 			}
 			held[m] = g.ID
-			if seen, ok := s.engines[m].truth[g.ID]; !ok || s.now.Sub(seen) > garnetworks.ConfirmationBound+simTick {
+			if seen, ok := s.engines[m].readyAt[g.ID]; !ok || s.now.Sub(seen) > garnetworks.ConfirmationBound+simTick {
 				s.fail("%s calls %s confirmed, whose member %s was ready at %v", n.id, g.ID, m, seen)
 			}
 		}
@@ -598,7 +598,7 @@
 	}
 	for _, n := range s.nodes {
 		for _, d := range n.state.Domains {
-			if err := grouper.Check(&d.Ahead); err != nil {
+			if err := grouper.Check(&d.Decided); err != nil {
 				s.fail("%s decided: %v", n.id, err)
 			}
 		}
--- a/controller/simengine_test.go
+++ b/controller/simengine_test.go
@@ -16,31 +16,31 @@
 	offAt       time.Time
 	bootTime    time.Duration
 	incarnation uint64
-	dark        bool
+	unreachable bool
 	// gone says that the platform no longer has the machine.
-	gone       bool
-	token      garnetworks.FencingToken
-	highest    garnetworks.FencingToken
-	obeyed     garnetworks.FencingToken
-	powerToken garnetworks.FencingToken
-	powerDone  string
-	group      garnetworks.GroupID
-	model      garnetworks.ModelName
-	version    garnetworks.VersionName
-	adapters   []garnetworks.AdapterName
-	phase      garnetworks.EnginePhase
-	loadUntil  time.Time
-	weights    []garnetworks.WeightID
-	lastOrder  string
-	leaving    bool
+	removed        bool
+	token          garnetworks.FencingToken
+	highest        garnetworks.FencingToken
+	lastObeyed     garnetworks.FencingToken
+	powerToken     garnetworks.FencingToken
+	lastPowerOrder string
+	group          garnetworks.GroupID
+	model          garnetworks.ModelName
+	version        garnetworks.VersionName
+	adapters       []garnetworks.AdapterName
+	phase          garnetworks.EnginePhase
+	loadUntil      time.Time
+	weights        []garnetworks.WeightID
+	lastOrder      string
+	leaving        bool
 	// truth is when the engine was last ready in each group.
-	truth map[garnetworks.GroupID]time.Time
+	readyAt map[garnetworks.GroupID]time.Time
 }
 
 // answers reports whether the engine's process runs; a machine that was told to
 // power off answers until it is off.
 func (e *simEngine) answers() bool {
-	return (e.power == garnetworks.PowerOn || e.power == garnetworks.PowerStopping) && !e.dark
+	return (e.power == garnetworks.PowerOn || e.power == garnetworks.PowerStopping) && !e.unreachable
 }
 
 func (e *simEngine) status() garnetworks.EngineStatus {
@@ -67,13 +67,13 @@
 		e.phase = garnetworks.EngineReady
 	}
 	if e.answers() && e.phase == garnetworks.EngineReady {
-		e.truth[e.group] = now
+		e.readyAt[e.group] = now
 	}
 }
 
 func (e *simEngine) restart() {
 	e.incarnation++
-	e.token, e.highest, e.obeyed = 0, 0, 0
+	e.token, e.highest, e.lastObeyed = 0, 0, 0
 	e.group, e.model, e.version, e.adapters, e.weights = "", "", "", nil, nil
 	e.phase, e.lastOrder, e.leaving = garnetworks.EngineIdle, "", false
 	e.row.State = garnetworks.ListedLive
@@ -86,8 +86,8 @@
 	if e.checks && o.Token < e.highest {
 		return e.status(), garnetworks.Errorf(garnetworks.KindStaleToken, "")
 	}
-	if !e.checks && o.Token < e.obeyed {
-		s.fail("%s, which ignores tokens, obeyed %s after %s", e.row.ID, o.ID, e.obeyed)
+	if !e.checks && o.Token < e.lastObeyed {
+		s.fail("%s, which ignores tokens, obeyed %s after %s", e.row.ID, o.ID, e.lastObeyed)
 	}
 	if o.Kind == garnetworks.OrderForm {
 		what, key := fmt.Sprint(o.Group, o.Members, o.Model, o.Version), fmt.Sprint(e.row.Domain, o.Token)
@@ -97,7 +97,7 @@
 		s.formed[key] = what
 	}
 	e.highest = max(e.highest, o.Token)
-	e.obeyed = max(e.obeyed, o.Token)
+	e.lastObeyed = max(e.lastObeyed, o.Token)
 	if o.ID == e.lastOrder {
 		return e.status(), nil
 	}
@@ -130,22 +130,22 @@
 }
 
 func (e *simEngine) setPower(now time.Time, o garnetworks.PowerOrder) error {
-	if e.gone {
+	if e.removed {
 		return garnetworks.Errorf(garnetworks.KindNotFound, "")
 	}
 	if o.Token < e.powerToken {
 		return garnetworks.Errorf(garnetworks.KindStaleToken, "")
 	}
 	e.powerToken = o.Token
-	if e.powerDone == o.ID {
+	if e.lastPowerOrder == o.ID {
 		return nil
 	}
-	e.powerDone = o.ID
+	e.lastPowerOrder = o.ID
 	switch {
 	case o.On && e.power == garnetworks.PowerOff:
 		e.power = garnetworks.PowerStarting
 		e.bootAt = now.Add(e.bootTime)
-		e.dark = false
+		e.unreachable = false
 	case !o.On && e.power != garnetworks.PowerOff:
 		// The switch acknowledges before the machine is off.
 		e.power = garnetworks.PowerStopping
--- a/controller/site.go
+++ b/controller/site.go
@@ -36,7 +36,7 @@
 type Site struct {
 	options SiteOptions
 	lease   *leaser.Lease
-	memory  granter.SiteState
+	state   granter.SiteState
 	term    uint32
 }
 
@@ -67,14 +67,14 @@
 // Run contends for the site's lease and keeps the power ledger while it is
 // held, until ctx ends.
 func (s *Site) Run(ctx context.Context) error {
-	leaseCtx, freeLease := context.WithCancel(context.WithoutCancel(ctx))
+	leaseCtx, stopLease := context.WithCancel(context.WithoutCancel(ctx))
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		_ = s.lease.Run(leaseCtx)
 	}()
 	s.loop(ctx)
-	freeLease()
+	stopLease()
 	<-done
 	return nil
 }
@@ -104,15 +104,15 @@
 		return
 	}
 	if term != s.term {
-		s.term, s.memory = term, granter.SiteState{}
+		s.term, s.state = term, granter.SiteState{}
 	}
-	ctx, cancel := context.WithTimeout(ctx, callBound)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	in, revision, err := s.read(ctx)
 	if err != nil {
 		return
 	}
-	in.Now, in.Term, in.State = time.Now(), term, s.memory
+	in.Now, in.Term, in.State = time.Now(), term, s.state
 	in.Generation, in.Cap = manifest.Generation, manifest.Manifest.Site.PowerCap
 	for _, z := range manifest.Manifest.Site.Zones {
 		if !z.Excluded {
@@ -155,7 +155,7 @@
 
 func (s *Site) write(ctx context.Context, out granter.SiteOutput, after garnetworks.Revision) {
 	if !out.Changed {
-		s.memory = out.State
+		s.state = out.State
 		return
 	}
 	out.Ledger.WriteID = ulid.Make().String()
@@ -166,7 +166,7 @@
 	if _, err := s.options.Objects.Put(ctx, LedgerKey, value, after); err != nil {
 		return
 	}
-	s.memory = out.State
+	s.state = out.State
 	for _, event := range out.Events {
 		if s.options.Recorder != nil {
 			s.options.Recorder.Record(event)
--- a/controller/site_test.go
+++ b/controller/site_test.go
@@ -15,7 +15,7 @@
 )
 
 // bench is a site of stand-ins with controllers on a few nodes per zone.
-type bench struct {
+type testSite struct {
 	t       *testing.T
 	objects *faker.Objects
 	list    *faker.InstanceList
@@ -31,8 +31,8 @@
 	events   []garnetworks.Event
 }
 
-func newBench(t *testing.T, manifest garnetworks.Manifest, checks bool, domains, size int) *bench {
-	b := &bench{
+func newTestSite(t *testing.T, manifest garnetworks.Manifest, checks bool, domains, size int) *testSite {
+	b := &testSite{
 		t:        t,
 		objects:  faker.NewObjects(faker.ObjectsOptions{}),
 		list:     faker.NewInstanceList(2 * time.Second),
@@ -93,19 +93,19 @@
 	return m
 }
 
-func (b *bench) Manifest() (*garnetworks.AcceptedManifest, bool) {
+func (b *testSite) Manifest() (*garnetworks.AcceptedManifest, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.accepted, true
 }
 
-func (b *bench) Record(e garnetworks.Event) {
+func (b *testSite) Record(e garnetworks.Event) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.events = append(b.events, e)
 }
 
-func (b *bench) publish(version garnetworks.UpdateVersion, view garnetworks.ZoneView) {
+func (b *testSite) publish(version garnetworks.UpdateVersion, view garnetworks.ZoneView) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.versions[view.Zone].Less(version) {
@@ -115,7 +115,7 @@
 }
 
 // probe feeds the shared table as probers would.
-func (b *bench) probe(ctx context.Context) {
+func (b *testSite) probe(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, e := range b.fleet.Engines() {
 			go func() {
@@ -133,7 +133,7 @@
 }
 
 // startZone runs a node's controller of a zone until ctx ends.
-func (b *bench) startZone(ctx context.Context, node garnetworks.NodeID, zone garnetworks.ZoneID, objects garnetworks.ObjectAPI) {
+func (b *testSite) startZone(ctx context.Context, node garnetworks.NodeID, zone garnetworks.ZoneID, objects garnetworks.ObjectAPI) {
 	b.t.Helper()
 	z, err := controller.NewZone(controller.Options{
 		Node: node, Zone: zone, Objects: objects, Instances: b.list, Power: b.power, Orders: b.fleet,
@@ -146,7 +146,7 @@
 }
 
 // startSite runs a node's controller of the site until ctx ends.
-func (b *bench) startSite(ctx context.Context, node garnetworks.NodeID) {
+func (b *testSite) startSite(ctx context.Context, node garnetworks.NodeID) {
 	b.t.Helper()
 	s, err := controller.NewSite(controller.SiteOptions{Node: node, Objects: b.objects, Manifest: b, Recorder: b})
 	if err != nil {
@@ -155,7 +155,7 @@
 	go func() { _ = s.Run(ctx) }()
 }
 
-func (b *bench) serving() int {
+func (b *testSite) serving() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := 0
@@ -169,7 +169,7 @@
 	return n
 }
 
-func (b *bench) dump() {
+func (b *testSite) dump() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, e := range b.events {
@@ -181,11 +181,11 @@
 	b.t.Log(b.objects.Counts())
 }
 
-func TestGroupsFormOnStandIns(t *testing.T) {
+func TestGroupsFormOnFakes(t *testing.T) {
 	for name, checks := range map[string]bool{"checks": true, "ignores": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t, testManifest(2, 4, 200_000, checks), checks, 2, 5)
+				b := newTestSite(t, testManifest(2, 4, 200_000, checks), checks, 2, 5)
 				ctx, cancel := context.WithCancel(t.Context())
 				go b.probe(ctx)
 				for _, z := range []garnetworks.ZoneID{"z0", "z1"} {
@@ -209,9 +209,9 @@
 // TestHolderStopsInOrder: an entry node is replaced while it holds a zone's
 // lease. It ends its orders, frees the lease, and another node goes on within
 // seconds; no group is touched, and answers of the object API get lost all along.
-func TestHolderStopsInOrder(t *testing.T) {
+func TestHolderStopsGracefully(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, testManifest(1, 2, 200_000, false), false, 2, 5)
+		b := newTestSite(t, testManifest(1, 2, 200_000, false), false, 2, 5)
 		ctx, cancel := context.WithCancel(t.Context())
 		go b.probe(ctx)
 		first, stopFirst := context.WithCancel(ctx)
@@ -245,13 +245,13 @@
 	})
 }
 
-func (b *bench) version(zone garnetworks.ZoneID) garnetworks.UpdateVersion {
+func (b *testSite) version(zone garnetworks.ZoneID) garnetworks.UpdateVersion {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.versions[zone]
 }
 
-func (b *bench) count(kind garnetworks.EventKind) int {
+func (b *testSite) count(kind garnetworks.EventKind) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := 0
--- a/controller/state.go
+++ b/controller/state.go
@@ -26,7 +26,7 @@
 )
 
 // Witness is a status with the time at which it was asked for.
-type Witness struct {
+type TimedStatus struct {
 	garnetworks.EngineStatus
 	At time.Time
 }
@@ -40,7 +40,7 @@
 	// Contested says that another node is known to hold the lease.
 	Contested bool
 	// Statuses are the newest witnesses of the zone's instances.
-	Statuses map[garnetworks.InstanceID]Witness
+	Statuses map[garnetworks.InstanceID]TimedStatus
 	// Manifest is nil before the first one.
 	Manifest *garnetworks.AcceptedManifest
 	// Slowdowns may be nil.
@@ -53,7 +53,7 @@
 type DomainState struct {
 	Record[garnetworks.FabricDomain]
 	// Ahead is the domain with all decisions, written or not.
-	Ahead garnetworks.FabricDomain
+	Decided garnetworks.FabricDomain
 	// Urgency says whether Ahead holds what has not been sent to be written.
 	Urgency grouper.Urgency
 	// Resend says that the newest value sent is not proven to be stored.
@@ -73,55 +73,55 @@
 	Term uint32
 	// Since is when the phase was entered; HearFrom is when silence began to
 	// count.
-	Since    time.Time
-	HearFrom time.Time
+	Since          time.Time
+	ListeningSince time.Time
 
 	Domains map[garnetworks.DomainID]*DomainState
 	Power   Record[garnetworks.ZonePower]
 	// Ledger is the newest one read.
 	Ledger     garnetworks.Option[garnetworks.PowerLedger]
-	ledgerRead nextCall
+	ledgerRead periodicCall
 	// Listed are the zone's rows; ListKnown says that they were read under this
 	// term.
 	Listed     []garnetworks.ListedInstance
 	ListKnown  bool
-	listRead   nextCall
-	domainList nextCall
+	listRead   periodicCall
+	domainList periodicCall
 	StoreRate  int64
-	rateRead   nextCall
+	rateRead   periodicCall
 
-	Manifest *garnetworks.AcceptedManifest
-	Plan     placer.Output
-	planned  time.Time
-	changed  bool
-	loads    grouper.LoadPlan
+	Manifest  *garnetworks.AcceptedManifest
+	Plan      placer.Output
+	plannedAt time.Time
+	changed   bool
+	loads     grouper.LoadPlan
 
 	// direct are statuses that this controller read itself or that orders
 	// answered.
-	direct map[garnetworks.InstanceID]Witness
+	direct map[garnetworks.InstanceID]TimedStatus
 	// orders, reads and power hold what was sent to each instance, for retries.
 	orders map[garnetworks.InstanceID]*sentOrder
-	reads  map[garnetworks.InstanceID]*nextCall
+	reads  map[garnetworks.InstanceID]*periodicCall
 	power  map[garnetworks.InstanceID]*sentPower
 	// offAt is when an instance was proven off: older statuses don't count.
 	offAt map[garnetworks.InstanceID]time.Time
 	// gone are instances that the power switch does not know.
-	gone garnetworks.Set[garnetworks.InstanceID]
+	removed garnetworks.Set[garnetworks.InstanceID]
 	// refused says who refused a token of this term as stale; empty if nobody.
 	refused string
 	// heardAny is when the holder last heard from any instance; gaveAway is when
 	// it gave the lease away for silence (C8).
-	heardAny time.Time
-	gaveAway time.Time
+	lastContact time.Time
+	yieldedAt   time.Time
 
 	// Limit is what the zone may draw now; granted says that it was ever granted
 	// anything.
-	Limit    garnetworks.Watts
-	granted  bool
-	Measures garnetworks.ZoneMetrics
-	measured time.Time
+	Limit     garnetworks.Watts
+	granted   bool
+	Metrics   garnetworks.ZoneMetrics
+	metricsAt time.Time
 	// stepped is the time of the last step.
-	stepped  time.Time
+	lastStep time.Time
 	view     garnetworks.ZoneView
 	viewAt   time.Time
 	sequence uint64
@@ -129,20 +129,20 @@
 }
 
 // nextCall paces a repeated call.
-type nextCall struct {
-	busy bool
-	at   time.Time
+type periodicCall struct {
+	busy   bool
+	nextAt time.Time
 }
 
-func (n *nextCall) start(now time.Time) bool {
-	if n.busy || now.Before(n.at) {
+func (n *periodicCall) start(now time.Time) bool {
+	if n.busy || now.Before(n.nextAt) {
 		return false
 	}
 	n.busy = true
 	return true
 }
 
-func (n *nextCall) done(at time.Time) { n.busy, n.at = false, at }
+func (n *periodicCall) done(at time.Time) { n.busy, n.nextAt = false, at }
 
 // sentOrder paces the orders to one instance.
 type sentOrder struct {
@@ -152,7 +152,7 @@
 	busy  bool
 	at    time.Time
 	// first is when an order of this kind and token was first sent.
-	first time.Time
+	firstSent time.Time
 }
 
 // sentPower paces the power orders to one instance.
@@ -163,7 +163,7 @@
 	acked bool
 	at    time.Time
 	// first is when the decision's order was first sent.
-	first time.Time
+	firstSent time.Time
 }
 
 // NewZoneState returns the state of a controller that holds nothing.
@@ -175,8 +175,8 @@
 
 // reset forgets everything that belonged to a holding.
 func (s *ZoneState) reset() {
-	gaveAway, direct := s.gaveAway, s.direct
-	*s = ZoneState{Zone: s.Zone, Times: s.Times, Phase: PhaseStandby, Term: s.Term, gaveAway: gaveAway, direct: direct, sequence: s.sequence, writes: s.writes}
+	yieldedAt, direct := s.yieldedAt, s.direct
+	*s = ZoneState{Zone: s.Zone, Times: s.Times, Phase: PhaseStandby, Term: s.Term, yieldedAt: yieldedAt, direct: direct, sequence: s.sequence, writes: s.writes}
 	s.Domains = map[garnetworks.DomainID]*DomainState{}
 	s.Power.Key = PowerKey(s.Zone)
 	s.loads = grouper.LoadPlan{
@@ -184,17 +184,17 @@
 		Preloads: map[garnetworks.InstanceID]garnetworks.WeightID{},
 	}
 	if s.direct == nil {
-		s.direct = map[garnetworks.InstanceID]Witness{}
+		s.direct = map[garnetworks.InstanceID]TimedStatus{}
 	}
 	s.orders = map[garnetworks.InstanceID]*sentOrder{}
-	s.reads = map[garnetworks.InstanceID]*nextCall{}
+	s.reads = map[garnetworks.InstanceID]*periodicCall{}
 	s.power = map[garnetworks.InstanceID]*sentPower{}
 	s.offAt = map[garnetworks.InstanceID]time.Time{}
-	s.gone = garnetworks.NewSet[garnetworks.InstanceID]()
+	s.removed = garnetworks.NewSet[garnetworks.InstanceID]()
 }
 
 // sorted returns the domains in order of name, so that a step is repeatable.
-func (s *ZoneState) sorted() []*DomainState {
+func (s *ZoneState) sortedDomains() []*DomainState {
 	return slices.SortedFunc(maps.Values(s.Domains), func(a, b *DomainState) int { return cmp.Compare(a.Key, b.Key) })
 }
 
@@ -202,7 +202,7 @@
 func (s *ZoneState) Drawn() garnetworks.Watts {
 	sum := s.servicesDraw()
 	for _, d := range s.Domains {
-		sum += grouper.Drawn(&d.Ahead)
+		sum += grouper.Drawn(&d.Decided)
 	}
 	return sum
 }
--- a/controller/step.go
+++ b/controller/step.go
@@ -29,8 +29,8 @@
 		}
 		s.begin(o)
 	}
-	s.noticePause(o.Now)
-	s.readAround(o, &e)
+	s.detectPause(o.Now)
+	s.startReads(o, &e)
 	switch s.Phase {
 	case PhaseLoading:
 		s.load(o, &e)
@@ -44,7 +44,7 @@
 
 // pauseGap is the time between two steps from which the process is taken to have
 // stood still; steps come each Times.Tick.
-const pauseGap = 2 * time.Second
+const pauseThreshold = 2 * time.Second
 
 // noticePause lets silence begin to count anew after the process stood still.
 //
@@ -53,12 +53,12 @@
 // every member as lost; a zone's only node then leaves the zone without a
 // controller for half a minute. What fell silent during the pause is found
 // Times.Loss later, as after a change of holder.
-func (s *ZoneState) noticePause(now time.Time) {
-	if gap := now.Sub(s.stepped); !s.stepped.IsZero() && gap > pauseGap {
-		s.HearFrom = now
-		s.heardAny = now
+func (s *ZoneState) detectPause(now time.Time) {
+	if gap := now.Sub(s.lastStep); !s.lastStep.IsZero() && gap > pauseThreshold {
+		s.ListeningSince = now
+		s.lastContact = now
 	}
-	s.stepped = now
+	s.lastStep = now
 }
 
 func (s *ZoneState) begin(o Observation) {
@@ -70,22 +70,22 @@
 func (s *ZoneState) enter(p Phase, now time.Time) {
 	s.Phase = p
 	s.Since = now
-	s.HearFrom = now
-	s.heardAny = now
-	s.measured = now
+	s.ListeningSince = now
+	s.lastContact = now
+	s.metricsAt = now
 	s.changed = true
 }
 
 // readAround keeps what lies around the domains up to date.
-func (s *ZoneState) readAround(o Observation, e *Effects) {
-	s.takeManifest(o)
+func (s *ZoneState) startReads(o Observation, e *Effects) {
+	s.updateManifest(o)
 	e.ReadList = s.listRead.start(o.Now)
 	e.ReadLedger = s.ledgerRead.start(o.Now)
 	e.ReadRate = s.rateRead.start(o.Now)
 }
 
 // takeManifest never goes back to an older generation (rule G10).
-func (s *ZoneState) takeManifest(o Observation) {
+func (s *ZoneState) updateManifest(o Observation) {
 	if o.Manifest == nil || (s.Manifest != nil && o.Manifest.Generation <= s.Manifest.Generation) {
 		return
 	}
@@ -106,7 +106,7 @@
 		return nil
 	}
 	if err != nil {
-		s.domainList.done(now.Add(retryFailed))
+		s.domainList.done(now.Add(minRetryDelay))
 		return err
 	}
 	domains := map[garnetworks.DomainID]*DomainState{}
@@ -118,7 +118,7 @@
 			s.domainList.done(now.Add(s.Times.ListEvery))
 			return err
 		}
-		d.Ahead = grouper.Clone(&d.Stored)
+		d.Decided = grouper.Clone(&d.Stored)
 		domains[d.Stored.ID] = d
 	}
 	s.Domains = domains
@@ -133,7 +133,7 @@
 		return
 	}
 	claimed := s.claimPower(o, e)
-	for _, d := range s.sorted() {
+	for _, d := range s.sortedDomains() {
 		if !s.claimDomain(o, d, e) {
 			claimed = false
 		}
@@ -172,12 +172,12 @@
 		// The lease's record was deleted or restored: terms went back.
 		e.RaiseFloor = max(e.RaiseFloor, d.Stored.Term)
 	case d.Stored.Term < s.Term:
-		d.Ahead = grouper.Clone(&d.Stored)
-		a, err := grouper.Open(&d.Ahead, s.Term)
+		d.Decided = grouper.Clone(&d.Stored)
+		a, err := grouper.Open(&d.Decided, s.Term)
 		if err != nil {
 			return false
 		}
-		d.Ahead = *a.Domain()
+		d.Decided = *a.Domain()
 		s.writeDomain(o.Now, d, e)
 	default:
 		return !d.Busy
@@ -189,8 +189,8 @@
 	if !d.due(now) {
 		return
 	}
-	d.Ahead.WriteID = s.writeID()
-	d.write(now, grouper.Clone(&d.Ahead), e)
+	d.Decided.WriteID = s.writeID()
+	d.write(now, grouper.Clone(&d.Decided), e)
 	d.Urgency = grouper.Unchanged
 	d.SoftSince = time.Time{}
 }
@@ -287,6 +287,6 @@
 	if old, ok := s.direct[status.Instance]; ok && !sent.After(old.At) {
 		return
 	}
-	s.direct[status.Instance] = Witness{status, sent}
+	s.direct[status.Instance] = TimedStatus{status, sent}
 	s.changed = true
 }
--- a/controller/turns.go
+++ b/controller/turns.go
@@ -8,7 +8,7 @@
 
 // movingPart is the part of a model's groups, over the site, that may stand
 // still for a new version at one time.
-const movingPart = 8
+const rolloutDivisor = 8
 
 // heldModels returns the models whose groups in this zone must not yet stand
 // still for a new version, because that is other zones' turn (C11). Others are
@@ -19,38 +19,38 @@
 // group each, all groups of the site drain at the same moment; callers see no
 // serving group until the first has loaded. A new version that can't be loaded
 // would take every group with it; with turns it stops in the first zone.
-func heldModels(manifest *garnetworks.Manifest, zone garnetworks.ZoneID, others []garnetworks.ZoneView) garnetworks.Set[garnetworks.ModelName] {
-	held := garnetworks.NewSet[garnetworks.ModelName]()
-	others = slices.DeleteFunc(slices.Clone(others), func(v garnetworks.ZoneView) bool { return leftOut(manifest, v.Zone) })
+func noOutageModels(manifest *garnetworks.Manifest, zone garnetworks.ZoneID, others []garnetworks.ZoneView) garnetworks.Set[garnetworks.ModelName] {
+	models := garnetworks.NewSet[garnetworks.ModelName]()
+	others = slices.DeleteFunc(slices.Clone(others), func(v garnetworks.ZoneView) bool { return excluded(manifest, v.Zone) })
 	for i := range manifest.Models {
 		m := &manifest.Models[i]
-		turns := max(1, m.MaxGroups/movingPart)
-		if turns >= len(manifest.Site.Zones) {
+		maxZones := max(1, m.MaxGroups/rolloutDivisor)
+		if maxZones >= len(manifest.Site.Zones) {
 			continue // each zone moves one group at a time, which is few enough
 		}
-		if taken := turnsTaken(m, zone, others); taken >= turns {
-			held.Add(m.Name)
+		if ahead := zonesAhead(m, zone, others); ahead >= maxZones {
+			models.Add(m.Name)
 		}
 	}
-	return held
+	return models
 }
 
-func leftOut(manifest *garnetworks.Manifest, zone garnetworks.ZoneID) bool {
+func excluded(manifest *garnetworks.Manifest, zone garnetworks.ZoneID) bool {
 	return slices.ContainsFunc(manifest.Site.Zones, func(z garnetworks.ZoneSpec) bool { return z.Name == zone && z.Excluded })
 }
 
 // turnsTaken counts the zones that come before this one: those that have begun
 // with the version and not ended, and those with a lower name that have yet to
 // begin.
-func turnsTaken(m *garnetworks.ModelSpec, zone garnetworks.ZoneID, others []garnetworks.ZoneView) int {
-	taken := 0
+func zonesAhead(m *garnetworks.ModelSpec, zone garnetworks.ZoneID, others []garnetworks.ZoneView) int {
+	ahead := 0
 	for i := range others {
 		begun, ended := rollout(m, &others[i])
 		if !ended && (begun || others[i].Zone < zone) {
-			taken++
+			ahead++
 		}
 	}
-	return taken
+	return ahead
 }
 
 // rollout tells whether a zone has begun to serve the model's version, and
@@ -68,9 +68,9 @@
 		if g.Model != m.Name {
 			continue
 		}
-		newer := g.Version == m.Version
-		begun = begun || newer || g.State != garnetworks.GroupServing
-		ended = ended && newer && g.State == garnetworks.GroupServing && g.Confirmed
+		updated := g.Version == m.Version
+		begun = begun || updated || g.State != garnetworks.GroupServing
+		ended = ended && updated && g.State == garnetworks.GroupServing && g.Confirmed
 	}
 	return begun, ended
 }
--- a/controller/turns_test.go
+++ b/controller/turns_test.go
@@ -19,9 +19,9 @@
 	old := group("v1", garnetworks.GroupServing, true)
 	moved := group("v2", garnetworks.GroupServing, true)
 	tests := map[string]struct {
-		max    int
-		others []garnetworks.ZoneView
-		held   bool
+		max      int
+		others   []garnetworks.ZoneView
+		noOutage bool
 	}{
 		"the zone before has yet to begin":   {3, []garnetworks.ZoneView{view("a", old), view("c", old)}, true},
 		"the zone before drains":             {3, []garnetworks.ZoneView{view("a", group("v1", garnetworks.GroupDraining, false))}, true},
@@ -42,8 +42,8 @@
 				Site:   garnetworks.SiteSpec{Zones: []garnetworks.ZoneSpec{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "a-left-out", Excluded: true}}},
 				Models: []garnetworks.ModelSpec{{Name: "chat", Version: "v2", MaxGroups: tt.max}},
 			}
-			if got := heldModels(manifest, "b", tt.others).Has("chat"); got != tt.held {
-				t.Errorf("held = %t, want %t", got, tt.held)
+			if got := noOutageModels(manifest, "b", tt.others).Has("chat"); got != tt.noOutage {
+				t.Errorf("held = %t, want %t", got, tt.noOutage)
 			}
 		})
 	}
--- a/controller/view.go
+++ b/controller/view.go
@@ -9,15 +9,15 @@
 )
 
 // slowAt is the slowdown at which routers are told that a group is slow.
-const slowAt = 1.5
+const slowThreshold = 1.5
 
 // zoneView is what all nodes are told.
-func (p *deciding) zoneView() garnetworks.ZoneView {
-	view := garnetworks.ZoneView{Zone: p.Zone, Metrics: p.Measures}
+func (p *activeStep) zoneView() garnetworks.ZoneView {
+	view := garnetworks.ZoneView{Zone: p.Zone, Metrics: p.Metrics}
 	for _, d := range p.open {
-		for n := range d.Ahead.Groups {
-			if g := &d.Ahead.Groups[n]; g.State != garnetworks.GroupBroken {
-				view.Groups = append(view.Groups, p.groupView(&d.Ahead, g))
+		for n := range d.Decided.Groups {
+			if g := &d.Decided.Groups[n]; g.State != garnetworks.GroupBroken {
+				view.Groups = append(view.Groups, p.groupView(&d.Decided, g))
 			}
 		}
 	}
@@ -36,7 +36,7 @@
 	return view
 }
 
-func (p *deciding) groupView(d *garnetworks.FabricDomain, g *garnetworks.Group) garnetworks.GroupView {
+func (p *activeStep) groupView(d *garnetworks.FabricDomain, g *garnetworks.Group) garnetworks.GroupView {
 	view := garnetworks.GroupView{
 		ID:        g.ID,
 		Zone:      p.Zone,
@@ -54,7 +54,7 @@
 		view.Load = p.fresh[first.ID].Load
 	}
 	for _, m := range g.Members {
-		view.Slow = view.Slow || p.o.Slowdowns[m] >= slowAt
+		view.Slow = view.Slow || p.o.Slowdowns[m] >= slowThreshold
 	}
 	return view
 }
@@ -66,13 +66,13 @@
 
 // publish hands the view out when routers would act on the change, and now and
 // then for the loads and measures in it.
-func (p *deciding) publish() {
+func (p *activeStep) publish() {
 	view := p.zoneView()
 	if p.viewAt.IsZero() && p.warmingUp(view) {
 		return
 	}
 	due := p.viewAt.IsZero() || p.o.Now.Sub(p.viewAt) >= p.Times.PublishEvery
-	if !due && reflect.DeepEqual(lasting(view), lasting(p.view)) {
+	if !due && reflect.DeepEqual(stableFields(view), stableFields(p.view)) {
 		return
 	}
 	p.view = view
@@ -84,8 +84,8 @@
 // first view would call groups unconfirmed that serve, and nodes that know of them
 // by views alone would refuse their callers. A group that is really missing a
 // member is told a little later than the last holder's silence has lasted already.
-func (p *deciding) warmingUp(view garnetworks.ZoneView) bool {
-	if p.o.Now.Sub(p.HearFrom) >= p.Times.Loss {
+func (p *activeStep) warmingUp(view garnetworks.ZoneView) bool {
+	if p.o.Now.Sub(p.ListeningSince) >= p.Times.Loss {
 		return false
 	}
 	for n := range view.Groups {
@@ -98,7 +98,7 @@
 }
 
 // lasting leaves out what changes all the time.
-func lasting(view garnetworks.ZoneView) garnetworks.ZoneView {
+func stableFields(view garnetworks.ZoneView) garnetworks.ZoneView {
 	view.Metrics = garnetworks.ZoneMetrics{}
 	groups := make([]garnetworks.GroupView, len(view.Groups))
 	copy(groups, view.Groups)
@@ -110,24 +110,24 @@
 }
 
 // measure counts the two measures on from the last step.
-func (p *deciding) measure() {
-	passed := p.o.Now.Sub(p.measured)
-	p.measured = p.o.Now
-	down, stranded := p.countDown(), p.countStranded()
-	p.Measures.GroupDowntime += passed * time.Duration(p.Measures.GroupsDown)
-	p.Measures.Stranded += passed * time.Duration(p.Measures.InstancesStranded)
-	p.Measures.GroupsDown = down
-	p.Measures.InstancesStranded = stranded
-	p.Measures.Drawn = p.drawn()
-	p.Measures.Limit = p.Limit
+func (p *activeStep) updateMetrics() {
+	elapsed := p.o.Now.Sub(p.metricsAt)
+	p.metricsAt = p.o.Now
+	down, stranded := p.countGroupsDown(), p.countStranded()
+	p.Metrics.GroupDowntime += elapsed * time.Duration(p.Metrics.GroupsDown)
+	p.Metrics.Stranded += elapsed * time.Duration(p.Metrics.InstancesStranded)
+	p.Metrics.GroupsDown = down
+	p.Metrics.InstancesStranded = stranded
+	p.Metrics.Drawn = p.drawn()
+	p.Metrics.Limit = p.Limit
 }
 
 // countDown returns how many wanted groups don't serve.
-func (p *deciding) countDown() int {
+func (p *activeStep) countGroupsDown() int {
 	serving := map[garnetworks.ModelName]int{}
 	for _, d := range p.open {
-		for n := range d.Ahead.Groups {
-			if g := &d.Ahead.Groups[n]; serves(&d.Ahead, g, p.fresh) {
+		for n := range d.Decided.Groups {
+			if g := &d.Decided.Groups[n]; serves(&d.Decided, g, p.fresh) {
 				serving[g.Model]++
 			}
 		}
@@ -141,13 +141,13 @@
 
 // countStranded returns how many powered instances don't serve. Those of a
 // draining group still finish calls.
-func (p *deciding) countStranded() int {
+func (p *activeStep) countStranded() int {
 	stranded := 0
 	for _, d := range p.open {
-		for n := range d.Ahead.Instances {
-			i := &d.Ahead.Instances[n]
-			g := grouper.FindGroup(&d.Ahead, i.Group)
-			useful := g != nil && (serves(&d.Ahead, g, p.fresh) || g.State == garnetworks.GroupDraining)
+		for n := range d.Decided.Instances {
+			i := &d.Decided.Instances[n]
+			g := grouper.FindGroup(&d.Decided, i.Group)
+			useful := g != nil && (serves(&d.Decided, g, p.fresh) || g.State == garnetworks.GroupDraining)
 			if i.Power.Draws() && !useful {
 				stranded++
 			}
--- a/controller/zone.go
+++ b/controller/zone.go
@@ -31,10 +31,10 @@
 	// workers bounds the calls in flight.
 	workers = 32
 	// callBound bounds a call to the platform that is not an order.
-	callBound = 3 * time.Second
+	callTimeout = 3 * time.Second
 	// giveAwayFor is how long a node that hears from no engine leaves the lease
 	// to others.
-	giveAwayFor = 30 * time.Second
+	yieldPeriod = 30 * time.Second
 )
 
 // NewZone returns a zone controller that acts once Run runs.
@@ -71,7 +71,7 @@
 // Run contends for the zone's lease and controls the zone while it is held,
 // until ctx ends. It then ends all orders before it frees the lease.
 func (z *Zone) Run(ctx context.Context) error {
-	leaseCtx, freeLease := context.WithCancel(context.WithoutCancel(ctx))
+	leaseCtx, stopLease := context.WithCancel(context.WithoutCancel(ctx))
 	var lease, pool sync.WaitGroup
 	lease.Go(func() { _ = z.lease.Run(leaseCtx) })
 	for range workers {
@@ -79,7 +79,7 @@
 	}
 	z.loop(ctx)
 	pool.Wait()
-	freeLease()
+	stopLease()
 	lease.Wait()
 	return nil
 }
@@ -135,21 +135,21 @@
 	if z.options.Others != nil {
 		o.Others = z.options.Others()
 	}
-	o.Statuses = map[garnetworks.InstanceID]Witness{}
-	for _, id := range z.state.known() {
+	o.Statuses = map[garnetworks.InstanceID]TimedStatus{}
+	for _, id := range z.state.knownInstances() {
 		if status, at, ok := z.options.Statuses.Status(id); ok {
-			o.Statuses[id] = Witness{status, at}
+			o.Statuses[id] = TimedStatus{status, at}
 		}
 	}
 	return o
 }
 
 // known are the instances whose statuses count: those of the domains.
-func (s *ZoneState) known() []garnetworks.InstanceID {
+func (s *ZoneState) knownInstances() []garnetworks.InstanceID {
 	var ids []garnetworks.InstanceID
 	for _, d := range s.Domains {
-		for n := range d.Ahead.Instances {
-			ids = append(ids, d.Ahead.Instances[n].ID)
+		for n := range d.Decided.Instances {
+			ids = append(ids, d.Decided.Instances[n].ID)
 		}
 	}
 	return ids
@@ -169,8 +169,8 @@
 	if e.RaiseFloor > 0 {
 		z.lease.RaiseFloor(e.RaiseFloor)
 	}
-	if e.GiveAway {
-		z.lease.GiveAway(giveAwayFor)
+	if e.YieldLease {
+		z.lease.GiveAway(yieldPeriod)
 	}
 }
 
@@ -212,36 +212,36 @@
 }
 
 func (z *Zone) listDomains(ctx context.Context) result {
-	ctx, cancel := context.WithTimeout(ctx, callBound)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	objects, _, err := z.options.Objects.List(ctx, DomainsPrefix(z.options.Zone))
 	return func(s *ZoneState) {
 		if err := s.OnDomains(time.Now(), objects, err); err != nil {
-			z.complain(err)
+			z.recordAPIError(err)
 		}
 	}
 }
 
-func (z *Zone) complain(err error) {
+func (z *Zone) recordAPIError(err error) {
 	z.record(garnetworks.Event{Kind: garnetworks.EventObjectAPIDown, Zone: z.options.Zone, Error: garnetworks.KindOf(err), Detail: err.Error()})
 }
 
 func (z *Zone) read(ctx context.Context, term uint32, r Read) result {
-	ctx, cancel := context.WithTimeout(ctx, callBound)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	object, err := z.options.Objects.Get(ctx, r.Key)
 	return func(s *ZoneState) { _ = s.OnRead(time.Now(), term, r.Key, object, err) }
 }
 
 func (z *Zone) write(ctx context.Context, term uint32, w Write) result {
-	ctx, cancel := context.WithTimeout(ctx, callBound)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	revision, err := z.options.Objects.Put(ctx, w.Key, w.Value, w.After)
 	return func(s *ZoneState) { s.OnWrite(time.Now(), term, w.Key, revision, err) }
 }
 
 func (z *Zone) readLedger(ctx context.Context) result {
-	ctx, cancel := context.WithTimeout(ctx, callBound)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	object, err := z.options.Objects.Get(ctx, LedgerKey)
 	var ledger garnetworks.PowerLedger
@@ -264,7 +264,7 @@
 }
 
 func (z *Zone) readList(ctx context.Context) result {
-	ctx, cancel := context.WithTimeout(ctx, callBound)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	rows, err := z.options.Instances.Instances(ctx, z.options.Zone)
 	return func(s *ZoneState) { s.OnList(time.Now(), rows, err) }
@@ -274,7 +274,7 @@
 	if z.options.Weights == nil {
 		return func(s *ZoneState) { s.OnRate(time.Now(), 0, nil) }
 	}
-	ctx, cancel := context.WithTimeout(ctx, callBound)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	rate, err := z.options.Weights.Rate(ctx)
 	return func(s *ZoneState) { s.OnRate(time.Now(), rate, err) }
@@ -321,7 +321,7 @@
 		return func(s *ZoneState) { s.OnOrder(sent, o, garnetworks.EngineStatus{}, err) }
 	}
 	defer cancel()
-	if !o.Again {
+	if !o.Retry {
 		z.record(garnetworks.Event{
 			Kind:     garnetworks.EventOrderSent,
 			Zone:     z.options.Zone,
@@ -335,7 +335,7 @@
 }
 
 func (z *Zone) orderContext(ctx context.Context, o EngineEffect) (context.Context, context.CancelFunc, error) {
-	if !o.BeyondLease {
+	if !o.WithoutLease {
 		return z.lease.OrderContext(ctx)
 	}
 	if z.lease.Contested() {
