--- a/controller/act.go
+++ b/controller/act.go
@@ -9,14 +9,14 @@
 	"github.com/garnetworks/garnetworks/grouper"
 )
 
-// activeStep is one step of an active holder.
+// activeStep is one step of a lease holder in PhaseActive.
 type activeStep struct {
 	*ZoneState
 	o          Observation
 	e          *Effects
 	fresh      grouper.Statuses
 	lastStatus map[garnetworks.InstanceID]time.Time
-	// open are the domains in the course of the decision, in order of name.
+	// open are the domains opened for this step's decisions, sorted by key.
 	open []*openDomain
 }
 
@@ -52,9 +52,10 @@
 	p.publish()
 }
 
-// superseded reports whether a domain or an engine holds a higher term. While
-// the lease is held, its record must have gone back, so a higher term is taken;
-// otherwise another node has taken over and this one stops (C4).
+// superseded reports whether a domain, the zone's power statement, an engine or the power
+// switch holds a higher term, and steps down if so. If the lease is still held, its record
+// was set back, so a term above the higher one is requested; otherwise another node has
+// taken over (C4).
 func (s *ZoneState) superseded(o Observation, e *Effects) bool {
 	highest := s.Power.Stored.Term
 	for _, d := range s.Domains {
@@ -79,7 +80,7 @@
 	s.reset()
 }
 
-// pruneInstances drops what is kept for instances that no domain holds any more.
+// pruneInstances drops the state kept for instances that no domain contains any more.
 func (p *activeStep) pruneInstances() {
 	maps.DeleteFunc(p.direct, func(id garnetworks.InstanceID, _ TimedStatus) bool { return !p.hasInstance(id) })
 	maps.DeleteFunc(p.orders, func(id garnetworks.InstanceID, _ *sentOrder) bool { return !p.hasInstance(id) })
@@ -95,8 +96,9 @@
 	return ok
 }
 
-// collectStatuses collects the statuses that are fresh enough to count (rule G1) and when
-// each instance was last heard.
+// collectStatuses selects the statuses recent enough to count (rule G1) and records when
+// the last status of each instance was requested, or when the holder began to listen if that is
+// later.
 func (p *activeStep) collectStatuses() {
 	p.fresh = grouper.Statuses{}
 	p.lastStatus = map[garnetworks.InstanceID]time.Time{}
@@ -113,8 +115,8 @@
 		s, ok = own, true
 	}
 	p.lastStatus[id] = p.ListeningSince
-	// A status from before the power was proven off is the echo of a machine that
-	// no longer runs.
+	// A status from before the power was confirmed off belongs to an engine that no
+	// longer runs.
 	if !ok || !s.At.After(p.offAt[id]) {
 		return
 	}
@@ -127,10 +129,10 @@
 	}
 }
 
-// isolated reports whether nobody at all is heard though instances should run
-// (C8). It guards against a holder that is cut off from the engines: to it all
-// groups look broken while other nodes reach them. Silence does not count
-// against instances while it lasts.
+// isolated reports whether no instance answers although at least two should run (C8), and
+// the step must end. Failure: a holder that is cut off from the engines sees every group
+// as broken while other nodes reach them. It first keeps reading statuses without changing
+// anything; after Times.Isolation it yields the lease, unless it did so recently.
 func (p *activeStep) isolated() bool {
 	if len(p.fresh) > 0 || p.countRunning() < 2 {
 		return false
@@ -151,8 +153,8 @@
 	return true
 }
 
-// believeDark is how long after giving the lease away for silence a holder
-// believes the silence.
+// yieldCooldown is how long after yielding the lease for isolation a holder does not yield
+// it again, but treats unanswered instances as lost.
 const yieldCooldown = 10 * time.Minute
 
 func (p *activeStep) countRunning() int {
@@ -167,7 +169,7 @@
 	return n
 }
 
-// addDomains makes an object for each listed domain that has none.
+// addDomains adds an object for each listed domain that has none.
 func (p *activeStep) addDomains() {
 	for _, l := range p.Listed {
 		if l.Service != "" || l.Domain == "" || p.Domains[l.Domain] != nil {
@@ -199,8 +201,8 @@
 	return nil
 }
 
-// observe takes in what instances and the list say. It reports that another
-// holder has taken over.
+// observe applies the statuses and the instance list to the domains. It reports whether
+// an engine shows that another holder has taken over.
 func (p *activeStep) observe() bool {
 	observation := grouper.Observation{
 		Now:         p.o.Now,
@@ -217,7 +219,7 @@
 			if s := p.orders[i.ID]; s != nil && s.kind == garnetworks.OrderForm && s.token == i.Token {
 				observation.FormSent[i.ID] = s.firstSent
 			}
-			// An order of an earlier decision tells nothing of this one's boot.
+			// A power order from an earlier decision does not start this decision's boot timeout.
 			if s := p.power[i.ID]; s != nil && s.token == i.Token {
 				observation.PowerOnSent[i.ID] = s.firstSent
 			}
@@ -246,8 +248,8 @@
 	return false
 }
 
-// register takes listed engines in. A row of a domain that holds the instance
-// under another domain's name is left alone until the old domain lets it go.
+// register adds a listed engine to its domain. A row is ignored while another domain still
+// contains the instance.
 func (p *activeStep) register(l garnetworks.ListedInstance) {
 	class, known := p.class(l.Class)
 	if l.Service != "" || !known {
@@ -267,7 +269,7 @@
 	}
 }
 
-// applyManifest notes the generation and the adapters of serving groups.
+// applyManifest passes the manifest's generation and adapters on to the groups.
 func (p *activeStep) applyManifest(d *openDomain) {
 	if p.Manifest == nil {
 		return
@@ -295,9 +297,9 @@
 	return b
 }
 
-// planPower decides the zone's limit and its statement. It reports false while
-// the limit is not known: a plan made then would take the zone for one without
-// power and shed its groups.
+// planPower computes the zone's limit and its power statement. It reports false while the
+// limit is unknown. Failure: a plan made then would use a limit of zero and shed the
+// zone's groups.
 func (p *activeStep) planPower() bool {
 	if p.Manifest == nil {
 		return false
@@ -327,18 +329,18 @@
 	return true
 }
 
-// listPatience is how long a new holder waits for the instance list.
+// listWait is how long a new holder waits for the instance list.
 const listWait = 5 * time.Second
 
-// proceedWithoutList lets a new holder go on with the instances that the domains hold
-// while the instance list is down. What plain services draw is not known then, so
-// nothing is powered on or off and nothing is stated.
+// proceedWithoutList reports whether a new holder goes on with the instances that its
+// domains contain while the instance list is unavailable. The draw of plain services is
+// unknown then, so nothing is powered on or off and no power statement is written.
 func (p *activeStep) proceedWithoutList() bool {
 	p.Limit, p.granted = p.Power.Stored.Limit, false
 	return p.Power.Stored.SeenSequence != 0 && p.o.Now.Sub(p.Since) >= listWait
 }
 
-// commit keeps the decisions and asks for the writes that are due.
+// commit takes over the step's changes to the domains and requests the writes that are due.
 func (p *activeStep) commit() {
 	for _, d := range p.open {
 		p.e.Events = append(p.e.Events, d.Events()...)
@@ -359,11 +361,11 @@
 	case d.MustRead:
 		d.read(p.o.Now, p.e)
 	case p.o.Term == 0:
-		// The lease has lapsed: a write could only be refused or fail (C3).
+		// The lease has expired: a write would be rejected or fail (C3).
 	case d.Resend, d.Urgency == grouper.Hard, d.Urgency == grouper.Soft && p.o.Now.Sub(d.SoftSince) >= p.Times.SoftWriteEvery:
 		p.writeDomain(p.o.Now, d, p.e)
 	}
 }
 
-// failing reports whether the object API can't be relied on for the domain now.
+// failing reports whether the lease has expired or calls for the domain's object fail.
 func (p *activeStep) failing(d *DomainState) bool { return p.o.Term == 0 || !d.FailingSince.IsZero() }
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// BenchmarkStep measures a step of a holder at rest, for zones of one domain per
-// 25 instances, with the statuses that a second of probing brings.
+// BenchmarkStep measures a step of an idle holder, with one domain per 25 instances and
+// one second's worth of new statuses.
 func BenchmarkStep(b *testing.B) {
 	for _, size := range []int{25, 75, 150, 600} {
 		b.Run(fmt.Sprintf("instances=%d", size), func(b *testing.B) {
--- a/controller/effects.go
+++ b/controller/effects.go
@@ -5,32 +5,32 @@
 	"github.com/garnetworks/garnetworks/grouper"
 )
 
-// Effects are what a step asks its loop to do. The loop reports each result
-// back with the state's On methods.
+// Effects are the calls and changes that a step requests from its loop. The loop passes
+// each result back through the state's On methods.
 type Effects struct {
-	// ListDomains asks for all objects under DomainsPrefix.
+	// ListDomains requests all objects under DomainsPrefix.
 	ListDomains bool
 	Reads       []Read
 	Writes      []Write
-	// ReadList, ReadLedger and ReadRate ask for the instance list, the power
-	// ledger and the weight store's rate.
+	// ReadList, ReadLedger and ReadRate request the instance list, the power ledger and
+	// the weight store's rate.
 	ReadList   bool
 	ReadLedger bool
 	ReadRate   bool
-	// ReadBacks asks for engines' statuses.
+	// ReadBacks request engines' statuses.
 	ReadBacks []ReadBack
 	Orders    []EngineEffect
 	Power     []PowerEffect
-	// View is to be published if it is present.
+	// View is to be published if present.
 	View   garnetworks.Option[garnetworks.ZoneView]
 	Events []garnetworks.Event
-	// RaiseFloor, if above 0, asks for a lease term above it.
+	// RaiseFloor, if above 0, requests a lease term above it.
 	RaiseFloor uint32
-	// GiveAway asks to leave the lease to another node for a while.
+	// YieldLease requests that the lease be left to other nodes for yieldPeriod.
 	YieldLease bool
 }
 
-// ReadBack asks for an engine's own word.
+// ReadBack requests an engine's status directly from the engine.
 type ReadBack struct {
 	Instance garnetworks.InstanceID
 	Address  string
@@ -39,13 +39,13 @@
 // EngineEffect is an order to an engine.
 type EngineEffect struct {
 	grouper.AddressedOrder
-	// BeyondLease says that the order may go out though the lease can't be
-	// renewed (rule C4).
+	// WithoutLease says that the order may be sent although the lease can't be renewed
+	// (rule C4).
 	WithoutLease bool
-	// Again says that the same order was sent before and showed no effect.
+	// Retry says that the same order was sent before and has shown no effect.
 	Retry bool
 }
 
-// PowerEffect is a power order; after its acknowledgement an order to power off
-// is followed by a read of the instance's power.
+// PowerEffect is a power order. After an order to power off is acknowledged, the
+// instance's power state is read.
 type PowerEffect struct{ garnetworks.PowerOrder }
--- a/controller/faults_test.go
+++ b/controller/faults_test.go
@@ -10,7 +10,7 @@
 	"github.com/garnetworks/garnetworks/placer"
 )
 
-// settled returns a simulated site on which every group serves.
+// newServingSim returns a simulated site on which every group serves.
 func newServingSim(t *testing.T, seed uint64, checks bool) *sim {
 	t.Helper()
 	s := newSim(seed, 2, 3, 2, 4, checks, simManifest(2, 4, 16*simWatts, checks))
@@ -18,7 +18,7 @@
 	return s
 }
 
-// settledWithSpares returns a site on which failures are so frequent that spares
+// newServingSimWithSpares returns a site on which failures are so frequent that spares
 // are kept running.
 func newServingSimWithSpares(t *testing.T, seed uint64, checks bool) *sim {
 	t.Helper()
@@ -31,7 +31,7 @@
 	return s
 }
 
-// until runs the clock until the condition holds.
+// runUntil runs the clock until the condition holds, and returns the time that it took.
 func (s *sim) runUntil(t *testing.T, limit time.Duration, what string, condition func() bool) time.Duration {
 	t.Helper()
 	start := s.now
@@ -59,7 +59,7 @@
 	}
 }
 
-// holder is the node that holds the zone's lease, as it believes itself.
+// holder returns the node that considers itself the holder of the zone's lease.
 func (s *sim) holder(zone garnetworks.ZoneID) *simNode {
 	for _, n := range s.nodes {
 		if n.zone == zone && n.state.Phase == PhaseActive {
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// member returns a member of a serving group of the zone and its group.
+// servingMember returns a member of a serving group of the zone, and the group.
 func (s *sim) servingMember(zone garnetworks.ZoneID) (*simEngine, garnetworks.GroupView) {
 	for _, g := range s.views[zone].view.Groups {
 		if g.Confirmed {
@@ -95,11 +95,8 @@
 	}
 }
 
-// TestOutageLongerThanTheLease: the object API is down for five minutes and a
-// member dies in the first. Callers of the other groups must notice nothing.
-// Engines that check fencing tokens are formed into a new group while the outage
-// lasts, under the old term; engines that ignore them get no order after the
-// lease ends, and the group comes back after the outage.
+// Guards against callers of other groups being affected by an object API outage in which
+// a member is lost, and against orders after the lease to engines that ignore tokens.
 func TestOutageLongerThanTheLease(t *testing.T) {
 	withAndWithoutFencing(t, func(t *testing.T, checks bool) {
 		s := newServingSimWithSpares(t, 1, checks)
@@ -110,7 +107,7 @@
 		s.apiDown = true
 		s.runChecked(t, 30*time.Second)
 		lost.unreachable = true
-		s.runUntil(t, 10*time.Second, "routers hear of the missing member", func() bool { return s.servingIn("z0") == 1 })
+		s.runUntil(t, 10*time.Second, "the view shows the broken group", func() bool { return s.servingIn("z0") == 1 })
 		s.runChecked(t, 4*time.Minute)
 		if got := s.servingIn("z1"); got != 2 {
 			t.Errorf("%d of 2 groups of the other zone serve", got)
@@ -137,10 +134,8 @@
 	return nil
 }
 
-// TestPausedHolderWakes: the holder of a zone's lease stops for a minute in
-// the middle of forming a group, and another node takes over. When it wakes it
-// still has orders in hand. None of them may reach an engine: callers would find
-// a group whose members were taken away from it.
+// Guards against orders of a paused holder reaching engines after another node has taken
+// over: they would break a group that serves.
 func TestPausedHolderWakes(t *testing.T) {
 	withAndWithoutFencing(t, func(t *testing.T, checks bool) {
 		s := newServingSim(t, 2, checks)
@@ -151,8 +146,8 @@
 		s.runUntil(t, time.Minute, "orders to form another group are decided", func() bool {
 			return s.events[garnetworks.EventGroupBroken] > 0 && old.unsentForm() != ""
 		})
-		// One of its members dies meanwhile, so that the successor gives the others
-		// newer tokens than those in the old holder's hand.
+		// One of its members is lost meanwhile, so that the successor gives the others newer
+		// tokens than those of the old holder's unsent orders.
 		s.engines[old.unsentForm()].unreachable = true
 		old.pausedUntil = s.now.Add(time.Minute)
 		took := s.runUntil(t, time.Minute, "another node holds the lease", func() bool {
@@ -172,8 +167,8 @@
 	})
 }
 
-// forming returns an instance that the node has decided to order into a group
-// and not yet sent the order to.
+// unsentForm returns an instance for which the node has decided an order to form a group
+// that is not sent yet.
 func (n *simNode) unsentForm() garnetworks.InstanceID {
 	if len(n.outbox) == 0 {
 		return ""
@@ -186,10 +181,8 @@
 	return ""
 }
 
-// TestHolderCutOffFromTheObjectAPI: the holder of a lease loses the object API
-// and nobody else does; another node takes over while the old holder still
-// reaches the engines. Both act on the same engines for a while. Engines that
-// check tokens obey the new one; the old one stops at the first sign of it.
+// Guards against conflicting orders when only the lease holder loses the object API and
+// another node takes over: engines obey the newer token, and the old holder stops.
 func TestHolderCutOffFromTheObjectAPI(t *testing.T) {
 	withAndWithoutFencing(t, func(t *testing.T, checks bool) {
 		s := newServingSim(t, 3, checks)
@@ -200,12 +193,12 @@
 		s.runChecked(t, 2*time.Minute)
 		s.runUntil(t, time.Minute, "every group serves", func() bool { return s.serving() == 4 })
 		if checks && old.state.Phase == PhaseActive {
-			t.Errorf("the old holder still decides, under term %d", old.state.Term)
+			t.Errorf("the old holder is still active under term %d", old.state.Term)
 		}
 		old.apiCut = false
 		s.runChecked(t, 15*time.Second)
 		if old.state.Phase != PhaseStandby {
-			t.Errorf("the old holder has seen another one's lease and is %s", old.state.Phase)
+			t.Errorf("the old holder can read the other lease but is %s", old.state.Phase)
 		}
 		s.runChecked(t, time.Minute)
 		if s.serving() != 4 {
@@ -214,9 +207,8 @@
 	})
 }
 
-// TestHolderThatHearsNobodyGivesTheLeaseAway: the node that holds a zone's lease
-// loses its way to the engines; all groups go on answering callers. It must not
-// break them, nor cut their power, and another node takes over (C8).
+// Guards against a holder that is cut off from the engines breaking groups that still
+// serve, instead of yielding the lease to another node (C8).
 func TestIsolatedHolderYieldsLease(t *testing.T) {
 	s := newServingSim(t, 4, true)
 	old := s.holder("z0")
@@ -232,35 +224,32 @@
 	}
 }
 
-// TestPauseIsNotSilence: a zone's only node is paused for 20 s. When it wakes, all
-// confirmations it has are old; it must not take that for engines that are silent,
-// which would break its groups or give the lease away for half a minute.
+// Guards against a resumed node taking its own 20 s pause for the engines' silence, which
+// would break its groups or yield its lease.
 func TestPauseIsNotCountedAsSilence(t *testing.T) {
 	s := newServingSim(t, 4, true)
 	state := s.holder("z0").state
 	resumed := Observation{Now: s.now.Add(20 * time.Second), Term: state.Term, Manifest: state.Manifest}
 	e := state.Step(resumed)
 	if e.YieldLease {
-		t.Error("the node gives its lease away for its own pause")
+		t.Error("the node yields its lease for its own pause")
 	}
 	for _, event := range e.Events {
 		t.Errorf("event %s for the node's own pause: %s", event.Kind, event.Detail)
 	}
-	// Engines that stay silent after that are believed to be.
+	// Engines that stay silent after that count as silent.
 	yielded := false
 	for range 100 {
 		resumed.Now = resumed.Now.Add(200 * time.Millisecond)
 		yielded = yielded || state.Step(resumed).YieldLease
 	}
 	if !yielded {
-		t.Error("a holder that hears nobody for 20 s after its pause keeps the lease")
+		t.Error("a holder that gets no status for 20 s after its pause keeps the lease")
 	}
 }
 
-// TestDarkZoneIsBelieved: every instance of a zone goes dark at once. No node can
-// tell that from its own partition; each gives the lease to the next one, and the
-// first one that gets it back believes it, so that the instances are powered off
-// and their power can serve another zone.
+// Guards against a zone whose instances are all lost never being recognized as such, since
+// each node takes it for its own isolation: its power could not serve another zone.
 func TestWholeZoneOutageIsAccepted(t *testing.T) {
 	s := newServingSim(t, 12, true)
 	for _, e := range s.engines {
@@ -268,8 +257,8 @@
 			e.unreachable = true
 		}
 	}
-	took := s.runUntil(t, 2*time.Minute, "the zone is believed to be dark", func() bool { return s.events[garnetworks.EventMemberLost] > 0 })
-	t.Logf("believed after %s", took)
+	took := s.runUntil(t, 2*time.Minute, "members of the zone are recorded as lost", func() bool { return s.events[garnetworks.EventMemberLost] > 0 })
+	t.Logf("recorded after %s", took)
 	for _, e := range s.engines {
 		e.unreachable = false
 	}
@@ -277,12 +266,8 @@
 	s.runUntil(t, 3*time.Minute, "every group serves again", func() bool { return s.serving() == 4 })
 }
 
-// TestTermIsNotUsedTwice: in an outage of the object API a holder forms a group
-// that it can't write down. Then it loses its way to the engines, gives the lease
-// away, which nobody can take, and forgets what it decided. When everything is
-// back its own lease record still stands. Had it gone on under the same term, it
-// would issue the same tokens for other decisions: engines refuse its orders for
-// good, or take one group for another. The fuzzing found it.
+// Guards against a holder that dropped unstored decisions going on under the same term:
+// it would issue the same tokens for other decisions, which engines reject or mix up.
 func TestTermIsNotUsedTwice(t *testing.T) {
 	s := newServingSimWithSpares(t, 13, true)
 	old := s.holder("z0")
@@ -297,15 +282,13 @@
 	old.enginesCut = true
 	s.runChecked(t, time.Minute)
 	old.enginesCut, s.apiDown = false, false
-	s.runUntil(t, 2*time.Minute, "the zone is held again", func() bool { n := s.holder("z0"); return n != nil && n.state.Term > term })
+	s.runUntil(t, 2*time.Minute, "a holder is active again", func() bool { n := s.holder("z0"); return n != nil && n.state.Term > term })
 	s.runChecked(t, time.Minute)
 	s.runUntil(t, time.Minute, "every group serves", func() bool { return s.serving() == 4 })
 }
 
-// TestNewHolderWithoutTheInstanceList: the instance list is down when a zone's
-// controller moves to another node, and a member dies. The domains name the
-// instances; the group must come back from a running spare, and the other groups
-// must not be shed for a limit that is not known yet.
+// Guards against a new holder shedding groups, or not replacing a lost member, while the
+// instance list is down: the domains contain the instances.
 func TestNewHolderWithoutTheInstanceList(t *testing.T) {
 	s := newServingSimWithSpares(t, 14, true)
 	s.listDown = true
@@ -319,9 +302,8 @@
 	}
 }
 
-// TestFirstViewOfANewHolderIsWhole: a node starts, finds its zone's lease free and
-// holds it before it has probed every engine. Callers in other zones, whose nodes
-// know the zone by its view alone, must not be refused meanwhile.
+// Guards against a new holder publishing a view before it has a status of every engine:
+// nodes in other zones, which know the zone by its view alone, would refuse calls.
 func TestFirstViewOfNewHolderIsComplete(t *testing.T) {
 	s := newServingSim(t, 16, true)
 	for _, n := range s.nodes {
@@ -345,14 +327,12 @@
 		}
 	}
 	if s.views["z0"].version.Term < 8 {
-		t.Errorf("the new holder told nothing: %+v", s.views["z0"].version)
+		t.Errorf("the new holder published no view: %+v", s.views["z0"].version)
 	}
 }
 
-// TestReturnedMemberIsRefused: a member falls silent, its group is replaced, and
-// it comes back as if nothing had happened, ready in its old group. Nobody may be
-// sent to the old group, and the member joins a new one only after it has
-// confirmed its release under a new token (D6).
+// Guards against routing to a replaced group whose silent member returns, and against the
+// member joining a new group before it has confirmed its release (D6).
 func TestReturnedMemberIsRefused(t *testing.T) {
 	withAndWithoutFencing(t, func(t *testing.T, checks bool) {
 		s := newServingSim(t, 5, checks)
@@ -369,10 +349,8 @@
 	})
 }
 
-// TestDrainThatWasNeverWritten: a holder decides to drain a group, tells the
-// engines, and loses its lease before the decision is written. The successor
-// finds a serving group whose engines refuse all calls: its callers would be
-// refused for good. The fuzzing found it.
+// Guards against a group that refuses all calls for good after a holder ordered its drain
+// and lost the lease before storing the decision.
 func TestDrainThatWasNeverWritten(t *testing.T) {
 	s := newServingSim(t, 6, false)
 	member, old := s.servingMember("z0")
@@ -386,10 +364,8 @@
 	}
 }
 
-// TestStartingInstanceIsGivenItsBootTime: an instance is powered on by a holder
-// that began long ago. Its boot time counts from the order, not from when the
-// holder began to listen; otherwise it is given up before it could boot, and the
-// group that needs it comes late. The fuzzing found it.
+// Guards against measuring an instance's boot time from when the holder began to listen
+// instead of from the power order: it would count as lost before it could boot.
 func TestStartingInstanceIsGivenItsBootTime(t *testing.T) {
 	s := newServingSim(t, 7, true)
 	s.runChecked(t, 5*time.Minute)
@@ -399,14 +375,12 @@
 	s.runChecked(t, 10*time.Second)
 	s.runUntil(t, 2*time.Minute, "every group serves", func() bool { return s.serving() == 4 })
 	if got := s.events[garnetworks.EventMemberLost] - lost; got != 1 {
-		t.Errorf("%d instances were given up, want only the dark one", got)
+		t.Errorf("%d instances were recorded as lost, want only the unreachable one", got)
 	}
 }
 
-// TestZoneStatesItsDrawBeforeAnythingIsGranted: a site starts with more instances
-// on than its cap allows, and one zone is slow to begin. A zone that has not said
-// what it draws must not be counted as drawing nothing: its power would be granted
-// to others. The fuzzing found it.
+// Guards against counting a zone that has not stated its draw as drawing nothing: its
+// power would be granted to other zones.
 func TestZoneStatesItsDrawBeforeAnythingIsGranted(t *testing.T) {
 	s := newSim(8, 2, 3, 2, 4, true, simManifest(2, 4, 9*simWatts, true))
 	for _, n := range s.nodes {
@@ -434,9 +408,8 @@
 	})
 }
 
-// TestLoweredCapShedsWithGrace: operators lower the cap by half. Groups drain
-// for the grace of shedding before their power goes, and the ledger's cap falls
-// with the draw, never ahead of it.
+// Guards against power going off before the drain's grace ends when the cap is lowered,
+// and against the ledger's cap falling below the actual draw.
 func TestLoweredCapShedsWithGrace(t *testing.T) {
 	s := newServingSim(t, 9, true)
 	s.changeCap(6)
@@ -452,9 +425,8 @@
 	}
 }
 
-// TestProvenOffStaysOff: an instance is powered off. Its last answer to a probe is
-// a second old and still counts for three; it must not pass for a sign that
-// somebody powered the instance on again, or it is powered off over and over.
+// Guards against taking the last status before a power-off for a sign that the instance
+// was powered on again, which would power it off over and over.
 func TestProvenOffStaysOff(t *testing.T) {
 	s := newServingSim(t, 15, true)
 	s.runChecked(t, 2*time.Minute)
@@ -472,14 +444,13 @@
 	}
 }
 
-// TestGoneInstanceIsForgotten: the platform takes an instance away for good. The
-// power switch does not know it any more, so it can't draw; it must not count
-// against the cap for ever.
+// Guards against an instance that the power switch no longer knows counting against the
+// power cap for ever.
 func TestRemovedInstanceIsDropped(t *testing.T) {
 	s := newServingSim(t, 10, true)
 	member, _ := s.servingMember("z0")
 	member.removed, member.unreachable, member.power = true, true, garnetworks.PowerOff
-	s.runUntil(t, 5*time.Minute, "the domain forgets it", func() bool {
+	s.runUntil(t, 5*time.Minute, "the domain drops the instance", func() bool {
 		for _, d := range s.holder("z0").state.Domains {
 			if grouper.FindInstance(&d.Decided, member.row.ID) != nil {
 				return false
@@ -489,8 +460,8 @@
 	})
 }
 
-// TestWritesPerFaultAndAtRest counts the object API's calls: an hour at rest,
-// and each fault until every group serves again.
+// TestWritesPerFaultAndAtRest bounds the object API's writes: in an hour at rest, and for
+// each fault until every group serves again.
 func TestWritesPerFaultAndAtRest(t *testing.T) {
 	s := newServingSim(t, 11, true)
 	s.runChecked(t, 2*time.Minute)
@@ -523,7 +494,7 @@
 	member, _ = s.servingMember("z1")
 	count("engine restarted", func() { member.restart() }, 20)
 	member, _ = s.servingMember("z0")
-	count("domain dark and back", func() {
+	count("domain unreachable and back", func() {
 		s.forDomain(member, func(e *simEngine) { e.unreachable = true })
 		s.after(30*time.Second, func() { s.forDomain(member, func(e *simEngine) { e.unreachable = false }) })
 	}, 40)
@@ -531,9 +502,8 @@
 	count("holder restarted", func() { s.restart(s.holder("z0")) }, 20)
 }
 
-// TestHoldingEndsAndIsNotTakenUpAgain: each sign that another holder has been there
-// ends the holding at once, without one more order or view, and its term is never
-// used again, though the lease's record may still stand (C4, C6).
+// Guards against a superseded holder sending further orders, writes or views, and against
+// it reusing its term while the lease's record still has it (C4, C6).
 func TestSupersededHolderDoesNotResume(t *testing.T) {
 	for name, sign := range map[string]func(s *ZoneState, o *Observation){
 		"another node in the lease": func(_ *ZoneState, o *Observation) { o.Contested = true },
@@ -561,16 +531,14 @@
 	}
 }
 
-// TestDrainIsWrittenFirst: the object API goes down and an instance says that it
-// is leaving, while the lease still lasts. Its engines ignore tokens. The drain
-// can't be written, so it must not be ordered: a successor would find a serving
-// group whose engines refuse every call (C2).
+// Guards against ordering a drain of engines that ignore tokens before it is stored: a
+// successor would find a serving group whose engines refuse every call (C2).
 func TestDrainIsWrittenFirst(t *testing.T) {
 	s := newServingSim(t, 18, false)
 	s.apiDown = true
 	member, group := s.servingMember("z0")
 	member.leaving = true
-	s.runUntil(t, 6*time.Second, "routers hear of the drain", func() bool {
+	s.runUntil(t, 6*time.Second, "the view shows the drain", func() bool {
 		for _, g := range s.views["z0"].view.Groups {
 			if g.ID == group.ID {
 				return g.State == garnetworks.GroupDraining
@@ -586,9 +554,8 @@
 	}
 }
 
-// TestNothingIsPoweredBeforeTheFirstGrant: a site starts and its site controllers
-// can't run yet. Zones form groups of what is on, and power nothing off as unused:
-// without a grant they could not power it on again (W5).
+// Guards against a zone powering instances off before its first grant, without which it
+// could not power them on again (W5).
 func TestNothingIsPoweredBeforeTheFirstGrant(t *testing.T) {
 	s := newSim(19, 2, 3, 2, 4, true, simManifest(2, 4, 16*simWatts, true))
 	for _, site := range s.sites {
@@ -601,9 +568,8 @@
 	}
 }
 
-// TestPowerOnIsRefused: a plan asks for power that the zone does not have, or while
-// the decision can't be written. The placer would not ask; the controller must not
-// depend on that, because one watt too many may trip the site (C5, C9).
+// Guards against the controller relying on the placer not to power an instance on above
+// the limit, or when the decision can't be stored (C5, C9).
 func TestPowerOnIsRefused(t *testing.T) {
 	for name, c := range map[string]struct {
 		headroom garnetworks.Watts
@@ -629,7 +595,7 @@
 	}
 }
 
-// offIn returns an instance of the zone that the record holds as off.
+// offIn returns an instance of the zone that its domain records as off.
 func (s *sim) offIn(zone garnetworks.ZoneID) *simEngine {
 	for _, id := range s.ids {
 		e := s.engines[id]
--- a/controller/fuzz_test.go
+++ b/controller/fuzz_test.go
@@ -25,8 +25,8 @@
 	os.Exit(m.Run())
 }
 
-// pin sets a flag that the command line left alone, so that CI reaches the same
-// verdict each time.
+// setFlagDefault sets a flag that the command line does not set, so that CI runs are
+// reproducible.
 func setFlagDefault(name, value string) {
 	given := false
 	flag.Visit(func(f *flag.Flag) { given = given || f.Name == name })
@@ -57,10 +57,8 @@
 
 var simTicks, simFaults int
 
-// TestControllersAgainstOracle runs two zones with three nodes each, and two
-// site controllers that race for good, through random faults, and asks the
-// oracle after every tick of 200 ms. After the faults every group must serve
-// again.
+// TestControllersAgainstOracle checks invariants after every tick of random faults on two
+// zones and two racing site controllers; afterwards every group must serve again.
 func TestControllersAgainstOracle(t *testing.T) {
 	for name, checks := range map[string]bool{"checks": true, "ignores": false} {
 		t.Run(name, func(t *testing.T) { rapid.Check(t, func(rt *rapid.T) { fuzzOnce(rt, checks) }) })
@@ -154,8 +152,8 @@
 	*n = *m
 }
 
-// recover ends all faults and expects every group to serve within the time that
-// leases, boots and loads may take.
+// recover ends all faults and expects every group to serve within the time that leases,
+// boots and loads may take.
 func (s *sim) recover(rt *rapid.T, groups int) {
 	s.apiDown, s.listDown = false, false
 	for _, n := range s.nodes {
--- a/controller/options.go
+++ b/controller/options.go
@@ -7,40 +7,40 @@
 	"github.com/garnetworks/garnetworks/leaser"
 )
 
-// Keys of the controllers' objects.
+// Keys of the controllers' objects in the object API.
 const (
-	// SiteLeaseKey is the lease of the site's power.
+	// SiteLeaseKey is the key of the site's lease.
 	SiteLeaseKey = "leases/site"
-	// LedgerKey is the power ledger.
+	// LedgerKey is the key of the power ledger.
 	LedgerKey = "power/ledger"
-	// PowersPrefix is before the zones' statements.
+	// PowersPrefix is the key prefix of the zones' power statements.
 	PowersPrefix = "power/zones/"
 
 	zoneLeasePrefix = "leases/zones/"
 	domainsPrefix   = "domains/"
 )
 
-// ZoneLeaseKey is the key of a zone's lease.
+// ZoneLeaseKey returns the key of a zone's lease.
 func ZoneLeaseKey(zone garnetworks.ZoneID) string { return zoneLeasePrefix + string(zone) }
 
-// DomainsPrefix is before the keys of a zone's fabric domains.
+// DomainsPrefix returns the key prefix of a zone's fabric domains.
 func DomainsPrefix(zone garnetworks.ZoneID) string { return domainsPrefix + string(zone) + "/" }
 
-// DomainKey is the key of a fabric domain.
+// DomainKey returns the key of a fabric domain.
 func DomainKey(zone garnetworks.ZoneID, domain garnetworks.DomainID) string {
 	return DomainsPrefix(zone) + string(domain)
 }
 
-// PowerKey is the key of a zone's statement of its power.
+// PowerKey returns the key of a zone's power statement.
 func PowerKey(zone garnetworks.ZoneID) string { return PowersPrefix + string(zone) }
 
-// StatusSource gives the newest status of an instance and when it was asked
-// for, by this process's clock. prober.Table is one.
+// StatusSource returns the newest status of an instance and when it was requested, by
+// this process's clock. prober.Table implements it.
 type StatusSource interface {
 	Status(instance garnetworks.InstanceID) (garnetworks.EngineStatus, time.Time, bool)
 }
 
-// Options describe a zone's controller.
+// Options configures a zone's controller.
 type Options struct {
 	Node garnetworks.NodeID
 	Zone garnetworks.ZoneID
@@ -55,14 +55,14 @@
 	Weights garnetworks.WeightStore
 	// Recorder may be nil.
 	Recorder garnetworks.Recorder
-	// Publish hands out each changed view of a zone whose lease this node holds.
-	// The version orders the views of all holders. It must not block.
+	// Publish takes each new view of a zone whose lease this node holds. The version
+	// orders the views of all holders. It must not block.
 	Publish func(version garnetworks.UpdateVersion, view garnetworks.ZoneView)
-	// Slowdowns tells how many times slower than its peers an instance is; it
-	// may be nil.
+	// Slowdowns returns how many times slower than its peers each instance is; it may
+	// be nil.
 	Slowdowns func() map[garnetworks.InstanceID]float64
-	// Others returns the fresh views of other zones; it may be nil, and zones
-	// then take no turns with a new version.
+	// Others returns the recent views of other zones; it may be nil, and zones then
+	// do not roll a new version out in turn.
 	Others func() []garnetworks.ZoneView
 	// Lease is leaser.Defaults() if zero.
 	Lease leaser.Settings
@@ -75,44 +75,44 @@
 	case o.Node == "" || o.Zone == "":
 		return garnetworks.Errorf(garnetworks.KindInvalidSettings, "a zone controller needs a node and a zone")
 	case o.Objects == nil || o.Instances == nil || o.Power == nil || o.Orders == nil || o.Statuses == nil || o.Manifest == nil:
-		return garnetworks.Errorf(garnetworks.KindInvalidSettings, "the zone controller of %s lacks an interface", o.Zone)
+		return garnetworks.Errorf(garnetworks.KindInvalidSettings, "the zone controller of %s lacks a required option", o.Zone)
 	}
 	return nil
 }
 
-// Times are a zone controller's periods and bounds.
+// Times are a zone controller's intervals and timeouts.
 type Times struct {
-	// Tick is the time between two steps.
+	// Tick is the interval between steps.
 	Tick time.Duration
-	// Loss is how long an instance may go unconfirmed before its group breaks.
+	// Loss is how long an instance may be unconfirmed before its group breaks.
 	Loss time.Duration
-	// Form and Load bound how long a group may take orders and load.
+	// Form and Load bound how long a group may take to accept orders and to load.
 	Form time.Duration
 	Load time.Duration
-	// BootFactor multiplies a class's boot time, and BootSlack is added, before a
-	// booting instance counts as lost.
+	// BootFactor times the class's boot time, plus BootSlack, is how long an instance
+	// may boot before it counts as lost.
 	BootFactor int
 	BootSlack  time.Duration
-	// Retry is the time between two sendings of an order that shows no effect.
+	// Retry is the minimum interval between sends of an order that shows no effect.
 	Retry time.Duration
-	// ReadBack is the time between two direct reads of a silent instance.
+	// ReadBack is the interval between direct status reads of a silent instance.
 	ReadBack time.Duration
-	// ListEvery is the time between two reads of the instance list.
+	// ListEvery is the interval between reads of the instance list.
 	ListEvery time.Duration
-	// LedgerEvery is the time between two reads of the power ledger.
+	// LedgerEvery is the interval between reads of the power ledger.
 	LedgerEvery time.Duration
 	// SoftWriteEvery bounds how long a soft change stays unwritten.
 	SoftWriteEvery time.Duration
-	// PublishEvery is the time between two views though nothing has changed.
+	// PublishEvery is the interval between views when nothing has changed.
 	PublishEvery time.Duration
-	// Isolation is how long a holder hears from nobody before it gives the lease
-	// away.
+	// Isolation is how long a holder gets no status from any instance before it
+	// yields the lease.
 	Isolation time.Duration
-	// PlanEvery is the longest time between two plans.
+	// PlanEvery is the longest interval between plans.
 	PlanEvery time.Duration
 }
 
-// DefaultTimes are the times of a controller at the design size.
+// DefaultTimes returns the times for a site of the design size.
 func DefaultTimes() Times {
 	return Times{
 		Tick:           200 * time.Millisecond,
--- a/controller/plan.go
+++ b/controller/plan.go
@@ -8,16 +8,16 @@
 	"github.com/garnetworks/garnetworks/placer"
 )
 
-// leastShare is the part of the zone's store rate below which a group that has
-// yet to load waits for its turn.
+// minRateDivisor sets the minimum load rate, as a fraction of the zone's store rate; orders
+// to form a group are delayed while a member's rate is lower.
 const minRateDivisor = 100
 
-// models returns the zone's share of the manifest's models.
+// models returns the manifest's models with the zone's share of groups.
 func (s *ZoneState) models() []garnetworks.ModelSpec {
 	return placer.ZoneModels(&s.Manifest.Manifest, s.Zone)
 }
 
-// planGroups asks the placer and carries its decisions out on the aggregates.
+// planGroups computes a new plan if one is due and applies its decisions to the domains.
 func (p *activeStep) planGroups() {
 	if !p.planDue() {
 		return
@@ -50,7 +50,7 @@
 	return p.changed || replanDue || p.o.Now.Sub(p.plannedAt) >= p.Times.PlanEvery || p.domainsChanged()
 }
 
-// opened reports whether this step has changed a domain already.
+// domainsChanged reports whether this step has already changed a domain.
 func (p *activeStep) domainsChanged() bool {
 	return slices.ContainsFunc(p.open, func(d *openDomain) bool { return d.Aggregate.Urgency() != grouper.Unchanged })
 }
@@ -63,7 +63,7 @@
 	return domains
 }
 
-// storeShare is the zone's part of the weight store's rate.
+// storeShare returns the zone's share of the weight store's rate.
 func (p *activeStep) storeShare() int64 {
 	return p.StoreRate / max(int64(len(p.Manifest.Manifest.Site.Zones)), 1)
 }
@@ -98,8 +98,8 @@
 	return observations
 }
 
-// idle reports whether the group's engines said that they have no call, after
-// the last router can have heard of the drain (rule G9).
+// idle reports whether every member has reported no calls since the last router
+// must have learned of the drain (rule G9).
 func (p *activeStep) idle(g *garnetworks.Group) bool {
 	for _, m := range g.Members {
 		s, ok := p.fresh[m]
@@ -113,8 +113,8 @@
 	return true
 }
 
-// apply carries out one decision. One that the domain's rules refuse is left
-// out: the next plan is made from what holds then.
+// apply carries out one decision. A decision that violates the domain's rules is skipped:
+// the next plan is made from the current state.
 func (p *activeStep) apply(decision placer.Decision) {
 	switch d := decision.(type) {
 	case placer.FormGroup:
@@ -162,7 +162,7 @@
 	}
 }
 
-// powerOn keeps rule C9 whatever the plan says, and C5.
+// powerOn enforces rules C5 and C9 whatever the plan says.
 func (p *activeStep) powerOn(d placer.PowerOn) {
 	a := p.domain(d.Domain)
 	if a == nil || !p.granted || p.failing(a.DomainState) {
@@ -175,7 +175,7 @@
 	_ = a.PowerOn(d.Instance, string(d.Reason))
 }
 
-// drawn is the zone's draw by the decisions of this step.
+// drawn returns the zone's draw, including this step's decisions.
 func (p *activeStep) drawn() garnetworks.Watts {
 	sum := p.servicesDraw()
 	for _, d := range p.open {
@@ -184,7 +184,7 @@
 	return sum
 }
 
-// allCheck reports whether all the instances check fencing tokens.
+// allCheckFencing reports whether all members check fencing tokens.
 func allCheckFencing(d *garnetworks.FabricDomain, members []garnetworks.InstanceID) bool {
 	for _, m := range members {
 		if i := grouper.FindInstance(d, m); i == nil || !i.ChecksFencing {
--- a/controller/record.go
+++ b/controller/record.go
@@ -7,9 +7,9 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Record is one object of the object API that this holder alone writes while it
-// holds the lease. Stored is what is proven to be there; a write in flight or
-// with a lost answer is concluded by reading back (rule C6).
+// Record is one object of the object API that only the lease holder writes. Stored is the
+// value known to be stored; a write without an answer is resolved by reading the object
+// back (rule C6).
 type Record[T any] struct {
 	Key string
 	// Stored is the value known to be stored at Revision.
@@ -17,38 +17,38 @@
 	Revision garnetworks.Revision
 	// Sent is the newest value sent; meaningful while Busy or MustRead.
 	Sent T
-	// Busy says that a call about the object is in flight.
+	// Busy says that a call for the object is in flight.
 	Busy bool
-	// MustRead says that the last write's fate is not known.
+	// MustRead says that the result of the last write is unknown.
 	MustRead bool
-	// Failing is when calls about the object began to fail; zero while they work.
+	// FailingSince is when calls for the object began to fail; zero while they succeed.
 	FailingSince time.Time
 	// NotBefore delays the next call after a failure.
 	NotBefore time.Time
 }
 
-// Read is a read that Step asks for.
+// Read is a read that Step requests.
 type Read struct{ Key string }
 
-// Write is a conditional write that Step asks for.
+// Write is a conditional write that Step requests; After is the revision it replaces.
 type Write struct {
 	Key   string
 	Value []byte
 	After garnetworks.Revision
 }
 
-// The time between two calls about an object that fail grows from retryFailed to
-// retryLongest with the time for which they have failed, so that an API that is
-// down is not kept busy by those that wait for it.
+// The delay between failing calls for an object grows from minRetryDelay to maxRetryDelay
+// with the duration of the failure, so that retries do not overload an object API that
+// is down.
 const (
 	minRetryDelay = 500 * time.Millisecond
 	maxRetryDelay = 5 * time.Second
 )
 
-// due reports whether a call about the object may be made now.
+// due reports whether a call for the object may be made now.
 func (r *Record[T]) due(now time.Time) bool { return !r.Busy && !now.Before(r.NotBefore) }
 
-// read asks for the object.
+// read requests a read of the object.
 func (r *Record[T]) read(now time.Time, e *Effects) {
 	if !r.due(now) {
 		return
@@ -57,21 +57,21 @@
 	e.Reads = append(e.Reads, Read{r.Key})
 }
 
-// write asks for value to be stored after what is known to be stored.
+// write requests a write of value that succeeds only if Revision is still current.
 func (r *Record[T]) write(now time.Time, value T, e *Effects) {
 	if !r.due(now) {
 		return
 	}
 	encoded, err := json.Marshal(value)
 	if err != nil {
-		panic("controller: an object does not marshal: " + err.Error())
+		panic("controller: cannot encode an object: " + err.Error())
 	}
 	r.Busy = true
 	r.Sent = value
 	e.Writes = append(e.Writes, Write{r.Key, encoded, r.Revision})
 }
 
-// onWrite takes in a write's result and reports whether it is proven stored.
+// onWrite handles a write's result and reports whether the value is known to be stored.
 func (r *Record[T]) onWrite(now time.Time, revision garnetworks.Revision, err error) bool {
 	r.Busy = false
 	if err == nil {
@@ -97,12 +97,12 @@
 	}
 }
 
-// onRead takes in a read's result: what is stored, whoever wrote it.
+// onRead handles a read's result: the stored value, whoever wrote it.
 func (r *Record[T]) onRead(now time.Time, object garnetworks.Object, err error) error {
 	r.Busy = false
 	var stored T
 	if garnetworks.IsKind(err, garnetworks.KindNotFound) {
-		// Never written, or deleted: what this holder knows is written (anew).
+		// Never written, or deleted: the next write creates the object.
 		object.Revision, err = 0, nil
 	} else if err == nil {
 		err = json.Unmarshal(object.Value, &stored)
--- a/controller/send.go
+++ b/controller/send.go
@@ -7,7 +7,7 @@
 	"github.com/garnetworks/garnetworks/grouper"
 )
 
-// sendOrders asks for the engine orders that are due and may go out.
+// sendOrders requests the engine orders that are due and allowed.
 func (p *activeStep) sendOrders() {
 	for _, d := range p.open {
 		for _, order := range grouper.Orders(&d.Decided, p.fresh, p.loads) {
@@ -21,7 +21,7 @@
 	p.readBack()
 }
 
-// maySend keeps rules C2 to C4 and C7.
+// maySend enforces rules C2 to C4 and C7.
 func (p *activeStep) maySend(d *DomainState, order grouper.AddressedOrder) (withoutLease, ok bool) {
 	written := decisionStored(d, order.Instance)
 	if written && p.o.Term != 0 {
@@ -37,9 +37,8 @@
 	return true, true
 }
 
-// recorded reports whether the newest decision about the instance is proven to
-// be written. Every decision issues a token but for a drain, which keeps the
-// group's.
+// decisionStored reports whether the newest decision about the instance is known to be
+// stored. Every decision issues a new token except a drain, which keeps the group's.
 func decisionStored(d *DomainState, id garnetworks.InstanceID) bool {
 	stored := grouper.FindInstance(&d.Stored, id)
 	decided := grouper.FindInstance(&d.Decided, id)
@@ -53,8 +52,8 @@
 	return g != nil && g.State == garnetworks.GroupDraining
 }
 
-// pace lets one order at a time go to an instance, and the same one again only
-// after a while.
+// startOrder reports whether an order may be sent now, and marks it as in flight. An
+// instance gets one order at a time, and the same order again only after Times.Retry.
 func (p *activeStep) startOrder(order grouper.AddressedOrder) bool {
 	sent := p.orders[order.Instance]
 	if sent == nil {
@@ -72,8 +71,8 @@
 	return true
 }
 
-// OnOrder takes in the answer to an engine order that was sent at the given
-// time. A refused token means that another holder has been there.
+// OnOrder handles the answer to an engine order that was sent at the given time. A
+// rejected token means that another holder has sent orders to the engine.
 func (s *ZoneState) OnOrder(sent time.Time, effect EngineEffect, status garnetworks.EngineStatus, err error) {
 	if o := s.orders[effect.Instance]; o != nil && o.id == effect.ID {
 		o.busy = false
@@ -85,10 +84,9 @@
 	s.OnStatus(sent, status, err)
 }
 
-// readBack asks the instances themselves that nobody else hears, so that what
-// they say decides (C7): those that must show their release, those whose newest
-// word the shared table does not take because its token is lower, and silent
-// ones.
+// readBack requests statuses directly from instances whose own report is needed (C7):
+// those that must confirm their release, those whose newest status the shared table
+// rejects because its token is lower, and silent ones.
 func (p *activeStep) readBack() {
 	for _, d := range p.sortedDomains() {
 		for n := range d.Decided.Instances {
@@ -116,7 +114,7 @@
 	return read.start(p.o.Now)
 }
 
-// OnReadBack takes in a status that was read directly.
+// OnReadBack handles a status that was read directly.
 func (s *ZoneState) OnReadBack(sent time.Time, id garnetworks.InstanceID, status garnetworks.EngineStatus, err error) {
 	if read := s.reads[id]; read != nil {
 		read.done(sent.Add(s.Times.ReadBack))
@@ -124,8 +122,8 @@
 	s.OnStatus(sent, status, err)
 }
 
-// sendPower asks for the power orders that are due: only of written decisions
-// and only under the lease (C2, C5).
+// sendPower requests the power orders that are due: only for stored decisions and only
+// under the lease (C2, C5).
 func (p *activeStep) sendPower() {
 	if p.o.Term == 0 {
 		return
@@ -153,8 +151,8 @@
 	return true
 }
 
-// OnPower takes in the answer to a power order; for an order to power off,
-// proven is what the switch read after it acknowledged the order.
+// OnPower handles the answer to a power order; for an order to power off, state is what
+// the switch reported after it acknowledged the order.
 func (s *ZoneState) OnPower(now time.Time, order garnetworks.PowerOrder, state garnetworks.PowerState, err error) {
 	sent := s.power[order.Instance]
 	if sent == nil || sent.id != order.ID {
--- a/controller/sim_test.go
+++ b/controller/sim_test.go
@@ -13,12 +13,12 @@
 	"github.com/garnetworks/garnetworks/leaser"
 )
 
-// sim runs the pure parts of several nodes over small fakes on a clock of its
-// own, one tick at a time, so that any order of events can be brought about.
+// sim runs the pure parts of several nodes over small fakes on a simulated clock, one tick
+// at a time, so that any order of events can be produced.
 type sim struct {
 	now time.Time
-	// cap is the most that the ledger's cap may be; whole says that the ledger has
-	// a row for each zone.
+	// cap is the highest allowed cap of the ledger; ledgerComplete says that the ledger
+	// has a row for each zone.
 	cap            garnetworks.Watts
 	ledgerComplete bool
 	manifest       *garnetworks.AcceptedManifest
@@ -37,10 +37,10 @@
 	random         *rand.Rand
 	broken         string
 	ticks          int
-	// ledgerSeen and domainsSeen check that stored values never go back.
+	// domainsSeen holds the last stored domains, to check that tokens never go back.
 	domainsSeen map[string]garnetworks.FabricDomain
 	events      map[garnetworks.EventKind]int
-	// formed holds what each domain's token was issued for.
+	// formed holds the group that each domain's token was issued for.
 	formed map[string]string
 	log    []string
 }
@@ -75,14 +75,14 @@
 	loseOrderAnswers int
 	table            map[garnetworks.InstanceID]TimedStatus
 	probed           time.Time
-	// slowTo is until when each instance is probed only every three seconds.
+	// slowProbesUntil is until when each instance is probed only every three seconds.
 	slowProbesUntil time.Time
 	writeID         int
 	sequence        uint64
 	inbox           []func()
-	// outbox holds orders that were decided and not sent: a pause may fall between.
+	// outbox holds orders that are decided but not sent, since a pause may come between.
 	outbox []func()
-	// process counts restarts: answers to an older process are lost.
+	// process counts restarts: answers to an earlier process are dropped.
 	process int
 }
 
@@ -111,7 +111,7 @@
 			s.addNode(garnetworks.NodeID(fmt.Sprintf("n%d-%d", z, n)), zone, n)
 		}
 	}
-	// A site that starts with more on than its cap allows can only shed.
+	// A site that starts with more instances on than its cap allows can only shed.
 	s.cap = max(s.cap, s.draw())
 	for n := range 2 {
 		s.sites = append(s.sites, &simSite{s: s, id: n})
@@ -208,8 +208,8 @@
 	return s.revision, nil
 }
 
-// checkLedger lets the ledger's cap be above the manifest's only for what was
-// drawn or granted under an earlier one.
+// checkLedger allows a ledger cap above the manifest's only for what was drawn or granted
+// under an earlier cap.
 func (s *sim) checkLedger(key string, value []byte) {
 	if key != LedgerKey {
 		return
@@ -226,7 +226,7 @@
 
 var errDown = garnetworks.Errorf(garnetworks.KindObjectAPIDown, "down")
 
-// call makes a call to the object API from a node: 0.2 s there and back, with
+// call makes a call from a node to the object API, which takes 0.2 s and is subject to
 // the node's faults.
 func (n *simNode) call(write bool, do func() error, answer func(error)) {
 	s := n.s
@@ -248,7 +248,7 @@
 	n.answer(simTick, func() { answer(err) })
 }
 
-// answer hands a result to the node's process, which takes it in when it runs.
+// answer passes a result to the node's process, which handles it when it runs.
 func (n *simNode) answer(d time.Duration, do func()) {
 	process := n.process
 	n.s.after(d, func() {
@@ -419,8 +419,8 @@
 	return rows
 }
 
-// engineOrder checks the lease right before the order, as the loop does; the
-// order takes effect at some time within its bound.
+// engineOrder checks the lease immediately before the order, as the loop does; the order
+// takes effect at some time within its bound.
 func (n *simNode) engineOrder(o EngineEffect) {
 	s := n.s
 	sent := s.now
@@ -468,8 +468,7 @@
 	n.answer(simTick, func() { n.state.OnReadBack(sent, r.Instance, status, nil) })
 }
 
-// powerOrder may take effect long after its answer was lost; the switch checks
-// tokens.
+// powerOrder may take effect long after its answer was lost; the switch checks tokens.
 func (n *simNode) powerOrder(p PowerEffect) {
 	s := n.s
 	e := s.engines[p.Instance]
@@ -492,9 +491,8 @@
 	n.answer(simTick, func() { n.state.OnPower(s.now, p.PowerOrder, state, err) })
 }
 
-// The site's controller, whose round is spread over several ticks, on two nodes
-// that both believe they hold the lease: the conditional write alone keeps them
-// apart.
+// simSite is a site controller whose round spans several ticks. Two of them run, both of
+// which take the lease as held: only the conditional write prevents conflicts.
 type simSite struct {
 	s      *sim
 	id     int
@@ -548,10 +546,10 @@
 	})
 }
 
-// The oracle.
+// Invariants.
 
-// publish checks what routers are told: a confirmed group had all its members
-// ready within the bound (rule G1), and no two confirmed groups share one.
+// publish checks a view: all members of a confirmed group were ready within the bound
+// (rule G1), and no two confirmed groups share a member.
 func (n *simNode) publish(version garnetworks.UpdateVersion, view garnetworks.ZoneView) {
 	s := n.s
 	held := map[garnetworks.InstanceID]garnetworks.GroupID{}
@@ -561,11 +559,11 @@
 		}
 		for _, m := range g.Members {
 			if other, twice := held[m]; twice {
-				s.fail("%s tells routers that %s is in %s and %s", n.id, m, other, g.ID)
+				s.fail("%s publishes %s as a member of %s and %s", n.id, m, other, g.ID)
 			}
 			held[m] = g.ID
 			if seen, ok := s.engines[m].readyAt[g.ID]; !ok || s.now.Sub(seen) > garnetworks.ConfirmationBound+simTick {
-				s.fail("%s calls %s confirmed, whose member %s was ready at %v", n.id, g.ID, m, seen)
+				s.fail("%s publishes %s as confirmed, but member %s was last ready at %v", n.id, g.ID, m, seen)
 			}
 		}
 	}
@@ -574,7 +572,7 @@
 	}
 }
 
-// check holds the true draw against the ledger's cap.
+// check compares the actual draw with the ledger's cap and checks the domains' invariants.
 func (s *sim) check() {
 	draw := s.draw()
 	ceiling := s.cap
@@ -615,8 +613,7 @@
 	return draw
 }
 
-// checkStored holds each stored domain against the one before: its invariants,
-// and no token that goes back.
+// checkStored checks a stored domain's invariants, and that no token goes back.
 func (s *sim) checkStored(key string, value []byte) {
 	var d garnetworks.FabricDomain
 	if len(key) < len(domainsPrefix) || key[:len(domainsPrefix)] != domainsPrefix {
@@ -639,7 +636,7 @@
 	s.domainsSeen[key] = d
 }
 
-// serving counts the groups that routers are told to use.
+// serving counts the groups that the views call confirmed.
 func (s *sim) serving() int {
 	n := 0
 	for _, v := range s.views {
--- a/controller/simengine_test.go
+++ b/controller/simengine_test.go
@@ -17,7 +17,7 @@
 	bootTime    time.Duration
 	incarnation uint64
 	unreachable bool
-	// gone says that the platform no longer has the machine.
+	// removed says that the platform no longer has the machine.
 	removed        bool
 	token          garnetworks.FencingToken
 	highest        garnetworks.FencingToken
@@ -33,12 +33,12 @@
 	weights        []garnetworks.WeightID
 	lastOrder      string
 	leaving        bool
-	// truth is when the engine was last ready in each group.
+	// readyAt is when the engine was last ready in each group.
 	readyAt map[garnetworks.GroupID]time.Time
 }
 
-// answers reports whether the engine's process runs; a machine that was told to
-// power off answers until it is off.
+// answers reports whether the engine's process runs; a machine that was ordered to power
+// off answers until it is off.
 func (e *simEngine) answers() bool {
 	return (e.power == garnetworks.PowerOn || e.power == garnetworks.PowerStopping) && !e.unreachable
 }
--- a/controller/site.go
+++ b/controller/site.go
@@ -13,7 +13,7 @@
 	"github.com/garnetworks/garnetworks/leaser"
 )
 
-// SiteOptions describe the site's controller.
+// SiteOptions configures the site's controller.
 type SiteOptions struct {
 	Node garnetworks.NodeID
 	// Objects and Manifest are required.
@@ -23,16 +23,16 @@
 	Recorder garnetworks.Recorder
 	// Lease is leaser.Defaults() if zero.
 	Lease leaser.Settings
-	// Every is the time between two plans; DefaultSiteEvery if 0.
+	// Every is the interval between plans; DefaultSiteEvery if 0.
 	Every time.Duration
 }
 
-// DefaultSiteEvery is the time between two plans of the site's power.
+// DefaultSiteEvery is the interval between plans of the site's power.
 const DefaultSiteEvery = 2 * time.Second
 
-// Site runs the site's power ledger. Any number of nodes run one; the one that
-// holds the lease acts. It sends no orders, so its conditional writes alone
-// keep two holders apart.
+// Site keeps the site's power ledger. Any number of nodes run one; the holder of the lease
+// acts. It sends no orders, so conditional writes alone keep two concurrent holders from
+// conflicting.
 type Site struct {
 	options SiteOptions
 	lease   *leaser.Lease
@@ -40,7 +40,7 @@
 	term    uint32
 }
 
-// NewSite returns a site controller that acts once Run runs.
+// NewSite returns a site controller that starts when Run is called.
 func NewSite(options SiteOptions) (*Site, error) {
 	if options.Node == "" || options.Objects == nil || options.Manifest == nil {
 		return nil, garnetworks.Errorf(garnetworks.KindInvalidSettings, "a site controller needs a node, an object API and a manifest source")
@@ -64,8 +64,8 @@
 // Lease returns the site's lease, for status pages and for SetContenders.
 func (s *Site) Lease() *leaser.Lease { return s.lease }
 
-// Run contends for the site's lease and keeps the power ledger while it is
-// held, until ctx ends.
+// Run contends for the site's lease and keeps the power ledger while holding it, until
+// ctx ends.
 func (s *Site) Run(ctx context.Context) error {
 	leaseCtx, stopLease := context.WithCancel(context.WithoutCancel(ctx))
 	done := make(chan struct{})
@@ -95,8 +95,8 @@
 	}
 }
 
-// plan reads what is stored, decides and writes. Each plan begins with a read,
-// so a write whose answer was lost is read back before anything is concluded
+// plan reads the stored objects, computes the next ledger and writes it. Each plan begins
+// with a read, so a write whose answer was lost is read back before it is relied on
 // (rule G11).
 func (s *Site) plan(ctx context.Context, term uint32) {
 	manifest, ok := s.options.Manifest.Manifest()
@@ -129,7 +129,7 @@
 	s.write(ctx, out, revision)
 }
 
-// read reads the ledger first and the statements after it (rule W1).
+// read reads the ledger before the zones' power statements (rule W1).
 func (s *Site) read(ctx context.Context) (granter.SiteInput, garnetworks.Revision, error) {
 	in := granter.SiteInput{Powers: map[garnetworks.ZoneID]garnetworks.ZonePower{}}
 	object, err := s.options.Objects.Get(ctx, LedgerKey)
@@ -161,7 +161,7 @@
 	out.Ledger.WriteID = ulid.Make().String()
 	value, err := json.Marshal(out.Ledger)
 	if err != nil {
-		panic("controller: the power ledger does not marshal: " + err.Error())
+		panic("controller: cannot encode the power ledger: " + err.Error())
 	}
 	if _, err := s.options.Objects.Put(ctx, LedgerKey, value, after); err != nil {
 		return
--- a/controller/site_test.go
+++ b/controller/site_test.go
@@ -14,7 +14,7 @@
 	"github.com/garnetworks/garnetworks/prober"
 )
 
-// bench is a site of stand-ins with controllers on a few nodes per zone.
+// testSite is a site of fakes with controllers on a few nodes per zone.
 type testSite struct {
 	t       *testing.T
 	objects *faker.Objects
@@ -114,7 +114,7 @@
 	}
 }
 
-// probe feeds the shared table as probers would.
+// probe updates the shared table as probers would.
 func (b *testSite) probe(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, e := range b.fleet.Engines() {
@@ -206,9 +206,8 @@
 	}
 }
 
-// TestHolderStopsInOrder: an entry node is replaced while it holds a zone's
-// lease. It ends its orders, frees the lease, and another node goes on within
-// seconds; no group is touched, and answers of the object API get lost all along.
+// Guards against a planned replacement of the lease holder delaying the next holder or
+// breaking groups, while answers of the object API get lost.
 func TestHolderStopsGracefully(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestSite(t, testManifest(1, 2, 200_000, false), false, 2, 5)
--- a/controller/state.go
+++ b/controller/state.go
@@ -11,7 +11,7 @@
 	"github.com/garnetworks/garnetworks/placer"
 )
 
-// Phase is how far a holder has come.
+// Phase is the state of a zone's controller from standby to active.
 type Phase string
 
 const (
@@ -21,68 +21,65 @@
 	PhaseLoading Phase = "loading"
 	// PhaseClaiming: each object is being written under the new term (C1).
 	PhaseClaiming Phase = "claiming"
-	// PhaseActive: the holder decides.
+	// PhaseActive: the holder makes decisions.
 	PhaseActive Phase = "active"
 )
 
-// Witness is a status with the time at which it was asked for.
+// TimedStatus is a status with the time at which it was requested.
 type TimedStatus struct {
 	garnetworks.EngineStatus
 	At time.Time
 }
 
-// Observation is what a zone's controller sees at one step. Maps and slices
-// are only read.
+// Observation is the input of one step. Its maps and slices are read-only.
 type Observation struct {
 	Now time.Time
 	// Term is the lease's term if it is held now, or 0.
 	Term uint32
 	// Contested says that another node is known to hold the lease.
 	Contested bool
-	// Statuses are the newest witnesses of the zone's instances.
+	// Statuses are the newest statuses of the zone's instances.
 	Statuses map[garnetworks.InstanceID]TimedStatus
-	// Manifest is nil before the first one.
+	// Manifest is nil until the first one is accepted.
 	Manifest *garnetworks.AcceptedManifest
 	// Slowdowns may be nil.
 	Slowdowns map[garnetworks.InstanceID]float64
-	// Others are the fresh views of other zones.
+	// Others are the recent views of other zones.
 	Others []garnetworks.ZoneView
 }
 
-// DomainState is one fabric domain and what is decided about it.
+// DomainState is a fabric domain as stored and as decided.
 type DomainState struct {
 	Record[garnetworks.FabricDomain]
-	// Ahead is the domain with all decisions, written or not.
+	// Decided is the domain with all decisions, stored or not.
 	Decided garnetworks.FabricDomain
-	// Urgency says whether Ahead holds what has not been sent to be written.
+	// Urgency says whether Decided has changes that no write has been requested for.
 	Urgency grouper.Urgency
-	// Resend says that the newest value sent is not proven to be stored.
+	// Resend says that the newest value sent is not known to be stored.
 	Resend bool
 	// SoftSince is when the oldest unwritten soft change was made.
 	SoftSince time.Time
 }
 
-// ZoneState is everything a zone's controller knows. Only Step and the On
-// methods change it.
+// ZoneState is the whole state of a zone's controller. Only Step and the On methods
+// change it.
 type ZoneState struct {
 	Zone  garnetworks.ZoneID
 	Times Times
 	Phase Phase
-	// Term is the term that the state belongs to; in PhaseStandby it is the last
-	// one that it belonged to, which is never used again.
+	// Term is the term that the state belongs to; in PhaseStandby it is the last one,
+	// which is never reused.
 	Term uint32
-	// Since is when the phase was entered; HearFrom is when silence began to
-	// count.
+	// Since is when the phase began; ListeningSince is the time from which silence counts.
 	Since          time.Time
 	ListeningSince time.Time
 
 	Domains map[garnetworks.DomainID]*DomainState
 	Power   Record[garnetworks.ZonePower]
-	// Ledger is the newest one read.
+	// Ledger is the newest ledger read.
 	Ledger     garnetworks.Option[garnetworks.PowerLedger]
 	ledgerRead periodicCall
-	// Listed are the zone's rows; ListKnown says that they were read under this
-	// term.
+	// Listed are the zone's rows; ListKnown says that they were read under this term.
 	Listed     []garnetworks.ListedInstance
 	ListKnown  bool
 	listRead   periodicCall
@@ -96,31 +93,30 @@
 	changed   bool
 	loads     grouper.LoadPlan
 
-	// direct are statuses that this controller read itself or that orders
-	// answered.
+	// direct are statuses that this controller read itself or got as answers to orders.
 	direct map[garnetworks.InstanceID]TimedStatus
-	// orders, reads and power hold what was sent to each instance, for retries.
+	// orders, reads and power hold what was last sent to each instance, for retries.
 	orders map[garnetworks.InstanceID]*sentOrder
 	reads  map[garnetworks.InstanceID]*periodicCall
 	power  map[garnetworks.InstanceID]*sentPower
-	// offAt is when an instance was proven off: older statuses don't count.
+	// offAt is when an instance was confirmed off: older statuses don't count.
 	offAt map[garnetworks.InstanceID]time.Time
-	// gone are instances that the power switch does not know.
+	// removed are instances unknown to the power switch.
 	removed garnetworks.Set[garnetworks.InstanceID]
-	// refused says who refused a token of this term as stale; empty if nobody.
+	// refused says who rejected a token of this term as stale; empty if nobody did.
 	refused string
-	// heardAny is when the holder last heard from any instance; gaveAway is when
-	// it gave the lease away for silence (C8).
+	// lastContact is when the holder last had a fresh status of any instance, or began
+	// to listen; yieldedAt is when it yielded the lease for isolation (C8).
 	lastContact time.Time
 	yieldedAt   time.Time
 
-	// Limit is what the zone may draw now; granted says that it was ever granted
-	// anything.
+	// Limit is what the zone may draw now; granted says that the zone was
+	// ever granted power.
 	Limit     garnetworks.Watts
 	granted   bool
 	Metrics   garnetworks.ZoneMetrics
 	metricsAt time.Time
-	// stepped is the time of the last step.
+	// lastStep is the time of the last step.
 	lastStep time.Time
 	view     garnetworks.ZoneView
 	viewAt   time.Time
@@ -128,7 +124,7 @@
 	writes   uint64
 }
 
-// nextCall paces a repeated call.
+// periodicCall limits how often a call is made.
 type periodicCall struct {
 	busy   bool
 	nextAt time.Time
@@ -144,36 +140,36 @@
 
 func (n *periodicCall) done(at time.Time) { n.busy, n.nextAt = false, at }
 
-// sentOrder paces the orders to one instance.
+// sentOrder is the last order to an instance.
 type sentOrder struct {
 	id    string
 	kind  garnetworks.OrderKind
 	token garnetworks.FencingToken
 	busy  bool
 	at    time.Time
-	// first is when an order of this kind and token was first sent.
+	// firstSent is when an order of this kind and token was first sent.
 	firstSent time.Time
 }
 
-// sentPower paces the power orders to one instance.
+// sentPower is the last power order to an instance.
 type sentPower struct {
 	id    string
 	token garnetworks.FencingToken
 	busy  bool
 	acked bool
 	at    time.Time
-	// first is when the decision's order was first sent.
+	// firstSent is when the order of this decision was first sent.
 	firstSent time.Time
 }
 
-// NewZoneState returns the state of a controller that holds nothing.
+// NewZoneState returns the state of a controller that does not hold the lease.
 func NewZoneState(zone garnetworks.ZoneID, times Times) *ZoneState {
 	s := &ZoneState{Zone: zone, Times: times}
 	s.reset()
 	return s
 }
 
-// reset forgets everything that belonged to a holding.
+// reset drops everything that belongs to the current term.
 func (s *ZoneState) reset() {
 	yieldedAt, direct := s.yieldedAt, s.direct
 	*s = ZoneState{Zone: s.Zone, Times: s.Times, Phase: PhaseStandby, Term: s.Term, yieldedAt: yieldedAt, direct: direct, sequence: s.sequence, writes: s.writes}
@@ -193,12 +189,12 @@
 	s.removed = garnetworks.NewSet[garnetworks.InstanceID]()
 }
 
-// sorted returns the domains in order of name, so that a step is repeatable.
+// sortedDomains returns the domains sorted by key, so that steps are deterministic.
 func (s *ZoneState) sortedDomains() []*DomainState {
 	return slices.SortedFunc(maps.Values(s.Domains), func(a, b *DomainState) int { return cmp.Compare(a.Key, b.Key) })
 }
 
-// Drawn is the zone's pessimistic draw by all decisions.
+// Drawn returns the zone's worst-case draw by all decisions.
 func (s *ZoneState) Drawn() garnetworks.Watts {
 	sum := s.servicesDraw()
 	for _, d := range s.Domains {
@@ -207,8 +203,8 @@
 	return sum
 }
 
-// servicesDraw is the draw of the listed plain services, which this controller
-// never powers off.
+// servicesDraw returns the draw of the listed plain services, which this controller never
+// powers off.
 func (s *ZoneState) servicesDraw() garnetworks.Watts {
 	var sum garnetworks.Watts
 	for _, l := range s.Listed {
--- a/controller/step.go
+++ b/controller/step.go
@@ -8,12 +8,12 @@
 	"github.com/garnetworks/garnetworks/grouper"
 )
 
-// Step decides what to do next.
+// Step computes the next calls and orders from the state and an observation.
 func (s *ZoneState) Step(o Observation) Effects {
 	e := Effects{}
 	if s.Phase != PhaseStandby && (o.Contested || (o.Term != 0 && o.Term != s.Term)) {
-		// Another node decides now, or this one under another term: nothing that
-		// was decided and not written may survive.
+		// Another node holds the lease, or this one under another term: decisions that were
+		// not stored must be dropped.
 		s.reset()
 	}
 	if s.Phase == PhaseStandby {
@@ -21,9 +21,9 @@
 			return e
 		}
 		if o.Term <= s.Term {
-			// What this process decided under the term is forgotten, tokens that an
-			// engine may hold among it. Going on under the same term would issue them
-			// again for other decisions.
+			// The decisions made under this term were dropped, including tokens that engines may
+			// hold. Continuing under the same term would issue those tokens again for other
+			// decisions.
 			e.RaiseFloor = s.Term
 			return e
 		}
@@ -42,17 +42,16 @@
 	return e
 }
 
-// pauseGap is the time between two steps from which the process is taken to have
-// stood still; steps come each Times.Tick.
+// pauseThreshold is the time between two steps above which the process is taken to have
+// been paused; steps normally come every Times.Tick.
 const pauseThreshold = 2 * time.Second
 
-// noticePause lets silence begin to count anew after the process stood still.
+// detectPause restarts the measurement of silence after the process was paused.
 //
-// Failure: a paused holder wakes with confirmations that are all old, takes its
-// own standstill for the engines' silence, and gives its lease away or counts
-// every member as lost; a zone's only node then leaves the zone without a
-// controller for half a minute. What fell silent during the pause is found
-// Times.Loss later, as after a change of holder.
+// Failure: a resumed holder has only old statuses, takes its own pause for the engines'
+// silence, and yields its lease or counts every member as lost; a zone's only node then
+// leaves the zone without a controller for yieldPeriod. An instance that fell silent during
+// the pause is detected Times.Loss later, as after a change of holder.
 func (s *ZoneState) detectPause(now time.Time) {
 	if gap := now.Sub(s.lastStep); !s.lastStep.IsZero() && gap > pauseThreshold {
 		s.ListeningSince = now
@@ -76,7 +75,7 @@
 	s.changed = true
 }
 
-// readAround keeps what lies around the domains up to date.
+// startReads updates the manifest and requests the list, ledger and rate when due.
 func (s *ZoneState) startReads(o Observation, e *Effects) {
 	s.updateManifest(o)
 	e.ReadList = s.listRead.start(o.Now)
@@ -84,7 +83,7 @@
 	e.ReadRate = s.rateRead.start(o.Now)
 }
 
-// takeManifest never goes back to an older generation (rule G10).
+// updateManifest takes over a newer manifest, never an older generation (rule G10).
 func (s *ZoneState) updateManifest(o Observation) {
 	if o.Manifest == nil || (s.Manifest != nil && o.Manifest.Generation <= s.Manifest.Generation) {
 		return
@@ -100,7 +99,7 @@
 	e.ListDomains = s.domainList.start(o.Now)
 }
 
-// OnDomains takes in the zone's domains.
+// OnDomains handles the result of listing the zone's domains.
 func (s *ZoneState) OnDomains(now time.Time, objects []garnetworks.Object, err error) error {
 	if s.Phase != PhaseLoading {
 		return nil
@@ -113,8 +112,8 @@
 	for _, object := range objects {
 		d := &DomainState{Record: Record[garnetworks.FabricDomain]{Key: object.Key}}
 		if err := d.onRead(now, object, nil); err != nil {
-			// A domain that can't be read may hold instances that draw power: nothing
-			// is decided for the zone until an operator has seen to it.
+			// A domain that can't be decoded may contain instances that draw power: nothing is
+			// decided for the zone until an operator has repaired it.
 			s.domainList.done(now.Add(s.Times.ListEvery))
 			return err
 		}
@@ -127,7 +126,7 @@
 	return nil
 }
 
-// claim writes each object under this term (C1).
+// claim writes each object under this term (C1) and then enters PhaseActive.
 func (s *ZoneState) claim(o Observation, e *Effects) {
 	if o.Term == 0 {
 		return
@@ -148,9 +147,9 @@
 	case s.Power.MustRead:
 		s.Power.read(o.Now, e)
 	case s.Power.Revision == 0:
-		// There is no statement: the first one is written once the zone's draw is
-		// known, because the site would take an empty one for a draw of 0. Creating
-		// it is conditional too.
+		// There is no power statement: the first one is written once the zone's draw is
+		// known, because the site would read an empty one as a draw of 0. Creating it is
+		// conditional too.
 		return true
 	case s.Power.Stored.Term > s.Term:
 		e.RaiseFloor = max(e.RaiseFloor, s.Power.Stored.Term)
@@ -169,7 +168,7 @@
 	case d.MustRead:
 		d.read(o.Now, e)
 	case d.Stored.Term > s.Term:
-		// The lease's record was deleted or restored: terms went back.
+		// The lease's record was deleted or restored: its term went back.
 		e.RaiseFloor = max(e.RaiseFloor, d.Stored.Term)
 	case d.Stored.Term < s.Term:
 		d.Decided = grouper.Clone(&d.Stored)
@@ -195,13 +194,13 @@
 	d.SoftSince = time.Time{}
 }
 
-// writeID is unique: a term belongs to one process, which counts its writes.
+// writeID returns a unique identifier: a term belongs to one process, which counts its writes.
 func (s *ZoneState) writeID() string {
 	s.writes++
 	return fmt.Sprintf("%s/%d/%d", s.Zone, s.Term, s.writes)
 }
 
-// OnWrite takes in the result of a write.
+// OnWrite handles the result of a write.
 func (s *ZoneState) OnWrite(now time.Time, term uint32, key string, revision garnetworks.Revision, err error) {
 	if term != s.Term {
 		return
@@ -216,7 +215,7 @@
 	}
 }
 
-// OnRead takes in the result of a read.
+// OnRead handles the result of a read.
 func (s *ZoneState) OnRead(now time.Time, term uint32, key string, object garnetworks.Object, err error) error {
 	if term != s.Term {
 		return nil
@@ -245,7 +244,7 @@
 	return nil
 }
 
-// OnList takes in the instance list.
+// OnList handles the instance list.
 func (s *ZoneState) OnList(now time.Time, rows []garnetworks.ListedInstance, err error) {
 	s.listRead.done(now.Add(s.Times.ListEvery))
 	if err == nil {
@@ -255,7 +254,7 @@
 	}
 }
 
-// OnLedger takes in the power ledger; it never goes back to an older one.
+// OnLedger handles the power ledger; an older ledger never replaces a newer one.
 func (s *ZoneState) OnLedger(now time.Time, ledger garnetworks.PowerLedger, err error) {
 	s.ledgerRead.done(now.Add(s.Times.LedgerEvery))
 	if err != nil {
@@ -268,10 +267,10 @@
 	s.changed = true
 }
 
-// rateEvery is the time between two reads of the weight store's rate.
+// rateEvery is the interval between reads of the weight store's rate.
 const rateEvery = time.Minute
 
-// OnRate takes in the weight store's rate.
+// OnRate handles the weight store's rate.
 func (s *ZoneState) OnRate(now time.Time, rate int64, err error) {
 	s.rateRead.done(now.Add(rateEvery))
 	if err == nil {
@@ -279,7 +278,7 @@
 	}
 }
 
-// OnStatus takes in a status that was read directly or that answered an order.
+// OnStatus handles a status that was read directly or that answered an order.
 func (s *ZoneState) OnStatus(sent time.Time, status garnetworks.EngineStatus, err error) {
 	if err != nil || status.Instance == "" {
 		return
--- a/controller/turns_test.go
+++ b/controller/turns_test.go
@@ -7,9 +7,8 @@
 )
 
 func TestZonesTakeTurnsWithANewVersion(t *testing.T) {
-	// An operator commits a new version. Each of three zones has one group, and
-	// if all drain theirs at once, every caller is refused until the first one
-	// has loaded it.
+	// Guards against all zones draining their only group for a new version at once, which
+	// leaves no group to serve until the first has loaded.
 	group := func(version garnetworks.VersionName, state garnetworks.GroupState, confirmed bool) garnetworks.GroupView {
 		return garnetworks.GroupView{Model: "chat", Version: version, State: state, Confirmed: confirmed}
 	}
--- a/controller/view.go
+++ b/controller/view.go
@@ -8,10 +8,10 @@
 	"github.com/garnetworks/garnetworks/grouper"
 )
 
-// slowAt is the slowdown at which routers are told that a group is slow.
+// slowThreshold is the slowdown from which a group is marked slow for routers.
 const slowThreshold = 1.5
 
-// zoneView is what all nodes are told.
+// zoneView returns the view of the zone that all nodes receive.
 func (p *activeStep) zoneView() garnetworks.ZoneView {
 	view := garnetworks.ZoneView{Zone: p.Zone, Metrics: p.Metrics}
 	for _, d := range p.open {
@@ -64,8 +64,8 @@
 	return g.State == garnetworks.GroupServing && grouper.Confirmed(d, g, fresh)
 }
 
-// publish hands the view out when routers would act on the change, and now and
-// then for the loads and measures in it.
+// publish requests a new view when its routing data has changed, and every PublishEvery
+// to refresh the loads and metrics.
 func (p *activeStep) publish() {
 	view := p.zoneView()
 	if p.viewAt.IsZero() && p.warmingUp(view) {
@@ -80,16 +80,16 @@
 	p.e.View = garnetworks.Some(view)
 }
 
-// warmingUp reports whether a new holder may not have heard everybody yet. Its
-// first view would call groups unconfirmed that serve, and nodes that know of them
-// by views alone would refuse their callers. A group that is really missing a
-// member is told a little later than the last holder's silence has lasted already.
+// warmingUp reports whether a new holder may not have a status of every member yet. Its
+// first view would mark serving groups as unconfirmed, and nodes that know them only by
+// views would refuse calls. A group with a member that is really lost is reported at most
+// Times.Loss later.
 func (p *activeStep) warmingUp(view garnetworks.ZoneView) bool {
 	if p.o.Now.Sub(p.ListeningSince) >= p.Times.Loss {
 		return false
 	}
 	for n := range view.Groups {
-		// That a group serves may not have been written yet (C10).
+		// A group may serve although that has not been written yet (C10).
 		if g := &view.Groups[n]; g.State != garnetworks.GroupDraining && !g.Confirmed {
 			return true
 		}
@@ -97,7 +97,7 @@
 	return false
 }
 
-// lasting leaves out what changes all the time.
+// stableFields returns the view without metrics and loads, which change all the time.
 func stableFields(view garnetworks.ZoneView) garnetworks.ZoneView {
 	view.Metrics = garnetworks.ZoneMetrics{}
 	groups := make([]garnetworks.GroupView, len(view.Groups))
@@ -109,7 +109,7 @@
 	return view
 }
 
-// measure counts the two measures on from the last step.
+// updateMetrics adds the time since the last step to the downtime metrics.
 func (p *activeStep) updateMetrics() {
 	elapsed := p.o.Now.Sub(p.metricsAt)
 	p.metricsAt = p.o.Now
@@ -122,7 +122,7 @@
 	p.Metrics.Limit = p.Limit
 }
 
-// countDown returns how many wanted groups don't serve.
+// countGroupsDown returns how many wanted groups don't serve.
 func (p *activeStep) countGroupsDown() int {
 	serving := map[garnetworks.ModelName]int{}
 	for _, d := range p.open {
@@ -139,8 +139,8 @@
 	return down
 }
 
-// countStranded returns how many powered instances don't serve. Those of a
-// draining group still finish calls.
+// countStranded returns how many powered instances neither serve nor belong to a draining
+// group, which still finishes calls.
 func (p *activeStep) countStranded() int {
 	stranded := 0
 	for _, d := range p.open {
--- a/controller/zone.go
+++ b/controller/zone.go
@@ -10,8 +10,8 @@
 	"github.com/garnetworks/garnetworks/leaser"
 )
 
-// Zone runs an availability zone's controller. Any number of nodes run one for
-// the same zone; the one that holds the lease acts.
+// Zone runs an availability zone's controller. Any number of nodes run one for the same
+// zone; the holder of the lease acts.
 type Zone struct {
 	options Options
 	lease   *leaser.Lease
@@ -20,8 +20,8 @@
 	results chan result
 }
 
-// job is a call that a worker makes; its result is taken in by the loop, so
-// that one goroutine alone touches the state.
+// job is a call that a worker makes; its result is applied by the loop, so that only
+// one goroutine accesses the state.
 type (
 	job    func(ctx context.Context) result
 	result func(s *ZoneState)
@@ -30,14 +30,13 @@
 const (
 	// workers bounds the calls in flight.
 	workers = 32
-	// callBound bounds a call to the platform that is not an order.
+	// callTimeout bounds a call to the platform other than an order.
 	callTimeout = 3 * time.Second
-	// giveAwayFor is how long a node that hears from no engine leaves the lease
-	// to others.
+	// yieldPeriod is how long an isolated node leaves the lease to others.
 	yieldPeriod = 30 * time.Second
 )
 
-// NewZone returns a zone controller that acts once Run runs.
+// NewZone returns a zone controller that starts when Run is called.
 func NewZone(options Options) (*Zone, error) {
 	if err := options.check(); err != nil {
 		return nil, err
@@ -68,8 +67,8 @@
 // Lease returns the zone's lease, for status pages and for SetContenders.
 func (z *Zone) Lease() *leaser.Lease { return z.lease }
 
-// Run contends for the zone's lease and controls the zone while it is held,
-// until ctx ends. It then ends all orders before it frees the lease.
+// Run contends for the zone's lease and controls the zone while holding it, until ctx
+// ends. It then ends all calls before it releases the lease.
 func (z *Zone) Run(ctx context.Context) error {
 	leaseCtx, stopLease := context.WithCancel(context.WithoutCancel(ctx))
 	var lease, pool sync.WaitGroup
@@ -144,7 +143,7 @@
 	return o
 }
 
-// known are the instances whose statuses count: those of the domains.
+// knownInstances returns the instances of the zone's domains.
 func (s *ZoneState) knownInstances() []garnetworks.InstanceID {
 	var ids []garnetworks.InstanceID
 	for _, d := range s.Domains {
@@ -180,8 +179,8 @@
 	}
 }
 
-// enqueue hands a job to the workers. While they are all busy it takes in
-// results, so that neither side waits for the other.
+// enqueue hands a job to the workers. While they are all busy it applies results, so that
+// the loop and the workers cannot deadlock.
 func (z *Zone) enqueue(ctx context.Context, j job) {
 	for {
 		select {
@@ -280,7 +279,7 @@
 	return func(s *ZoneState) { s.OnRate(time.Now(), rate, err) }
 }
 
-// power sends a power order under the lease (C3), and reads the power after an
+// power sends a power order under the lease (C3), and reads the power state after an
 // order to power off was acknowledged.
 func (z *Zone) power(ctx context.Context, p PowerEffect) result {
 	state := garnetworks.PowerUnknown
@@ -312,8 +311,8 @@
 	return func(s *ZoneState) { s.OnReadBack(sent, r.Instance, status, err) }
 }
 
-// order sends an engine order. The lease is checked right before it, however
-// long the order has waited here or the process was paused (rule G12).
+// order sends an engine order. The lease is checked immediately before, because the order
+// may have waited here or the process may have been paused (rule G12).
 func (z *Zone) order(ctx context.Context, o EngineEffect) result {
 	orderCtx, cancel, err := z.orderContext(ctx, o)
 	sent := time.Now()
