--- a/cmd/garnetd/platform.go
+++ b/cmd/garnetd/platform.go
@@ -44,7 +44,7 @@
 		Objects: platform.NewStore(site.ObjectAPI),
 		Reader:  platform.SiteReader{},
 		Calls:   platform.CallReader{},
-		Passer:  backends,
+		Proxy:   backends,
 		Orders:  platform.NewOrders(),
 		Ready:   platform.ReadyHandler,
 		Sweep:   backends.Sweep,
--- a/launcher/cause_test.go
+++ b/launcher/cause_test.go
@@ -10,7 +10,7 @@
 )
 
 // line returns the one line of the log that names the call.
-func (s *site) line(id string) map[string]any {
+func (s *site) logLine(id string) map[string]any {
 	s.t.Helper()
 	var found map[string]any
 	s.eventually("the log has a line of the call "+id, func() bool {
@@ -38,15 +38,15 @@
 
 // Story: a user complains of one call and gives its identifier. The engineer on
 // call has the logs only, and must find what decided it.
-func TestCauseIsFoundFromTheIdentifier(t *testing.T) {
+func TestLogLineShowsCauseOfFailure(t *testing.T) {
 	cases := map[string]struct {
 		target string
-		strike func(*site)
+		inject func(*site)
 		check  func(*testing.T, map[string]any)
 	}{
 		"refused, since no group serves": {
 			target: streamURL,
-			strike: func(*site) {},
+			inject: func(*site) {},
 			check: func(t *testing.T, line map[string]any) {
 				if line["kind"] != "no-serving-group" || line["outcome"] != "not-run" || line["groups"] != 0.0 {
 					t.Errorf("the line tells %v", line)
@@ -55,7 +55,7 @@
 		},
 		"not repeatable, and its answer was lost": {
 			target: onceURL,
-			strike: func(s *site) {
+			inject: func(s *site) {
 				for _, b := range s.services {
 					b.Faults(func(f *impersonator.BackendFaults) { f.LoseAnswers = 1 })
 				}
@@ -69,7 +69,7 @@
 		},
 		"refused by full servers": {
 			target: onceURL,
-			strike: func(s *site) {
+			inject: func(s *site) {
 				for _, b := range s.services {
 					b.Faults(func(f *impersonator.BackendFaults) { f.Full = true })
 				}
@@ -84,12 +84,12 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			// Two engines are too few for a group of three.
-			s := open(t, 2)
-			s.serve(onceURL)
-			c.strike(s)
+			s := newSite(t, 2)
+			s.awaitSuccess(onceURL)
+			c.inject(s)
 			id := newID()
 			s.call(http.MethodPost, c.target, func(r *http.Request) { r.Header.Set("Garnetworks-Request-Id", id) })
-			c.check(t, s.line(id))
+			c.check(t, s.logLine(id))
 		})
 	}
 }
@@ -97,9 +97,9 @@
 // Story: a stream was cut off in the middle with its engine, and no other group
 // could go on. The call's line names the group and the instance, and how far the
 // answer had come.
-func TestCauseOfAStreamThatBrokeOff(t *testing.T) {
-	s := open(t, 3)
-	s.serve(streamURL)
+func TestLogLineOfABrokenStream(t *testing.T) {
+	s := newSite(t, 3)
+	s.awaitSuccess(streamURL)
 	for _, e := range s.engines {
 		e.Faults(func(f *impersonator.BackendFaults) { f.BreakAfter = 2 })
 	}
@@ -108,7 +108,7 @@
 	if a.err == nil {
 		t.Errorf("the client got an answer that looks whole: %+v", a)
 	}
-	line := s.line(id)
+	line := s.logLine(id)
 	attempts, _ := line["attempts"].([]any)
 	if len(attempts) == 0 {
 		t.Fatalf("the line has no attempts: %v", line)
@@ -120,9 +120,9 @@
 }
 
 // Guards against refusals whose lines lack the routing that decided them, and its age.
-func TestRefusalTellsItsRouting(t *testing.T) {
-	s := open(t, 0)
-	s.serve(onceURL)
+func TestRefusalLogsItsRouting(t *testing.T) {
+	s := newSite(t, 0)
+	s.awaitSuccess(onceURL)
 	cases := map[string]struct {
 		change func(*http.Request)
 		kind   string
@@ -137,8 +137,8 @@
 				r.Header.Set("Garnetworks-Request-Id", id)
 				c.change(r)
 			})
-			line := s.line(id)
-			if _, told := line["routing-age-ms"].(float64); line["kind"] != c.kind || line["routing"] != 1.0 || !told {
+			line := s.logLine(id)
+			if _, hasAge := line["routing-age-ms"].(float64); line["kind"] != c.kind || line["routing"] != 1.0 || !hasAge {
 				t.Errorf("the line tells %v", line)
 			}
 		})
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -42,18 +42,18 @@
 	leaseKey = "leases/groups"
 	// balancerTime is how long the balancer may take to hear that a node stops:
 	// two questions, a second apart, and some slack.
-	balancerTime = 2500 * time.Millisecond
+	balancerNoticeTime = 2500 * time.Millisecond
 	// stopMargin is left of the grace period when calls in flight are given up.
 	stopMargin = 300 * time.Millisecond
 	// headerTime bounds a request's headers, above what routings allow, and
 	// idleTime an unused connection of a client.
-	headerTime = 10 * time.Second
-	idleTime   = 60 * time.Second
+	headerTimeout = 10 * time.Second
+	idleTimeout   = 60 * time.Second
 	// headerBytes bounds a request's headers.
-	headerBytes = 64 << 10
+	maxHeaderBytes = 64 << 10
 	// memoryPart is the part of the node's memory that the heap may fill before
 	// it is collected more often.
-	memoryPart = 0.6
+	heapFraction = 0.6
 	// heapGrowth is how far the heap grows between two collections, in percent.
 	// The live heap is a few MB, so that a collection costs little, and more of them
 	// halve the memory that a node holds.
@@ -64,8 +64,8 @@
 	// contendersEvery is how often the lease is told which nodes there are: soon enough
 	// for a candidate that is lost. It is told first after firstContenders, before the
 	// patience of a node that starts is over.
-	contendersEvery = 700 * time.Millisecond
-	firstContenders = 200 * time.Millisecond
+	contendersEvery      = 700 * time.Millisecond
+	firstContendersDelay = 200 * time.Millisecond
 )
 
 // leaseSettings pass the lease on within about 3 s of its holder's loss. A group
@@ -86,29 +86,29 @@
 // is ordered in that time anyway. startPatience is the same for a node that starts later:
 // it hears of the others, who may come before it.
 const (
-	firstPatience = 1500 * time.Millisecond
-	startPatience = 250 * time.Millisecond
+	firstStartLeaseDelay = 1500 * time.Millisecond
+	restartLeaseDelay    = 250 * time.Millisecond
 )
 
 // firstQuarantineRead is how long the node leaves the records of calls under which servers
 // ended to others at the site's first start: it knows by then who reads for others, and
 // calls come much later.
-const firstQuarantineRead = 2500 * time.Millisecond
+const firstStartReadDelay = 2500 * time.Millisecond
 
 // firstRead returns how long a node that starts leaves those records to others.
-func firstRead(site *garnetworks.NodeSettings) time.Duration {
+func quarantineReadDelay(site *garnetworks.NodeSettings) time.Duration {
 	if !site.FirstStart {
 		return 0
 	}
-	return firstQuarantineRead
+	return firstStartReadDelay
 }
 
 // patience returns how long a node that starts leaves the lease to others.
-func patience(site *garnetworks.NodeSettings) time.Duration {
+func leaseDelay(site *garnetworks.NodeSettings) time.Duration {
 	if !site.FirstStart {
-		return startPatience
+		return restartLeaseDelay
 	}
-	return firstPatience
+	return firstStartLeaseDelay
 }
 
 // Listeners take calls, the balancer's questions and the operators' reading of
@@ -129,7 +129,7 @@
 	Objects garnetworks.ObjectAPI
 	Reader  garnetworks.SiteReader
 	Calls   garnetworks.CallReader
-	Passer  garnetworks.CallProxy
+	Proxy   garnetworks.CallProxy
 	Orders  garnetworks.GroupOrders
 	// BalancerTime replaces the time that the balancer may take to hear that the node
 	// stops, if it is above 0.
@@ -175,7 +175,7 @@
 	})
 	l.lease, err = leaser.New(leaser.Options{
 		Self: site.Node, Key: leaseKey, Objects: objects, Settings: leaseSettings(), Recorder: events, Zone: site.Zone, Processor: site.MilliCPU,
-		Patience: patience(site),
+		Patience: leaseDelay(site),
 	})
 	if err != nil {
 		return nil, err
@@ -187,17 +187,17 @@
 		Demand:      func() map[garnetworks.ModelName]float64 { return l.gateway.Work() },
 	})
 	l.quarantine = quarantiner.New(quarantiner.Options{
-		Probe: l.prove, Objects: objects, Reads: func() bool { return l.peers.exchanger.Reads() }, Recorder: events,
-		InitialReadDelay: firstRead(site),
+		Probe: l.probeIncarnation, Objects: objects, Reads: func() bool { return l.peers.exchanger.Reads() }, Recorder: events,
+		InitialReadDelay: quarantineReadDelay(site),
 	})
 	l.gateway = gateway.New(gateway.Options{
-		Zone: site.Zone, Bounds: site.Bounds, Follower: l.follower, Reader: options.Calls, Passer: options.Passer,
+		Zone: site.Zone, Bounds: site.Bounds, Follower: l.follower, Reader: options.Calls, Passer: options.Proxy,
 		Meter: l.meter, Suspect: l.suspect, Quarantine: l.quarantine, Logger: options.Logger,
 	})
 	l.meter.ShowRoutingAge(l.gateway.RoutingAge)
 	l.peers.exchanger = exchanger.New(exchanger.Options{
 		Peers: l.peers.client, Self: l.peers.tracker.Self, Nodes: l.peers.tracker.Peers,
-		Load: l.load, Take: l.takeOthers, Suspect: l.former.Suspect, Contents: l.quarantine,
+		Load: l.load, Take: l.setOthers, Suspect: l.former.Suspect, Contents: l.quarantine,
 	})
 	return l, nil
 }
@@ -211,7 +211,7 @@
 
 // takeOthers takes what the other nodes tell. What the node itself tells of lost groups is
 // not among it.
-func (l *Launcher) takeOthers(others garnetworks.LoadReport, known bool) {
+func (l *Launcher) setOthers(others garnetworks.LoadReport, known bool) {
 	others.Lost = append(slices.Clone(others.Lost), l.former.Lost()...)
 	l.gateway.SetOthers(others, known)
 }
@@ -239,22 +239,22 @@
 	}
 	serving, end := context.WithCancel(context.Background())
 	defer end()
-	duties, serving := errgroup.WithContext(serving)
-	duties.Go(func() error { return ignoreEnd(serving, l.follower.Run(serving)) })
-	duties.Go(func() error { return l.gateway.Run(serving) })
-	duties.Go(func() error { return l.quarantine.Run(serving) })
-	duties.Go(func() error { return l.sweep(serving) })
-	duties.Go(func() error { return l.peers.run(serving, listeners.Peers) })
-	duties.Go(func() error { return l.lead(stop) })
+	tasks, serving := errgroup.WithContext(serving)
+	tasks.Go(func() error { return ignoreCancelled(serving, l.follower.Run(serving)) })
+	tasks.Go(func() error { return l.gateway.Run(serving) })
+	tasks.Go(func() error { return l.quarantine.Run(serving) })
+	tasks.Go(func() error { return l.sweep(serving) })
+	tasks.Go(func() error { return l.peers.run(serving, listeners.Peers) })
+	tasks.Go(func() error { return l.lead(stop) })
 	calls := l.server(l.gateway)
-	calls.IdleTimeout = idleTime
+	calls.IdleTimeout = idleTimeout
 	others := []*http.Server{l.server(l.options.Ready(l.gateway.Ready)), l.server(l.meter.Handler())}
 	for server, listener := range map[*http.Server]net.Listener{calls: listeners.Callers, others[0]: listeners.Ready, others[1]: listeners.Metrics} {
 		if listener != nil {
-			duties.Go(func() error { return ignoreClosed(server.Serve(listener)) })
+			tasks.Go(func() error { return ignoreClosed(server.Serve(listener)) })
 		}
 	}
-	duties.Go(func() error {
+	tasks.Go(func() error {
 		select {
 		case <-stop.Done():
 			l.stop(calls)
@@ -267,7 +267,7 @@
 		return nil
 	})
 	l.options.Logger.Info(string(garnetworks.EventNodeStarted), "zone", l.options.Site.Zone, "first-start", l.options.Site.FirstStart)
-	err = duties.Wait()
+	err = tasks.Wait()
 	l.options.Logger.Info("node-stopped", "error", err)
 	return err
 }
@@ -276,14 +276,14 @@
 func (l *Launcher) limitMemory() {
 	debug.SetGCPercent(heapGrowth)
 	if l.options.Site.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(float64(l.options.Site.MemoryBytes) * memoryPart))
+		debug.SetMemoryLimit(int64(float64(l.options.Site.MemoryBytes) * heapFraction))
 	}
 }
 
 // server returns an HTTP server with the node's bounds.
 func (l *Launcher) server(handler http.Handler) *http.Server {
 	return &http.Server{
-		Handler: handler, ReadHeaderTimeout: headerTime, MaxHeaderBytes: headerBytes,
+		Handler: handler, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes,
 		// A handler that panics shows as a closed connection and in this log only.
 		ErrorLog: l.options.Logger.Named("http").StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Warn}),
 	}
@@ -320,11 +320,11 @@
 func (l *Launcher) lead(stop context.Context) error {
 	leasing, release := context.WithCancel(context.Background())
 	defer release()
-	var duties errgroup.Group
-	duties.Go(func() error { return l.lease.Run(leasing) })
+	var tasks errgroup.Group
+	tasks.Go(func() error { return l.lease.Run(leasing) })
 	err := l.former.Run(stop)
 	release()
-	if e := duties.Wait(); err == nil {
+	if e := tasks.Wait(); err == nil {
 		err = e
 	}
 	return err
@@ -336,7 +336,7 @@
 	deadline := time.Now().Add(l.options.Site.Bounds.StopGrace - stopMargin)
 	l.gateway.Stop()
 	l.peers.leave(l.options.Logger)
-	time.Sleep(min(cmp.Or(l.options.BalancerTime, balancerTime), l.options.Site.Bounds.StopGrace/2))
+	time.Sleep(min(cmp.Or(l.options.BalancerTime, balancerNoticeTime), l.options.Site.Bounds.StopGrace/2))
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	if err := calls.Shutdown(ctx); err != nil {
@@ -349,7 +349,7 @@
 func (l *Launcher) sweep(ctx context.Context) error {
 	ticker := time.NewTicker(sweepEvery)
 	defer ticker.Stop()
-	contenders := time.NewTicker(firstContenders)
+	contenders := time.NewTicker(firstContendersDelay)
 	defer contenders.Stop()
 	for {
 		select {
@@ -375,7 +375,7 @@
 	return err
 }
 
-func ignoreEnd(ctx context.Context, err error) error {
+func ignoreCancelled(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
 	}
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -12,11 +12,11 @@
 	"github.com/garnetworks/garnetworks/faker/impersonator"
 )
 
-func TestWholePath(t *testing.T) {
-	s := open(t, 4)
-	s.serve(streamURL)
+func TestEndToEnd(t *testing.T) {
+	s := newSite(t, 4)
+	s.awaitSuccess(streamURL)
 	stream := s.call(http.MethodPost, streamURL, nil)
-	if stream.body != pieces(5) || stream.header.Get("Garnetworks-Response-Stamp") == "" {
+	if stream.body != streamBody(5) || stream.header.Get("Garnetworks-Response-Stamp") == "" {
 		t.Errorf("stream: %+v", stream)
 	}
 	for _, target := range []string{onceURL, safeURL} {
@@ -32,8 +32,8 @@
 }
 
 func TestCallsThatAreNotPassedOn(t *testing.T) {
-	s := open(t, 3)
-	s.serve(onceURL)
+	s := newSite(t, 3)
+	s.awaitSuccess(onceURL)
 	cases := map[string]struct {
 		target string
 		change func(*http.Request)
@@ -71,8 +71,8 @@
 // Story: a node starts while the store can't be reached. It must not say that a
 // route or a key does not exist; it knows none. It says that the call did not run
 // and when to come back, and serves once the store is there.
-func TestNodeWithoutStoreRefusesTruthfully(t *testing.T) {
-	s := open(t, 3)
+func TestNodeWithoutStoreAnswersUnavailable(t *testing.T) {
+	s := newSite(t, 3)
 	s.stop()
 	<-s.done
 	s.store.Faults(func(f *impersonator.StoreFaults) { f.Down = true })
@@ -86,14 +86,14 @@
 		t.Errorf("ready: %v, %v", r, err)
 	}
 	s.store.Faults(func(f *impersonator.StoreFaults) { f.Down = false })
-	s.serve(onceURL)
+	s.awaitSuccess(onceURL)
 }
 
 // Story: a group breaks in the middle of an answer, within an event. The client
 // gets the rest from another group and sees one whole answer.
 func TestStreamGoesOnAtAnotherGroup(t *testing.T) {
-	s := open(t, 6)
-	s.serve(streamURL)
+	s := newSite(t, 6)
+	s.awaitSuccess(streamURL)
 	for _, e := range s.engines {
 		e.Events = 20
 	}
@@ -101,12 +101,12 @@
 	first.Faults(func(f *impersonator.BackendFaults) { f.BreakAfter = 3 })
 	s.eventually("a call is resumed", func() bool {
 		a := s.call(http.MethodPost, streamURL, nil)
-		if a.err == nil && a.status == http.StatusOK && a.body != pieces(20) {
+		if a.err == nil && a.status == http.StatusOK && a.body != streamBody(20) {
 			t.Fatalf("an answer that looks whole has %q", a.body)
 		}
 		for _, e := range s.engines {
 			for _, run := range e.Runs() {
-				if run.ResumeAfter == "3" && a.body == pieces(20) {
+				if run.ResumeAfter == "3" && a.body == streamBody(20) {
 					return true
 				}
 			}
@@ -118,8 +118,8 @@
 // Story: a visit log ran, and its answer was lost. A node that sends it again, or
 // says that it did not run, has the member billed twice.
 func TestLostAnswerOfACallThatRunsOnce(t *testing.T) {
-	s := open(t, 3)
-	s.serve(onceURL)
+	s := newSite(t, 3)
+	s.awaitSuccess(onceURL)
 	for _, b := range s.services {
 		b.Faults(func(f *impersonator.BackendFaults) { f.LoseAnswers = 1 })
 	}
@@ -136,8 +136,8 @@
 // Story: the answer of a call that may be repeated was lost at one server; another
 // one gives it.
 func TestLostAnswerOfACallThatMayBeRepeated(t *testing.T) {
-	s := open(t, 3)
-	s.serve(safeURL)
+	s := newSite(t, 3)
+	s.awaitSuccess(safeURL)
 	s.services[0].Faults(func(f *impersonator.BackendFaults) { f.LoseAnswers = 1 })
 	s.services[1].Faults(func(f *impersonator.BackendFaults) { f.LoseAnswers = 0 })
 	for range 4 {
@@ -159,8 +159,8 @@
 // before its entry was removed. A call that may run once is refused there, and the
 // service has another server that would have taken it.
 func TestReusedAddressCostsNoCall(t *testing.T) {
-	s := open(t, 3)
-	s.serve(onceURL)
+	s := newSite(t, 3)
+	s.awaitSuccess(onceURL)
 	s.store.Set("servers", "s-gone", entry("svc", s.engines[0].Address()))
 	for range 20 {
 		if a := s.call(http.MethodPost, onceURL, nil); a.status != http.StatusOK {
@@ -176,9 +176,9 @@
 
 // Story: all servers of a service are full. A call that they refused did not run,
 // and the caller is told so, and when to come back.
-func TestFullServersAreSaidTruthfully(t *testing.T) {
-	s := open(t, 3)
-	s.serve(onceURL)
+func TestFullServersAnswerUnavailable(t *testing.T) {
+	s := newSite(t, 3)
+	s.awaitSuccess(onceURL)
 	for _, b := range s.services {
 		b.Faults(func(f *impersonator.BackendFaults) { f.Full = true })
 	}
@@ -190,8 +190,8 @@
 
 // Story: a key is taken away, and right after that a client uses it.
 func TestRevokedKey(t *testing.T) {
-	s := open(t, 3)
-	s.serve(onceURL)
+	s := newSite(t, 3)
+	s.awaitSuccess(onceURL)
 	s.store.Set("config", "main", config(2, "other"))
 	s.eventually("the key is refused", func() bool {
 		return s.call(http.MethodPost, onceURL, nil).status == http.StatusUnauthorized
@@ -211,8 +211,8 @@
 // Story: a client leaves in the middle of its answer. The engine goes on for
 // seconds for nobody, unless its connection is closed at once.
 func TestClientThatLeavesEndsItsCall(t *testing.T) {
-	s := open(t, 3)
-	s.serve(streamURL)
+	s := newSite(t, 3)
+	s.awaitSuccess(streamURL)
 	for _, e := range s.engines {
 		e.Events, e.EventTime = 10000, 5*time.Millisecond
 	}
@@ -230,9 +230,9 @@
 
 // Story: a client leaves before the first event. The log told that the engine had
 // timed out, and engineers looked for what was wrong with the engine.
-func TestClientThatLeavesEarlyIsToldFromATimeout(t *testing.T) {
-	s := open(t, 3)
-	s.serve(streamURL)
+func TestEarlyCancelIsNotLoggedAsTimeout(t *testing.T) {
+	s := newSite(t, 3)
+	s.awaitSuccess(streamURL)
 	head := s.head()
 	for _, e := range s.engines {
 		e.Faults(func(f *impersonator.BackendFaults) { f.Still = true })
@@ -253,8 +253,8 @@
 // Story: a node is stopped as planned while calls are in flight. They get their
 // answers, and the balancer is told at once.
 func TestPlannedStopCutsOffNoCall(t *testing.T) {
-	s := open(t, 3)
-	s.serve(streamURL)
+	s := newSite(t, 3)
+	s.awaitSuccess(streamURL)
 	for _, e := range s.engines {
 		e.Events, e.EventTime = 100, 5*time.Millisecond
 	}
@@ -267,7 +267,7 @@
 		r, err := http.Get(s.ready)
 		return err != nil || r.StatusCode == http.StatusServiceUnavailable
 	})
-	if a := <-got; a.status != http.StatusOK || a.body != pieces(100) {
+	if a := <-got; a.status != http.StatusOK || a.body != streamBody(100) {
 		t.Errorf("the call in flight got status %d, %v and %d bytes", a.status, a.err, len(a.body))
 	}
 }
@@ -275,20 +275,20 @@
 // Story: an engine of a group dies for good. A spare takes its place, and calls
 // are served again without anybody's doing.
 func TestLostEngineIsReplaced(t *testing.T) {
-	s := open(t, 4)
-	s.serve(streamURL)
+	s := newSite(t, 4)
+	s.awaitSuccess(streamURL)
 	s.head().Die()
 	s.eventually("another engine serves", func() bool {
 		a := s.call(http.MethodPost, streamURL, nil)
-		return a.status == http.StatusOK && a.body == pieces(5)
+		return a.status == http.StatusOK && a.body == streamBody(5)
 	})
 }
 
 // Story: a replica of the store lags, and answers a list from before the servers came.
 // A node that believes it has no servers left, and refuses all calls.
-func TestLaggingListTakesNoServersAway(t *testing.T) {
-	s := open(t, 3)
-	s.serve(onceURL)
+func TestStaleListRemovesNoServers(t *testing.T) {
+	s := newSite(t, 3)
+	s.awaitSuccess(onceURL)
 	s.store.Faults(func(f *impersonator.StoreFaults) { f.StaleLists = 3 })
 	s.store.Compact()
 	s.store.Set("servers", "s-new", entry("other", "127.0.0.1:1"))
@@ -303,12 +303,12 @@
 // Story: an engine stops a call for a moment because it needs the memory for another
 // one. The group is only slow with this call; it gets its whole answer, once.
 func TestPreemptedStreamIsWhole(t *testing.T) {
-	s := open(t, 3)
-	s.serve(streamURL)
+	s := newSite(t, 3)
+	s.awaitSuccess(streamURL)
 	for _, e := range s.engines {
 		e.Faults(func(f *impersonator.BackendFaults) { f.PreemptAfter, f.Preempted = 2, 50*time.Millisecond })
 	}
-	if a := s.call(http.MethodPost, streamURL, nil); a.status != http.StatusOK || a.body != pieces(5) {
+	if a := s.call(http.MethodPost, streamURL, nil); a.status != http.StatusOK || a.body != streamBody(5) {
 		t.Errorf("got %+v", a)
 	}
 }
@@ -317,12 +317,12 @@
 // slow to take an order, and goes on. There is no other group. The node ended the
 // call after half a second of silence and broke the answer off in the middle.
 func TestStreamOfASilentGroupWaitsForAPlaceElsewhere(t *testing.T) {
-	s := open(t, 3)
-	s.serve(streamURL)
+	s := newSite(t, 3)
+	s.awaitSuccess(streamURL)
 	for _, e := range s.engines {
 		e.Faults(func(f *impersonator.BackendFaults) { f.PreemptAfter, f.Preempted = 2, time.Second })
 	}
-	if a := s.call(http.MethodPost, streamURL, nil); a.status != http.StatusOK || a.body != pieces(5) {
+	if a := s.call(http.MethodPost, streamURL, nil); a.status != http.StatusOK || a.body != streamBody(5) {
 		t.Errorf("got %+v", a)
 	}
 }
@@ -330,14 +330,14 @@
 // Story: the same, with another group that has a place. The call goes on there
 // before its client has waited for the silent group's end.
 func TestStreamOfASilentGroupMoves(t *testing.T) {
-	s := open(t, 6)
-	s.serve(streamURL)
+	s := newSite(t, 6)
+	s.awaitSuccess(streamURL)
 	const silence = 2 * time.Second
 	first := s.head()
 	first.Faults(func(f *impersonator.BackendFaults) { f.PreemptAfter, f.Preempted = 2, silence })
 	s.eventually("a call is moved", func() bool {
 		a := s.call(http.MethodPost, streamURL, nil)
-		if a.status != http.StatusOK || a.body != pieces(5) {
+		if a.status != http.StatusOK || a.body != streamBody(5) {
 			t.Fatalf("got %+v", a)
 		}
 		for _, e := range s.engines {
@@ -355,8 +355,8 @@
 // that may be repeated was taken from the first server before its time was over, got
 // no retry, and failed; the server would have answered it.
 func TestSlowServerKeepsACallThatHasNoRetry(t *testing.T) {
-	s := open(t, 3)
-	s.serve(safeURL)
+	s := newSite(t, 3)
+	s.awaitSuccess(safeURL)
 	s.node.Reload(garnetworks.SiteBounds{RevokeTime: 5 * time.Second, RetryWindow: 10 * time.Second})
 	for _, b := range s.services {
 		b.Faults(func(f *impersonator.BackendFaults) { f.Slow = 700 * time.Millisecond })
@@ -372,17 +372,17 @@
 // a head that nothing moves at; now the group is formed anew with the later lives, and
 // calls are answered whole.
 func TestGroupWithEnginesThatStartedAgainServes(t *testing.T) {
-	s := open(t, 3)
-	s.serve(streamURL)
+	s := newSite(t, 3)
+	s.awaitSuccess(streamURL)
 	head := s.head()
-	for round, again := range []*impersonator.Backend{other(s.engines, head), head} {
-		before := len(again.Orders())
-		again.StartAgain(int64(1764720000000 + round))
+	for round, restarted := range []*impersonator.Backend{other(s.engines, head), head} {
+		before := len(restarted.Orders())
+		restarted.StartAgain(int64(1764720000000 + round))
 		s.eventually("a call succeeds at a group of the later life", func() bool {
 			a := s.call(http.MethodPost, streamURL, nil)
-			return a.status == http.StatusOK && a.body == pieces(5)
+			return a.status == http.StatusOK && a.body == streamBody(5)
 		})
-		since := again.Orders()[before:]
+		since := restarted.Orders()[before:]
 		if !slices.ContainsFunc(since, func(order string) bool { return strings.HasPrefix(order, "join ") }) {
 			t.Errorf("round %d: the later life was ordered %v", round, since)
 		}
@@ -390,9 +390,9 @@
 }
 
 // other returns an engine that is not the given one.
-func other(engines []*impersonator.Backend, not *impersonator.Backend) *impersonator.Backend {
+func other(engines []*impersonator.Backend, excluded *impersonator.Backend) *impersonator.Backend {
 	for _, e := range engines {
-		if e != not {
+		if e != excluded {
 			return e
 		}
 	}
--- a/launcher/peers.go
+++ b/launcher/peers.go
@@ -33,7 +33,7 @@
 	// leading reports whether the node holds the lease.
 	leading func() bool
 	// upstream is whom the node asks, as found last.
-	upstream atomic.Pointer[foundUpstream]
+	upstream atomic.Pointer[cachedUpstream]
 }
 
 // newPeers joins the parts. The exchanger is added once its users are there.
@@ -47,8 +47,8 @@
 		},
 	}
 	p.client = messenger.NewClient(messenger.ClientOptions{Clock: timeline, Recorder: events})
-	log := func(what string) func(error) {
-		return func(err error) { options.Logger.Debug(what, "error", err) }
+	log := func(message string) func(error) {
+		return func(err error) { options.Logger.Debug(message, "error", err) }
 	}
 	p.distributor = distributor.New(distributor.Options{
 		Self: p.self, Peers: p.client,
@@ -91,7 +91,7 @@
 const upstreamEvery = 300 * time.Millisecond
 
 // foundUpstream is whom the node asks, and since when.
-type foundUpstream struct {
+type cachedUpstream struct {
 	exchanger.Upstream
 	at time.Time
 }
@@ -100,7 +100,7 @@
 	if u := p.upstream.Load(); u != nil && time.Since(u.at) < upstreamEvery {
 		return &u.Upstream
 	}
-	u := &foundUpstream{exchanger.FindUpstream(p.tracker.Self(), p.tracker.Peers()), time.Now()}
+	u := &cachedUpstream{exchanger.FindUpstream(p.tracker.Self(), p.tracker.Peers()), time.Now()}
 	p.upstream.Store(u)
 	return &u.Upstream
 }
@@ -110,20 +110,20 @@
 
 // run serves and calls other nodes until ctx ends.
 func (p *peers) run(ctx context.Context, listener net.Listener) error {
-	duties, ctx := errgroup.WithContext(ctx)
-	duties.Go(func() error { return p.server.Serve(ctx, listener) })
-	duties.Go(func() error { p.distributor.Run(ctx); return nil })
-	duties.Go(func() error { p.tracker.Run(ctx); return nil })
-	duties.Go(func() error { return p.exchanger.Run(ctx) })
-	err := duties.Wait()
+	tasks, ctx := errgroup.WithContext(ctx)
+	tasks.Go(func() error { return p.server.Serve(ctx, listener) })
+	tasks.Go(func() error { p.distributor.Run(ctx); return nil })
+	tasks.Go(func() error { p.tracker.Run(ctx); return nil })
+	tasks.Go(func() error { return p.exchanger.Run(ctx) })
+	err := tasks.Wait()
 	p.client.Close()
 	return err
 }
 
 // leave says goodbye, so that nobody waits for this node.
 func (p *peers) leave(logger hclog.Logger) {
-	const patience = 300 * time.Millisecond
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	const timeout = 300 * time.Millisecond
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	p.tracker.Leave(ctx)
 	logger.Debug("said goodbye")
--- a/launcher/prover.go
+++ b/launcher/prover.go
@@ -12,7 +12,7 @@
 
 // proveTime bounds a question to a server. One that lives answers within milliseconds, and
 // a host whose process has ended refuses as fast.
-const proveTime = 200 * time.Millisecond
+const probeTimeout = 200 * time.Millisecond
 
 // prove finds out whether a server's life has ended, by asking in its place. A life whose
 // entry is there is asked; one whose entry is gone only if ask is set. A host that does not
@@ -22,39 +22,39 @@
 // broke off there were taken for what ended them, and kept from all servers. An entry that
 // is gone is so no proof, nor is one of another start that an old view shows: only what
 // answers at the address tells lives apart.
-func (l *Launcher) prove(ctx context.Context, life garnetworks.Incarnation, ask bool) garnetworks.CrashState {
+func (l *Launcher) probeIncarnation(ctx context.Context, incarnation garnetworks.Incarnation, unregistered bool) garnetworks.CrashState {
 	servers := l.follower.Servers()
-	s, listed := servers[life.Instance]
-	if !listed {
+	s, registered := servers[incarnation.Instance]
+	if !registered {
 		var known bool
-		if s, known = l.follower.Past(life); !known || !ask {
+		if s, known = l.follower.Past(incarnation); !known || !unregistered {
 			return garnetworks.CrashSuspected
 		}
 	}
-	taken := addressTaken(servers, &s)
-	if !listed && taken && life.StartMS == 0 {
+	addressReused := addressTaken(servers, &s)
+	if !registered && addressReused && incarnation.StartMS == 0 {
 		return garnetworks.CrashProven
 	}
-	ctx, cancel := context.WithTimeout(ctx, proveTime)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	err := l.options.Orders.Probe(ctx, s.Address, life)
+	err := l.options.Orders.Probe(ctx, s.Address, incarnation)
 	// Without a start, whoever listens at the address answers alike.
-	anyone := taken || life.StartMS == 0 && (!listed || s.Incarnation() != life)
+	ambiguous := addressReused || incarnation.StartMS == 0 && (!registered || s.Incarnation() != incarnation)
 	switch {
-	case err == nil && anyone:
+	case err == nil && ambiguous:
 		return garnetworks.CrashSuspected
 	case err == nil:
 		return garnetworks.CrashRefuted
 	case garnetworks.IsKind(err, garnetworks.KindNotFound):
 		return garnetworks.CrashProven
-	case errors.Is(err, syscall.ECONNREFUSED) && l.reaches(ctx, servers, &s):
+	case errors.Is(err, syscall.ECONNREFUSED) && l.zoneReachable(ctx, servers, &s):
 		return garnetworks.CrashConnectionRefused
 	}
 	return garnetworks.CrashSuspected
 }
 
 // reaches reports whether another server of the zone answers the node.
-func (l *Launcher) reaches(ctx context.Context, servers map[garnetworks.InstanceID]garnetworks.RegisteredServer, s *garnetworks.RegisteredServer) bool {
+func (l *Launcher) zoneReachable(ctx context.Context, servers map[garnetworks.InstanceID]garnetworks.RegisteredServer, s *garnetworks.RegisteredServer) bool {
 	var others []garnetworks.RegisteredServer
 	for id := range servers {
 		if other := servers[id]; id != s.ID && other.Zone == s.Zone && other.Address != s.Address {
--- a/launcher/prover_test.go
+++ b/launcher/prover_test.go
@@ -17,22 +17,22 @@
 
 // hosts answer probes by address: with the start of the process that listens there. Others
 // refuse connections, or give no answer if they are dark.
-type hosts struct {
+type fakeHosts struct {
 	garnetworks.GroupOrders
-	born map[string]int64
-	dark garnetworks.Set[string]
+	starts      map[string]int64
+	unreachable garnetworks.Set[string]
 }
 
-func (h *hosts) Probe(ctx context.Context, address string, life garnetworks.Incarnation) error {
-	born, listens := h.born[address]
+func (h *fakeHosts) Probe(ctx context.Context, address string, incarnation garnetworks.Incarnation) error {
+	start, listens := h.starts[address]
 	switch {
-	case h.dark.Has(address):
+	case h.unreachable.Has(address):
 		<-ctx.Done()
 		return garnetworks.WrapError(garnetworks.KindUnreachable, ctx.Err(), "no answer")
 	case !listens:
 		return garnetworks.WrapError(garnetworks.KindUnreachable, syscall.ECONNREFUSED, "refused")
-	case life.StartMS != 0 && born != life.StartMS:
-		return garnetworks.Errorf(garnetworks.KindNotFound, "started at %d", born)
+	case incarnation.StartMS != 0 && start != incarnation.StartMS:
+		return garnetworks.Errorf(garnetworks.KindNotFound, "started at %d", start)
 	}
 	return nil
 }
@@ -52,34 +52,34 @@
 // Story: a zone was cut off. Its servers' entries lapsed, connections to it were refused or
 // not answered, and calls that had broken off there were taken for what ended the servers.
 // The node asks in the server's place, and only another life there proves an end.
-func TestWhatProvesAnEnd(t *testing.T) {
+func TestProbeIncarnation(t *testing.T) {
 	const asked, beside = "far:1", "far:2"
-	life := garnetworks.Incarnation{Instance: "asked", StartMS: 10}
+	incarnation := garnetworks.Incarnation{Instance: "asked", StartMS: 10}
 	plain := garnetworks.Incarnation{Instance: "plain"}
 	cases := map[string]struct {
-		life garnetworks.Incarnation
+		incarnation garnetworks.Incarnation
 		// later are entries written after the first list; an empty one removes.
-		later map[string]string
-		born  map[string]int64
-		dark  []string
-		ask   bool
-		want  garnetworks.CrashState
+		changes      map[string]string
+		starts       map[string]int64
+		unreachable  []string
+		unregistered bool
+		want         garnetworks.CrashState
 	}{
-		"it answers":                       {life: life, born: map[string]int64{asked: 10}, want: garnetworks.CrashRefuted},
-		"another life answers":             {life: life, born: map[string]int64{asked: 11}, want: garnetworks.CrashProven},
-		"its host refuses":                 {life: life, born: map[string]int64{beside: 1}, want: garnetworks.CrashConnectionRefused},
-		"all of its zone refuse":           {life: life, want: garnetworks.CrashSuspected},
-		"no answer":                        {life: life, born: map[string]int64{beside: 1}, dark: []string{asked}, want: garnetworks.CrashSuspected},
-		"its entry lapsed, cut off":        {life: life, later: map[string]string{"asked": ""}, dark: []string{asked, beside}, ask: true, want: garnetworks.CrashSuspected},
-		"its entry lapsed, it answers":     {life: life, later: map[string]string{"asked": ""}, born: map[string]int64{asked: 10}, ask: true, want: garnetworks.CrashRefuted},
-		"its entry lapsed, not to ask":     {life: life, later: map[string]string{"asked": ""}, born: map[string]int64{asked: 11}, want: garnetworks.CrashSuspected},
-		"its entry lapsed, refused":        {life: life, later: map[string]string{"asked": ""}, born: map[string]int64{beside: 1}, ask: true, want: garnetworks.CrashConnectionRefused},
-		"started again elsewhere":          {life: life, later: map[string]string{"asked": "far far:9 11"}, born: map[string]int64{"far:9": 11}, want: garnetworks.CrashProven},
-		"the view is behind":               {life: garnetworks.Incarnation{Instance: "asked", StartMS: 12}, born: map[string]int64{asked: 12}, want: garnetworks.CrashRefuted},
-		"an old entry is back":             {life: garnetworks.Incarnation{Instance: "asked", StartMS: 12}, born: map[string]int64{asked: 10}, want: garnetworks.CrashProven},
-		"never heard of":                   {life: garnetworks.Incarnation{Instance: "other", StartMS: 3}, ask: true, want: garnetworks.CrashSuspected},
-		"no start, entry gone, answered":   {life: plain, later: map[string]string{"plain": ""}, born: map[string]int64{"far:3": 0}, ask: true, want: garnetworks.CrashSuspected},
-		"no start, its address was reused": {life: plain, later: map[string]string{"plain": "", "next": "far far:3 0"}, ask: true, want: garnetworks.CrashProven},
+		"it answers":                       {incarnation: incarnation, starts: map[string]int64{asked: 10}, want: garnetworks.CrashRefuted},
+		"another life answers":             {incarnation: incarnation, starts: map[string]int64{asked: 11}, want: garnetworks.CrashProven},
+		"its host refuses":                 {incarnation: incarnation, starts: map[string]int64{beside: 1}, want: garnetworks.CrashConnectionRefused},
+		"all of its zone refuse":           {incarnation: incarnation, want: garnetworks.CrashSuspected},
+		"no answer":                        {incarnation: incarnation, starts: map[string]int64{beside: 1}, unreachable: []string{asked}, want: garnetworks.CrashSuspected},
+		"its entry lapsed, cut off":        {incarnation: incarnation, changes: map[string]string{"asked": ""}, unreachable: []string{asked, beside}, unregistered: true, want: garnetworks.CrashSuspected},
+		"its entry lapsed, it answers":     {incarnation: incarnation, changes: map[string]string{"asked": ""}, starts: map[string]int64{asked: 10}, unregistered: true, want: garnetworks.CrashRefuted},
+		"its entry lapsed, not to ask":     {incarnation: incarnation, changes: map[string]string{"asked": ""}, starts: map[string]int64{asked: 11}, want: garnetworks.CrashSuspected},
+		"its entry lapsed, refused":        {incarnation: incarnation, changes: map[string]string{"asked": ""}, starts: map[string]int64{beside: 1}, unregistered: true, want: garnetworks.CrashConnectionRefused},
+		"started again elsewhere":          {incarnation: incarnation, changes: map[string]string{"asked": "far far:9 11"}, starts: map[string]int64{"far:9": 11}, want: garnetworks.CrashProven},
+		"the view is behind":               {incarnation: garnetworks.Incarnation{Instance: "asked", StartMS: 12}, starts: map[string]int64{asked: 12}, want: garnetworks.CrashRefuted},
+		"an old entry is back":             {incarnation: garnetworks.Incarnation{Instance: "asked", StartMS: 12}, starts: map[string]int64{asked: 10}, want: garnetworks.CrashProven},
+		"never heard of":                   {incarnation: garnetworks.Incarnation{Instance: "other", StartMS: 3}, unregistered: true, want: garnetworks.CrashSuspected},
+		"no start, entry gone, answered":   {incarnation: plain, changes: map[string]string{"plain": ""}, starts: map[string]int64{"far:3": 0}, unregistered: true, want: garnetworks.CrashSuspected},
+		"no start, its address was reused": {incarnation: plain, changes: map[string]string{"plain": "", "next": "far far:3 0"}, unregistered: true, want: garnetworks.CrashProven},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -100,9 +100,9 @@
 				for id, entry := range map[string]string{"asked": "far far:1 10", "beside": "far far:2 1", "plain": "far far:3 0", "here": "near near:1 1"} {
 					write(id, entry)
 				}
-				h := &hosts{born: map[string]int64{"near:1": 1}, dark: garnetworks.NewSet(c.dark...)}
-				for address, born := range c.born {
-					h.born[address] = born
+				h := &fakeHosts{starts: map[string]int64{"near:1": 1}, unreachable: garnetworks.NewSet(c.unreachable...)}
+				for address, start := range c.starts {
+					h.starts[address] = start
 				}
 				f := follower.New(follower.Options{Objects: objects, Reader: lineReader{}, Recorder: recorder.New("n", 0)})
 				ctx, stop := context.WithCancel(t.Context())
@@ -110,12 +110,12 @@
 				defer stop()
 				go func() { _ = f.Run(ctx) }()
 				time.Sleep(2 * follower.ReturnTime)
-				for id, entry := range c.later {
+				for id, entry := range c.changes {
 					write(id, entry)
 				}
 				time.Sleep(2 * follower.ReturnTime)
 				l := &Launcher{options: Options{Orders: h}, follower: f}
-				if got := l.prove(t.Context(), c.life, c.ask); got != c.want {
+				if got := l.probeIncarnation(t.Context(), c.incarnation, c.unregistered); got != c.want {
 					t.Errorf("state %d, want %d", got, c.want)
 				}
 			})
@@ -124,13 +124,13 @@
 }
 
 // refusing answers probes of some servers and refuses connections to all others.
-type refusing struct {
+type refusingOrders struct {
 	garnetworks.GroupOrders
 	answers garnetworks.Set[garnetworks.InstanceID]
 }
 
-func (r refusing) Probe(_ context.Context, _ string, life garnetworks.Incarnation) error {
-	if r.answers.Has(life.Instance) {
+func (r refusingOrders) Probe(_ context.Context, _ string, incarnation garnetworks.Incarnation) error {
+	if r.answers.Has(incarnation.Instance) {
 		return nil
 	}
 	return garnetworks.WrapError(garnetworks.KindUnreachable, syscall.ECONNREFUSED, "refused")
@@ -138,7 +138,7 @@
 
 // A node was cut off from a zone, where its connections were refused, and took the servers
 // there for ended. Refusals count only while another server of the zone answers.
-func TestRefusalsOfAWholeZoneProveNothing(t *testing.T) {
+func TestRefusalsOfWholeZoneAreInconclusive(t *testing.T) {
 	servers := make(map[garnetworks.InstanceID]garnetworks.RegisteredServer)
 	for id, zone := range map[garnetworks.InstanceID]garnetworks.ZoneID{"asked": "far", "beside": "far", "here": "near"} {
 		servers[id] = garnetworks.RegisteredServer{ListedInstance: garnetworks.ListedInstance{ID: id, Address: string(id), Zone: zone}}
@@ -152,8 +152,8 @@
 		"one server has ended":  {garnetworks.NewSet[garnetworks.InstanceID]("here", "beside"), true},
 	}
 	for name, c := range cases {
-		l := &Launcher{options: Options{Orders: refusing{answers: c.answers}}}
-		if got := l.reaches(t.Context(), servers, &asked); got != c.want {
+		l := &Launcher{options: Options{Orders: refusingOrders{answers: c.answers}}}
+		if got := l.zoneReachable(t.Context(), servers, &asked); got != c.want {
 			t.Errorf("%s: the zone is reached: %t", name, got)
 		}
 	}
--- a/launcher/quarantine_test.go
+++ b/launcher/quarantine_test.go
@@ -17,30 +17,30 @@
 
 const (
 	// crashing is the body of a call under which each server that runs it crashes.
-	crashing = "ends its server"
+	crashBody = "ends its server"
 	// mostEnded is the number of servers after which it shall reach no other one, and
 	// mostKnown the same where it comes at several nodes: three more may end by then.
-	mostEnded = 3
-	mostKnown = 2 * mostEnded
+	maxCrashes            = 3
+	maxCrashesAcrossNodes = 2 * maxCrashes
 	// spreadTime is how long nodes are given to hear of each other what they know; sites
 	// expect it within three seconds.
-	spreadTime = time.Second
+	propagationTime = time.Second
 	// title is what a caller is told of a call that is kept from servers.
-	title = "The call has ended the backend servers that ran it"
+	heldTitle = "The call has ended the backend servers that ran it"
 )
 
 // openCrashing starts a site in which engines crash under a call.
-func openCrashing(t *testing.T) *site {
+func newCrashingSite(t *testing.T) *site {
 	t.Helper()
 	const engines, services, groups = 18, 6, 6
-	s := open(t, engines)
+	s := newSite(t, engines)
 	for i := len(s.services); i < services; i++ {
 		b := impersonator.NewBackend(s.store, fmt.Sprintf("s-%d", i), "svc", "z1", "")
 		t.Cleanup(b.Close)
 		s.services = append(s.services, b)
 	}
 	for _, b := range append(append([]*impersonator.Backend(nil), s.engines...), s.services...) {
-		b.Faults(func(f *impersonator.BackendFaults) { f.CrashOn = crashing })
+		b.Faults(func(f *impersonator.BackendFaults) { f.CrashOn = crashBody })
 	}
 	s.eventually("all groups serve", func() bool {
 		open := 0
@@ -51,7 +51,7 @@
 		}
 		return open >= groups
 	})
-	s.serve(streamURL)
+	s.awaitSuccess(streamURL)
 	return s
 }
 
@@ -66,10 +66,10 @@
 }
 
 // ranCrashing returns the identifiers of the calls under which engines crashed.
-func (s *site) ranCrashing() (ids []string) {
+func (s *site) crashedRunIDs() (ids []string) {
 	for _, b := range append(append([]*impersonator.Backend(nil), s.engines...), s.services...) {
 		for _, run := range b.Runs() {
-			if run.Body == crashing {
+			if run.Body == crashBody {
 				ids = append(ids, run.ID)
 			}
 		}
@@ -82,17 +82,17 @@
 func (s *site) refusals(target string, copies int) (refused int) {
 	s.t.Helper()
 	for range copies {
-		id, a := s.send(target, crashing)
+		id, a := s.send(target, crashBody)
 		if a.status != http.StatusServiceUnavailable {
 			continue
 		}
-		if strings.Contains(a.body, title) {
+		if strings.Contains(a.body, heldTitle) {
 			refused++
 		}
 		if a.header.Get("Retry-After") == "" {
 			s.t.Errorf("a refusal does not say when to come back: %+v", a)
 		}
-		if garnetworks.NewSet(s.ranCrashing()...).Has(id) {
+		if garnetworks.NewSet(s.crashedRunIDs()...).Has(id) {
 			s.t.Errorf("the call %s ran and is told not to have run", id)
 		}
 	}
@@ -107,11 +107,11 @@
 func TestCallThatEndsItsEnginesIsKeptFromOthers(t *testing.T) {
 	for name, target := range map[string]string{"model": streamURL, "plain service": safeURL} {
 		t.Run(name, func(t *testing.T) {
-			s := openCrashing(t)
+			s := newCrashingSite(t)
 			const copies = 12
 			s.refusals(target, copies)
-			if ran := s.ranCrashing(); len(ran) > mostEnded {
-				t.Errorf("%d servers ended, want %d at most", len(ran), mostEnded)
+			if ran := s.crashedRunIDs(); len(ran) > maxCrashes {
+				t.Errorf("%d servers ended, want %d at most", len(ran), maxCrashes)
 			}
 			for i := range copies {
 				if _, a := s.send(streamURL, fmt.Sprint("sound ", i)); a.status != http.StatusOK {
@@ -126,12 +126,12 @@
 // the engines had ended, when those that saw it are gone. Each node on its own would end
 // three more engines.
 func TestCallThatEndsItsEnginesIsKnownAtOtherNodes(t *testing.T) {
-	s := openCrashing(t)
+	s := newCrashingSite(t)
 	second := s.join("n2")
-	second.serve(streamURL)
-	time.Sleep(spreadTime)
-	s.eventually("the first node refuses the call", func() bool { return s.refusals(streamURL, 1) == 1 || len(s.ranCrashing()) > mostKnown })
-	time.Sleep(spreadTime)
+	second.awaitSuccess(streamURL)
+	time.Sleep(propagationTime)
+	s.eventually("the first node refuses the call", func() bool { return s.refusals(streamURL, 1) == 1 || len(s.crashedRunIDs()) > maxCrashesAcrossNodes })
+	time.Sleep(propagationTime)
 	if second.refusals(streamURL, 1) != 1 {
 		t.Error("the second node does not refuse the call")
 	}
@@ -140,21 +140,21 @@
 		<-node.done
 	}
 	third := s.join("n3")
-	third.serve(safeURL)
-	time.Sleep(spreadTime)
+	third.awaitSuccess(safeURL)
+	time.Sleep(propagationTime)
 	if third.refusals(streamURL, 1) != 1 {
 		t.Error("a node that starts anew does not refuse the call")
 	}
-	if ran := s.ranCrashing(); len(ran) > mostKnown {
-		t.Errorf("%d engines ended, want %d at most", len(ran), mostKnown)
+	if ran := s.crashedRunIDs(); len(ran) > maxCrashesAcrossNodes {
+		t.Errorf("%d engines ended, want %d at most", len(ran), maxCrashesAcrossNodes)
 	}
 }
 
 // Sound calls are in flight at the engines that end, and meet the call that ends
 // them again at the engine that they go on at. None of them is taken for it: each is
 // answered whole in the end, when its client sends it again as clients do.
-func TestSoundCallsBesideOneThatEndsEnginesAreServed(t *testing.T) {
-	s := openCrashing(t)
+func TestOtherCallsAreServedBesideCrashingCall(t *testing.T) {
+	s := newCrashingSite(t)
 	const streams, tries = 24, 20
 	for _, e := range s.engines {
 		e.Events, e.EventTime = 30, 10*time.Millisecond
@@ -164,11 +164,11 @@
 		calls.Go(func() {
 			for range tries {
 				_, a := s.send(streamURL, fmt.Sprint("sound ", i))
-				if strings.Contains(a.body, title) {
+				if strings.Contains(a.body, heldTitle) {
 					t.Errorf("a sound call is taken for one that ends engines: %+v", a)
 				}
 				if a.status == http.StatusOK && a.err == nil {
-					if a.body != pieces(30) {
+					if a.body != streamBody(30) {
 						t.Errorf("an answer that looks whole has %d bytes", len(a.body))
 					}
 					return
@@ -181,22 +181,22 @@
 	const copies = 12
 	s.refusals(streamURL, copies)
 	calls.Wait()
-	if ran := s.ranCrashing(); len(ran) > mostKnown {
-		t.Errorf("%d engines ended, want %d at most", len(ran), mostKnown)
+	if ran := s.crashedRunIDs(); len(ran) > maxCrashesAcrossNodes {
+		t.Errorf("%d engines ended, want %d at most", len(ran), maxCrashesAcrossNodes)
 	}
 }
 
 // Servers are stopped as planned, one after the other, with the same long call in
 // flight. They were told to leave, so the call is not blamed for their ends.
 func TestCallIsNotBlamedForServersThatLeave(t *testing.T) {
-	s := openCrashing(t)
-	slow := func(time time.Duration) {
+	s := newCrashingSite(t)
+	slow := func(delay time.Duration) {
 		for _, b := range s.services {
-			b.Faults(func(f *impersonator.BackendFaults) { f.Slow = time })
+			b.Faults(func(f *impersonator.BackendFaults) { f.Slow = delay })
 		}
 	}
 	slow(time.Minute)
-	for range mostEnded {
+	for range maxCrashes {
 		ctx, leave := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() {
@@ -206,7 +206,7 @@
 		s.eventually("the call runs", func() bool { return s.running() != nil })
 		first := s.running()
 		first.Drain()
-		s.eventually("the node knows that the server leaves", func() bool { return s.told("server-leaving", first.ID) })
+		s.eventually("the node knows that the server leaves", func() bool { return s.logged("server-leaving", first.ID) })
 		first.Crash()
 		s.eventually("the call runs elsewhere", func() bool { return s.running() != nil })
 		leave()
@@ -225,14 +225,14 @@
 // ("3 servers ended under it"), though the engines lived and served on once the cut was
 // over. The cause: a partition makes entries lapse as crashes do.
 func TestCallIsNotBlamedForEnginesThatWereCutOff(t *testing.T) {
-	s := openCrashing(t)
+	s := newCrashingSite(t)
 	for _, e := range s.engines {
 		e.Faults(func(f *impersonator.BackendFaults) { f.CrashOn = "" })
 		e.Events, e.EventTime = 400, 10*time.Millisecond
 	}
 	const body = "sound"
 	var cut []*impersonator.Backend
-	for len(cut) < mostEnded {
+	for len(cut) < maxCrashes {
 		ctx, leave := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() {
@@ -247,23 +247,23 @@
 		b.Cut()
 		cut = append(cut, b)
 		s.eventually("the node has left the engine", func() bool { return b.Running() == 0 })
-		s.eventually("the entry lapses", func() bool { return s.told("server-gone", b.ID) })
+		s.eventually("the entry lapses", func() bool { return s.logged("server-gone", b.ID) })
 		leave()
 		<-done
 		s.eventually("the call has ended", func() bool { return runningOf(s.engines) == nil })
 	}
-	time.Sleep(spreadTime)
+	time.Sleep(propagationTime)
 	for _, b := range cut {
 		b.Rejoin()
 	}
-	time.Sleep(spreadTime)
+	time.Sleep(propagationTime)
 	for _, e := range s.engines {
 		e.Events = 5
 	}
 	if _, a := s.send(streamURL, body); a.status != http.StatusOK {
 		t.Errorf("the call got %+v", a)
 	}
-	if s.told("call-held", "") {
+	if s.logged("call-held", "") {
 		t.Error("the call is held though no engine has ended")
 	}
 }
@@ -282,7 +282,7 @@
 }
 
 // told reports whether the node's log has an event of an instance.
-func (s *site) told(event, instance string) bool {
+func (s *site) logged(event, instance string) bool {
 	for line := range strings.Lines(s.logs.String()) {
 		if strings.Contains(line, event) && strings.Contains(line, instance) {
 			return true
--- a/launcher/raw_test.go
+++ b/launcher/raw_test.go
@@ -12,15 +12,15 @@
 )
 
 // raw sends bytes on a connection of its own and returns the answers' statuses.
-func (s *site) raw(text string) []int {
+func (s *site) sendRaw(text string) []int {
 	s.t.Helper()
 	c, err := net.Dial("tcp4", strings.TrimPrefix(s.url, "http://"))
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	defer c.Close()
-	const patience = 30 * time.Second
-	if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
+	const timeout = 30 * time.Second
+	if err := c.SetDeadline(time.Now().Add(timeout)); err != nil {
 		s.t.Fatal(err)
 	}
 	if _, err := io.WriteString(c, text); err != nil {
@@ -49,7 +49,7 @@
 // Story: a client hides a second request in its first one, by two lengths or in the
 // body. The node and the server behind it would see different requests, and a call
 // that nobody was asked for would run.
-func TestOddFramesRunNothingElse(t *testing.T) {
+func TestMalformedFramingRunsNoOtherCall(t *testing.T) {
 	const hidden = "POST /once/hidden HTTP/1.1\r\nHost: a.example\r\nGarnetworks-Request-Id: hidden\r\nContent-Length: 0\r\n\r\n"
 	cases := map[string]struct {
 		text string
@@ -66,12 +66,12 @@
 		"headers without an end": {rawHead("h", "X-Long: "+strings.Repeat("x", 100<<10)+"\r\n\r\n"), http.StatusRequestHeaderFieldsTooLarge, ""},
 		"a body without an end":  {rawHead("i", fmt.Sprintf("Content-Length: %d\r\n\r\n", 1<<40)), http.StatusRequestEntityTooLarge, ""},
 	}
-	s := open(t, 3)
-	s.serve(onceURL)
+	s := newSite(t, 3)
+	s.awaitSuccess(onceURL)
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			before := len(s.services[0].Runs()) + len(s.services[1].Runs())
-			statuses := s.raw(c.text)
+			statuses := s.sendRaw(c.text)
 			if len(statuses) != 1 || statuses[0] != c.want {
 				t.Errorf("statuses %v, want %d", statuses, c.want)
 			}
--- a/launcher/site_test.go
+++ b/launcher/site_test.go
@@ -28,7 +28,7 @@
 	services []*impersonator.Backend
 	url      string
 	ready    string
-	logs     *logs
+	logs     *logBuffer
 	stop     context.CancelFunc
 	// name is the node's, and seeds are addresses of others that it asks at its start.
 	name  garnetworks.NodeID
@@ -40,18 +40,18 @@
 }
 
 // logs keeps what a node writes.
-type logs struct {
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *logs) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *logs) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
@@ -91,9 +91,9 @@
 }
 
 // open starts a site with engines in one domain and two servers of a service.
-func open(t *testing.T, engines int) *site {
+func newSite(t *testing.T, engines int) *site {
 	t.Helper()
-	s := &site{t: t, name: "n1", store: impersonator.NewStore(), logs: &logs{}, client: &http.Client{Transport: &http.Transport{}}}
+	s := &site{t: t, name: "n1", store: impersonator.NewStore(), logs: &logBuffer{}, client: &http.Client{Transport: &http.Transport{}}}
 	t.Cleanup(s.store.Close)
 	for i := range engines {
 		s.engines = append(s.engines, impersonator.NewBackend(s.store, fmt.Sprintf("i-%d", i), "llm", "z1", "d1"))
@@ -138,7 +138,7 @@
 		Listeners: launcher.Listeners{Callers: callers, Ready: ready, Peers: peers},
 		Objects:   platform.NewStore(s.store.Address()), Reader: platform.SiteReader{}, Calls: platform.CallReader{},
 		BalancerTime: 50 * time.Millisecond,
-		Passer:       backends, Orders: platform.NewOrders(), Ready: platform.ReadyHandler, Sweep: backends.Sweep,
+		Proxy:        backends, Orders: platform.NewOrders(), Ready: platform.ReadyHandler, Sweep: backends.Sweep,
 		Logger: hclog.New(&hclog.LoggerOptions{Output: s.logs, JSONFormat: true}),
 	})
 	if err != nil {
@@ -167,7 +167,7 @@
 func (s *site) join(name garnetworks.NodeID) *site {
 	s.t.Helper()
 	other := *s
-	other.name, other.seeds, other.logs = name, []string{s.peers}, &logs{}
+	other.name, other.seeds, other.logs = name, []string{s.peers}, &logBuffer{}
 	other.start()
 	return &other
 }
@@ -220,7 +220,7 @@
 }
 
 // serve waits until calls are answered with success.
-func (s *site) serve(target string) {
+func (s *site) awaitSuccess(target string) {
 	s.t.Helper()
 	s.eventually("a call to "+target+" succeeds", func() bool {
 		a := s.call(http.MethodPost, target, nil)
@@ -228,11 +228,11 @@
 	})
 }
 
-func (s *site) eventually(what string, holds func() bool) {
+func (s *site) eventually(what string, condition func() bool) {
 	s.t.Helper()
-	const bound, often = time.Minute, 10 * time.Millisecond
-	for end := time.Now().Add(bound); time.Now().Before(end); time.Sleep(often) {
-		if holds() {
+	const timeout, interval = time.Minute, 10 * time.Millisecond
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(interval) {
+		if condition() {
 			return
 		}
 	}
@@ -250,7 +250,7 @@
 	return nil
 }
 
-func pieces(n int) string {
+func streamBody(n int) string {
 	var b strings.Builder
 	for i := 1; i <= n; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: piece %d\n\n", i, i)
