--- a/launcher/cause_test.go
+++ b/launcher/cause_test.go
@@ -9,7 +9,7 @@
 	"github.com/garnetworks/garnetworks/faker/impersonator"
 )
 
-// line returns the one line of the log that names the call.
+// logLine returns the call's log line.
 func (s *site) logLine(id string) map[string]any {
 	s.t.Helper()
 	var found map[string]any
@@ -36,8 +36,8 @@
 	return attempt
 }
 
-// Story: a user complains of one call and gives its identifier. The engineer on
-// call has the logs only, and must find what decided it.
+// Guards against failed calls whose cause can't be found in the logs by the call's
+// identifier.
 func TestLogLineShowsCauseOfFailure(t *testing.T) {
 	cases := map[string]struct {
 		target string
@@ -49,7 +49,7 @@
 			inject: func(*site) {},
 			check: func(t *testing.T, line map[string]any) {
 				if line["kind"] != "no-serving-group" || line["outcome"] != "not-run" || line["groups"] != 0.0 {
-					t.Errorf("the line tells %v", line)
+					t.Errorf("unexpected log line: %v", line)
 				}
 			},
 		},
@@ -63,7 +63,7 @@
 			check: func(t *testing.T, line map[string]any) {
 				attempt := lastAttempt(t, line)
 				if line["kind"] != "backend-lost" || line["outcome"] != "unknown" || attempt["phase"] != "wait" || attempt["instance"] == "" {
-					t.Errorf("the line tells %v", line)
+					t.Errorf("unexpected log line: %v", line)
 				}
 			},
 		},
@@ -76,7 +76,7 @@
 			},
 			check: func(t *testing.T, line map[string]any) {
 				if attempt := lastAttempt(t, line); line["outcome"] != "not-run" || attempt["phase"] != "refused" {
-					t.Errorf("the line tells %v", line)
+					t.Errorf("unexpected log line: %v", line)
 				}
 			},
 		},
@@ -94,9 +94,8 @@
 	}
 }
 
-// Story: a stream was cut off in the middle with its engine, and no other group
-// could go on. The call's line names the group and the instance, and how far the
-// answer had come.
+// Guards against a stream that was cut off with its engine having a log line without the
+// group, the cause and the number of events sent.
 func TestLogLineOfABrokenStream(t *testing.T) {
 	s := newSite(t, 3)
 	s.awaitSuccess(streamURL)
@@ -106,7 +105,7 @@
 	id := newID()
 	a := s.call(http.MethodPost, streamURL, func(r *http.Request) { r.Header.Set("Garnetworks-Request-Id", id) })
 	if a.err == nil {
-		t.Errorf("the client got an answer that looks whole: %+v", a)
+		t.Errorf("the client got an answer that looks complete: %+v", a)
 	}
 	line := s.logLine(id)
 	attempts, _ := line["attempts"].([]any)
@@ -115,11 +114,11 @@
 	}
 	first, _ := attempts[0].(map[string]any)
 	if line["kind"] != "stream-broken" || first["events"] != 2.0 || first["group"] == "" || first["cause"] == "" {
-		t.Errorf("the line tells %v", line)
+		t.Errorf("unexpected log line: %v", line)
 	}
 }
 
-// Guards against refusals whose lines lack the routing that decided them, and its age.
+// Guards against refusals whose lines lack the routing that was used, and its age.
 func TestRefusalLogsItsRouting(t *testing.T) {
 	s := newSite(t, 0)
 	s.awaitSuccess(onceURL)
@@ -139,7 +138,7 @@
 			})
 			line := s.logLine(id)
 			if _, hasAge := line["routing-age-ms"].(float64); line["kind"] != c.kind || line["routing"] != 1.0 || !hasAge {
-				t.Errorf("the line tells %v", line)
+				t.Errorf("unexpected log line: %v", line)
 			}
 		})
 	}
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -1,11 +1,11 @@
-// Package launcher joins the parts of a node where calls are passed on whole and
-// the operators' routing lies in the object API: it starts the duties in order,
-// and ends them in the order that loses no call.
+// Package launcher assembles and runs a node of a site where calls are proxied and
+// the operators' routing comes from the object API. It starts the node's parts in
+// order, and stops them in an order that loses no call.
 //
-//	J1  A node that stops first says that it wants no new connections, then goes
-//	    on serving until the balancer has heard it, then closes its listener, and
+//	J1  A node that stops first announces that it wants no new connections, then goes
+//	    on serving until the balancer has noticed, then closes its listener, and
 //	    ends when the calls in flight have their answers (rule G9).
-//	J2  The lease is given up before that, once no order is in flight, so that
+//	J2  The lease is released before that, once no order is in flight, so that
 //	    another node can go on forming groups.
 package launcher
 
@@ -35,41 +35,40 @@
 )
 
 const (
-	// MetricsPort is where a node serves its metrics, at any path. deploy/system.toml
-	// names it, too.
+	// MetricsPort is the port where a node serves its metrics, at any path.
+	// deploy/system.toml repeats it.
 	MetricsPort = "9464"
-	// leaseKey is the lease of the node that forms groups.
+	// leaseKey is the key of the lease of the node that forms groups.
 	leaseKey = "leases/groups"
-	// balancerTime is how long the balancer may take to hear that a node stops:
-	// two questions, a second apart, and some slack.
+	// balancerNoticeTime is how long the balancer may take to notice that a node stops:
+	// two readiness checks, a second apart, and some slack.
 	balancerNoticeTime = 2500 * time.Millisecond
-	// stopMargin is left of the grace period when calls in flight are given up.
+	// stopMargin is the part of the grace period left when calls in flight are closed.
 	stopMargin = 300 * time.Millisecond
-	// headerTime bounds a request's headers, above what routings allow, and
-	// idleTime an unused connection of a client.
+	// headerTimeout bounds reading a request's headers, above what routings allow;
+	// idleTimeout bounds an unused connection of a client.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 60 * time.Second
-	// headerBytes bounds a request's headers.
+	// maxHeaderBytes bounds the size of a request's headers.
 	maxHeaderBytes = 64 << 10
-	// memoryPart is the part of the node's memory that the heap may fill before
+	// heapFraction is the fraction of the node's memory that the heap may fill before
 	// it is collected more often.
 	heapFraction = 0.6
-	// heapGrowth is how far the heap grows between two collections, in percent.
-	// The live heap is a few MB, so that a collection costs little, and more of them
-	// halve the memory that a node holds.
+	// heapGrowth is the heap's growth between two collections, in percent. The live heap
+	// is small, so frequent collections are cheap and keep the node's memory low.
 	heapGrowth = 150
-	// sweepEvery is how often unused connections and the nodes that contend for the
-	// lease are looked through.
+	// sweepEvery is the interval at which unused connections are closed and metrics are
+	// updated.
 	sweepEvery = 2 * time.Second
-	// contendersEvery is how often the lease is told which nodes there are: soon enough
-	// for a candidate that is lost. It is told first after firstContenders, before the
-	// patience of a node that starts is over.
+	// contendersEvery is the interval at which the lease is told the known nodes, short
+	// enough to replace a lost candidate in time. The first time is firstContendersDelay
+	// after the start, within the lease delay of a starting node.
 	contendersEvery      = 700 * time.Millisecond
 	firstContendersDelay = 200 * time.Millisecond
 )
 
-// leaseSettings pass the lease on within about 3 s of its holder's loss. A group
-// is lost every few seconds at worst, and nobody mends it meanwhile.
+// leaseSettings let another node take the lease over within about 3 s of its holder's loss.
+// Groups that break meanwhile are not repaired.
 func leaseSettings() leaser.Settings {
 	return leaser.Settings{
 		Duration:      2400 * time.Millisecond,
@@ -81,21 +80,20 @@
 	}
 }
 
-// firstPatience is how long no node takes the lease after the site's first start. Nodes
-// know of each other within a second; servers register for some seconds, so that nothing
-// is ordered in that time anyway. startPatience is the same for a node that starts later:
-// it hears of the others, who may come before it.
+// firstStartLeaseDelay is how long no node takes the lease after the site's first start:
+// nodes learn of each other meanwhile, and nothing can be ordered until servers have
+// registered. restartLeaseDelay is the same for a node that starts later, for it to learn of
+// the nodes that precede it.
 const (
 	firstStartLeaseDelay = 1500 * time.Millisecond
 	restartLeaseDelay    = 250 * time.Millisecond
 )
 
-// firstQuarantineRead is how long the node leaves the records of calls under which servers
-// ended to others at the site's first start: it knows by then who reads for others, and
-// calls come much later.
+// firstStartReadDelay is how long a node leaves reading the quarantine records to others at
+// the site's first start. It knows by then which node reads for others, and calls come later.
 const firstStartReadDelay = 2500 * time.Millisecond
 
-// firstRead returns how long a node that starts leaves those records to others.
+// quarantineReadDelay returns how long a starting node leaves reading those records to others.
 func quarantineReadDelay(site *garnetworks.NodeSettings) time.Duration {
 	if !site.FirstStart {
 		return 0
@@ -103,7 +101,7 @@
 	return firstStartReadDelay
 }
 
-// patience returns how long a node that starts leaves the lease to others.
+// leaseDelay returns how long a starting node does not contend for the lease.
 func leaseDelay(site *garnetworks.NodeSettings) time.Duration {
 	if !site.FirstStart {
 		return restartLeaseDelay
@@ -111,30 +109,30 @@
 	return firstStartLeaseDelay
 }
 
-// Listeners take calls, the balancer's questions and the operators' reading of
-// metrics.
+// Listeners accept calls, the balancer's readiness checks, other nodes' connections and
+// requests for metrics.
 type Listeners struct {
 	Callers, Ready, Peers net.Listener
 	// Metrics may be nil.
 	Metrics net.Listener
 }
 
-// Options are what a node consists of.
+// Options configures a node.
 type Options struct {
 	Site garnetworks.NodeSettings
-	// Listeners replaces the site's addresses where it is set.
+	// Listeners replaces the site's addresses if Callers is set.
 	Listeners Listeners
-	// Program is the program's version, as nodes tell each other.
+	// Program is the program's version, reported to other nodes.
 	Program string
 	Objects garnetworks.ObjectAPI
 	Reader  garnetworks.SiteReader
 	Calls   garnetworks.CallReader
 	Proxy   garnetworks.CallProxy
 	Orders  garnetworks.GroupOrders
-	// BalancerTime replaces the time that the balancer may take to hear that the node
-	// stops, if it is above 0.
+	// BalancerTime, if above 0, replaces the time that the balancer may take to notice that
+	// the node stops.
 	BalancerTime time.Duration
-	// Ready makes the handler of the balancer's question.
+	// Ready returns the handler of the balancer's readiness checks.
 	Ready func(ready func() bool) http.Handler
 	// Sweep closes unused connections.
 	Sweep  func(now time.Time)
@@ -143,21 +141,21 @@
 	LinesDropped func() uint64
 }
 
-// Launcher is a node.
+// Launcher runs a node.
 type Launcher struct {
 	options  Options
 	follower *follower.Follower
 	lease    *leaser.Lease
 	former   *former.Former
 	gateway  *gateway.Gateway
-	// quarantine keeps calls under which servers end from other servers.
+	// quarantine keeps calls that crash servers from reaching further servers.
 	quarantine *quarantiner.Quarantiner
 	peers      *peers
 	meter      *meter.Meter
 	recorder   *recorder.Recorder
 }
 
-// New joins the parts.
+// New assembles a node.
 func New(options Options) (*Launcher, error) {
 	site := &options.Site
 	l := &Launcher{options: options, meter: meter.New(), recorder: recorder.New(site.Node, 0)}
@@ -202,35 +200,34 @@
 	return l, nil
 }
 
-// load is what the node tells of its calls, and as the holder of the lease of lost groups.
+// load returns the node's load report; the lease holder adds the groups known to be lost.
 func (l *Launcher) load() garnetworks.LoadReport {
 	report := l.gateway.Load()
 	report.Lost = l.former.Lost()
 	return report
 }
 
-// takeOthers takes what the other nodes tell. What the node itself tells of lost groups is
-// not among it.
+// setOthers passes the other nodes' loads to the gateway, with the groups that this node
+// itself knows to be lost added, since other nodes' reports do not contain them.
 func (l *Launcher) setOthers(others garnetworks.LoadReport, known bool) {
 	others.Lost = append(slices.Clone(others.Lost), l.former.Lost()...)
 	l.gateway.SetOthers(others, known)
 }
 
-// suspect tells of a group that seems to stand still: the node itself, which may
-// hold the lease, and the others.
+// suspect reports a group that seems to make no progress to the former, which acts if this
+// node holds the lease, and to the other nodes.
 func (l *Launcher) suspect(group garnetworks.GroupID) {
 	l.former.Suspect(group)
 	l.peers.exchanger.Suspect(group)
 }
 
-// Reload takes the site's bounds from settings that have changed. Addresses stay
-// those of the start.
+// Reload applies changed bounds of the site. Addresses stay those of the start.
 func (l *Launcher) Reload(bounds garnetworks.SiteBounds) {
 	l.gateway.SetBounds(bounds)
 	l.former.SetBounds(bounds)
 }
 
-// Run serves until stop ends, and then until the calls in flight have ended.
+// Run serves until stop is cancelled, and then until the calls in flight have ended.
 func (l *Launcher) Run(stop context.Context) error {
 	l.limitMemory()
 	listeners, err := l.listen()
@@ -272,7 +269,7 @@
 	return err
 }
 
-// limitMemory makes the runtime collect within the node's memory.
+// limitMemory configures the garbage collector to keep within the node's memory.
 func (l *Launcher) limitMemory() {
 	debug.SetGCPercent(heapGrowth)
 	if l.options.Site.MemoryBytes > 0 {
@@ -280,43 +277,43 @@
 	}
 }
 
-// server returns an HTTP server with the node's bounds.
+// server returns an HTTP server with the node's limits.
 func (l *Launcher) server(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler: handler, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes,
-		// A handler that panics shows as a closed connection and in this log only.
+		// A handler's panic shows only as a closed connection and in this log.
 		ErrorLog: l.options.Logger.Named("http").StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Warn}),
 	}
 }
 
-// listen opens the site's addresses.
+// listen opens listeners on the site's addresses, unless Options has them.
 func (l *Launcher) listen() (Listeners, error) {
 	if l.options.Listeners.Callers != nil {
 		return l.options.Listeners, nil
 	}
 	callers, err := net.Listen("tcp4", l.options.Site.CallAddress)
 	if err != nil {
-		return Listeners{}, garnetworks.WrapError(garnetworks.KindInvalidSettings, err, "the callers' address can't be listened on")
+		return Listeners{}, garnetworks.WrapError(garnetworks.KindInvalidSettings, err, "can't listen on the address for callers")
 	}
 	ready, err := net.Listen("tcp4", l.options.Site.ReadinessAddress)
 	if err != nil {
-		return Listeners{}, garnetworks.WrapError(garnetworks.KindInvalidSettings, err, "the balancer's address can't be listened on")
+		return Listeners{}, garnetworks.WrapError(garnetworks.KindInvalidSettings, err, "can't listen on the address for readiness checks")
 	}
 	peers, err := net.Listen("tcp4", l.options.Site.PeerAddress)
 	if err != nil {
-		return Listeners{}, garnetworks.WrapError(garnetworks.KindInvalidSettings, err, "the address for other nodes can't be listened on")
+		return Listeners{}, garnetworks.WrapError(garnetworks.KindInvalidSettings, err, "can't listen on the address for other nodes")
 	}
 	metrics, err := net.Listen("tcp4", net.JoinHostPort(l.options.Site.IP, MetricsPort))
 	if err != nil {
-		// A node that can't show its metrics still serves.
+		// A node whose metrics can't be served still serves calls.
 		l.options.Logger.Error("metrics are not served", "error", err)
 		metrics = nil
 	}
 	return Listeners{Callers: callers, Ready: ready, Peers: peers, Metrics: metrics}, nil
 }
 
-// lead forms groups while the node holds the lease, and gives the lease up once
-// no order is in flight (rule J2).
+// lead forms groups while the node holds the lease, and releases the lease once no order
+// is in flight (rule J2).
 func (l *Launcher) lead(stop context.Context) error {
 	leasing, release := context.WithCancel(context.Background())
 	defer release()
@@ -330,7 +327,7 @@
 	return err
 }
 
-// stop ends the service of callers (rule J1).
+// stop announces the stop and ends the service of calls (rule J1).
 func (l *Launcher) stop(calls *http.Server) {
 	l.options.Logger.Info(string(garnetworks.EventNodeStopping), "grace", l.options.Site.Bounds.StopGrace.String())
 	deadline := time.Now().Add(l.options.Site.Bounds.StopGrace - stopMargin)
@@ -345,7 +342,7 @@
 	}
 }
 
-// sweep does what is due now and then.
+// sweep does the node's periodic work until ctx ends.
 func (l *Launcher) sweep(ctx context.Context) error {
 	ticker := time.NewTicker(sweepEvery)
 	defer ticker.Stop()
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -68,9 +68,8 @@
 
 func (readCloser) Close() error { return nil }
 
-// Story: a node starts while the store can't be reached. It must not say that a
-// route or a key does not exist; it knows none. It says that the call did not run
-// and when to come back, and serves once the store is there.
+// Guards against a node that starts without the store answering that a route or key does
+// not exist, instead of 503 with Retry-After.
 func TestNodeWithoutStoreAnswersUnavailable(t *testing.T) {
 	s := newSite(t, 3)
 	s.stop()
@@ -89,8 +88,8 @@
 	s.awaitSuccess(onceURL)
 }
 
-// Story: a group breaks in the middle of an answer, within an event. The client
-// gets the rest from another group and sees one whole answer.
+// Guards against an answer with gaps or duplicates when a group breaks within an event and
+// another group resumes the stream.
 func TestStreamGoesOnAtAnotherGroup(t *testing.T) {
 	s := newSite(t, 6)
 	s.awaitSuccess(streamURL)
@@ -102,7 +101,7 @@
 	s.eventually("a call is resumed", func() bool {
 		a := s.call(http.MethodPost, streamURL, nil)
 		if a.err == nil && a.status == http.StatusOK && a.body != streamBody(20) {
-			t.Fatalf("an answer that looks whole has %q", a.body)
+			t.Fatalf("an answer that looks complete has %q", a.body)
 		}
 		for _, e := range s.engines {
 			for _, run := range e.Runs() {
@@ -115,8 +114,8 @@
 	})
 }
 
-// Story: a visit log ran, and its answer was lost. A node that sends it again, or
-// says that it did not run, has the member billed twice.
+// Guards against repeating a call that may run only once, or saying that it did not run,
+// after its answer was lost.
 func TestLostAnswerOfACallThatRunsOnce(t *testing.T) {
 	s := newSite(t, 3)
 	s.awaitSuccess(onceURL)
@@ -126,15 +125,15 @@
 	before := len(s.services[0].Runs()) + len(s.services[1].Runs())
 	a := s.call(http.MethodPost, onceURL, nil)
 	if a.status != http.StatusBadGateway || a.header.Get("Retry-After") != "" {
-		t.Errorf("got %+v, want 502 without a time to come back", a)
+		t.Errorf("got %+v, want 502 without Retry-After", a)
 	}
 	if ran := len(s.services[0].Runs()) + len(s.services[1].Runs()) - before; ran != 1 {
 		t.Errorf("the call ran %d times", ran)
 	}
 }
 
-// Story: the answer of a call that may be repeated was lost at one server; another
-// one gives it.
+// Guards against failing a repeatable call whose answer one server lost, though another
+// server can answer it.
 func TestLostAnswerOfACallThatMayBeRepeated(t *testing.T) {
 	s := newSite(t, 3)
 	s.awaitSuccess(safeURL)
@@ -147,7 +146,7 @@
 	}
 }
 
-// entry is what a plain server registers.
+// entry returns the registration of a plain server.
 func entry(service, address string) map[string]any {
 	return map[string]any{
 		"service": service, "address": address, "zone": "z1", "version": "v1", "state": "ready", "slots": 4,
@@ -155,9 +154,8 @@
 	}
 }
 
-// Story: a server is gone, and its address was given to a server of another service
-// before its entry was removed. A call that may run once is refused there, and the
-// service has another server that would have taken it.
+// Guards against failing a call because the entry of a removed server points to an address
+// that a server of another service reuses.
 func TestReusedAddressCostsNoCall(t *testing.T) {
 	s := newSite(t, 3)
 	s.awaitSuccess(onceURL)
@@ -174,8 +172,8 @@
 	}
 }
 
-// Story: all servers of a service are full. A call that they refused did not run,
-// and the caller is told so, and when to come back.
+// Guards against a refusal by full servers that does not say that the call did not run and
+// when to retry.
 func TestFullServersAnswerUnavailable(t *testing.T) {
 	s := newSite(t, 3)
 	s.awaitSuccess(onceURL)
@@ -188,7 +186,7 @@
 	}
 }
 
-// Story: a key is taken away, and right after that a client uses it.
+// Guards against a revoked key being accepted after the change is applied.
 func TestRevokedKey(t *testing.T) {
 	s := newSite(t, 3)
 	s.awaitSuccess(onceURL)
@@ -196,10 +194,10 @@
 	s.eventually("the key is refused", func() bool {
 		return s.call(http.MethodPost, onceURL, nil).status == http.StatusUnauthorized
 	})
-	// A configuration that goes back is never applied.
+	// A configuration with a lower version is never applied.
 	s.store.Set("config", "main", config(1, key))
 	s.store.Set("config", "main", config(3, "another"))
-	s.eventually("the third version is in force", func() bool {
+	s.eventually("the third version is applied", func() bool {
 		a := s.call(http.MethodPost, onceURL, func(r *http.Request) { r.Header.Set("Authorization", "Token another") })
 		return a.status == http.StatusOK
 	})
@@ -208,8 +206,8 @@
 	}
 }
 
-// Story: a client leaves in the middle of its answer. The engine goes on for
-// seconds for nobody, unless its connection is closed at once.
+// Guards against an engine going on with a call whose client has disconnected in the middle
+// of the answer.
 func TestClientThatLeavesEndsItsCall(t *testing.T) {
 	s := newSite(t, 3)
 	s.awaitSuccess(streamURL)
@@ -225,11 +223,11 @@
 	s.eventually("the call runs", func() bool { return head.Running() > 0 || len(head.Runs()) > before && head.Running() > 0 })
 	leave()
 	s.eventually("the engine has stopped", func() bool { return head.Running() == 0 })
-	s.eventually("the log tells that the client left", func() bool { return strings.Contains(s.logs.String(), `"kind":"cancelled"`) })
+	s.eventually("the log has the call as cancelled", func() bool { return strings.Contains(s.logs.String(), `"kind":"cancelled"`) })
 }
 
-// Story: a client leaves before the first event. The log told that the engine had
-// timed out, and engineers looked for what was wrong with the engine.
+// Guards against logging a client's disconnect before the first event as a timeout of the
+// engine.
 func TestEarlyCancelIsNotLoggedAsTimeout(t *testing.T) {
 	s := newSite(t, 3)
 	s.awaitSuccess(streamURL)
@@ -244,14 +242,14 @@
 	}()
 	s.eventually("the call is with the engine", func() bool { return head.Holding() > 0 })
 	leave()
-	s.eventually("the log tells that the client left", func() bool { return strings.Contains(s.logs.String(), `"kind":"cancelled"`) })
+	s.eventually("the log has the call as cancelled", func() bool { return strings.Contains(s.logs.String(), `"kind":"cancelled"`) })
 	if strings.Contains(s.logs.String(), "backend-timeout") || len(head.Runs()) != before {
-		t.Error("the log tells of a timeout")
+		t.Error("the log has a timeout")
 	}
 }
 
-// Story: a node is stopped as planned while calls are in flight. They get their
-// answers, and the balancer is told at once.
+// Guards against a planned stop cutting off calls in flight, or not being announced to the
+// balancer.
 func TestPlannedStopCutsOffNoCall(t *testing.T) {
 	s := newSite(t, 3)
 	s.awaitSuccess(streamURL)
@@ -272,8 +270,7 @@
 	}
 }
 
-// Story: an engine of a group dies for good. A spare takes its place, and calls
-// are served again without anybody's doing.
+// Guards against a group whose engine is lost for good not being replaced by a spare.
 func TestLostEngineIsReplaced(t *testing.T) {
 	s := newSite(t, 4)
 	s.awaitSuccess(streamURL)
@@ -284,8 +281,8 @@
 	})
 }
 
-// Story: a replica of the store lags, and answers a list from before the servers came.
-// A node that believes it has no servers left, and refuses all calls.
+// Guards against a list from a lagging replica, older than the servers' entries, removing
+// servers and refusing calls.
 func TestStaleListRemovesNoServers(t *testing.T) {
 	s := newSite(t, 3)
 	s.awaitSuccess(onceURL)
@@ -300,8 +297,7 @@
 	}
 }
 
-// Story: an engine stops a call for a moment because it needs the memory for another
-// one. The group is only slow with this call; it gets its whole answer, once.
+// Guards against a stream that the engine preempts for a moment being cut off or repeated.
 func TestPreemptedStreamIsWhole(t *testing.T) {
 	s := newSite(t, 3)
 	s.awaitSuccess(streamURL)
@@ -313,9 +309,8 @@
 	}
 }
 
-// Story: a group stands still for a second, as when an engine on which it depends is
-// slow to take an order, and goes on. There is no other group. The node ended the
-// call after half a second of silence and broke the answer off in the middle.
+// Guards against cutting off a stream of a group that pauses for a second when no other
+// group could resume it.
 func TestStreamOfASilentGroupWaitsForAPlaceElsewhere(t *testing.T) {
 	s := newSite(t, 3)
 	s.awaitSuccess(streamURL)
@@ -327,8 +322,7 @@
 	}
 }
 
-// Story: the same, with another group that has a place. The call goes on there
-// before its client has waited for the silent group's end.
+// Guards against leaving a stream at a silent group when another group has a free slot.
 func TestStreamOfASilentGroupMoves(t *testing.T) {
 	s := newSite(t, 6)
 	s.awaitSuccess(streamURL)
@@ -351,9 +345,8 @@
 	})
 }
 
-// Story: the servers of a service are slow, and the site's retries are used up. A call
-// that may be repeated was taken from the first server before its time was over, got
-// no retry, and failed; the server would have answered it.
+// Guards against taking a repeatable call from a slow server that would have answered it,
+// when the retry budget is used up.
 func TestSlowServerKeepsACallThatHasNoRetry(t *testing.T) {
 	s := newSite(t, 3)
 	s.awaitSuccess(safeURL)
@@ -367,10 +360,8 @@
 	}
 }
 
-// Story: engines of an open group, first a member and then the head, crash and are back
-// under their identifiers before their entries lapse. There is no spare. Calls went on to
-// a head that nothing moves at; now the group is formed anew with the later lives, and
-// calls are answered whole.
+// Guards against routing to an open group whose member or head crashed and restarted before
+// its entry expired, instead of forming the group anew.
 func TestGroupWithEnginesThatStartedAgainServes(t *testing.T) {
 	s := newSite(t, 3)
 	s.awaitSuccess(streamURL)
@@ -378,18 +369,18 @@
 	for round, restarted := range []*impersonator.Backend{other(s.engines, head), head} {
 		before := len(restarted.Orders())
 		restarted.StartAgain(int64(1764720000000 + round))
-		s.eventually("a call succeeds at a group of the later life", func() bool {
+		s.eventually("a call succeeds at a group of the restarted engine", func() bool {
 			a := s.call(http.MethodPost, streamURL, nil)
 			return a.status == http.StatusOK && a.body == streamBody(5)
 		})
 		since := restarted.Orders()[before:]
 		if !slices.ContainsFunc(since, func(order string) bool { return strings.HasPrefix(order, "join ") }) {
-			t.Errorf("round %d: the later life was ordered %v", round, since)
+			t.Errorf("round %d: the restarted engine was ordered %v", round, since)
 		}
 	}
 }
 
-// other returns an engine that is not the given one.
+// other returns an engine other than the excluded one.
 func other(engines []*impersonator.Backend, excluded *impersonator.Backend) *impersonator.Backend {
 	for _, e := range engines {
 		if e != excluded {
--- a/launcher/peers.go
+++ b/launcher/peers.go
@@ -19,8 +19,8 @@
 	"github.com/garnetworks/garnetworks/tracker"
 )
 
-// peers is a node's traffic with other nodes: membership, the spreading of
-// rosters, reading the object API for others, and the exchange of loads.
+// peers handles a node's communication with other nodes: membership, distribution of
+// rosters, reading the object API for others, and the exchange of load reports.
 type peers struct {
 	self        garnetworks.NodeInfo
 	timeline    *recorder.Recorder
@@ -32,11 +32,11 @@
 	exchanger   *exchanger.Exchanger
 	// leading reports whether the node holds the lease.
 	leading func() bool
-	// upstream is whom the node asks, as found last.
+	// upstream is the cached result of findUpstream.
 	upstream atomic.Pointer[cachedUpstream]
 }
 
-// newPeers joins the parts. The exchanger is added once its users are there.
+// newPeers assembles the parts. The caller sets exchanger and leading before use.
 func newPeers(options *Options, objects garnetworks.ObjectAPI, events garnetworks.Recorder, timeline *recorder.Recorder, woke func(time.Time) time.Time, prefixes []string) (*peers, error) {
 	site := &options.Site
 	p := &peers{
@@ -67,8 +67,8 @@
 	return p, err
 }
 
-// relays returns the nodes to ask. The holder of the lease reads for itself: it acts on what
-// it reads, and each step on the way makes that later.
+// relays returns the nodes to read the object API through. The lease holder reads it
+// directly: it acts on what it reads, and each relay adds delay.
 func (p *peers) relays() []string {
 	if p.leading() {
 		return nil
@@ -76,8 +76,8 @@
 	return p.findUpstream().Relays
 }
 
-// spares returns further nodes to ask when neither relays nor the object API answer; for the
-// holder of the lease that is all of them.
+// spares returns further nodes to ask when neither the relays nor the object API answer; for
+// the lease holder these include the relays.
 func (p *peers) spares() []string {
 	u := p.findUpstream()
 	if p.leading() {
@@ -86,11 +86,11 @@
 	return u.Spares
 }
 
-// upstreamEvery is how often the nodes to ask are found anew. Each question needs them, and
-// lost nodes are found by membership within some seconds only.
+// upstreamEvery is how long the nodes to ask are cached. Each request needs them, and
+// membership takes longer than that to detect a lost node.
 const upstreamEvery = 300 * time.Millisecond
 
-// foundUpstream is whom the node asks, and since when.
+// cachedUpstream holds the nodes to ask, and when they were determined.
 type cachedUpstream struct {
 	exchanger.Upstream
 	at time.Time
@@ -120,17 +120,17 @@
 	return err
 }
 
-// leave says goodbye, so that nobody waits for this node.
+// leave announces that this node stops, so that no other node waits for it.
 func (p *peers) leave(logger hclog.Logger) {
 	const timeout = 300 * time.Millisecond
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	p.tracker.Leave(ctx)
-	logger.Debug("said goodbye")
+	logger.Debug("announced the stop to other nodes")
 }
 
-// peerHandler answers other nodes. A node of such a site takes no manifests, since
-// its routing comes from the object API.
+// peerHandler handles other nodes' requests. A node of such a site accepts no manifests,
+// since its routing comes from the object API.
 type peerHandler struct{ *peers }
 
 // Heartbeat implements garnetworks.PeerHandler.
--- a/launcher/prover.go
+++ b/launcher/prover.go
@@ -10,18 +10,18 @@
 	"github.com/garnetworks/garnetworks/quarantiner"
 )
 
-// proveTime bounds a question to a server. One that lives answers within milliseconds, and
-// a host whose process has ended refuses as fast.
+// probeTimeout bounds a probe of a server. A live server answers within milliseconds, and a
+// host whose server process has ended refuses the connection as fast.
 const probeTimeout = 200 * time.Millisecond
 
-// prove finds out whether a server's life has ended, by asking in its place. A life whose
-// entry is there is asked; one whose entry is gone only if ask is set. A host that does not
-// answer proves nothing.
+// probeIncarnation finds out whether a server's incarnation has crashed, by contacting its
+// address. An incarnation that is no longer registered is contacted only if unregistered is
+// set. A host that does not answer proves nothing.
 //
-// Failure: a zone is cut off, and its servers' entries lapse though they live. Calls that
-// broke off there were taken for what ended them, and kept from all servers. An entry that
-// is gone is so no proof, nor is one of another start that an old view shows: only what
-// answers at the address tells lives apart.
+// Failure: entries of servers in a partitioned zone expire though the servers live, and calls
+// interrupted there would be taken for the cause and kept from all servers. So neither a
+// missing entry nor an outdated entry with another start time is proof: only what answers at
+// the address tells incarnations apart.
 func (l *Launcher) probeIncarnation(ctx context.Context, incarnation garnetworks.Incarnation, unregistered bool) garnetworks.CrashState {
 	servers := l.follower.Servers()
 	s, registered := servers[incarnation.Instance]
@@ -38,7 +38,7 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	err := l.options.Orders.Probe(ctx, s.Address, incarnation)
-	// Without a start, whoever listens at the address answers alike.
+	// Without a start time, any server at the address gives the same answer.
 	ambiguous := addressReused || incarnation.StartMS == 0 && (!registered || s.Incarnation() != incarnation)
 	switch {
 	case err == nil && ambiguous:
@@ -53,7 +53,7 @@
 	return garnetworks.CrashSuspected
 }
 
-// reaches reports whether another server of the zone answers the node.
+// zoneReachable reports whether another server of the server's zone answers this node.
 func (l *Launcher) zoneReachable(ctx context.Context, servers map[garnetworks.InstanceID]garnetworks.RegisteredServer, s *garnetworks.RegisteredServer) bool {
 	var others []garnetworks.RegisteredServer
 	for id := range servers {
@@ -63,13 +63,13 @@
 	}
 	return quarantiner.AnyReachable(others, func(other garnetworks.RegisteredServer) bool {
 		err := l.options.Orders.Probe(ctx, other.Address, other.Incarnation())
-		// A plain server answers that it has no such report.
+		// A plain server rejects the probe, since it has no such report, but is reachable.
 		return err == nil || garnetworks.IsKind(err, garnetworks.KindNotFound, garnetworks.KindInvalidRequest)
 	})
 }
 
-// addressTaken reports whether another server is registered at the server's address: it
-// started there after the one had ended.
+// addressTaken reports whether another server is registered at the server's address, having
+// started there after the server had ended.
 func addressTaken(servers map[garnetworks.InstanceID]garnetworks.RegisteredServer, s *garnetworks.RegisteredServer) bool {
 	for id := range servers {
 		if other := servers[id]; id != s.ID && other.Address == s.Address {
--- a/launcher/prover_test.go
+++ b/launcher/prover_test.go
@@ -15,8 +15,8 @@
 	"github.com/garnetworks/garnetworks/recorder"
 )
 
-// hosts answer probes by address: with the start of the process that listens there. Others
-// refuse connections, or give no answer if they are dark.
+// fakeHosts answer probes by address with the start time of the process that listens there.
+// Other addresses refuse connections, or do not answer if they are unreachable.
 type fakeHosts struct {
 	garnetworks.GroupOrders
 	starts      map[string]int64
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// lineReader reads entries that are "zone address start".
+// lineReader reads entries of the form "zone address start".
 type lineReader struct{ garnetworks.SiteReader }
 
 func (lineReader) RoutingKey() string   { return "routing" }
@@ -49,16 +49,15 @@
 	return s, err
 }
 
-// Story: a zone was cut off. Its servers' entries lapsed, connections to it were refused or
-// not answered, and calls that had broken off there were taken for what ended the servers.
-// The node asks in the server's place, and only another life there proves an end.
+// Guards against taking expired entries and refused connections in a partitioned zone for
+// proof that its servers have crashed: only another incarnation's answer is proof.
 func TestProbeIncarnation(t *testing.T) {
 	const asked, beside = "far:1", "far:2"
 	incarnation := garnetworks.Incarnation{Instance: "asked", StartMS: 10}
 	plain := garnetworks.Incarnation{Instance: "plain"}
 	cases := map[string]struct {
 		incarnation garnetworks.Incarnation
-		// later are entries written after the first list; an empty one removes.
+		// changes are entries written after the first list; an empty one removes.
 		changes      map[string]string
 		starts       map[string]int64
 		unreachable  []string
@@ -123,7 +122,7 @@
 	}
 }
 
-// refusing answers probes of some servers and refuses connections to all others.
+// refusingOrders answers probes of some servers and refuses connections to all others.
 type refusingOrders struct {
 	garnetworks.GroupOrders
 	answers garnetworks.Set[garnetworks.InstanceID]
@@ -136,8 +135,8 @@
 	return garnetworks.WrapError(garnetworks.KindUnreachable, syscall.ECONNREFUSED, "refused")
 }
 
-// A node was cut off from a zone, where its connections were refused, and took the servers
-// there for ended. Refusals count only while another server of the zone answers.
+// Guards against taking refused connections to a whole zone for crashes of its servers: a
+// refusal counts only while another server of the zone answers.
 func TestRefusalsOfWholeZoneAreInconclusive(t *testing.T) {
 	servers := make(map[garnetworks.InstanceID]garnetworks.RegisteredServer)
 	for id, zone := range map[garnetworks.InstanceID]garnetworks.ZoneID{"asked": "far", "beside": "far", "here": "near"} {
@@ -154,7 +153,7 @@
 	for name, c := range cases {
 		l := &Launcher{options: Options{Orders: refusingOrders{answers: c.answers}}}
 		if got := l.zoneReachable(t.Context(), servers, &asked); got != c.want {
-			t.Errorf("%s: the zone is reached: %t", name, got)
+			t.Errorf("%s: the zone is reachable: %t", name, got)
 		}
 	}
 }
--- a/launcher/quarantine_test.go
+++ b/launcher/quarantine_test.go
@@ -16,20 +16,21 @@
 )
 
 const (
-	// crashing is the body of a call under which each server that runs it crashes.
+	// crashBody is the body of a call under which each server that runs it crashes.
 	crashBody = "ends its server"
-	// mostEnded is the number of servers after which it shall reach no other one, and
-	// mostKnown the same where it comes at several nodes: three more may end by then.
+	// maxCrashes is the number of crashed servers after which the call may reach no further
+	// one; maxCrashesAcrossNodes is the same where it arrives at several nodes: as many
+	// again may crash before the nodes have told each other.
 	maxCrashes            = 3
 	maxCrashesAcrossNodes = 2 * maxCrashes
-	// spreadTime is how long nodes are given to hear of each other what they know; sites
-	// expect it within three seconds.
+	// propagationTime is how long nodes are given to exchange what they know; the limit for
+	// sites is three seconds.
 	propagationTime = time.Second
-	// title is what a caller is told of a call that is kept from servers.
+	// heldTitle is the title of the answer to a call that is kept from servers.
 	heldTitle = "The call has ended the backend servers that ran it"
 )
 
-// openCrashing starts a site in which engines crash under a call.
+// newCrashingSite starts a site whose servers crash under calls with crashBody.
 func newCrashingSite(t *testing.T) *site {
 	t.Helper()
 	const engines, services, groups = 18, 6, 6
@@ -65,7 +66,7 @@
 	return id, a
 }
 
-// ranCrashing returns the identifiers of the calls under which engines crashed.
+// crashedRunIDs returns the identifiers of the calls under which servers crashed.
 func (s *site) crashedRunIDs() (ids []string) {
 	for _, b := range append(append([]*impersonator.Backend(nil), s.engines...), s.services...) {
 		for _, run := range b.Runs() {
@@ -77,8 +78,8 @@
 	return ids
 }
 
-// refusals sends copies of the crashing call and checks that each that is said not to have
-// run has not. It returns the number of copies that were kept from servers.
+// refusals sends copies of the crashing call and checks that those reported as not run have
+// not run. It returns the number of copies that were kept from servers.
 func (s *site) refusals(target string, copies int) (refused int) {
 	s.t.Helper()
 	for range copies {
@@ -90,20 +91,17 @@
 			refused++
 		}
 		if a.header.Get("Retry-After") == "" {
-			s.t.Errorf("a refusal does not say when to come back: %+v", a)
+			s.t.Errorf("a refusal has no Retry-After: %+v", a)
 		}
 		if garnetworks.NewSet(s.crashedRunIDs()...).Has(id) {
-			s.t.Errorf("the call %s ran and is told not to have run", id)
+			s.t.Errorf("the call %s ran but is reported as not run", id)
 		}
 	}
 	return refused
 }
 
-// A call ended each engine that began to run it, and its caller sent it again and
-// again. The node took each copy for a new call and each end for a loss like any other:
-// two engines ended for each copy ("backend-lost", twice "unexpected EOF" before any event
-// in its line), 28 and 34 of them in all, and every second sound call beside them failed.
-// The cause: nothing remembered under which calls engines had ended.
+// Guards against a call that crashes each server that runs it being retried on further
+// servers, which fails the other calls there.
 func TestCallThatEndsItsEnginesIsKeptFromOthers(t *testing.T) {
 	for name, target := range map[string]string{"model": streamURL, "plain service": safeURL} {
 		t.Run(name, func(t *testing.T) {
@@ -111,20 +109,19 @@
 			const copies = 12
 			s.refusals(target, copies)
 			if ran := s.crashedRunIDs(); len(ran) > maxCrashes {
-				t.Errorf("%d servers ended, want %d at most", len(ran), maxCrashes)
+				t.Errorf("%d servers crashed, want %d at most", len(ran), maxCrashes)
 			}
 			for i := range copies {
 				if _, a := s.send(streamURL, fmt.Sprint("sound ", i)); a.status != http.StatusOK {
-					t.Errorf("a sound call got %+v", a)
+					t.Errorf("a healthy call got %+v", a)
 				}
 			}
 		})
 	}
 }
 
-// The copies of such a call came at other nodes, and at nodes that started after
-// the engines had ended, when those that saw it are gone. Each node on its own would end
-// three more engines.
+// Guards against a crashing call being held only by the nodes that saw it: each other node,
+// and each node started later, would let it crash more engines.
 func TestCallThatEndsItsEnginesIsKnownAtOtherNodes(t *testing.T) {
 	s := newCrashingSite(t)
 	second := s.join("n2")
@@ -143,16 +140,15 @@
 	third.awaitSuccess(safeURL)
 	time.Sleep(propagationTime)
 	if third.refusals(streamURL, 1) != 1 {
-		t.Error("a node that starts anew does not refuse the call")
+		t.Error("a node that started later does not refuse the call")
 	}
 	if ran := s.crashedRunIDs(); len(ran) > maxCrashesAcrossNodes {
-		t.Errorf("%d engines ended, want %d at most", len(ran), maxCrashesAcrossNodes)
+		t.Errorf("%d engines crashed, want %d at most", len(ran), maxCrashesAcrossNodes)
 	}
 }
 
-// Sound calls are in flight at the engines that end, and meet the call that ends
-// them again at the engine that they go on at. None of them is taken for it: each is
-// answered whole in the end, when its client sends it again as clients do.
+// Guards against blaming healthy calls that are in flight at crashing engines: each is
+// answered completely in the end, when its client retries it.
 func TestOtherCallsAreServedBesideCrashingCall(t *testing.T) {
 	s := newCrashingSite(t)
 	const streams, tries = 24, 20
@@ -165,29 +161,29 @@
 			for range tries {
 				_, a := s.send(streamURL, fmt.Sprint("sound ", i))
 				if strings.Contains(a.body, heldTitle) {
-					t.Errorf("a sound call is taken for one that ends engines: %+v", a)
+					t.Errorf("a healthy call is taken for a crashing one: %+v", a)
 				}
 				if a.status == http.StatusOK && a.err == nil {
 					if a.body != streamBody(30) {
-						t.Errorf("an answer that looks whole has %d bytes", len(a.body))
+						t.Errorf("an answer that looks complete has %d bytes", len(a.body))
 					}
 					return
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
-			t.Errorf("sound call %d was not answered in %d tries", i, tries)
+			t.Errorf("healthy call %d was not answered in %d tries", i, tries)
 		})
 	}
 	const copies = 12
 	s.refusals(streamURL, copies)
 	calls.Wait()
 	if ran := s.crashedRunIDs(); len(ran) > maxCrashesAcrossNodes {
-		t.Errorf("%d engines ended, want %d at most", len(ran), maxCrashesAcrossNodes)
+		t.Errorf("%d engines crashed, want %d at most", len(ran), maxCrashesAcrossNodes)
 	}
 }
 
-// Servers are stopped as planned, one after the other, with the same long call in
-// flight. They were told to leave, so the call is not blamed for their ends.
+// Guards against blaming a long call for the ends of servers that stop as planned, which
+// announce it.
 func TestCallIsNotBlamedForServersThatLeave(t *testing.T) {
 	s := newCrashingSite(t)
 	slow := func(delay time.Duration) {
@@ -206,7 +202,7 @@
 		s.eventually("the call runs", func() bool { return s.running() != nil })
 		first := s.running()
 		first.Drain()
-		s.eventually("the node knows that the server leaves", func() bool { return s.logged("server-leaving", first.ID) })
+		s.eventually("the node knows that the server is leaving", func() bool { return s.logged("server-leaving", first.ID) })
 		first.Crash()
 		s.eventually("the call runs elsewhere", func() bool { return s.running() != nil })
 		leave()
@@ -219,11 +215,8 @@
 	}
 }
 
-// A zone was cut off, and a call that ran there broke off at three engines as its client
-// sent it again. Their entries lapsed, since they did not reach the platform either, and
-// each was taken for the end of its engine: the call was held at all nodes for ten minutes
-// ("3 servers ended under it"), though the engines lived and served on once the cut was
-// over. The cause: a partition makes entries lapse as crashes do.
+// Guards against blaming a call for engines that were only cut off: in a partition entries
+// expire as after crashes, and the call would be held at all nodes.
 func TestCallIsNotBlamedForEnginesThatWereCutOff(t *testing.T) {
 	s := newCrashingSite(t)
 	for _, e := range s.engines {
@@ -246,8 +239,8 @@
 		b := runningOf(s.engines)
 		b.Cut()
 		cut = append(cut, b)
-		s.eventually("the node has left the engine", func() bool { return b.Running() == 0 })
-		s.eventually("the entry lapses", func() bool { return s.logged("server-gone", b.ID) })
+		s.eventually("the node has closed its call to the engine", func() bool { return b.Running() == 0 })
+		s.eventually("the entry expires", func() bool { return s.logged("server-gone", b.ID) })
 		leave()
 		<-done
 		s.eventually("the call has ended", func() bool { return runningOf(s.engines) == nil })
@@ -264,14 +257,14 @@
 		t.Errorf("the call got %+v", a)
 	}
 	if s.logged("call-held", "") {
-		t.Error("the call is held though no engine has ended")
+		t.Error("the call is held though no engine has crashed")
 	}
 }
 
-// running returns a plain server that runs a call and has not ended.
+// running returns a plain server that runs a call and has not crashed.
 func (s *site) running() *impersonator.Backend { return runningOf(s.services) }
 
-// runningOf returns the backend that runs a call and has not ended.
+// runningOf returns a backend that runs a call and has not crashed.
 func runningOf(backends []*impersonator.Backend) *impersonator.Backend {
 	for _, b := range backends {
 		if b.Running() > 0 && !b.Ended() {
@@ -281,7 +274,7 @@
 	return nil
 }
 
-// told reports whether the node's log has an event of an instance.
+// logged reports whether the node's log has an event of an instance.
 func (s *site) logged(event, instance string) bool {
 	for line := range strings.Lines(s.logs.String()) {
 		if strings.Contains(line, event) && strings.Contains(line, instance) {
--- a/launcher/raw_test.go
+++ b/launcher/raw_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// raw sends bytes on a connection of its own and returns the answers' statuses.
+// sendRaw sends bytes on a separate connection and returns the responses' statuses.
 func (s *site) sendRaw(text string) []int {
 	s.t.Helper()
 	c, err := net.Dial("tcp4", strings.TrimPrefix(s.url, "http://"))
@@ -41,20 +41,19 @@
 	}
 }
 
-// head of a raw call to the service whose calls may run once.
+// rawHead returns the head of a raw call to the service whose calls may run only once.
 func rawHead(id, more string) string {
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: %s\r\nGarnetworks-Request-Id: %s\r\nAuthorization: Token %s\r\nConnection: close\r\n%s", onceURL, host, id, key, more)
 }
 
-// Story: a client hides a second request in its first one, by two lengths or in the
-// body. The node and the server behind it would see different requests, and a call
-// that nobody was asked for would run.
+// Guards against request smuggling: a second request hidden by two lengths or in the body
+// would run as a separate call.
 func TestMalformedFramingRunsNoOtherCall(t *testing.T) {
 	const hidden = "POST /once/hidden HTTP/1.1\r\nHost: a.example\r\nGarnetworks-Request-Id: hidden\r\nContent-Length: 0\r\n\r\n"
 	cases := map[string]struct {
 		text string
 		want int
-		// body is what the server gets; the call must not run if it is empty.
+		// body is what the server receives; the call must not run if it is empty.
 		body string
 	}{
 		"a request as body":      {rawHead("a", fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(hidden), hidden)), http.StatusOK, hidden},
--- a/launcher/site_test.go
+++ b/launcher/site_test.go
@@ -19,7 +19,7 @@
 	"github.com/garnetworks/garnetworks/platform"
 )
 
-// site is a whole site over loopback: stand-ins and one node.
+// site is a whole site over loopback: fake backends, a fake store and one node.
 type site struct {
 	t        *testing.T
 	store    *impersonator.Store
@@ -30,7 +30,7 @@
 	ready    string
 	logs     *logBuffer
 	stop     context.CancelFunc
-	// name is the node's, and seeds are addresses of others that it asks at its start.
+	// name is the node's; seeds are addresses of other nodes that it contacts at its start.
 	name  garnetworks.NodeID
 	seeds []string
 	peers string
@@ -39,7 +39,7 @@
 	client *http.Client
 }
 
-// logs keeps what a node writes.
+// logBuffer collects a node's log.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -65,7 +65,7 @@
 	key       = "k1"
 )
 
-// config is the operator's configuration with a version and keys.
+// config returns an operator's configuration with a version and keys.
 func config(version int, keys ...string) map[string]any {
 	route := func(name, prefix, kind, service string, attempts int) map[string]any {
 		return map[string]any{
@@ -90,7 +90,7 @@
 	}
 }
 
-// open starts a site with engines in one domain and two servers of a service.
+// newSite starts a site with engines in one domain and two servers of a plain service.
 func newSite(t *testing.T, engines int) *site {
 	t.Helper()
 	s := &site{t: t, name: "n1", store: impersonator.NewStore(), logs: &logBuffer{}, client: &http.Client{Transport: &http.Transport{}}}
@@ -109,7 +109,7 @@
 	return s
 }
 
-// start runs a node.
+// start starts the site's node.
 func (s *site) start() {
 	s.t.Helper()
 	callers, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -172,7 +172,7 @@
 	return &other
 }
 
-// answer is what a client got.
+// answer is a client's result of a call.
 type answer struct {
 	status int
 	header http.Header
@@ -192,7 +192,7 @@
 	return fmt.Sprintf("r%d", callNumber.n)
 }
 
-// call sends a call and reads its whole answer.
+// call sends a call and reads its complete answer.
 func (s *site) call(method, target string, change func(*http.Request)) answer {
 	s.t.Helper()
 	r, err := http.NewRequestWithContext(s.t.Context(), method, s.url+target, nil)
@@ -219,7 +219,7 @@
 	return answer{response.StatusCode, response.Header, string(body), err}
 }
 
-// serve waits until calls are answered with success.
+// awaitSuccess waits until a call to the target succeeds.
 func (s *site) awaitSuccess(target string) {
 	s.t.Helper()
 	s.eventually("a call to "+target+" succeeds", func() bool {
@@ -236,10 +236,10 @@
 			return
 		}
 	}
-	s.t.Fatalf("it never came about: %s", what)
+	s.t.Fatalf("timed out waiting until %s", what)
 }
 
-// head returns the engine that serves as head of an open group.
+// head returns the engine that has run calls, as head of an open group.
 func (s *site) head() *impersonator.Backend {
 	for _, e := range s.engines {
 		if len(e.Runs()) > 0 {
