--- a/controller/view.go
+++ b/controller/view.go
@@ -8,16 +8,16 @@
 	"github.com/garnetworks/garnetworks/grouper"
 )
 
-// slowAt is the slowdown at which routers are told that a group is slow.
-const slowAt = 1.5
+// slowThreshold is the slowdown from which a group is marked slow for routers.
+const slowThreshold = 1.5
 
-// zoneView is what all nodes are told.
-func (p *deciding) zoneView() garnetworks.ZoneView {
-	view := garnetworks.ZoneView{Zone: p.Zone, Metrics: p.Measures}
+// zoneView returns the view of the zone that all nodes receive.
+func (p *activeStep) zoneView() garnetworks.ZoneView {
+	view := garnetworks.ZoneView{Zone: p.Zone, Metrics: p.Metrics}
 	for _, d := range p.open {
-		for n := range d.Ahead.Groups {
-			if g := &d.Ahead.Groups[n]; g.State != garnetworks.GroupBroken {
-				view.Groups = append(view.Groups, p.groupView(&d.Ahead, g))
+		for n := range d.Decided.Groups {
+			if g := &d.Decided.Groups[n]; g.State != garnetworks.GroupBroken {
+				view.Groups = append(view.Groups, p.groupView(&d.Decided, g))
 			}
 		}
 	}
@@ -36,7 +36,7 @@
 	return view
 }
 
-func (p *deciding) groupView(d *garnetworks.FabricDomain, g *garnetworks.Group) garnetworks.GroupView {
+func (p *activeStep) groupView(d *garnetworks.FabricDomain, g *garnetworks.Group) garnetworks.GroupView {
 	view := garnetworks.GroupView{
 		ID:        g.ID,
 		Zone:      p.Zone,
@@ -54,7 +54,7 @@
 		view.Load = p.fresh[first.ID].Load
 	}
 	for _, m := range g.Members {
-		view.Slow = view.Slow || p.o.Slowdowns[m] >= slowAt
+		view.Slow = view.Slow || p.o.Slowdowns[m] >= slowThreshold
 	}
 	return view
 }
@@ -64,15 +64,15 @@
 	return g.State == garnetworks.GroupServing && grouper.Confirmed(d, g, fresh)
 }
 
-// publish hands the view out when routers would act on the change, and now and
-// then for the loads and measures in it.
-func (p *deciding) publish() {
+// publish requests a new view when its routing data has changed, and every PublishEvery
+// to refresh the loads and metrics.
+func (p *activeStep) publish() {
 	view := p.zoneView()
 	if p.viewAt.IsZero() && p.warmingUp(view) {
 		return
 	}
 	due := p.viewAt.IsZero() || p.o.Now.Sub(p.viewAt) >= p.Times.PublishEvery
-	if !due && reflect.DeepEqual(lasting(view), lasting(p.view)) {
+	if !due && reflect.DeepEqual(stableFields(view), stableFields(p.view)) {
 		return
 	}
 	p.view = view
@@ -80,16 +80,16 @@
 	p.e.View = garnetworks.Some(view)
 }
 
-// warmingUp reports whether a new holder may not have heard everybody yet. Its
-// first view would call groups unconfirmed that serve, and nodes that know of them
-// by views alone would refuse their callers. A group that is really missing a
-// member is told a little later than the last holder's silence has lasted already.
-func (p *deciding) warmingUp(view garnetworks.ZoneView) bool {
-	if p.o.Now.Sub(p.HearFrom) >= p.Times.Loss {
+// warmingUp reports whether a new holder may not have a status of every member yet. Its
+// first view would mark serving groups as unconfirmed, and nodes that know them only by
+// views would refuse calls. A group with a member that is really lost is reported at most
+// Times.Loss later.
+func (p *activeStep) warmingUp(view garnetworks.ZoneView) bool {
+	if p.o.Now.Sub(p.ListeningSince) >= p.Times.Loss {
 		return false
 	}
 	for n := range view.Groups {
-		// That a group serves may not have been written yet (C10).
+		// A group may serve although that has not been written yet (C10).
 		if g := &view.Groups[n]; g.State != garnetworks.GroupDraining && !g.Confirmed {
 			return true
 		}
@@ -97,8 +97,8 @@
 	return false
 }
 
-// lasting leaves out what changes all the time.
-func lasting(view garnetworks.ZoneView) garnetworks.ZoneView {
+// stableFields returns the view without metrics and loads, which change all the time.
+func stableFields(view garnetworks.ZoneView) garnetworks.ZoneView {
 	view.Metrics = garnetworks.ZoneMetrics{}
 	groups := make([]garnetworks.GroupView, len(view.Groups))
 	copy(groups, view.Groups)
@@ -109,25 +109,25 @@
 	return view
 }
 
-// measure counts the two measures on from the last step.
-func (p *deciding) measure() {
-	passed := p.o.Now.Sub(p.measured)
-	p.measured = p.o.Now
-	down, stranded := p.countDown(), p.countStranded()
-	p.Measures.GroupDowntime += passed * time.Duration(p.Measures.GroupsDown)
-	p.Measures.Stranded += passed * time.Duration(p.Measures.InstancesStranded)
-	p.Measures.GroupsDown = down
-	p.Measures.InstancesStranded = stranded
-	p.Measures.Drawn = p.drawn()
-	p.Measures.Limit = p.Limit
+// updateMetrics adds the time since the last step to the downtime metrics.
+func (p *activeStep) updateMetrics() {
+	elapsed := p.o.Now.Sub(p.metricsAt)
+	p.metricsAt = p.o.Now
+	down, stranded := p.countGroupsDown(), p.countStranded()
+	p.Metrics.GroupDowntime += elapsed * time.Duration(p.Metrics.GroupsDown)
+	p.Metrics.Stranded += elapsed * time.Duration(p.Metrics.InstancesStranded)
+	p.Metrics.GroupsDown = down
+	p.Metrics.InstancesStranded = stranded
+	p.Metrics.Drawn = p.drawn()
+	p.Metrics.Limit = p.Limit
 }
 
-// countDown returns how many wanted groups don't serve.
-func (p *deciding) countDown() int {
+// countGroupsDown returns how many wanted groups don't serve.
+func (p *activeStep) countGroupsDown() int {
 	serving := map[garnetworks.ModelName]int{}
 	for _, d := range p.open {
-		for n := range d.Ahead.Groups {
-			if g := &d.Ahead.Groups[n]; serves(&d.Ahead, g, p.fresh) {
+		for n := range d.Decided.Groups {
+			if g := &d.Decided.Groups[n]; serves(&d.Decided, g, p.fresh) {
 				serving[g.Model]++
 			}
 		}
@@ -139,15 +139,15 @@
 	return down
 }
 
-// countStranded returns how many powered instances don't serve. Those of a
-// draining group still finish calls.
-func (p *deciding) countStranded() int {
+// countStranded returns how many powered instances neither serve nor belong to a draining
+// group, which still finishes calls.
+func (p *activeStep) countStranded() int {
 	stranded := 0
 	for _, d := range p.open {
-		for n := range d.Ahead.Instances {
-			i := &d.Ahead.Instances[n]
-			g := grouper.FindGroup(&d.Ahead, i.Group)
-			useful := g != nil && (serves(&d.Ahead, g, p.fresh) || g.State == garnetworks.GroupDraining)
+		for n := range d.Decided.Instances {
+			i := &d.Decided.Instances[n]
+			g := grouper.FindGroup(&d.Decided, i.Group)
+			useful := g != nil && (serves(&d.Decided, g, p.fresh) || g.State == garnetworks.GroupDraining)
 			if i.Power.Draws() && !useful {
 				stranded++
 			}
--- a/controller/zone.go
+++ b/controller/zone.go
@@ -10,8 +10,8 @@
 	"github.com/garnetworks/garnetworks/leaser"
 )
 
-// Zone runs an availability zone's controller. Any number of nodes run one for
-// the same zone; the one that holds the lease acts.
+// Zone runs an availability zone's controller. Any number of nodes run one for the same
+// zone; the holder of the lease acts.
 type Zone struct {
 	options Options
 	lease   *leaser.Lease
@@ -20,8 +20,8 @@
 	results chan result
 }
 
-// job is a call that a worker makes; its result is taken in by the loop, so
-// that one goroutine alone touches the state.
+// job is a call that a worker makes; its result is applied by the loop, so that only
+// one goroutine accesses the state.
 type (
 	job    func(ctx context.Context) result
 	result func(s *ZoneState)
@@ -30,14 +30,13 @@
 const (
 	// workers bounds the calls in flight.
 	workers = 32
-	// callBound bounds a call to the platform that is not an order.
-	callBound = 3 * time.Second
-	// giveAwayFor is how long a node that hears from no engine leaves the lease
-	// to others.
-	giveAwayFor = 30 * time.Second
+	// callTimeout bounds a call to the platform other than an order.
+	callTimeout = 3 * time.Second
+	// yieldPeriod is how long an isolated node leaves the lease to others.
+	yieldPeriod = 30 * time.Second
 )
 
-// NewZone returns a zone controller that acts once Run runs.
+// NewZone returns a zone controller that starts when Run is called.
 func NewZone(options Options) (*Zone, error) {
 	if err := options.check(); err != nil {
 		return nil, err
@@ -68,10 +67,10 @@
 // Lease returns the zone's lease, for status pages and for SetContenders.
 func (z *Zone) Lease() *leaser.Lease { return z.lease }
 
-// Run contends for the zone's lease and controls the zone while it is held,
-// until ctx ends. It then ends all orders before it frees the lease.
+// Run contends for the zone's lease and controls the zone while holding it, until ctx
+// ends. It then ends all calls before it releases the lease.
 func (z *Zone) Run(ctx context.Context) error {
-	leaseCtx, freeLease := context.WithCancel(context.WithoutCancel(ctx))
+	leaseCtx, stopLease := context.WithCancel(context.WithoutCancel(ctx))
 	var lease, pool sync.WaitGroup
 	lease.Go(func() { _ = z.lease.Run(leaseCtx) })
 	for range workers {
@@ -79,7 +78,7 @@
 	}
 	z.loop(ctx)
 	pool.Wait()
-	freeLease()
+	stopLease()
 	lease.Wait()
 	return nil
 }
@@ -135,21 +134,21 @@
 	if z.options.Others != nil {
 		o.Others = z.options.Others()
 	}
-	o.Statuses = map[garnetworks.InstanceID]Witness{}
-	for _, id := range z.state.known() {
+	o.Statuses = map[garnetworks.InstanceID]TimedStatus{}
+	for _, id := range z.state.knownInstances() {
 		if status, at, ok := z.options.Statuses.Status(id); ok {
-			o.Statuses[id] = Witness{status, at}
+			o.Statuses[id] = TimedStatus{status, at}
 		}
 	}
 	return o
 }
 
-// known are the instances whose statuses count: those of the domains.
-func (s *ZoneState) known() []garnetworks.InstanceID {
+// knownInstances returns the instances of the zone's domains.
+func (s *ZoneState) knownInstances() []garnetworks.InstanceID {
 	var ids []garnetworks.InstanceID
 	for _, d := range s.Domains {
-		for n := range d.Ahead.Instances {
-			ids = append(ids, d.Ahead.Instances[n].ID)
+		for n := range d.Decided.Instances {
+			ids = append(ids, d.Decided.Instances[n].ID)
 		}
 	}
 	return ids
@@ -169,8 +168,8 @@
 	if e.RaiseFloor > 0 {
 		z.lease.RaiseFloor(e.RaiseFloor)
 	}
-	if e.GiveAway {
-		z.lease.Yield(giveAwayFor)
+	if e.YieldLease {
+		z.lease.Yield(yieldPeriod)
 	}
 }
 
@@ -180,8 +179,8 @@
 	}
 }
 
-// enqueue hands a job to the workers. While they are all busy it takes in
-// results, so that neither side waits for the other.
+// enqueue hands a job to the workers. While they are all busy it applies results, so that
+// the loop and the workers cannot deadlock.
 func (z *Zone) enqueue(ctx context.Context, j job) {
 	for {
 		select {
@@ -212,36 +211,36 @@
 }
 
 func (z *Zone) listDomains(ctx context.Context) result {
-	ctx, cancel := context.WithTimeout(ctx, callBound)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	objects, _, err := z.options.Objects.List(ctx, DomainsPrefix(z.options.Zone))
 	return func(s *ZoneState) {
 		if err := s.OnDomains(time.Now(), objects, err); err != nil {
-			z.complain(err)
+			z.recordAPIError(err)
 		}
 	}
 }
 
-func (z *Zone) complain(err error) {
+func (z *Zone) recordAPIError(err error) {
 	z.record(garnetworks.Event{Kind: garnetworks.EventObjectAPIDown, Zone: z.options.Zone, Error: garnetworks.KindOf(err), Detail: err.Error()})
 }
 
 func (z *Zone) read(ctx context.Context, term uint32, r Read) result {
-	ctx, cancel := context.WithTimeout(ctx, callBound)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	object, err := z.options.Objects.Get(ctx, r.Key)
 	return func(s *ZoneState) { _ = s.OnRead(time.Now(), term, r.Key, object, err) }
 }
 
 func (z *Zone) write(ctx context.Context, term uint32, w Write) result {
-	ctx, cancel := context.WithTimeout(ctx, callBound)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	revision, err := z.options.Objects.Put(ctx, w.Key, w.Value, w.After)
 	return func(s *ZoneState) { s.OnWrite(time.Now(), term, w.Key, revision, err) }
 }
 
 func (z *Zone) readLedger(ctx context.Context) result {
-	ctx, cancel := context.WithTimeout(ctx, callBound)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	object, err := z.options.Objects.Get(ctx, LedgerKey)
 	var ledger garnetworks.PowerLedger
@@ -264,7 +263,7 @@
 }
 
 func (z *Zone) readList(ctx context.Context) result {
-	ctx, cancel := context.WithTimeout(ctx, callBound)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	rows, err := z.options.Instances.Instances(ctx, z.options.Zone)
 	return func(s *ZoneState) { s.OnList(time.Now(), rows, err) }
@@ -274,13 +273,13 @@
 	if z.options.Weights == nil {
 		return func(s *ZoneState) { s.OnRate(time.Now(), 0, nil) }
 	}
-	ctx, cancel := context.WithTimeout(ctx, callBound)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	rate, err := z.options.Weights.Rate(ctx)
 	return func(s *ZoneState) { s.OnRate(time.Now(), rate, err) }
 }
 
-// power sends a power order under the lease (C3), and reads the power after an
+// power sends a power order under the lease (C3), and reads the power state after an
 // order to power off was acknowledged.
 func (z *Zone) power(ctx context.Context, p PowerEffect) result {
 	state := garnetworks.PowerUnknown
@@ -312,8 +311,8 @@
 	return func(s *ZoneState) { s.OnReadBack(sent, r.Instance, status, err) }
 }
 
-// order sends an engine order. The lease is checked right before it, however
-// long the order has waited here or the process was paused (rule G12).
+// order sends an engine order. The lease is checked immediately before, because the order
+// may have waited here or the process may have been paused (rule G12).
 func (z *Zone) order(ctx context.Context, o EngineEffect) result {
 	orderCtx, cancel, err := z.orderContext(ctx, o)
 	sent := time.Now()
@@ -321,7 +320,7 @@
 		return func(s *ZoneState) { s.OnOrder(sent, o, garnetworks.EngineStatus{}, err) }
 	}
 	defer cancel()
-	if !o.Again {
+	if !o.Retry {
 		z.record(garnetworks.Event{
 			Kind:     garnetworks.EventOrderSent,
 			Zone:     z.options.Zone,
@@ -335,7 +334,7 @@
 }
 
 func (z *Zone) orderContext(ctx context.Context, o EngineEffect) (context.Context, context.CancelFunc, error) {
-	if !o.BeyondLease {
+	if !o.WithoutLease {
 		return z.lease.OrderContext(ctx)
 	}
 	if z.lease.Contested() {
--- a/launcher/cause_test.go
+++ b/launcher/cause_test.go
@@ -9,8 +9,8 @@
 	"github.com/garnetworks/garnetworks/faker/impersonator"
 )
 
-// line returns the one line of the log that names the call.
-func (s *site) line(id string) map[string]any {
+// logLine returns the call's log line.
+func (s *site) logLine(id string) map[string]any {
 	s.t.Helper()
 	var found map[string]any
 	s.eventually("the log has a line of the call "+id, func() bool {
@@ -36,26 +36,26 @@
 	return attempt
 }
 
-// Story: a user complains of one call and gives its identifier. The engineer on
-// call has the logs only, and must find what decided it.
-func TestCauseIsFoundFromTheIdentifier(t *testing.T) {
+// Guards against failed calls whose cause can't be found in the logs by the call's
+// identifier.
+func TestLogLineShowsCauseOfFailure(t *testing.T) {
 	cases := map[string]struct {
 		target string
-		strike func(*site)
+		inject func(*site)
 		check  func(*testing.T, map[string]any)
 	}{
 		"refused, since no group serves": {
 			target: streamURL,
-			strike: func(*site) {},
+			inject: func(*site) {},
 			check: func(t *testing.T, line map[string]any) {
 				if line["kind"] != "no-serving-group" || line["outcome"] != "not-run" || line["groups"] != 0.0 {
-					t.Errorf("the line tells %v", line)
+					t.Errorf("unexpected log line: %v", line)
 				}
 			},
 		},
 		"not repeatable, and its answer was lost": {
 			target: onceURL,
-			strike: func(s *site) {
+			inject: func(s *site) {
 				for _, b := range s.services {
 					b.Faults(func(f *impersonator.BackendFaults) { f.LoseAnswers = 1 })
 				}
@@ -63,20 +63,20 @@
 			check: func(t *testing.T, line map[string]any) {
 				attempt := lastAttempt(t, line)
 				if line["kind"] != "backend-lost" || line["outcome"] != "unknown" || attempt["phase"] != "wait" || attempt["instance"] == "" {
-					t.Errorf("the line tells %v", line)
+					t.Errorf("unexpected log line: %v", line)
 				}
 			},
 		},
 		"refused by full servers": {
 			target: onceURL,
-			strike: func(s *site) {
+			inject: func(s *site) {
 				for _, b := range s.services {
 					b.Faults(func(f *impersonator.BackendFaults) { f.Full = true })
 				}
 			},
 			check: func(t *testing.T, line map[string]any) {
 				if attempt := lastAttempt(t, line); line["outcome"] != "not-run" || attempt["phase"] != "refused" {
-					t.Errorf("the line tells %v", line)
+					t.Errorf("unexpected log line: %v", line)
 				}
 			},
 		},
@@ -84,45 +84,44 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			// Two engines are too few for a group of three.
-			s := open(t, 2)
-			s.serve(onceURL)
-			c.strike(s)
+			s := newSite(t, 2)
+			s.awaitSuccess(onceURL)
+			c.inject(s)
 			id := newID()
 			s.call(http.MethodPost, c.target, func(r *http.Request) { r.Header.Set("Garnetworks-Request-Id", id) })
-			c.check(t, s.line(id))
+			c.check(t, s.logLine(id))
 		})
 	}
 }
 
-// Story: a stream was cut off in the middle with its engine, and no other group
-// could go on. The call's line names the group and the instance, and how far the
-// answer had come.
-func TestCauseOfAStreamThatBrokeOff(t *testing.T) {
-	s := open(t, 3)
-	s.serve(streamURL)
+// Guards against a stream that was cut off with its engine having a log line without the
+// group, the cause and the number of events sent.
+func TestLogLineOfABrokenStream(t *testing.T) {
+	s := newSite(t, 3)
+	s.awaitSuccess(streamURL)
 	for _, e := range s.engines {
 		e.Faults(func(f *impersonator.BackendFaults) { f.BreakAfter = 2 })
 	}
 	id := newID()
 	a := s.call(http.MethodPost, streamURL, func(r *http.Request) { r.Header.Set("Garnetworks-Request-Id", id) })
 	if a.err == nil {
-		t.Errorf("the client got an answer that looks whole: %+v", a)
+		t.Errorf("the client got an answer that looks complete: %+v", a)
 	}
-	line := s.line(id)
+	line := s.logLine(id)
 	attempts, _ := line["attempts"].([]any)
 	if len(attempts) == 0 {
 		t.Fatalf("the line has no attempts: %v", line)
 	}
 	first, _ := attempts[0].(map[string]any)
 	if line["kind"] != "stream-broken" || first["events"] != 2.0 || first["group"] == "" || first["cause"] == "" {
-		t.Errorf("the line tells %v", line)
+		t.Errorf("unexpected log line: %v", line)
 	}
 }
 
-// Guards against refusals whose lines lack the routing that decided them, and its age.
-func TestRefusalTellsItsRouting(t *testing.T) {
-	s := open(t, 0)
-	s.serve(onceURL)
+// Guards against refusals whose lines lack the routing that was used, and its age.
+func TestRefusalLogsItsRouting(t *testing.T) {
+	s := newSite(t, 0)
+	s.awaitSuccess(onceURL)
 	cases := map[string]struct {
 		change func(*http.Request)
 		kind   string
@@ -137,9 +136,9 @@
 				r.Header.Set("Garnetworks-Request-Id", id)
 				c.change(r)
 			})
-			line := s.line(id)
-			if _, told := line["routing-age-ms"].(float64); line["kind"] != c.kind || line["routing"] != 1.0 || !told {
-				t.Errorf("the line tells %v", line)
+			line := s.logLine(id)
+			if _, hasAge := line["routing-age-ms"].(float64); line["kind"] != c.kind || line["routing"] != 1.0 || !hasAge {
+				t.Errorf("unexpected log line: %v", line)
 			}
 		})
 	}
--- a/launcher/quarantine_test.go
+++ b/launcher/quarantine_test.go
@@ -16,31 +16,32 @@
 )
 
 const (
-	// crashing is the body of a call under which each server that runs it crashes.
-	crashing = "ends its server"
-	// mostEnded is the number of servers after which it shall reach no other one, and
-	// mostKnown the same where it comes at several nodes: three more may end by then.
-	mostEnded = 3
-	mostKnown = 2 * mostEnded
-	// spreadTime is how long nodes are given to hear of each other what they know; sites
-	// expect it within three seconds.
-	spreadTime = time.Second
-	// title is what a caller is told of a call that is kept from servers.
-	title = "The call has ended the backend servers that ran it"
+	// crashBody is the body of a call under which each server that runs it crashes.
+	crashBody = "ends its server"
+	// maxCrashes is the number of crashed servers after which the call may reach no further
+	// one; maxCrashesAcrossNodes is the same where it arrives at several nodes: as many
+	// again may crash before the nodes have told each other.
+	maxCrashes            = 3
+	maxCrashesAcrossNodes = 2 * maxCrashes
+	// propagationTime is how long nodes are given to exchange what they know; the limit for
+	// sites is three seconds.
+	propagationTime = time.Second
+	// heldTitle is the title of the answer to a call that is kept from servers.
+	heldTitle = "The call has ended the backend servers that ran it"
 )
 
-// openCrashing starts a site in which engines crash under a call.
-func openCrashing(t *testing.T) *site {
+// newCrashingSite starts a site whose servers crash under calls with crashBody.
+func newCrashingSite(t *testing.T) *site {
 	t.Helper()
 	const engines, services, groups = 18, 6, 6
-	s := open(t, engines)
+	s := newSite(t, engines)
 	for i := len(s.services); i < services; i++ {
 		b := impersonator.NewBackend(s.store, fmt.Sprintf("s-%d", i), "svc", "z1", "")
 		t.Cleanup(b.Close)
 		s.services = append(s.services, b)
 	}
 	for _, b := range append(append([]*impersonator.Backend(nil), s.engines...), s.services...) {
-		b.Faults(func(f *impersonator.BackendFaults) { f.CrashOn = crashing })
+		b.Faults(func(f *impersonator.BackendFaults) { f.CrashOn = crashBody })
 	}
 	s.eventually("all groups serve", func() bool {
 		open := 0
@@ -51,7 +52,7 @@
 		}
 		return open >= groups
 	})
-	s.serve(streamURL)
+	s.awaitSuccess(streamURL)
 	return s
 }
 
@@ -65,11 +66,11 @@
 	return id, a
 }
 
-// ranCrashing returns the identifiers of the calls under which engines crashed.
-func (s *site) ranCrashing() (ids []string) {
+// crashedRunIDs returns the identifiers of the calls under which servers crashed.
+func (s *site) crashedRunIDs() (ids []string) {
 	for _, b := range append(append([]*impersonator.Backend(nil), s.engines...), s.services...) {
 		for _, run := range b.Runs() {
-			if run.Body == crashing {
+			if run.Body == crashBody {
 				ids = append(ids, run.ID)
 			}
 		}
@@ -77,61 +78,57 @@
 	return ids
 }
 
-// refusals sends copies of the crashing call and checks that each that is said not to have
-// run has not. It returns the number of copies that were kept from servers.
+// refusals sends copies of the crashing call and checks that those reported as not run have
+// not run. It returns the number of copies that were kept from servers.
 func (s *site) refusals(target string, copies int) (refused int) {
 	s.t.Helper()
 	for range copies {
-		id, a := s.send(target, crashing)
+		id, a := s.send(target, crashBody)
 		if a.status != http.StatusServiceUnavailable {
 			continue
 		}
-		if strings.Contains(a.body, title) {
+		if strings.Contains(a.body, heldTitle) {
 			refused++
 		}
 		if a.header.Get("Retry-After") == "" {
-			s.t.Errorf("a refusal does not say when to come back: %+v", a)
+			s.t.Errorf("a refusal has no Retry-After: %+v", a)
 		}
-		if garnetworks.NewSet(s.ranCrashing()...).Has(id) {
-			s.t.Errorf("the call %s ran and is told not to have run", id)
+		if garnetworks.NewSet(s.crashedRunIDs()...).Has(id) {
+			s.t.Errorf("the call %s ran but is reported as not run", id)
 		}
 	}
 	return refused
 }
 
-// A call ended each engine that began to run it, and its caller sent it again and
-// again. The node took each copy for a new call and each end for a loss like any other:
-// two engines ended for each copy ("backend-lost", twice "unexpected EOF" before any event
-// in its line), 28 and 34 of them in all, and every second sound call beside them failed.
-// The cause: nothing remembered under which calls engines had ended.
+// Guards against a call that crashes each server that runs it being retried on further
+// servers, which fails the other calls there.
 func TestCallThatEndsItsEnginesIsKeptFromOthers(t *testing.T) {
 	for name, target := range map[string]string{"model": streamURL, "plain service": safeURL} {
 		t.Run(name, func(t *testing.T) {
-			s := openCrashing(t)
+			s := newCrashingSite(t)
 			const copies = 12
 			s.refusals(target, copies)
-			if ran := s.ranCrashing(); len(ran) > mostEnded {
-				t.Errorf("%d servers ended, want %d at most", len(ran), mostEnded)
+			if ran := s.crashedRunIDs(); len(ran) > maxCrashes {
+				t.Errorf("%d servers crashed, want %d at most", len(ran), maxCrashes)
 			}
 			for i := range copies {
 				if _, a := s.send(streamURL, fmt.Sprint("sound ", i)); a.status != http.StatusOK {
-					t.Errorf("a sound call got %+v", a)
+					t.Errorf("a healthy call got %+v", a)
 				}
 			}
 		})
 	}
 }
 
-// The copies of such a call came at other nodes, and at nodes that started after
-// the engines had ended, when those that saw it are gone. Each node on its own would end
-// three more engines.
+// Guards against a crashing call being held only by the nodes that saw it: each other node,
+// and each node started later, would let it crash more engines.
 func TestCallThatEndsItsEnginesIsKnownAtOtherNodes(t *testing.T) {
-	s := openCrashing(t)
+	s := newCrashingSite(t)
 	second := s.join("n2")
-	second.serve(streamURL)
-	time.Sleep(spreadTime)
-	s.eventually("the first node refuses the call", func() bool { return s.refusals(streamURL, 1) == 1 || len(s.ranCrashing()) > mostKnown })
-	time.Sleep(spreadTime)
+	second.awaitSuccess(streamURL)
+	time.Sleep(propagationTime)
+	s.eventually("the first node refuses the call", func() bool { return s.refusals(streamURL, 1) == 1 || len(s.crashedRunIDs()) > maxCrashesAcrossNodes })
+	time.Sleep(propagationTime)
 	if second.refusals(streamURL, 1) != 1 {
 		t.Error("the second node does not refuse the call")
 	}
@@ -140,21 +137,20 @@
 		<-node.done
 	}
 	third := s.join("n3")
-	third.serve(safeURL)
-	time.Sleep(spreadTime)
+	third.awaitSuccess(safeURL)
+	time.Sleep(propagationTime)
 	if third.refusals(streamURL, 1) != 1 {
-		t.Error("a node that starts anew does not refuse the call")
+		t.Error("a node that started later does not refuse the call")
 	}
-	if ran := s.ranCrashing(); len(ran) > mostKnown {
-		t.Errorf("%d engines ended, want %d at most", len(ran), mostKnown)
+	if ran := s.crashedRunIDs(); len(ran) > maxCrashesAcrossNodes {
+		t.Errorf("%d engines crashed, want %d at most", len(ran), maxCrashesAcrossNodes)
 	}
 }
 
-// Sound calls are in flight at the engines that end, and meet the call that ends
-// them again at the engine that they go on at. None of them is taken for it: each is
-// answered whole in the end, when its client sends it again as clients do.
-func TestSoundCallsBesideOneThatEndsEnginesAreServed(t *testing.T) {
-	s := openCrashing(t)
+// Guards against blaming healthy calls that are in flight at crashing engines: each is
+// answered completely in the end, when its client retries it.
+func TestOtherCallsAreServedBesideCrashingCall(t *testing.T) {
+	s := newCrashingSite(t)
 	const streams, tries = 24, 20
 	for _, e := range s.engines {
 		e.Events, e.EventTime = 30, 10*time.Millisecond
@@ -164,39 +160,39 @@
 		calls.Go(func() {
 			for range tries {
 				_, a := s.send(streamURL, fmt.Sprint("sound ", i))
-				if strings.Contains(a.body, title) {
-					t.Errorf("a sound call is taken for one that ends engines: %+v", a)
+				if strings.Contains(a.body, heldTitle) {
+					t.Errorf("a healthy call is taken for a crashing one: %+v", a)
 				}
 				if a.status == http.StatusOK && a.err == nil {
-					if a.body != pieces(30) {
-						t.Errorf("an answer that looks whole has %d bytes", len(a.body))
+					if a.body != streamBody(30) {
+						t.Errorf("an answer that looks complete has %d bytes", len(a.body))
 					}
 					return
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
-			t.Errorf("sound call %d was not answered in %d tries", i, tries)
+			t.Errorf("healthy call %d was not answered in %d tries", i, tries)
 		})
 	}
 	const copies = 12
 	s.refusals(streamURL, copies)
 	calls.Wait()
-	if ran := s.ranCrashing(); len(ran) > mostKnown {
-		t.Errorf("%d engines ended, want %d at most", len(ran), mostKnown)
+	if ran := s.crashedRunIDs(); len(ran) > maxCrashesAcrossNodes {
+		t.Errorf("%d engines crashed, want %d at most", len(ran), maxCrashesAcrossNodes)
 	}
 }
 
-// Servers are stopped as planned, one after the other, with the same long call in
-// flight. They were told to leave, so the call is not blamed for their ends.
+// Guards against blaming a long call for the ends of servers that stop as planned, which
+// announce it.
 func TestCallIsNotBlamedForServersThatLeave(t *testing.T) {
-	s := openCrashing(t)
-	slow := func(time time.Duration) {
+	s := newCrashingSite(t)
+	slow := func(delay time.Duration) {
 		for _, b := range s.services {
-			b.Faults(func(f *impersonator.BackendFaults) { f.Slow = time })
+			b.Faults(func(f *impersonator.BackendFaults) { f.Slow = delay })
 		}
 	}
 	slow(time.Minute)
-	for range mostEnded {
+	for range maxCrashes {
 		ctx, leave := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() {
@@ -206,7 +202,7 @@
 		s.eventually("the call runs", func() bool { return s.running() != nil })
 		first := s.running()
 		first.Drain()
-		s.eventually("the node knows that the server leaves", func() bool { return s.told("server-leaving", first.ID) })
+		s.eventually("the node knows that the server is leaving", func() bool { return s.logged("server-leaving", first.ID) })
 		first.Crash()
 		s.eventually("the call runs elsewhere", func() bool { return s.running() != nil })
 		leave()
@@ -219,20 +215,17 @@
 	}
 }
 
-// A zone was cut off, and a call that ran there broke off at three engines as its client
-// sent it again. Their entries lapsed, since they did not reach the platform either, and
-// each was taken for the end of its engine: the call was held at all nodes for ten minutes
-// ("3 servers ended under it"), though the engines lived and served on once the cut was
-// over. The cause: a partition makes entries lapse as crashes do.
+// Guards against blaming a call for engines that were only cut off: in a partition entries
+// expire as after crashes, and the call would be held at all nodes.
 func TestCallIsNotBlamedForEnginesThatWereCutOff(t *testing.T) {
-	s := openCrashing(t)
+	s := newCrashingSite(t)
 	for _, e := range s.engines {
 		e.Faults(func(f *impersonator.BackendFaults) { f.CrashOn = "" })
 		e.Events, e.EventTime = 400, 10*time.Millisecond
 	}
 	const body = "sound"
 	var cut []*impersonator.Backend
-	for len(cut) < mostEnded {
+	for len(cut) < maxCrashes {
 		ctx, leave := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() {
@@ -246,32 +239,32 @@
 		b := runningOf(s.engines)
 		b.Cut()
 		cut = append(cut, b)
-		s.eventually("the node has left the engine", func() bool { return b.Running() == 0 })
-		s.eventually("the entry lapses", func() bool { return s.told("server-gone", b.ID) })
+		s.eventually("the node has closed its call to the engine", func() bool { return b.Running() == 0 })
+		s.eventually("the entry expires", func() bool { return s.logged("server-gone", b.ID) })
 		leave()
 		<-done
 		s.eventually("the call has ended", func() bool { return runningOf(s.engines) == nil })
 	}
-	time.Sleep(spreadTime)
+	time.Sleep(propagationTime)
 	for _, b := range cut {
 		b.Rejoin()
 	}
-	time.Sleep(spreadTime)
+	time.Sleep(propagationTime)
 	for _, e := range s.engines {
 		e.Events = 5
 	}
 	if _, a := s.send(streamURL, body); a.status != http.StatusOK {
 		t.Errorf("the call got %+v", a)
 	}
-	if s.told("call-held", "") {
-		t.Error("the call is held though no engine has ended")
+	if s.logged("call-held", "") {
+		t.Error("the call is held though no engine has crashed")
 	}
 }
 
-// running returns a plain server that runs a call and has not ended.
+// running returns a plain server that runs a call and has not crashed.
 func (s *site) running() *impersonator.Backend { return runningOf(s.services) }
 
-// runningOf returns the backend that runs a call and has not ended.
+// runningOf returns a backend that runs a call and has not crashed.
 func runningOf(backends []*impersonator.Backend) *impersonator.Backend {
 	for _, b := range backends {
 		if b.Running() > 0 && !b.Ended() {
@@ -281,8 +274,8 @@
 	return nil
 }
 
-// told reports whether the node's log has an event of an instance.
-func (s *site) told(event, instance string) bool {
+// logged reports whether the node's log has an event of an instance.
+func (s *site) logged(event, instance string) bool {
 	for line := range strings.Lines(s.logs.String()) {
 		if strings.Contains(line, event) && strings.Contains(line, instance) {
 			return true
--- a/launcher/site_test.go
+++ b/launcher/site_test.go
@@ -19,7 +19,7 @@
 	"github.com/garnetworks/garnetworks/platform"
 )
 
-// site is a whole site over loopback: stand-ins and one node.
+// site is a whole site over loopback: fake backends, a fake store and one node.
 type site struct {
 	t        *testing.T
 	store    *impersonator.Store
@@ -28,9 +28,9 @@
 	services []*impersonator.Backend
 	url      string
 	ready    string
-	logs     *logs
+	logs     *logBuffer
 	stop     context.CancelFunc
-	// name is the node's, and seeds are addresses of others that it asks at its start.
+	// name is the node's; seeds are addresses of other nodes that it contacts at its start.
 	name  garnetworks.NodeID
 	seeds []string
 	peers string
@@ -39,19 +39,19 @@
 	client *http.Client
 }
 
-// logs keeps what a node writes.
-type logs struct {
+// logBuffer collects a node's log.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *logs) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *logs) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
@@ -65,7 +65,7 @@
 	key       = "k1"
 )
 
-// config is the operator's configuration with a version and keys.
+// config returns an operator's configuration with a version and keys.
 func config(version int, keys ...string) map[string]any {
 	route := func(name, prefix, kind, service string, attempts int) map[string]any {
 		return map[string]any{
@@ -90,10 +90,10 @@
 	}
 }
 
-// open starts a site with engines in one domain and two servers of a service.
-func open(t *testing.T, engines int) *site {
+// newSite starts a site with engines in one domain and two servers of a plain service.
+func newSite(t *testing.T, engines int) *site {
 	t.Helper()
-	s := &site{t: t, name: "n1", store: impersonator.NewStore(), logs: &logs{}, client: &http.Client{Transport: &http.Transport{}}}
+	s := &site{t: t, name: "n1", store: impersonator.NewStore(), logs: &logBuffer{}, client: &http.Client{Transport: &http.Transport{}}}
 	t.Cleanup(s.store.Close)
 	for i := range engines {
 		s.engines = append(s.engines, impersonator.NewBackend(s.store, fmt.Sprintf("i-%d", i), "llm", "z1", "d1"))
@@ -109,7 +109,7 @@
 	return s
 }
 
-// start runs a node.
+// start starts the site's node.
 func (s *site) start() {
 	s.t.Helper()
 	callers, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -138,7 +138,7 @@
 		Listeners: launcher.Listeners{Callers: callers, Ready: ready, Peers: peers},
 		Objects:   platform.NewStore(s.store.Address()), Reader: platform.SiteReader{}, Calls: platform.CallReader{},
 		BalancerTime: 50 * time.Millisecond,
-		Passer:       backends, Orders: platform.NewOrders(), Ready: platform.ReadyHandler, Sweep: backends.Sweep,
+		Proxy:        backends, Orders: platform.NewOrders(), Ready: platform.ReadyHandler, Sweep: backends.Sweep,
 		Logger: hclog.New(&hclog.LoggerOptions{Output: s.logs, JSONFormat: true}),
 	})
 	if err != nil {
@@ -167,12 +167,12 @@
 func (s *site) join(name garnetworks.NodeID) *site {
 	s.t.Helper()
 	other := *s
-	other.name, other.seeds, other.logs = name, []string{s.peers}, &logs{}
+	other.name, other.seeds, other.logs = name, []string{s.peers}, &logBuffer{}
 	other.start()
 	return &other
 }
 
-// answer is what a client got.
+// answer is a client's result of a call.
 type answer struct {
 	status int
 	header http.Header
@@ -192,7 +192,7 @@
 	return fmt.Sprintf("r%d", callNumber.n)
 }
 
-// call sends a call and reads its whole answer.
+// call sends a call and reads its complete answer.
 func (s *site) call(method, target string, change func(*http.Request)) answer {
 	s.t.Helper()
 	r, err := http.NewRequestWithContext(s.t.Context(), method, s.url+target, nil)
@@ -219,8 +219,8 @@
 	return answer{response.StatusCode, response.Header, string(body), err}
 }
 
-// serve waits until calls are answered with success.
-func (s *site) serve(target string) {
+// awaitSuccess waits until a call to the target succeeds.
+func (s *site) awaitSuccess(target string) {
 	s.t.Helper()
 	s.eventually("a call to "+target+" succeeds", func() bool {
 		a := s.call(http.MethodPost, target, nil)
@@ -228,18 +228,18 @@
 	})
 }
 
-func (s *site) eventually(what string, holds func() bool) {
+func (s *site) eventually(what string, condition func() bool) {
 	s.t.Helper()
-	const bound, often = time.Minute, 10 * time.Millisecond
-	for end := time.Now().Add(bound); time.Now().Before(end); time.Sleep(often) {
-		if holds() {
+	const timeout, interval = time.Minute, 10 * time.Millisecond
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(interval) {
+		if condition() {
 			return
 		}
 	}
-	s.t.Fatalf("it never came about: %s", what)
+	s.t.Fatalf("timed out waiting until %s", what)
 }
 
-// head returns the engine that serves as head of an open group.
+// head returns the engine that has run calls, as head of an open group.
 func (s *site) head() *impersonator.Backend {
 	for _, e := range s.engines {
 		if len(e.Runs()) > 0 {
@@ -250,7 +250,7 @@
 	return nil
 }
 
-func pieces(n int) string {
+func streamBody(n int) string {
 	var b strings.Builder
 	for i := 1; i <= n; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: piece %d\n\n", i, i)
