--- a/checker/bites_test.go
+++ b/checker/bites_test.go
@@ -18,26 +18,26 @@
 // tables name the way and a case that must fail of it.
 
 // bite is an implementation that is broken on purpose.
-type bite[B any] struct {
-	breakIt func(bed B) B
-	noticed string
+type defect[B any] struct {
+	inject     func(fixture B) B
+	detectedBy string
 }
 
-func checkBites[B any](t *testing.T, open func(w *world) B, cases map[string]checker.Case[B], bites map[string]bite[B]) {
+func testDefects[B any](t *testing.T, newFixture func(f *fakes) B, cases map[string]checker.Case[B], defects map[string]defect[B]) {
 	if testing.Short() {
 		t.Skip("broken implementations are waited for")
 	}
-	for name, b := range bites {
+	for name, b := range defects {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			one, ok := cases[b.noticed]
+			c, ok := cases[b.detectedBy]
 			if !ok {
-				t.Fatalf("no case %q among %v", b.noticed, slices.Sorted(maps.Keys(cases)))
+				t.Fatalf("no case %q among %v", b.detectedBy, slices.Sorted(maps.Keys(cases)))
 			}
-			broken := func(t *testing.T) B { return b.breakIt(open(newWorld(t, false))) }
-			failed := checker.Failures(t, broken, map[string]checker.Case[B]{b.noticed: one})
+			broken := func(t *testing.T) B { return b.inject(newFixture(newFakes(t, false))) }
+			failed := checker.Failures(t, broken, map[string]checker.Case[B]{b.detectedBy: c})
 			if len(failed) == 0 {
-				t.Errorf("the case %q passes", b.noticed)
+				t.Errorf("the case %q passes", b.detectedBy)
 			}
 		})
 	}
@@ -89,33 +89,33 @@
 }
 
 // breakObjects returns a bite that changes some methods.
-func breakObjects(noticed string, change func(b *brokenObjects, next garnetworks.ObjectAPI)) bite[checker.ObjectAPIBed] {
-	return bite[checker.ObjectAPIBed]{noticed: noticed, breakIt: func(bed checker.ObjectAPIBed) checker.ObjectAPIBed {
-		b := &brokenObjects{ObjectAPI: bed.API}
-		change(b, bed.API)
-		bed.API = b
-		return bed
+func objectDefect(detectedBy string, change func(b *brokenObjects, next garnetworks.ObjectAPI)) defect[checker.ObjectAPIFixture] {
+	return defect[checker.ObjectAPIFixture]{detectedBy: detectedBy, inject: func(fixture checker.ObjectAPIFixture) checker.ObjectAPIFixture {
+		b := &brokenObjects{ObjectAPI: fixture.API}
+		change(b, fixture.API)
+		fixture.API = b
+		return fixture
 	}}
 }
 
 // newest writes unconditionally: it reads the revision and uses that.
-func newest(next garnetworks.ObjectAPI) func(context.Context, string, []byte, garnetworks.Revision) (garnetworks.Revision, error) {
+func putUnconditionally(next garnetworks.ObjectAPI) func(context.Context, string, []byte, garnetworks.Revision) (garnetworks.Revision, error) {
 	return func(ctx context.Context, key string, value []byte, _ garnetworks.Revision) (garnetworks.Revision, error) {
 		object, _ := next.Get(ctx, key)
 		return next.Put(ctx, key, value, object.Revision)
 	}
 }
 
-func TestObjectAPIBites(t *testing.T) {
+func TestObjectAPIDefectsAreDetected(t *testing.T) {
 	t.Parallel()
-	checkBites(t, objectAPIBed, checker.ObjectAPICases(), map[string]bite[checker.ObjectAPIBed]{
-		"creates over existing objects": breakObjects("create refuses an existing object", func(b *brokenObjects, next garnetworks.ObjectAPI) {
-			b.put = newest(next)
+	testDefects(t, objectAPIFixture, checker.ObjectAPICases(), map[string]defect[checker.ObjectAPIFixture]{
+		"creates over existing objects": objectDefect("create refuses an existing object", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+			b.put = putUnconditionally(next)
 		}),
-		"updates at any revision": breakObjects("update needs the newest revision", func(b *brokenObjects, next garnetworks.ObjectAPI) {
-			b.put = newest(next)
+		"updates at any revision": objectDefect("update needs the newest revision", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+			b.put = putUnconditionally(next)
 		}),
-		"lets all racing writers win": breakObjects("one of many racing writers wins", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"lets all racing writers win": objectDefect("one of many racing writers wins", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.put = func(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
 				revision, err := next.Put(ctx, key, value, after)
 				if garnetworks.IsKind(err, garnetworks.KindConflict) {
@@ -124,7 +124,7 @@
 				return revision, err
 			}
 		}),
-		"retries a lost write and says conflict": breakObjects("a lost write is neither failed nor done", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"retries a lost write and says conflict": objectDefect("a lost write is neither failed nor done", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.put = func(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
 				revision, err := next.Put(ctx, key, value, after)
 				if garnetworks.IsKind(err, garnetworks.KindResponseLost) {
@@ -133,7 +133,7 @@
 				return revision, err
 			}
 		}),
-		"says that a lost write had no effect": breakObjects("a late answer is a lost one", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"says that a lost write had no effect": objectDefect("a late answer is a lost one", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.put = func(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
 				revision, err := next.Put(ctx, key, value, after)
 				if err != nil {
@@ -142,35 +142,35 @@
 				return revision, err
 			}
 		}),
-		"says that a lost delete had no effect": breakObjects("a lost delete is neither failed nor done", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"says that a lost delete had no effect": objectDefect("a lost delete is neither failed nor done", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.delete = func(ctx context.Context, key string, after garnetworks.Revision) error {
 				return garnetworks.WrapError(garnetworks.KindObjectAPIDown, next.Delete(ctx, key, after), "failed")
 			}
 		}),
-		"takes an outage for absence": breakObjects("an outage is said and ends", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"takes an outage for absence": objectDefect("an outage is said and ends", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.get = func(ctx context.Context, key string) (garnetworks.Object, error) {
 				object, err := next.Get(ctx, key)
 				return object, garnetworks.WrapError(garnetworks.KindNotFound, err, "no object")
 			}
 		}),
-		"ignores the context": breakObjects("a frozen store holds nobody beyond the context", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"ignores the context": objectDefect("a frozen store holds nobody beyond the context", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.get = func(ctx context.Context, key string) (garnetworks.Object, error) {
 				return next.Get(context.WithoutCancel(ctx), key)
 			}
 		}),
-		"lists everything": breakObjects("list is by prefix and in key order", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"lists everything": objectDefect("list is by prefix and in key order", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.list = func(ctx context.Context, _ string) ([]garnetworks.Object, garnetworks.Revision, error) {
 				return next.List(ctx, "")
 			}
 		}),
-		"watches out of order": breakObjects("watch returns changes in order", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"watches out of order": objectDefect("watch returns changes in order", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.watch = func(ctx context.Context, prefix string, after garnetworks.Revision, wait time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
 				changes, revision, err := next.Watch(ctx, prefix, after, wait)
 				slices.Reverse(changes)
 				return changes, revision, err
 			}
 		}),
-		"hides compaction": breakObjects("compacted history is said", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"hides compaction": objectDefect("compacted history is said", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.watch = func(ctx context.Context, prefix string, after garnetworks.Revision, wait time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
 				changes, revision, err := next.Watch(ctx, prefix, after, wait)
 				if garnetworks.IsKind(err, garnetworks.KindCompacted) {
@@ -179,18 +179,18 @@
 				return changes, revision, err
 			}
 		}),
-		"sleeps through changes": breakObjects("watch wakes on a change", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"sleeps through changes": objectDefect("watch wakes on a change", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.watch = func(ctx context.Context, prefix string, after garnetworks.Revision, wait time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
 				time.Sleep(wait)
 				return next.Watch(ctx, prefix, after, 0)
 			}
 		}),
-		"cuts large values": breakObjects("values have a bound", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"cuts large values": objectDefect("values have a bound", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.put = func(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
 				return next.Put(ctx, key, value[:min(len(value), garnetworks.MaxObjectBytes)], after)
 			}
 		}),
-		"throttles without a delay": breakObjects("throttling is said with a delay", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"throttles without a delay": objectDefect("throttling is said with a delay", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.get = func(ctx context.Context, key string) (garnetworks.Object, error) {
 				object, err := next.Get(ctx, key)
 				if err != nil {
@@ -247,17 +247,17 @@
 	return b.EngineStream.Close()
 }
 
-func breakCaller(noticed string, change func(b *brokenCaller)) bite[checker.EngineCallerBed] {
-	return bite[checker.EngineCallerBed]{noticed: noticed, breakIt: func(bed checker.EngineCallerBed) checker.EngineCallerBed {
-		b := &brokenCaller{EngineCaller: bed.Caller}
+func callerDefect(detectedBy string, change func(b *brokenCaller)) defect[checker.EngineCallerFixture] {
+	return defect[checker.EngineCallerFixture]{detectedBy: detectedBy, inject: func(fixture checker.EngineCallerFixture) checker.EngineCallerFixture {
+		b := &brokenCaller{EngineCaller: fixture.Caller}
 		change(b)
-		bed.Caller = b
-		return bed
+		fixture.Caller = b
+		return fixture
 	}}
 }
 
-func breakNext(noticed string, next func(chunk *garnetworks.Chunk, err error) error) bite[checker.EngineCallerBed] {
-	return breakCaller(noticed, func(b *brokenCaller) {
+func nextDefect(detectedBy string, next func(chunk *garnetworks.Chunk, err error) error) defect[checker.EngineCallerFixture] {
+	return callerDefect(detectedBy, func(b *brokenCaller) {
 		b.stream = func(s garnetworks.EngineStream) garnetworks.EngineStream {
 			return &brokenStream{EngineStream: s, next: next}
 		}
@@ -269,9 +269,9 @@
 	return func(err error) error { return &garnetworks.AttemptError{Phase: phase, Cause: err} }
 }
 
-func TestEngineCallerBites(t *testing.T) {
+func TestEngineCallerDefectsAreDetected(t *testing.T) {
 	t.Parallel()
-	endBroken := func(chunk *garnetworks.Chunk, err error) error {
+	endIncomplete := func(chunk *garnetworks.Chunk, err error) error {
 		var attempt *garnetworks.AttemptError
 		if errors.As(err, &attempt) {
 			chunk.End, chunk.Tokens, chunk.Text = true, 0, ""
@@ -279,53 +279,53 @@
 		}
 		return err
 	}
-	endOfFile := func(_ *garnetworks.Chunk, err error) error {
+	eofOnError := func(_ *garnetworks.Chunk, err error) error {
 		if err != nil {
 			return io.EOF
 		}
 		return nil
 	}
-	checkBites(t, engineCallerBed, checker.EngineCallerCases(), map[string]bite[checker.EngineCallerBed]{
-		"ends broken answers":             breakNext("a broken answer is never whole", endBroken),
-		"ends answers of dead engines":    breakNext("an engine that dies in the middle is said", endOfFile),
-		"ends answers of broken groups":   breakNext("a member lost in the middle breaks the answer", endBroken),
-		"ends crossed answers":            breakNext("a crossed answer is dropped", endBroken),
-		"ends after an error":             breakNext("an error lasts", endOfFile),
-		"loses the silence":               breakNext("a silent connection is noticed", func(_ *garnetworks.Chunk, err error) error { return silenced(err) }),
-		"loses the silence of the frozen": breakNext("a frozen engine is noticed", func(_ *garnetworks.Chunk, err error) error { return silenced(err) }),
-		"numbers from 0 after a resumption": breakNext("an answer resumes", func(chunk *garnetworks.Chunk, err error) error {
+	testDefects(t, engineCallerFixture, checker.EngineCallerCases(), map[string]defect[checker.EngineCallerFixture]{
+		"ends broken answers":             nextDefect("a broken answer is never whole", endIncomplete),
+		"ends answers of dead engines":    nextDefect("an engine that dies in the middle is said", eofOnError),
+		"ends answers of broken groups":   nextDefect("a member lost in the middle breaks the answer", endIncomplete),
+		"ends crossed answers":            nextDefect("a crossed answer is dropped", endIncomplete),
+		"ends after an error":             nextDefect("an error lasts", eofOnError),
+		"loses the silence":               nextDefect("a silent connection is noticed", func(_ *garnetworks.Chunk, err error) error { return withoutStalled(err) }),
+		"loses the silence of the frozen": nextDefect("a frozen engine is noticed", func(_ *garnetworks.Chunk, err error) error { return withoutStalled(err) }),
+		"numbers from 0 after a resumption": nextDefect("an answer resumes", func(chunk *garnetworks.Chunk, err error) error {
 			chunk.Index = 0
 			return err
 		}),
-		"drops the end": breakNext("an answer is whole and its own", func(chunk *garnetworks.Chunk, err error) error {
+		"drops the end": nextDefect("an answer is whole and its own", func(chunk *garnetworks.Chunk, err error) error {
 			chunk.End = false
 			return err
 		}),
-		"never cancels": breakCaller("closing cancels", func(b *brokenCaller) {
+		"never cancels": callerDefect("closing cancels", func(b *brokenCaller) {
 			b.stream = func(s garnetworks.EngineStream) garnetworks.EngineStream {
 				return &brokenStream{EngineStream: s, close: func() error { return nil }}
 			}
 		}),
-		"starts again in place of resuming": breakCaller("an answer resumes", func(b *brokenCaller) {
+		"starts again in place of resuming": callerDefect("an answer resumes", func(b *brokenCaller) {
 			b.call = func(call *garnetworks.EngineCall) { call.ResumeFrom = 0 }
 		}),
-		"trims prompts": breakCaller("odd prompts survive", func(b *brokenCaller) {
+		"trims prompts": callerDefect("odd prompts survive", func(b *brokenCaller) {
 			b.call = func(call *garnetworks.EngineCall) { call.Prompt = call.Prompt[:1] }
 		}),
-		"calls a refusal lost": breakCaller("a call with an old token is refused", func(b *brokenCaller) {
+		"calls a refusal lost": callerDefect("a call with an old token is refused", func(b *brokenCaller) {
 			b.fail = inPhase(garnetworks.PhaseWait)
 		}),
-		"calls lost answers refused": breakCaller("a lost answer may have run", func(b *brokenCaller) {
+		"calls lost answers refused": callerDefect("a lost answer may have run", func(b *brokenCaller) {
 			b.fail = inPhase(garnetworks.PhaseRefused)
 		}),
-		"calls missing listeners lost": breakCaller("nobody listens", func(b *brokenCaller) {
+		"calls missing listeners lost": callerDefect("nobody listens", func(b *brokenCaller) {
 			b.fail = inPhase(garnetworks.PhaseWait)
 		}),
 	})
 }
 
 // silenced takes the mark of silence off an error.
-func silenced(err error) error {
+func withoutStalled(err error) error {
 	var attempt *garnetworks.AttemptError
 	if errors.As(err, &attempt) {
 		return &garnetworks.AttemptError{Phase: attempt.Phase}
@@ -340,54 +340,54 @@
 	return b(ctx, address, call)
 }
 
-func breakServices(noticed string, change func(next garnetworks.ServiceCaller) brokenServices) bite[checker.ServiceCallerBed] {
-	return bite[checker.ServiceCallerBed]{noticed: noticed, breakIt: func(bed checker.ServiceCallerBed) checker.ServiceCallerBed {
-		bed.Caller = change(bed.Caller)
-		bed.DropConnections = func() {}
-		return bed
+func serviceDefect(detectedBy string, change func(next garnetworks.ServiceCaller) brokenServices) defect[checker.ServiceCallerFixture] {
+	return defect[checker.ServiceCallerFixture]{detectedBy: detectedBy, inject: func(fixture checker.ServiceCallerFixture) checker.ServiceCallerFixture {
+		fixture.Caller = change(fixture.Caller)
+		fixture.DropConnections = func() {}
+		return fixture
 	}}
 }
 
-func TestServiceCallerBites(t *testing.T) {
+func TestServiceCallerDefectsAreDetected(t *testing.T) {
 	t.Parallel()
-	repeats := func(next garnetworks.ServiceCaller) brokenServices {
+	retry := func(next garnetworks.ServiceCaller) brokenServices {
 		return func(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
-			answer, err := next.Call(ctx, address, call)
+			response, err := next.Call(ctx, address, call)
 			if err != nil {
 				return next.Call(ctx, address, call)
 			}
-			return answer, nil
+			return response, nil
 		}
 	}
-	fails := func(phase garnetworks.CallPhase) func(next garnetworks.ServiceCaller) brokenServices {
+	failIn := func(phase garnetworks.CallPhase) func(next garnetworks.ServiceCaller) brokenServices {
 		return func(next garnetworks.ServiceCaller) brokenServices {
 			return func(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
-				answer, err := next.Call(ctx, address, call)
+				response, err := next.Call(ctx, address, call)
 				if err != nil {
-					return answer, &garnetworks.AttemptError{Phase: phase}
+					return response, &garnetworks.AttemptError{Phase: phase}
 				}
-				return answer, nil
+				return response, nil
 			}
 		}
 	}
-	checkBites(t, serviceCallerBed, checker.ServiceCallerCases(), map[string]bite[checker.ServiceCallerBed]{
-		"repeats failed calls":         breakServices("broken pooled connections never repeat a call", repeats),
-		"repeats lost calls":           breakServices("a lost answer may have run", repeats),
-		"calls lost answers refused":   breakServices("a lost answer may have run", fails(garnetworks.PhaseRefused)),
-		"calls everything unsent":      breakServices("a truncated answer may have run", fails(garnetworks.PhaseConnect)),
-		"calls resets refused":         breakServices("a server that is down is never a refusal", fails(garnetworks.PhaseRefused)),
-		"calls refusals lost":          breakServices("a leaving server refuses", fails(garnetworks.PhaseWait)),
-		"calls missing listeners lost": breakServices("nobody listens", fails(garnetworks.PhaseWait)),
-		"passes crossed answers": breakServices("a crossed answer is dropped", func(next garnetworks.ServiceCaller) brokenServices {
+	testDefects(t, serviceCallerFixture, checker.ServiceCallerCases(), map[string]defect[checker.ServiceCallerFixture]{
+		"repeats failed calls":         serviceDefect("broken pooled connections never repeat a call", retry),
+		"repeats lost calls":           serviceDefect("a lost answer may have run", retry),
+		"calls lost answers refused":   serviceDefect("a lost answer may have run", failIn(garnetworks.PhaseRefused)),
+		"calls everything unsent":      serviceDefect("a truncated answer may have run", failIn(garnetworks.PhaseConnect)),
+		"calls resets refused":         serviceDefect("a server that is down is never a refusal", failIn(garnetworks.PhaseRefused)),
+		"calls refusals lost":          serviceDefect("a leaving server refuses", failIn(garnetworks.PhaseWait)),
+		"calls missing listeners lost": serviceDefect("nobody listens", failIn(garnetworks.PhaseWait)),
+		"passes crossed answers": serviceDefect("a crossed answer is dropped", func(next garnetworks.ServiceCaller) brokenServices {
 			return func(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
-				answer, err := next.Call(ctx, address, call)
+				response, err := next.Call(ctx, address, call)
 				if err != nil {
 					return garnetworks.ServiceResponse{ID: call.ID, Status: 200, Body: []byte("another's")}, nil
 				}
-				return answer, nil
+				return response, nil
 			}
 		}),
-		"drops the key": breakServices("a call runs once and is answered", func(next garnetworks.ServiceCaller) brokenServices {
+		"drops the key": serviceDefect("a call runs once and is answered", func(next garnetworks.ServiceCaller) brokenServices {
 			return func(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
 				changed := *call
 				changed.IdempotencyKey = ""
@@ -415,33 +415,33 @@
 	return status, err
 }
 
-func TestEngineOrdersBites(t *testing.T) {
+func TestEngineOrdersDefectsAreDetected(t *testing.T) {
 	t.Parallel()
-	breakOrders := func(noticed string, b brokenOrders) bite[checker.EngineOrdersBed] {
-		return bite[checker.EngineOrdersBed]{noticed: noticed, breakIt: func(bed checker.EngineOrdersBed) checker.EngineOrdersBed {
+	orderDefect := func(detectedBy string, b brokenOrders) defect[checker.EngineOrdersFixture] {
+		return defect[checker.EngineOrdersFixture]{detectedBy: detectedBy, inject: func(fixture checker.EngineOrdersFixture) checker.EngineOrdersFixture {
 			broken := b
-			broken.EngineOrders = bed.Orders
-			bed.Orders = &broken
-			return bed
+			broken.EngineOrders = fixture.Orders
+			fixture.Orders = &broken
+			return fixture
 		}}
 	}
 	unreachable := func(error) error { return garnetworks.Errorf(garnetworks.KindUnreachable, "failed") }
-	checkBites(t, engineOrdersBed, checker.EngineOrdersCases(), map[string]bite[checker.EngineOrdersBed]{
-		"drops tokens": breakOrders("form makes a member that gets ready", brokenOrders{order: func(o garnetworks.EngineOrder) garnetworks.EngineOrder {
+	testDefects(t, engineOrdersFixture, checker.EngineOrdersCases(), map[string]defect[checker.EngineOrdersFixture]{
+		"drops tokens": orderDefect("form makes a member that gets ready", brokenOrders{order: func(o garnetworks.EngineOrder) garnetworks.EngineOrder {
 			o.Token = garnetworks.FencingToken(uint32(o.Token))
 			return o
 		}}),
-		"raises tokens": breakOrders("an old token is refused by an engine that checks", brokenOrders{order: func(o garnetworks.EngineOrder) garnetworks.EngineOrder {
+		"raises tokens": orderDefect("an old token is refused by an engine that checks", brokenOrders{order: func(o garnetworks.EngineOrder) garnetworks.EngineOrder {
 			o.Token = 1 << 60
 			return o
 		}}),
-		"makes up identifiers": breakOrders("a lost answer is neither failed nor done", brokenOrders{order: func(o garnetworks.EngineOrder) garnetworks.EngineOrder {
+		"makes up identifiers": orderDefect("a lost answer is neither failed nor done", brokenOrders{order: func(o garnetworks.EngineOrder) garnetworks.EngineOrder {
 			o.ID += "-again"
 			return o
 		}}),
-		"calls lost answers unreachable": breakOrders("a lost answer is neither failed nor done", brokenOrders{fail: unreachable}),
-		"calls stale tokens unreachable": breakOrders("an old token is refused by an engine that checks", brokenOrders{fail: unreachable}),
-		"swallows unknown orders":        breakOrders("an unknown order is an error", brokenOrders{fail: func(error) error { return nil }}),
+		"calls lost answers unreachable": orderDefect("a lost answer is neither failed nor done", brokenOrders{fail: unreachable}),
+		"calls stale tokens unreachable": orderDefect("an old token is refused by an engine that checks", brokenOrders{fail: unreachable}),
+		"swallows unknown orders":        orderDefect("an unknown order is an error", brokenOrders{fail: func(error) error { return nil }}),
 	})
 }
 
@@ -472,14 +472,14 @@
 	return state, err
 }
 
-func TestPowerSwitchBites(t *testing.T) {
+func TestPowerSwitchDefectsAreDetected(t *testing.T) {
 	t.Parallel()
-	breakPower := func(noticed string, b brokenPower) bite[checker.PowerSwitchBed] {
-		return bite[checker.PowerSwitchBed]{noticed: noticed, breakIt: func(bed checker.PowerSwitchBed) checker.PowerSwitchBed {
+	powerDefect := func(detectedBy string, b brokenPower) defect[checker.PowerSwitchFixture] {
+		return defect[checker.PowerSwitchFixture]{detectedBy: detectedBy, inject: func(fixture checker.PowerSwitchFixture) checker.PowerSwitchFixture {
 			broken := b
-			broken.PowerSwitch = bed.Power
-			bed.Power = &broken
-			return bed
+			broken.PowerSwitch = fixture.Power
+			fixture.Power = &broken
+			return fixture
 		}}
 	}
 	offWhenUnknown := func(state garnetworks.PowerState, err error) (garnetworks.PowerState, error) {
@@ -488,19 +488,19 @@
 		}
 		return state, nil
 	}
-	var numbers atomic.Int32
-	checkBites(t, powerSwitchBed, checker.PowerSwitchCases(), map[string]bite[checker.PowerSwitchBed]{
-		"takes outages for off":           breakPower("an outage proves nothing", brokenPower{state: offWhenUnknown}),
-		"takes unknown instances for off": breakPower("an unknown instance is said", brokenPower{state: offWhenUnknown}),
-		"calls lost orders failed": breakPower("a lost answer is neither failed nor done", brokenPower{fail: func(error) error {
+	var suffix atomic.Int32
+	testDefects(t, powerSwitchFixture, checker.PowerSwitchCases(), map[string]defect[checker.PowerSwitchFixture]{
+		"takes outages for off":           powerDefect("an outage proves nothing", brokenPower{state: offWhenUnknown}),
+		"takes unknown instances for off": powerDefect("an unknown instance is said", brokenPower{state: offWhenUnknown}),
+		"calls lost orders failed": powerDefect("a lost answer is neither failed nor done", brokenPower{fail: func(error) error {
 			return garnetworks.Errorf(garnetworks.KindUnreachable, "failed")
 		}}),
-		"raises tokens": breakPower("an old token is refused", brokenPower{order: func(o garnetworks.PowerOrder) garnetworks.PowerOrder {
+		"raises tokens": powerDefect("an old token is refused", brokenPower{order: func(o garnetworks.PowerOrder) garnetworks.PowerOrder {
 			o.Token = 1 << 60
 			return o
 		}}),
-		"makes up identifiers": breakPower("a repeated order takes effect once", brokenPower{order: func(o garnetworks.PowerOrder) garnetworks.PowerOrder {
-			o.ID += string(rune('a' + numbers.Add(1)))
+		"makes up identifiers": powerDefect("a repeated order takes effect once", brokenPower{order: func(o garnetworks.PowerOrder) garnetworks.PowerOrder {
+			o.ID += string(rune('a' + suffix.Add(1)))
 			return o
 		}}),
 	})
--- a/checker/cacheevents.go
+++ b/checker/cacheevents.go
@@ -10,30 +10,30 @@
 )
 
 // CacheEventsBed is a reader of the cache events of one engine.
-type CacheEventsBed struct {
+type CacheEventsFixture struct {
 	Events  garnetworks.CacheEvents
 	Address string
 	Unused  string
 	// Fill makes the engine cache new prompt blocks.
-	Fill func()
+	AddBlocks func()
 	// Lose makes the engine lose events; it may be nil.
-	Lose func()
+	DropEvents func()
 }
 
 // CacheEvents checks a reader of cache events.
-func CacheEvents(t *testing.T, open func(t *testing.T) CacheEventsBed) {
+func CacheEvents(t *testing.T, newFixture func(t *testing.T) CacheEventsFixture) {
 	t.Helper()
-	run(t, open, CacheEventsCases())
+	run(t, newFixture, CacheEventsCases())
 }
 
 // CacheEventsCases returns the contract of garnetworks.CacheEvents.
-func CacheEventsCases() map[string]Case[CacheEventsBed] {
-	return map[string]Case[CacheEventsBed]{
+func CacheEventsCases() map[string]Case[CacheEventsFixture] {
+	return map[string]Case[CacheEventsFixture]{
 		"events count up without gaps": {
-			Story: "A router believes in cached prefixes that were evicted.",
-			Run: func(ctx context.Context, b CacheEventsBed) error {
-				b.Fill()
-				events, err := readEvents(ctx, b, 0)
+			Failure: "A router believes in cached prefixes that were evicted.",
+			Run: func(ctx context.Context, f CacheEventsFixture) error {
+				f.AddBlocks()
+				events, err := readEvents(ctx, f, 0)
 				if err != nil {
 					return err
 				}
@@ -41,7 +41,7 @@
 					return errors.Errorf("got events %v, want numbers from 1 without gaps", events)
 				}
 				middle := events[len(events)/2].Number
-				rest, err := b.Events.CacheEvents(ctx, b.Address, middle)
+				rest, err := f.Events.CacheEvents(ctx, f.Address, middle)
 				if err != nil {
 					return errors.Wrap(err, "later events")
 				}
@@ -52,12 +52,12 @@
 			},
 		},
 		"lost events leave a gap": {
-			Story: "Events are lost; renumbered, they would hide that the router's picture is wrong.",
-			Able:  func(b CacheEventsBed) bool { return b.Lose != nil },
-			Run: func(ctx context.Context, b CacheEventsBed) error {
-				b.Lose()
-				b.Fill()
-				events, err := readEvents(ctx, b, 0)
+			Failure:   "Events are lost; renumbered, they would hide that the router's picture is wrong.",
+			Supported: func(f CacheEventsFixture) bool { return f.DropEvents != nil },
+			Run: func(ctx context.Context, f CacheEventsFixture) error {
+				f.DropEvents()
+				f.AddBlocks()
+				events, err := readEvents(ctx, f, 0)
 				if err != nil {
 					return err
 				}
@@ -65,9 +65,9 @@
 			},
 		},
 		"nobody listens": {
-			Story: "A dead engine looks like one with an empty cache.",
-			Run: func(ctx context.Context, b CacheEventsBed) error {
-				_, err := b.Events.CacheEvents(ctx, b.Unused, 0)
+			Failure: "A dead engine looks like one with an empty cache.",
+			Run: func(ctx context.Context, f CacheEventsFixture) error {
+				_, err := f.Events.CacheEvents(ctx, f.Unused, 0)
 				return wantKind("cache events", err, garnetworks.KindUnreachable)
 			},
 		},
@@ -75,11 +75,11 @@
 }
 
 // readEvents waits for events, which come late.
-func readEvents(ctx context.Context, b CacheEventsBed, after uint64) ([]garnetworks.CacheEvent, error) {
+func readEvents(ctx context.Context, f CacheEventsFixture, after uint64) ([]garnetworks.CacheEvent, error) {
 	var events []garnetworks.CacheEvent
 	err := eventually(ctx, func() error {
 		var err error
-		events, err = b.Events.CacheEvents(ctx, b.Address, after)
+		events, err = f.Events.CacheEvents(ctx, f.Address, after)
 		if err != nil {
 			return errors.Wrap(err, "cache events")
 		}
--- a/checker/contract_test.go
+++ b/checker/contract_test.go
@@ -15,11 +15,11 @@
 
 // silence is the bound that callers have in these tests; it is far above the
 // pauses of a loaded machine.
-const silence = 800 * time.Millisecond
+const stallTimeout = 800 * time.Millisecond
 
 var (
 	weights = garnetworks.WeightID{Model: "model", Version: "v1"}
-	options = connector.Options{StallTimeout: silence}
+	options = connector.Options{StallTimeout: stallTimeout}
 )
 
 const (
@@ -28,7 +28,7 @@
 )
 
 // world is the stand-ins of one bed; overHTTP serves them.
-type world struct {
+type fakes struct {
 	t        *testing.T
 	overHTTP bool
 	list     *faker.InstanceList
@@ -36,87 +36,87 @@
 	fleet    *faker.Fleet
 }
 
-func newWorld(t *testing.T, overHTTP bool) *world {
-	w := &world{t: t, overHTTP: overHTTP, list: faker.NewInstanceList(0)}
-	w.store = faker.NewWeightStore(weightRate, map[garnetworks.WeightID]int64{weights: weightSize})
-	w.fleet = faker.NewFleet(w.store, w.list)
-	w.fleet.Silence = silence
-	t.Cleanup(w.fleet.Close)
-	return w
+func newFakes(t *testing.T, overHTTP bool) *fakes {
+	f := &fakes{t: t, overHTTP: overHTTP, list: faker.NewInstanceList(0)}
+	f.store = faker.NewWeightStore(weightRate, map[garnetworks.WeightID]int64{weights: weightSize})
+	f.fleet = faker.NewFleet(f.store, f.list)
+	f.fleet.Silence = stallTimeout
+	t.Cleanup(f.fleet.Close)
+	return f
 }
 
 // serve keeps a server until the end of the test and returns its address.
-func (w *world) serve(s *faker.Server, err error) string {
-	w.t.Helper()
+func (f *fakes) serve(s *faker.Server, err error) string {
+	f.t.Helper()
 	if err != nil {
-		w.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { _ = s.Close() })
+	f.t.Cleanup(func() { _ = s.Close() })
 	return s.Address
 }
 
-func (w *world) engine(spec faker.EngineSpec) *faker.Engine {
-	e := w.fleet.Add(spec)
-	if w.overHTTP {
-		w.serve(faker.ServeEngine(e))
+func (f *fakes) engine(spec faker.EngineSpec) *faker.Engine {
+	e := f.fleet.Add(spec)
+	if f.overHTTP {
+		f.serve(faker.ServeEngine(e))
 	}
 	return e
 }
 
 // unused returns an address at which nothing listens.
-func (w *world) unused() string {
+func (f *fakes) unused() string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		w.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	defer l.Close()
 	return l.Addr().String()
 }
 
 // bothWays runs a suite on the stand-ins in process and through the adapters.
-func bothWays[B any](t *testing.T, suite func(*testing.T, func(*testing.T) B), open func(w *world) B) {
+func testBothTransports[B any](t *testing.T, suite func(*testing.T, func(*testing.T) B), newFixture func(f *fakes) B) {
 	t.Parallel()
 	for name, overHTTP := range map[string]bool{"in process": false, "over HTTP": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			suite(t, func(t *testing.T) B { return open(newWorld(t, overHTTP)) })
+			suite(t, func(t *testing.T) B { return newFixture(newFakes(t, overHTTP)) })
 		})
 	}
 }
 
-func TestObjectAPI(t *testing.T) { bothWays(t, checker.ObjectAPI, objectAPIBed) }
+func TestObjectAPI(t *testing.T) { testBothTransports(t, checker.ObjectAPI, objectAPIFixture) }
 
-func objectAPIBed(w *world) checker.ObjectAPIBed {
+func objectAPIFixture(f *fakes) checker.ObjectAPIFixture {
 	objects := faker.NewObjects(faker.ObjectsOptions{})
-	bed := checker.ObjectAPIBed{API: objects, Faults: objects, Compact: objects.Compact}
-	if w.overHTTP {
+	fixture := checker.ObjectAPIFixture{API: objects, Faults: objects, Compact: objects.Compact}
+	if f.overHTTP {
 		platform := &faker.Platform{Objects: objects}
-		bed.API = connector.NewObjectAPI(w.serve(faker.ServePlatform(platform)), options)
-		bed.Faults = both{objects, platform}
+		fixture.API = connector.NewObjectAPI(f.serve(faker.ServePlatform(platform)), options)
+		fixture.Faults = serverFaults{objects, platform}
 	}
-	bed.Throttle = func() {
+	fixture.Throttle = func() {
 		const oneInManySeconds = 0.001
 		objects.SetRates(oneInManySeconds, oneInManySeconds)
-		_, _ = objects.Get(w.t.Context(), "")
-		_ = objects.Delete(w.t.Context(), "", 0)
+		_, _ = objects.Get(f.t.Context(), "")
+		_ = objects.Delete(f.t.Context(), "", 0)
 	}
-	return bed
+	return fixture
 }
 
 // both sets a part's faults and makes the connections of its server silent.
-type both struct {
-	checker.Faults
-	connections checker.Faults
+type serverFaults struct {
+	checker.FaultInjector
+	connections checker.FaultInjector
 }
 
-func (b both) SilenceOpen() { b.connections.SilenceOpen() }
+func (b serverFaults) SilenceOpen() { b.connections.SilenceOpen() }
 
-func TestInstanceList(t *testing.T) { bothWays(t, checker.InstanceList, instanceListBed) }
+func TestInstanceList(t *testing.T) { testBothTransports(t, checker.InstanceList, instanceListFixture) }
 
-func instanceListBed(w *world) checker.InstanceListBed {
-	bed := checker.InstanceListBed{List: w.list, Faults: w.list}
+func instanceListFixture(f *fakes) checker.InstanceListFixture {
+	fixture := checker.InstanceListFixture{List: f.list, Faults: f.list}
 	for i := range 6 {
-		row := garnetworks.ListedInstance{
+		entry := garnetworks.ListedInstance{
 			ID:      garnetworks.InstanceID(fmt.Sprintf("instance-%d", i)),
 			Address: fmt.Sprintf("127.0.0.1:%d", 1000+i),
 			Zone:    garnetworks.ZoneID(fmt.Sprintf("zone-%d", i%2)),
@@ -125,80 +125,80 @@
 			State:   garnetworks.ListedLive,
 		}
 		if i == 5 {
-			row.State, row.Service = garnetworks.ListedLeaving, "ledger"
+			entry.State, entry.Service = garnetworks.ListedLeaving, "ledger"
 		}
-		w.list.Report(row)
-		bed.Rows = append(bed.Rows, row)
+		f.list.Report(entry)
+		fixture.Entries = append(fixture.Entries, entry)
 	}
-	if w.overHTTP {
-		bed.List = connector.NewInstanceList(w.serve(faker.ServePlatform(&faker.Platform{Instances: w.list})), options)
+	if f.overHTTP {
+		fixture.List = connector.NewInstanceList(f.serve(faker.ServePlatform(&faker.Platform{Instances: f.list})), options)
 	}
-	return bed
+	return fixture
 }
 
-func TestPowerSwitch(t *testing.T) { bothWays(t, checker.PowerSwitch, powerSwitchBed) }
+func TestPowerSwitch(t *testing.T) { testBothTransports(t, checker.PowerSwitch, powerSwitchFixture) }
 
-func powerSwitchBed(w *world) checker.PowerSwitchBed {
-	w.engine(faker.EngineSpec{ListedInstance: garnetworks.ListedInstance{ID: "engine-0"}, Boot: time.Millisecond})
-	power := faker.NewPower(w.fleet)
-	bed := checker.PowerSwitchBed{Power: power, Instance: "engine-0", Orders: power.Orders, Faults: power}
-	if w.overHTTP {
-		bed.Power = connector.NewPowerSwitch(w.serve(faker.ServePlatform(&faker.Platform{Power: power})), options)
+func powerSwitchFixture(f *fakes) checker.PowerSwitchFixture {
+	f.engine(faker.EngineSpec{ListedInstance: garnetworks.ListedInstance{ID: "engine-0"}, Boot: time.Millisecond})
+	power := faker.NewPower(f.fleet)
+	fixture := checker.PowerSwitchFixture{Power: power, Instance: "engine-0", AppliedOrders: power.Orders, Faults: power}
+	if f.overHTTP {
+		fixture.Power = connector.NewPowerSwitch(f.serve(faker.ServePlatform(&faker.Platform{Power: power})), options)
 	}
-	return bed
+	return fixture
 }
 
-func TestWeightStore(t *testing.T) { bothWays(t, checker.WeightStore, weightStoreBed) }
+func TestWeightStore(t *testing.T) { testBothTransports(t, checker.WeightStore, weightStoreFixture) }
 
-func weightStoreBed(w *world) checker.WeightStoreBed {
-	bed := checker.WeightStoreBed{Store: w.store, Rate: weightRate, Weights: weights, Size: weightSize, Faults: w.store}
-	if w.overHTTP {
-		bed.Store = connector.NewWeightStore(w.serve(faker.ServePlatform(&faker.Platform{Weights: w.store})), options)
+func weightStoreFixture(f *fakes) checker.WeightStoreFixture {
+	fixture := checker.WeightStoreFixture{Store: f.store, Rate: weightRate, Weights: weights, Size: weightSize, Faults: f.store}
+	if f.overHTTP {
+		fixture.Store = connector.NewWeightStore(f.serve(faker.ServePlatform(&faker.Platform{Weights: f.store})), options)
 	}
-	return bed
+	return fixture
 }
 
-func TestEngineOrders(t *testing.T) { bothWays(t, checker.EngineOrders, engineOrdersBed) }
+func TestEngineOrders(t *testing.T) { testBothTransports(t, checker.EngineOrders, engineOrdersFixture) }
 
-func engineOrdersBed(w *world) checker.EngineOrdersBed {
-	checking := w.engine(faker.EngineSpec{ListedInstance: garnetworks.ListedInstance{ID: "checking"}, On: true, ChecksFencing: true})
-	trusting := w.engine(faker.EngineSpec{ListedInstance: garnetworks.ListedInstance{ID: "trusting"}, On: true})
-	bed := checker.EngineOrdersBed{
-		Orders:   w.fleet,
-		Checking: checker.EngineTarget{Instance: "checking", Address: checking.Spec().Address},
-		Trusting: checker.EngineTarget{Instance: "trusting", Address: trusting.Spec().Address},
+func engineOrdersFixture(f *fakes) checker.EngineOrdersFixture {
+	fenced := f.engine(faker.EngineSpec{ListedInstance: garnetworks.ListedInstance{ID: "checking"}, On: true, ChecksFencing: true})
+	unfenced := f.engine(faker.EngineSpec{ListedInstance: garnetworks.ListedInstance{ID: "trusting"}, On: true})
+	fixture := checker.EngineOrdersFixture{
+		Orders:   f.fleet,
+		Fenced:   checker.EngineTarget{Instance: "checking", Address: fenced.Spec().Address},
+		Unfenced: checker.EngineTarget{Instance: "trusting", Address: unfenced.Spec().Address},
 		Weights:  weights,
-		Unused:   w.unused(),
-		Faults:   checking,
+		Unused:   f.unused(),
+		Faults:   fenced,
 	}
-	if w.overHTTP {
-		bed.Orders = connector.NewEngineOrders(options)
+	if f.overHTTP {
+		fixture.Orders = connector.NewEngineOrders(options)
 	}
-	return bed
+	return fixture
 }
 
 // group forms a serving group of two engines and returns them.
-func (w *world) group(spec faker.EngineSpec) (first, second *faker.Engine) {
+func (f *fakes) group(spec faker.EngineSpec) (first, second *faker.Engine) {
 	members := []garnetworks.InstanceID{"first", "second"}
 	var engines []*faker.Engine
 	for _, id := range members {
 		spec.ID, spec.On = id, true
-		e := w.engine(spec)
+		e := f.engine(spec)
 		engines = append(engines, e)
-		_, err := e.Order(w.t.Context(), garnetworks.EngineOrder{
+		_, err := e.Order(f.t.Context(), garnetworks.EngineOrder{
 			ID: "form", Kind: garnetworks.OrderForm, Token: groupToken, Group: "group", Members: members,
 			Model: weights.Model, Version: weights.Version,
 		})
 		if err != nil {
-			w.t.Fatal(err)
+			f.t.Fatal(err)
 		}
 	}
 	for _, e := range engines {
 		for phase := garnetworks.EngineLoading; phase != garnetworks.EngineReady; {
 			time.Sleep(time.Millisecond)
-			status, err := e.Status(w.t.Context())
+			status, err := e.Status(f.t.Context())
 			if err != nil {
-				w.t.Fatal(err)
+				f.t.Fatal(err)
 			}
 			phase = status.Phase
 		}
@@ -208,36 +208,36 @@
 
 const groupToken = garnetworks.FencingToken(3<<32 | 7)
 
-func TestCacheEvents(t *testing.T) { bothWays(t, checker.CacheEvents, cacheEventsBed) }
+func TestCacheEvents(t *testing.T) { testBothTransports(t, checker.CacheEvents, cacheEventsFixture) }
 
-func cacheEventsBed(w *world) checker.CacheEventsBed {
-	e := w.engine(faker.EngineSpec{
+func cacheEventsFixture(f *fakes) checker.CacheEventsFixture {
+	e := f.engine(faker.EngineSpec{
 		ListedInstance: garnetworks.ListedInstance{ID: "engine"}, On: true, CacheBlocks: 4, EventLag: time.Millisecond,
 	})
-	bed := checker.CacheEventsBed{
-		Events:  w.fleet,
-		Address: e.Spec().Address,
-		Unused:  w.unused(),
-		Fill:    func() { e.ImportKV(faker.KVCache{Blocks: []uint64{1, 2, 3, 4, 5, 6}}) },
-		Lose:    func() { e.SetEventGap(2) },
+	fixture := checker.CacheEventsFixture{
+		Events:     f.fleet,
+		Address:    e.Spec().Address,
+		Unused:     f.unused(),
+		AddBlocks:  func() { e.ImportKV(faker.KVCache{Blocks: []uint64{1, 2, 3, 4, 5, 6}}) },
+		DropEvents: func() { e.SetEventGap(2) },
 	}
-	if w.overHTTP {
-		bed.Events = connector.NewEngineOrders(options)
+	if f.overHTTP {
+		fixture.Events = connector.NewEngineOrders(options)
 	}
-	return bed
+	return fixture
 }
 
-func TestEngineCaller(t *testing.T) { bothWays(t, checker.EngineCaller, engineCallerBed) }
+func TestEngineCaller(t *testing.T) { testBothTransports(t, checker.EngineCaller, engineCallerFixture) }
 
-func engineCallerBed(w *world) checker.EngineCallerBed {
-	first, second := w.group(faker.EngineSpec{PerToken: 2 * time.Millisecond, FirstToken: 2 * time.Millisecond})
+func engineCallerFixture(f *fakes) checker.EngineCallerFixture {
+	first, second := f.group(faker.EngineSpec{PerToken: 2 * time.Millisecond, FirstToken: 2 * time.Millisecond})
 	var calls atomic.Int64
-	bed := checker.EngineCallerBed{
-		Caller:  w.fleet,
-		Address: first.Spec().Address,
-		Unused:  w.unused(),
-		Silence: 2 * silence,
-		Call: func(maxTokens int) *garnetworks.EngineCall {
+	fixture := checker.EngineCallerFixture{
+		Caller:          f.fleet,
+		Address:         first.Spec().Address,
+		Unused:          f.unused(),
+		MaxStallTimeout: 2 * stallTimeout,
+		NewCall: func(maxTokens int) *garnetworks.EngineCall {
 			id := garnetworks.CallID(fmt.Sprintf("call-%d", calls.Add(1)))
 			return &garnetworks.EngineCall{
 				CallRequest: garnetworks.CallRequest{
@@ -248,43 +248,45 @@
 				Token:   groupToken,
 			}
 		},
-		Text: func(call *garnetworks.EngineCall, from, end int) string {
+		ResponseText: func(call *garnetworks.EngineCall, from, end int) string {
 			return faker.AnswerText(&call.CallRequest, from, end)
 		},
-		Running: func() int {
-			status, err := first.Status(w.t.Context())
+		RunningCalls: func() int {
+			status, err := first.Status(f.t.Context())
 			if err != nil {
-				w.t.Error(err)
+				f.t.Error(err)
 			}
 			return status.Load.Running + status.Load.Waiting
 		},
-		LoseMember: func() { second.SetFaults(faker.FaultPlan{Down: true}) },
+		StopMember: func() { second.SetFaults(faker.FaultPlan{Down: true}) },
 		Faults:     first,
 	}
-	if w.overHTTP {
-		bed.Caller = connector.NewEngineCaller(options)
+	if f.overHTTP {
+		fixture.Caller = connector.NewEngineCaller(options)
 	}
-	return bed
+	return fixture
 }
 
-func TestServiceCaller(t *testing.T) { bothWays(t, checker.ServiceCaller, serviceCallerBed) }
+func TestServiceCaller(t *testing.T) {
+	testBothTransports(t, checker.ServiceCaller, serviceCallerFixture)
+}
 
-func serviceCallerBed(w *world) checker.ServiceCallerBed {
+func serviceCallerFixture(f *fakes) checker.ServiceCallerFixture {
 	s := faker.NewService("ledger", time.Millisecond)
 	services := &faker.Services{}
 	services.Add("ledger", s)
-	bed := checker.ServiceCallerBed{
+	fixture := checker.ServiceCallerFixture{
 		Caller:     services,
 		Address:    "ledger",
-		Unused:     w.unused(),
+		Unused:     f.unused(),
 		Executions: s.ExecutionsOf,
 		SetLeaving: s.SetLeaving,
 		Faults:     s,
 	}
-	if w.overHTTP {
-		bed.Caller = connector.NewServiceCaller(options)
-		bed.Address = w.serve(faker.ServeService(s))
-		bed.DropConnections = s.DropConnections
+	if f.overHTTP {
+		fixture.Caller = connector.NewServiceCaller(options)
+		fixture.Address = f.serve(faker.ServeService(s))
+		fixture.DropConnections = s.DropConnections
 	}
-	return bed
+	return fixture
 }
--- a/checker/doc.go
+++ b/checker/doc.go
@@ -34,15 +34,15 @@
 // Case is one clause of a contract.
 type Case[B any] struct {
 	// Story says what would go wrong for a user of the interface.
-	Story string
+	Failure string
 	// Able reports whether the bed can bring the case about; nil means always.
-	Able func(bed B) bool
+	Supported func(fixture B) bool
 	// Run returns an error if the clause is broken.
-	Run func(ctx context.Context, bed B) error
+	Run func(ctx context.Context, fixture B) error
 }
 
 // Faults brings failures about in whatever the implementation talks to.
-type Faults interface {
+type FaultInjector interface {
 	SetFaults(plan faker.FaultPlan)
 	SilenceOpen()
 }
@@ -50,54 +50,54 @@
 // Bounds of one case, so that a call that never returns fails its case and not
 // the whole run. Failures expects cases to fail and waits less for it.
 const (
-	caseTimeout = 10 * time.Second
-	biteTimeout = 3 * time.Second
+	caseTimeout   = 10 * time.Second
+	brokenTimeout = 3 * time.Second
 )
 
 // run runs the cases as subtests, each on a bed of its own.
-func run[B any](t *testing.T, open func(*testing.T) B, cases map[string]Case[B]) {
+func run[B any](t *testing.T, newFixture func(*testing.T) B, cases map[string]Case[B]) {
 	t.Helper()
 	for _, name := range slices.Sorted(maps.Keys(cases)) {
 		c := cases[name]
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			bed := open(t)
-			if c.Able != nil && !c.Able(bed) {
+			fixture := newFixture(t)
+			if c.Supported != nil && !c.Supported(fixture) {
 				t.Skip("the bed can't bring this about") // rule K2
 			}
-			if err := c.attempt(t.Context(), bed, caseTimeout); err != nil {
-				t.Errorf("%v\nstory: %s", err, c.Story)
+			if err := c.runWithTimeout(t.Context(), fixture, caseTimeout); err != nil {
+				t.Errorf("%v\nstory: %s", err, c.Failure)
 			}
 		})
 	}
 }
 
 // attempt runs the case and turns a call that never returns into an error.
-func (c Case[B]) attempt(ctx context.Context, bed B, timeout time.Duration) error {
+func (c Case[B]) runWithTimeout(ctx context.Context, fixture B, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	done := make(chan error, 1)
-	go func() { done <- c.Run(ctx, bed) }()
+	go func() { done <- c.Run(ctx, fixture) }()
 	select {
 	case err := <-done:
 		return err
-	case <-time.After(timeout + within):
+	case <-time.After(timeout + returnGrace):
 		return errors.New("the case did not end")
 	}
 }
 
 // Failures runs the cases and returns the names of those that fail, in order.
 // It is for showing that a suite notices a broken implementation (rule K3).
-func Failures[B any](t *testing.T, open func(*testing.T) B, cases map[string]Case[B]) []string {
+func Failures[B any](t *testing.T, newFixture func(*testing.T) B, cases map[string]Case[B]) []string {
 	t.Helper()
 	var failed []string
 	for _, name := range slices.Sorted(maps.Keys(cases)) {
 		c := cases[name]
-		bed := open(t)
-		if c.Able != nil && !c.Able(bed) {
+		fixture := newFixture(t)
+		if c.Supported != nil && !c.Supported(fixture) {
 			continue
 		}
-		if c.attempt(t.Context(), bed, biteTimeout) != nil {
+		if c.runWithTimeout(t.Context(), fixture, brokenTimeout) != nil {
 			failed = append(failed, name)
 		}
 	}
@@ -135,7 +135,7 @@
 }
 
 // steps runs checks in order up to the first error.
-func steps(checks ...func() error) error {
+func firstError(checks ...func() error) error {
 	for _, check := range checks {
 		if err := check(); err != nil {
 			return err
@@ -146,25 +146,25 @@
 
 const (
 	// within bounds how much longer than its context a call may take.
-	within = 2 * time.Second
-	// shortWait is the length of contexts that are to end. It is far above the
+	returnGrace = 2 * time.Second
+	// shortWait is the timeout of contexts that are to end. It is far above the
 	// pauses of a busy machine, because some cases want a call to have begun.
-	shortWait = 500 * time.Millisecond
-	// longWait is the length of contexts that are not to end.
-	longWait = 5 * time.Second
+	shortTimeout = 500 * time.Millisecond
+	// longWait is the timeout of contexts that are not to end.
+	longTimeout = 5 * time.Second
 )
 
-// promptly runs f with a context of the given length and fails if f takes much
+// promptly runs f with a context of the given timeout and fails if f takes much
 // longer than that.
-func promptly(ctx context.Context, length time.Duration, f func(ctx context.Context) error) error {
-	ctx, cancel := context.WithTimeout(ctx, length)
+func callWithTimeout(ctx context.Context, timeout time.Duration, f func(ctx context.Context) error) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	done := make(chan error, 1)
 	go func() { done <- f(ctx) }()
 	select {
 	case err := <-done:
 		return err
-	case <-time.After(length + within):
+	case <-time.After(timeout + returnGrace):
 		return errors.New("the call outlived its context")
 	}
 }
--- a/checker/enginecaller.go
+++ b/checker/enginecaller.go
@@ -15,161 +15,161 @@
 )
 
 // EngineCallerBed is a caller with a group of at least two members that serves.
-type EngineCallerBed struct {
+type EngineCallerFixture struct {
 	Caller  garnetworks.EngineCaller
 	Address string
 	// Unused is an address at which nothing listens.
 	Unused string
 	// Silence is at least the time after which the caller gives up a silent
 	// connection.
-	Silence time.Duration
+	MaxStallTimeout time.Duration
 	// Call returns a new call of MaxTokens tokens that the group serves, unlike
 	// all others. Its answer has no token twice in a row by chance alone.
-	Call func(maxTokens int) *garnetworks.EngineCall
+	NewCall func(maxTokens int) *garnetworks.EngineCall
 	// Text returns the text of the call's tokens from first up to end.
-	Text func(call *garnetworks.EngineCall, first, end int) string
+	ResponseText func(call *garnetworks.EngineCall, first, end int) string
 	// Running returns the number of calls that the engine works on; it may be
 	// nil.
-	Running func() int
+	RunningCalls func() int
 	// LoseMember takes away a member other than the one that answers; it may be
 	// nil.
-	LoseMember func()
+	StopMember func()
 	// Faults are those of the engine that answers; they may be nil.
-	Faults Faults
+	Faults FaultInjector
 }
 
 // EngineCaller checks a caller of engines.
-func EngineCaller(t *testing.T, open func(t *testing.T) EngineCallerBed) {
+func EngineCaller(t *testing.T, newFixture func(t *testing.T) EngineCallerFixture) {
 	t.Helper()
-	run(t, open, EngineCallerCases())
+	run(t, newFixture, EngineCallerCases())
 }
 
 // EngineCallerCases returns the contract of garnetworks.EngineCaller.
-func EngineCallerCases() map[string]Case[EngineCallerBed] {
-	able := func(b EngineCallerBed) bool { return b.Faults != nil }
-	return map[string]Case[EngineCallerBed]{
+func EngineCallerCases() map[string]Case[EngineCallerFixture] {
+	hasFaults := func(f EngineCallerFixture) bool { return f.Faults != nil }
+	return map[string]Case[EngineCallerFixture]{
 		"an answer is whole and its own": {
-			Story: "A tech gets part of an answer, or another tech's.",
-			Run:   callerWhole,
+			Failure: "A tech gets part of an answer, or another tech's.",
+			Run:     callerComplete,
 		},
 		"odd prompts survive": {
-			Story: "A prompt with line ends or foreign letters comes back as another one's answer.",
-			Run:   callerOddPrompts,
+			Failure: "A prompt with line ends or foreign letters comes back as another one's answer.",
+			Run:     callerUnusualPrompts,
 		},
 		"an answer resumes": {
-			Story: "A group dies in the middle; the caller gets words twice or not at all.",
-			Run:   callerResumes,
+			Failure: "A group dies in the middle; the caller gets words twice or not at all.",
+			Run:     callerResumes,
 		},
 		"many answers at once stay apart": {
-			Story: "Under load one caller's words turn up in another's answer.",
-			Run:   callerMany,
+			Failure: "Under load one caller's words turn up in another's answer.",
+			Run:     callerConcurrent,
 		},
 		"a call with an old token is refused": {
-			Story: "A router with an old view calls a group that was formed anew.",
-			Run:   callerStale,
+			Failure: "A router with an old view calls a group that was formed anew.",
+			Run:     callerStaleToken,
 		},
 		"a group with a missing member refuses": {
-			Story: "A member died; the group would answer slowly and wrongly.",
-			Able:  func(b EngineCallerBed) bool { return b.LoseMember != nil },
-			Run:   callerMissingMember,
+			Failure:   "A member died; the group would answer slowly and wrongly.",
+			Supported: func(f EngineCallerFixture) bool { return f.StopMember != nil },
+			Run:       callerMissingMember,
 		},
 		"a member lost in the middle breaks the answer": {
-			Story: "A member dies during an answer, which must not look whole.",
-			Able:  func(b EngineCallerBed) bool { return b.LoseMember != nil },
-			Run:   callerLosesMember,
+			Failure:   "A member dies during an answer, which must not look whole.",
+			Supported: func(f EngineCallerFixture) bool { return f.StopMember != nil },
+			Run:       callerMemberLost,
 		},
 		"nobody listens": {
-			Story: "The instance is gone; the call has surely not run and may go elsewhere.",
-			Run: func(ctx context.Context, b EngineCallerBed) error {
-				_, err := b.Caller.Generate(ctx, b.Unused, b.Call(1))
+			Failure: "The instance is gone; the call has surely not run and may go elsewhere.",
+			Run: func(ctx context.Context, f EngineCallerFixture) error {
+				_, err := f.Caller.Generate(ctx, f.Unused, f.NewCall(1))
 				return wantPhase("generate", err, garnetworks.PhaseConnect)
 			},
 		},
 		"a broken answer is never whole": {
-			Story: "The engine dies in the middle and the caller takes the first half for the whole.",
-			Able:  able,
-			Run:   callerTruncated,
+			Failure:   "The engine dies in the middle and the caller takes the first half for the whole.",
+			Supported: hasFaults,
+			Run:       callerTruncated,
 		},
 		"a crossed answer is dropped": {
-			Story: "Answers arrive crossed; no word of one caller's answer may reach another.",
-			Able:  able,
-			Run:   callerCrossed,
+			Failure:   "Answers arrive crossed; no word of one caller's answer may reach another.",
+			Supported: hasFaults,
+			Run:       callerMismatched,
 		},
 		"an engine that dies in the middle is said": {
-			Story: "The engine's process ends; the stream must end with an error, not with silence.",
-			Able:  able,
-			Run:   callerDies,
+			Failure:   "The engine's process ends; the stream must end with an error, not with silence.",
+			Supported: hasFaults,
+			Run:       callerEngineStops,
 		},
 		"an engine that is unavailable refuses": {
-			Story: "The engine proves that it did not begin the call; the call goes elsewhere at once.",
-			Able:  able,
-			Run: func(ctx context.Context, b EngineCallerBed) error {
-				b.Faults.SetFaults(faker.FaultPlan{Unavailable: true})
-				_, err := b.Caller.Generate(ctx, b.Address, b.Call(1))
+			Failure:   "The engine proves that it did not begin the call; the call goes elsewhere at once.",
+			Supported: hasFaults,
+			Run: func(ctx context.Context, f EngineCallerFixture) error {
+				f.Faults.SetFaults(faker.FaultPlan{Unavailable: true})
+				_, err := f.Caller.Generate(ctx, f.Address, f.NewCall(1))
 				return wantPhase("generate", err, garnetworks.PhaseRefused)
 			},
 		},
 		"a lost answer may have run": {
-			Story: "The engine began, and its answer got lost; nobody may say that the call did not run.",
-			Able:  able,
-			Run: func(ctx context.Context, b EngineCallerBed) error {
-				b.Faults.SetFaults(faker.FaultPlan{LoseAnswers: 1})
-				_, err := readAll(ctx, b, b.Call(3))
+			Failure:   "The engine began, and its answer got lost; nobody may say that the call did not run.",
+			Supported: hasFaults,
+			Run: func(ctx context.Context, f EngineCallerFixture) error {
+				f.Faults.SetFaults(faker.FaultPlan{LoseAnswers: 1})
+				_, err := readResponse(ctx, f, f.NewCall(3))
 				return wantPhase("answer", err, garnetworks.PhaseWait, garnetworks.PhaseHeaders, garnetworks.PhaseBody)
 			},
 		},
 		"a late answer is whole": {
-			Story: "An answer that comes late is still the caller's.",
-			Able:  able,
-			Run: func(ctx context.Context, b EngineCallerBed) error {
-				b.Faults.SetFaults(faker.FaultPlan{LateAnswers: 1, LateBy: b.Silence / 4})
-				return wantWhole(ctx, b, b.Call(3))
+			Failure:   "An answer that comes late is still the caller's.",
+			Supported: hasFaults,
+			Run: func(ctx context.Context, f EngineCallerFixture) error {
+				f.Faults.SetFaults(faker.FaultPlan{LateAnswers: 1, LateBy: f.MaxStallTimeout / 4})
+				return wantComplete(ctx, f, f.NewCall(3))
 			},
 		},
 		"a silent connection is noticed": {
-			Story: "What lies between forgets the connection in the middle of an answer; the tech's screen stands still for good.",
-			Able:  able,
-			Run:   callerSilent,
+			Failure:   "What lies between forgets the connection in the middle of an answer; the tech's screen stands still for good.",
+			Supported: hasFaults,
+			Run:       callerStalled,
 		},
 		"a silent pooled connection is noticed": {
-			Story: "The pooled connections have gone silent; each new call is written to one of them.",
-			Able:  able,
-			Run:   callerSilentPool,
+			Failure:   "The pooled connections have gone silent; each new call is written to one of them.",
+			Supported: hasFaults,
+			Run:       callerStalledPool,
 		},
 		"a frozen engine is noticed": {
-			Story: "The engine pauses in the middle; the call must end and go elsewhere.",
-			Able:  able,
-			Run:   callerFrozen,
+			Failure:   "The engine pauses in the middle; the call must end and go elsewhere.",
+			Supported: hasFaults,
+			Run:       callerFrozen,
 		},
 		"closing cancels": {
-			Story: "A caller hangs up and its answer goes on taking the group's time.",
-			Able:  func(b EngineCallerBed) bool { return b.Running != nil },
-			Run:   callerCancels,
+			Failure:   "A caller hangs up and its answer goes on taking the group's time.",
+			Supported: func(f EngineCallerFixture) bool { return f.RunningCalls != nil },
+			Run:       callerCancels,
 		},
 		"the context ends the answer": {
-			Story: "A deadline passes and the node goes on reading.",
-			Run:   callerContext,
+			Failure: "A deadline passes and the node goes on reading.",
+			Run:     callerContext,
 		},
 		"an error lasts": {
-			Story: "After a broken answer the next read looks like its end.",
-			Able:  able,
-			Run:   callerErrorLasts,
+			Failure:   "After a broken answer the next read looks like its end.",
+			Supported: hasFaults,
+			Run:       callerErrorPersists,
 		},
 	}
 }
 
 // answer is what a caller has read.
-type answer struct {
+type readResult struct {
 	text   string
 	tokens int
 	end    garnetworks.Chunk
 }
 
 // readAll reads an answer up to its end marker.
-func readAll(ctx context.Context, b EngineCallerBed, call *garnetworks.EngineCall) (answer, error) {
-	stream, err := b.Caller.Generate(ctx, b.Address, call)
+func readResponse(ctx context.Context, f EngineCallerFixture, call *garnetworks.EngineCall) (readResult, error) {
+	stream, err := f.Caller.Generate(ctx, f.Address, call)
 	if err != nil {
-		return answer{}, err
+		return readResult{}, err
 	}
 	defer stream.Close()
 	return readStream(stream, call, -1)
@@ -177,8 +177,8 @@
 
 // readStream reads up to limit chunks, or all if limit is below 0, and checks
 // each.
-func readStream(stream garnetworks.EngineStream, call *garnetworks.EngineCall, limit int) (answer, error) {
-	var a answer
+func readStream(stream garnetworks.EngineStream, call *garnetworks.EngineCall, limit int) (readResult, error) {
+	var a readResult
 	var text strings.Builder
 	var chunk garnetworks.Chunk
 	for n := 0; n != limit && !chunk.End; n++ {
@@ -196,27 +196,27 @@
 	return a, nil
 }
 
-func wantWhole(ctx context.Context, b EngineCallerBed, call *garnetworks.EngineCall) error {
-	a, err := readAll(ctx, b, call)
+func wantComplete(ctx context.Context, f EngineCallerFixture, call *garnetworks.EngineCall) error {
+	a, err := readResponse(ctx, f, call)
 	if err != nil {
 		return errors.Wrap(err, "answer")
 	}
-	return steps(
-		func() error { return want("text", a.text, b.Text(call, call.ResumeFrom, call.MaxTokens)) },
+	return firstError(
+		func() error { return want("text", a.text, f.ResponseText(call, call.ResumeFrom, call.MaxTokens)) },
 		func() error { return want("tokens", a.tokens, call.MaxTokens-call.ResumeFrom) },
 		func() error { return want("end", a.end.End, true) },
 		func() error { return want("finish reason", a.end.FinishReason, "length") },
 	)
 }
 
-func callerWhole(ctx context.Context, b EngineCallerBed) error {
+func callerComplete(ctx context.Context, f EngineCallerFixture) error {
 	for range 3 {
-		if err := wantWhole(ctx, b, b.Call(12)); err != nil {
+		if err := wantComplete(ctx, f, f.NewCall(12)); err != nil {
 			return err
 		}
 	}
-	call := b.Call(2)
-	stream, err := b.Caller.Generate(ctx, b.Address, call)
+	call := f.NewCall(2)
+	stream, err := f.Caller.Generate(ctx, f.Address, call)
 	if err != nil {
 		return errors.Wrap(err, "generate")
 	}
@@ -231,36 +231,36 @@
 	return nil
 }
 
-func callerOddPrompts(ctx context.Context, b EngineCallerBed) error {
+func callerUnusualPrompts(ctx context.Context, f EngineCallerFixture) error {
 	for _, prompt := range []string{"a\nb", "a\r\nb\rc", "Größe 日本 \u2028", `"\`, "\x00", strings.Repeat("long ", 20000)} {
-		call := b.Call(2)
+		call := f.NewCall(2)
 		call.Prompt = prompt
-		if err := wantWhole(ctx, b, call); err != nil {
+		if err := wantComplete(ctx, f, call); err != nil {
 			return errors.Wrapf(err, "prompt %.20q", prompt)
 		}
 	}
 	return nil
 }
 
-func callerResumes(ctx context.Context, b EngineCallerBed) error {
+func callerResumes(ctx context.Context, f EngineCallerFixture) error {
 	for _, from := range []int{1, 5, 8} {
-		call := b.Call(8)
+		call := f.NewCall(8)
 		call.ResumeFrom = from
-		call.Delivered = b.Text(call, 0, from)
-		if err := wantWhole(ctx, b, call); err != nil {
+		call.Delivered = f.ResponseText(call, 0, from)
+		if err := wantComplete(ctx, f, call); err != nil {
 			return errors.Wrapf(err, "resumed from %d", from)
 		}
 	}
 	return nil
 }
 
-func callerMany(ctx context.Context, b EngineCallerBed) error {
+func callerConcurrent(ctx context.Context, f EngineCallerFixture) error {
 	const calls = 24
 	errs := make([]error, calls)
 	var wg sync.WaitGroup
 	for i := range calls {
-		call := b.Call(6)
-		wg.Go(func() { errs[i] = wantWhole(ctx, b, call) })
+		call := f.NewCall(6)
+		wg.Go(func() { errs[i] = wantComplete(ctx, f, call) })
 	}
 	wg.Wait()
 	for _, err := range errs {
@@ -271,31 +271,31 @@
 	return nil
 }
 
-func callerStale(ctx context.Context, b EngineCallerBed) error {
-	call := b.Call(1)
+func callerStaleToken(ctx context.Context, f EngineCallerFixture) error {
+	call := f.NewCall(1)
 	call.Token--
-	_, err := b.Caller.Generate(ctx, b.Address, call)
+	_, err := f.Caller.Generate(ctx, f.Address, call)
 	if err := wantPhase("old token", err, garnetworks.PhaseRefused); err != nil {
 		return err
 	}
-	call = b.Call(1)
+	call = f.NewCall(1)
 	call.Group = "another-group"
-	_, err = b.Caller.Generate(ctx, b.Address, call)
+	_, err = f.Caller.Generate(ctx, f.Address, call)
 	return wantPhase("other group", err, garnetworks.PhaseRefused)
 }
 
-func callerMissingMember(ctx context.Context, b EngineCallerBed) error {
-	b.LoseMember()
-	_, err := b.Caller.Generate(ctx, b.Address, b.Call(1))
+func callerMissingMember(ctx context.Context, f EngineCallerFixture) error {
+	f.StopMember()
+	_, err := f.Caller.Generate(ctx, f.Address, f.NewCall(1))
 	return wantPhase("generate", err, garnetworks.PhaseRefused)
 }
 
-func callerLosesMember(ctx context.Context, b EngineCallerBed) error {
-	return breakOff(ctx, b, b.LoseMember)
+func callerMemberLost(ctx context.Context, f EngineCallerFixture) error {
+	return failMidStream(ctx, f, f.StopMember)
 }
 
-func callerDies(ctx context.Context, b EngineCallerBed) error {
-	return breakOff(ctx, b, func() { b.Faults.SetFaults(faker.FaultPlan{Down: true}) })
+func callerEngineStops(ctx context.Context, f EngineCallerFixture) error {
+	return failMidStream(ctx, f, func() { f.Faults.SetFaults(faker.FaultPlan{Down: true}) })
 }
 
 // manyTokens is more than any case waits for.
@@ -303,9 +303,9 @@
 
 // breakOff reads some of a long answer, lets the failure happen, and wants the
 // rest to end in an error.
-func breakOff(ctx context.Context, b EngineCallerBed, fail func()) error {
-	call := b.Call(manyTokens)
-	stream, err := b.Caller.Generate(ctx, b.Address, call)
+func failMidStream(ctx context.Context, f EngineCallerFixture, fail func()) error {
+	call := f.NewCall(manyTokens)
+	stream, err := f.Caller.Generate(ctx, f.Address, call)
 	if err != nil {
 		return errors.Wrap(err, "generate")
 	}
@@ -321,10 +321,10 @@
 	return wantPhase("broken answer", err, garnetworks.PhaseBody)
 }
 
-func callerTruncated(ctx context.Context, b EngineCallerBed) error {
+func callerTruncated(ctx context.Context, f EngineCallerFixture) error {
 	for after := range 4 {
-		b.Faults.SetFaults(faker.FaultPlan{TruncateAnswers: 1, BreakAfter: after})
-		a, err := readAll(ctx, b, b.Call(3))
+		f.Faults.SetFaults(faker.FaultPlan{TruncateAnswers: 1, BreakAfter: after})
+		a, err := readResponse(ctx, f, f.NewCall(3))
 		if err := wantPhase("truncated answer", err, garnetworks.PhaseBody, garnetworks.PhaseWait, garnetworks.PhaseHeaders); err != nil {
 			return errors.Wrapf(err, "truncated after %d", after)
 		}
@@ -335,15 +335,15 @@
 	return nil
 }
 
-func callerCrossed(ctx context.Context, b EngineCallerBed) error {
+func callerMismatched(ctx context.Context, f EngineCallerFixture) error {
 	for after := range 3 {
-		b.Faults.SetFaults(faker.FaultPlan{CrossAnswers: 1, BreakAfter: after})
-		call := b.Call(6)
-		a, err := readAll(ctx, b, call)
+		f.Faults.SetFaults(faker.FaultPlan{CrossAnswers: 1, BreakAfter: after})
+		call := f.NewCall(6)
+		a, err := readResponse(ctx, f, call)
 		if err := wantPhase("crossed answer", err, garnetworks.PhaseMismatched); err != nil {
 			return errors.Wrapf(err, "crossed after %d", after)
 		}
-		if err := want("own tokens", a.text, b.Text(call, 0, after)); err != nil {
+		if err := want("own tokens", a.text, f.ResponseText(call, 0, after)); err != nil {
 			return err
 		}
 	}
@@ -351,7 +351,7 @@
 }
 
 // wantSilent returns an error unless err says that silence ended the attempt.
-func wantSilent(err error) error {
+func wantStalled(err error) error {
 	var attempt *garnetworks.AttemptError
 	if !errors.As(err, &attempt) || !attempt.Stalled {
 		return errors.Errorf("got error %v, want a silent attempt", err)
@@ -360,7 +360,7 @@
 }
 
 // readUntilError reads on for as long as a silent connection may last.
-func readUntilError(b EngineCallerBed, stream garnetworks.EngineStream) error {
+func readUntilError(f EngineCallerFixture, stream garnetworks.EngineStream) error {
 	ended := make(chan error, 1)
 	go func() {
 		var chunk garnetworks.Chunk
@@ -374,14 +374,14 @@
 	select {
 	case err := <-ended:
 		return err
-	case <-time.After(b.Silence + within):
+	case <-time.After(f.MaxStallTimeout + returnGrace):
 		return errors.New("the read did not end")
 	}
 }
 
-func callerSilent(ctx context.Context, b EngineCallerBed) error {
-	call := b.Call(manyTokens)
-	stream, err := b.Caller.Generate(ctx, b.Address, call)
+func callerStalled(ctx context.Context, f EngineCallerFixture) error {
+	call := f.NewCall(manyTokens)
+	stream, err := f.Caller.Generate(ctx, f.Address, call)
 	if err != nil {
 		return errors.Wrap(err, "generate")
 	}
@@ -389,32 +389,32 @@
 	if _, err := readStream(stream, call, 2); err != nil {
 		return errors.Wrap(err, "begin of the answer")
 	}
-	b.Faults.SilenceOpen()
-	if err := wantSilent(readUntilError(b, stream)); err != nil {
+	f.Faults.SilenceOpen()
+	if err := wantStalled(readUntilError(f, stream)); err != nil {
 		return err
 	}
-	return wantWhole(ctx, b, b.Call(3))
+	return wantComplete(ctx, f, f.NewCall(3))
 }
 
-func callerSilentPool(ctx context.Context, b EngineCallerBed) error {
-	if err := callerMany(ctx, b); err != nil {
+func callerStalledPool(ctx context.Context, f EngineCallerFixture) error {
+	if err := callerConcurrent(ctx, f); err != nil {
 		return err
 	}
-	b.Faults.SilenceOpen()
-	a, err := readAll(ctx, b, b.Call(3))
+	f.Faults.SilenceOpen()
+	a, err := readResponse(ctx, f, f.NewCall(3))
 	if err != nil {
-		if err := wantSilent(err); err != nil {
+		if err := wantStalled(err); err != nil {
 			return err
 		}
 	} else if err := want("end", a.end.End, true); err != nil {
 		return err
 	}
-	return wantWhole(ctx, b, b.Call(3))
+	return wantComplete(ctx, f, f.NewCall(3))
 }
 
-func callerFrozen(ctx context.Context, b EngineCallerBed) error {
-	call := b.Call(manyTokens)
-	stream, err := b.Caller.Generate(ctx, b.Address, call)
+func callerFrozen(ctx context.Context, f EngineCallerFixture) error {
+	call := f.NewCall(manyTokens)
+	stream, err := f.Caller.Generate(ctx, f.Address, call)
 	if err != nil {
 		return errors.Wrap(err, "generate")
 	}
@@ -422,21 +422,21 @@
 	if _, err := readStream(stream, call, 2); err != nil {
 		return errors.Wrap(err, "begin of the answer")
 	}
-	b.Faults.SetFaults(faker.FaultPlan{Frozen: true})
-	if err := wantSilent(readUntilError(b, stream)); err != nil {
+	f.Faults.SetFaults(faker.FaultPlan{Frozen: true})
+	if err := wantStalled(readUntilError(f, stream)); err != nil {
 		return err
 	}
-	_, err = b.Caller.Generate(ctx, b.Address, b.Call(1))
+	_, err = f.Caller.Generate(ctx, f.Address, f.NewCall(1))
 	if err := wantPhase("call to a frozen engine", err, garnetworks.PhaseWait); err != nil {
 		return err
 	}
-	b.Faults.SetFaults(faker.FaultPlan{})
-	return wantWhole(ctx, b, b.Call(3))
+	f.Faults.SetFaults(faker.FaultPlan{})
+	return wantComplete(ctx, f, f.NewCall(3))
 }
 
-func callerCancels(ctx context.Context, b EngineCallerBed) error {
-	call := b.Call(manyTokens)
-	stream, err := b.Caller.Generate(ctx, b.Address, call)
+func callerCancels(ctx context.Context, f EngineCallerFixture) error {
+	call := f.NewCall(manyTokens)
+	stream, err := f.Caller.Generate(ctx, f.Address, call)
 	if err != nil {
 		return errors.Wrap(err, "generate")
 	}
@@ -445,21 +445,21 @@
 		return errors.Wrap(err, "begin of the answer")
 	}
 	_ = stream.Close()
-	return eventually(ctx, func() error { return want("running calls", b.Running(), 0) })
+	return eventually(ctx, func() error { return want("running calls", f.RunningCalls(), 0) })
 }
 
-func callerContext(ctx context.Context, b EngineCallerBed) error {
-	err := promptly(ctx, shortWait, func(ctx context.Context) error {
-		_, err := readAll(ctx, b, b.Call(manyTokens))
+func callerContext(ctx context.Context, f EngineCallerFixture) error {
+	err := callWithTimeout(ctx, shortTimeout, func(ctx context.Context) error {
+		_, err := readResponse(ctx, f, f.NewCall(manyTokens))
 		return err
 	})
 	return wantPhase("answer", err, garnetworks.PhaseBody, garnetworks.PhaseWait, garnetworks.PhaseHeaders)
 }
 
-func callerErrorLasts(ctx context.Context, b EngineCallerBed) error {
-	b.Faults.SetFaults(faker.FaultPlan{TruncateAnswers: 1, BreakAfter: 1})
-	call := b.Call(3)
-	stream, err := b.Caller.Generate(ctx, b.Address, call)
+func callerErrorPersists(ctx context.Context, f EngineCallerFixture) error {
+	f.Faults.SetFaults(faker.FaultPlan{TruncateAnswers: 1, BreakAfter: 1})
+	call := f.NewCall(3)
+	stream, err := f.Caller.Generate(ctx, f.Address, call)
 	if err != nil {
 		return errors.Wrap(err, "generate")
 	}
--- a/checker/engineorders.go
+++ b/checker/engineorders.go
@@ -13,16 +13,16 @@
 
 // EngineOrdersBed is an adapter for orders with two engines that belong to no
 // group, one that checks fencing tokens and one that doesn't.
-type EngineOrdersBed struct {
+type EngineOrdersFixture struct {
 	Orders   garnetworks.EngineOrders
-	Checking EngineTarget
-	Trusting EngineTarget
+	Fenced   EngineTarget
+	Unfenced EngineTarget
 	// Weights are in the weight store.
 	Weights garnetworks.WeightID
 	// Unused is an address at which nothing listens.
 	Unused string
 	// Faults are those of the checking engine; they may be nil.
-	Faults Faults
+	Faults FaultInjector
 }
 
 // EngineTarget is where an engine is reached.
@@ -32,169 +32,169 @@
 }
 
 // EngineOrders checks an adapter for engine orders.
-func EngineOrders(t *testing.T, open func(t *testing.T) EngineOrdersBed) {
+func EngineOrders(t *testing.T, newFixture func(t *testing.T) EngineOrdersFixture) {
 	t.Helper()
-	run(t, open, EngineOrdersCases())
+	run(t, newFixture, EngineOrdersCases())
 }
 
 // EngineOrdersCases returns the contract of garnetworks.EngineOrders.
-func EngineOrdersCases() map[string]Case[EngineOrdersBed] {
-	able := func(b EngineOrdersBed) bool { return b.Faults != nil }
-	return map[string]Case[EngineOrdersBed]{
+func EngineOrdersCases() map[string]Case[EngineOrdersFixture] {
+	hasFaults := func(f EngineOrdersFixture) bool { return f.Faults != nil }
+	return map[string]Case[EngineOrdersFixture]{
 		"form makes a member that gets ready": {
-			Story: "A group is formed on paper while its members serve something else.",
-			Run:   ordersForm,
+			Failure: "A group is formed on paper while its members serve something else.",
+			Run:     ordersForm,
 		},
 		"release makes the engine idle under the release's token": {
-			Story: "A released instance stays with its old group and is a member of two; or it reports token 0, which is taken for an echo, and is lost to its zone.",
-			Run:   ordersRelease,
+			Failure: "A released instance stays with its old group and is a member of two; or it reports token 0, which is taken for an echo, and is lost to its zone.",
+			Run:     ordersRelease,
 		},
 		"drain takes no new calls": {
-			Story: "A leaving engine keeps taking calls and cuts them off.",
-			Run:   ordersDrain,
+			Failure: "A leaving engine keeps taking calls and cuts them off.",
+			Run:     ordersDrain,
 		},
 		"preload loads without joining": {
-			Story: "Weights are loaded ahead and the engine believes it is a member.",
-			Run:   ordersPreload,
+			Failure: "Weights are loaded ahead and the engine believes it is a member.",
+			Run:     ordersPreload,
 		},
 		"adapters are replaced": {
-			Story: "An adapter is taken out of the manifest and still answers.",
-			Run:   ordersAdapters,
+			Failure: "An adapter is taken out of the manifest and still answers.",
+			Run:     ordersAdapters,
 		},
 		"a repeated order changes nothing": {
-			Story: "An order whose answer was lost is sent again and breaks off the calls of a serving group.",
-			Run:   ordersRepeated,
+			Failure: "An order whose answer was lost is sent again and breaks off the calls of a serving group.",
+			Run:     ordersRepeated,
 		},
 		"a repeated order can change the rate of a load": {
-			Story: "A group starts to load at what is left of the weight store's rate; when the others are done it is given more, and goes on at a crawl.",
-			Run:   ordersChangeRate,
+			Failure: "A group starts to load at what is left of the weight store's rate; when the others are done it is given more, and goes on at a crawl.",
+			Run:     ordersChangeRate,
 		},
 		"an old token is refused by an engine that checks": {
-			Story: "A paused controller wakes and takes an instance out of the group that its successor formed.",
-			Run:   ordersStale,
+			Failure: "A paused controller wakes and takes an instance out of the group that its successor formed.",
+			Run:     ordersStaleToken,
 		},
 		"an engine that does not check obeys": {
-			Story: "Tests believe in a protection that some engines don't have.",
-			Run:   ordersTrusting,
+			Failure: "Tests believe in a protection that some engines don't have.",
+			Run:     ordersUnfenced,
 		},
 		"an unknown order is an error": {
-			Story: "A newer program's order is swallowed and the controller waits for its effect.",
-			Run: func(ctx context.Context, b EngineOrdersBed) error {
-				_, err := b.Orders.Order(ctx, b.Checking.Address, garnetworks.EngineOrder{ID: "1", Kind: "dance", Token: 1})
+			Failure: "A newer program's order is swallowed and the controller waits for its effect.",
+			Run: func(ctx context.Context, f EngineOrdersFixture) error {
+				_, err := f.Orders.Order(ctx, f.Fenced.Address, garnetworks.EngineOrder{ID: "1", Kind: "dance", Token: 1})
 				return wantKind("order", err, garnetworks.KindInvalidRequest)
 			},
 		},
 		"nobody listens": {
-			Story: "An engine's instance is gone; its order must be known not to have been carried out.",
-			Run: func(ctx context.Context, b EngineOrdersBed) error {
-				_, err := b.Orders.Order(ctx, b.Unused, formOrder(b, "1", 1))
+			Failure: "An engine's instance is gone; its order must be known not to have been carried out.",
+			Run: func(ctx context.Context, f EngineOrdersFixture) error {
+				_, err := f.Orders.Order(ctx, f.Unused, formOrder(f, "1", 1))
 				if err := wantKind("order", err, garnetworks.KindUnreachable); err != nil {
 					return err
 				}
-				_, err = b.Orders.Status(ctx, b.Unused)
+				_, err = f.Orders.Status(ctx, f.Unused)
 				return wantKind("status", err, garnetworks.KindUnreachable)
 			},
 		},
 		"a lost answer is neither failed nor done": {
-			Story: "The engine joined the group although its controller was told that it did not.",
-			Able:  able,
-			Run:   ordersLost,
+			Failure:   "The engine joined the group although its controller was told that it did not.",
+			Supported: hasFaults,
+			Run:       ordersResponseLost,
 		},
 		"an engine that is down is said": {
-			Story: "A dead member keeps its last word and its group goes on serving.",
-			Able:  able,
-			Run: func(ctx context.Context, b EngineOrdersBed) error {
-				b.Faults.SetFaults(faker.FaultPlan{Down: true})
-				_, err := b.Orders.Status(ctx, b.Checking.Address)
+			Failure:   "A dead member keeps its last word and its group goes on serving.",
+			Supported: hasFaults,
+			Run: func(ctx context.Context, f EngineOrdersFixture) error {
+				f.Faults.SetFaults(faker.FaultPlan{Down: true})
+				_, err := f.Orders.Status(ctx, f.Fenced.Address)
 				return wantKind("status", err, garnetworks.KindUnreachable)
 			},
 		},
 		"a frozen engine holds nobody beyond the context": {
-			Story: "An engine pauses and holds up the probes of all others.",
-			Able:  able,
-			Run: func(ctx context.Context, b EngineOrdersBed) error {
-				b.Faults.SetFaults(faker.FaultPlan{Frozen: true})
-				err := promptly(ctx, shortWait, func(ctx context.Context) error {
-					_, err := b.Orders.Status(ctx, b.Checking.Address)
+			Failure:   "An engine pauses and holds up the probes of all others.",
+			Supported: hasFaults,
+			Run: func(ctx context.Context, f EngineOrdersFixture) error {
+				f.Faults.SetFaults(faker.FaultPlan{Frozen: true})
+				err := callWithTimeout(ctx, shortTimeout, func(ctx context.Context) error {
+					_, err := f.Orders.Status(ctx, f.Fenced.Address)
 					return err
 				})
 				return wantKind("status", err, garnetworks.KindUnreachable)
 			},
 		},
 		"silent connections are given up": {
-			Story: "Probes over a forgotten connection fail for ever and take a healthy group out.",
-			Able:  able,
-			Run:   ordersSilent,
+			Failure:   "Probes over a forgotten connection fail for ever and take a healthy group out.",
+			Supported: hasFaults,
+			Run:       ordersStalled,
 		},
 	}
 }
 
-func formOrder(b EngineOrdersBed, id string, token garnetworks.FencingToken) garnetworks.EngineOrder {
+func formOrder(f EngineOrdersFixture, id string, token garnetworks.FencingToken) garnetworks.EngineOrder {
 	return garnetworks.EngineOrder{
 		ID:      id,
 		Kind:    garnetworks.OrderForm,
 		Token:   token,
 		Group:   garnetworks.GroupID("group-" + id),
-		Members: []garnetworks.InstanceID{b.Checking.Instance, b.Trusting.Instance},
-		Model:   b.Weights.Model,
-		Version: b.Weights.Version,
+		Members: []garnetworks.InstanceID{f.Fenced.Instance, f.Unfenced.Instance},
+		Model:   f.Weights.Model,
+		Version: f.Weights.Version,
 	}
 }
 
 // wantReady waits until the engine serves in the order's group.
-func wantReady(ctx context.Context, b EngineOrdersBed, address string, order garnetworks.EngineOrder) error {
+func wantReady(ctx context.Context, f EngineOrdersFixture, address string, order garnetworks.EngineOrder) error {
 	return eventually(ctx, func() error {
-		status, err := b.Orders.Status(ctx, address)
+		status, err := f.Orders.Status(ctx, address)
 		if err != nil {
 			return errors.Wrap(err, "status")
 		}
-		return steps(
+		return firstError(
 			func() error { return want("phase", status.Phase, garnetworks.EngineReady) },
 			func() error { return want("group", status.Group, order.Group) },
 			func() error { return want("token", status.Token, order.Token) },
 			func() error { return want("model", status.Model, order.Model) },
 			func() error { return want("version", status.Version, order.Version) },
 			func() error { return want("last order", status.LastOrder, order.ID) },
-			func() error { return want("has the weights", slices.Contains(status.Weights, b.Weights), true) },
+			func() error { return want("has the weights", slices.Contains(status.Weights, f.Weights), true) },
 		)
 	})
 }
 
-func sendOrder(ctx context.Context, b EngineOrdersBed, target EngineTarget, order garnetworks.EngineOrder) (garnetworks.EngineStatus, error) {
-	status, err := b.Orders.Order(ctx, target.Address, order)
+func sendOrder(ctx context.Context, f EngineOrdersFixture, target EngineTarget, order garnetworks.EngineOrder) (garnetworks.EngineStatus, error) {
+	status, err := f.Orders.Order(ctx, target.Address, order)
 	if err != nil {
 		return status, errors.Wrapf(err, "order %s", order.Kind)
 	}
 	return status, want("instance", status.Instance, target.Instance)
 }
 
-func ordersForm(ctx context.Context, b EngineOrdersBed) error {
-	order := formOrder(b, "1", 1<<40)
-	for _, target := range []EngineTarget{b.Checking, b.Trusting} {
-		status, err := sendOrder(ctx, b, target, order)
+func ordersForm(ctx context.Context, f EngineOrdersFixture) error {
+	order := formOrder(f, "1", 1<<40)
+	for _, target := range []EngineTarget{f.Fenced, f.Unfenced} {
+		status, err := sendOrder(ctx, f, target, order)
 		if err != nil {
 			return err
 		}
 		if err := want("group at once", status.Group, order.Group); err != nil {
 			return err
 		}
-		if err := wantReady(ctx, b, target.Address, order); err != nil {
+		if err := wantReady(ctx, f, target.Address, order); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func ordersRelease(ctx context.Context, b EngineOrdersBed) error {
-	if _, err := sendOrder(ctx, b, b.Checking, formOrder(b, "1", 1)); err != nil {
+func ordersRelease(ctx context.Context, f EngineOrdersFixture) error {
+	if _, err := sendOrder(ctx, f, f.Fenced, formOrder(f, "1", 1)); err != nil {
 		return err
 	}
-	status, err := sendOrder(ctx, b, b.Checking, garnetworks.EngineOrder{ID: "2", Kind: garnetworks.OrderRelease, Token: 2})
+	status, err := sendOrder(ctx, f, f.Fenced, garnetworks.EngineOrder{ID: "2", Kind: garnetworks.OrderRelease, Token: 2})
 	if err != nil {
 		return err
 	}
 	released := func(status garnetworks.EngineStatus) error {
-		return steps(
+		return firstError(
 			func() error { return want("phase", status.Phase, garnetworks.EngineIdle) },
 			func() error { return want("group", status.Group, "") },
 			func() error { return want("token", status.Token, 2) },
@@ -203,55 +203,55 @@
 	if err := released(status); err != nil {
 		return err
 	}
-	status, err = b.Orders.Status(ctx, b.Checking.Address)
+	status, err = f.Orders.Status(ctx, f.Fenced.Address)
 	if err != nil {
 		return errors.Wrap(err, "status")
 	}
 	return released(status)
 }
 
-func ordersDrain(ctx context.Context, b EngineOrdersBed) error {
-	form := formOrder(b, "1", 1)
-	if _, err := sendOrder(ctx, b, b.Checking, form); err != nil {
+func ordersDrain(ctx context.Context, f EngineOrdersFixture) error {
+	form := formOrder(f, "1", 1)
+	if _, err := sendOrder(ctx, f, f.Fenced, form); err != nil {
 		return err
 	}
-	if err := wantReady(ctx, b, b.Checking.Address, form); err != nil {
+	if err := wantReady(ctx, f, f.Fenced.Address, form); err != nil {
 		return err
 	}
-	status, err := sendOrder(ctx, b, b.Checking, garnetworks.EngineOrder{ID: "2", Kind: garnetworks.OrderDrain, Token: 2})
+	status, err := sendOrder(ctx, f, f.Fenced, garnetworks.EngineOrder{ID: "2", Kind: garnetworks.OrderDrain, Token: 2})
 	if err != nil {
 		return err
 	}
 	return want("phase", status.Phase, garnetworks.EngineDraining)
 }
 
-func ordersPreload(ctx context.Context, b EngineOrdersBed) error {
+func ordersPreload(ctx context.Context, f EngineOrdersFixture) error {
 	order := garnetworks.EngineOrder{
 		ID:      "1",
 		Kind:    garnetworks.OrderPreload,
 		Token:   1,
-		Model:   b.Weights.Model,
-		Version: b.Weights.Version,
+		Model:   f.Weights.Model,
+		Version: f.Weights.Version,
 	}
-	if _, err := sendOrder(ctx, b, b.Checking, order); err != nil {
+	if _, err := sendOrder(ctx, f, f.Fenced, order); err != nil {
 		return err
 	}
 	return eventually(ctx, func() error {
-		status, err := b.Orders.Status(ctx, b.Checking.Address)
+		status, err := f.Orders.Status(ctx, f.Fenced.Address)
 		if err != nil {
 			return errors.Wrap(err, "status")
 		}
-		return steps(
+		return firstError(
 			func() error { return want("group", status.Group, "") },
-			func() error { return want("has the weights", slices.Contains(status.Weights, b.Weights), true) },
+			func() error { return want("has the weights", slices.Contains(status.Weights, f.Weights), true) },
 		)
 	})
 }
 
-func ordersAdapters(ctx context.Context, b EngineOrdersBed) error {
-	form := formOrder(b, "1", 1)
+func ordersAdapters(ctx context.Context, f EngineOrdersFixture) error {
+	form := formOrder(f, "1", 1)
 	form.Adapters = []garnetworks.AdapterName{"one", "two"}
-	status, err := sendOrder(ctx, b, b.Checking, form)
+	status, err := sendOrder(ctx, f, f.Fenced, form)
 	if err != nil {
 		return err
 	}
@@ -259,7 +259,7 @@
 		return errors.Errorf("got adapters %v, want %v", status.Adapters, form.Adapters)
 	}
 	change := garnetworks.EngineOrder{ID: "2", Kind: garnetworks.OrderAdapters, Token: 1, Adapters: []garnetworks.AdapterName{"two"}}
-	status, err = sendOrder(ctx, b, b.Checking, change)
+	status, err = sendOrder(ctx, f, f.Fenced, change)
 	if err != nil {
 		return err
 	}
@@ -269,25 +269,25 @@
 	return want("group", status.Group, form.Group)
 }
 
-func ordersRepeated(ctx context.Context, b EngineOrdersBed) error {
-	order := formOrder(b, "1", 1)
-	if _, err := sendOrder(ctx, b, b.Checking, order); err != nil {
+func ordersRepeated(ctx context.Context, f EngineOrdersFixture) error {
+	order := formOrder(f, "1", 1)
+	if _, err := sendOrder(ctx, f, f.Fenced, order); err != nil {
 		return err
 	}
-	if err := wantReady(ctx, b, b.Checking.Address, order); err != nil {
+	if err := wantReady(ctx, f, f.Fenced.Address, order); err != nil {
 		return err
 	}
-	status, err := sendOrder(ctx, b, b.Checking, order)
+	status, err := sendOrder(ctx, f, f.Fenced, order)
 	if err != nil {
 		return err
 	}
 	return want("phase", status.Phase, garnetworks.EngineReady)
 }
 
-func ordersChangeRate(ctx context.Context, b EngineOrdersBed) error {
-	slow := formOrder(b, "1", 1)
+func ordersChangeRate(ctx context.Context, f EngineOrdersFixture) error {
+	slow := formOrder(f, "1", 1)
 	slow.LoadRate = 1
-	status, err := sendOrder(ctx, b, b.Checking, slow)
+	status, err := sendOrder(ctx, f, f.Fenced, slow)
 	if err != nil {
 		return err
 	}
@@ -296,56 +296,56 @@
 	}
 	quick := slow
 	quick.ID, quick.LoadRate = "2", 1<<40
-	if _, err := sendOrder(ctx, b, b.Checking, quick); err != nil {
+	if _, err := sendOrder(ctx, f, f.Fenced, quick); err != nil {
 		return err
 	}
-	return wantReady(ctx, b, b.Checking.Address, quick)
+	return wantReady(ctx, f, f.Fenced.Address, quick)
 }
 
-func ordersStale(ctx context.Context, b EngineOrdersBed) error {
-	newer := formOrder(b, "1", 8)
-	if _, err := sendOrder(ctx, b, b.Checking, newer); err != nil {
+func ordersStaleToken(ctx context.Context, f EngineOrdersFixture) error {
+	newer := formOrder(f, "1", 8)
+	if _, err := sendOrder(ctx, f, f.Fenced, newer); err != nil {
 		return err
 	}
 	for _, kind := range []garnetworks.OrderKind{garnetworks.OrderForm, garnetworks.OrderRelease, garnetworks.OrderDrain} {
-		older := formOrder(b, "2", 7)
+		older := formOrder(f, "2", 7)
 		older.Kind = kind
-		_, err := b.Orders.Order(ctx, b.Checking.Address, older)
+		_, err := f.Orders.Order(ctx, f.Fenced.Address, older)
 		if err := wantKind("old "+string(kind), err, garnetworks.KindStaleToken); err != nil {
 			return err
 		}
 	}
-	return wantReady(ctx, b, b.Checking.Address, newer)
+	return wantReady(ctx, f, f.Fenced.Address, newer)
 }
 
-func ordersTrusting(ctx context.Context, b EngineOrdersBed) error {
-	if _, err := sendOrder(ctx, b, b.Trusting, formOrder(b, "1", 8)); err != nil {
+func ordersUnfenced(ctx context.Context, f EngineOrdersFixture) error {
+	if _, err := sendOrder(ctx, f, f.Unfenced, formOrder(f, "1", 8)); err != nil {
 		return err
 	}
-	older := formOrder(b, "2", 7)
-	if _, err := sendOrder(ctx, b, b.Trusting, older); err != nil {
+	older := formOrder(f, "2", 7)
+	if _, err := sendOrder(ctx, f, f.Unfenced, older); err != nil {
 		return err
 	}
-	return wantReady(ctx, b, b.Trusting.Address, older)
+	return wantReady(ctx, f, f.Unfenced.Address, older)
 }
 
-func ordersLost(ctx context.Context, b EngineOrdersBed) error {
-	order := formOrder(b, "1", 1)
-	b.Faults.SetFaults(faker.FaultPlan{LoseAnswers: 1, Methods: []string{faker.MethodOrder}})
-	_, err := b.Orders.Order(ctx, b.Checking.Address, order)
+func ordersResponseLost(ctx context.Context, f EngineOrdersFixture) error {
+	order := formOrder(f, "1", 1)
+	f.Faults.SetFaults(faker.FaultPlan{LoseAnswers: 1, Methods: []string{faker.MethodOrder}})
+	_, err := f.Orders.Order(ctx, f.Fenced.Address, order)
 	if err := wantKind("order", err, garnetworks.KindResponseLost); err != nil {
 		return err
 	}
-	return wantReady(ctx, b, b.Checking.Address, order)
+	return wantReady(ctx, f, f.Fenced.Address, order)
 }
 
-func ordersSilent(ctx context.Context, b EngineOrdersBed) error {
-	if _, err := b.Orders.Status(ctx, b.Checking.Address); err != nil {
+func ordersStalled(ctx context.Context, f EngineOrdersFixture) error {
+	if _, err := f.Orders.Status(ctx, f.Fenced.Address); err != nil {
 		return errors.Wrap(err, "status")
 	}
-	b.Faults.SilenceOpen()
-	err := promptly(ctx, shortWait, func(ctx context.Context) error {
-		_, err := b.Orders.Status(ctx, b.Checking.Address)
+	f.Faults.SilenceOpen()
+	err := callWithTimeout(ctx, shortTimeout, func(ctx context.Context) error {
+		_, err := f.Orders.Status(ctx, f.Fenced.Address)
 		return err
 	})
 	if err != nil {
@@ -353,8 +353,8 @@
 			return err
 		}
 	}
-	return promptly(ctx, longWait, func(ctx context.Context) error {
-		_, err := b.Orders.Status(ctx, b.Checking.Address)
+	return callWithTimeout(ctx, longTimeout, func(ctx context.Context) error {
+		_, err := f.Orders.Status(ctx, f.Fenced.Address)
 		return errors.Wrap(err, "status afterwards")
 	})
 }
--- a/checker/peer.go
+++ b/checker/peer.go
@@ -14,89 +14,89 @@
 )
 
 // PeerBed connects callers to handlers.
-type PeerBed struct {
+type PeerFixture struct {
 	Caller garnetworks.PeerCaller
 	// Serve makes the handler reachable and returns its address and a function
 	// that ends it with its connections.
-	Serve func(handler garnetworks.PeerHandler) (address string, end func())
+	Serve func(handler garnetworks.PeerHandler) (address string, stop func())
 	// Unused is an address at which nothing listens.
 	Unused string
 }
 
 // Peer checks a caller of other nodes with the server that it needs.
-func Peer(t *testing.T, open func(t *testing.T) PeerBed) {
+func Peer(t *testing.T, newFixture func(t *testing.T) PeerFixture) {
 	t.Helper()
-	run(t, open, PeerCases())
+	run(t, newFixture, PeerCases())
 }
 
 // PeerCases returns the contract of garnetworks.PeerCaller.
-func PeerCases() map[string]Case[PeerBed] {
-	return map[string]Case[PeerBed]{
+func PeerCases() map[string]Case[PeerFixture] {
+	return map[string]Case[PeerFixture]{
 		"requests and responses arrive as they are": {
-			Story: "A field is lost between nodes of one version; leases and manifests are compared by what is left.",
-			Run:   peerRoundTrips,
+			Failure: "A field is lost between nodes of one version; leases and manifests are compared by what is left.",
+			Run:     peerRoundTrips,
 		},
 		"a handler's error keeps its kind": {
-			Story: "A refusal by a peer looks like a broken network and is retried for ever.",
-			Run:   peerKinds,
+			Failure: "A refusal by a peer looks like a broken network and is retried for ever.",
+			Run:     peerKinds,
 		},
 		"nobody listens": {
-			Story: "A replaced node must be noticed, not waited for.",
-			Run: func(ctx context.Context, b PeerBed) error {
-				_, err := b.Caller.Status(ctx, b.Unused, &garnetworks.StatusRequest{})
+			Failure: "A replaced node must be noticed, not waited for.",
+			Run: func(ctx context.Context, f PeerFixture) error {
+				_, err := f.Caller.Status(ctx, f.Unused, &garnetworks.StatusRequest{})
 				return wantKind("status", err, garnetworks.KindUnreachable)
 			},
 		},
 		"a peer that hangs holds nobody beyond the context": {
-			Story: "One paused node holds up the heartbeats of all.",
-			Run:   peerHangs,
+			Failure: "One paused node holds up the heartbeats of all.",
+			Run:     peerHangs,
 		},
 		"a peer that dies in a call is said": {
-			Story: "A node dies with a call in hand; it may have taken effect.",
-			Run:   peerDies,
+			Failure: "A node dies with a call in hand; it may have taken effect.",
+			Run:     peerDies,
 		},
 		"a peer that comes back is reached": {
-			Story: "A node restarts at its address and its peers keep to the dead connection.",
-			Run:   peerReturns,
+			Failure: "A node restarts at its address and its peers keep to the dead connection.",
+			Run:     peerRestarts,
 		},
 		"many calls at once stay apart": {
-			Story: "A heartbeat's answer reaches the caller of another.",
-			Run:   peerMany,
+			Failure: "A heartbeat's answer reaches the caller of another.",
+			Run:     peerConcurrent,
 		},
 		"a manifest of the largest size passes": {
-			Story: "A large manifest is committed and never arrives.",
-			Run:   peerLarge,
+			Failure: "A large manifest is committed and never arrives.",
+			Run:     peerLargestManifest,
 		},
 	}
 }
 
 // peerHandler answers with what its fields say.
 type peerHandler struct {
-	mu         sync.Mutex
-	heartbeats []*garnetworks.HeartbeatRequest
-	distribute []*garnetworks.DistributeRequest
-	fetches    []*garnetworks.FetchRequest
-	events     []*garnetworks.EventsRequest
-	statuses   []*garnetworks.StatusRequest
-	proposes   []*garnetworks.ProposeRequest
-	progresses []*garnetworks.ProgressRequest
-	reports    []*garnetworks.ReportRequest
+	mu          sync.Mutex
+	heartbeats  []*garnetworks.HeartbeatRequest
+	distributes []*garnetworks.DistributeRequest
+	fetches     []*garnetworks.FetchRequest
+	events      []*garnetworks.EventsRequest
+	statuses    []*garnetworks.StatusRequest
+	proposes    []*garnetworks.ProposeRequest
+	progresses  []*garnetworks.ProgressRequest
+	reports     []*garnetworks.ReportRequest
 	// hang holds each call until it is closed or the call's context ends.
-	hang chan struct{}
+	block chan struct{}
 	// entered gets a value for each call, if it has room.
-	entered chan struct{}
+	started chan struct{}
 	err     error
 	sample  peerSample
 }
 
-func (h *peerHandler) enter(ctx context.Context) error {
+func (h *peerHandler) begin(ctx context.Context) error {
 	select {
-	case h.entered <- struct{}{}:
+	case h.started <- struct{}{}:
 	default:
 	}
-	if h.hang != nil {
+	if h.block != nil {
 		select {
-		case <-h.hang:
+		case <-h.block:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -104,18 +104,18 @@
 	return h.err
 }
 
-func (h *peerHandler) note(enter func()) {
+func (h *peerHandler) record(add func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	enter()
+	add()
 }
 
 // Heartbeat implements garnetworks.PeerHandler; it echoes the sender.
 func (h *peerHandler) Heartbeat(ctx context.Context, r *garnetworks.HeartbeatRequest) (*garnetworks.HeartbeatResponse, error) {
-	if err := h.enter(ctx); err != nil {
+	if err := h.begin(ctx); err != nil {
 		return nil, err
 	}
-	h.note(func() { h.heartbeats = append(h.heartbeats, r) })
+	h.record(func() { h.heartbeats = append(h.heartbeats, r) })
 	response := h.sample.heartbeat
 	response.From.ID = r.From.ID
 	return &response, nil
@@ -123,66 +123,66 @@
 
 // Distribute implements garnetworks.PeerHandler; it counts the updates.
 func (h *peerHandler) Distribute(ctx context.Context, r *garnetworks.DistributeRequest) (*garnetworks.DistributeResponse, error) {
-	if err := h.enter(ctx); err != nil {
+	if err := h.begin(ctx); err != nil {
 		return nil, err
 	}
-	h.note(func() { h.distribute = append(h.distribute, r) })
+	h.record(func() { h.distributes = append(h.distributes, r) })
 	return &garnetworks.DistributeResponse{At: h.sample.at, Accepted: len(r.Updates)}, nil
 }
 
 // Fetch implements garnetworks.PeerHandler.
 func (h *peerHandler) Fetch(ctx context.Context, r *garnetworks.FetchRequest) (*garnetworks.FetchResponse, error) {
-	if err := h.enter(ctx); err != nil {
+	if err := h.begin(ctx); err != nil {
 		return nil, err
 	}
-	h.note(func() { h.fetches = append(h.fetches, r) })
+	h.record(func() { h.fetches = append(h.fetches, r) })
 	return &garnetworks.FetchResponse{At: h.sample.at, Updates: h.sample.updates}, nil
 }
 
 // Events implements garnetworks.PeerHandler.
 func (h *peerHandler) Events(ctx context.Context, r *garnetworks.EventsRequest) (*garnetworks.EventsResponse, error) {
-	if err := h.enter(ctx); err != nil {
+	if err := h.begin(ctx); err != nil {
 		return nil, err
 	}
-	h.note(func() { h.events = append(h.events, r) })
+	h.record(func() { h.events = append(h.events, r) })
 	response := h.sample.events
 	return &response, nil
 }
 
 // Status implements garnetworks.PeerHandler.
 func (h *peerHandler) Status(ctx context.Context, r *garnetworks.StatusRequest) (*garnetworks.StatusResponse, error) {
-	if err := h.enter(ctx); err != nil {
+	if err := h.begin(ctx); err != nil {
 		return nil, err
 	}
-	h.note(func() { h.statuses = append(h.statuses, r) })
+	h.record(func() { h.statuses = append(h.statuses, r) })
 	response := h.sample.status
 	return &response, nil
 }
 
 // Propose implements garnetworks.PeerHandler.
 func (h *peerHandler) Propose(ctx context.Context, r *garnetworks.ProposeRequest) (*garnetworks.ProposeResponse, error) {
-	if err := h.enter(ctx); err != nil {
+	if err := h.begin(ctx); err != nil {
 		return nil, err
 	}
-	h.note(func() { h.proposes = append(h.proposes, r) })
+	h.record(func() { h.proposes = append(h.proposes, r) })
 	return &garnetworks.ProposeResponse{At: h.sample.at, Progress: h.sample.progress}, nil
 }
 
 // Progress implements garnetworks.PeerHandler.
 func (h *peerHandler) Progress(ctx context.Context, r *garnetworks.ProgressRequest) (*garnetworks.ProgressResponse, error) {
-	if err := h.enter(ctx); err != nil {
+	if err := h.begin(ctx); err != nil {
 		return nil, err
 	}
-	h.note(func() { h.progresses = append(h.progresses, r) })
+	h.record(func() { h.progresses = append(h.progresses, r) })
 	return &garnetworks.ProgressResponse{At: h.sample.at, Progress: h.sample.progress}, nil
 }
 
 // Report implements garnetworks.PeerHandler.
 func (h *peerHandler) Report(ctx context.Context, r *garnetworks.ReportRequest) (*garnetworks.ReportResponse, error) {
-	if err := h.enter(ctx); err != nil {
+	if err := h.begin(ctx); err != nil {
 		return nil, err
 	}
-	h.note(func() { h.reports = append(h.reports, r) })
+	h.record(func() { h.reports = append(h.reports, r) })
 	return &garnetworks.ReportResponse{At: h.sample.at, Manifest: 4, Proposal: 5}, nil
 }
 
@@ -256,62 +256,62 @@
 	}
 }
 
-func same(what string, got, wanted any) error {
+func wantEqual(what string, got, wanted any) error {
 	if reflect.DeepEqual(got, wanted) {
 		return nil
 	}
 	return errors.Errorf("%s: got %+v, want %+v", what, got, wanted)
 }
 
-func peerRoundTrips(ctx context.Context, b PeerBed) error {
+func peerRoundTrips(ctx context.Context, f PeerFixture) error {
 	sample := newPeerSample()
 	h := &peerHandler{sample: sample}
-	address, end := b.Serve(h)
-	defer end()
-	return steps(
-		func() error { return peerHeartbeat(ctx, b, address, h) },
-		func() error { return peerDistribute(ctx, b, address, h) },
+	address, stop := f.Serve(h)
+	defer stop()
+	return firstError(
+		func() error { return peerHeartbeat(ctx, f, address, h) },
+		func() error { return peerDistribute(ctx, f, address, h) },
 		func() error {
 			request := &garnetworks.FetchRequest{At: sample.at, Topics: []garnetworks.Topic{garnetworks.TopicManifest}}
-			response, err := b.Caller.Fetch(ctx, address, request)
+			response, err := f.Caller.Fetch(ctx, address, request)
 			if err != nil {
 				return errors.Wrap(err, "fetch")
 			}
-			return steps(
-				func() error { return same("fetch request", h.fetches[0], request) },
-				func() error { return same("fetch response", response.Updates, sample.updates) },
+			return firstError(
+				func() error { return wantEqual("fetch request", h.fetches[0], request) },
+				func() error { return wantEqual("fetch response", response.Updates, sample.updates) },
 			)
 		},
 		func() error {
 			request := &garnetworks.EventsRequest{At: sample.at, After: 1 << 40, Limit: 12}
-			response, err := b.Caller.Events(ctx, address, request)
+			response, err := f.Caller.Events(ctx, address, request)
 			if err != nil {
 				return errors.Wrap(err, "events")
 			}
-			return steps(
-				func() error { return same("events request", h.events[0], request) },
-				func() error { return same("events response", *response, sample.events) },
+			return firstError(
+				func() error { return wantEqual("events request", h.events[0], request) },
+				func() error { return wantEqual("events response", *response, sample.events) },
 			)
 		},
 		func() error {
 			request := &garnetworks.StatusRequest{At: sample.at}
-			response, err := b.Caller.Status(ctx, address, request)
+			response, err := f.Caller.Status(ctx, address, request)
 			if err != nil {
 				return errors.Wrap(err, "status")
 			}
-			normalize(response)
-			return steps(
-				func() error { return same("status request", h.statuses[0], request) },
-				func() error { return same("status response", *response, sample.status) },
+			statusToUTC(response)
+			return firstError(
+				func() error { return wantEqual("status request", h.statuses[0], request) },
+				func() error { return wantEqual("status response", *response, sample.status) },
 			)
 		},
-		func() error { return peerCommits(ctx, b, address, h) },
+		func() error { return peerCommits(ctx, f, address, h) },
 	)
 }
 
 // normalize gives the times of a decoded response the location of the sample's;
 // a codec may choose another one for the same instant.
-func normalize(response *garnetworks.StatusResponse) {
+func statusToUTC(response *garnetworks.StatusResponse) {
 	for i := range response.Views {
 		for j := range response.Views[i].Groups {
 			at := &response.Views[i].Groups[j].Load.At
@@ -320,8 +320,8 @@
 	}
 }
 
-func peerHeartbeat(ctx context.Context, b PeerBed, address string, h *peerHandler) error {
-	response, err := b.Caller.Heartbeat(ctx, address, &h.sample.request)
+func peerHeartbeat(ctx context.Context, f PeerFixture, address string, h *peerHandler) error {
+	response, err := f.Caller.Heartbeat(ctx, address, &h.sample.request)
 	if err != nil {
 		return errors.Wrap(err, "heartbeat")
 	}
@@ -330,83 +330,83 @@
 		at := &got.Confirmations[i].Status.Load.At
 		*at = at.UTC()
 	}
-	return steps(
-		func() error { return same("heartbeat request", *got, h.sample.request) },
-		func() error { return same("heartbeat response", *response, h.sample.heartbeat) },
+	return firstError(
+		func() error { return wantEqual("heartbeat request", *got, h.sample.request) },
+		func() error { return wantEqual("heartbeat response", *response, h.sample.heartbeat) },
 	)
 }
 
 // inUTC gives the report's times the location of the sample's.
-func inUTC(r *garnetworks.NodeReport) {
+func reportToUTC(r *garnetworks.NodeReport) {
 	r.StagedAt, r.AppliedAt = r.StagedAt.UTC(), r.AppliedAt.UTC()
 }
 
-func progressInUTC(p *garnetworks.CommitProgress) {
+func progressToUTC(p *garnetworks.CommitProgress) {
 	for _, at := range []*time.Time{&p.ProposedAt, &p.AcceptedAt, &p.InForceAt} {
 		*at = at.UTC()
 	}
 	for i := range p.Zones {
 		for j := range p.Zones[i].Nodes {
-			inUTC(&p.Zones[i].Nodes[j])
+			reportToUTC(&p.Zones[i].Nodes[j])
 		}
 	}
 }
 
-func peerCommits(ctx context.Context, b PeerBed, address string, h *peerHandler) error {
+func peerCommits(ctx context.Context, f PeerFixture, address string, h *peerHandler) error {
 	propose := &garnetworks.ProposeRequest{
 		At: h.sample.at, CommitID: "commit-1", Operator: "operator", Base: 1, Supersedes: "commit-0", Text: []byte("format: 1\n"),
 	}
-	proposed, err := b.Caller.Propose(ctx, address, propose)
+	proposed, err := f.Caller.Propose(ctx, address, propose)
 	if err != nil {
 		return errors.Wrap(err, "propose")
 	}
-	progressInUTC(&proposed.Progress)
-	ask := &garnetworks.ProgressRequest{At: h.sample.at, CommitID: "commit-1"}
-	progressed, err := b.Caller.Progress(ctx, address, ask)
+	progressToUTC(&proposed.Progress)
+	progress := &garnetworks.ProgressRequest{At: h.sample.at, CommitID: "commit-1"}
+	progressed, err := f.Caller.Progress(ctx, address, progress)
 	if err != nil {
 		return errors.Wrap(err, "progress")
 	}
-	progressInUTC(&progressed.Progress)
+	progressToUTC(&progressed.Progress)
 	report := &garnetworks.ReportRequest{At: h.sample.at, Zone: "zone-a", Report: h.sample.report}
-	reported, err := b.Caller.Report(ctx, address, report)
+	reported, err := f.Caller.Report(ctx, address, report)
 	if err != nil {
 		return errors.Wrap(err, "report")
 	}
-	inUTC(&h.reports[0].Report)
-	return steps(
-		func() error { return same("propose request", h.proposes[0], propose) },
-		func() error { return same("propose response", proposed.Progress, h.sample.progress) },
-		func() error { return same("progress request", h.progresses[0], ask) },
-		func() error { return same("progress response", progressed.Progress, h.sample.progress) },
-		func() error { return same("report request", h.reports[0], report) },
+	reportToUTC(&h.reports[0].Report)
+	return firstError(
+		func() error { return wantEqual("propose request", h.proposes[0], propose) },
+		func() error { return wantEqual("propose response", proposed.Progress, h.sample.progress) },
+		func() error { return wantEqual("progress request", h.progresses[0], progress) },
+		func() error { return wantEqual("progress response", progressed.Progress, h.sample.progress) },
+		func() error { return wantEqual("report request", h.reports[0], report) },
 		func() error {
-			return same("report response", *reported, garnetworks.ReportResponse{At: h.sample.at, Manifest: 4, Proposal: 5})
+			return wantEqual("report response", *reported, garnetworks.ReportResponse{At: h.sample.at, Manifest: 4, Proposal: 5})
 		},
 	)
 }
 
-func peerDistribute(ctx context.Context, b PeerBed, address string, h *peerHandler) error {
+func peerDistribute(ctx context.Context, f PeerFixture, address string, h *peerHandler) error {
 	request := &garnetworks.DistributeRequest{
 		From: "node-2", At: h.sample.at, Updates: h.sample.updates, Targets: []string{"127.0.0.1:4"}, Hops: 3,
 	}
-	response, err := b.Caller.Distribute(ctx, address, request)
+	response, err := f.Caller.Distribute(ctx, address, request)
 	if err != nil {
 		return errors.Wrap(err, "distribute")
 	}
-	return steps(
-		func() error { return same("distribute request", h.distribute[0], request) },
+	return firstError(
+		func() error { return wantEqual("distribute request", h.distributes[0], request) },
 		func() error {
-			return same("distribute response", *response, garnetworks.DistributeResponse{At: h.sample.at, Accepted: 1})
+			return wantEqual("distribute response", *response, garnetworks.DistributeResponse{At: h.sample.at, Accepted: 1})
 		},
 	)
 }
 
-func peerKinds(ctx context.Context, b PeerBed) error {
+func peerKinds(ctx context.Context, f PeerFixture) error {
 	for _, kind := range []garnetworks.Kind{garnetworks.KindStaleGeneration, garnetworks.KindNotReady, garnetworks.KindNotFound} {
 		h := &peerHandler{err: garnetworks.Errorf(kind, "refused")}
-		address, end := b.Serve(h)
-		_, err := b.Caller.Status(ctx, address, &garnetworks.StatusRequest{})
-		end()
+		address, stop := f.Serve(h)
+		_, err := f.Caller.Status(ctx, address, &garnetworks.StatusRequest{})
+		stop()
 		if err := wantKind("status", err, kind); err != nil {
 			return err
 		}
@@ -414,64 +414,64 @@
 	return nil
 }
 
-func peerHangs(ctx context.Context, b PeerBed) error {
-	h := &peerHandler{hang: make(chan struct{})}
-	address, end := b.Serve(h)
-	defer end()
-	defer close(h.hang)
-	err := promptly(ctx, shortWait, func(ctx context.Context) error {
-		_, err := b.Caller.Heartbeat(ctx, address, &garnetworks.HeartbeatRequest{})
+func peerHangs(ctx context.Context, f PeerFixture) error {
+	h := &peerHandler{block: make(chan struct{})}
+	address, stop := f.Serve(h)
+	defer stop()
+	defer close(h.block)
+	err := callWithTimeout(ctx, shortTimeout, func(ctx context.Context) error {
+		_, err := f.Caller.Heartbeat(ctx, address, &garnetworks.HeartbeatRequest{})
 		return err
 	})
 	return wantKind("heartbeat", err, garnetworks.KindUnreachable, garnetworks.KindResponseLost)
 }
 
-func peerDies(ctx context.Context, b PeerBed) error {
-	h := &peerHandler{hang: make(chan struct{}), entered: make(chan struct{}, 1)}
-	address, end := b.Serve(h)
+func peerDies(ctx context.Context, f PeerFixture) error {
+	h := &peerHandler{block: make(chan struct{}), started: make(chan struct{}, 1)}
+	address, stop := f.Serve(h)
 	go func() {
-		<-h.entered
-		end()
+		<-h.started
+		stop()
 	}()
-	defer close(h.hang)
-	err := promptly(ctx, caseTimeout/2, func(ctx context.Context) error {
-		_, err := b.Caller.Heartbeat(ctx, address, &garnetworks.HeartbeatRequest{})
+	defer close(h.block)
+	err := callWithTimeout(ctx, caseTimeout/2, func(ctx context.Context) error {
+		_, err := f.Caller.Heartbeat(ctx, address, &garnetworks.HeartbeatRequest{})
 		return err
 	})
 	return wantKind("heartbeat", err, garnetworks.KindResponseLost)
 }
 
-func peerReturns(ctx context.Context, b PeerBed) error {
+func peerRestarts(ctx context.Context, f PeerFixture) error {
 	first, second := &peerHandler{sample: newPeerSample()}, &peerHandler{sample: newPeerSample()}
-	address, end := b.Serve(first)
-	if _, err := b.Caller.Status(ctx, address, &garnetworks.StatusRequest{}); err != nil {
-		end()
+	address, stop := f.Serve(first)
+	if _, err := f.Caller.Status(ctx, address, &garnetworks.StatusRequest{}); err != nil {
+		stop()
 		return errors.Wrap(err, "status")
 	}
-	end()
-	_, err := b.Caller.Status(ctx, address, &garnetworks.StatusRequest{})
+	stop()
+	_, err := f.Caller.Status(ctx, address, &garnetworks.StatusRequest{})
 	if err := wantKind("status of an ended peer", err, garnetworks.KindUnreachable, garnetworks.KindResponseLost); err != nil {
 		return err
 	}
-	address, end = b.Serve(second)
-	defer end()
+	address, stop = f.Serve(second)
+	defer stop()
 	return eventually(ctx, func() error {
-		_, err := b.Caller.Status(ctx, address, &garnetworks.StatusRequest{})
+		_, err := f.Caller.Status(ctx, address, &garnetworks.StatusRequest{})
 		return err
 	})
 }
 
-func peerMany(ctx context.Context, b PeerBed) error {
+func peerConcurrent(ctx context.Context, f PeerFixture) error {
 	const calls = 32
 	h := &peerHandler{sample: newPeerSample()}
-	address, end := b.Serve(h)
-	defer end()
+	address, stop := f.Serve(h)
+	defer stop()
 	errs := make([]error, calls)
 	var wg sync.WaitGroup
 	for i := range calls {
 		wg.Go(func() {
 			id := garnetworks.NodeID(fmt.Sprintf("node-%d", i))
-			response, err := b.Caller.Heartbeat(ctx, address, &garnetworks.HeartbeatRequest{From: garnetworks.NodeInfo{ID: id}})
+			response, err := f.Caller.Heartbeat(ctx, address, &garnetworks.HeartbeatRequest{From: garnetworks.NodeInfo{ID: id}})
 			if err == nil {
 				err = want("answer to "+string(id), response.From.ID, id)
 			}
@@ -487,21 +487,21 @@
 	return nil
 }
 
-func peerLarge(ctx context.Context, b PeerBed) error {
+func peerLargestManifest(ctx context.Context, f PeerFixture) error {
 	h := &peerHandler{sample: newPeerSample()}
-	address, end := b.Serve(h)
-	defer end()
+	address, stop := f.Serve(h)
+	defer stop()
 	body := make([]byte, garnetworks.MaxObjectBytes)
 	for i := range body {
 		body[i] = byte(i)
 	}
 	request := &garnetworks.DistributeRequest{Updates: []garnetworks.Update{{Topic: garnetworks.TopicManifest, Body: body}}}
-	response, err := b.Caller.Distribute(ctx, address, request)
+	response, err := f.Caller.Distribute(ctx, address, request)
 	if err != nil {
 		return errors.Wrap(err, "distribute")
 	}
-	return steps(
+	return firstError(
 		func() error { return want("accepted", response.Accepted, 1) },
-		func() error { return same("body", h.distribute[0].Updates[0].Body, body) },
+		func() error { return wantEqual("body", h.distributes[0].Updates[0].Body, body) },
 	)
 }
--- a/checker/service.go
+++ b/checker/service.go
@@ -15,7 +15,7 @@
 )
 
 // ServiceCallerBed is a caller with one server of a plain service.
-type ServiceCallerBed struct {
+type ServiceCallerFixture struct {
 	Caller  garnetworks.ServiceCaller
 	Address string
 	// Unused is an address at which nothing listens.
@@ -26,120 +26,120 @@
 	SetLeaving func(leaving bool)
 	// DropConnections breaks the server's open connections; it may be nil.
 	DropConnections func()
-	Faults          Faults
+	Faults          FaultInjector
 }
 
 // ServiceCaller checks a caller of plain services.
-func ServiceCaller(t *testing.T, open func(t *testing.T) ServiceCallerBed) {
+func ServiceCaller(t *testing.T, newFixture func(t *testing.T) ServiceCallerFixture) {
 	t.Helper()
-	run(t, open, ServiceCallerCases())
+	run(t, newFixture, ServiceCallerCases())
 }
 
 // ServiceCallerCases returns the contract of garnetworks.ServiceCaller.
-func ServiceCallerCases() map[string]Case[ServiceCallerBed] {
-	return map[string]Case[ServiceCallerBed]{
+func ServiceCallerCases() map[string]Case[ServiceCallerFixture] {
+	return map[string]Case[ServiceCallerFixture]{
 		"a call runs once and is answered": {
-			Story: "A visit log is stored and the tech sees it.",
-			Run:   serviceAnswers,
+			Failure: "A visit log is stored and the tech sees it.",
+			Run:     serviceResponds,
 		},
 		"methods and bodies of all sorts": {
-			Story: "A call without a body is repeated by the transport, or not sent at all.",
-			Run:   serviceMethods,
+			Failure: "A call without a body is repeated by the transport, or not sent at all.",
+			Run:     serviceMethods,
 		},
 		"nobody listens": {
-			Story: "The server is gone; the call has surely not run and may go to another one.",
-			Run: func(ctx context.Context, b ServiceCallerBed) error {
-				_, err := b.Caller.Call(ctx, b.Unused, serviceCall("c1"))
+			Failure: "The server is gone; the call has surely not run and may go to another one.",
+			Run: func(ctx context.Context, f ServiceCallerFixture) error {
+				_, err := f.Caller.Call(ctx, f.Unused, serviceCall("c1"))
 				return wantPhase("call", err, garnetworks.PhaseConnect)
 			},
 		},
 		"a leaving server refuses": {
-			Story: "A server that leaves says that it did not begin; the call goes to another one.",
-			Run:   serviceRefuses,
+			Failure: "A server that leaves says that it did not begin; the call goes to another one.",
+			Run:     serviceRefuses,
 		},
 		"a lost answer may have run": {
-			Story: "A parts note is booked and its answer lost; said to be not run, it would be booked again.",
-			Run:   serviceLost,
+			Failure: "A parts note is booked and its answer lost; said to be not run, it would be booked again.",
+			Run:     serviceResponseLost,
 		},
 		"a truncated answer may have run": {
-			Story: "Half of an answer looks like a whole one.",
-			Run: func(ctx context.Context, b ServiceCallerBed) error {
-				b.Faults.SetFaults(faker.FaultPlan{TruncateAnswers: 1})
-				_, err := b.Caller.Call(ctx, b.Address, serviceCall("c1"))
+			Failure: "Half of an answer looks like a whole one.",
+			Run: func(ctx context.Context, f ServiceCallerFixture) error {
+				f.Faults.SetFaults(faker.FaultPlan{TruncateAnswers: 1})
+				_, err := f.Caller.Call(ctx, f.Address, serviceCall("c1"))
 				if err := wantPhase("call", err, garnetworks.PhaseBody); err != nil {
 					return err
 				}
-				return want("executions", b.Executions("c1"), 1)
+				return want("executions", f.Executions("c1"), 1)
 			},
 		},
 		"a crossed answer is dropped": {
-			Story: "An office gets the answer to another office's appointment.",
-			Run:   serviceCrossed,
+			Failure: "An office gets the answer to another office's appointment.",
+			Run:     serviceMismatched,
 		},
 		"a late answer may have run": {
-			Story: "The deadline passes while the server works; the call has begun.",
-			Run: func(ctx context.Context, b ServiceCallerBed) error {
-				b.Faults.SetFaults(faker.FaultPlan{LateAnswers: 1, LateBy: time.Minute})
-				err := promptly(ctx, shortWait, func(ctx context.Context) error {
-					_, err := b.Caller.Call(ctx, b.Address, serviceCall("c1"))
+			Failure: "The deadline passes while the server works; the call has begun.",
+			Run: func(ctx context.Context, f ServiceCallerFixture) error {
+				f.Faults.SetFaults(faker.FaultPlan{LateAnswers: 1, LateBy: time.Minute})
+				err := callWithTimeout(ctx, shortTimeout, func(ctx context.Context) error {
+					_, err := f.Caller.Call(ctx, f.Address, serviceCall("c1"))
 					return err
 				})
 				return wantPhase("call", err, garnetworks.PhaseWait, garnetworks.PhaseHeaders)
 			},
 		},
 		"a server that is down is never a refusal": {
-			Story: "The server resets the connection; only what proves that it did not begin is a refusal.",
-			Run: func(ctx context.Context, b ServiceCallerBed) error {
-				b.Faults.SetFaults(faker.FaultPlan{Down: true})
-				_, err := b.Caller.Call(ctx, b.Address, serviceCall("c1"))
+			Failure: "The server resets the connection; only what proves that it did not begin is a refusal.",
+			Run: func(ctx context.Context, f ServiceCallerFixture) error {
+				f.Faults.SetFaults(faker.FaultPlan{Down: true})
+				_, err := f.Caller.Call(ctx, f.Address, serviceCall("c1"))
 				err = wantPhase("call", err, garnetworks.PhaseConnect, garnetworks.PhaseWrite, garnetworks.PhaseWait)
 				if err != nil {
 					return err
 				}
-				return want("executions", b.Executions("c1"), 0)
+				return want("executions", f.Executions("c1"), 0)
 			},
 		},
 		"a frozen server holds nobody beyond the context": {
-			Story: "The server pauses and the office waits for ever.",
-			Run: func(ctx context.Context, b ServiceCallerBed) error {
-				b.Faults.SetFaults(faker.FaultPlan{Frozen: true})
-				err := promptly(ctx, shortWait, func(ctx context.Context) error {
-					_, err := b.Caller.Call(ctx, b.Address, serviceCall("c1"))
+			Failure: "The server pauses and the office waits for ever.",
+			Run: func(ctx context.Context, f ServiceCallerFixture) error {
+				f.Faults.SetFaults(faker.FaultPlan{Frozen: true})
+				err := callWithTimeout(ctx, shortTimeout, func(ctx context.Context) error {
+					_, err := f.Caller.Call(ctx, f.Address, serviceCall("c1"))
 					return err
 				})
 				return wantPhase("call", err, garnetworks.PhaseWait)
 			},
 		},
 		"broken pooled connections never repeat a call": {
-			Story: "A pooled connection dies while a call is written to it; the transport repeats the call and the parts are booked twice.",
-			Able:  func(b ServiceCallerBed) bool { return b.DropConnections != nil },
-			Run:   serviceNeverRepeats,
+			Failure:   "A pooled connection dies while a call is written to it; the transport repeats the call and the parts are booked twice.",
+			Supported: func(f ServiceCallerFixture) bool { return f.DropConnections != nil },
+			Run:       serviceNeverRepeats,
 		},
 		"silent connections are not written to": {
-			Story: "The pooled connections have gone silent; an appointment written to one is lost with its outcome unknown although a new connection would have worked.",
-			Run: func(ctx context.Context, b ServiceCallerBed) error {
-				if _, err := b.Caller.Call(ctx, b.Address, serviceCall("c1")); err != nil {
+			Failure: "The pooled connections have gone silent; an appointment written to one is lost with its outcome unknown although a new connection would have worked.",
+			Run: func(ctx context.Context, f ServiceCallerFixture) error {
+				if _, err := f.Caller.Call(ctx, f.Address, serviceCall("c1")); err != nil {
 					return errors.Wrap(err, "first call")
 				}
-				b.Faults.SilenceOpen()
-				return promptly(ctx, longWait, func(ctx context.Context) error {
-					_, err := b.Caller.Call(ctx, b.Address, serviceCall("c2"))
+				f.Faults.SilenceOpen()
+				return callWithTimeout(ctx, longTimeout, func(ctx context.Context) error {
+					_, err := f.Caller.Call(ctx, f.Address, serviceCall("c2"))
 					return errors.Wrap(err, "second call")
 				})
 			},
 		},
 		"a path that is none is not sent": {
-			Story: "A path without its slash is read as another host's name.",
-			Run: func(ctx context.Context, b ServiceCallerBed) error {
+			Failure: "A path without its slash is read as another host's name.",
+			Run: func(ctx context.Context, f ServiceCallerFixture) error {
 				for _, path := range []string{"", "visits", "@127.0.0.1/visits", "/a\nb"} {
 					call := serviceCall("c1")
 					call.Path = path
-					_, err := b.Caller.Call(ctx, b.Address, call)
+					_, err := f.Caller.Call(ctx, f.Address, call)
 					if err := wantPhase(fmt.Sprintf("path %q", path), err, garnetworks.PhaseConnect); err != nil {
 						return err
 					}
 				}
-				return want("executions", b.Executions("c1"), 0)
+				return want("executions", f.Executions("c1"), 0)
 			},
 		},
 	}
@@ -157,14 +157,14 @@
 	}
 }
 
-func serviceAnswers(ctx context.Context, b ServiceCallerBed) error {
+func serviceResponds(ctx context.Context, f ServiceCallerFixture) error {
 	call := serviceCall("c1")
 	call.IdempotencyKey = "key-1"
-	a, err := b.Caller.Call(ctx, b.Address, call)
+	a, err := f.Caller.Call(ctx, f.Address, call)
 	if err != nil {
 		return errors.Wrap(err, "call")
 	}
-	return steps(
+	return firstError(
 		func() error { return want("identifier", a.ID, call.ID) },
 		func() error { return want("status", a.Status, http.StatusOK) },
 		func() error { return want("has a body", len(a.Body) > 0, true) },
@@ -172,20 +172,20 @@
 		func() error {
 			return want("names its key", strings.Contains(string(a.Body), call.IdempotencyKey), true)
 		},
-		func() error { return want("executions", b.Executions(call.ID), 1) },
+		func() error { return want("executions", f.Executions(call.ID), 1) },
 	)
 }
 
-func serviceMethods(ctx context.Context, b ServiceCallerBed) error {
+func serviceMethods(ctx context.Context, f ServiceCallerFixture) error {
 	bodies := map[string][]byte{"no body": nil, "small": []byte("x"), "large": make([]byte, 1<<20)}
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete} {
 		for name, body := range bodies {
 			call := serviceCall(garnetworks.CallID(method + "-" + strings.ReplaceAll(name, " ", "-")))
 			call.Method, call.Body = method, body
-			if _, err := b.Caller.Call(ctx, b.Address, call); err != nil {
+			if _, err := f.Caller.Call(ctx, f.Address, call); err != nil {
 				return errors.Wrapf(err, "%s with %s", method, name)
 			}
-			if err := want("executions of "+string(call.ID), b.Executions(call.ID), 1); err != nil {
+			if err := want("executions of "+string(call.ID), f.Executions(call.ID), 1); err != nil {
 				return err
 			}
 		}
@@ -193,42 +193,42 @@
 	return nil
 }
 
-func serviceRefuses(ctx context.Context, b ServiceCallerBed) error {
-	b.SetLeaving(true)
-	_, err := b.Caller.Call(ctx, b.Address, serviceCall("c1"))
+func serviceRefuses(ctx context.Context, f ServiceCallerFixture) error {
+	f.SetLeaving(true)
+	_, err := f.Caller.Call(ctx, f.Address, serviceCall("c1"))
 	if err := wantPhase("call", err, garnetworks.PhaseRefused); err != nil {
 		return err
 	}
-	if err := want("executions", b.Executions("c1"), 0); err != nil {
+	if err := want("executions", f.Executions("c1"), 0); err != nil {
 		return err
 	}
-	b.SetLeaving(false)
-	_, err = b.Caller.Call(ctx, b.Address, serviceCall("c2"))
+	f.SetLeaving(false)
+	_, err = f.Caller.Call(ctx, f.Address, serviceCall("c2"))
 	return errors.Wrap(err, "call afterwards")
 }
 
-func serviceLost(ctx context.Context, b ServiceCallerBed) error {
-	b.Faults.SetFaults(faker.FaultPlan{LoseAnswers: 1})
-	_, err := b.Caller.Call(ctx, b.Address, serviceCall("c1"))
+func serviceResponseLost(ctx context.Context, f ServiceCallerFixture) error {
+	f.Faults.SetFaults(faker.FaultPlan{LoseAnswers: 1})
+	_, err := f.Caller.Call(ctx, f.Address, serviceCall("c1"))
 	if err := wantPhase("call", err, garnetworks.PhaseWait, garnetworks.PhaseHeaders); err != nil {
 		return err
 	}
-	return want("executions", b.Executions("c1"), 1)
+	return want("executions", f.Executions("c1"), 1)
 }
 
-func serviceCrossed(ctx context.Context, b ServiceCallerBed) error {
-	if _, err := b.Caller.Call(ctx, b.Address, serviceCall("c1")); err != nil {
+func serviceMismatched(ctx context.Context, f ServiceCallerFixture) error {
+	if _, err := f.Caller.Call(ctx, f.Address, serviceCall("c1")); err != nil {
 		return errors.Wrap(err, "first call")
 	}
-	b.Faults.SetFaults(faker.FaultPlan{CrossAnswers: 1})
-	a, err := b.Caller.Call(ctx, b.Address, serviceCall("c2"))
+	f.Faults.SetFaults(faker.FaultPlan{CrossAnswers: 1})
+	a, err := f.Caller.Call(ctx, f.Address, serviceCall("c2"))
 	if err := wantPhase("crossed call", err, garnetworks.PhaseMismatched); err != nil {
 		return err
 	}
 	return want("body", len(a.Body), 0)
 }
 
-func serviceNeverRepeats(ctx context.Context, b ServiceCallerBed) error {
+func serviceNeverRepeats(ctx context.Context, f ServiceCallerFixture) error {
 	const calls = 40
 	for i := range calls {
 		call := serviceCall(garnetworks.CallID(fmt.Sprintf("c%d", i)))
@@ -236,13 +236,13 @@
 		if i%4 == 3 {
 			call.Body = nil
 		}
-		b.Faults.SetFaults(faker.FaultPlan{LoseAnswers: i % 2})
-		_, err := b.Caller.Call(ctx, b.Address, call)
-		if runs := b.Executions(call.ID); runs > 1 || (err == nil && runs != 1) {
+		f.Faults.SetFaults(faker.FaultPlan{LoseAnswers: i % 2})
+		_, err := f.Caller.Call(ctx, f.Address, call)
+		if runs := f.Executions(call.ID); runs > 1 || (err == nil && runs != 1) {
 			return errors.Errorf("call %d ran %d times and ended with error %v", i, runs, err)
 		}
 		if i%5 == 0 {
-			b.DropConnections()
+			f.DropConnections()
 		}
 	}
 	return nil
--- a/messenger/contract_test.go
+++ b/messenger/contract_test.go
@@ -12,10 +12,10 @@
 )
 
 func TestContract(t *testing.T) {
-	checker.Peer(t, func(t *testing.T) checker.PeerBed {
+	checker.Peer(t, func(t *testing.T) checker.PeerFixture {
 		client := messenger.NewClient(messenger.ClientOptions{})
 		t.Cleanup(client.Close)
-		return checker.PeerBed{
+		return checker.PeerFixture{
 			Caller: client,
 			Serve:  func(handler garnetworks.PeerHandler) (string, func()) { return serve(t, handler) },
 			Unused: unused(t),
