--- a/checker/bites_test.go
+++ b/checker/bites_test.go
@@ -14,10 +14,10 @@
 	"github.com/garnetworks/garnetworks/checker"
 )
 
-// Each suite must notice an implementation that is broken in one way. The
-// tables name the way and a case that must fail of it.
+// These tests inject one defect at a time into an implementation and check that the named
+// case of the contract suite fails (rule K3).
 
-// bite is an implementation that is broken on purpose.
+// defect changes an implementation so that it breaks its contract.
 type defect[B any] struct {
 	inject     func(fixture B) B
 	detectedBy string
@@ -25,7 +25,7 @@
 
 func testDefects[B any](t *testing.T, newFixture func(f *fakes) B, cases map[string]checker.Case[B], defects map[string]defect[B]) {
 	if testing.Short() {
-		t.Skip("broken implementations are waited for")
+		t.Skip("many of these cases fail only by their timeout")
 	}
 	for name, b := range defects {
 		t.Run(name, func(t *testing.T) {
@@ -88,7 +88,7 @@
 	return b.ObjectAPI.Watch(ctx, prefix, after, wait)
 }
 
-// breakObjects returns a bite that changes some methods.
+// objectDefect returns a defect that overrides methods of the object API.
 func objectDefect(detectedBy string, change func(b *brokenObjects, next garnetworks.ObjectAPI)) defect[checker.ObjectAPIFixture] {
 	return defect[checker.ObjectAPIFixture]{detectedBy: detectedBy, inject: func(fixture checker.ObjectAPIFixture) checker.ObjectAPIFixture {
 		b := &brokenObjects{ObjectAPI: fixture.API}
@@ -98,7 +98,8 @@
 	}}
 }
 
-// newest writes unconditionally: it reads the revision and uses that.
+// putUnconditionally returns a Put that ignores the given revision and overwrites the current
+// one.
 func putUnconditionally(next garnetworks.ObjectAPI) func(context.Context, string, []byte, garnetworks.Revision) (garnetworks.Revision, error) {
 	return func(ctx context.Context, key string, value []byte, _ garnetworks.Revision) (garnetworks.Revision, error) {
 		object, _ := next.Get(ctx, key)
@@ -112,10 +113,10 @@
 		"creates over existing objects": objectDefect("create refuses an existing object", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.put = putUnconditionally(next)
 		}),
-		"updates at any revision": objectDefect("update needs the newest revision", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"updates at any revision": objectDefect("update requires the newest revision", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.put = putUnconditionally(next)
 		}),
-		"lets all racing writers win": objectDefect("one of many racing writers wins", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"lets all concurrent writers succeed": objectDefect("exactly one concurrent writer succeeds", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.put = func(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
 				revision, err := next.Put(ctx, key, value, after)
 				if garnetworks.IsKind(err, garnetworks.KindConflict) {
@@ -124,7 +125,7 @@
 				return revision, err
 			}
 		}),
-		"retries a lost write and says conflict": objectDefect("a lost write is neither failed nor done", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"retries a write with a lost response and returns conflict": objectDefect("a write with a lost response has an unknown outcome", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.put = func(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
 				revision, err := next.Put(ctx, key, value, after)
 				if garnetworks.IsKind(err, garnetworks.KindResponseLost) {
@@ -133,7 +134,7 @@
 				return revision, err
 			}
 		}),
-		"says that a lost write had no effect": objectDefect("a late answer is a lost one", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"reports a write with a lost response as failed": objectDefect("a late response counts as lost", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.put = func(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
 				revision, err := next.Put(ctx, key, value, after)
 				if err != nil {
@@ -142,18 +143,18 @@
 				return revision, err
 			}
 		}),
-		"says that a lost delete had no effect": objectDefect("a lost delete is neither failed nor done", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"reports a delete with a lost response as failed": objectDefect("a delete with a lost response has an unknown outcome", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.delete = func(ctx context.Context, key string, after garnetworks.Revision) error {
 				return garnetworks.WrapError(garnetworks.KindObjectAPIDown, next.Delete(ctx, key, after), "failed")
 			}
 		}),
-		"takes an outage for absence": objectDefect("an outage is said and ends", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"reports an outage as an absent object": objectDefect("an outage is reported and ends", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.get = func(ctx context.Context, key string) (garnetworks.Object, error) {
 				object, err := next.Get(ctx, key)
 				return object, garnetworks.WrapError(garnetworks.KindNotFound, err, "no object")
 			}
 		}),
-		"ignores the context": objectDefect("a frozen store holds nobody beyond the context", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"ignores the context": objectDefect("a frozen store blocks no call beyond its context", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.get = func(ctx context.Context, key string) (garnetworks.Object, error) {
 				return next.Get(context.WithoutCancel(ctx), key)
 			}
@@ -163,14 +164,14 @@
 				return next.List(ctx, "")
 			}
 		}),
-		"watches out of order": objectDefect("watch returns changes in order", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"returns changes out of order": objectDefect("watch returns changes in order", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.watch = func(ctx context.Context, prefix string, after garnetworks.Revision, wait time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
 				changes, revision, err := next.Watch(ctx, prefix, after, wait)
 				slices.Reverse(changes)
 				return changes, revision, err
 			}
 		}),
-		"hides compaction": objectDefect("compacted history is said", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"hides compaction": objectDefect("compacted history is reported", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.watch = func(ctx context.Context, prefix string, after garnetworks.Revision, wait time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
 				changes, revision, err := next.Watch(ctx, prefix, after, wait)
 				if garnetworks.IsKind(err, garnetworks.KindCompacted) {
@@ -179,18 +180,18 @@
 				return changes, revision, err
 			}
 		}),
-		"sleeps through changes": objectDefect("watch wakes on a change", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"returns changes only after the wait": objectDefect("watch returns on a change", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.watch = func(ctx context.Context, prefix string, after garnetworks.Revision, wait time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
 				time.Sleep(wait)
 				return next.Watch(ctx, prefix, after, 0)
 			}
 		}),
-		"cuts large values": objectDefect("values have a bound", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"truncates large values": objectDefect("value sizes are limited", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.put = func(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
 				return next.Put(ctx, key, value[:min(len(value), garnetworks.MaxObjectBytes)], after)
 			}
 		}),
-		"throttles without a delay": objectDefect("throttling is said with a delay", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"throttles without a delay": objectDefect("throttling returns a retry delay", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.get = func(ctx context.Context, key string) (garnetworks.Object, error) {
 				object, err := next.Get(ctx, key)
 				if err != nil {
@@ -202,7 +203,7 @@
 	})
 }
 
-// brokenCaller changes the streams or errors of an engine caller.
+// brokenCaller changes the calls, streams or errors of an engine caller.
 type brokenCaller struct {
 	garnetworks.EngineCaller
 	call   func(call *garnetworks.EngineCall)
@@ -225,7 +226,7 @@
 	return stream, err
 }
 
-// brokenStream changes what Next returns.
+// brokenStream overrides the results of Next, and Close.
 type brokenStream struct {
 	garnetworks.EngineStream
 	next  func(chunk *garnetworks.Chunk, err error) error
@@ -264,7 +265,7 @@
 	})
 }
 
-// inPhase makes an attempt's failure look like one in another phase.
+// inPhase replaces an attempt's error by one in another phase.
 func inPhase(phase garnetworks.CallPhase) func(error) error {
 	return func(err error) error { return &garnetworks.AttemptError{Phase: phase, Cause: err} }
 }
@@ -286,45 +287,45 @@
 		return nil
 	}
 	testDefects(t, engineCallerFixture, checker.EngineCallerCases(), map[string]defect[checker.EngineCallerFixture]{
-		"ends broken answers":             nextDefect("a broken answer is never whole", endIncomplete),
-		"ends answers of dead engines":    nextDefect("an engine that dies in the middle is said", eofOnError),
-		"ends answers of broken groups":   nextDefect("a member lost in the middle breaks the answer", endIncomplete),
-		"ends crossed answers":            nextDefect("a crossed answer is dropped", endIncomplete),
-		"ends after an error":             nextDefect("an error lasts", eofOnError),
-		"loses the silence":               nextDefect("a silent connection is noticed", func(_ *garnetworks.Chunk, err error) error { return withoutStalled(err) }),
-		"loses the silence of the frozen": nextDefect("a frozen engine is noticed", func(_ *garnetworks.Chunk, err error) error { return withoutStalled(err) }),
-		"numbers from 0 after a resumption": nextDefect("an answer resumes", func(chunk *garnetworks.Chunk, err error) error {
+		"ends truncated responses":                nextDefect("a truncated response is never complete", endIncomplete),
+		"ends responses of stopped engines":       nextDefect("an engine that stops mid-response is reported", eofOnError),
+		"ends responses of incomplete groups":     nextDefect("losing a member mid-response fails the response", endIncomplete),
+		"ends mismatched responses":               nextDefect("a mismatched response is dropped", endIncomplete),
+		"returns EOF after an error":              nextDefect("an error is permanent", eofOnError),
+		"clears Stalled for a stalled connection": nextDefect("a stalled connection is detected", func(_ *garnetworks.Chunk, err error) error { return withoutStalled(err) }),
+		"clears Stalled for a frozen engine":      nextDefect("a frozen engine is detected", func(_ *garnetworks.Chunk, err error) error { return withoutStalled(err) }),
+		"numbers tokens from 0 after resuming": nextDefect("a response resumes", func(chunk *garnetworks.Chunk, err error) error {
 			chunk.Index = 0
 			return err
 		}),
-		"drops the end": nextDefect("an answer is whole and its own", func(chunk *garnetworks.Chunk, err error) error {
+		"drops the end marker": nextDefect("a response is complete and belongs to its call", func(chunk *garnetworks.Chunk, err error) error {
 			chunk.End = false
 			return err
 		}),
-		"never cancels": callerDefect("closing cancels", func(b *brokenCaller) {
+		"never cancels": callerDefect("closing the stream cancels the call", func(b *brokenCaller) {
 			b.stream = func(s garnetworks.EngineStream) garnetworks.EngineStream {
 				return &brokenStream{EngineStream: s, close: func() error { return nil }}
 			}
 		}),
-		"starts again in place of resuming": callerDefect("an answer resumes", func(b *brokenCaller) {
+		"restarts in place of resuming": callerDefect("a response resumes", func(b *brokenCaller) {
 			b.call = func(call *garnetworks.EngineCall) { call.ResumeFrom = 0 }
 		}),
-		"trims prompts": callerDefect("odd prompts survive", func(b *brokenCaller) {
+		"truncates prompts": callerDefect("unusual prompts arrive unchanged", func(b *brokenCaller) {
 			b.call = func(call *garnetworks.EngineCall) { call.Prompt = call.Prompt[:1] }
 		}),
-		"calls a refusal lost": callerDefect("a call with an old token is refused", func(b *brokenCaller) {
+		"reports a refusal as lost": callerDefect("a call with a stale fencing token is refused", func(b *brokenCaller) {
 			b.fail = inPhase(garnetworks.PhaseWait)
 		}),
-		"calls lost answers refused": callerDefect("a lost answer may have run", func(b *brokenCaller) {
+		"reports lost responses as refused": callerDefect("a call with a lost response may have run", func(b *brokenCaller) {
 			b.fail = inPhase(garnetworks.PhaseRefused)
 		}),
-		"calls missing listeners lost": callerDefect("nobody listens", func(b *brokenCaller) {
+		"reports missing listeners as lost": callerDefect("no listener", func(b *brokenCaller) {
 			b.fail = inPhase(garnetworks.PhaseWait)
 		}),
 	})
 }
 
-// silenced takes the mark of silence off an error.
+// withoutStalled clears Stalled in an AttemptError.
 func withoutStalled(err error) error {
 	var attempt *garnetworks.AttemptError
 	if errors.As(err, &attempt) {
@@ -333,7 +334,7 @@
 	return err
 }
 
-// brokenServices changes calls or answers of a service caller.
+// brokenServices replaces the Call method of a service caller.
 type brokenServices func(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error)
 
 func (b brokenServices) Call(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
@@ -371,14 +372,14 @@
 		}
 	}
 	testDefects(t, serviceCallerFixture, checker.ServiceCallerCases(), map[string]defect[checker.ServiceCallerFixture]{
-		"repeats failed calls":         serviceDefect("broken pooled connections never repeat a call", retry),
-		"repeats lost calls":           serviceDefect("a lost answer may have run", retry),
-		"calls lost answers refused":   serviceDefect("a lost answer may have run", failIn(garnetworks.PhaseRefused)),
-		"calls everything unsent":      serviceDefect("a truncated answer may have run", failIn(garnetworks.PhaseConnect)),
-		"calls resets refused":         serviceDefect("a server that is down is never a refusal", failIn(garnetworks.PhaseRefused)),
-		"calls refusals lost":          serviceDefect("a leaving server refuses", failIn(garnetworks.PhaseWait)),
-		"calls missing listeners lost": serviceDefect("nobody listens", failIn(garnetworks.PhaseWait)),
-		"passes crossed answers": serviceDefect("a crossed answer is dropped", func(next garnetworks.ServiceCaller) brokenServices {
+		"repeats failed calls":              serviceDefect("broken pooled connections never repeat a call", retry),
+		"repeats calls with lost responses": serviceDefect("a call with a lost response may have run", retry),
+		"reports lost responses as refused": serviceDefect("a call with a lost response may have run", failIn(garnetworks.PhaseRefused)),
+		"reports every failure as unsent":   serviceDefect("a call with a truncated response may have run", failIn(garnetworks.PhaseConnect)),
+		"reports resets as refused":         serviceDefect("a server that is down is never a refusal", failIn(garnetworks.PhaseRefused)),
+		"reports refusals as lost":          serviceDefect("a leaving server refuses", failIn(garnetworks.PhaseWait)),
+		"reports missing listeners as lost": serviceDefect("no listener", failIn(garnetworks.PhaseWait)),
+		"passes mismatched responses": serviceDefect("a mismatched response is dropped", func(next garnetworks.ServiceCaller) brokenServices {
 			return func(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
 				response, err := next.Call(ctx, address, call)
 				if err != nil {
@@ -387,7 +388,7 @@
 				return response, nil
 			}
 		}),
-		"drops the key": serviceDefect("a call runs once and is answered", func(next garnetworks.ServiceCaller) brokenServices {
+		"drops the idempotency key": serviceDefect("a call runs once and its response arrives", func(next garnetworks.ServiceCaller) brokenServices {
 			return func(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
 				changed := *call
 				changed.IdempotencyKey = ""
@@ -397,7 +398,7 @@
 	})
 }
 
-// brokenOrders changes orders or their errors.
+// brokenOrders changes orders, or the errors that they return.
 type brokenOrders struct {
 	garnetworks.EngineOrders
 	order func(order garnetworks.EngineOrder) garnetworks.EngineOrder
@@ -427,25 +428,25 @@
 	}
 	unreachable := func(error) error { return garnetworks.Errorf(garnetworks.KindUnreachable, "failed") }
 	testDefects(t, engineOrdersFixture, checker.EngineOrdersCases(), map[string]defect[checker.EngineOrdersFixture]{
-		"drops tokens": orderDefect("form makes a member that gets ready", brokenOrders{order: func(o garnetworks.EngineOrder) garnetworks.EngineOrder {
+		"truncates fencing tokens": orderDefect("form makes the engine a member that becomes ready", brokenOrders{order: func(o garnetworks.EngineOrder) garnetworks.EngineOrder {
 			o.Token = garnetworks.FencingToken(uint32(o.Token))
 			return o
 		}}),
-		"raises tokens": orderDefect("an old token is refused by an engine that checks", brokenOrders{order: func(o garnetworks.EngineOrder) garnetworks.EngineOrder {
+		"raises fencing tokens": orderDefect("a stale fencing token is refused by an engine that checks tokens", brokenOrders{order: func(o garnetworks.EngineOrder) garnetworks.EngineOrder {
 			o.Token = 1 << 60
 			return o
 		}}),
-		"makes up identifiers": orderDefect("a lost answer is neither failed nor done", brokenOrders{order: func(o garnetworks.EngineOrder) garnetworks.EngineOrder {
+		"changes order identifiers": orderDefect("an order with a lost response has an unknown outcome", brokenOrders{order: func(o garnetworks.EngineOrder) garnetworks.EngineOrder {
 			o.ID += "-again"
 			return o
 		}}),
-		"calls lost answers unreachable": orderDefect("a lost answer is neither failed nor done", brokenOrders{fail: unreachable}),
-		"calls stale tokens unreachable": orderDefect("an old token is refused by an engine that checks", brokenOrders{fail: unreachable}),
-		"swallows unknown orders":        orderDefect("an unknown order is an error", brokenOrders{fail: func(error) error { return nil }}),
+		"reports lost responses as unreachable": orderDefect("an order with a lost response has an unknown outcome", brokenOrders{fail: unreachable}),
+		"reports stale tokens as unreachable":   orderDefect("a stale fencing token is refused by an engine that checks tokens", brokenOrders{fail: unreachable}),
+		"ignores unknown orders":                orderDefect("an unknown order is an error", brokenOrders{fail: func(error) error { return nil }}),
 	})
 }
 
-// brokenPower changes errors and states of a power switch.
+// brokenPower changes the orders, errors and power states of a power switch.
 type brokenPower struct {
 	garnetworks.PowerSwitch
 	order func(order garnetworks.PowerOrder) garnetworks.PowerOrder
@@ -490,16 +491,16 @@
 	}
 	var suffix atomic.Int32
 	testDefects(t, powerSwitchFixture, checker.PowerSwitchCases(), map[string]defect[checker.PowerSwitchFixture]{
-		"takes outages for off":           powerDefect("an outage proves nothing", brokenPower{state: offWhenUnknown}),
-		"takes unknown instances for off": powerDefect("an unknown instance is said", brokenPower{state: offWhenUnknown}),
-		"calls lost orders failed": powerDefect("a lost answer is neither failed nor done", brokenPower{fail: func(error) error {
+		"reports off during outages":       powerDefect("an outage proves no power state", brokenPower{state: offWhenUnknown}),
+		"reports unknown instances as off": powerDefect("an unknown instance is reported", brokenPower{state: offWhenUnknown}),
+		"reports orders with lost responses as failed": powerDefect("an order with a lost response has an unknown outcome", brokenPower{fail: func(error) error {
 			return garnetworks.Errorf(garnetworks.KindUnreachable, "failed")
 		}}),
-		"raises tokens": powerDefect("an old token is refused", brokenPower{order: func(o garnetworks.PowerOrder) garnetworks.PowerOrder {
+		"raises fencing tokens": powerDefect("a stale fencing token is refused", brokenPower{order: func(o garnetworks.PowerOrder) garnetworks.PowerOrder {
 			o.Token = 1 << 60
 			return o
 		}}),
-		"makes up identifiers": powerDefect("a repeated order takes effect once", brokenPower{order: func(o garnetworks.PowerOrder) garnetworks.PowerOrder {
+		"changes order identifiers": powerDefect("a repeated order takes effect once", brokenPower{order: func(o garnetworks.PowerOrder) garnetworks.PowerOrder {
 			o.ID += string(rune('a' + suffix.Add(1)))
 			return o
 		}}),
--- a/checker/cacheevents.go
+++ b/checker/cacheevents.go
@@ -9,28 +9,28 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// CacheEventsBed is a reader of the cache events of one engine.
+// CacheEventsFixture holds a reader of cache events and one engine to read from.
 type CacheEventsFixture struct {
 	Events  garnetworks.CacheEvents
 	Address string
 	Unused  string
-	// Fill makes the engine cache new prompt blocks.
+	// AddBlocks makes the engine cache new prompt blocks.
 	AddBlocks func()
-	// Lose makes the engine lose events; it may be nil.
+	// DropEvents makes the engine lose events; it may be nil.
 	DropEvents func()
 }
 
-// CacheEvents checks a reader of cache events.
+// CacheEvents runs the contract suite of garnetworks.CacheEvents.
 func CacheEvents(t *testing.T, newFixture func(t *testing.T) CacheEventsFixture) {
 	t.Helper()
 	run(t, newFixture, CacheEventsCases())
 }
 
-// CacheEventsCases returns the contract of garnetworks.CacheEvents.
+// CacheEventsCases returns the cases of the garnetworks.CacheEvents contract.
 func CacheEventsCases() map[string]Case[CacheEventsFixture] {
 	return map[string]Case[CacheEventsFixture]{
-		"events count up without gaps": {
-			Failure: "A router believes in cached prefixes that were evicted.",
+		"event numbers have no gaps": {
+			Failure: "The router counts on cached prefixes that the engine has evicted.",
 			Run: func(ctx context.Context, f CacheEventsFixture) error {
 				f.AddBlocks()
 				events, err := readEvents(ctx, f, 0)
@@ -51,8 +51,8 @@
 				return nil
 			},
 		},
-		"lost events leave a gap": {
-			Failure:   "Events are lost; renumbered, they would hide that the router's picture is wrong.",
+		"lost events leave a gap in the numbers": {
+			Failure:   "The reader renumbers events after a loss, so the router does not know that its view of the cache is wrong.",
 			Supported: func(f CacheEventsFixture) bool { return f.DropEvents != nil },
 			Run: func(ctx context.Context, f CacheEventsFixture) error {
 				f.DropEvents()
@@ -64,8 +64,8 @@
 				return want("without gaps", gapless(events, 0), false)
 			},
 		},
-		"nobody listens": {
-			Failure: "A dead engine looks like one with an empty cache.",
+		"no listener": {
+			Failure: "An engine that cannot be reached looks like one with an empty cache.",
 			Run: func(ctx context.Context, f CacheEventsFixture) error {
 				_, err := f.Events.CacheEvents(ctx, f.Unused, 0)
 				return wantKind("cache events", err, garnetworks.KindUnreachable)
@@ -74,7 +74,7 @@
 	}
 }
 
-// readEvents waits for events, which come late.
+// readEvents waits until at least two events have arrived.
 func readEvents(ctx context.Context, f CacheEventsFixture, after uint64) ([]garnetworks.CacheEvent, error) {
 	var events []garnetworks.CacheEvent
 	err := eventually(ctx, func() error {
--- a/checker/contract_test.go
+++ b/checker/contract_test.go
@@ -13,8 +13,8 @@
 	"github.com/garnetworks/garnetworks/faker"
 )
 
-// silence is the bound that callers have in these tests; it is far above the
-// pauses of a loaded machine.
+// stallTimeout is the time without progress after which the adapters and fakes end an attempt.
+// It is long enough that scheduling delays do not trigger it.
 const stallTimeout = 800 * time.Millisecond
 
 var (
@@ -27,7 +27,8 @@
 	weightSize = 1 << 20
 )
 
-// world is the stand-ins of one bed; overHTTP serves them.
+// fakes holds the fake services behind one fixture. If overHTTP is set, they are called
+// through the adapters.
 type fakes struct {
 	t        *testing.T
 	overHTTP bool
@@ -45,7 +46,7 @@
 	return f
 }
 
-// serve keeps a server until the end of the test and returns its address.
+// serve closes the server at the end of the test and returns its address.
 func (f *fakes) serve(s *faker.Server, err error) string {
 	f.t.Helper()
 	if err != nil {
@@ -73,7 +74,7 @@
 	return l.Addr().String()
 }
 
-// bothWays runs a suite on the stand-ins in process and through the adapters.
+// testBothTransports runs a suite on the fakes, both in process and through the HTTP adapters.
 func testBothTransports[B any](t *testing.T, suite func(*testing.T, func(*testing.T) B), newFixture func(f *fakes) B) {
 	t.Parallel()
 	for name, overHTTP := range map[string]bool{"in process": false, "over HTTP": true} {
@@ -103,7 +104,7 @@
 	return fixture
 }
 
-// both sets a part's faults and makes the connections of its server silent.
+// serverFaults injects faults into a fake, and stalls the connections of the server in front of it.
 type serverFaults struct {
 	checker.FaultInjector
 	connections checker.FaultInjector
--- a/checker/doc.go
+++ b/checker/doc.go
@@ -1,21 +1,20 @@
-// Package checker holds one contract suite for each interface of the root
-// package. A suite is a table of cases by name; each case opens a bed (an
-// implementation with whatever the case needs to bring its failure about) and
-// returns an error if the contract is broken. An implementation is checked by
-// one call:
+// Package checker holds a contract suite for each interface of the root package that adapters
+// implement. A suite is a table of named cases. Each case gets a new fixture, which holds an
+// implementation and the means to provoke the failure under test, and returns an error if the
+// implementation breaks its contract. One call runs a suite:
 //
-//	checker.ObjectAPI(t, func(t *testing.T) checker.ObjectAPIBed { … })
+//	checker.ObjectAPI(t, func(t *testing.T) checker.ObjectAPIFixture { … })
 //
 // Rules of the suites:
 //
 //	K1  A case relies on the interface's contract alone, never on how an
-//	    implementation fails inside its freedom: where the contract allows two
+//	    implementation fails within it. Where the contract allows two error
 //	    kinds, both pass, and the case checks what each of them claims.
-//	K2  A bed that can't bring a failure about leaves the field for it nil; the
-//	    case is then skipped and says so.
-//	K3  Each case must have bitten: the package's own test runs the suites on
-//	    implementations that are broken on purpose and names the cases that
-//	    must fail.
+//	K2  A fixture that cannot provoke a failure leaves the field for it nil;
+//	    the case is then skipped and the skip says so.
+//	K3  Each case must be shown to detect a defect: the package's tests run the
+//	    suites on implementations with injected defects and name the cases
+//	    that must fail.
 package checker
 
 import (
@@ -31,30 +30,31 @@
 	"github.com/garnetworks/garnetworks/faker"
 )
 
-// Case is one clause of a contract.
+// Case checks one clause of a contract.
 type Case[B any] struct {
-	// Story says what would go wrong for a user of the interface.
+	// Failure describes what goes wrong for a user of the interface if the clause is broken.
 	Failure string
-	// Able reports whether the bed can bring the case about; nil means always.
+	// Supported reports whether the fixture supports the case; nil means always.
 	Supported func(fixture B) bool
 	// Run returns an error if the clause is broken.
 	Run func(ctx context.Context, fixture B) error
 }
 
-// Faults brings failures about in whatever the implementation talks to.
+// FaultInjector injects faults into the service behind the implementation under test.
 type FaultInjector interface {
 	SetFaults(plan faker.FaultPlan)
+	// SilenceOpen makes the connections and calls that are open now stall; new ones work.
 	SilenceOpen()
 }
 
-// Bounds of one case, so that a call that never returns fails its case and not
-// the whole run. Failures expects cases to fail and waits less for it.
+// Time limits of one case, so that a call that never returns fails only its own case. Failures
+// uses brokenTimeout, because it expects cases to fail.
 const (
 	caseTimeout   = 10 * time.Second
 	brokenTimeout = 3 * time.Second
 )
 
-// run runs the cases as subtests, each on a bed of its own.
+// run runs the cases as parallel subtests, each with its own fixture.
 func run[B any](t *testing.T, newFixture func(*testing.T) B, cases map[string]Case[B]) {
 	t.Helper()
 	for _, name := range slices.Sorted(maps.Keys(cases)) {
@@ -63,16 +63,16 @@
 			t.Parallel()
 			fixture := newFixture(t)
 			if c.Supported != nil && !c.Supported(fixture) {
-				t.Skip("the bed can't bring this about") // rule K2
+				t.Skip("the fixture does not support this case") // rule K2
 			}
 			if err := c.runWithTimeout(t.Context(), fixture, caseTimeout); err != nil {
-				t.Errorf("%v\nstory: %s", err, c.Failure)
+				t.Errorf("%v\nguards against: %s", err, c.Failure)
 			}
 		})
 	}
 }
 
-// attempt runs the case and turns a call that never returns into an error.
+// runWithTimeout runs the case and returns an error if it does not return in time.
 func (c Case[B]) runWithTimeout(ctx context.Context, fixture B, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -82,12 +82,12 @@
 	case err := <-done:
 		return err
 	case <-time.After(timeout + returnGrace):
-		return errors.New("the case did not end")
+		return errors.New("the case did not return")
 	}
 }
 
-// Failures runs the cases and returns the names of those that fail, in order.
-// It is for showing that a suite notices a broken implementation (rule K3).
+// Failures runs the cases and returns the names of those that fail, in sorted order. Tests use
+// it to show that a suite detects a broken implementation (rule K3).
 func Failures[B any](t *testing.T, newFixture func(*testing.T) B, cases map[string]Case[B]) []string {
 	t.Helper()
 	var failed []string
@@ -104,8 +104,8 @@
 	return failed
 }
 
-// wantKind returns an error unless err is of one of the kinds, where the contract
-// leaves the choice (rule K1).
+// wantKind returns an error unless err is of one of the kinds. Several kinds are given where
+// the contract allows any of them (rule K1).
 func wantKind(what string, err error, kinds ...garnetworks.Kind) error {
 	if garnetworks.IsKind(err, kinds...) {
 		return nil
@@ -113,8 +113,7 @@
 	return errors.Errorf("%s: got error %v, want one of kind %v", what, err, kinds)
 }
 
-// wantPhase returns an error unless err is an AttemptError in one of the
-// phases.
+// wantPhase returns an error unless err is an AttemptError in one of the phases.
 func wantPhase(what string, err error, phases ...garnetworks.CallPhase) error {
 	var attempt *garnetworks.AttemptError
 	if !errors.As(err, &attempt) {
@@ -134,7 +133,7 @@
 	return nil
 }
 
-// steps runs checks in order up to the first error.
+// firstError runs the checks in order and returns the first error.
 func firstError(checks ...func() error) error {
 	for _, check := range checks {
 		if err := check(); err != nil {
@@ -145,17 +144,17 @@
 }
 
 const (
-	// within bounds how much longer than its context a call may take.
+	// returnGrace is how long a call may take to return after its context has ended.
 	returnGrace = 2 * time.Second
-	// shortWait is the timeout of contexts that are to end. It is far above the
-	// pauses of a busy machine, because some cases want a call to have begun.
+	// shortTimeout is the timeout of contexts that are expected to expire. Some cases need the
+	// call to have started by then, also on a busy machine.
 	shortTimeout = 500 * time.Millisecond
-	// longWait is the timeout of contexts that are not to end.
+	// longTimeout is the timeout of contexts that are not expected to expire.
 	longTimeout = 5 * time.Second
 )
 
-// promptly runs f with a context of the given timeout and fails if f takes much
-// longer than that.
+// callWithTimeout calls f with a context that ends after timeout. It returns an error if f does
+// not return within returnGrace after that.
 func callWithTimeout(ctx context.Context, timeout time.Duration, f func(ctx context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -165,7 +164,7 @@
 	case err := <-done:
 		return err
 	case <-time.After(timeout + returnGrace):
-		return errors.New("the call outlived its context")
+		return errors.New("the call did not return after its context ended")
 	}
 }
 
--- a/checker/enginecaller.go
+++ b/checker/enginecaller.go
@@ -14,94 +14,93 @@
 	"github.com/garnetworks/garnetworks/faker"
 )
 
-// EngineCallerBed is a caller with a group of at least two members that serves.
+// EngineCallerFixture holds an engine caller and a serving group of at least two members.
 type EngineCallerFixture struct {
 	Caller  garnetworks.EngineCaller
 	Address string
 	// Unused is an address at which nothing listens.
 	Unused string
-	// Silence is at least the time after which the caller gives up a silent
-	// connection.
+	// MaxStallTimeout is an upper bound of the time after which the caller ends a stalled
+	// attempt.
 	MaxStallTimeout time.Duration
-	// Call returns a new call of MaxTokens tokens that the group serves, unlike
-	// all others. Its answer has no token twice in a row by chance alone.
+	// NewCall returns a new unique call of maxTokens tokens that the group can serve.
+	// Consecutive tokens of its response must differ, so that a duplicate is detected.
 	NewCall func(maxTokens int) *garnetworks.EngineCall
-	// Text returns the text of the call's tokens from first up to end.
+	// ResponseText returns the text of the call's tokens from first up to, but not including, end.
 	ResponseText func(call *garnetworks.EngineCall, first, end int) string
-	// Running returns the number of calls that the engine works on; it may be
+	// RunningCalls returns the number of calls that the engine runs or queues; it may be
 	// nil.
 	RunningCalls func() int
-	// LoseMember takes away a member other than the one that answers; it may be
-	// nil.
+	// StopMember stops a member other than the one that responds; it may be nil.
 	StopMember func()
-	// Faults are those of the engine that answers; they may be nil.
+	// Faults injects faults into the engine that responds; it may be nil.
 	Faults FaultInjector
 }
 
-// EngineCaller checks a caller of engines.
+// EngineCaller runs the contract suite of garnetworks.EngineCaller.
 func EngineCaller(t *testing.T, newFixture func(t *testing.T) EngineCallerFixture) {
 	t.Helper()
 	run(t, newFixture, EngineCallerCases())
 }
 
-// EngineCallerCases returns the contract of garnetworks.EngineCaller.
+// EngineCallerCases returns the cases of the garnetworks.EngineCaller contract.
 func EngineCallerCases() map[string]Case[EngineCallerFixture] {
 	hasFaults := func(f EngineCallerFixture) bool { return f.Faults != nil }
 	return map[string]Case[EngineCallerFixture]{
-		"an answer is whole and its own": {
-			Failure: "A tech gets part of an answer, or another tech's.",
+		"a response is complete and belongs to its call": {
+			Failure: "A caller receives a partial response or another caller's response.",
 			Run:     callerComplete,
 		},
-		"odd prompts survive": {
-			Failure: "A prompt with line ends or foreign letters comes back as another one's answer.",
+		"unusual prompts arrive unchanged": {
+			Failure: "A prompt with line breaks or non-ASCII characters is changed on its way to the engine.",
 			Run:     callerUnusualPrompts,
 		},
-		"an answer resumes": {
-			Failure: "A group dies in the middle; the caller gets words twice or not at all.",
+		"a response resumes": {
+			Failure: "A group fails mid-response, and the caller receives tokens twice or not at all.",
 			Run:     callerResumes,
 		},
-		"many answers at once stay apart": {
-			Failure: "Under load one caller's words turn up in another's answer.",
+		"concurrent responses are not mixed": {
+			Failure: "Under load, tokens of one response appear in another.",
 			Run:     callerConcurrent,
 		},
-		"a call with an old token is refused": {
-			Failure: "A router with an old view calls a group that was formed anew.",
+		"a call with a stale fencing token is refused": {
+			Failure: "A router with an outdated view calls a group that has since been formed again.",
 			Run:     callerStaleToken,
 		},
 		"a group with a missing member refuses": {
-			Failure:   "A member died; the group would answer slowly and wrongly.",
+			Failure:   "A group without one of its members accepts calls that it cannot serve correctly.",
 			Supported: func(f EngineCallerFixture) bool { return f.StopMember != nil },
 			Run:       callerMissingMember,
 		},
-		"a member lost in the middle breaks the answer": {
-			Failure:   "A member dies during an answer, which must not look whole.",
+		"losing a member mid-response fails the response": {
+			Failure:   "A member fails during a response, and the partial response looks complete.",
 			Supported: func(f EngineCallerFixture) bool { return f.StopMember != nil },
 			Run:       callerMemberLost,
 		},
-		"nobody listens": {
-			Failure: "The instance is gone; the call has surely not run and may go elsewhere.",
+		"no listener": {
+			Failure: "The instance is gone, but the caller is not told that the call did not run and may be sent elsewhere.",
 			Run: func(ctx context.Context, f EngineCallerFixture) error {
 				_, err := f.Caller.Generate(ctx, f.Unused, f.NewCall(1))
 				return wantPhase("generate", err, garnetworks.PhaseConnect)
 			},
 		},
-		"a broken answer is never whole": {
-			Failure:   "The engine dies in the middle and the caller takes the first half for the whole.",
+		"a truncated response is never complete": {
+			Failure:   "The engine fails mid-response, and the caller takes the partial response for the complete one.",
 			Supported: hasFaults,
 			Run:       callerTruncated,
 		},
-		"a crossed answer is dropped": {
-			Failure:   "Answers arrive crossed; no word of one caller's answer may reach another.",
+		"a mismatched response is dropped": {
+			Failure:   "A caller receives tokens of another caller's response.",
 			Supported: hasFaults,
 			Run:       callerMismatched,
 		},
-		"an engine that dies in the middle is said": {
-			Failure:   "The engine's process ends; the stream must end with an error, not with silence.",
+		"an engine that stops mid-response is reported": {
+			Failure:   "The engine's process exits, and the stream hangs or looks complete in place of returning an error.",
 			Supported: hasFaults,
 			Run:       callerEngineStops,
 		},
-		"an engine that is unavailable refuses": {
-			Failure:   "The engine proves that it did not begin the call; the call goes elsewhere at once.",
+		"an unavailable engine refuses": {
+			Failure:   "The engine proves that it did not start the call, but the call is not sent elsewhere at once.",
 			Supported: hasFaults,
 			Run: func(ctx context.Context, f EngineCallerFixture) error {
 				f.Faults.SetFaults(faker.FaultPlan{Unavailable: true})
@@ -109,63 +108,63 @@
 				return wantPhase("generate", err, garnetworks.PhaseRefused)
 			},
 		},
-		"a lost answer may have run": {
-			Failure:   "The engine began, and its answer got lost; nobody may say that the call did not run.",
+		"a call with a lost response may have run": {
+			Failure:   "The engine started the call and its response was lost, but the caller is told that the call did not run.",
 			Supported: hasFaults,
 			Run: func(ctx context.Context, f EngineCallerFixture) error {
 				f.Faults.SetFaults(faker.FaultPlan{LoseAnswers: 1})
 				_, err := readResponse(ctx, f, f.NewCall(3))
-				return wantPhase("answer", err, garnetworks.PhaseWait, garnetworks.PhaseHeaders, garnetworks.PhaseBody)
+				return wantPhase("response", err, garnetworks.PhaseWait, garnetworks.PhaseHeaders, garnetworks.PhaseBody)
 			},
 		},
-		"a late answer is whole": {
-			Failure:   "An answer that comes late is still the caller's.",
+		"a late response is complete": {
+			Failure:   "A response that arrives late is discarded.",
 			Supported: hasFaults,
 			Run: func(ctx context.Context, f EngineCallerFixture) error {
 				f.Faults.SetFaults(faker.FaultPlan{LateAnswers: 1, LateBy: f.MaxStallTimeout / 4})
 				return wantComplete(ctx, f, f.NewCall(3))
 			},
 		},
-		"a silent connection is noticed": {
-			Failure:   "What lies between forgets the connection in the middle of an answer; the tech's screen stands still for good.",
+		"a stalled connection is detected": {
+			Failure:   "The network drops a connection's state mid-response, and the caller waits forever.",
 			Supported: hasFaults,
 			Run:       callerStalled,
 		},
-		"a silent pooled connection is noticed": {
-			Failure:   "The pooled connections have gone silent; each new call is written to one of them.",
+		"a stalled pooled connection is detected": {
+			Failure:   "The pooled connections have stalled, and each new call is written to one of them.",
 			Supported: hasFaults,
 			Run:       callerStalledPool,
 		},
-		"a frozen engine is noticed": {
-			Failure:   "The engine pauses in the middle; the call must end and go elsewhere.",
+		"a frozen engine is detected": {
+			Failure:   "The engine pauses mid-response, and the call neither ends nor moves to another group.",
 			Supported: hasFaults,
 			Run:       callerFrozen,
 		},
-		"closing cancels": {
-			Failure:   "A caller hangs up and its answer goes on taking the group's time.",
+		"closing the stream cancels the call": {
+			Failure:   "A caller disconnects, and the group goes on generating its response.",
 			Supported: func(f EngineCallerFixture) bool { return f.RunningCalls != nil },
 			Run:       callerCancels,
 		},
-		"the context ends the answer": {
-			Failure: "A deadline passes and the node goes on reading.",
+		"the context ends the response": {
+			Failure: "The deadline passes, and the node goes on reading.",
 			Run:     callerContext,
 		},
-		"an error lasts": {
-			Failure:   "After a broken answer the next read looks like its end.",
+		"an error is permanent": {
+			Failure:   "After an incomplete response, the next read returns io.EOF as if the response were complete.",
 			Supported: hasFaults,
 			Run:       callerErrorPersists,
 		},
 	}
 }
 
-// answer is what a caller has read.
+// readResult is the part of a response that has been read.
 type readResult struct {
 	text   string
 	tokens int
 	end    garnetworks.Chunk
 }
 
-// readAll reads an answer up to its end marker.
+// readResponse starts the call and reads its response up to the end marker.
 func readResponse(ctx context.Context, f EngineCallerFixture, call *garnetworks.EngineCall) (readResult, error) {
 	stream, err := f.Caller.Generate(ctx, f.Address, call)
 	if err != nil {
@@ -175,8 +174,8 @@
 	return readStream(stream, call, -1)
 }
 
-// readStream reads up to limit chunks, or all if limit is below 0, and checks
-// each.
+// readStream reads up to limit chunks, or up to the end marker if limit is negative. It checks
+// each chunk's attempt and token index.
 func readStream(stream garnetworks.EngineStream, call *garnetworks.EngineCall, limit int) (readResult, error) {
 	var a readResult
 	var text strings.Builder
@@ -199,7 +198,7 @@
 func wantComplete(ctx context.Context, f EngineCallerFixture, call *garnetworks.EngineCall) error {
 	a, err := readResponse(ctx, f, call)
 	if err != nil {
-		return errors.Wrap(err, "answer")
+		return errors.Wrap(err, "response")
 	}
 	return firstError(
 		func() error { return want("text", a.text, f.ResponseText(call, call.ResumeFrom, call.MaxTokens)) },
@@ -222,7 +221,7 @@
 	}
 	defer stream.Close()
 	if _, err := readStream(stream, call, -1); err != nil {
-		return errors.Wrap(err, "answer")
+		return errors.Wrap(err, "response")
 	}
 	var chunk garnetworks.Chunk
 	if err := stream.Next(&chunk); err != io.EOF {
@@ -275,7 +274,7 @@
 	call := f.NewCall(1)
 	call.Token--
 	_, err := f.Caller.Generate(ctx, f.Address, call)
-	if err := wantPhase("old token", err, garnetworks.PhaseRefused); err != nil {
+	if err := wantPhase("stale token", err, garnetworks.PhaseRefused); err != nil {
 		return err
 	}
 	call = f.NewCall(1)
@@ -298,11 +297,11 @@
 	return failMidStream(ctx, f, func() { f.Faults.SetFaults(faker.FaultPlan{Down: true}) })
 }
 
-// manyTokens is more than any case waits for.
+// manyTokens is a response length that no case reads to its end.
 const manyTokens = 100_000
 
-// breakOff reads some of a long answer, lets the failure happen, and wants the
-// rest to end in an error.
+// failMidStream reads the start of a long response, calls fail, and checks that the rest of the
+// response ends in an error.
 func failMidStream(ctx context.Context, f EngineCallerFixture, fail func()) error {
 	call := f.NewCall(manyTokens)
 	stream, err := f.Caller.Generate(ctx, f.Address, call)
@@ -311,21 +310,21 @@
 	}
 	defer stream.Close()
 	if _, err := readStream(stream, call, 2); err != nil {
-		return errors.Wrap(err, "begin of the answer")
+		return errors.Wrap(err, "start of the response")
 	}
 	fail()
 	var chunk garnetworks.Chunk
 	for err == nil {
 		err = stream.Next(&chunk)
 	}
-	return wantPhase("broken answer", err, garnetworks.PhaseBody)
+	return wantPhase("interrupted response", err, garnetworks.PhaseBody)
 }
 
 func callerTruncated(ctx context.Context, f EngineCallerFixture) error {
 	for after := range 4 {
 		f.Faults.SetFaults(faker.FaultPlan{TruncateAnswers: 1, BreakAfter: after})
 		a, err := readResponse(ctx, f, f.NewCall(3))
-		if err := wantPhase("truncated answer", err, garnetworks.PhaseBody, garnetworks.PhaseWait, garnetworks.PhaseHeaders); err != nil {
+		if err := wantPhase("truncated response", err, garnetworks.PhaseBody, garnetworks.PhaseWait, garnetworks.PhaseHeaders); err != nil {
 			return errors.Wrapf(err, "truncated after %d", after)
 		}
 		if err := want("end", a.end.End, false); err != nil {
@@ -340,8 +339,8 @@
 		f.Faults.SetFaults(faker.FaultPlan{CrossAnswers: 1, BreakAfter: after})
 		call := f.NewCall(6)
 		a, err := readResponse(ctx, f, call)
-		if err := wantPhase("crossed answer", err, garnetworks.PhaseMismatched); err != nil {
-			return errors.Wrapf(err, "crossed after %d", after)
+		if err := wantPhase("mismatched response", err, garnetworks.PhaseMismatched); err != nil {
+			return errors.Wrapf(err, "mismatched after %d", after)
 		}
 		if err := want("own tokens", a.text, f.ResponseText(call, 0, after)); err != nil {
 			return err
@@ -350,16 +349,17 @@
 	return nil
 }
 
-// wantSilent returns an error unless err says that silence ended the attempt.
+// wantStalled returns an error unless err is an AttemptError with Stalled set.
 func wantStalled(err error) error {
 	var attempt *garnetworks.AttemptError
 	if !errors.As(err, &attempt) || !attempt.Stalled {
-		return errors.Errorf("got error %v, want a silent attempt", err)
+		return errors.Errorf("got error %v, want a stalled attempt", err)
 	}
 	return nil
 }
 
-// readUntilError reads on for as long as a silent connection may last.
+// readUntilError reads until an error. It fails if there is none within MaxStallTimeout plus
+// returnGrace.
 func readUntilError(f EngineCallerFixture, stream garnetworks.EngineStream) error {
 	ended := make(chan error, 1)
 	go func() {
@@ -375,7 +375,7 @@
 	case err := <-ended:
 		return err
 	case <-time.After(f.MaxStallTimeout + returnGrace):
-		return errors.New("the read did not end")
+		return errors.New("the read did not return")
 	}
 }
 
@@ -387,7 +387,7 @@
 	}
 	defer stream.Close()
 	if _, err := readStream(stream, call, 2); err != nil {
-		return errors.Wrap(err, "begin of the answer")
+		return errors.Wrap(err, "start of the response")
 	}
 	f.Faults.SilenceOpen()
 	if err := wantStalled(readUntilError(f, stream)); err != nil {
@@ -420,7 +420,7 @@
 	}
 	defer stream.Close()
 	if _, err := readStream(stream, call, 2); err != nil {
-		return errors.Wrap(err, "begin of the answer")
+		return errors.Wrap(err, "start of the response")
 	}
 	f.Faults.SetFaults(faker.FaultPlan{Frozen: true})
 	if err := wantStalled(readUntilError(f, stream)); err != nil {
@@ -442,7 +442,7 @@
 	}
 	if _, err := readStream(stream, call, 2); err != nil {
 		_ = stream.Close()
-		return errors.Wrap(err, "begin of the answer")
+		return errors.Wrap(err, "start of the response")
 	}
 	_ = stream.Close()
 	return eventually(ctx, func() error { return want("running calls", f.RunningCalls(), 0) })
@@ -453,7 +453,7 @@
 		_, err := readResponse(ctx, f, f.NewCall(manyTokens))
 		return err
 	})
-	return wantPhase("answer", err, garnetworks.PhaseBody, garnetworks.PhaseWait, garnetworks.PhaseHeaders)
+	return wantPhase("response", err, garnetworks.PhaseBody, garnetworks.PhaseWait, garnetworks.PhaseHeaders)
 }
 
 func callerErrorPersists(ctx context.Context, f EngineCallerFixture) error {
@@ -465,7 +465,7 @@
 	}
 	defer stream.Close()
 	if _, err := readStream(stream, call, -1); err == nil {
-		return errors.New("the broken answer was whole")
+		return errors.New("the truncated response was complete")
 	}
 	var chunk garnetworks.Chunk
 	return wantPhase("next read", stream.Next(&chunk), garnetworks.PhaseBody)
--- a/checker/engineorders.go
+++ b/checker/engineorders.go
@@ -11,81 +11,81 @@
 	"github.com/garnetworks/garnetworks/faker"
 )
 
-// EngineOrdersBed is an adapter for orders with two engines that belong to no
-// group, one that checks fencing tokens and one that doesn't.
+// EngineOrdersFixture holds a sender of engine orders and two engines that belong to no group:
+// Fenced checks fencing tokens, Unfenced does not.
 type EngineOrdersFixture struct {
 	Orders   garnetworks.EngineOrders
 	Fenced   EngineTarget
 	Unfenced EngineTarget
-	// Weights are in the weight store.
+	// Weights names weights that the weight store holds.
 	Weights garnetworks.WeightID
 	// Unused is an address at which nothing listens.
 	Unused string
-	// Faults are those of the checking engine; they may be nil.
+	// Faults injects faults into the Fenced engine; it may be nil.
 	Faults FaultInjector
 }
 
-// EngineTarget is where an engine is reached.
+// EngineTarget identifies an engine and its address.
 type EngineTarget struct {
 	Instance garnetworks.InstanceID
 	Address  string
 }
 
-// EngineOrders checks an adapter for engine orders.
+// EngineOrders runs the contract suite of garnetworks.EngineOrders.
 func EngineOrders(t *testing.T, newFixture func(t *testing.T) EngineOrdersFixture) {
 	t.Helper()
 	run(t, newFixture, EngineOrdersCases())
 }
 
-// EngineOrdersCases returns the contract of garnetworks.EngineOrders.
+// EngineOrdersCases returns the cases of the garnetworks.EngineOrders contract.
 func EngineOrdersCases() map[string]Case[EngineOrdersFixture] {
 	hasFaults := func(f EngineOrdersFixture) bool { return f.Faults != nil }
 	return map[string]Case[EngineOrdersFixture]{
-		"form makes a member that gets ready": {
-			Failure: "A group is formed on paper while its members serve something else.",
+		"form makes the engine a member that becomes ready": {
+			Failure: "The controller records a group whose members do not serve it.",
 			Run:     ordersForm,
 		},
 		"release makes the engine idle under the release's token": {
-			Failure: "A released instance stays with its old group and is a member of two; or it reports token 0, which is taken for an echo, and is lost to its zone.",
+			Failure: "A released instance stays in its old group and becomes a member of two groups; or it reports token 0 and its zone never uses it again.",
 			Run:     ordersRelease,
 		},
-		"drain takes no new calls": {
-			Failure: "A leaving engine keeps taking calls and cuts them off.",
+		"drain stops new calls": {
+			Failure: "A leaving engine goes on accepting calls and then interrupts them.",
 			Run:     ordersDrain,
 		},
-		"preload loads without joining": {
-			Failure: "Weights are loaded ahead and the engine believes it is a member.",
+		"preload loads weights without joining a group": {
+			Failure: "Weights are loaded in advance, and the engine takes itself for a member of a group.",
 			Run:     ordersPreload,
 		},
 		"adapters are replaced": {
-			Failure: "An adapter is taken out of the manifest and still answers.",
+			Failure: "An adapter that was removed from the manifest is still served.",
 			Run:     ordersAdapters,
 		},
-		"a repeated order changes nothing": {
-			Failure: "An order whose answer was lost is sent again and breaks off the calls of a serving group.",
+		"a repeated order has no effect": {
+			Failure: "An order whose response was lost is sent again and interrupts the calls of a serving group.",
 			Run:     ordersRepeated,
 		},
-		"a repeated order can change the rate of a load": {
-			Failure: "A group starts to load at what is left of the weight store's rate; when the others are done it is given more, and goes on at a crawl.",
+		"a repeated order can change the load rate": {
+			Failure: "A group starts to load at a small share of the weight store's rate and keeps that rate after it is given a larger share.",
 			Run:     ordersChangeRate,
 		},
-		"an old token is refused by an engine that checks": {
-			Failure: "A paused controller wakes and takes an instance out of the group that its successor formed.",
+		"a stale fencing token is refused by an engine that checks tokens": {
+			Failure: "A controller resumes after a pause and removes an instance from a group that its successor formed.",
 			Run:     ordersStaleToken,
 		},
-		"an engine that does not check obeys": {
-			Failure: "Tests believe in a protection that some engines don't have.",
+		"an engine that does not check tokens executes stale orders": {
+			Failure: "Tests rely on fencing that some engines do not have.",
 			Run:     ordersUnfenced,
 		},
 		"an unknown order is an error": {
-			Failure: "A newer program's order is swallowed and the controller waits for its effect.",
+			Failure: "An engine ignores an order of a newer version without an error, and the controller waits for its effect.",
 			Run: func(ctx context.Context, f EngineOrdersFixture) error {
 				_, err := f.Orders.Order(ctx, f.Fenced.Address, garnetworks.EngineOrder{ID: "1", Kind: "dance", Token: 1})
 				return wantKind("order", err, garnetworks.KindInvalidRequest)
 			},
 		},
-		"nobody listens": {
-			Failure: "An engine's instance is gone; its order must be known not to have been carried out.",
+		"no listener": {
+			Failure: "The instance is gone, but the controller is not told that its order was not executed.",
 			Run: func(ctx context.Context, f EngineOrdersFixture) error {
 				_, err := f.Orders.Order(ctx, f.Unused, formOrder(f, "1", 1))
 				if err := wantKind("order", err, garnetworks.KindUnreachable); err != nil {
@@ -95,13 +95,13 @@
 				return wantKind("status", err, garnetworks.KindUnreachable)
 			},
 		},
-		"a lost answer is neither failed nor done": {
-			Failure:   "The engine joined the group although its controller was told that it did not.",
+		"an order with a lost response has an unknown outcome": {
+			Failure:   "The engine joined the group, but its controller is told that the order failed.",
 			Supported: hasFaults,
 			Run:       ordersResponseLost,
 		},
-		"an engine that is down is said": {
-			Failure:   "A dead member keeps its last word and its group goes on serving.",
+		"an engine that is down is reported": {
+			Failure:   "An engine that is down keeps its last known status, and its group goes on serving.",
 			Supported: hasFaults,
 			Run: func(ctx context.Context, f EngineOrdersFixture) error {
 				f.Faults.SetFaults(faker.FaultPlan{Down: true})
@@ -109,8 +109,8 @@
 				return wantKind("status", err, garnetworks.KindUnreachable)
 			},
 		},
-		"a frozen engine holds nobody beyond the context": {
-			Failure:   "An engine pauses and holds up the probes of all others.",
+		"a frozen engine blocks no call beyond its context": {
+			Failure:   "One paused engine delays the probes of all others.",
 			Supported: hasFaults,
 			Run: func(ctx context.Context, f EngineOrdersFixture) error {
 				f.Faults.SetFaults(faker.FaultPlan{Frozen: true})
@@ -121,8 +121,8 @@
 				return wantKind("status", err, garnetworks.KindUnreachable)
 			},
 		},
-		"silent connections are given up": {
-			Failure:   "Probes over a forgotten connection fail for ever and take a healthy group out.",
+		"stalled connections are dropped": {
+			Failure:   "Probes over a stalled connection fail forever and take a healthy group out of service.",
 			Supported: hasFaults,
 			Run:       ordersStalled,
 		},
@@ -141,7 +141,8 @@
 	}
 }
 
-// wantReady waits until the engine serves in the order's group.
+// wantReady waits until the engine is ready in the order's group and reports the order's
+// group, token, model, version and ID.
 func wantReady(ctx context.Context, f EngineOrdersFixture, address string, order garnetworks.EngineOrder) error {
 	return eventually(ctx, func() error {
 		status, err := f.Orders.Status(ctx, address)
@@ -175,7 +176,7 @@
 		if err != nil {
 			return err
 		}
-		if err := want("group at once", status.Group, order.Group); err != nil {
+		if err := want("group in the response", status.Group, order.Group); err != nil {
 			return err
 		}
 		if err := wantReady(ctx, f, target.Address, order); err != nil {
@@ -311,7 +312,7 @@
 		older := formOrder(f, "2", 7)
 		older.Kind = kind
 		_, err := f.Orders.Order(ctx, f.Fenced.Address, older)
-		if err := wantKind("old "+string(kind), err, garnetworks.KindStaleToken); err != nil {
+		if err := wantKind("stale "+string(kind), err, garnetworks.KindStaleToken); err != nil {
 			return err
 		}
 	}
@@ -349,7 +350,7 @@
 		return err
 	})
 	if err != nil {
-		if err := wantKind("status on a silent connection", err, garnetworks.KindUnreachable); err != nil {
+		if err := wantKind("status on a stalled connection", err, garnetworks.KindUnreachable); err != nil {
 			return err
 		}
 	}
--- a/checker/objectapi.go
+++ b/checker/objectapi.go
@@ -15,18 +15,18 @@
 	"github.com/garnetworks/garnetworks/faker"
 )
 
-// ObjectAPIBed is an object API without objects.
+// ObjectAPIFixture holds an empty object API.
 type ObjectAPIFixture struct {
 	API garnetworks.ObjectAPI
-	// Faults may be nil.
+	// Faults injects faults into the object store; it may be nil.
 	Faults FaultInjector
-	// Compact forgets the history up to now; it may be nil.
+	// Compact compacts the store's history up to now; it may be nil.
 	Compact func()
-	// Throttle makes the next calls exceed the rates; it may be nil.
+	// Throttle makes the next calls exceed the rate limits; it may be nil.
 	Throttle func()
 }
 
-// ObjectAPI checks an object API.
+// ObjectAPI runs the contract suite of garnetworks.ObjectAPI.
 func ObjectAPI(t *testing.T, newFixture func(t *testing.T) ObjectAPIFixture) {
 	t.Helper()
 	run(t, newFixture, ObjectAPICases())
@@ -34,46 +34,46 @@
 
 func objectHasFaults(f ObjectAPIFixture) bool { return f.Faults != nil }
 
-// ObjectAPICases returns the contract of garnetworks.ObjectAPI.
+// ObjectAPICases returns the cases of the garnetworks.ObjectAPI contract.
 func ObjectAPICases() map[string]Case[ObjectAPIFixture] {
 	return map[string]Case[ObjectAPIFixture]{
 		"a written object reads back": {
-			Failure: "A node that restarts must find what was written, byte for byte.",
+			Failure: "A node that restarts reads a value that differs from the written one.",
 			Run:     objectReadsBack,
 		},
 		"create refuses an existing object": {
-			Failure: "Two controllers create the same lease; both would believe they hold it.",
+			Failure: "Two controllers create the same lease, and both conclude that they hold it.",
 			Run:     objectCreateConflicts,
 		},
-		"update needs the newest revision": {
-			Failure: "A paused lease holder writes a domain after its successor did and wipes out the successor's groups.",
+		"update requires the newest revision": {
+			Failure: "A lease holder resumes after a pause and overwrites the groups that its successor wrote.",
 			Run:     objectUpdateConflicts,
 		},
 		"update of an absent object conflicts": {
-			Failure: "A deleted lease comes back to life by a late renewal.",
+			Failure: "A late renewal recreates a deleted lease.",
 			Run:     objectUpdateAbsent,
 		},
-		"absent objects": {
+		"absent objects are not found": {
 			Failure: "A missing object is taken for an outage, or an outage for a missing object.",
 			Run:     objectAbsent,
 		},
-		"delete needs the newest revision": {
-			Failure: "A late delete takes away an object that was written since.",
+		"delete requires the newest revision": {
+			Failure: "A late delete removes an object that was written in the meantime.",
 			Run:     objectDelete,
 		},
-		"revisions never come back": {
-			Failure: "An object is deleted and created again; a stale writer's old revision matches by chance.",
+		"revisions are never reused": {
+			Failure: "An object is deleted and created again, and a stale writer's old revision matches.",
 			Run:     objectRevisionsGrow,
 		},
-		"values have a bound": {
+		"value sizes are limited": {
 			Failure: "A manifest that is too large is stored in part.",
 			Run:     objectTooLarge,
 		},
-		"values are the caller's own": {
-			Failure: "A caller reuses its buffer and changes the stored value.",
+		"values are copied": {
+			Failure: "A caller reuses its buffer and thereby changes the stored value.",
 			Run:     objectCopies,
 		},
-		"odd keys survive": {
+		"unusual keys are distinct": {
 			Failure: "A zone whose name needs escaping reads another zone's object.",
 			Run:     objectUnusualKeys,
 		},
@@ -85,60 +85,60 @@
 			Failure: "A node applies an older roster after a newer one.",
 			Run:     objectWatchOrder,
 		},
-		"watch wakes on a change": {
-			Failure: "A new manifest waits for the end of each node's watch.",
+		"watch returns on a change": {
+			Failure: "A new manifest is applied only after each node's watch has timed out.",
 			Run:     objectWatchWakes,
 		},
-		"watch ends after its wait": {
-			Failure: "A watch without changes never ends, and its silent connection is never noticed.",
+		"watch returns after its wait": {
+			Failure: "A watch without changes never returns, so a stalled connection is not detected.",
 			Run:     objectWatchEnds,
 		},
-		"compacted history is said": {
-			Failure:   "A node that was cut off misses changes and never knows.",
+		"compacted history is reported": {
+			Failure:   "A node that was disconnected misses changes without knowing it.",
 			Supported: func(f ObjectAPIFixture) bool { return f.Compact != nil },
 			Run:       objectCompacted,
 		},
-		"one of many racing writers wins": {
-			Failure: "Operators race; two commits are both told that they won.",
+		"exactly one concurrent writer succeeds": {
+			Failure: "Two operators commit concurrently, and both are told that they succeeded.",
 			Run:     objectRace,
 		},
-		"a lost write is neither failed nor done": {
-			Failure:   "The store takes a write and its answer gets lost; the operator is told that the commit failed although it is in force.",
+		"a write with a lost response has an unknown outcome": {
+			Failure:   "The store executes a write and its response is lost; the operator is told that the commit failed although it took effect.",
 			Supported: objectHasFaults,
 			Run:       objectLostPut,
 		},
-		"a lost delete is neither failed nor done": {
-			Failure:   "As for a write; the object is gone although the caller was told that it isn't.",
+		"a delete with a lost response has an unknown outcome": {
+			Failure:   "The object is deleted although the caller is told that the delete failed.",
 			Supported: objectHasFaults,
 			Run:       objectLostDelete,
 		},
-		"a late answer is a lost one": {
-			Failure:   "The answer comes after the caller stopped waiting; the write stands.",
+		"a late response counts as lost": {
+			Failure:   "The response arrives after the caller stopped waiting, and the caller is told that the write failed although it took effect.",
 			Supported: objectHasFaults,
 			Run:       objectLatePut,
 		},
-		"an outage is said and ends": {
-			Failure:   "The store is down; a caller takes that for an absent object, or never notices that it is back.",
+		"an outage is reported and ends": {
+			Failure:   "The store is down, and a caller takes that for an absent object or cannot use the store after its recovery.",
 			Supported: objectHasFaults,
 			Run:       objectDown,
 		},
 		"an unavailable store writes nothing": {
-			Failure:   "The store answers that it can't; a caller that is told so goes on as if nothing was written.",
+			Failure:   "The store reports that it is unavailable, but the write took effect.",
 			Supported: objectHasFaults,
 			Run:       objectUnavailable,
 		},
-		"a frozen store holds nobody beyond the context": {
-			Failure:   "The store pauses and a lease holder hangs in its renewal past the lease's end.",
+		"a frozen store blocks no call beyond its context": {
+			Failure:   "The store pauses, and a lease holder is blocked in its renewal past the end of the lease.",
 			Supported: objectHasFaults,
 			Run:       objectFrozen,
 		},
-		"silent connections are given up": {
-			Failure:   "What lies between forgets the open connections; calls on them hang although new ones work.",
+		"stalled connections are dropped": {
+			Failure:   "The network drops the state of open connections, and calls over them hang although new connections work.",
 			Supported: objectHasFaults,
 			Run:       objectStalled,
 		},
-		"throttling is said with a delay": {
-			Failure:   "Throttled calls are retried at once by every node, and the store never recovers.",
+		"throttling returns a retry delay": {
+			Failure:   "Every node retries throttled calls at once, and the store never recovers.",
 			Supported: func(f ObjectAPIFixture) bool { return f.Throttle != nil },
 			Run:       objectThrottled,
 		},
@@ -151,7 +151,7 @@
 
 const (
 	testKey = "checks/object"
-	// longWatch is the wait of a watch that a change is to end.
+	// longWatch is the wait of a watch that is expected to return earlier, on a change.
 	longWatch = 2 * time.Second
 )
 
@@ -175,7 +175,7 @@
 	return firstError(
 		func() error { return want("key", object.Key, key) },
 		func() error { return want("revision", object.Revision, revision) },
-		func() error { return want("revision is not absent", revision != 0, true) },
+		func() error { return want("has a nonzero revision", revision != 0, true) },
 	)
 }
 
@@ -268,7 +268,7 @@
 		return errors.Errorf("revision %d came after %d", again, first)
 	}
 	_, err = f.API.Put(ctx, testKey, []byte("three"), first)
-	return wantKind("update at the revision of a former life", err, garnetworks.KindConflict)
+	return wantKind("update at the revision of the deleted object", err, garnetworks.KindConflict)
 }
 
 func objectTooLarge(ctx context.Context, f ObjectAPIFixture) error {
@@ -382,7 +382,7 @@
 		func() error { return want("first revision", changes[0].Revision, second) },
 		func() error { return want("second is a deletion", changes[1].Deleted, true) },
 		func() error { return want("order", changes[1].Revision > second, true) },
-		func() error { return want("goes on from the last change", revision >= changes[1].Revision, true) },
+		func() error { return want("continues from the last change", revision >= changes[1].Revision, true) },
 	)
 }
 
@@ -407,7 +407,7 @@
 	}
 	return firstError(
 		func() error { return want("changes", len(changes), 1) },
-		func() error { return want("woke before its end", time.Since(start) < longWatch, true) },
+		func() error { return want("returned before its wait ended", time.Since(start) < longWatch, true) },
 	)
 }
 
@@ -422,7 +422,7 @@
 	}
 	return firstError(
 		func() error { return want("changes", len(changes), 0) },
-		func() error { return want("revision to go on from", next, revision) },
+		func() error { return want("revision to continue from", next, revision) },
 	)
 }
 
@@ -462,16 +462,16 @@
 	winner := -1
 	for i, err := range errs {
 		if err == nil && winner >= 0 {
-			return errors.Errorf("writers %d and %d both won", winner, i)
+			return errors.Errorf("writers %d and %d both succeeded", winner, i)
 		}
 		if err == nil {
 			winner = i
-		} else if err := wantKind("loser", err, garnetworks.KindConflict); err != nil {
+		} else if err := wantKind("other writer", err, garnetworks.KindConflict); err != nil {
 			return err
 		}
 	}
 	if winner < 0 {
-		return errors.New("no writer won")
+		return errors.New("no writer succeeded")
 	}
 	object, err := f.API.Get(ctx, testKey)
 	if err != nil {
@@ -585,7 +585,7 @@
 		return err
 	}
 	_, err = f.API.Get(ctx, testKey)
-	return wantKind("get after a put that was said to have no effect", err, garnetworks.KindNotFound)
+	return wantKind("get after a put that reported no effect", err, garnetworks.KindNotFound)
 }
 
 func objectStalled(ctx context.Context, f ObjectAPIFixture) error {
@@ -594,14 +594,14 @@
 		return errors.Wrap(err, "put")
 	}
 	f.Faults.SilenceOpen()
-	// The first call may meet a silent connection; it must end with its context,
-	// and the next ones must not meet it again.
+	// The first call may use a stalled connection. It must end with its context, and the
+	// next call must use a working connection.
 	err = callWithTimeout(ctx, shortTimeout, func(ctx context.Context) error {
 		_, err := f.API.Get(ctx, testKey)
 		return err
 	})
 	if err != nil {
-		if err := wantKind("get on a silent connection", err, garnetworks.KindObjectAPIDown); err != nil {
+		if err := wantKind("get on a stalled connection", err, garnetworks.KindObjectAPIDown); err != nil {
 			return err
 		}
 	}
@@ -618,7 +618,7 @@
 	}
 	var e *garnetworks.Error
 	if !errors.As(err, &e) || e.RetryAfter <= 0 {
-		return errors.Errorf("got error %v without a delay", err)
+		return errors.Errorf("got error %v without a retry delay", err)
 	}
 	_, err = f.API.Put(ctx, testKey, []byte("one"), 0)
 	return wantKind("put", err, garnetworks.KindThrottled)
--- a/checker/peer.go
+++ b/checker/peer.go
@@ -13,64 +13,65 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// PeerBed connects callers to handlers.
+// PeerFixture holds a peer caller and starts the servers that it calls.
 type PeerFixture struct {
 	Caller garnetworks.PeerCaller
-	// Serve makes the handler reachable and returns its address and a function
-	// that ends it with its connections.
+	// Serve serves the handler and returns its address and a function that stops the server
+	// and closes its connections.
 	Serve func(handler garnetworks.PeerHandler) (address string, stop func())
 	// Unused is an address at which nothing listens.
 	Unused string
 }
 
-// Peer checks a caller of other nodes with the server that it needs.
+// Peer runs the contract suite of garnetworks.PeerCaller, together with the matching server.
 func Peer(t *testing.T, newFixture func(t *testing.T) PeerFixture) {
 	t.Helper()
 	run(t, newFixture, PeerCases())
 }
 
-// PeerCases returns the contract of garnetworks.PeerCaller.
+// PeerCases returns the cases of the garnetworks.PeerCaller contract.
 func PeerCases() map[string]Case[PeerFixture] {
 	return map[string]Case[PeerFixture]{
-		"requests and responses arrive as they are": {
-			Failure: "A field is lost between nodes of one version; leases and manifests are compared by what is left.",
+		"requests and responses arrive unchanged": {
+			Failure: "A field is lost between two nodes, which then compare incomplete leases and manifests.",
 			Run:     peerRoundTrips,
 		},
 		"a handler's error keeps its kind": {
-			Failure: "A refusal by a peer looks like a broken network and is retried for ever.",
+			Failure: "A refusal by a peer looks like a network failure and is retried forever.",
 			Run:     peerKinds,
 		},
-		"nobody listens": {
-			Failure: "A replaced node must be noticed, not waited for.",
+		"no listener": {
+			Failure: "Calls to a replaced node time out in place of failing at once.",
 			Run: func(ctx context.Context, f PeerFixture) error {
 				_, err := f.Caller.Status(ctx, f.Unused, &garnetworks.StatusRequest{})
 				return wantKind("status", err, garnetworks.KindUnreachable)
 			},
 		},
-		"a peer that hangs holds nobody beyond the context": {
-			Failure: "One paused node holds up the heartbeats of all.",
+		"a peer that hangs blocks no call beyond its context": {
+			Failure: "One paused node delays the heartbeats of all others.",
 			Run:     peerHangs,
 		},
-		"a peer that dies in a call is said": {
-			Failure: "A node dies with a call in hand; it may have taken effect.",
+		"a peer that stops during a call is reported": {
+			Failure: "A node stops during a call, and the caller is told that the call had no effect although it may have.",
 			Run:     peerDies,
 		},
-		"a peer that comes back is reached": {
-			Failure: "A node restarts at its address and its peers keep to the dead connection.",
+		"a peer that restarts is reached": {
+			Failure: "A node restarts at its address, and its peers go on using the closed connection.",
 			Run:     peerRestarts,
 		},
-		"many calls at once stay apart": {
-			Failure: "A heartbeat's answer reaches the caller of another.",
+		"concurrent calls are not mixed": {
+			Failure: "The response to one heartbeat is delivered to the caller of another.",
 			Run:     peerConcurrent,
 		},
-		"a manifest of the largest size passes": {
-			Failure: "A large manifest is committed and never arrives.",
+		"a manifest of the maximum size arrives": {
+			Failure: "A large manifest is committed but never arrives.",
 			Run:     peerLargestManifest,
 		},
 	}
 }
 
-// peerHandler answers with what its fields say.
+// peerHandler records requests and returns fixed responses. mu guards the request slices
+// while calls run.
 type peerHandler struct {
 	mu          sync.Mutex
 	heartbeats  []*garnetworks.HeartbeatRequest
@@ -81,9 +82,9 @@
 	proposes    []*garnetworks.ProposeRequest
 	progresses  []*garnetworks.ProgressRequest
 	reports     []*garnetworks.ReportRequest
-	// hang holds each call until it is closed or the call's context ends.
+	// block, if not nil, holds each call until it is closed or the call's context ends.
 	block chan struct{}
-	// entered gets a value for each call, if it has room.
+	// started receives a value for each call, unless it is full or nil.
 	started chan struct{}
 	err     error
 	sample  peerSample
@@ -110,7 +111,7 @@
 	add()
 }
 
-// Heartbeat implements garnetworks.PeerHandler; it echoes the sender.
+// Heartbeat implements garnetworks.PeerHandler. It returns the sample with the sender's ID.
 func (h *peerHandler) Heartbeat(ctx context.Context, r *garnetworks.HeartbeatRequest) (*garnetworks.HeartbeatResponse, error) {
 	if err := h.begin(ctx); err != nil {
 		return nil, err
@@ -121,7 +122,7 @@
 	return &response, nil
 }
 
-// Distribute implements garnetworks.PeerHandler; it counts the updates.
+// Distribute implements garnetworks.PeerHandler. It accepts all updates.
 func (h *peerHandler) Distribute(ctx context.Context, r *garnetworks.DistributeRequest) (*garnetworks.DistributeResponse, error) {
 	if err := h.begin(ctx); err != nil {
 		return nil, err
@@ -309,8 +310,8 @@
 	)
 }
 
-// normalize gives the times of a decoded response the location of the sample's;
-// a codec may choose another one for the same instant.
+// statusToUTC converts the times of a decoded response to UTC, as in the sample. A codec may
+// return another location for the same instant.
 func statusToUTC(response *garnetworks.StatusResponse) {
 	for i := range response.Views {
 		for j := range response.Views[i].Groups {
@@ -336,7 +337,7 @@
 	)
 }
 
-// inUTC gives the report's times the location of the sample's.
+// reportToUTC converts the report's times to UTC, as in the sample.
 func reportToUTC(r *garnetworks.NodeReport) {
 	r.StagedAt, r.AppliedAt = r.StagedAt.UTC(), r.AppliedAt.UTC()
 }
@@ -450,7 +451,7 @@
 	}
 	stop()
 	_, err := f.Caller.Status(ctx, address, &garnetworks.StatusRequest{})
-	if err := wantKind("status of an ended peer", err, garnetworks.KindUnreachable, garnetworks.KindResponseLost); err != nil {
+	if err := wantKind("status of a stopped peer", err, garnetworks.KindUnreachable, garnetworks.KindResponseLost); err != nil {
 		return err
 	}
 	address, stop = f.Serve(second)
@@ -473,7 +474,7 @@
 			id := garnetworks.NodeID(fmt.Sprintf("node-%d", i))
 			response, err := f.Caller.Heartbeat(ctx, address, &garnetworks.HeartbeatRequest{From: garnetworks.NodeInfo{ID: id}})
 			if err == nil {
-				err = want("answer to "+string(id), response.From.ID, id)
+				err = want("response to "+string(id), response.From.ID, id)
 			}
 			errs[i] = err
 		})
--- a/checker/platform.go
+++ b/checker/platform.go
@@ -11,24 +11,24 @@
 	"github.com/garnetworks/garnetworks/faker"
 )
 
-// InstanceListBed is an instance list that holds Rows, of at least two zones.
+// InstanceListFixture holds an instance list with the given Entries, of at least two zones.
 type InstanceListFixture struct {
 	List    garnetworks.InstanceList
 	Entries []garnetworks.ListedInstance
 	Faults  FaultInjector
 }
 
-// InstanceList checks an instance list.
+// InstanceList runs the contract suite of garnetworks.InstanceList.
 func InstanceList(t *testing.T, newFixture func(t *testing.T) InstanceListFixture) {
 	t.Helper()
 	run(t, newFixture, InstanceListCases())
 }
 
-// InstanceListCases returns the contract of garnetworks.InstanceList.
+// InstanceListCases returns the cases of the garnetworks.InstanceList contract.
 func InstanceListCases() map[string]Case[InstanceListFixture] {
 	hasFaults := func(f InstanceListFixture) bool { return f.Faults != nil }
 	return map[string]Case[InstanceListFixture]{
-		"each zone has its own rows": {
+		"each zone has its own entries": {
 			Failure: "A zone's controller forms a group with another zone's instance.",
 			Run:     listEntries,
 		},
@@ -39,11 +39,11 @@
 				if err != nil {
 					return errors.Wrap(err, "instances")
 				}
-				return want("rows", len(entries), 0)
+				return want("entries", len(entries), 0)
 			},
 		},
 		"an outage is not an empty list": {
-			Failure:   "The list is down, and the controller takes all instances for gone.",
+			Failure:   "The list is down, and the controller concludes that all instances are gone.",
 			Supported: hasFaults,
 			Run: func(ctx context.Context, f InstanceListFixture) error {
 				f.Faults.SetFaults(faker.FaultPlan{Down: true})
@@ -55,8 +55,8 @@
 				return listEntries(ctx, f)
 			},
 		},
-		"a frozen list holds nobody beyond the context": {
-			Failure:   "The list pauses, and with it the zone's controller.",
+		"a frozen list blocks no call beyond its context": {
+			Failure:   "The list pauses, and the zone's controller is blocked with it.",
 			Supported: hasFaults,
 			Run: func(ctx context.Context, f InstanceListFixture) error {
 				f.Faults.SetFaults(faker.FaultPlan{Frozen: true})
@@ -100,52 +100,52 @@
 	return true
 }
 
-// PowerSwitchBed is a power switch with an instance that is off.
+// PowerSwitchFixture holds a power switch and an instance that is off.
 type PowerSwitchFixture struct {
 	Power    garnetworks.PowerSwitch
 	Instance garnetworks.InstanceID
-	// Orders returns the number of orders that took effect; it may be nil.
+	// AppliedOrders returns the number of orders that took effect; it may be nil.
 	AppliedOrders func() int
 	Faults        FaultInjector
 }
 
-// PowerSwitch checks a power switch.
+// PowerSwitch runs the contract suite of garnetworks.PowerSwitch.
 func PowerSwitch(t *testing.T, newFixture func(t *testing.T) PowerSwitchFixture) {
 	t.Helper()
 	run(t, newFixture, PowerSwitchCases())
 }
 
-// PowerSwitchCases returns the contract of garnetworks.PowerSwitch.
+// PowerSwitchCases returns the cases of the garnetworks.PowerSwitch contract.
 func PowerSwitchCases() map[string]Case[PowerSwitchFixture] {
 	hasFaults := func(f PowerSwitchFixture) bool { return f.Faults != nil }
 	return map[string]Case[PowerSwitchFixture]{
 		"orders take effect": {
-			Failure: "The cap is raised and the ordered instances never start.",
+			Failure: "The power cap is raised, but the ordered instances never start.",
 			Run:     powerOnAndOff,
 		},
 		"a repeated order takes effect once": {
-			Failure:   "An order whose answer was lost is sent again after a newer one and undoes it.",
+			Failure:   "An order whose response was lost is sent again after a newer one and reverts it.",
 			Supported: func(f PowerSwitchFixture) bool { return f.AppliedOrders != nil },
 			Run:       powerRepeated,
 		},
-		"an old token is refused": {
-			Failure: "A paused controller wakes and powers an instance on that its successor has turned off; the site exceeds its cap.",
+		"a stale fencing token is refused": {
+			Failure: "A controller resumes after a pause and turns on an instance that its successor turned off, so the site exceeds its power cap.",
 			Run:     powerStaleToken,
 		},
-		"an unknown instance is said": {
+		"an unknown instance is reported": {
 			Failure: "An instance that does not exist is taken for proven off.",
 			Run: func(ctx context.Context, f PowerSwitchFixture) error {
 				_, err := f.Power.Power(ctx, "no-such-instance")
 				return wantKind("power", err, garnetworks.KindNotFound)
 			},
 		},
-		"a lost answer is neither failed nor done": {
-			Failure:   "The instance is on although the controller was told that the order failed; the cap is exceeded unseen.",
+		"an order with a lost response has an unknown outcome": {
+			Failure:   "The instance is on, but the controller is told that the order failed; the site exceeds its power cap undetected.",
 			Supported: hasFaults,
 			Run:       powerResponseLost,
 		},
-		"an outage proves nothing": {
-			Failure:   "The switch is down and the controller takes an instance for off.",
+		"an outage proves no power state": {
+			Failure:   "The power switch is down, and the controller takes an instance for off.",
 			Supported: hasFaults,
 			Run:       powerDown,
 		},
@@ -215,11 +215,12 @@
 			return wantKind("set power", setErr, garnetworks.KindUnreachable, garnetworks.KindResponseLost)
 		},
 		func() error { return wantKind("power", err, garnetworks.KindUnreachable) },
-		func() error { return want("nothing is proven", state.Draws(), true) },
+		func() error { return want("counts as drawing power", state.Draws(), true) },
 	)
 }
 
-// WeightStoreBed is a weight store that holds the weights.
+// WeightStoreFixture holds a weight store that contains Weights, and the rate (bytes per
+// second) and size (bytes) that it must report.
 type WeightStoreFixture struct {
 	Store   garnetworks.WeightStore
 	Rate    int64
@@ -228,17 +229,17 @@
 	Faults  FaultInjector
 }
 
-// WeightStore checks a weight store.
+// WeightStore runs the contract suite of garnetworks.WeightStore.
 func WeightStore(t *testing.T, newFixture func(t *testing.T) WeightStoreFixture) {
 	t.Helper()
 	run(t, newFixture, WeightStoreCases())
 }
 
-// WeightStoreCases returns the contract of garnetworks.WeightStore.
+// WeightStoreCases returns the cases of the garnetworks.WeightStore contract.
 func WeightStoreCases() map[string]Case[WeightStoreFixture] {
 	return map[string]Case[WeightStoreFixture]{
-		"rate and sizes": {
-			Failure: "Loads are planned with a wrong size and starve each other.",
+		"rate and sizes are reported": {
+			Failure: "Loads are planned with a wrong size and compete for the store's rate.",
 			Run: func(ctx context.Context, f WeightStoreFixture) error {
 				rate, err := f.Store.Rate(ctx)
 				if err != nil {
@@ -254,15 +255,15 @@
 				)
 			},
 		},
-		"unknown weights are said": {
+		"unknown weights are reported": {
 			Failure: "A version that was never uploaded is planned as if it took no time to load.",
 			Run: func(ctx context.Context, f WeightStoreFixture) error {
 				_, err := f.Store.Size(ctx, garnetworks.WeightID{Model: "no-such-model"})
 				return wantKind("size", err, garnetworks.KindNotFound)
 			},
 		},
-		"an outage is said": {
-			Failure:   "The store is down and its rate is read as 0.",
+		"an outage is reported": {
+			Failure:   "The store is down, and its rate is read as 0.",
 			Supported: func(f WeightStoreFixture) bool { return f.Faults != nil },
 			Run: func(ctx context.Context, f WeightStoreFixture) error {
 				f.Faults.SetFaults(faker.FaultPlan{Down: true})
--- a/checker/service.go
+++ b/checker/service.go
@@ -14,55 +14,55 @@
 	"github.com/garnetworks/garnetworks/faker"
 )
 
-// ServiceCallerBed is a caller with one server of a plain service.
+// ServiceCallerFixture holds a service caller and one server of a plain service.
 type ServiceCallerFixture struct {
 	Caller  garnetworks.ServiceCaller
 	Address string
 	// Unused is an address at which nothing listens.
 	Unused string
-	// Executions returns how often the server has run the call.
+	// Executions returns how many times the server has run the call.
 	Executions func(id garnetworks.CallID) int
-	// SetLeaving makes the server refuse new calls, or take them again.
+	// SetLeaving makes the server refuse new calls, or accept them again.
 	SetLeaving func(leaving bool)
-	// DropConnections breaks the server's open connections; it may be nil.
+	// DropConnections closes the server's open connections; it may be nil.
 	DropConnections func()
 	Faults          FaultInjector
 }
 
-// ServiceCaller checks a caller of plain services.
+// ServiceCaller runs the contract suite of garnetworks.ServiceCaller.
 func ServiceCaller(t *testing.T, newFixture func(t *testing.T) ServiceCallerFixture) {
 	t.Helper()
 	run(t, newFixture, ServiceCallerCases())
 }
 
-// ServiceCallerCases returns the contract of garnetworks.ServiceCaller.
+// ServiceCallerCases returns the cases of the garnetworks.ServiceCaller contract.
 func ServiceCallerCases() map[string]Case[ServiceCallerFixture] {
 	return map[string]Case[ServiceCallerFixture]{
-		"a call runs once and is answered": {
-			Failure: "A visit log is stored and the tech sees it.",
+		"a call runs once and its response arrives": {
+			Failure: "The server receives a call without its path or idempotency key, or runs it twice.",
 			Run:     serviceResponds,
 		},
-		"methods and bodies of all sorts": {
-			Failure: "A call without a body is repeated by the transport, or not sent at all.",
+		"every method works with and without a body": {
+			Failure: "The transport repeats a call without a body, or does not send it at all.",
 			Run:     serviceMethods,
 		},
-		"nobody listens": {
-			Failure: "The server is gone; the call has surely not run and may go to another one.",
+		"no listener": {
+			Failure: "The server is gone, but the caller is not told that the call did not run and may be sent elsewhere.",
 			Run: func(ctx context.Context, f ServiceCallerFixture) error {
 				_, err := f.Caller.Call(ctx, f.Unused, serviceCall("c1"))
 				return wantPhase("call", err, garnetworks.PhaseConnect)
 			},
 		},
 		"a leaving server refuses": {
-			Failure: "A server that leaves says that it did not begin; the call goes to another one.",
+			Failure: "A server that is leaving proves that it did not start the call, but the call is not sent elsewhere.",
 			Run:     serviceRefuses,
 		},
-		"a lost answer may have run": {
-			Failure: "A parts note is booked and its answer lost; said to be not run, it would be booked again.",
+		"a call with a lost response may have run": {
+			Failure: "A booking is executed and its response lost; reported as not run, it would be executed again.",
 			Run:     serviceResponseLost,
 		},
-		"a truncated answer may have run": {
-			Failure: "Half of an answer looks like a whole one.",
+		"a call with a truncated response may have run": {
+			Failure: "A partial response looks complete.",
 			Run: func(ctx context.Context, f ServiceCallerFixture) error {
 				f.Faults.SetFaults(faker.FaultPlan{TruncateAnswers: 1})
 				_, err := f.Caller.Call(ctx, f.Address, serviceCall("c1"))
@@ -72,12 +72,12 @@
 				return want("executions", f.Executions("c1"), 1)
 			},
 		},
-		"a crossed answer is dropped": {
-			Failure: "An office gets the answer to another office's appointment.",
+		"a mismatched response is dropped": {
+			Failure: "A workspace receives the response to another workspace's call.",
 			Run:     serviceMismatched,
 		},
-		"a late answer may have run": {
-			Failure: "The deadline passes while the server works; the call has begun.",
+		"a call with a late response may have run": {
+			Failure: "The deadline passes while the server works, and the call is reported as not run.",
 			Run: func(ctx context.Context, f ServiceCallerFixture) error {
 				f.Faults.SetFaults(faker.FaultPlan{LateAnswers: 1, LateBy: time.Minute})
 				err := callWithTimeout(ctx, shortTimeout, func(ctx context.Context) error {
@@ -88,7 +88,7 @@
 			},
 		},
 		"a server that is down is never a refusal": {
-			Failure: "The server resets the connection; only what proves that it did not begin is a refusal.",
+			Failure: "A connection reset is taken for a refusal, although it does not prove that the server did not start the call.",
 			Run: func(ctx context.Context, f ServiceCallerFixture) error {
 				f.Faults.SetFaults(faker.FaultPlan{Down: true})
 				_, err := f.Caller.Call(ctx, f.Address, serviceCall("c1"))
@@ -99,8 +99,8 @@
 				return want("executions", f.Executions("c1"), 0)
 			},
 		},
-		"a frozen server holds nobody beyond the context": {
-			Failure: "The server pauses and the office waits for ever.",
+		"a frozen server blocks no call beyond its context": {
+			Failure: "The server pauses, and the caller waits forever.",
 			Run: func(ctx context.Context, f ServiceCallerFixture) error {
 				f.Faults.SetFaults(faker.FaultPlan{Frozen: true})
 				err := callWithTimeout(ctx, shortTimeout, func(ctx context.Context) error {
@@ -111,12 +111,12 @@
 			},
 		},
 		"broken pooled connections never repeat a call": {
-			Failure:   "A pooled connection dies while a call is written to it; the transport repeats the call and the parts are booked twice.",
+			Failure:   "A pooled connection breaks while a call is written to it; the transport repeats the call, and it runs twice.",
 			Supported: func(f ServiceCallerFixture) bool { return f.DropConnections != nil },
 			Run:       serviceNeverRepeats,
 		},
-		"silent connections are not written to": {
-			Failure: "The pooled connections have gone silent; an appointment written to one is lost with its outcome unknown although a new connection would have worked.",
+		"stalled connections are not written to": {
+			Failure: "The pooled connections have stalled; a call written to one is lost with an unknown outcome although a new connection would have worked.",
 			Run: func(ctx context.Context, f ServiceCallerFixture) error {
 				if _, err := f.Caller.Call(ctx, f.Address, serviceCall("c1")); err != nil {
 					return errors.Wrap(err, "first call")
@@ -128,8 +128,8 @@
 				})
 			},
 		},
-		"a path that is none is not sent": {
-			Failure: "A path without its slash is read as another host's name.",
+		"an invalid path is not sent": {
+			Failure: "A path without its leading slash is read as part of the host name.",
 			Run: func(ctx context.Context, f ServiceCallerFixture) error {
 				for _, path := range []string{"", "visits", "@127.0.0.1/visits", "/a\nb"} {
 					call := serviceCall("c1")
@@ -168,9 +168,9 @@
 		func() error { return want("identifier", a.ID, call.ID) },
 		func() error { return want("status", a.Status, http.StatusOK) },
 		func() error { return want("has a body", len(a.Body) > 0, true) },
-		func() error { return want("names its path", strings.Contains(string(a.Body), call.Path), true) },
+		func() error { return want("body contains the path", strings.Contains(string(a.Body), call.Path), true) },
 		func() error {
-			return want("names its key", strings.Contains(string(a.Body), call.IdempotencyKey), true)
+			return want("body contains the idempotency key", strings.Contains(string(a.Body), call.IdempotencyKey), true)
 		},
 		func() error { return want("executions", f.Executions(call.ID), 1) },
 	)
@@ -222,7 +222,7 @@
 	}
 	f.Faults.SetFaults(faker.FaultPlan{CrossAnswers: 1})
 	a, err := f.Caller.Call(ctx, f.Address, serviceCall("c2"))
-	if err := wantPhase("crossed call", err, garnetworks.PhaseMismatched); err != nil {
+	if err := wantPhase("mismatched response", err, garnetworks.PhaseMismatched); err != nil {
 		return err
 	}
 	return want("body", len(a.Body), 0)
