--- a/checker/contract_test.go
+++ b/checker/contract_test.go
@@ -104,7 +104,8 @@
 	return fixture
 }
 
-// serverFaults injects faults into a fake, and stalls the connections of the server in front of it.
+// serverFaults injects faults into a fake and stalls the connections of the server in front of
+// it.
 type serverFaults struct {
 	checker.FaultInjector
 	connections checker.FaultInjector
--- a/checker/enginecaller.go
+++ b/checker/enginecaller.go
@@ -26,7 +26,7 @@
 	// NewCall returns a new unique call of maxTokens tokens that the group can serve.
 	// Consecutive tokens of its response must differ, so that a duplicate is detected.
 	NewCall func(maxTokens int) *garnetworks.EngineCall
-	// ResponseText returns the text of the call's tokens from first up to, but not including, end.
+	// ResponseText returns the text of the call's tokens from first up to end (exclusive).
 	ResponseText func(call *garnetworks.EngineCall, first, end int) string
 	// RunningCalls returns the number of calls that the engine runs or queues; it may be
 	// nil.
