--- a/checker/bites_test.go
+++ b/checker/bites_test.go
@@ -14,30 +14,30 @@
 	"github.com/garnetworks/garnetworks/checker"
 )
 
-// Each suite must notice an implementation that is broken in one way. The
-// tables name the way and a case that must fail of it.
+// These tests inject one defect at a time into an implementation and check that the named
+// case of the contract suite fails (rule K3).
 
-// bite is an implementation that is broken on purpose.
-type bite[B any] struct {
-	breakIt func(bed B) B
-	noticed string
+// defect changes an implementation so that it breaks its contract.
+type defect[B any] struct {
+	inject     func(fixture B) B
+	detectedBy string
 }
 
-func checkBites[B any](t *testing.T, open func(w *world) B, cases map[string]checker.Case[B], bites map[string]bite[B]) {
+func testDefects[B any](t *testing.T, newFixture func(f *fakes) B, cases map[string]checker.Case[B], defects map[string]defect[B]) {
 	if testing.Short() {
-		t.Skip("broken implementations are waited for")
+		t.Skip("many of these cases fail only by their timeout")
 	}
-	for name, b := range bites {
+	for name, b := range defects {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			one, ok := cases[b.noticed]
+			c, ok := cases[b.detectedBy]
 			if !ok {
-				t.Fatalf("no case %q among %v", b.noticed, slices.Sorted(maps.Keys(cases)))
+				t.Fatalf("no case %q among %v", b.detectedBy, slices.Sorted(maps.Keys(cases)))
 			}
-			broken := func(t *testing.T) B { return b.breakIt(open(newWorld(t, false))) }
-			failed := checker.Failures(t, broken, map[string]checker.Case[B]{b.noticed: one})
+			broken := func(t *testing.T) B { return b.inject(newFixture(newFakes(t, false))) }
+			failed := checker.Failures(t, broken, map[string]checker.Case[B]{b.detectedBy: c})
 			if len(failed) == 0 {
-				t.Errorf("the case %q passes", b.noticed)
+				t.Errorf("the case %q passes", b.detectedBy)
 			}
 		})
 	}
@@ -88,34 +88,35 @@
 	return b.ObjectAPI.Watch(ctx, prefix, after, wait)
 }
 
-// breakObjects returns a bite that changes some methods.
-func breakObjects(noticed string, change func(b *brokenObjects, next garnetworks.ObjectAPI)) bite[checker.ObjectAPIBed] {
-	return bite[checker.ObjectAPIBed]{noticed: noticed, breakIt: func(bed checker.ObjectAPIBed) checker.ObjectAPIBed {
-		b := &brokenObjects{ObjectAPI: bed.API}
-		change(b, bed.API)
-		bed.API = b
-		return bed
+// objectDefect returns a defect that overrides methods of the object API.
+func objectDefect(detectedBy string, change func(b *brokenObjects, next garnetworks.ObjectAPI)) defect[checker.ObjectAPIFixture] {
+	return defect[checker.ObjectAPIFixture]{detectedBy: detectedBy, inject: func(fixture checker.ObjectAPIFixture) checker.ObjectAPIFixture {
+		b := &brokenObjects{ObjectAPI: fixture.API}
+		change(b, fixture.API)
+		fixture.API = b
+		return fixture
 	}}
 }
 
-// newest writes unconditionally: it reads the revision and uses that.
-func newest(next garnetworks.ObjectAPI) func(context.Context, string, []byte, garnetworks.Revision) (garnetworks.Revision, error) {
+// putUnconditionally returns a Put that ignores the given revision and overwrites the current
+// one.
+func putUnconditionally(next garnetworks.ObjectAPI) func(context.Context, string, []byte, garnetworks.Revision) (garnetworks.Revision, error) {
 	return func(ctx context.Context, key string, value []byte, _ garnetworks.Revision) (garnetworks.Revision, error) {
 		object, _ := next.Get(ctx, key)
 		return next.Put(ctx, key, value, object.Revision)
 	}
 }
 
-func TestObjectAPIBites(t *testing.T) {
+func TestObjectAPIDefectsAreDetected(t *testing.T) {
 	t.Parallel()
-	checkBites(t, objectAPIBed, checker.ObjectAPICases(), map[string]bite[checker.ObjectAPIBed]{
-		"creates over existing objects": breakObjects("create refuses an existing object", func(b *brokenObjects, next garnetworks.ObjectAPI) {
-			b.put = newest(next)
+	testDefects(t, objectAPIFixture, checker.ObjectAPICases(), map[string]defect[checker.ObjectAPIFixture]{
+		"creates over existing objects": objectDefect("create refuses an existing object", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+			b.put = putUnconditionally(next)
 		}),
-		"updates at any revision": breakObjects("update needs the newest revision", func(b *brokenObjects, next garnetworks.ObjectAPI) {
-			b.put = newest(next)
+		"updates at any revision": objectDefect("update requires the newest revision", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+			b.put = putUnconditionally(next)
 		}),
-		"lets all racing writers win": breakObjects("one of many racing writers wins", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"lets all concurrent writers succeed": objectDefect("exactly one concurrent writer succeeds", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.put = func(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
 				revision, err := next.Put(ctx, key, value, after)
 				if garnetworks.IsKind(err, garnetworks.KindConflict) {
@@ -124,7 +125,7 @@
 				return revision, err
 			}
 		}),
-		"retries a lost write and says conflict": breakObjects("a lost write is neither failed nor done", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"retries a write with a lost response and returns conflict": objectDefect("a write with a lost response has an unknown outcome", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.put = func(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
 				revision, err := next.Put(ctx, key, value, after)
 				if garnetworks.IsKind(err, garnetworks.KindResponseLost) {
@@ -133,7 +134,7 @@
 				return revision, err
 			}
 		}),
-		"says that a lost write had no effect": breakObjects("a late answer is a lost one", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"reports a write with a lost response as failed": objectDefect("a late response counts as lost", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.put = func(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
 				revision, err := next.Put(ctx, key, value, after)
 				if err != nil {
@@ -142,35 +143,35 @@
 				return revision, err
 			}
 		}),
-		"says that a lost delete had no effect": breakObjects("a lost delete is neither failed nor done", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"reports a delete with a lost response as failed": objectDefect("a delete with a lost response has an unknown outcome", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.delete = func(ctx context.Context, key string, after garnetworks.Revision) error {
 				return garnetworks.WrapError(garnetworks.KindObjectAPIDown, next.Delete(ctx, key, after), "failed")
 			}
 		}),
-		"takes an outage for absence": breakObjects("an outage is said and ends", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"reports an outage as an absent object": objectDefect("an outage is reported and ends", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.get = func(ctx context.Context, key string) (garnetworks.Object, error) {
 				object, err := next.Get(ctx, key)
 				return object, garnetworks.WrapError(garnetworks.KindNotFound, err, "no object")
 			}
 		}),
-		"ignores the context": breakObjects("a frozen store holds nobody beyond the context", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"ignores the context": objectDefect("a frozen store blocks no call beyond its context", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.get = func(ctx context.Context, key string) (garnetworks.Object, error) {
 				return next.Get(context.WithoutCancel(ctx), key)
 			}
 		}),
-		"lists everything": breakObjects("list is by prefix and in key order", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"lists everything": objectDefect("list is by prefix and in key order", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.list = func(ctx context.Context, _ string) ([]garnetworks.Object, garnetworks.Revision, error) {
 				return next.List(ctx, "")
 			}
 		}),
-		"watches out of order": breakObjects("watch returns changes in order", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"returns changes out of order": objectDefect("watch returns changes in order", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.watch = func(ctx context.Context, prefix string, after garnetworks.Revision, wait time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
 				changes, revision, err := next.Watch(ctx, prefix, after, wait)
 				slices.Reverse(changes)
 				return changes, revision, err
 			}
 		}),
-		"hides compaction": breakObjects("compacted history is said", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"hides compaction": objectDefect("compacted history is reported", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.watch = func(ctx context.Context, prefix string, after garnetworks.Revision, wait time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
 				changes, revision, err := next.Watch(ctx, prefix, after, wait)
 				if garnetworks.IsKind(err, garnetworks.KindCompacted) {
@@ -179,18 +180,18 @@
 				return changes, revision, err
 			}
 		}),
-		"sleeps through changes": breakObjects("watch wakes on a change", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"returns changes only after the wait": objectDefect("watch returns on a change", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.watch = func(ctx context.Context, prefix string, after garnetworks.Revision, wait time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
 				time.Sleep(wait)
 				return next.Watch(ctx, prefix, after, 0)
 			}
 		}),
-		"cuts large values": breakObjects("values have a bound", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"truncates large values": objectDefect("value sizes are limited", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.put = func(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
 				return next.Put(ctx, key, value[:min(len(value), garnetworks.MaxObjectBytes)], after)
 			}
 		}),
-		"throttles without a delay": breakObjects("throttling is said with a delay", func(b *brokenObjects, next garnetworks.ObjectAPI) {
+		"throttles without a delay": objectDefect("throttling returns a retry delay", func(b *brokenObjects, next garnetworks.ObjectAPI) {
 			b.get = func(ctx context.Context, key string) (garnetworks.Object, error) {
 				object, err := next.Get(ctx, key)
 				if err != nil {
@@ -202,7 +203,7 @@
 	})
 }
 
-// brokenCaller changes the streams or errors of an engine caller.
+// brokenCaller changes the calls, streams or errors of an engine caller.
 type brokenCaller struct {
 	garnetworks.EngineCaller
 	call   func(call *garnetworks.EngineCall)
@@ -225,7 +226,7 @@
 	return stream, err
 }
 
-// brokenStream changes what Next returns.
+// brokenStream overrides the results of Next, and Close.
 type brokenStream struct {
 	garnetworks.EngineStream
 	next  func(chunk *garnetworks.Chunk, err error) error
@@ -247,31 +248,31 @@
 	return b.EngineStream.Close()
 }
 
-func breakCaller(noticed string, change func(b *brokenCaller)) bite[checker.EngineCallerBed] {
-	return bite[checker.EngineCallerBed]{noticed: noticed, breakIt: func(bed checker.EngineCallerBed) checker.EngineCallerBed {
-		b := &brokenCaller{EngineCaller: bed.Caller}
+func callerDefect(detectedBy string, change func(b *brokenCaller)) defect[checker.EngineCallerFixture] {
+	return defect[checker.EngineCallerFixture]{detectedBy: detectedBy, inject: func(fixture checker.EngineCallerFixture) checker.EngineCallerFixture {
+		b := &brokenCaller{EngineCaller: fixture.Caller}
 		change(b)
-		bed.Caller = b
-		return bed
+		fixture.Caller = b
+		return fixture
 	}}
 }
 
-func breakNext(noticed string, next func(chunk *garnetworks.Chunk, err error) error) bite[checker.EngineCallerBed] {
-	return breakCaller(noticed, func(b *brokenCaller) {
+func nextDefect(detectedBy string, next func(chunk *garnetworks.Chunk, err error) error) defect[checker.EngineCallerFixture] {
+	return callerDefect(detectedBy, func(b *brokenCaller) {
 		b.stream = func(s garnetworks.EngineStream) garnetworks.EngineStream {
 			return &brokenStream{EngineStream: s, next: next}
 		}
 	})
 }
 
-// inPhase makes an attempt's failure look like one in another phase.
+// inPhase replaces an attempt's error by one in another phase.
 func inPhase(phase garnetworks.CallPhase) func(error) error {
 	return func(err error) error { return &garnetworks.AttemptError{Phase: phase, Cause: err} }
 }
 
-func TestEngineCallerBites(t *testing.T) {
+func TestEngineCallerDefectsAreDetected(t *testing.T) {
 	t.Parallel()
-	endBroken := func(chunk *garnetworks.Chunk, err error) error {
+	endIncomplete := func(chunk *garnetworks.Chunk, err error) error {
 		var attempt *garnetworks.AttemptError
 		if errors.As(err, &attempt) {
 			chunk.End, chunk.Tokens, chunk.Text = true, 0, ""
@@ -279,53 +280,53 @@
 		}
 		return err
 	}
-	endOfFile := func(_ *garnetworks.Chunk, err error) error {
+	eofOnError := func(_ *garnetworks.Chunk, err error) error {
 		if err != nil {
 			return io.EOF
 		}
 		return nil
 	}
-	checkBites(t, engineCallerBed, checker.EngineCallerCases(), map[string]bite[checker.EngineCallerBed]{
-		"ends broken answers":             breakNext("a broken answer is never whole", endBroken),
-		"ends answers of dead engines":    breakNext("an engine that dies in the middle is said", endOfFile),
-		"ends answers of broken groups":   breakNext("a member lost in the middle breaks the answer", endBroken),
-		"ends crossed answers":            breakNext("a crossed answer is dropped", endBroken),
-		"ends after an error":             breakNext("an error lasts", endOfFile),
-		"loses the silence":               breakNext("a silent connection is noticed", func(_ *garnetworks.Chunk, err error) error { return silenced(err) }),
-		"loses the silence of the frozen": breakNext("a frozen engine is noticed", func(_ *garnetworks.Chunk, err error) error { return silenced(err) }),
-		"numbers from 0 after a resumption": breakNext("an answer resumes", func(chunk *garnetworks.Chunk, err error) error {
+	testDefects(t, engineCallerFixture, checker.EngineCallerCases(), map[string]defect[checker.EngineCallerFixture]{
+		"ends truncated responses":                nextDefect("a truncated response is never complete", endIncomplete),
+		"ends responses of stopped engines":       nextDefect("an engine that stops mid-response is reported", eofOnError),
+		"ends responses of incomplete groups":     nextDefect("losing a member mid-response fails the response", endIncomplete),
+		"ends mismatched responses":               nextDefect("a mismatched response is dropped", endIncomplete),
+		"returns EOF after an error":              nextDefect("an error is permanent", eofOnError),
+		"clears Stalled for a stalled connection": nextDefect("a stalled connection is detected", func(_ *garnetworks.Chunk, err error) error { return withoutStalled(err) }),
+		"clears Stalled for a frozen engine":      nextDefect("a frozen engine is detected", func(_ *garnetworks.Chunk, err error) error { return withoutStalled(err) }),
+		"numbers tokens from 0 after resuming": nextDefect("a response resumes", func(chunk *garnetworks.Chunk, err error) error {
 			chunk.Index = 0
 			return err
 		}),
-		"drops the end": breakNext("an answer is whole and its own", func(chunk *garnetworks.Chunk, err error) error {
+		"drops the end marker": nextDefect("a response is complete and belongs to its call", func(chunk *garnetworks.Chunk, err error) error {
 			chunk.End = false
 			return err
 		}),
-		"never cancels": breakCaller("closing cancels", func(b *brokenCaller) {
+		"never cancels": callerDefect("closing the stream cancels the call", func(b *brokenCaller) {
 			b.stream = func(s garnetworks.EngineStream) garnetworks.EngineStream {
 				return &brokenStream{EngineStream: s, close: func() error { return nil }}
 			}
 		}),
-		"starts again in place of resuming": breakCaller("an answer resumes", func(b *brokenCaller) {
+		"restarts in place of resuming": callerDefect("a response resumes", func(b *brokenCaller) {
 			b.call = func(call *garnetworks.EngineCall) { call.ResumeFrom = 0 }
 		}),
-		"trims prompts": breakCaller("odd prompts survive", func(b *brokenCaller) {
+		"truncates prompts": callerDefect("unusual prompts arrive unchanged", func(b *brokenCaller) {
 			b.call = func(call *garnetworks.EngineCall) { call.Prompt = call.Prompt[:1] }
 		}),
-		"calls a refusal lost": breakCaller("a call with an old token is refused", func(b *brokenCaller) {
+		"reports a refusal as lost": callerDefect("a call with a stale fencing token is refused", func(b *brokenCaller) {
 			b.fail = inPhase(garnetworks.PhaseWait)
 		}),
-		"calls lost answers refused": breakCaller("a lost answer may have run", func(b *brokenCaller) {
+		"reports lost responses as refused": callerDefect("a call with a lost response may have run", func(b *brokenCaller) {
 			b.fail = inPhase(garnetworks.PhaseRefused)
 		}),
-		"calls missing listeners lost": breakCaller("nobody listens", func(b *brokenCaller) {
+		"reports missing listeners as lost": callerDefect("no listener", func(b *brokenCaller) {
 			b.fail = inPhase(garnetworks.PhaseWait)
 		}),
 	})
 }
 
-// silenced takes the mark of silence off an error.
-func silenced(err error) error {
+// withoutStalled clears Stalled in an AttemptError.
+func withoutStalled(err error) error {
 	var attempt *garnetworks.AttemptError
 	if errors.As(err, &attempt) {
 		return &garnetworks.AttemptError{Phase: attempt.Phase}
@@ -333,61 +334,61 @@
 	return err
 }
 
-// brokenServices changes calls or answers of a service caller.
+// brokenServices replaces the Call method of a service caller.
 type brokenServices func(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error)
 
 func (b brokenServices) Call(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
 	return b(ctx, address, call)
 }
 
-func breakServices(noticed string, change func(next garnetworks.ServiceCaller) brokenServices) bite[checker.ServiceCallerBed] {
-	return bite[checker.ServiceCallerBed]{noticed: noticed, breakIt: func(bed checker.ServiceCallerBed) checker.ServiceCallerBed {
-		bed.Caller = change(bed.Caller)
-		bed.DropConnections = func() {}
-		return bed
+func serviceDefect(detectedBy string, change func(next garnetworks.ServiceCaller) brokenServices) defect[checker.ServiceCallerFixture] {
+	return defect[checker.ServiceCallerFixture]{detectedBy: detectedBy, inject: func(fixture checker.ServiceCallerFixture) checker.ServiceCallerFixture {
+		fixture.Caller = change(fixture.Caller)
+		fixture.DropConnections = func() {}
+		return fixture
 	}}
 }
 
-func TestServiceCallerBites(t *testing.T) {
+func TestServiceCallerDefectsAreDetected(t *testing.T) {
 	t.Parallel()
-	repeats := func(next garnetworks.ServiceCaller) brokenServices {
+	retry := func(next garnetworks.ServiceCaller) brokenServices {
 		return func(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
-			answer, err := next.Call(ctx, address, call)
+			response, err := next.Call(ctx, address, call)
 			if err != nil {
 				return next.Call(ctx, address, call)
 			}
-			return answer, nil
+			return response, nil
 		}
 	}
-	fails := func(phase garnetworks.CallPhase) func(next garnetworks.ServiceCaller) brokenServices {
+	failIn := func(phase garnetworks.CallPhase) func(next garnetworks.ServiceCaller) brokenServices {
 		return func(next garnetworks.ServiceCaller) brokenServices {
 			return func(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
-				answer, err := next.Call(ctx, address, call)
+				response, err := next.Call(ctx, address, call)
 				if err != nil {
-					return answer, &garnetworks.AttemptError{Phase: phase}
+					return response, &garnetworks.AttemptError{Phase: phase}
 				}
-				return answer, nil
+				return response, nil
 			}
 		}
 	}
-	checkBites(t, serviceCallerBed, checker.ServiceCallerCases(), map[string]bite[checker.ServiceCallerBed]{
-		"repeats failed calls":         breakServices("broken pooled connections never repeat a call", repeats),
-		"repeats lost calls":           breakServices("a lost answer may have run", repeats),
-		"calls lost answers refused":   breakServices("a lost answer may have run", fails(garnetworks.PhaseRefused)),
-		"calls everything unsent":      breakServices("a truncated answer may have run", fails(garnetworks.PhaseConnect)),
-		"calls resets refused":         breakServices("a server that is down is never a refusal", fails(garnetworks.PhaseRefused)),
-		"calls refusals lost":          breakServices("a leaving server refuses", fails(garnetworks.PhaseWait)),
-		"calls missing listeners lost": breakServices("nobody listens", fails(garnetworks.PhaseWait)),
-		"passes crossed answers": breakServices("a crossed answer is dropped", func(next garnetworks.ServiceCaller) brokenServices {
+	testDefects(t, serviceCallerFixture, checker.ServiceCallerCases(), map[string]defect[checker.ServiceCallerFixture]{
+		"repeats failed calls":              serviceDefect("broken pooled connections never repeat a call", retry),
+		"repeats calls with lost responses": serviceDefect("a call with a lost response may have run", retry),
+		"reports lost responses as refused": serviceDefect("a call with a lost response may have run", failIn(garnetworks.PhaseRefused)),
+		"reports every failure as unsent":   serviceDefect("a call with a truncated response may have run", failIn(garnetworks.PhaseConnect)),
+		"reports resets as refused":         serviceDefect("a server that is down is never a refusal", failIn(garnetworks.PhaseRefused)),
+		"reports refusals as lost":          serviceDefect("a leaving server refuses", failIn(garnetworks.PhaseWait)),
+		"reports missing listeners as lost": serviceDefect("no listener", failIn(garnetworks.PhaseWait)),
+		"passes mismatched responses": serviceDefect("a mismatched response is dropped", func(next garnetworks.ServiceCaller) brokenServices {
 			return func(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
-				answer, err := next.Call(ctx, address, call)
+				response, err := next.Call(ctx, address, call)
 				if err != nil {
 					return garnetworks.ServiceResponse{ID: call.ID, Status: 200, Body: []byte("another's")}, nil
 				}
-				return answer, nil
+				return response, nil
 			}
 		}),
-		"drops the key": breakServices("a call runs once and is answered", func(next garnetworks.ServiceCaller) brokenServices {
+		"drops the idempotency key": serviceDefect("a call runs once and its response arrives", func(next garnetworks.ServiceCaller) brokenServices {
 			return func(ctx context.Context, address string, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
 				changed := *call
 				changed.IdempotencyKey = ""
@@ -397,7 +398,7 @@
 	})
 }
 
-// brokenOrders changes orders or their errors.
+// brokenOrders changes orders, or the errors that they return.
 type brokenOrders struct {
 	garnetworks.EngineOrders
 	order func(order garnetworks.EngineOrder) garnetworks.EngineOrder
@@ -415,37 +416,37 @@
 	return status, err
 }
 
-func TestEngineOrdersBites(t *testing.T) {
+func TestEngineOrdersDefectsAreDetected(t *testing.T) {
 	t.Parallel()
-	breakOrders := func(noticed string, b brokenOrders) bite[checker.EngineOrdersBed] {
-		return bite[checker.EngineOrdersBed]{noticed: noticed, breakIt: func(bed checker.EngineOrdersBed) checker.EngineOrdersBed {
+	orderDefect := func(detectedBy string, b brokenOrders) defect[checker.EngineOrdersFixture] {
+		return defect[checker.EngineOrdersFixture]{detectedBy: detectedBy, inject: func(fixture checker.EngineOrdersFixture) checker.EngineOrdersFixture {
 			broken := b
-			broken.EngineOrders = bed.Orders
-			bed.Orders = &broken
-			return bed
+			broken.EngineOrders = fixture.Orders
+			fixture.Orders = &broken
+			return fixture
 		}}
 	}
 	unreachable := func(error) error { return garnetworks.Errorf(garnetworks.KindUnreachable, "failed") }
-	checkBites(t, engineOrdersBed, checker.EngineOrdersCases(), map[string]bite[checker.EngineOrdersBed]{
-		"drops tokens": breakOrders("form makes a member that gets ready", brokenOrders{order: func(o garnetworks.EngineOrder) garnetworks.EngineOrder {
+	testDefects(t, engineOrdersFixture, checker.EngineOrdersCases(), map[string]defect[checker.EngineOrdersFixture]{
+		"truncates fencing tokens": orderDefect("form makes the engine a member that becomes ready", brokenOrders{order: func(o garnetworks.EngineOrder) garnetworks.EngineOrder {
 			o.Token = garnetworks.FencingToken(uint32(o.Token))
 			return o
 		}}),
-		"raises tokens": breakOrders("an old token is refused by an engine that checks", brokenOrders{order: func(o garnetworks.EngineOrder) garnetworks.EngineOrder {
+		"raises fencing tokens": orderDefect("a stale fencing token is refused by an engine that checks tokens", brokenOrders{order: func(o garnetworks.EngineOrder) garnetworks.EngineOrder {
 			o.Token = 1 << 60
 			return o
 		}}),
-		"makes up identifiers": breakOrders("a lost answer is neither failed nor done", brokenOrders{order: func(o garnetworks.EngineOrder) garnetworks.EngineOrder {
+		"changes order identifiers": orderDefect("an order with a lost response has an unknown outcome", brokenOrders{order: func(o garnetworks.EngineOrder) garnetworks.EngineOrder {
 			o.ID += "-again"
 			return o
 		}}),
-		"calls lost answers unreachable": breakOrders("a lost answer is neither failed nor done", brokenOrders{fail: unreachable}),
-		"calls stale tokens unreachable": breakOrders("an old token is refused by an engine that checks", brokenOrders{fail: unreachable}),
-		"swallows unknown orders":        breakOrders("an unknown order is an error", brokenOrders{fail: func(error) error { return nil }}),
+		"reports lost responses as unreachable": orderDefect("an order with a lost response has an unknown outcome", brokenOrders{fail: unreachable}),
+		"reports stale tokens as unreachable":   orderDefect("a stale fencing token is refused by an engine that checks tokens", brokenOrders{fail: unreachable}),
+		"ignores unknown orders":                orderDefect("an unknown order is an error", brokenOrders{fail: func(error) error { return nil }}),
 	})
 }
 
-// brokenPower changes errors and states of a power switch.
+// brokenPower changes the orders, errors and power states of a power switch.
 type brokenPower struct {
 	garnetworks.PowerSwitch
 	order func(order garnetworks.PowerOrder) garnetworks.PowerOrder
@@ -472,14 +473,14 @@
 	return state, err
 }
 
-func TestPowerSwitchBites(t *testing.T) {
+func TestPowerSwitchDefectsAreDetected(t *testing.T) {
 	t.Parallel()
-	breakPower := func(noticed string, b brokenPower) bite[checker.PowerSwitchBed] {
-		return bite[checker.PowerSwitchBed]{noticed: noticed, breakIt: func(bed checker.PowerSwitchBed) checker.PowerSwitchBed {
+	powerDefect := func(detectedBy string, b brokenPower) defect[checker.PowerSwitchFixture] {
+		return defect[checker.PowerSwitchFixture]{detectedBy: detectedBy, inject: func(fixture checker.PowerSwitchFixture) checker.PowerSwitchFixture {
 			broken := b
-			broken.PowerSwitch = bed.Power
-			bed.Power = &broken
-			return bed
+			broken.PowerSwitch = fixture.Power
+			fixture.Power = &broken
+			return fixture
 		}}
 	}
 	offWhenUnknown := func(state garnetworks.PowerState, err error) (garnetworks.PowerState, error) {
@@ -488,19 +489,19 @@
 		}
 		return state, nil
 	}
-	var numbers atomic.Int32
-	checkBites(t, powerSwitchBed, checker.PowerSwitchCases(), map[string]bite[checker.PowerSwitchBed]{
-		"takes outages for off":           breakPower("an outage proves nothing", brokenPower{state: offWhenUnknown}),
-		"takes unknown instances for off": breakPower("an unknown instance is said", brokenPower{state: offWhenUnknown}),
-		"calls lost orders failed": breakPower("a lost answer is neither failed nor done", brokenPower{fail: func(error) error {
+	var suffix atomic.Int32
+	testDefects(t, powerSwitchFixture, checker.PowerSwitchCases(), map[string]defect[checker.PowerSwitchFixture]{
+		"reports off during outages":       powerDefect("an outage proves no power state", brokenPower{state: offWhenUnknown}),
+		"reports unknown instances as off": powerDefect("an unknown instance is reported", brokenPower{state: offWhenUnknown}),
+		"reports orders with lost responses as failed": powerDefect("an order with a lost response has an unknown outcome", brokenPower{fail: func(error) error {
 			return garnetworks.Errorf(garnetworks.KindUnreachable, "failed")
 		}}),
-		"raises tokens": breakPower("an old token is refused", brokenPower{order: func(o garnetworks.PowerOrder) garnetworks.PowerOrder {
+		"raises fencing tokens": powerDefect("a stale fencing token is refused", brokenPower{order: func(o garnetworks.PowerOrder) garnetworks.PowerOrder {
 			o.Token = 1 << 60
 			return o
 		}}),
-		"makes up identifiers": breakPower("a repeated order takes effect once", brokenPower{order: func(o garnetworks.PowerOrder) garnetworks.PowerOrder {
-			o.ID += string(rune('a' + numbers.Add(1)))
+		"changes order identifiers": powerDefect("a repeated order takes effect once", brokenPower{order: func(o garnetworks.PowerOrder) garnetworks.PowerOrder {
+			o.ID += string(rune('a' + suffix.Add(1)))
 			return o
 		}}),
 	})
--- a/checker/cacheevents.go
+++ b/checker/cacheevents.go
@@ -9,31 +9,31 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// CacheEventsBed is a reader of the cache events of one engine.
-type CacheEventsBed struct {
+// CacheEventsFixture holds a reader of cache events and one engine to read from.
+type CacheEventsFixture struct {
 	Events  garnetworks.CacheEvents
 	Address string
 	Unused  string
-	// Fill makes the engine cache new prompt blocks.
-	Fill func()
-	// Lose makes the engine lose events; it may be nil.
-	Lose func()
+	// AddBlocks makes the engine cache new prompt blocks.
+	AddBlocks func()
+	// DropEvents makes the engine lose events; it may be nil.
+	DropEvents func()
 }
 
-// CacheEvents checks a reader of cache events.
-func CacheEvents(t *testing.T, open func(t *testing.T) CacheEventsBed) {
+// CacheEvents runs the contract suite of garnetworks.CacheEvents.
+func CacheEvents(t *testing.T, newFixture func(t *testing.T) CacheEventsFixture) {
 	t.Helper()
-	run(t, open, CacheEventsCases())
+	run(t, newFixture, CacheEventsCases())
 }
 
-// CacheEventsCases returns the contract of garnetworks.CacheEvents.
-func CacheEventsCases() map[string]Case[CacheEventsBed] {
-	return map[string]Case[CacheEventsBed]{
-		"events count up without gaps": {
-			Story: "A router believes in cached prefixes that were evicted.",
-			Run: func(ctx context.Context, b CacheEventsBed) error {
-				b.Fill()
-				events, err := readEvents(ctx, b, 0)
+// CacheEventsCases returns the cases of the garnetworks.CacheEvents contract.
+func CacheEventsCases() map[string]Case[CacheEventsFixture] {
+	return map[string]Case[CacheEventsFixture]{
+		"event numbers have no gaps": {
+			Failure: "The router counts on cached prefixes that the engine has evicted.",
+			Run: func(ctx context.Context, f CacheEventsFixture) error {
+				f.AddBlocks()
+				events, err := readEvents(ctx, f, 0)
 				if err != nil {
 					return err
 				}
@@ -41,7 +41,7 @@
 					return errors.Errorf("got events %v, want numbers from 1 without gaps", events)
 				}
 				middle := events[len(events)/2].Number
-				rest, err := b.Events.CacheEvents(ctx, b.Address, middle)
+				rest, err := f.Events.CacheEvents(ctx, f.Address, middle)
 				if err != nil {
 					return errors.Wrap(err, "later events")
 				}
@@ -51,35 +51,35 @@
 				return nil
 			},
 		},
-		"lost events leave a gap": {
-			Story: "Events are lost; renumbered, they would hide that the router's picture is wrong.",
-			Able:  func(b CacheEventsBed) bool { return b.Lose != nil },
-			Run: func(ctx context.Context, b CacheEventsBed) error {
-				b.Lose()
-				b.Fill()
-				events, err := readEvents(ctx, b, 0)
+		"lost events leave a gap in the numbers": {
+			Failure:   "The reader renumbers events after a loss, so the router does not know that its view of the cache is wrong.",
+			Supported: func(f CacheEventsFixture) bool { return f.DropEvents != nil },
+			Run: func(ctx context.Context, f CacheEventsFixture) error {
+				f.DropEvents()
+				f.AddBlocks()
+				events, err := readEvents(ctx, f, 0)
 				if err != nil {
 					return err
 				}
 				return want("without gaps", gapless(events, 0), false)
 			},
 		},
-		"nobody listens": {
-			Story: "A dead engine looks like one with an empty cache.",
-			Run: func(ctx context.Context, b CacheEventsBed) error {
-				_, err := b.Events.CacheEvents(ctx, b.Unused, 0)
+		"no listener": {
+			Failure: "An engine that cannot be reached looks like one with an empty cache.",
+			Run: func(ctx context.Context, f CacheEventsFixture) error {
+				_, err := f.Events.CacheEvents(ctx, f.Unused, 0)
 				return wantKind("cache events", err, garnetworks.KindUnreachable)
 			},
 		},
 	}
 }
 
-// readEvents waits for events, which come late.
-func readEvents(ctx context.Context, b CacheEventsBed, after uint64) ([]garnetworks.CacheEvent, error) {
+// readEvents waits until at least two events have arrived.
+func readEvents(ctx context.Context, f CacheEventsFixture, after uint64) ([]garnetworks.CacheEvent, error) {
 	var events []garnetworks.CacheEvent
 	err := eventually(ctx, func() error {
 		var err error
-		events, err = b.Events.CacheEvents(ctx, b.Address, after)
+		events, err = f.Events.CacheEvents(ctx, f.Address, after)
 		if err != nil {
 			return errors.Wrap(err, "cache events")
 		}
