--- a/gateway/account.go
+++ b/gateway/account.go
@@ -87,7 +87,7 @@
 	if x.route != nil {
 		route = x.route.Name
 	}
-	x.options.Meter.PassedCall(route, outcome, kind)
+	x.options.Meter.ProxiedCall(route, outcome, kind)
 	bound, cause := x.failureLines, string(kind)+route
 	if err == nil {
 		bound, cause = x.successLines, "well"
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -112,7 +112,7 @@
 		s.decision = d
 		if len(s.attemptLog) == 0 {
 			s.waited = time.Since(start)
-			x.options.Meter.Waited(x.call.Model, s.waited)
+			x.options.Meter.QueueWait(x.call.Model, s.waited)
 		}
 		s.current = s.newAttemptState(time.Since(start))
 		if !ok {
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -194,7 +194,7 @@
 		Zone: site.Zone, Bounds: site.Bounds, Follower: l.follower, Reader: options.Calls, Proxy: options.Passer,
 		Meter: l.meter, Suspect: l.suspect, Quarantine: l.quarantine, Logger: options.Logger,
 	})
-	l.meter.ShowRoutingAge(l.gateway.RoutingAge)
+	l.meter.RegisterRoutingAge(l.gateway.RoutingAge)
 	l.peers.exchanger = exchanger.New(exchanger.Options{
 		Peers: l.peers.client, Self: l.peers.tracker.Self, Nodes: l.peers.tracker.Peers,
 		Load: l.load, SetPeerLoad: l.takeOthers, Suspect: l.former.Suspect, Contents: l.quarantine,
@@ -360,7 +360,7 @@
 			contenders.Reset(contendersEvery)
 		case now := <-ticker.C:
 			l.options.Sweep(now)
-			l.meter.HeldContents(l.quarantine.Count())
+			l.meter.QuarantinedContents(l.quarantine.Count())
 			if l.options.LinesDropped != nil {
 				l.meter.LinesDropped(l.options.LinesDropped())
 			}
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -26,32 +26,32 @@
 // Meter holds a node's metrics.
 type Meter struct {
 	registry *prometheus.Registry
-	rows     map[string]Metric
-
-	calls       *prometheus.CounterVec
-	tokens      *prometheus.CounterVec
-	firstToken  prometheus.Histogram
-	betweenTime prometheus.Histogram
-	inFlight    prometheus.Gauge
-	objectCalls *prometheus.CounterVec
-	peerBytes   *prometheus.CounterVec
-	peerCalls   *prometheus.CounterVec
-	generation  prometheus.Gauge
-	lease       *prometheus.GaugeVec
-	groups      *prometheus.GaugeVec
-	measures    *prometheus.GaugeVec
-	power       *prometheus.GaugeVec
-	events      *prometheus.CounterVec
-	claimWrites *prometheus.CounterVec
-	passed      *prometheus.CounterVec
-	firstEvent  *prometheus.HistogramVec
-	wait        *prometheus.HistogramVec
-	attempts    *prometheus.CounterVec
-	attemptTime *prometheus.HistogramVec
-	objectTime  *prometheus.HistogramVec
-	totals      map[string]prometheus.Counter
-	levels      map[string]prometheus.Gauge
-	seen        map[string]uint64
+	byName   map[string]Metric
+
+	calls         *prometheus.CounterVec
+	tokens        *prometheus.CounterVec
+	firstToken    prometheus.Histogram
+	betweenTokens prometheus.Histogram
+	inFlight      prometheus.Gauge
+	objectCalls   *prometheus.CounterVec
+	peerBytes     *prometheus.CounterVec
+	peerCalls     *prometheus.CounterVec
+	generation    prometheus.Gauge
+	lease         *prometheus.GaugeVec
+	groups        *prometheus.GaugeVec
+	measures      *prometheus.GaugeVec
+	power         *prometheus.GaugeVec
+	events        *prometheus.CounterVec
+	claimWrites   *prometheus.CounterVec
+	proxiedCalls  *prometheus.CounterVec
+	firstEvent    *prometheus.HistogramVec
+	queueWait     *prometheus.HistogramVec
+	attempts      *prometheus.CounterVec
+	attemptTime   *prometheus.HistogramVec
+	objectTime    *prometheus.HistogramVec
+	counters      map[string]prometheus.Counter
+	gauges        map[string]prometheus.Gauge
+	lastTotals    map[string]uint64
 }
 
 // Metric is a row of the table of metrics.
@@ -109,42 +109,42 @@
 
 // New returns a meter with its own registry.
 func New() *Meter {
-	rows := make(map[string]Metric, len(Metrics))
-	m := &Meter{registry: prometheus.NewRegistry(), rows: rows}
+	byName := make(map[string]Metric, len(Metrics))
+	m := &Meter{registry: prometheus.NewRegistry(), byName: byName}
 	for _, row := range Metrics {
-		rows[row.Name] = row
+		byName[row.Name] = row
 	}
 	counter := func(name string) *prometheus.CounterVec {
-		v := prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: rows[name].Help}, rows[name].Labels)
+		v := prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: byName[name].Help}, byName[name].Labels)
 		m.registry.MustRegister(v)
 		return v
 	}
 	gauges := func(name string) *prometheus.GaugeVec {
-		v := prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: name, Help: rows[name].Help}, rows[name].Labels)
+		v := prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: name, Help: byName[name].Help}, byName[name].Labels)
 		m.registry.MustRegister(v)
 		return v
 	}
 	histogram := func(name string, buckets []float64) prometheus.Histogram {
-		h := prometheus.NewHistogram(prometheus.HistogramOpts{Name: name, Help: rows[name].Help, Buckets: buckets})
+		h := prometheus.NewHistogram(prometheus.HistogramOpts{Name: name, Help: byName[name].Help, Buckets: buckets})
 		m.registry.MustRegister(h)
 		return h
 	}
 	histograms := func(name string, buckets []float64) *prometheus.HistogramVec {
-		v := prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: name, Help: rows[name].Help, Buckets: buckets}, rows[name].Labels)
+		v := prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: name, Help: byName[name].Help, Buckets: buckets}, byName[name].Labels)
 		m.registry.MustRegister(v)
 		return v
 	}
 
-	m.passed = counter("garnet_passed_calls_total")
+	m.proxiedCalls = counter("garnet_passed_calls_total")
 	m.firstEvent = histograms("garnet_passed_first_event_seconds", firstTokenBuckets)
-	m.wait = histograms("garnet_passed_wait_seconds", attemptBuckets)
+	m.queueWait = histograms("garnet_passed_wait_seconds", attemptBuckets)
 	m.attempts = counter("garnet_attempts_total")
 	m.attemptTime = histograms("garnet_attempt_seconds", attemptBuckets)
 	m.objectTime = histograms("garnet_object_api_seconds", objectBuckets)
 	m.calls = counter("garnet_calls_total")
 	m.tokens = counter("garnet_tokens_total")
 	m.firstToken = histogram("garnet_first_token_seconds", firstTokenBuckets)
-	m.betweenTime = histogram("garnet_between_tokens_seconds", betweenBuckets)
+	m.betweenTokens = histogram("garnet_between_tokens_seconds", betweenBuckets)
 	m.inFlight = gauges("garnet_calls_in_flight").WithLabelValues()
 	m.objectCalls = counter("garnet_object_api_calls_total")
 	m.peerBytes = counter("garnet_peer_bytes_total")
@@ -156,15 +156,15 @@
 	m.power = gauges("garnet_power_watts")
 	m.events = counter("garnet_events_total")
 	m.claimWrites = counter("garnet_claim_writes_total")
-	m.totals = map[string]prometheus.Counter{}
+	m.counters = map[string]prometheus.Counter{}
 	for _, name := range []string{"garnet_events_overwritten_total", "garnet_probes_dropped_total", "garnet_log_lines_dropped_total"} {
-		m.totals[name] = counter(name).WithLabelValues()
+		m.counters[name] = counter(name).WithLabelValues()
 	}
-	m.levels = map[string]prometheus.Gauge{}
+	m.gauges = map[string]prometheus.Gauge{}
 	for _, name := range []string{"garnet_claims_owed", "garnet_claim_shards_refusing", "garnet_held_contents"} {
-		m.levels[name] = gauges(name).WithLabelValues()
+		m.gauges[name] = gauges(name).WithLabelValues()
 	}
-	m.seen = map[string]uint64{}
+	m.lastTotals = map[string]uint64{}
 	return m
 }
 
@@ -184,9 +184,9 @@
 	m.calls.WithLabelValues(target, string(outcome), string(kind)).Inc()
 }
 
-// PassedCall counts a call that is passed on whole; kind is empty if it completed.
-func (m *Meter) PassedCall(route string, outcome garnetworks.Outcome, kind garnetworks.Kind) {
-	m.passed.WithLabelValues(route, string(outcome), string(kind)).Inc()
+// ProxiedCall counts a call that is passed on whole; kind is empty if it completed.
+func (m *Meter) ProxiedCall(route string, outcome garnetworks.Outcome, kind garnetworks.Kind) {
+	m.proxiedCalls.WithLabelValues(route, string(outcome), string(kind)).Inc()
 }
 
 // FirstEvent observes the time to the first event of a call of the route.
@@ -194,9 +194,9 @@
 	m.firstEvent.WithLabelValues(route).Observe(d.Seconds())
 }
 
-// Waited observes how long a call waited for a place.
-func (m *Meter) Waited(model garnetworks.ModelName, d time.Duration) {
-	m.wait.WithLabelValues(string(model)).Observe(d.Seconds())
+// QueueWait observes how long a call waited for a place.
+func (m *Meter) QueueWait(model garnetworks.ModelName, d time.Duration) {
+	m.queueWait.WithLabelValues(string(model)).Observe(d.Seconds())
 }
 
 // Attempt counts an attempt that ended.
@@ -214,17 +214,17 @@
 // LinesDropped takes the number of log lines dropped since the start. One
 // goroutine alone calls it.
 func (m *Meter) LinesDropped(total uint64) {
-	m.grow(m.totals["garnet_log_lines_dropped_total"], "lines", total)
+	m.syncCounter(m.counters["garnet_log_lines_dropped_total"], "lines", total)
 }
 
-// HeldContents takes the number of contents that are kept from servers.
-func (m *Meter) HeldContents(n int) { m.levels["garnet_held_contents"].Set(float64(n)) }
+// QuarantinedContents takes the number of contents that are kept from servers.
+func (m *Meter) QuarantinedContents(n int) { m.gauges["garnet_held_contents"].Set(float64(n)) }
 
-// ShowRoutingAge makes the metrics show how long ago the routing was last known to be the
+// RegisterRoutingAge makes the metrics show how long ago the routing was last known to be the
 // newest one, as of each reading. It is called once at most.
-func (m *Meter) ShowRoutingAge(age func() time.Duration) {
+func (m *Meter) RegisterRoutingAge(age func() time.Duration) {
 	const name = "garnet_routing_age_seconds"
-	options := prometheus.GaugeOpts{Name: name, Help: m.rows[name].Help}
+	options := prometheus.GaugeOpts{Name: name, Help: m.byName[name].Help}
 	m.registry.MustRegister(prometheus.NewGaugeFunc(options, func() float64 { return age().Seconds() }))
 }
 
@@ -237,10 +237,10 @@
 func (m *Meter) FirstToken(d time.Duration) { m.firstToken.Observe(d.Seconds()) }
 
 // BetweenTokens observes the mean time between two tokens of an answer.
-func (m *Meter) BetweenTokens(d time.Duration) { m.betweenTime.Observe(d.Seconds()) }
+func (m *Meter) BetweenTokens(d time.Duration) { m.betweenTokens.Observe(d.Seconds()) }
 
-// InForce sets the generation in force at the node.
-func (m *Meter) InForce(g garnetworks.Generation) { m.generation.Set(float64(g)) }
+// ManifestGeneration sets the generation in force at the node.
+func (m *Meter) ManifestGeneration(g garnetworks.Generation) { m.generation.Set(float64(g)) }
 
 // Lease sets whether the node holds the named lease.
 func (m *Meter) Lease(name string, held bool) {
@@ -251,9 +251,9 @@
 	m.lease.WithLabelValues(name).Set(value)
 }
 
-// Peer adds the bytes and messages exchanged with other nodes in one
+// PeerTraffic adds the bytes and messages exchanged with other nodes in one
 // direction, "in" or "out".
-func (m *Meter) Peer(direction string, bytes, messages uint64) {
+func (m *Meter) PeerTraffic(direction string, bytes, messages uint64) {
 	m.peerBytes.WithLabelValues(direction).Add(float64(bytes))
 	m.peerCalls.WithLabelValues(direction).Add(float64(messages))
 }
@@ -261,31 +261,31 @@
 // Claims are the counters of a node's claims since its start, and their state.
 type Claims struct {
 	Written, Conflicts, Failed, Forwarded uint64
-	Owed, Refusing                        int
+	Unrecorded, RefusingShards            int
 }
 
-// Upkeep takes counters that other packages keep since their start. One
+// SyncTotals takes counters that other packages keep since their start. One
 // goroutine alone calls it.
-func (m *Meter) Upkeep(c Claims, overwritten, dropped uint64) {
+func (m *Meter) SyncTotals(c Claims, overwritten, dropped uint64) {
 	for result, total := range map[string]uint64{"written": c.Written, "conflict": c.Conflicts, "failed": c.Failed, "forwarded": c.Forwarded} {
-		m.grow(m.claimWrites.WithLabelValues(result), "claims "+result, total)
+		m.syncCounter(m.claimWrites.WithLabelValues(result), "claims "+result, total)
 	}
-	m.grow(m.totals["garnet_events_overwritten_total"], "overwritten", overwritten)
-	m.grow(m.totals["garnet_probes_dropped_total"], "dropped", dropped)
-	m.levels["garnet_claims_owed"].Set(float64(c.Owed))
-	m.levels["garnet_claim_shards_refusing"].Set(float64(c.Refusing))
+	m.syncCounter(m.counters["garnet_events_overwritten_total"], "overwritten", overwritten)
+	m.syncCounter(m.counters["garnet_probes_dropped_total"], "dropped", dropped)
+	m.gauges["garnet_claims_owed"].Set(float64(c.Unrecorded))
+	m.gauges["garnet_claim_shards_refusing"].Set(float64(c.RefusingShards))
 }
 
-// grow brings a counter to a total that only grows.
-func (m *Meter) grow(counter prometheus.Counter, name string, total uint64) {
-	if last := m.seen[name]; total > last {
+// syncCounter brings a counter to a total that only grows.
+func (m *Meter) syncCounter(counter prometheus.Counter, name string, total uint64) {
+	if last := m.lastTotals[name]; total > last {
 		counter.Add(float64(total - last))
-		m.seen[name] = total
+		m.lastTotals[name] = total
 	}
 }
 
-// View sets the gauges of one availability zone.
-func (m *Meter) View(view garnetworks.ZoneView) {
+// ZoneView sets the gauges of one availability zone.
+func (m *Meter) ZoneView(view garnetworks.ZoneView) {
 	count := make(map[garnetworks.GroupState]int)
 	for i := range view.Groups {
 		count[view.Groups[i].State]++
--- a/meter/meter_test.go
+++ b/meter/meter_test.go
@@ -11,13 +11,13 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-type lostAnswers struct{ garnetworks.ObjectAPI }
+type lostResponses struct{ garnetworks.ObjectAPI }
 
-func (lostAnswers) Put(context.Context, string, []byte, garnetworks.Revision) (garnetworks.Revision, error) {
+func (lostResponses) Put(context.Context, string, []byte, garnetworks.Revision) (garnetworks.Revision, error) {
 	return 0, garnetworks.Errorf(garnetworks.KindResponseLost, "x")
 }
 
-func (lostAnswers) Watch(context.Context, string, garnetworks.Revision, time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
+func (lostResponses) Watch(context.Context, string, garnetworks.Revision, time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
 	return nil, 7, nil
 }
 
@@ -30,25 +30,25 @@
 
 func TestEachMetricIsServed(t *testing.T) {
 	m := New()
-	api := m.ObjectAPI(lostAnswers{})
+	api := m.ObjectAPI(lostResponses{})
 	_, _ = api.Put(context.Background(), "leases/site", nil, 0)
 	_, _, _ = api.Watch(context.Background(), "manifest", 0, 0)
-	m.PassedCall("r", garnetworks.OutcomeNotRun, garnetworks.KindOverloaded)
+	m.ProxiedCall("r", garnetworks.OutcomeNotRun, garnetworks.KindOverloaded)
 	m.FirstEvent("r", time.Second)
-	m.Waited("m", time.Millisecond)
+	m.QueueWait("m", time.Millisecond)
 	m.Attempt("s", "g", garnetworks.PhaseDone, time.Second)
 	m.LinesDropped(2)
-	m.ShowRoutingAge(func() time.Duration { return 1500 * time.Millisecond })
+	m.RegisterRoutingAge(func() time.Duration { return 1500 * time.Millisecond })
 	m.InFlight(3)
 	m.CallEnded("model", garnetworks.OutcomeNotRun, garnetworks.KindOverLimit)
 	m.Tokens("w", 3)
 	m.FirstToken(time.Second)
 	m.BetweenTokens(time.Millisecond)
-	m.Peer("in", 10, 1)
+	m.PeerTraffic("in", 10, 1)
 	m.Lease("site", true)
-	m.Upkeep(Claims{Written: 4, Owed: 2}, 1, 0)
-	m.Upkeep(Claims{Written: 7, Owed: 1}, 1, 0)
-	m.View(garnetworks.ZoneView{Zone: "a", Groups: []garnetworks.GroupView{{State: garnetworks.GroupServing}}})
+	m.SyncTotals(Claims{Written: 4, Unrecorded: 2}, 1, 0)
+	m.SyncTotals(Claims{Written: 7, Unrecorded: 1}, 1, 0)
+	m.ZoneView(garnetworks.ZoneView{Zone: "a", Groups: []garnetworks.GroupView{{State: garnetworks.GroupServing}}})
 	m.Recorder(discard{}).Record(garnetworks.Event{Kind: garnetworks.EventLeaseTaken})
 
 	text := scrape(t, m)
--- a/meter/objects.go
+++ b/meter/objects.go
@@ -30,51 +30,51 @@
 
 // Observe returns next with note told of each call's method, key or prefix, time and error,
 // once the call has ended.
-func Observe(next garnetworks.ObjectAPI, note func(method, key string, took time.Duration, err error)) garnetworks.ObjectAPI {
-	return &observedObjectAPI{next: next, note: note}
+func Observe(next garnetworks.ObjectAPI, observe func(method, key string, took time.Duration, err error)) garnetworks.ObjectAPI {
+	return &observedObjectAPI{next: next, observe: observe}
 }
 
 type observedObjectAPI struct {
-	next garnetworks.ObjectAPI
-	note func(method, key string, took time.Duration, err error)
+	next    garnetworks.ObjectAPI
+	observe func(method, key string, took time.Duration, err error)
 }
 
 // Get implements garnetworks.ObjectAPI.
 func (o *observedObjectAPI) Get(ctx context.Context, key string) (garnetworks.Object, error) {
-	sent := time.Now()
+	start := time.Now()
 	object, err := o.next.Get(ctx, key)
-	o.note("get", key, time.Since(sent), err)
+	o.observe("get", key, time.Since(start), err)
 	return object, err
 }
 
 // Put implements garnetworks.ObjectAPI.
 func (o *observedObjectAPI) Put(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
-	sent := time.Now()
+	start := time.Now()
 	revision, err := o.next.Put(ctx, key, value, after)
-	o.note("put", key, time.Since(sent), err)
+	o.observe("put", key, time.Since(start), err)
 	return revision, err
 }
 
 // Delete implements garnetworks.ObjectAPI.
 func (o *observedObjectAPI) Delete(ctx context.Context, key string, after garnetworks.Revision) error {
-	sent := time.Now()
+	start := time.Now()
 	err := o.next.Delete(ctx, key, after)
-	o.note("delete", key, time.Since(sent), err)
+	o.observe("delete", key, time.Since(start), err)
 	return err
 }
 
 // List implements garnetworks.ObjectAPI.
 func (o *observedObjectAPI) List(ctx context.Context, prefix string) ([]garnetworks.Object, garnetworks.Revision, error) {
-	sent := time.Now()
+	start := time.Now()
 	objects, revision, err := o.next.List(ctx, prefix)
-	o.note("list", prefix, time.Since(sent), err)
+	o.observe("list", prefix, time.Since(start), err)
 	return objects, revision, err
 }
 
 // Watch implements garnetworks.ObjectAPI.
 func (o *observedObjectAPI) Watch(ctx context.Context, prefix string, after garnetworks.Revision, wait time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
-	sent := time.Now()
+	start := time.Now()
 	objects, revision, err := o.next.Watch(ctx, prefix, after, wait)
-	o.note(methodWatch, prefix, time.Since(sent), err)
+	o.observe(methodWatch, prefix, time.Since(start), err)
 	return objects, revision, err
 }
--- a/runner/admin.go
+++ b/runner/admin.go
@@ -53,7 +53,7 @@
 func (r *Runner) countTraffic() {
 	now := r.traffic.Count()
 	last := r.counted
-	r.meter.Peer("in", now.BytesReceived-last.BytesReceived, now.MessagesReceived-last.MessagesReceived)
-	r.meter.Peer("out", now.BytesSent-last.BytesSent, now.MessagesSent-last.MessagesSent)
+	r.meter.PeerTraffic("in", now.BytesReceived-last.BytesReceived, now.MessagesReceived-last.MessagesReceived)
+	r.meter.PeerTraffic("out", now.BytesSent-last.BytesSent, now.MessagesSent-last.MessagesSent)
 	r.counted = now
 }
--- a/runner/join.go
+++ b/runner/join.go
@@ -162,7 +162,7 @@
 func (r *Runner) applied(m *garnetworks.AcceptedManifest) {
 	r.router.SetZones(m.Manifest.Site.Zones)
 	r.admitter.SetManifest(&m.Manifest)
-	r.meter.InForce(m.Generation)
+	r.meter.ManifestGeneration(m.Generation)
 	r.log.Info("manifest in force", "generation", m.Generation, "operator", m.Operator)
 }
 
--- a/runner/upkeep.go
+++ b/runner/upkeep.go
@@ -57,13 +57,13 @@
 	r.meter.InFlight(r.server.InFlight())
 	r.countTraffic()
 	claims := r.claimer.Stats()
-	r.meter.Upkeep(meter.Claims{
-		Written:   claims.Writes,
-		Conflicts: claims.Conflicts,
-		Failed:    claims.Failures,
-		Forwarded: claims.Forwarded,
-		Owed:      claims.Unrecorded,
-		Refusing:  claims.RefusingShards,
+	r.meter.SyncTotals(meter.Claims{
+		Written:        claims.Writes,
+		Conflicts:      claims.Conflicts,
+		Failed:         claims.Failures,
+		Forwarded:      claims.Forwarded,
+		Unrecorded:     claims.Unrecorded,
+		RefusingShards: claims.RefusingShards,
 	}, r.timeline.Overwritten(), r.prober.Dropped())
 }
 
--- a/runner/views.go
+++ b/runner/views.go
@@ -59,7 +59,7 @@
 	if j, ok := joined.Get(); ok {
 		v.r.signs.Update(func(d *drainer.Drainer) { d.ObserveView(time.Now(), j.Version, &j.View) })
 		v.route(j)
-		v.r.meter.View(j.View)
+		v.r.meter.ZoneView(j.View)
 		v.setTargets(j.View)
 	}
 	return true
