--- a/measurer/measurer.go
+++ b/measurer/measurer.go
@@ -27,9 +27,9 @@
 	"github.com/garnetworks/garnetworks/placer"
 )
 
-// LongestGap is the longest time between two observations that counts as
+// MaxGap is the longest time between two observations that counts as
 // watched (rule M5).
-const LongestGap = 10 * time.Second
+const MaxGap = 10 * time.Second
 
 // Observation is a zone at one time.
 type Observation struct {
@@ -137,12 +137,12 @@
 
 // Account sums the measures up. The zero value is ready for use.
 type Account struct {
-	last     Observation
-	started  bool
-	downtime time.Duration
-	stranded time.Duration
-	blind    time.Duration
-	byModel  map[garnetworks.ModelName]time.Duration
+	last       Observation
+	started    bool
+	downtime   time.Duration
+	stranded   time.Duration
+	unobserved time.Duration
+	byModel    map[garnetworks.ModelName]time.Duration
 }
 
 // Add closes the time since the last observation and begins the next one.
@@ -162,14 +162,14 @@
 		return // rule M6
 	}
 	a.last.At = now
-	a.blind += max(0, elapsed-LongestGap)
+	a.unobserved += max(0, elapsed-MaxGap)
 	a.stranded += elapsed * time.Duration(a.last.Stranded)
 	for _, m := range a.last.Models {
-		a.addDown(m, elapsed)
+		a.addDowntime(m, elapsed)
 	}
 }
 
-func (a *Account) addDown(m ModelCount, elapsed time.Duration) {
+func (a *Account) addDowntime(m ModelCount, elapsed time.Duration) {
 	if m.Down() == 0 {
 		return
 	}
@@ -181,8 +181,8 @@
 	a.byModel[m.Model] += down
 }
 
-// Measures returns the sums up to the last time counted, and the counts now.
-func (a *Account) Measures() garnetworks.ZoneMetrics {
+// Metrics returns the sums up to the last time counted, and the counts now.
+func (a *Account) Metrics() garnetworks.ZoneMetrics {
 	return garnetworks.ZoneMetrics{
 		GroupDowntime:     a.downtime,
 		Stranded:          a.stranded,
@@ -193,8 +193,8 @@
 	}
 }
 
-// Blind returns how much of the time counted was not watched (rule M5).
-func (a *Account) Blind() time.Duration { return a.blind }
+// Unobserved returns how much of the time counted was not watched (rule M5).
+func (a *Account) Unobserved() time.Duration { return a.unobserved }
 
 // ModelDowntime is the downtime of a model's groups.
 type ModelDowntime struct {
@@ -202,8 +202,8 @@
 	Downtime time.Duration
 }
 
-// ByModel returns the downtime of each model that had any, sorted by name.
-func (a *Account) ByModel() []ModelDowntime {
+// DowntimeByModel returns the downtime of each model that had any, sorted by name.
+func (a *Account) DowntimeByModel() []ModelDowntime {
 	all := make([]ModelDowntime, 0, len(a.byModel))
 	for m, d := range a.byModel {
 		all = append(all, ModelDowntime{Model: m, Downtime: d})
--- a/measurer/measurer_test.go
+++ b/measurer/measurer_test.go
@@ -73,7 +73,7 @@
 // An operator compares two days, on one of which the controller's node paused
 // for a minute and its clock went back: the pause must count with what was last
 // seen, be shown as blind, and the clock must take nothing away.
-func TestAccountOverPausesAndClocks(t *testing.T) {
+func TestAccountHandlesPausesAndClockSteps(t *testing.T) {
 	var a measurer.Account
 	s := snapshot()
 	a.Add(measurer.Observe(s))
@@ -82,14 +82,14 @@
 	s.At = epoch.Add(30 * time.Second)
 	a.Add(measurer.Observe(s))
 	a.CountUntil(epoch.Add(70 * time.Second))
-	m := a.Measures()
+	m := a.Metrics()
 	if want := 2 * 70 * time.Second; m.GroupDowntime != want || m.Stranded != want {
 		t.Errorf("downtime %v, stranded %v, want %v for both", m.GroupDowntime, m.Stranded, want)
 	}
-	if want := time.Minute - measurer.LongestGap; a.Blind() != want {
-		t.Errorf("blind for %v, want %v", a.Blind(), want)
+	if want := time.Minute - measurer.MaxGap; a.Unobserved() != want {
+		t.Errorf("blind for %v, want %v", a.Unobserved(), want)
 	}
-	if by := a.ByModel(); len(by) != 1 || by[0].Model != "b" {
+	if by := a.DowntimeByModel(); len(by) != 1 || by[0].Model != "b" {
 		t.Errorf("downtime by model is %v, want b alone", by)
 	}
 	if sum := measurer.Sum([]garnetworks.ZoneMetrics{m, m}); sum.Stranded != 2*m.Stranded || sum.Drawn != 100 {
--- a/placer/faults_test.go
+++ b/placer/faults_test.go
@@ -120,7 +120,7 @@
 	s := newSimulator(w, p)
 	s.announced = map[garnetworks.InstanceID]placer.InstanceObservation{}
 	s.run(startTime.Add(time.Hour))
-	before := s.account.Measures()
+	before := s.account.Metrics()
 	slow := s.slow
 	c.begin(s)
 	s.run(s.Now.Add(c.window))
@@ -128,7 +128,7 @@
 		t.Fatalf("%s: %v", c.name, s.err)
 	}
 	s.account.CountUntil(s.Now)
-	after := s.account.Measures()
+	after := s.account.Metrics()
 	return measures{
 		down:     (after.GroupDowntime - before.GroupDowntime).Seconds(),
 		stranded: (after.Stranded - before.Stranded).Seconds(),
--- a/splicer/splicer.go
+++ b/splicer/splicer.go
@@ -46,8 +46,8 @@
 // Pending reports whether an event has begun and not ended.
 func (s *Splicer) Pending() bool { return len(s.buffer) > 0 }
 
-// Rest returns the bytes of an event that has begun and not ended.
-func (s *Splicer) Rest() []byte { return s.buffer }
+// Partial returns the bytes of an event that has begun and not ended.
+func (s *Splicer) Partial() []byte { return s.buffer }
 
 // Feed takes bytes of the present run and appends the events that are whole now
 // to out.
@@ -61,7 +61,7 @@
 		}
 		event := rest[:end+len(separator)]
 		rest = rest[len(event):]
-		keep, err := s.take(event)
+		keep, err := s.accept(event)
 		if err != nil {
 			return out, err
 		}
@@ -73,14 +73,14 @@
 	return out, nil
 }
 
-// take decides on one whole event (rules S2 and S3).
-func (s *Splicer) take(event []byte) (bool, error) {
-	id := identifier(event)
+// accept decides on one whole event (rules S2 and S3).
+func (s *Splicer) accept(event []byte) (bool, error) {
+	id := eventID(event)
 	if id == "" {
 		return true, nil
 	}
-	number, numeric := parse(id)
-	last, known := parse(s.LastID)
+	number, numeric := parseID(id)
+	last, known := parseID(s.LastID)
 	if numeric && known {
 		if number <= last {
 			return false, nil
@@ -95,7 +95,7 @@
 	return true, nil
 }
 
-func parse(id string) (uint64, bool) {
+func parseID(id string) (uint64, bool) {
 	n, err := strconv.ParseUint(id, 10, 64)
 	return n, err == nil
 }
@@ -103,7 +103,7 @@
 var idField = []byte("id:")
 
 // identifier returns the value of the event's id field, or nothing.
-func identifier(event []byte) string {
+func eventID(event []byte) string {
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
 		if value, ok := bytes.CutPrefix(line, idField); ok {
 			return string(bytes.TrimSpace(value))
--- a/splicer/splicer_test.go
+++ b/splicer/splicer_test.go
@@ -14,28 +14,28 @@
 
 // Story: a group breaks in the middle of an event, and another one goes on. The
 // client finds half an event, one twice, or none where it broke.
-func TestRunsAreJoined(t *testing.T) {
+func TestAttemptsAreJoined(t *testing.T) {
 	cases := map[string]struct {
-		runs []string
-		want string
-		gap  bool
+		attempts []string
+		want     string
+		gap      bool
 	}{
-		"one run":                   {runs: []string{event(1) + event(2)}, want: event(1) + event(2)},
-		"broken between two events": {runs: []string{event(1), event(2)}, want: event(1) + event(2)},
-		"broken within an event":    {runs: []string{event(1) + "id: 2\nda", event(2) + event(3)}, want: event(1) + event(2) + event(3)},
-		"second run begins anew":    {runs: []string{event(1) + event(2), event(1) + event(2) + event(3)}, want: event(1) + event(2) + event(3)},
-		"second run leaves one out": {runs: []string{event(1), event(3)}, want: event(1), gap: true},
-		"no identifiers":            {runs: []string{"data: a\n\ndata: b\n\n"}, want: "data: a\n\ndata: b\n\n"},
-		"first run begins later":    {runs: []string{event(13) + event(14)}, want: event(13) + event(14)},
+		"one run":                   {attempts: []string{event(1) + event(2)}, want: event(1) + event(2)},
+		"broken between two events": {attempts: []string{event(1), event(2)}, want: event(1) + event(2)},
+		"broken within an event":    {attempts: []string{event(1) + "id: 2\nda", event(2) + event(3)}, want: event(1) + event(2) + event(3)},
+		"second run begins anew":    {attempts: []string{event(1) + event(2), event(1) + event(2) + event(3)}, want: event(1) + event(2) + event(3)},
+		"second run leaves one out": {attempts: []string{event(1), event(3)}, want: event(1), gap: true},
+		"no identifiers":            {attempts: []string{"data: a\n\ndata: b\n\n"}, want: "data: a\n\ndata: b\n\n"},
+		"first run begins later":    {attempts: []string{event(13) + event(14)}, want: event(13) + event(14)},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			var s splicer.Splicer
 			var out []byte
 			var err error
-			for _, run := range c.runs {
+			for _, attempt := range c.attempts {
 				s.Resume()
-				out, err = s.Feed(out, []byte(run))
+				out, err = s.Feed(out, []byte(attempt))
 			}
 			if string(out) != c.want || (err != nil) != c.gap {
 				t.Errorf("got %q and %v, want %q", out, err, c.want)
@@ -46,7 +46,7 @@
 
 // Story: events come in pieces of any size, and runs break anywhere. Whatever the
 // pieces, the client gets each event once and in order.
-func TestAnyPiecesGiveTheSameEvents(t *testing.T) {
+func TestAnyChunkingGivesTheSameEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(1, 12).Draw(t, "events")
 		var s splicer.Splicer
