--- a/measurer/measurer.go
+++ b/measurer/measurer.go
@@ -1,21 +1,22 @@
-// Package measurer keeps account of the users' two measures: group downtime
-// and stranded accelerators. It is pure; times come from the caller.
+// Package measurer accounts for group downtime and stranded accelerators, the two
+// quantities that users of a zone care about. It does no I/O and reads no clock; the
+// caller supplies the times.
 //
-//	M1  A wanted group is one that the manifest and the power allow, as
-//	    placer.Output.Wanted counts them. A fault never makes one unwanted.
+//	M1  A wanted group is one that the manifest and the power limit allow, as
+//	    placer.Output.Wanted counts them. A fault never makes a group unwanted.
 //	M2  A group serves if routers may send it new calls: it is in state serving
-//	    and all of its members are confirmed. A draining group doesn't.
-//	M3  Group downtime grows, for each model on its own, by the wanted groups
-//	    that don't serve times the time. More groups of one model than wanted
-//	    make up for nothing elsewhere.
+//	    and all of its members are confirmed. A draining group doesn't serve.
+//	M3  Group downtime is summed per model: the number of wanted groups that don't
+//	    serve, times the time. Surplus groups of one model don't offset missing
+//	    groups of another.
 //	M4  An instance is stranded if it has accelerators, isn't proven off, and is
 //	    no member of a serving group. So booting, loading, forming and draining
-//	    count, and so does a lost instance until its power is proven off.
-//	M5  The time between two observations counts with what the first one saw.
-//	    Of a gap above LongestGap, as after a pause of the process, the excess
-//	    counts as well and is summed up as blind, so that a reader can tell how
-//	    much of the figures was not watched.
-//	M6  A clock that goes back adds nothing and takes nothing away.
+//	    count, and so does a lost instance until it is proven off.
+//	M5  The time between two observations counts with the values of the first.
+//	    If it exceeds MaxGap, for example after a pause of the process, the excess
+//	    counts too and is also summed as unobserved, so that a reader can tell how
+//	    much of the figures is extrapolated.
+//	M6  A clock that steps back neither adds nor subtracts time.
 package measurer
 
 import (
@@ -27,20 +28,19 @@
 	"github.com/garnetworks/garnetworks/placer"
 )
 
-// MaxGap is the longest time between two observations that counts as
-// watched (rule M5).
+// MaxGap is the longest time between two observations that counts as observed (rule M5).
 const MaxGap = 10 * time.Second
 
-// Observation is a zone at one time.
+// Observation holds a zone's counts at one time.
 type Observation struct {
 	At time.Time
 	// Models are sorted by name.
 	Models []ModelCount
 	// Stranded is the number of stranded instances (rule M4).
 	Stranded int
-	// Powered is the number of instances with accelerators not proven off.
+	// Powered is the number of instances with accelerators that aren't proven off.
 	Powered int
-	// Drawn is the pessimistic draw.
+	// Drawn is the pessimistic power draw: of every instance that isn't proven off.
 	Drawn garnetworks.Watts
 	Limit garnetworks.Watts
 }
@@ -55,7 +55,7 @@
 // Down returns how many wanted groups don't serve (rule M3).
 func (c ModelCount) Down() int { return max(0, c.Wanted-c.Serving) }
 
-// Snapshot is what an observation is made from.
+// Snapshot is the state of a zone from which Observe makes an observation.
 type Snapshot struct {
 	At      time.Time
 	Domains []garnetworks.FabricDomain
@@ -63,12 +63,12 @@
 	// Wanted comes from the last plan (rule M1).
 	Wanted []placer.ModelGroups
 	Limit  garnetworks.Watts
-	// Confirmed reports whether all members of a group are confirmed within
+	// Confirmed reports whether all members of a group were confirmed within
 	// garnetworks.ConfirmationBound (rule G1).
 	Confirmed func(garnetworks.GroupID) bool
 }
 
-// Observe reduces a snapshot to the counts.
+// Observe computes the counts of a snapshot.
 func Observe(s Snapshot) Observation {
 	o := Observation{At: s.At, Limit: s.Limit}
 	accelerated := garnetworks.NewSet[string]()
@@ -117,8 +117,7 @@
 	}
 }
 
-// addServing counts a serving group; one of a model that isn't wanted has no
-// count to add to.
+// addServing counts a serving group, unless its model is not wanted.
 func (o *Observation) addServing(m garnetworks.ModelName) {
 	at, ok := slices.BinarySearchFunc(o.Models, ModelCount{Model: m}, compareCounts)
 	if ok {
@@ -135,7 +134,7 @@
 	return down
 }
 
-// Account sums the measures up. The zero value is ready for use.
+// Account accumulates downtime and stranded time. The zero value is ready for use.
 type Account struct {
 	last       Observation
 	started    bool
@@ -145,7 +144,7 @@
 	byModel    map[garnetworks.ModelName]time.Duration
 }
 
-// Add closes the time since the last observation and begins the next one.
+// Add counts the last observation up to o.At and replaces it by o.
 func (a *Account) Add(o Observation) {
 	a.CountUntil(o.At)
 	if a.started && o.At.Before(a.last.At) {
@@ -155,7 +154,7 @@
 	a.started = true
 }
 
-// CountUntil counts the last observation up to now.
+// CountUntil counts the last observation up to now (rule M5).
 func (a *Account) CountUntil(now time.Time) {
 	elapsed := now.Sub(a.last.At)
 	if !a.started || elapsed <= 0 {
@@ -181,7 +180,7 @@
 	a.byModel[m.Model] += down
 }
 
-// Metrics returns the sums up to the last time counted, and the counts now.
+// Metrics returns the sums up to the last time counted, and the last observation's counts.
 func (a *Account) Metrics() garnetworks.ZoneMetrics {
 	return garnetworks.ZoneMetrics{
 		GroupDowntime:     a.downtime,
@@ -193,7 +192,7 @@
 	}
 }
 
-// Unobserved returns how much of the time counted was not watched (rule M5).
+// Unobserved returns how much of the counted time exceeded MaxGap (rule M5).
 func (a *Account) Unobserved() time.Duration { return a.unobserved }
 
 // ModelDowntime is the downtime of a model's groups.
@@ -212,7 +211,7 @@
 	return all
 }
 
-// Sum adds the measures of several zones up.
+// Sum returns the sum of several zones' metrics.
 func Sum(zones []garnetworks.ZoneMetrics) garnetworks.ZoneMetrics {
 	var sum garnetworks.ZoneMetrics
 	for _, m := range zones {
--- a/measurer/measurer_test.go
+++ b/measurer/measurer_test.go
@@ -47,7 +47,7 @@
 		down     int
 		stranded int
 	}{
-		// One group of model a more than wanted makes up for none of b.
+		// A surplus group of model a does not offset a missing one of b.
 		"surplus of another model": {func(*measurer.Snapshot) {}, 2, 2},
 		"unconfirmed group": {func(s *measurer.Snapshot) {
 			s.Confirmed = func(id garnetworks.GroupID) bool { return id != "g0" }
@@ -70,9 +70,8 @@
 	}
 }
 
-// An operator compares two days, on one of which the controller's node paused
-// for a minute and its clock went back: the pause must count with what was last
-// seen, be shown as blind, and the clock must take nothing away.
+// Guards against time that is lost or subtracted when the process pauses or its clock steps
+// back; the time beyond MaxGap is reported as unobserved.
 func TestAccountHandlesPausesAndClockSteps(t *testing.T) {
 	var a measurer.Account
 	s := snapshot()
@@ -87,7 +86,7 @@
 		t.Errorf("downtime %v, stranded %v, want %v for both", m.GroupDowntime, m.Stranded, want)
 	}
 	if want := time.Minute - measurer.MaxGap; a.Unobserved() != want {
-		t.Errorf("blind for %v, want %v", a.Unobserved(), want)
+		t.Errorf("unobserved for %v, want %v", a.Unobserved(), want)
 	}
 	if by := a.DowntimeByModel(); len(by) != 1 || by[0].Model != "b" {
 		t.Errorf("downtime by model is %v, want b alone", by)
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -1,14 +1,13 @@
-// Package meter counts what a node does and shows it to operators as metrics.
+// Package meter counts a node's work and exports the counts as Prometheus metrics.
 //
 // The rules:
 //
-//	M1  Each metric stands once in the table Metrics with its unit and meaning;
-//	    docs/metrics.md is printed from it.
-//	M2  Labels take values from closed lists or from the manifest and the
-//	    instance list, never from callers, so that no caller can grow a node's
-//	    memory.
-//	M3  Every call to the object API is counted at the place where it is sent,
-//	    a waiting watch as one, as the platform counts them.
+//	M1  Each metric is listed once in the table Metrics with its unit and meaning;
+//	    docs/metrics.md is generated from it.
+//	M2  Label values come from closed lists or from the manifest and the instance
+//	    list, never from callers, so that no caller can grow a node's memory.
+//	M3  Every call to the object API is counted where it is sent; a watch counts
+//	    as one call however long it waits, as the platform counts them.
 package meter
 
 import (
@@ -54,18 +53,18 @@
 	lastTotals    map[string]uint64
 }
 
-// Metric is a row of the table of metrics.
+// Metric is a row of the table Metrics.
 type Metric struct {
-	// Name is the full name with its unit as the last word.
+	// Name is the full name; its last word is the unit.
 	Name string
 	// Help is one sentence.
 	Help string
-	// Labels are the metric's labels in order; no caller chooses a label's value
+	// Labels are the metric's labels in order. Callers never choose label values
 	// (rule M2).
 	Labels []string
 }
 
-// Metrics is the table of everything that a node shows.
+// Metrics lists every metric that a node exports.
 var Metrics = []Metric{
 	{"garnet_calls_total", "Calls of callers that ended, by what was called, outcome and error kind (empty if completed).", []string{"target", "outcome", "kind"}},
 	{"garnet_tokens_total", "Tokens delivered to callers, by workspace.", []string{"workspace"}},
@@ -97,9 +96,9 @@
 	{"garnet_events_total", "Events recorded on the time line, by kind.", []string{"kind"}},
 }
 
-// The histograms' buckets stand close around the users' goals, 0.84 s to the
-// first token and 46 ms between tokens, so that the share within the goal is
-// read without interpolation.
+// The buckets are in seconds. They are narrow around the users' objectives, 0.84 s to
+// the first token and 46 ms between tokens, which are bucket bounds themselves, so that
+// the share within an objective is read without interpolation.
 var (
 	firstTokenBuckets = []float64{.01, .025, .05, .1, .2, .3, .42, .6, .84, 1.2, 2, 4, 8}
 	attemptBuckets    = []float64{.01, .025, .05, .1, .15, .25, .4, .6, 1, 2, 4, 8}
@@ -173,55 +172,55 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// Registry lets embedders register metrics of their own.
+// Registry returns the registry, on which embedders register their own metrics.
 func (m *Meter) Registry() *prometheus.Registry { return m.registry }
 
 // InFlight sets the number of calls admitted and not ended.
 func (m *Meter) InFlight(n int) { m.inFlight.Set(float64(n)) }
 
-// CallEnded counts a call that ended; kind is empty if it completed.
+// CallEnded counts a call that has ended; kind is empty if it completed.
 func (m *Meter) CallEnded(target string, outcome garnetworks.Outcome, kind garnetworks.Kind) {
 	m.calls.WithLabelValues(target, string(outcome), string(kind)).Inc()
 }
 
-// ProxiedCall counts a call that is passed on whole; kind is empty if it completed.
+// ProxiedCall counts a proxied call that has ended; kind is empty if it completed.
 func (m *Meter) ProxiedCall(route string, outcome garnetworks.Outcome, kind garnetworks.Kind) {
 	m.proxiedCalls.WithLabelValues(route, string(outcome), string(kind)).Inc()
 }
 
-// FirstEvent observes the time to the first event of a call of the route.
+// FirstEvent observes the time from the receipt of a route's call to its first event.
 func (m *Meter) FirstEvent(route string, d time.Duration) {
 	m.firstEvent.WithLabelValues(route).Observe(d.Seconds())
 }
 
-// QueueWait observes how long a call waited for a place.
+// QueueWait observes how long a call waited for a slot at a group of the model.
 func (m *Meter) QueueWait(model garnetworks.ModelName, d time.Duration) {
 	m.queueWait.WithLabelValues(string(model)).Observe(d.Seconds())
 }
 
-// Attempt counts an attempt that ended.
+// Attempt counts an attempt that ended in the phase and observes its duration.
 func (m *Meter) Attempt(service garnetworks.ServiceName, group garnetworks.GroupID, phase garnetworks.CallPhase, took time.Duration) {
 	m.attempts.WithLabelValues(string(service), string(group), string(phase)).Inc()
 	m.attemptTime.WithLabelValues(string(service)).Observe(took.Seconds())
 }
 
-// ForgetGroup drops a group's counters, so that groups that come and go don't
-// grow the node's memory (rule M2).
+// ForgetGroup deletes a group's counters, so that groups that come and go don't grow the
+// node's memory (rule M2).
 func (m *Meter) ForgetGroup(group garnetworks.GroupID) {
 	m.attempts.DeletePartialMatch(prometheus.Labels{"group": string(group)})
 }
 
-// LinesDropped takes the number of log lines dropped since the start. One
-// goroutine alone calls it.
+// LinesDropped sets the number of log lines dropped since the start. It is not safe for
+// concurrent use, nor beside SyncTotals.
 func (m *Meter) LinesDropped(total uint64) {
 	m.syncCounter(m.counters["garnet_log_lines_dropped_total"], "lines", total)
 }
 
-// QuarantinedContents takes the number of contents that are kept from servers.
+// QuarantinedContents sets the number of quarantined call contents.
 func (m *Meter) QuarantinedContents(n int) { m.gauges["garnet_held_contents"].Set(float64(n)) }
 
-// RegisterRoutingAge makes the metrics show how long ago the routing was last known to be the
-// newest one, as of each reading. It is called once at most.
+// RegisterRoutingAge exports the time since the routing was last known to be the newest
+// one; age is called at each scrape. It must be called at most once.
 func (m *Meter) RegisterRoutingAge(age func() time.Duration) {
 	const name = "garnet_routing_age_seconds"
 	options := prometheus.GaugeOpts{Name: name, Help: m.byName[name].Help}
@@ -239,7 +238,7 @@
 // BetweenTokens observes the mean time between two tokens of an answer.
 func (m *Meter) BetweenTokens(d time.Duration) { m.betweenTokens.Observe(d.Seconds()) }
 
-// ManifestGeneration sets the generation in force at the node.
+// ManifestGeneration sets the generation of the manifest in force at the node.
 func (m *Meter) ManifestGeneration(g garnetworks.Generation) { m.generation.Set(float64(g)) }
 
 // Lease sets whether the node holds the named lease.
@@ -251,21 +250,21 @@
 	m.lease.WithLabelValues(name).Set(value)
 }
 
-// PeerTraffic adds the bytes and messages exchanged with other nodes in one
-// direction, "in" or "out".
+// PeerTraffic adds bytes and messages exchanged with other nodes in one direction, "in"
+// or "out".
 func (m *Meter) PeerTraffic(direction string, bytes, messages uint64) {
 	m.peerBytes.WithLabelValues(direction).Add(float64(bytes))
 	m.peerCalls.WithLabelValues(direction).Add(float64(messages))
 }
 
-// Claims are the counters of a node's claims since its start, and their state.
+// Claims holds a node's claim counters since its start, and its current claim state.
 type Claims struct {
 	Written, Conflicts, Failed, Forwarded uint64
 	Unrecorded, RefusingShards            int
 }
 
-// SyncTotals takes counters that other packages keep since their start. One
-// goroutine alone calls it.
+// SyncTotals sets counters that other packages keep since their start, and the claim
+// gauges. It is not safe for concurrent use, nor beside LinesDropped.
 func (m *Meter) SyncTotals(c Claims, overwritten, dropped uint64) {
 	for result, total := range map[string]uint64{"written": c.Written, "conflict": c.Conflicts, "failed": c.Failed, "forwarded": c.Forwarded} {
 		m.syncCounter(m.claimWrites.WithLabelValues(result), "claims "+result, total)
@@ -276,7 +275,7 @@
 	m.gauges["garnet_claim_shards_refusing"].Set(float64(c.RefusingShards))
 }
 
-// syncCounter brings a counter to a total that only grows.
+// syncCounter raises a counter by the increase of total since the last call with the name.
 func (m *Meter) syncCounter(counter prometheus.Counter, name string, total uint64) {
 	if last := m.lastTotals[name]; total > last {
 		counter.Add(float64(total - last))
@@ -305,7 +304,7 @@
 	garnetworks.GroupDraining, garnetworks.GroupBroken,
 }
 
-// Recorder returns a recorder that counts events before it hands them to next.
+// Recorder returns a recorder that counts events by kind and passes them to next.
 func (m *Meter) Recorder(next garnetworks.Recorder) garnetworks.Recorder {
 	return &countingRecorder{Recorder: next, events: m.events}
 }
@@ -315,13 +314,13 @@
 	events *prometheus.CounterVec
 }
 
-// Record counts and passes on.
+// Record implements garnetworks.Recorder.
 func (r *countingRecorder) Record(event garnetworks.Event) {
 	r.events.WithLabelValues(string(event.Kind)).Inc()
 	r.Recorder.Record(event)
 }
 
-// Page returns docs/metrics.md (M1).
+// Page returns the content of docs/metrics.md (M1).
 func Page() string {
 	var b strings.Builder
 	b.WriteString("# Metrics\n\nEach entry node serves these at `/metrics` of its admin address. The unit is the last word of the name.\n\n")
--- a/meter/meter_test.go
+++ b/meter/meter_test.go
@@ -68,7 +68,7 @@
 		`garnet_lease_held{lease="site"} 1`,
 	} {
 		if !strings.Contains(text, want) {
-			t.Errorf("served text lacks %s", want)
+			t.Errorf("served metrics lack %s", want)
 		}
 	}
 }
@@ -84,6 +84,6 @@
 		t.Fatal(err)
 	}
 	if string(got) != want {
-		t.Errorf("docs/metrics.md is not what Page returns; write it again")
+		t.Errorf("docs/metrics.md differs from the output of Page; regenerate it")
 	}
 }
--- a/meter/objects.go
+++ b/meter/objects.go
@@ -8,7 +8,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// methodWatch names calls that wait for a change by their nature.
+// methodWatch is excluded from the latency histogram, because a watch waits for a change.
 const methodWatch = "watch"
 
 // ObjectAPI returns next with each call counted (M3).
@@ -21,15 +21,15 @@
 	})
 }
 
-// PurposeOf returns what a call to the object API is for: the first part of the key, which
-// no caller chooses (M2).
+// PurposeOf returns the purpose of a call to the object API: the first part of the key,
+// which callers never choose (M2).
 func PurposeOf(key string) string {
 	purpose, _, _ := strings.Cut(key, "/")
 	return purpose
 }
 
-// Observe returns next with note told of each call's method, key or prefix, time and error,
-// once the call has ended.
+// Observe returns an ObjectAPI that calls next and, when each call has ended, observe with
+// the call's method, key or prefix, duration and error.
 func Observe(next garnetworks.ObjectAPI, observe func(method, key string, took time.Duration, err error)) garnetworks.ObjectAPI {
 	return &observedObjectAPI{next: next, observe: observe}
 }
--- a/splicer/splicer.go
+++ b/splicer/splicer.go
@@ -1,13 +1,12 @@
-// Package splicer joins the events of several runs of one stream to one answer.
-// It is pure: bytes in, whole events out.
+// Package splicer joins the server-sent events of several attempts of one call into one
+// stream. It does no I/O: it takes bytes and returns whole events.
 //
-//	S1  Only whole events are given out. A server may break off in the middle of
-//	    an event; its beginning is thrown away and the next run sends the whole.
-//	S2  An event whose number is not above the last one given out is passed over,
-//	    so that a run that goes on too early repeats nothing.
-//	S3  An event whose number leaves a gap ends the answer as broken: a client is
-//	    told of a missing piece by a broken answer, never by an answer that looks
-//	    whole.
+//	S1  Only whole events are returned. If a server breaks off within an event, the
+//	    incomplete event is discarded, and the next attempt sends it whole.
+//	S2  An event whose number is not above the last one returned is skipped, so that
+//	    an attempt that resumes too early repeats nothing.
+//	S3  A gap in the numbers between two attempts ends the stream with ErrGap, so
+//	    that a client never takes an incomplete answer for a whole one.
 package splicer
 
 import (
@@ -17,40 +16,38 @@
 	"github.com/pkg/errors"
 )
 
-// ErrGap says that an event is missing between the last one given out and the
-// next one.
+// ErrGap reports that events are missing between two attempts.
 var ErrGap = errors.New("an event of the stream is missing")
 
-// Splicer is the state of one answer. The zero value has given out nothing.
+// Splicer is the state of one stream. The zero value is ready for use.
 type Splicer struct {
-	// LastID is the identifier of the last event given out; empty before the
-	// first one.
+	// LastID is the identifier of the last event returned that had one; empty before the
+	// first such event.
 	LastID string
-	// Events counts the events given out.
+	// Events counts the returned events that have an identifier.
 	Events int
-	// buffer holds the beginning of an event.
+	// buffer holds the beginning of an incomplete event.
 	buffer []byte
-	// resumed says that the next event is the first one of a later run.
+	// resumed is set until the first event of a later attempt is accepted.
 	resumed bool
 }
 
 var separator = []byte("\n\n")
 
-// Resume begins a later run: what the earlier one left unfinished is forgotten
-// (rule S1).
+// Resume begins an attempt and discards the incomplete event of the one before (rule S1).
 func (s *Splicer) Resume() {
 	s.buffer = s.buffer[:0]
 	s.resumed = s.Events > 0
 }
 
-// Pending reports whether an event has begun and not ended.
+// Pending reports whether the buffer holds an incomplete event.
 func (s *Splicer) Pending() bool { return len(s.buffer) > 0 }
 
-// Partial returns the bytes of an event that has begun and not ended.
+// Partial returns the bytes of the incomplete event. They are valid until the next call
+// of Feed or Resume.
 func (s *Splicer) Partial() []byte { return s.buffer }
 
-// Feed takes bytes of the present run and appends the events that are whole now
-// to out.
+// Feed adds bytes of the current attempt and appends the events that they complete to out.
 func (s *Splicer) Feed(out, data []byte) ([]byte, error) {
 	s.buffer = append(s.buffer, data...)
 	rest := s.buffer
@@ -73,7 +70,7 @@
 	return out, nil
 }
 
-// accept decides on one whole event (rules S2 and S3).
+// accept reports whether a whole event is to be returned (rules S2 and S3).
 func (s *Splicer) accept(event []byte) (bool, error) {
 	id := eventID(event)
 	if id == "" {
@@ -102,7 +99,7 @@
 
 var idField = []byte("id:")
 
-// identifier returns the value of the event's id field, or nothing.
+// eventID returns the value of the event's id field; empty if it has none.
 func eventID(event []byte) string {
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
 		if value, ok := bytes.CutPrefix(line, idField); ok {
--- a/splicer/splicer_test.go
+++ b/splicer/splicer_test.go
@@ -12,21 +12,21 @@
 
 func event(n int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", n, n) }
 
-// Story: a group breaks in the middle of an event, and another one goes on. The
-// client finds half an event, one twice, or none where it broke.
+// Guards against partial, duplicate and missing events when an attempt breaks and another
+// one resumes the stream.
 func TestAttemptsAreJoined(t *testing.T) {
 	cases := map[string]struct {
 		attempts []string
 		want     string
 		gap      bool
 	}{
-		"one run":                   {attempts: []string{event(1) + event(2)}, want: event(1) + event(2)},
-		"broken between two events": {attempts: []string{event(1), event(2)}, want: event(1) + event(2)},
-		"broken within an event":    {attempts: []string{event(1) + "id: 2\nda", event(2) + event(3)}, want: event(1) + event(2) + event(3)},
-		"second run begins anew":    {attempts: []string{event(1) + event(2), event(1) + event(2) + event(3)}, want: event(1) + event(2) + event(3)},
-		"second run leaves one out": {attempts: []string{event(1), event(3)}, want: event(1), gap: true},
-		"no identifiers":            {attempts: []string{"data: a\n\ndata: b\n\n"}, want: "data: a\n\ndata: b\n\n"},
-		"first run begins later":    {attempts: []string{event(13) + event(14)}, want: event(13) + event(14)},
+		"one attempt":                            {attempts: []string{event(1) + event(2)}, want: event(1) + event(2)},
+		"broken between two events":              {attempts: []string{event(1), event(2)}, want: event(1) + event(2)},
+		"broken within an event":                 {attempts: []string{event(1) + "id: 2\nda", event(2) + event(3)}, want: event(1) + event(2) + event(3)},
+		"second attempt starts over":             {attempts: []string{event(1) + event(2), event(1) + event(2) + event(3)}, want: event(1) + event(2) + event(3)},
+		"second attempt skips an event":          {attempts: []string{event(1), event(3)}, want: event(1), gap: true},
+		"no identifiers":                         {attempts: []string{"data: a\n\ndata: b\n\n"}, want: "data: a\n\ndata: b\n\n"},
+		"first attempt starts at a later number": {attempts: []string{event(13) + event(14)}, want: event(13) + event(14)},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -44,8 +44,7 @@
 	}
 }
 
-// Story: events come in pieces of any size, and runs break anywhere. Whatever the
-// pieces, the client gets each event once and in order.
+// Guards against results that depend on how the bytes are chunked or where attempts break.
 func TestAnyChunkingGivesTheSameEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(1, 12).Draw(t, "events")
