--- a/cmd/garnetctl/causes.go
+++ b/cmd/garnetctl/causes.go
@@ -29,7 +29,7 @@
 
 // Run reads the lines and prints the account.
 func (c *causesCommand) Run(s *session) error {
-	options := diagnoser.Options{Credits: diagnoser.DefaultCredits(), Way: c.Way, From: c.From, Until: c.Until}
+	options := diagnoser.Options{Credits: diagnoser.DefaultCredits(), RoundTrip: c.Way, From: c.From, Until: c.Until}
 	if c.Credits != "" {
 		if err := readFile(c.Credits, func(r io.Reader) (err error) {
 			options.Credits, err = diagnoser.ReadCredits(r)
@@ -85,10 +85,10 @@
 func (c *causesCommand) print(s *session, r *diagnoser.Report) error {
 	l := r.Lines
 	fmt.Fprintf(s.stdout, "%d lines: %d of calls, %d of events, %d cut, %d foreign; %d calls whose lines were held back\n",
-		l.Read, l.Calls, l.Events, l.Cut, l.Foreign, l.Folded)
+		l.Read, l.Calls, l.Events, l.Truncated, l.Foreign, l.Suppressed)
 	t := &r.Total
 	fmt.Fprintf(s.stdout, "%d requests: %d on time, %d late, %d refused, %d failed, %d left, %d not allowed; %s of the credit earned\n\n",
-		t.Requests, t.OnTime, t.Late, t.Refused, t.Failed, t.Left, t.NotAllowed, part(t.Share()))
+		t.Requests, t.OnTime, t.Late, t.Refused, t.Failed, t.Abandoned, t.NotAllowed, part(t.Share()))
 	for _, print := range []func(io.Writer, *diagnoser.Report) error{printCauses, printMoves, printFirsts} {
 		if err := print(s.stdout, r); err != nil {
 			return err
@@ -114,14 +114,14 @@
 		if c.Spare > 0 {
 			spare = fmt.Sprint(c.Spare)
 		}
-		t.row(string(c.Cause), fmt.Sprint(c.Late), fmt.Sprint(c.Refused), fmt.Sprint(c.Failed), fmt.Sprint(c.Left+c.NotAllowed),
+		t.row(string(c.Cause), fmt.Sprint(c.Late), fmt.Sprint(c.Refused), fmt.Sprint(c.Failed), fmt.Sprint(c.Abandoned+c.NotAllowed),
 			part(c.Lost), part(c.Bound), spare, c.Text)
 	}
 	return t.print(out)
 }
 
 func printMoves(out io.Writer, r *diagnoser.Report) error {
-	if r.Moves.See.Count == 0 {
+	if r.Failovers.Detect.Count == 0 {
 		return nil
 	}
 	fmt.Fprintln(out, "\nafter a group was lost")
@@ -130,27 +130,27 @@
 		name string
 		diagnoser.Spread
 	}{
-		{"last event to the end of the attempt", r.Moves.See},
-		{"to the next place", r.Moves.Place},
-		{"to its first event", r.Moves.Read},
+		{"last event to the end of the attempt", r.Failovers.Detect},
+		{"to the next place", r.Failovers.Place},
+		{"to its first event", r.Failovers.Prefill},
 	} {
-		t.row(step.name, fmt.Sprint(step.Count), fmt.Sprint(step.Median), fmt.Sprint(step.Quarter), fmt.Sprint(step.Most))
+		t.row(step.name, fmt.Sprint(step.Count), fmt.Sprint(step.Median), fmt.Sprint(step.ThirdQuartile), fmt.Sprint(step.Max))
 	}
 	return t.print(out)
 }
 
 func printFirsts(out io.Writer, r *diagnoser.Report) error {
-	if len(r.Firsts) == 0 {
+	if len(r.FirstEvents) == 0 {
 		return nil
 	}
 	fmt.Fprintln(out, "\nfirst events at groups, medians of calls told in full")
 	t := newTable("model", "first event", "calls", "first ms", "prompt", "calls before", "unread tokens before")
-	for _, f := range r.Firsts {
+	for _, f := range r.FirstEvents {
 		when := "on time"
 		if f.Late {
 			when = "late"
 		}
-		t.row(string(f.Model), when, fmt.Sprint(f.Count), fmt.Sprint(f.FirstMS), fmt.Sprint(f.Prompt), fmt.Sprint(f.Calls), fmt.Sprint(f.Reading))
+		t.row(string(f.Model), when, fmt.Sprint(f.Count), fmt.Sprint(f.FirstMS), fmt.Sprint(f.Prompt), fmt.Sprint(f.CallsAhead), fmt.Sprint(f.PrefillAhead))
 	}
 	return t.print(out)
 }
@@ -160,9 +160,9 @@
 	t := newTable(table.By, "requests", "on time", "late", "refused", "failed", "left", "earned", "dearest cause", "lost")
 	for i := range table.Rows {
 		w := &table.Rows[i]
-		dearest := w.Dearest()
+		dearest := w.Costliest()
 		t.row(w.Name, fmt.Sprint(w.Requests), fmt.Sprint(w.OnTime), fmt.Sprint(w.Late), fmt.Sprint(w.Refused), fmt.Sprint(w.Failed),
-			fmt.Sprint(w.Left), part(w.Share()), string(dearest), part(w.ByCause[dearest]))
+			fmt.Sprint(w.Abandoned), part(w.Share()), string(dearest), part(w.ByCause[dearest]))
 	}
 	return t.print(out)
 }
--- a/diagnoser/credit.go
+++ b/diagnoser/credit.go
@@ -12,10 +12,10 @@
 type Credit struct {
 	// Name is the operators' name of the kind.
 	Name string `yaml:"name"`
-	// ObjectiveMS, MaxPauseMS and Once tell which routes are meant; of several kinds
+	// ObjectiveMS, MaxGapMS and Once tell which routes are meant; of several kinds
 	// that fit, the one whose timeout is nearest to TimeoutMS.
 	ObjectiveMS int64 `yaml:"objective-ms"`
-	MaxPauseMS  int64 `yaml:"max-pause-ms"`
+	MaxGapMS    int64 `yaml:"max-pause-ms"`
 	TimeoutMS   int64 `yaml:"timeout-ms"`
 	Once        bool  `yaml:"once"`
 	// OnTime and Late are what an answer is worth.
@@ -27,10 +27,10 @@
 // are large: a part of their worth grows with their size against the mean of their kind.
 type Credits struct {
 	Kinds []Credit `yaml:"kinds"`
-	// SizePart is the part of a request's worth that grows with its size, and
-	// MostSize the most times the mean that a size counts.
-	SizePart float64 `yaml:"size-part"`
-	MostSize float64 `yaml:"most-size"`
+	// SizeFraction is the part of a request's worth that grows with its size, and
+	// MaxSizeRatio the most times the mean that a size counts.
+	SizeFraction float64 `yaml:"size-part"`
+	MaxSizeRatio float64 `yaml:"most-size"`
 	// AnswerWeight is how many prompt tokens an answer token counts for.
 	AnswerWeight float64 `yaml:"answer-weight"`
 }
@@ -41,13 +41,13 @@
 const (
 	defaultOnTime       = 1
 	defaultLate         = 0.25
-	defaultMostSize     = 4
+	defaultMaxSizeRatio = 4
 	defaultAnswerWeight = 10
 )
 
 // DefaultCredits weigh all requests alike.
 func DefaultCredits() Credits {
-	return Credits{MostSize: defaultMostSize, AnswerWeight: defaultAnswerWeight}
+	return Credits{MaxSizeRatio: defaultMaxSizeRatio, AnswerWeight: defaultAnswerWeight}
 }
 
 // ReadCredits decodes credits that operators wrote.
@@ -61,45 +61,45 @@
 			return credits, errors.Errorf("the credits of kind %q can't be: on-time must be above 0, late from 0 to on-time, and the name set", k.Name)
 		}
 	}
-	if credits.SizePart < 0 || credits.SizePart > 1 || credits.MostSize < 1 || credits.AnswerWeight < 0 {
+	if credits.SizeFraction < 0 || credits.SizeFraction > 1 || credits.MaxSizeRatio < 1 || credits.AnswerWeight < 0 {
 		return credits, errors.New("size-part must be from 0 to 1, most-size 1 or more, answer-weight 0 or more")
 	}
 	return credits, nil
 }
 
 // of returns the credit of a request's kind, and whether the operators named it.
-func (c *Credits) of(terms Terms) (credit Credit, named bool) {
+func (c *Credits) match(level ServiceLevel) (credit Credit, named bool) {
 	var best *Credit
 	for i := range c.Kinds {
 		k := &c.Kinds[i]
-		if duration(k.ObjectiveMS) != terms.Objective || duration(k.MaxPauseMS) != terms.MaxPause || k.Once != terms.Once {
+		if duration(k.ObjectiveMS) != level.Objective || duration(k.MaxGapMS) != level.MaxGap || k.Once != level.Once {
 			continue
 		}
-		if best == nil || k.distance(terms) < best.distance(terms) {
+		if best == nil || k.distance(level) < best.distance(level) {
 			best = k
 		}
 	}
 	if best != nil {
 		return *best, true
 	}
-	return Credit{Name: kindName(terms), OnTime: defaultOnTime, Late: defaultLate}, false
+	return Credit{Name: kindName(level), OnTime: defaultOnTime, Late: defaultLate}, false
 }
 
-func (c *Credit) distance(terms Terms) time.Duration {
-	return (duration(c.TimeoutMS) - terms.Timeout).Abs()
+func (c *Credit) distance(level ServiceLevel) time.Duration {
+	return (duration(c.TimeoutMS) - level.Timeout).Abs()
 }
 
 // kindName names requests of which the operators say nothing.
-func kindName(terms Terms) string {
-	if terms == (Terms{}) {
+func kindName(level ServiceLevel) string {
+	if level == (ServiceLevel{}) {
 		return "terms not told"
 	}
-	name := terms.Objective.String()
-	if terms.MaxPause > 0 {
-		name += ", pauses " + terms.MaxPause.String()
+	name := level.Objective.String()
+	if level.MaxGap > 0 {
+		name += ", pauses " + level.MaxGap.String()
 	}
-	name += " of " + terms.Timeout.String()
-	if terms.Once {
+	name += " of " + level.Timeout.String()
+	if level.Once {
 		name += ", once"
 	}
 	return name
@@ -108,7 +108,7 @@
 // size is the request's size in prompt tokens.
 func (c *Credits) size(r *Request) float64 {
 	call := r.first()
-	return float64(call.Prompt) + c.AnswerWeight*float64(call.Answer)
+	return float64(call.PromptTokens) + c.AnswerWeight*float64(call.ExpectedTokens)
 }
 
 // weight is what a size makes of a worth, where the mean of its kind makes 1.
@@ -116,5 +116,5 @@
 	if mean <= 0 || size <= 0 {
 		return 1
 	}
-	return min(1-c.SizePart+c.SizePart*size/mean, c.MostSize)
+	return min(1-c.SizeFraction+c.SizeFraction*size/mean, c.MaxSizeRatio)
 }
--- a/diagnoser/diagnoser.go
+++ b/diagnoser/diagnoser.go
@@ -13,7 +13,7 @@
 type Options struct {
 	Credits Credits
 	// Way is the time between a client and a node, both ways.
-	Way time.Duration
+	RoundTrip time.Duration
 	// From and Until bound the receipts of requests that count; zero times don't.
 	From, Until time.Time
 	// NamedOnly leaves out requests of kinds that the credits don't name.
@@ -23,52 +23,52 @@
 // Lines counts what was read.
 type Lines struct {
 	Read int `json:"read"`
-	// Cut lines were no whole JSON, Foreign ones no line of a node.
-	Cut     int `json:"cut"`
-	Foreign int `json:"foreign"`
-	Calls   int `json:"calls"`
-	Events  int `json:"events"`
+	// Truncated lines were no whole JSON, Foreign ones no line of a node.
+	Truncated int `json:"cut"`
+	Foreign   int `json:"foreign"`
+	Calls     int `json:"calls"`
+	Events    int `json:"events"`
 	// Folded is the number of calls whose lines the nodes held back.
-	Folded int `json:"folded"`
+	Suppressed int `json:"folded"`
 }
 
 // Diagnoser gathers lines. It is for one goroutine.
 type Diagnoser struct {
-	options Options
-	lines   Lines
-	names   map[string]string
-	terms   map[string]Terms
-	calls   []*Call
-	history history
+	options       Options
+	lines         Lines
+	names         map[string]string
+	serviceLevels map[string]ServiceLevel
+	calls         []*Call
+	history       history
 }
 
 // New returns a diagnoser without lines.
 func New(options Options) *Diagnoser {
-	return &Diagnoser{options: options, names: make(map[string]string), terms: make(map[string]Terms), history: newHistory()}
+	return &Diagnoser{options: options, names: make(map[string]string), serviceLevels: make(map[string]ServiceLevel), history: newHistory()}
 }
 
 // Read takes all lines of one source; the order of sources does not matter.
 func (d *Diagnoser) Read(source io.Reader) error { return d.read(source) }
 
 // judged is a request with its verdict and what it is worth.
-type judged struct {
+type diagnosed struct {
 	*Request
-	Verdict
+	Diagnosis
 	kind   string
-	tenth  int
+	decile int
 	weight float64
 	credit Credit
 }
 
 // owed and earned are the credit that the request could bring and brought.
-func (j *judged) owed() float64 {
+func (j *diagnosed) owed() float64 {
 	if j.Outcome == OnTime || j.Outcome.missed() {
 		return j.weight * j.credit.OnTime
 	}
 	return 0
 }
 
-func (j *judged) earned() float64 {
+func (j *diagnosed) earned() float64 {
 	switch j.Outcome {
 	case OnTime:
 		return j.owed()
@@ -78,32 +78,32 @@
 	return 0
 }
 
-// judgeAll judges all requests within the options' bounds.
-func (d *Diagnoser) judgeAll() []*judged {
-	var all []*judged
+// diagnoseAll judges all requests within the options' bounds.
+func (d *Diagnoser) diagnoseAll() []*diagnosed {
+	var all []*diagnosed
 	for _, r := range d.requests() {
 		at := r.first().Received
 		if !d.options.From.IsZero() && at.Before(d.options.From) || !d.options.Until.IsZero() && !at.Before(d.options.Until) {
 			continue
 		}
-		j := &judged{Request: r, Verdict: d.history.judge(r, d.options.Way)}
-		credit, named := d.options.Credits.of(r.first().Terms)
+		j := &diagnosed{Request: r, Diagnosis: d.history.diagnose(r, d.options.RoundTrip)}
+		credit, named := d.options.Credits.match(r.first().ServiceLevel)
 		if d.options.NamedOnly && !named {
 			continue
 		}
 		j.credit, j.kind = credit, credit.Name
 		all = append(all, j)
 	}
-	d.weigh(all)
+	d.assignWeights(all)
 	return all
 }
 
-// tenths is the number of parts by size that each kind is divided into.
-const tenths = 10
+// deciles is the number of parts by size that each kind is divided into.
+const deciles = 10
 
 // weigh finds each request's weight and tenth among those of its kind.
-func (d *Diagnoser) weigh(all []*judged) {
-	ofKind := make(map[string][]*judged)
+func (d *Diagnoser) assignWeights(all []*diagnosed) {
+	ofKind := make(map[string][]*diagnosed)
 	for _, j := range all {
 		if j.first().Model != "" {
 			ofKind[j.kind] = append(ofKind[j.kind], j)
@@ -117,15 +117,15 @@
 			sum += credits.size(j.Request)
 		}
 		mean := sum / float64(len(list))
-		slices.SortStableFunc(list, func(a, b *judged) int {
+		slices.SortStableFunc(list, func(a, b *diagnosed) int {
 			return cmp.Compare(credits.size(a.Request), credits.size(b.Request))
 		})
 		for i, j := range list {
 			j.weight = credits.weight(credits.size(j.Request), mean)
-			j.tenth = 1 + i*tenths/len(list)
+			j.decile = 1 + i*deciles/len(list)
 		}
 	}
 }
 
 // zone is the availability zone of the node that took the request.
-func (d *Diagnoser) zone(j *judged) garnetworks.ZoneID { return d.history.zones[j.first().Node] }
+func (d *Diagnoser) zone(j *diagnosed) garnetworks.ZoneID { return d.history.zones[j.first().Node] }
--- a/diagnoser/diagnoser_test.go
+++ b/diagnoser/diagnoser_test.go
@@ -76,7 +76,7 @@
 
 func report(t *testing.T, lines ...string) *diagnoser.Report {
 	t.Helper()
-	d := diagnoser.New(diagnoser.Options{Credits: diagnoser.DefaultCredits(), Way: 4 * time.Millisecond})
+	d := diagnoser.New(diagnoser.Options{Credits: diagnoser.DefaultCredits(), RoundTrip: 4 * time.Millisecond})
 	if err := d.Read(strings.NewReader(strings.Join(lines, ""))); err != nil {
 		t.Fatal(err)
 	}
@@ -100,14 +100,14 @@
 		},
 		"waited": {
 			lines:   []string{at(1000, "call-ended", "n", stream(fields{"waited-ms": 300, "first-ms": 500}))},
-			outcome: diagnoser.Late, cause: diagnoser.CauseWaited,
+			outcome: diagnoser.Late, cause: diagnoser.CauseQueued,
 		},
 		"slow first event, though it waited a little": {
 			lines: []string{at(1000, "call-ended", "n", stream(fields{
 				"waited-ms": 50, "first-ms": 650,
 				"attempts": []fields{{"group": "g", "phase": "done", "first-ms": 600, "took-ms": 900, "events": 20, "calls": 17, "reading": 5900}},
 			}))},
-			outcome: diagnoser.Late, cause: diagnoser.CauseSlowFirst,
+			outcome: diagnoser.Late, cause: diagnoser.CauseSlowFirstEvent,
 		},
 		"paused within the attempt": {
 			lines: []string{at(1000, "call-ended", "n", stream(fields{
@@ -141,20 +141,20 @@
 		},
 		"client left early": {
 			lines:   []string{at(2600, "call-ended", "n", broken("cancelled", 120, fields{"group": "g", "phase": "wait", "took-ms": 120, "silent-ms": 120}))},
-			outcome: diagnoser.Left, cause: diagnoser.CauseClientLeft,
+			outcome: diagnoser.Abandoned, cause: diagnoser.CauseClientLeft,
 		},
 		"out of time, the answer was coming": {
 			lines: []string{at(6000, "call-ended", "n", stream(fields{
 				"status": 0, "outcome": "unknown", "kind": "cancelled", "took-ms": 6000, "left-ms": 0,
 				"attempts": []fields{{"group": "g", "phase": "wait", "first-ms": 200, "took-ms": 6000, "events": 90, "silent-ms": 60}},
 			}))},
-			outcome: diagnoser.Failed, cause: diagnoser.CauseTooLong,
+			outcome: diagnoser.Failed, cause: diagnoser.CauseTimeout,
 		},
 		"refused by the server, then late": {
 			lines: []string{at(1700, "call-ended", "n", stream(fields{
 				"first-ms": 600, "attempts": []fields{{"group": "g", "phase": "refused", "took-ms": 350, "cause": "refused with status 503"}, moved},
 			}))},
-			outcome: diagnoser.Late, cause: diagnoser.CauseRefusedThere,
+			outcome: diagnoser.Late, cause: diagnoser.CauseBackendRefused,
 		},
 		"no group": {
 			lines:   []string{at(1000, "call-ended", "n", refused("no-serving-group"))},
@@ -162,11 +162,11 @@
 		},
 		"no time": {
 			lines:   []string{at(1000, "call-ended", "n", refused("overloaded", fields{"spare": 12, "groups": 3}))},
-			outcome: diagnoser.Refused, cause: diagnoser.CauseNoTime,
+			outcome: diagnoser.Refused, cause: diagnoser.CauseNoCapacity,
 		},
 		"no group at a node that had just started": {
 			lines:   []string{at(0, "node-started", "n", fields{"zone": "z"}), at(1000, "call-ended", "n", refused("no-serving-group"))},
-			outcome: diagnoser.Refused, cause: diagnoser.CauseNodeBack,
+			outcome: diagnoser.Refused, cause: diagnoser.CauseNodeCatchingUp,
 		},
 		"no group long after the start": {
 			lines:   []string{at(0, "node-started", "n", fields{"zone": "z"}), at(9000, "call-ended", "n", refused("no-serving-group"))},
@@ -182,7 +182,7 @@
 		},
 		"keys could not be checked": {
 			lines:   []string{at(1000, "call-ended", "n", refused("not-ready", fields{"routing-age-ms": 4700}))},
-			outcome: diagnoser.Refused, cause: diagnoser.CauseStoreAway,
+			outcome: diagnoser.Refused, cause: diagnoser.CauseObjectAPILost,
 		},
 		"routing too old to refuse for good": {
 			lines:   []string{at(1000, "call-ended", "n", refused("stale-routing", fields{"routing": 14, "routing-age-ms": 3800}))},
@@ -211,7 +211,7 @@
 				at(1000, "call-ended", "n", refused("overloaded")),
 				at(2500, "call-ended", "o", stream(fields{"call": "d"})),
 			},
-			outcome: diagnoser.Late, cause: diagnoser.CauseNoTime,
+			outcome: diagnoser.Late, cause: diagnoser.CauseNoCapacity,
 		},
 		"turned away, and at once on time elsewhere": {
 			lines: []string{
@@ -233,7 +233,7 @@
 			r := report(t, c.lines...)
 			total := map[diagnoser.Outcome]int{
 				diagnoser.OnTime: r.Total.OnTime, diagnoser.Late: r.Total.Late, diagnoser.Refused: r.Total.Refused,
-				diagnoser.Failed: r.Total.Failed, diagnoser.Left: r.Total.Left, diagnoser.NotAllowed: r.Total.NotAllowed,
+				diagnoser.Failed: r.Total.Failed, diagnoser.Abandoned: r.Total.Abandoned, diagnoser.NotAllowed: r.Total.NotAllowed,
 			}
 			if r.Total.Requests != 1 || total[c.outcome] != 1 {
 				t.Fatalf("the requests are %+v, not one %s", r.Total, c.outcome)
@@ -253,7 +253,7 @@
 
 // Story: streams of a lost group were late, and it must be told which step took the
 // time: to see the loss, to find a place, or to read the prompt again.
-func TestStepsOfAMove(t *testing.T) {
+func TestFailoverSteps(t *testing.T) {
 	r := report(t, at(1700, "call-ended", "n", stream(fields{
 		"pause-ms": 760, "took-ms": 1700,
 		"attempts": []fields{
@@ -261,15 +261,15 @@
 			{"group": "h", "phase": "done", "why": "moved", "placed-ms": 30, "first-ms": 180, "events": 15},
 		},
 	})))
-	m := r.Moves
-	if m.See.Median != 550 || m.Place.Median != 30 || m.Read.Median != 180 || m.See.Count != 1 {
+	m := r.Failovers
+	if m.Detect.Median != 550 || m.Place.Median != 30 || m.Prefill.Median != 180 || m.Detect.Count != 1 {
 		t.Errorf("the steps are %+v", m)
 	}
 }
 
 // Story: two requests are alike in size by chance, and the first was answered. The
 // second is no return of the first, and its own lateness counts.
-func TestAnsweredRequestsDoNotReturn(t *testing.T) {
+func TestAnsweredRequestsAreNotRetries(t *testing.T) {
 	r := report(t,
 		at(1000, "call-ended", "n", stream()),
 		at(2500, "call-ended", "n", stream(fields{"call": "d", "waited-ms": 300, "first-ms": 500})))
@@ -281,7 +281,7 @@
 // Story: lines of ten nodes are collected into one file, out of order, with other
 // programs' lines between them and the last one cut. None of that may end the account
 // or change it.
-func TestForeignAndCutLinesArePassedOver(t *testing.T) {
+func TestForeignAndTruncatedLinesAreSkipped(t *testing.T) {
 	late := at(1000, "call-ended", "n", stream(fields{"waited-ms": 300, "first-ms": 500}))
 	r := report(t,
 		late[:len(late)/2]+"\n",
@@ -292,16 +292,16 @@
 		at(500, "call-ended", "n", stream(fields{"call": "d", "prompt": 3})),
 		late[:40])
 	l := r.Lines
-	if l.Calls != 2 || l.Foreign != 2 || l.Cut != 3 || r.Total.Late != 1 || r.Total.OnTime != 1 {
+	if l.Calls != 2 || l.Foreign != 2 || l.Truncated != 3 || r.Total.Late != 1 || r.Total.OnTime != 1 {
 		t.Errorf("the lines are %+v, the requests %+v", l, r.Total)
 	}
 }
 
 // Story: under a flood of refusals a node holds lines back. The account must say that
 // there were more, and not take the few lines for all.
-func TestHeldBackLinesAreTold(t *testing.T) {
+func TestSuppressedLinesAreCounted(t *testing.T) {
 	r := report(t, at(1000, "call-ended", "n", refused("overloaded", fields{"folded": 340})))
-	if r.Lines.Folded != 340 || r.Causes[0].HeldBack != 340 || r.Total.Refused != 1 {
+	if r.Lines.Suppressed != 340 || r.Causes[0].Suppressed != 340 || r.Total.Refused != 1 {
 		t.Errorf("%+v, %+v", r.Lines, r.Causes)
 	}
 }
@@ -309,7 +309,7 @@
 // Story: rounds of work begin with the dearest cause. What a cause cost is what its
 // requests would have earned on time, by the operators' own credits, less what they did
 // earn; large requests are worth more.
-func TestBoundOfACause(t *testing.T) {
+func TestCostOfACause(t *testing.T) {
 	credits, err := diagnoser.ReadCredits(strings.NewReader(`
 size-part: 0.5
 kinds:
@@ -319,7 +319,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := diagnoser.New(diagnoser.Options{Credits: credits, Way: 4 * time.Millisecond})
+	d := diagnoser.New(diagnoser.Options{Credits: credits, RoundTrip: 4 * time.Millisecond})
 	// Sizes 500 and 1,500 in the mean of 1,000: weights 0.75 and 1.25.
 	for _, l := range []string{
 		at(1000, "call-ended", "n", stream(fields{"prompt": 500, "answer": 0})),
@@ -342,7 +342,7 @@
 	}
 }
 
-func TestBadCreditsAreRefused(t *testing.T) {
+func TestInvalidCreditsAreRejected(t *testing.T) {
 	cases := map[string]string{
 		"unknown field":   "kind: []\n",
 		"no name":         "kinds: [{objective-ms: 1, on-time: 1}]\n",
@@ -362,7 +362,7 @@
 
 // Story: a plot over time must show what happened to the site in each second: groups
 // that had calls, and an instance's loss once, though each node tells of it.
-func TestSecondsTellGroupsAndLosses(t *testing.T) {
+func TestSecondsCountGroupsAndLosses(t *testing.T) {
 	r := report(t,
 		at(1000, "call-ended", "n", stream()),
 		at(2900, "call-ended", "n", stream(fields{"call": "d", "prompt": 5, "attempts": []fields{{"group": "h", "phase": "done"}}})),
@@ -381,11 +381,11 @@
 
 // Story: several plays of a day are told as one. A cause that came in one of two costs
 // half of what it cost there, and one for which nobody missed is left out.
-func TestMeanOfAccounts(t *testing.T) {
+func TestMeanCauses(t *testing.T) {
 	with := report(t, at(1000, "call-ended", "n", refused("overloaded", fields{"spare": 3})))
 	without := report(t, at(1000, "call-ended", "n", refused("unauthenticated", fields{"status": 401})))
 	means := diagnoser.MeanCauses([]*diagnoser.Report{with, without})
-	want := diagnoser.MeanCause{Cause: diagnoser.CauseNoTime, Refused: 0.5, Lost: 0.5, Spare: 0.5}
+	want := diagnoser.MeanCause{Cause: diagnoser.CauseNoCapacity, Refused: 0.5, Lost: 0.5, Spare: 0.5}
 	if len(means) != 1 || means[0] != want {
 		t.Errorf("the means are %+v", means)
 	}
--- a/diagnoser/firsts.go
+++ b/diagnoser/firsts.go
@@ -8,22 +8,22 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-func moves(all []*judged) Moves {
-	var see, place, read []time.Duration
+func failovers(all []*diagnosed) Failovers {
+	var detect, place, prefill []time.Duration
 	for _, j := range all {
 		if j.Cause != CauseGroupLost {
 			continue
 		}
-		see = append(see, j.Steps.See)
-		if j.Steps.Read > 0 {
-			place, read = append(place, j.Steps.Place), append(read, j.Steps.Read)
+		detect = append(detect, j.Steps.Detect)
+		if j.Steps.Prefill > 0 {
+			place, prefill = append(place, j.Steps.Place), append(prefill, j.Steps.Prefill)
 		}
 	}
-	return Moves{newSpread(see), newSpread(place), newSpread(read)}
+	return Failovers{newSpread(detect), newSpread(place), newSpread(prefill)}
 }
 
 // firstEvents describes detailed calls of each model, late and on time.
-func firstEvents(all []*judged) []FirstEvent {
+func firstEvents(all []*diagnosed) []FirstEvent {
 	type key struct {
 		model garnetworks.ModelName
 		late  bool
@@ -32,7 +32,7 @@
 	var keys []key
 	for _, j := range all {
 		c := j.first()
-		late := j.Cause == CauseSlowFirst
+		late := j.Cause == CauseSlowFirstEvent
 		if c.Model == "" || !c.Detailed || len(j.Calls) > 1 || len(c.Attempts) != 1 || !late && j.Outcome != OnTime {
 			continue
 		}
@@ -50,10 +50,10 @@
 		of := calls[k]
 		list = append(list, FirstEvent{
 			Model: k.model, Late: k.late, Count: len(of),
-			FirstMS: median(of, func(c *Call) int64 { return c.Attempts[0].First.Milliseconds() }),
-			Prompt:  median(of, func(c *Call) int { return c.Prompt }),
-			Calls:   median(of, func(c *Call) int { return c.Attempts[0].Calls }),
-			Reading: median(of, func(c *Call) int { return c.Attempts[0].Reading }),
+			FirstMS:      median(of, func(c *Call) int64 { return c.Attempts[0].FirstEvent.Milliseconds() }),
+			Prompt:       median(of, func(c *Call) int { return c.PromptTokens }),
+			CallsAhead:   median(of, func(c *Call) int { return c.Attempts[0].CallsAhead }),
+			PrefillAhead: median(of, func(c *Call) int { return c.Attempts[0].PrefillAhead }),
 		})
 	}
 	return list
--- a/diagnoser/line.go
+++ b/diagnoser/line.go
@@ -18,19 +18,19 @@
 
 // line is what is read of a log line.
 type line struct {
-	At      time.Time                 `json:"@timestamp"`
-	Message string                    `json:"@message"`
-	Node    garnetworks.NodeID        `json:"node"`
-	Zone    garnetworks.ZoneID        `json:"zone"`
-	Group   garnetworks.GroupID       `json:"group"`
-	Server  garnetworks.InstanceID    `json:"instance"`
-	Call    garnetworks.CallID        `json:"call"`
-	Status  int                       `json:"status"`
-	Outcome garnetworks.Outcome       `json:"outcome"`
-	Kind    garnetworks.Kind          `json:"kind"`
-	Route   string                    `json:"route"`
-	Model   garnetworks.ModelName     `json:"model"`
-	Space   garnetworks.WorkspaceName `json:"workspace"`
+	At        time.Time                 `json:"@timestamp"`
+	Message   string                    `json:"@message"`
+	Node      garnetworks.NodeID        `json:"node"`
+	Zone      garnetworks.ZoneID        `json:"zone"`
+	Group     garnetworks.GroupID       `json:"group"`
+	Server    garnetworks.InstanceID    `json:"instance"`
+	Call      garnetworks.CallID        `json:"call"`
+	Status    int                       `json:"status"`
+	Outcome   garnetworks.Outcome       `json:"outcome"`
+	Kind      garnetworks.Kind          `json:"kind"`
+	Route     string                    `json:"route"`
+	Model     garnetworks.ModelName     `json:"model"`
+	Workspace garnetworks.WorkspaceName `json:"workspace"`
 
 	Prompt int    `json:"prompt"`
 	Answer int    `json:"answer"`
@@ -63,12 +63,12 @@
 	for {
 		text, err := reader.ReadSlice('\n')
 		if err == bufio.ErrBufferFull {
-			d.lines.Cut++
+			d.lines.Truncated++
 			err = skipLine(reader)
 			text = nil
 		}
 		if len(text) > 0 {
-			d.take(text)
+			d.addLine(text)
 		}
 		if err == io.EOF {
 			return nil
@@ -90,7 +90,7 @@
 
 // take takes one line (rule D4). What stands before the JSON, such as a collector's
 // own time, is passed over.
-func (d *Diagnoser) take(text []byte) {
+func (d *Diagnoser) addLine(text []byte) {
 	d.lines.Read++
 	begin := bytes.IndexByte(text, '{')
 	if begin < 0 {
@@ -99,16 +99,16 @@
 	}
 	var l line
 	if err := json.Unmarshal(text[begin:], &l); err != nil {
-		d.lines.Cut++
+		d.lines.Truncated++
 		return
 	}
 	switch {
 	case l.Node == "" || l.At.IsZero():
 		d.lines.Foreign++
 	case l.Message == emitter.CallEnded:
-		d.takeCall(&l)
+		d.addCall(&l)
 	default:
-		d.takeEvent(&l)
+		d.addEvent(&l)
 	}
 }
 
--- a/diagnoser/report.go
+++ b/diagnoser/report.go
@@ -17,11 +17,11 @@
 	// Kinds are the causes' counts by kind of request.
 	Kinds []KindCount `json:"kinds"`
 	// Tables count by what requests have in common, in a fixed order.
-	Tables []Table `json:"tables"`
-	Moves  Moves   `json:"moves"`
+	Tables    []Table   `json:"tables"`
+	Failovers Failovers `json:"moves"`
 	// Firsts describe what groups had before calls whose first event was late, and
 	// before those on time.
-	Firsts []FirstEvent `json:"first-events"`
+	FirstEvents []FirstEvent `json:"first-events"`
 	// Seconds is the account of each second of receipt, from the first one.
 	Seconds []Second `json:"seconds"`
 }
@@ -33,7 +33,7 @@
 	Late       int `json:"late"`
 	Refused    int `json:"refused"`
 	Failed     int `json:"failed"`
-	Left       int `json:"left"`
+	Abandoned  int `json:"left"`
 	NotAllowed int `json:"not-allowed"`
 	// Owed is the credit of all requests that were owed an answer, Earned what they
 	// brought.
@@ -49,7 +49,7 @@
 	return c.Earned / c.Owed
 }
 
-func (c *Counts) add(j *judged) {
+func (c *Counts) add(j *diagnosed) {
 	c.Requests++
 	c.Owed += j.owed()
 	c.Earned += j.earned()
@@ -62,8 +62,8 @@
 		c.Refused++
 	case Failed:
 		c.Failed++
-	case Left:
-		c.Left++
+	case Abandoned:
+		c.Abandoned++
 	case NotAllowed:
 		c.NotAllowed++
 	}
@@ -81,10 +81,10 @@
 	// Spare is the number of its requests that were turned away while there were free
 	// places at groups of other models.
 	Spare int `json:"spare"`
-	// HeldBack is the number of calls like those of its requests whose lines the nodes
+	// Suppressed is the number of calls like those of its requests whose lines the nodes
 	// held back. How many requests they were is not known, so they are counted here
 	// only (rule D4).
-	HeldBack int `json:"held-back"`
+	Suppressed int `json:"held-back"`
 }
 
 // KindCount is what one cause did to requests of one kind.
@@ -108,8 +108,8 @@
 	ByCause map[Cause]float64 `json:"by-cause"`
 }
 
-// Dearest returns the cause that cost the row most; empty if none did.
-func (r *Row) Dearest() Cause {
+// Costliest returns the cause that cost the row most; empty if none did.
+func (r *Row) Costliest() Cause {
 	best := Cause("")
 	for _, c := range causes {
 		if r.ByCause[c.Cause] > 0 && (best == "" || r.ByCause[c.Cause] > r.ByCause[best]) {
@@ -119,19 +119,19 @@
 	return best
 }
 
-// Moves are the steps of requests whose group was lost.
-type Moves struct {
-	See   Spread `json:"see"`
-	Place Spread `json:"place"`
-	Read  Spread `json:"read"`
+// Failovers are the steps of requests whose group was lost.
+type Failovers struct {
+	Detect  Spread `json:"see"`
+	Place   Spread `json:"place"`
+	Prefill Spread `json:"read"`
 }
 
 // Spread describes times, in milliseconds.
 type Spread struct {
-	Count   int   `json:"count"`
-	Median  int64 `json:"median-ms"`
-	Quarter int64 `json:"third-quartile-ms"`
-	Most    int64 `json:"most-ms"`
+	Count         int   `json:"count"`
+	Median        int64 `json:"median-ms"`
+	ThirdQuartile int64 `json:"third-quartile-ms"`
+	Max           int64 `json:"most-ms"`
 }
 
 func newSpread(times []time.Duration) Spread {
@@ -140,7 +140,7 @@
 	}
 	slices.Sort(times)
 	at := func(part float64) int64 { return times[int(part*float64(len(times)-1))].Milliseconds() }
-	return Spread{Count: len(times), Median: at(0.5), Quarter: at(0.75), Most: at(1)}
+	return Spread{Count: len(times), Median: at(0.5), ThirdQuartile: at(0.75), Max: at(1)}
 }
 
 // FirstEvent describes calls by what their group had before them.
@@ -149,10 +149,10 @@
 	Late  bool                  `json:"late"`
 	Count int                   `json:"count"`
 	// Median time to the first event, and medians of what the group had before.
-	FirstMS int64 `json:"first-ms"`
-	Prompt  int   `json:"prompt"`
-	Calls   int   `json:"calls"`
-	Reading int   `json:"reading"`
+	FirstMS      int64 `json:"first-ms"`
+	Prompt       int   `json:"prompt"`
+	CallsAhead   int   `json:"calls"`
+	PrefillAhead int   `json:"reading"`
 }
 
 // Second is the account of the requests that came in one second.
@@ -168,7 +168,7 @@
 
 // Report judges all requests.
 func (d *Diagnoser) Report() *Report {
-	all := d.judgeAll()
+	all := d.diagnoseAll()
 	r := &Report{Lines: d.lines}
 	for _, j := range all {
 		r.Total.add(j)
@@ -176,8 +176,8 @@
 	r.Causes = causeCounts(all, r.Total)
 	r.Kinds = kindCounts(all)
 	r.Tables = d.tables(all)
-	r.Moves = moves(all)
-	r.Firsts = firstEvents(all)
+	r.Failovers = failovers(all)
+	r.FirstEvents = firstEvents(all)
 	r.Seconds = d.seconds(all)
 	return r
 }
--- a/diagnoser/request.go
+++ b/diagnoser/request.go
@@ -19,44 +19,44 @@
 
 // work is what calls of one request have in common. A workspace is left out: a node that
 // can't check keys does not tell it.
-type work struct {
+type requestKey struct {
 	route                string
 	model                garnetworks.ModelName
 	prompt, answer, body int
 	target               string
 }
 
-func (c *Call) work() work {
-	return work{c.Route, c.Model, c.Prompt, c.Answer, c.Body, c.Target}
+func (c *Call) key() requestKey {
+	return requestKey{c.Route, c.Model, c.PromptTokens, c.ExpectedTokens, c.BodyBytes, c.Target}
 }
 
 // marked reports whether something tells the call's work from that of others.
-func (c *Call) marked() bool { return c.Prompt > 0 || c.Body > 0 || c.Target != "" }
+func (c *Call) identifiable() bool { return c.PromptTokens > 0 || c.BodyBytes > 0 || c.Target != "" }
 
-// mayReturn reports whether the client asks again after the call: its answer was no
+// mayRetry reports whether the client asks again after the call: its answer was no
 // server's whole one, and it did not ask for what it must not have.
-func (c *Call) mayReturn() bool {
-	return !c.answered() && verdictOf(c.Kind) != notAllowed || c.answered() && c.Status >= 500
+func (c *Call) mayRetry() bool {
+	return !c.answered() && causeOfKind(c.Kind) != notAllowed || c.answered() && c.Status >= 500
 }
 
 // requests joins the calls of each client's work. Calls of the same work that do not
 // follow from each other, because the first was answered, stay apart.
 func (d *Diagnoser) requests() []*Request {
 	slices.SortStableFunc(d.calls, func(a, b *Call) int { return a.Received.Compare(b.Received) })
-	open := make(map[work]*Request)
+	open := make(map[requestKey]*Request)
 	var all []*Request
 	for _, c := range d.calls {
 		if !c.Detailed {
-			c.Terms = d.terms[c.Route]
+			c.ServiceLevel = d.serviceLevels[c.Route]
 		}
-		key := c.work()
-		if r := open[key]; r != nil && follows(r, c) {
+		key := c.key()
+		if r := open[key]; r != nil && isRetry(r, c) {
 			r.Calls = append(r.Calls, c)
 			continue
 		}
 		r := &Request{Calls: []*Call{c}}
 		all = append(all, r)
-		if c.marked() {
+		if c.identifiable() {
 			open[key] = r
 		}
 	}
@@ -65,11 +65,11 @@
 
 // early is how long before the end of a call, by the nodes' clocks, its client may ask
 // again elsewhere: it closed the connection, and its node has not seen that yet.
-const early = 500 * time.Millisecond
+const retryOverlap = 500 * time.Millisecond
 
 // follows reports whether a call is the next one of a request.
-func follows(r *Request, c *Call) bool {
+func isRetry(r *Request, c *Call) bool {
 	last := r.last()
-	return last.mayReturn() && !c.Received.Before(last.Ended().Add(-early)) &&
-		c.Received.Sub(r.first().Received) < max(r.first().Terms.Timeout, c.Terms.Timeout)
+	return last.mayRetry() && !c.Received.Before(last.Ended().Add(-retryOverlap)) &&
+		c.Received.Sub(r.first().Received) < max(r.first().ServiceLevel.Timeout, c.ServiceLevel.Timeout)
 }
--- a/diagnoser/seconds.go
+++ b/diagnoser/seconds.go
@@ -10,7 +10,7 @@
 const maxSeconds = 100_000
 
 // seconds accounts for each second from the first receipt to the last end.
-func (d *Diagnoser) seconds(all []*judged) []Second {
+func (d *Diagnoser) seconds(all []*diagnosed) []Second {
 	if len(all) == 0 {
 		return nil
 	}
@@ -43,7 +43,7 @@
 }
 
 // countGroups counts the groups that had calls in each second.
-func countGroups(all []*judged, begin time.Time, list []Second) {
+func countGroups(all []*diagnosed, begin time.Time, list []Second) {
 	type at struct {
 		second int
 		group  garnetworks.GroupID
--- a/diagnoser/tables.go
+++ b/diagnoser/tables.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-func causeCounts(all []*judged, total Counts) []CauseCount {
+func causeCounts(all []*diagnosed, total Counts) []CauseCount {
 	var list []CauseCount
 	for _, known := range causes {
 		c := CauseCount{Cause: known.Cause, Text: known.Text}
@@ -15,11 +15,11 @@
 				continue
 			}
 			c.add(j)
-			if j.Call.Spare > 0 {
+			if j.Call.SpareSlots > 0 {
 				c.Spare++
 			}
 			for _, call := range j.Calls {
-				c.HeldBack += call.Folded
+				c.Suppressed += call.Suppressed
 			}
 		}
 		if c.Requests == 0 {
@@ -35,7 +35,7 @@
 	return list
 }
 
-func kindCounts(all []*judged) []KindCount {
+func kindCounts(all []*diagnosed) []KindCount {
 	type key struct {
 		kind  string
 		cause Cause
@@ -59,21 +59,21 @@
 }
 
 // tables counts by each property.
-func (d *Diagnoser) tables(all []*judged) []Table {
+func (d *Diagnoser) tables(all []*diagnosed) []Table {
 	properties := []struct {
 		by    string
-		value func(*judged) string
+		value func(*diagnosed) string
 	}{
-		{"model", func(j *judged) string { return string(j.first().Model) }},
-		{"kind", func(j *judged) string { return j.kind }},
-		{"kind and size tenth", func(j *judged) string {
-			if j.tenth == 0 {
+		{"model", func(j *diagnosed) string { return string(j.first().Model) }},
+		{"kind", func(j *diagnosed) string { return j.kind }},
+		{"kind and size tenth", func(j *diagnosed) string {
+			if j.decile == 0 {
 				return ""
 			}
-			return fmt.Sprintf("%s %2d", j.kind, j.tenth)
+			return fmt.Sprintf("%s %2d", j.kind, j.decile)
 		}},
-		{"workspace", func(j *judged) string { return string(j.first().Workspace) }},
-		{"zone", func(j *judged) string { return string(d.zone(j)) }},
+		{"workspace", func(j *diagnosed) string { return string(j.first().Workspace) }},
+		{"zone", func(j *diagnosed) string { return string(d.zone(j)) }},
 	}
 	var tables []Table
 	for _, p := range properties {
@@ -82,7 +82,7 @@
 	return tables
 }
 
-func newTable(by string, all []*judged, value func(*judged) string) Table {
+func newTable(by string, all []*diagnosed, value func(*diagnosed) string) Table {
 	rows := make(map[string]*Row)
 	var names []string
 	for _, j := range all {
