--- a/cmd/garnetlab/main.go
+++ b/cmd/garnetlab/main.go
@@ -124,7 +124,7 @@
 		}
 		r := results[kind]
 		_, _ = fmt.Fprintf(out, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%.3f\t%d\t%d\t%d\n", pattern, policy, kind,
-			r.Asked, r.OnTime, r.Late, r.Refused, r.Failed, r.Share(),
-			r.First.ValueAtQuantile(median), r.First.ValueAtQuantile(late), r.First.ValueAtQuantile(latest))
+			r.Requests, r.OnTime, r.Late, r.Refused, r.Failed, r.Share(),
+			r.FirstEvent.ValueAtQuantile(median), r.FirstEvent.ValueAtQuantile(late), r.FirstEvent.ValueAtQuantile(latest))
 	}
 }
--- a/cmd/garnetlab/plot.go
+++ b/cmd/garnetlab/plot.go
@@ -87,5 +87,5 @@
 func groupsLine(pattern, policy string, r *experimenter.GroupResult) string {
 	const median, quartile = 50, 75
 	return fmt.Sprintf("%s\t%s\t%d\t%d\t%d\t%d\t%.0f\t%.3f\n", pattern, policy, r.Losses,
-		r.Down.ValueAtQuantile(median), r.Down.ValueAtQuantile(quartile), r.Down.Max(), r.Idle.Seconds(), r.Served)
+		r.Downtime.ValueAtQuantile(median), r.Downtime.ValueAtQuantile(quartile), r.Downtime.Max(), r.Idle.Seconds(), r.ServedShare)
 }
--- a/experimenter/experimenter.go
+++ b/experimenter/experimenter.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	// exchangeEvery is how often nodes hear of each other, lag how old that is.
-	exchangeEvery = exchanger.Interval
-	tickEvery     = 20 * time.Millisecond
-	// comeBackPart is the part of the time left for which a client waits at most
+	// exchangeInterval is how often nodes hear of each other, lag how old that is.
+	exchangeInterval = exchanger.Interval
+	tickInterval     = 20 * time.Millisecond
+	// maxRetryWaitFraction is the part of the time left for which a client waits at most
 	// before it comes back.
-	comeBackPart = 1.0 / 3
+	maxRetryWaitFraction = 1.0 / 3
 )
 
 // Result is what one policy made of a pattern, for one kind of request.
 type Result struct {
-	Asked, OnTime, Late, Refused, Failed int
-	// Worth is earned, Owed what answers on time would have earned.
-	Worth, Owed float64
-	// First holds the milliseconds from the first try to the first event.
-	First *hdrhistogram.Histogram
+	Requests, OnTime, Late, Refused, Failed int
+	// Earned is earned, Owed what answers on time would have earned.
+	Earned, Owed float64
+	// FirstEvent holds the milliseconds from the first try to the first event.
+	FirstEvent *hdrhistogram.Histogram
 }
 
 // Share is the part of the worth that was earned.
@@ -37,7 +37,7 @@
 	if r.Owed == 0 {
 		return 0
 	}
-	return r.Worth / r.Owed
+	return r.Earned / r.Owed
 }
 
 // Results are those of all kinds by name, of the largest tenth of each kind, and of
@@ -132,30 +132,30 @@
 
 // schedule plans what happens without the policies' doing.
 func (r *run) schedule(seed uint64) {
-	r.at(0, r.tellGroups)
+	r.at(0, r.publishGroups)
 	for _, c := range r.pattern.draw(seed) {
 		r.at(c.arrived, func() { r.arrive(c) })
 	}
 	for _, l := range r.pattern.Losses {
 		g := r.groups[groupID(l.Model, l.Group)]
-		r.at(l.At, func() { r.lose(g) })
-		r.at(l.At+l.For, func() { g.down = false; r.tellGroups() })
+		r.at(l.At, func() { r.failGroup(g) })
+		r.at(l.At+l.For, func() { g.down = false; r.publishGroups() })
 	}
-	for at := time.Duration(0); at < r.pattern.Length; at += exchangeEvery {
+	for at := time.Duration(0); at < r.pattern.Length; at += exchangeInterval {
 		r.at(at, r.exchange)
 	}
-	for at := time.Duration(0); at < r.pattern.Length+time.Second; at += tickEvery {
+	for at := time.Duration(0); at < r.pattern.Length+time.Second; at += tickInterval {
 		r.at(at, func() { r.eachNode(policy.tick) })
 	}
 }
 
-func (r *run) eachNode(do func(policy, time.Duration) []verdict) {
+func (r *run) eachNode(do func(policy, time.Duration) []decision) {
 	for _, n := range r.nodes {
-		r.take(n, do(n, r.now))
+		r.apply(n, do(n, r.now))
 	}
 }
 
-func (r *run) tellGroups() {
+func (r *run) publishGroups() {
 	var list []scheduler.Group
 	for _, id := range slices.Sorted(maps.Keys(r.groups)) {
 		if g := r.groups[id]; !g.down {
@@ -163,7 +163,7 @@
 		}
 	}
 	for _, n := range r.nodes {
-		r.take(n, n.groups(r.now, list))
+		r.apply(n, n.setGroups(r.now, list))
 	}
 }
 
@@ -173,17 +173,17 @@
 	for i, n := range r.nodes {
 		reports[i] = n.load(r.now)
 	}
-	r.at(r.now+exchangeEvery/2, func() {
+	r.at(r.now+exchangeInterval/2, func() {
 		for i, n := range r.nodes {
 			others := slices.Delete(slices.Clone(reports), i, i+1)
-			r.take(n, n.others(r.now, exchanger.Sum(others...)))
+			r.apply(n, n.setPeerLoad(r.now, exchanger.Sum(others...)))
 		}
 	})
 }
 
 // counted returns the results that a call counts for.
-func (r *run) counted(c *call) []*Result {
-	names := []string{"", c.kind.Name, fmt.Sprintf("workspace %d", c.tenant)}
+func (r *run) resultsOf(c *call) []*Result {
+	names := []string{"", c.kind.Name, fmt.Sprintf("workspace %d", c.workspace)}
 	if c.large {
 		names = append(names, c.kind.Name+", largest tenth")
 	}
@@ -191,7 +191,7 @@
 	for _, name := range names {
 		if r.results[name] == nil {
 			const mostMS, digits = 60000, 2
-			r.results[name] = &Result{First: hdrhistogram.New(1, mostMS, digits)}
+			r.results[name] = &Result{FirstEvent: hdrhistogram.New(1, mostMS, digits)}
 		}
 		list = append(list, r.results[name])
 	}
@@ -200,74 +200,74 @@
 
 func (r *run) arrive(c *call) {
 	if c.tries == 0 {
-		for _, result := range r.counted(c) {
-			result.Asked++
+		for _, result := range r.resultsOf(c) {
+			result.Requests++
 			result.Owed += c.kind.Worth
 		}
 	}
 	n := r.nodes[c.node]
-	r.take(n, n.arrive(r.now, c))
+	r.apply(n, n.arrive(r.now, c))
 }
 
-// take carries a node's verdicts out.
-func (r *run) take(n policy, verdicts []verdict) {
-	for _, v := range verdicts {
+// take carries a node's decisions out.
+func (r *run) apply(n policy, decisions []decision) {
+	for _, v := range decisions {
 		if v.group == "" {
 			r.refuse(v)
 			continue
 		}
 		g := r.groups[v.group]
-		t := &task{call: v.call, sent: r.now, left: v.call.answer, place: v.group}
+		t := &task{call: v.call, sentAt: r.now, remaining: v.call.answer, group: v.group}
 		if g.down {
 			r.fail(n, t)
 			continue
 		}
 		g.waiting = append(g.waiting, t)
-		r.work(g)
+		r.startPass(g)
 	}
 }
 
 // refuse lets the client come back, or counts the call as refused.
-func (r *run) refuse(v verdict) {
+func (r *run) refuse(v decision) {
 	c := v.call
 	left := c.kind.Deadline - (r.now - c.first)
 	if c.tries >= r.pattern.Retries || left <= 0 {
-		for _, result := range r.counted(c) {
+		for _, result := range r.resultsOf(c) {
 			result.Refused++
 		}
 		return
 	}
 	again := *c
 	again.tries++
-	again.arrived = r.now + min(v.after, time.Duration(float64(left)*comeBackPart))
+	again.arrived = r.now + min(v.retryAfter, time.Duration(float64(left)*maxRetryWaitFraction))
 	again.node = (c.node + 1) % len(r.nodes)
 	r.at(again.arrived, func() { r.arrive(&again) })
 }
 
 func (r *run) fail(n policy, t *task) {
-	for _, result := range r.counted(t.call) {
+	for _, result := range r.resultsOf(t.call) {
 		result.Failed++
 	}
-	r.take(n, n.finished(r.now, t))
+	r.apply(n, n.finished(r.now, t))
 }
 
 // lose takes a group away with its calls.
-func (r *run) lose(g *group) {
+func (r *run) failGroup(g *group) {
 	g.down = true
 	tasks := append(g.running, g.waiting...)
 	g.running, g.waiting = nil, nil
-	r.tellGroups()
+	r.publishGroups()
 	for _, t := range tasks {
 		r.fail(r.nodes[t.node], t)
 	}
 }
 
 // work begins a pass of a group that is idle.
-func (r *run) work(g *group) {
+func (r *run) startPass(g *group) {
 	if g.busy || g.down {
 		return
 	}
-	took := g.pass()
+	took := g.beginPass()
 	if took == 0 {
 		return
 	}
@@ -280,33 +280,33 @@
 	if g.down {
 		return
 	}
-	first, done := g.end(r.now)
+	first, done := g.finishPass(r.now)
 	for _, t := range first {
-		for _, result := range r.counted(t.call) {
-			_ = result.First.RecordValue((r.now - t.first).Milliseconds()) // beyond the range
+		for _, result := range r.resultsOf(t.call) {
+			_ = result.FirstEvent.RecordValue((r.now - t.first).Milliseconds()) // beyond the range
 		}
-		r.nodes[t.node].first(r.now, t)
+		r.nodes[t.node].firstEvent(r.now, t)
 	}
 	for _, t := range done {
-		r.count(t)
+		r.countResponse(t)
 		n := r.nodes[t.node]
-		r.take(n, n.finished(r.now, t))
+		r.apply(n, n.finished(r.now, t))
 	}
-	r.work(g)
+	r.startPass(g)
 }
 
 // count takes a whole answer (rule E4).
-func (r *run) count(t *task) {
-	for _, result := range r.counted(t.call) {
+func (r *run) countResponse(t *task) {
+	for _, result := range r.resultsOf(t.call) {
 		switch {
 		case r.now-t.first > t.kind.Deadline:
 			result.Failed++
-		case t.started-t.first <= t.kind.Objective && t.gap <= t.kind.MaxGap:
+		case t.firstEventAt-t.first <= t.kind.Objective && t.maxGap <= t.kind.MaxGap:
 			result.OnTime++
-			result.Worth += t.kind.Worth
+			result.Earned += t.kind.Worth
 		default:
 			result.Late++
-			result.Worth += t.kind.LateWorth
+			result.Earned += t.kind.LateWorth
 		}
 	}
 }
--- a/experimenter/experimenter_test.go
+++ b/experimenter/experimenter_test.go
@@ -50,9 +50,9 @@
 	}
 }
 
-func TestReplaysRepeat(t *testing.T) {
+func TestReplayIsDeterministic(t *testing.T) {
 	one, two := replay(t, "burst", "scheduler", 3), replay(t, "burst", "scheduler", 3)
-	if one.Worth != two.Worth || one.OnTime != two.OnTime || one.Refused != two.Refused {
+	if one.Earned != two.Earned || one.OnTime != two.OnTime || one.Refused != two.Refused {
 		t.Errorf("two replays give %+v and %+v", one, two)
 	}
 }
@@ -73,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	served := func(r *experimenter.Result) float64 { return float64(r.OnTime+r.Late) / float64(r.Asked) }
+	served := func(r *experimenter.Result) float64 { return float64(r.OnTime+r.Late) / float64(r.Requests) }
 	all := served(results[""])
 	for name, r := range results {
 		if served(r) < all/2 {
--- a/experimenter/fleet.go
+++ b/experimenter/fleet.go
@@ -32,20 +32,20 @@
 	// opened are the models of the groups that began to serve in this step.
 	opened []garnetworks.ModelName
 	// lists are the last lists that the store could give, by their times.
-	lists []timedList
+	snapshots []timedSnapshot
 }
 
-type timedList struct {
+type timedSnapshot struct {
 	at      time.Duration
 	servers follower.Servers
 }
 
-const alive = time.Duration(-1)
+const never = time.Duration(-1)
 
 func newFleet(pattern *GroupPattern) *fleet {
 	f := &fleet{pattern: pattern, engines: make(map[garnetworks.InstanceID]*engine)}
 	for d := range pattern.Domains {
-		for range pattern.Each {
+		for range pattern.EnginesPerDomain {
 			f.add(d)
 		}
 	}
@@ -56,7 +56,7 @@
 
 // add adds an engine without weights to a domain.
 func (f *fleet) add(domain int) *engine {
-	e := &engine{lostAt: alive, openAt: alive}
+	e := &engine{lostAt: never, openAt: never}
 	e.ID = garnetworks.InstanceID(fmt.Sprintf("i-%d-%03d", domain, len(f.engines)))
 	e.Service, e.State, e.Address = service, garnetworks.ListedLive, string(e.ID)
 	e.Domain = domainName(domain)
@@ -72,22 +72,22 @@
 			e.Staged, e.staging = []garnetworks.ModelName{e.staging}, ""
 		}
 		if e.Membership.State == garnetworks.MemberJoining && f.now >= e.readyAt {
-			f.joined(e)
+			f.finishJoin(e)
 		}
-		if e.openAt != alive && f.now >= e.openAt {
-			e.openAt, e.Membership.State = alive, garnetworks.MemberOpen
-			if f.whole(e) {
+		if e.openAt != never && f.now >= e.openAt {
+			e.openAt, e.Membership.State = never, garnetworks.MemberOpen
+			if f.complete(e) {
 				f.opened = append(f.opened, e.Model)
 			}
 		}
 	}
-	f.lists = append(f.lists, timedList{f.now, f.snapshot()})
-	if len(f.lists) > 1 && f.lists[1].at <= f.now-listLag {
-		f.lists = f.lists[1:]
+	f.snapshots = append(f.snapshots, timedSnapshot{f.now, f.snapshot()})
+	if len(f.snapshots) > 1 && f.snapshots[1].at <= f.now-storeLag {
+		f.snapshots = f.snapshots[1:]
 	}
 }
 
-func (f *fleet) joined(e *engine) {
+func (f *fleet) finishJoin(e *engine) {
 	model := former.GroupModel(e.Membership.Group)
 	if e.Model != model && !slices.Contains(e.Staged, model) {
 		e.Staged = []garnetworks.ModelName{model}
@@ -99,7 +99,7 @@
 func (f *fleet) snapshot() follower.Servers {
 	servers := make(follower.Servers, len(f.engines))
 	for id, e := range f.engines {
-		if e.lostAt == alive || f.now-e.lostAt < lapseTime {
+		if e.lostAt == never || f.now-e.lostAt < entryLapseTime {
 			servers[id] = e.RegisteredServer
 		}
 	}
@@ -107,9 +107,9 @@
 }
 
 // list returns the newest list that is not newer than a time.
-func (f *fleet) list(at time.Duration) follower.Servers {
-	servers := f.lists[0].servers
-	for _, l := range f.lists {
+func (f *fleet) snapshotAt(at time.Duration) follower.Servers {
+	servers := f.snapshots[0].servers
+	for _, l := range f.snapshots {
 		if l.at <= at {
 			servers = l.servers
 		}
@@ -118,20 +118,20 @@
 }
 
 // dark returns the lost engines that probes have found.
-func (f *fleet) dark(notices bool) garnetworks.Set[garnetworks.Incarnation] {
-	dark := make(garnetworks.Set[garnetworks.Incarnation])
+func (f *fleet) unresponsive(detectsSilence bool) garnetworks.Set[garnetworks.Incarnation] {
+	unresponsive := make(garnetworks.Set[garnetworks.Incarnation])
 	for _, e := range f.engines {
-		if notices && e.lostAt != alive && f.now-e.lostAt >= suspectTime {
-			dark.Add(e.Incarnation())
+		if detectsSilence && e.lostAt != never && f.now-e.lostAt >= detectionTime {
+			unresponsive.Add(e.Incarnation())
 		}
 	}
-	return dark
+	return unresponsive
 }
 
-// carryOut does what an engine does with an order.
-func (f *fleet) carryOut(o *garnetworks.GroupOrder) error {
+// execute does what an engine does with an order.
+func (f *fleet) execute(o *garnetworks.GroupOrder) error {
 	e := f.engines[o.Incarnation.Instance]
-	if e == nil || e.lostAt != alive {
+	if e == nil || e.lostAt != never {
 		return garnetworks.Errorf(garnetworks.KindUnreachable, "the engine is lost")
 	}
 	same := e.Membership.Group == o.Group && e.Membership.Epoch == o.Epoch
@@ -150,26 +150,26 @@
 	if !same {
 		return garnetworks.Errorf(garnetworks.KindConflict, "the engine is not in the group")
 	}
-	f.change(e, o.Kind)
+	f.changeMembership(e, o.Kind)
 	return nil
 }
 
 // change opens, closes or leaves the engine's group.
-func (f *fleet) change(e *engine, kind garnetworks.GroupOrderKind) {
+func (f *fleet) changeMembership(e *engine, kind garnetworks.GroupOrderKind) {
 	switch kind {
 	case garnetworks.GroupOpen:
-		if e.Membership.State == garnetworks.MemberReady && e.openAt == alive {
+		if e.Membership.State == garnetworks.MemberReady && e.openAt == never {
 			e.openAt = f.now + f.pattern.Profile.FormTime
 		}
 	case garnetworks.GroupClose:
 		e.Membership.State = garnetworks.MemberReady
 	case garnetworks.GroupLeave:
-		e.Membership, e.openAt = garnetworks.Membership{}, alive
+		e.Membership, e.openAt = garnetworks.Membership{}, never
 	}
 }
 
 func (f *fleet) join(e *engine, o *garnetworks.GroupOrder) {
-	e.openAt = alive
+	e.openAt = never
 	e.Membership = garnetworks.Membership{
 		Group: o.Group, Epoch: o.Epoch, Rank: slices.Index(o.Members, e.Incarnation()), State: garnetworks.MemberJoining,
 	}
@@ -187,7 +187,7 @@
 func (f *fleet) loadTime(model garnetworks.ModelName) time.Duration {
 	took := f.model(model).LoadTime
 	if f.now < firstCall {
-		return took / firstLoadPart
+		return took / initialLoadSpeedup
 	}
 	running := 1
 	for _, e := range f.engines {
@@ -208,10 +208,10 @@
 }
 
 // whole reports whether all members of the engine's group live.
-func (f *fleet) whole(head *engine) bool {
+func (f *fleet) complete(head *engine) bool {
 	n := 0
 	for _, e := range f.engines {
-		if e.lostAt == alive && e.Membership.Group == head.Membership.Group && e.Membership.Epoch == head.Membership.Epoch {
+		if e.lostAt == never && e.Membership.Group == head.Membership.Group && e.Membership.Epoch == head.Membership.Epoch {
 			n++
 		}
 	}
@@ -222,7 +222,7 @@
 func (f *fleet) heads() []*engine {
 	var heads []*engine
 	for _, id := range slices.Sorted(maps.Keys(f.engines)) {
-		if e := f.engines[id]; e.lostAt == alive && e.Membership.State == garnetworks.MemberOpen && f.whole(e) {
+		if e := f.engines[id]; e.lostAt == never && e.Membership.State == garnetworks.MemberOpen && f.complete(e) {
 			heads = append(heads, e)
 		}
 	}
@@ -245,7 +245,7 @@
 	}
 	var members []*engine
 	for _, id := range slices.Sorted(maps.Keys(f.engines)) {
-		if e := f.engines[id]; e.lostAt == alive && serving.Has(e.Membership.Group) {
+		if e := f.engines[id]; e.lostAt == never && serving.Has(e.Membership.Group) {
 			members = append(members, e)
 		}
 	}
@@ -256,7 +256,7 @@
 func (f *fleet) idle() int {
 	living := 0
 	for _, e := range f.engines {
-		if e.lostAt == alive {
+		if e.lostAt == never {
 			living++
 		}
 	}
--- a/experimenter/group.go
+++ b/experimenter/group.go
@@ -10,13 +10,13 @@
 // task is a call at a group.
 type task struct {
 	*call
-	sent  time.Duration
-	left  int
-	begun bool
+	sentAt    time.Duration
+	remaining int
+	begun     bool
 	// started is when its first event came, last when the last one did.
-	started, last time.Duration
-	gap           time.Duration
-	place         garnetworks.GroupID
+	firstEventAt, lastEventAt time.Duration
+	maxGap                    time.Duration
+	group                     garnetworks.GroupID
 }
 
 // group works on calls by passes (rule E3).
@@ -32,37 +32,37 @@
 
 // pass lets calls in and returns how long the next pass takes; 0 if there is
 // nothing to do.
-func (g *group) pass() time.Duration {
-	reading := 0.0
+func (g *group) beginPass() time.Duration {
+	prefillSeconds := 0.0
 	for len(g.waiting) > 0 && len(g.running) < g.profile.Slots {
 		t := g.waiting[0]
 		g.waiting = g.waiting[1:]
-		reading += float64(t.prompt) / g.profile.PrefillRate
+		prefillSeconds += float64(t.prompt) / g.profile.PrefillRate
 		g.running = append(g.running, t)
 	}
 	if len(g.running) == 0 {
 		return 0
 	}
 	step := g.profile.StepTime + time.Duration(len(g.running))*g.profile.StepTimePerCall
-	took := time.Duration(reading*float64(time.Second)) + time.Duration(g.profile.StepsPerPass)*step
+	took := time.Duration(prefillSeconds*float64(time.Second)) + time.Duration(g.profile.StepsPerPass)*step
 	return time.Duration(float64(took) * g.model.TimeFactor)
 }
 
 // end ends a pass and returns the calls that had their first event and those that
 // are done.
-func (g *group) end(now time.Duration) (first, done []*task) {
+func (g *group) finishPass(now time.Duration) (first, done []*task) {
 	for _, t := range g.running {
 		if !t.begun {
-			t.begun, t.started = true, now
+			t.begun, t.firstEventAt = true, now
 			first = append(first, t)
 		} else {
-			t.gap = max(t.gap, now-t.last)
+			t.maxGap = max(t.maxGap, now-t.lastEventAt)
 		}
-		t.last = now
-		if t.left -= g.profile.StepsPerPass; t.left <= 0 {
+		t.lastEventAt = now
+		if t.remaining -= g.profile.StepsPerPass; t.remaining <= 0 {
 			done = append(done, t)
 		}
 	}
-	g.running = slices.DeleteFunc(g.running, func(t *task) bool { return t.left <= 0 })
+	g.running = slices.DeleteFunc(g.running, func(t *task) bool { return t.remaining <= 0 })
 	return first, done
 }
--- a/experimenter/naive.go
+++ b/experimenter/naive.go
@@ -12,23 +12,23 @@
 // naive is the baseline for groups: a group is given up when an entry of it has
 // lapsed, its members leave, and any free instances of a domain become a group of the
 // model with the fewest groups, whatever they hold. It prepares no spares.
-type naive struct {
+type naivePlanner struct {
 	sequence uint32
 	// bound are the instances that were ordered into a group, until their entries
 	// tell of it.
-	bound map[garnetworks.InstanceID]garnetworks.FencingToken
+	ordered map[garnetworks.InstanceID]garnetworks.FencingToken
 }
 
 // Sent implements groupPolicy.
-func (n *naive) Sent(time.Time, garnetworks.GroupOrder) {}
+func (n *naivePlanner) Sent(time.Time, garnetworks.GroupOrder) {}
 
 // Answered implements groupPolicy; the baseline learns by the list alone.
-func (n *naive) Answered(time.Time, garnetworks.GroupOrder, error) {}
+func (n *naivePlanner) Answered(time.Time, garnetworks.GroupOrder, error) {}
 
 // Plan implements groupPolicy.
-func (n *naive) Plan(_ time.Time, in former.Input) []garnetworks.GroupOrder {
-	if n.bound == nil {
-		n.bound = make(map[garnetworks.InstanceID]garnetworks.FencingToken)
+func (n *naivePlanner) Plan(_ time.Time, in former.Input) []garnetworks.GroupOrder {
+	if n.ordered == nil {
+		n.ordered = make(map[garnetworks.InstanceID]garnetworks.FencingToken)
 	}
 	var orders []garnetworks.GroupOrder
 	counts := make(map[garnetworks.ModelName]int)
@@ -43,12 +43,12 @@
 			}
 		}
 	}
-	return append(orders, n.form(&in, counts)...)
+	return append(orders, n.formGroups(&in, counts)...)
 }
 
 // forming reports whether entries of the group's members are still to come.
-func (n *naive) forming(g *former.Group) bool {
-	for _, epoch := range n.bound {
+func (n *naivePlanner) forming(g *former.Group) bool {
+	for _, epoch := range n.ordered {
 		if epoch == g.Epoch {
 			return true
 		}
@@ -57,21 +57,21 @@
 }
 
 // form orders groups of free instances, by their identifiers.
-func (n *naive) form(in *former.Input, counts map[garnetworks.ModelName]int) []garnetworks.GroupOrder {
+func (n *naivePlanner) formGroups(in *former.Input, counts map[garnetworks.ModelName]int) []garnetworks.GroupOrder {
 	free := make(map[garnetworks.DomainID][]garnetworks.Incarnation)
 	for _, id := range slices.Sorted(maps.Keys(in.Servers)) {
 		s := in.Servers[id]
-		if s.Membership.Epoch >= n.bound[id] && s.Membership.Group != "" {
-			delete(n.bound, id)
+		if s.Membership.Epoch >= n.ordered[id] && s.Membership.Group != "" {
+			delete(n.ordered, id)
 		}
-		if _, bound := n.bound[id]; s.Membership.Group == "" && !bound {
+		if _, ordered := n.ordered[id]; s.Membership.Group == "" && !ordered {
 			free[s.Domain] = append(free[s.Domain], s.Incarnation())
 		}
 	}
 	var orders []garnetworks.GroupOrder
 	for _, domain := range slices.Sorted(maps.Keys(free)) {
-		for m := n.next(in.Profile, counts, len(free[domain])); m != nil; m = n.next(in.Profile, counts, len(free[domain])) {
-			orders = append(orders, n.join(m, free[domain][:m.GroupSize])...)
+		for m := n.nextModel(in.Profile, counts, len(free[domain])); m != nil; m = n.nextModel(in.Profile, counts, len(free[domain])) {
+			orders = append(orders, n.joinOrders(m, free[domain][:m.GroupSize])...)
 			free[domain] = free[domain][m.GroupSize:]
 			counts[m.Name]++
 		}
@@ -79,7 +79,7 @@
 	return orders
 }
 
-func (n *naive) next(profile *garnetworks.EngineProfile, counts map[garnetworks.ModelName]int, free int) *garnetworks.ModelProfile {
+func (n *naivePlanner) nextModel(profile *garnetworks.EngineProfile, counts map[garnetworks.ModelName]int, free int) *garnetworks.ModelProfile {
 	var best *garnetworks.ModelProfile
 	for i := range profile.Models {
 		m := &profile.Models[i]
@@ -90,12 +90,12 @@
 	return best
 }
 
-func (n *naive) join(m *garnetworks.ModelProfile, members []garnetworks.Incarnation) []garnetworks.GroupOrder {
+func (n *naivePlanner) joinOrders(m *garnetworks.ModelProfile, members []garnetworks.Incarnation) []garnetworks.GroupOrder {
 	n.sequence++
 	epoch := garnetworks.NewFencingToken(1, n.sequence)
 	var orders []garnetworks.GroupOrder
 	for _, id := range members {
-		n.bound[id.Instance] = epoch
+		n.ordered[id.Instance] = epoch
 		orders = append(orders, garnetworks.GroupOrder{
 			Kind: garnetworks.GroupJoin, Incarnation: id, Group: former.GroupName(m.Name, epoch), Epoch: epoch, Model: m.Name, Members: members,
 		})
--- a/experimenter/pattern.go
+++ b/experimenter/pattern.go
@@ -35,7 +35,7 @@
 type Burst struct {
 	At, For time.Duration
 	Kind    string
-	Times   float64
+	Factor  float64
 }
 
 // Pattern is a load with its site.
@@ -61,21 +61,21 @@
 	first, arrived time.Duration
 	prompt, answer int
 	tries          int
-	// tenant is the workspace that sent it; large says that it is among the largest
+	// workspace is the workspace that sent it; large says that it is among the largest
 	// tenth of its kind.
-	tenant int
-	large  bool
+	workspace int
+	large     bool
 }
 
-// tenants is the number of workspaces; each sends half as much as the one before
+// workspaces is the number of workspaces; each sends half as much as the one before
 // it, so that a few are large.
-const tenants = 6
+const workspaces = 6
 
-// drawTenant returns a workspace for a mark in [0, 1).
-func drawTenant(mark float64) int {
+// drawWorkspace returns a workspace for a mark in [0, 1).
+func drawWorkspace(u float64) int {
 	t := 0
-	for part := 0.5; mark >= part && t < tenants-1; part /= 2 {
-		mark -= part
+	for part := 0.5; u >= part && t < workspaces-1; part /= 2 {
+		u -= part
 		t++
 	}
 	return t
@@ -105,14 +105,14 @@
 		kind := &p.Kinds[k]
 		most := kind.PerSecond
 		for _, b := range p.Bursts {
-			most = max(most, kind.PerSecond*b.Times)
+			most = max(most, kind.PerSecond*b.Factor)
 		}
 		for at := time.Duration(0); ; {
 			at += time.Duration(random.ExpFloat64() / most * float64(time.Second))
 			if at >= p.Length {
 				break
 			}
-			if random.Float64()*most > kind.PerSecond*p.times(kind, at) {
+			if random.Float64()*most > kind.PerSecond*p.rateFactor(kind, at) {
 				continue
 			}
 			calls = append(calls, &call{
@@ -123,30 +123,30 @@
 	}
 	markLargest(calls)
 	// Workspaces are drawn apart, so that they don't change the arrivals.
-	apart := rand.New(rand.NewPCG(seed, streams+1))
+	workspaceRandom := rand.New(rand.NewPCG(seed, streams+1))
 	for _, c := range calls {
-		c.tenant = drawTenant(apart.Float64())
+		c.workspace = drawWorkspace(workspaceRandom.Float64())
 	}
 	return calls
 }
 
 // times is the factor on a kind's rate at a time.
-func (p *Pattern) times(kind *Kind, at time.Duration) float64 {
+func (p *Pattern) rateFactor(kind *Kind, at time.Duration) float64 {
 	times := 1.0
 	for _, b := range p.Bursts {
 		if at >= b.At && at < b.At+b.For && (b.Kind == "" || b.Kind == kind.Name) {
-			times *= b.Times
+			times *= b.Factor
 		}
 	}
 	return times
 }
 
-func (p *Pattern) node(mark float64) int {
+func (p *Pattern) node(u float64) int {
 	for i, part := range p.Nodes {
-		if mark < part {
+		if u < part {
 			return i
 		}
-		mark -= part
+		u -= part
 	}
 	return len(p.Nodes) - 1
 }
@@ -157,7 +157,7 @@
 }
 
 // engines are the figures that the users' engines publish.
-func engines() garnetworks.EngineProfile {
+func engineProfile() garnetworks.EngineProfile {
 	return garnetworks.EngineProfile{
 		Slots: 26, StepsPerPass: 6, StepTime: 6450 * time.Microsecond, StepTimePerCall: 97 * time.Microsecond, PrefillRate: 56100,
 		Models: []garnetworks.ModelProfile{{Name: "large", GroupSize: 6, TimeFactor: 1}, {Name: "small", GroupSize: 3, TimeFactor: 0.6}},
@@ -180,7 +180,7 @@
 // Patterns returns the load patterns that the policies answer.
 func Patterns() map[string]Pattern {
 	base := Pattern{
-		Length: 30 * time.Second, Profile: engines(), Groups: map[garnetworks.ModelName]int{"large": 6, "small": 6},
+		Length: 30 * time.Second, Profile: engineProfile(), Groups: map[garnetworks.ModelName]int{"large": 6, "small": 6},
 		Kinds: kinds(1), Nodes: sixNodes, Retries: 1,
 	}
 	patterns := make(map[string]Pattern)
@@ -192,7 +192,7 @@
 	}
 	add("calm", func(*Pattern) {})
 	add("overload", func(p *Pattern) { p.Kinds = kinds(1.7) })
-	add("burst", func(p *Pattern) { p.Bursts = []Burst{{At: 10 * time.Second, For: 5 * time.Second, Times: 2}} })
+	add("burst", func(p *Pattern) { p.Bursts = []Burst{{At: 10 * time.Second, For: 5 * time.Second, Factor: 2}} })
 	add("losses", func(p *Pattern) {
 		for i := range 9 {
 			model := garnetworks.ModelName("large")
--- a/experimenter/policy.go
+++ b/experimenter/policy.go
@@ -9,46 +9,46 @@
 	"github.com/garnetworks/garnetworks/scheduler"
 )
 
-// verdict is what a policy decides on a call that waits or comes.
-type verdict struct {
+// decision is what a policy decides on a call that waits or comes.
+type decision struct {
 	call  *call
 	group garnetworks.GroupID
 	// after is when a refused client may come back.
-	after time.Duration
+	retryAfter time.Duration
 }
 
 // policy decides at one node.
 type policy interface {
-	arrive(now time.Duration, c *call) []verdict
-	first(now time.Duration, t *task)
-	finished(now time.Duration, t *task) []verdict
-	groups(now time.Duration, list []scheduler.Group) []verdict
-	tick(now time.Duration) []verdict
+	arrive(now time.Duration, c *call) []decision
+	firstEvent(now time.Duration, t *task)
+	finished(now time.Duration, t *task) []decision
+	setGroups(now time.Duration, list []scheduler.Group) []decision
+	tick(now time.Duration) []decision
 	load(now time.Duration) garnetworks.LoadReport
-	others(now time.Duration, r garnetworks.LoadReport) []verdict
+	setPeerLoad(now time.Duration, r garnetworks.LoadReport) []decision
 }
 
 // Policies are the policies by name.
 var policies = map[string]func(seed uint64) policy{
-	"scheduler":     newScheduled,
+	"scheduler":     newSchedulerPolicy,
 	"least-running": newLeastRunning,
 }
 
-// scheduled is package scheduler.
-type scheduled struct {
+// schedulerPolicy is package scheduler.
+type schedulerPolicy struct {
 	*scheduler.Scheduler
 	calls map[garnetworks.CallID]*call
 	next  int
 }
 
-func newScheduled(seed uint64) policy {
+func newSchedulerPolicy(seed uint64) policy {
 	random := rand.New(rand.NewPCG(seed, seed))
-	return &scheduled{Scheduler: scheduler.New("", random.Float64), calls: make(map[garnetworks.CallID]*call)}
+	return &schedulerPolicy{Scheduler: scheduler.New("", random.Float64), calls: make(map[garnetworks.CallID]*call)}
 }
 
 func instant(now time.Duration) time.Time { return time.Unix(0, 0).Add(now) }
 
-func (s *scheduled) arrive(now time.Duration, c *call) []verdict {
+func (s *schedulerPolicy) arrive(now time.Duration, c *call) []decision {
 	s.next++
 	id := garnetworks.CallID(strconv.Itoa(s.next))
 	s.calls[id] = c
@@ -59,41 +59,43 @@
 	if !decided {
 		return nil
 	}
-	return s.verdicts([]scheduler.Decision{d})
+	return s.convert([]scheduler.Decision{d})
 }
 
-func (s *scheduled) verdicts(decisions []scheduler.Decision) []verdict {
-	list := make([]verdict, 0, len(decisions))
+func (s *schedulerPolicy) convert(decisions []scheduler.Decision) []decision {
+	list := make([]decision, 0, len(decisions))
 	for _, d := range decisions {
-		list = append(list, verdict{s.calls[d.Call], d.Group, d.RetryAfter})
+		list = append(list, decision{s.calls[d.Call], d.Group, d.RetryAfter})
 		delete(s.calls, d.Call)
 	}
 	return list
 }
 
-func (s *scheduled) first(now time.Duration, t *task) {
-	s.PrefillDone(t.kind.Model, t.place, t.prompt)
-	s.FirstEvent(instant(now), t.kind.Model, t.place, now-t.sent, t.kind.Objective)
+func (s *schedulerPolicy) firstEvent(now time.Duration, t *task) {
+	s.PrefillDone(t.kind.Model, t.group, t.prompt)
+	s.FirstEvent(instant(now), t.kind.Model, t.group, now-t.sentAt, t.kind.Objective)
 }
 
-func (s *scheduled) finished(now time.Duration, t *task) []verdict {
+func (s *schedulerPolicy) finished(now time.Duration, t *task) []decision {
 	if !t.begun {
-		s.PrefillDone(t.kind.Model, t.place, t.prompt)
-		s.Stalled(instant(now), t.kind.Model, t.place)
+		s.PrefillDone(t.kind.Model, t.group, t.prompt)
+		s.Stalled(instant(now), t.kind.Model, t.group)
 	}
-	return s.verdicts(s.Finished(instant(now), t.kind.Model, t.place, now-t.sent, t.begun))
+	return s.convert(s.Finished(instant(now), t.kind.Model, t.group, now-t.sentAt, t.begun))
 }
 
-func (s *scheduled) groups(now time.Duration, list []scheduler.Group) []verdict {
-	return s.verdicts(s.SetGroups(instant(now), list))
+func (s *schedulerPolicy) setGroups(now time.Duration, list []scheduler.Group) []decision {
+	return s.convert(s.SetGroups(instant(now), list))
 }
 
-func (s *scheduled) tick(now time.Duration) []verdict { return s.verdicts(s.Advance(instant(now))) }
+func (s *schedulerPolicy) tick(now time.Duration) []decision {
+	return s.convert(s.Advance(instant(now)))
+}
 
-func (s *scheduled) load(now time.Duration) garnetworks.LoadReport { return s.Load(instant(now)) }
+func (s *schedulerPolicy) load(now time.Duration) garnetworks.LoadReport { return s.Load(instant(now)) }
 
-func (s *scheduled) others(now time.Duration, r garnetworks.LoadReport) []verdict {
-	return s.verdicts(s.SetPeerLoad(instant(now), r, true))
+func (s *schedulerPolicy) setPeerLoad(now time.Duration, r garnetworks.LoadReport) []decision {
+	return s.convert(s.SetPeerLoad(instant(now), r, true))
 }
 
 // leastRunning is the baseline: each call goes at once to the group with the fewest
@@ -105,7 +107,7 @@
 
 func newLeastRunning(uint64) policy { return &leastRunning{running: make(map[garnetworks.GroupID]int)} }
 
-func (l *leastRunning) arrive(_ time.Duration, c *call) []verdict {
+func (l *leastRunning) arrive(_ time.Duration, c *call) []decision {
 	best := garnetworks.GroupID("")
 	for _, g := range l.list {
 		if g.Model == c.kind.Model && (best == "" || l.running[g.ID] < l.running[best]) {
@@ -115,23 +117,23 @@
 	if best != "" {
 		l.running[best]++
 	}
-	return []verdict{{c, best, time.Second}}
+	return []decision{{c, best, time.Second}}
 }
 
-func (l *leastRunning) first(time.Duration, *task) {}
+func (l *leastRunning) firstEvent(time.Duration, *task) {}
 
-func (l *leastRunning) finished(_ time.Duration, t *task) []verdict {
-	l.running[t.place]--
+func (l *leastRunning) finished(_ time.Duration, t *task) []decision {
+	l.running[t.group]--
 	return nil
 }
 
-func (l *leastRunning) groups(_ time.Duration, list []scheduler.Group) []verdict {
+func (l *leastRunning) setGroups(_ time.Duration, list []scheduler.Group) []decision {
 	l.list = list
 	return nil
 }
 
-func (l *leastRunning) tick(time.Duration) []verdict { return nil }
+func (l *leastRunning) tick(time.Duration) []decision { return nil }
 
 func (l *leastRunning) load(time.Duration) garnetworks.LoadReport { return garnetworks.LoadReport{} }
 
-func (l *leastRunning) others(time.Duration, garnetworks.LoadReport) []verdict { return nil }
+func (l *leastRunning) setPeerLoad(time.Duration, garnetworks.LoadReport) []decision { return nil }
--- a/experimenter/regroup.go
+++ b/experimenter/regroup.go
@@ -14,21 +14,21 @@
 
 // Times of the site in which groups are lost.
 const (
-	// planEvery is the time between two plans, listLag how old the store's list is.
-	planEvery = 50 * time.Millisecond
-	listLag   = 50 * time.Millisecond
-	// suspectTime is the time from a loss to its confirmation where silence is noticed:
+	// planInterval is the time between two plans, storeLag how old the store's list is.
+	planInterval = 50 * time.Millisecond
+	storeLag     = 50 * time.Millisecond
+	// detectionTime is the time from a loss to its confirmation where silence is noticed:
 	// 0.3 s without events and two probes of 0.15 s.
-	suspectTime = 600 * time.Millisecond
-	// lapseTime is the time after which a lost engine's entry is gone: three heartbeats
+	detectionTime = 600 * time.Millisecond
+	// entryLapseTime is the time after which a lost engine's entry is gone: three heartbeats
 	// of 1.2 s.
-	lapseTime = 3600 * time.Millisecond
+	entryLapseTime = 3600 * time.Millisecond
 	// rejoinTime is the time of a join of the model in memory.
 	rejoinTime = 200 * time.Millisecond
 	// firstCall is when the first call comes; loads take a tenth of the time before.
-	firstCall     = 10 * time.Second
-	firstLoadPart = 10
-	sampleEvery   = 500 * time.Millisecond
+	firstCall          = 10 * time.Second
+	initialLoadSpeedup = 10
+	sampleInterval     = 500 * time.Millisecond
 )
 
 // GroupPattern is a site whose engines are lost for good, one after the other, and
@@ -36,14 +36,14 @@
 type GroupPattern struct {
 	Name    string
 	Profile garnetworks.EngineProfile
-	// Domains of Each engines stand at the start.
-	Domains, Each int
-	Length        time.Duration
+	// Domains of EnginesPerDomain engines stand at the start.
+	Domains, EnginesPerDomain int
+	Length                    time.Duration
 	// LossEvery and AddEvery are the times between two losses and two additions;
 	// losses hit members of serving groups.
 	LossEvery, AddEvery time.Duration
-	// Needs is the number of groups that each model's calls need.
-	Needs map[garnetworks.ModelName]float64
+	// RequiredGroups is the number of groups that each model's calls need.
+	RequiredGroups map[garnetworks.ModelName]float64
 	// RestartAt are times at which all engines of the first domains, one domain for each
 	// time, begin anew: with their hosts' models, without groups or memory.
 	RestartAt []time.Duration
@@ -57,24 +57,24 @@
 	hundreds := withModels(16, 4, 0.5, 73, 109)
 	return map[string]GroupPattern{
 		"hundreds": {
-			Name: "hundreds", Profile: hundreds, Domains: 25, Each: 35, Length: time.Minute,
+			Name: "hundreds", Profile: hundreds, Domains: 25, EnginesPerDomain: 35, Length: time.Minute,
 			LossEvery: 400 * time.Millisecond, AddEvery: 500 * time.Millisecond,
-			Needs: map[garnetworks.ModelName]float64{"large": 22, "small": 60},
+			RequiredGroups: map[garnetworks.ModelName]float64{"large": 22, "small": 60},
 		},
 		"lost-engines": {
-			Name: "lost-engines", Profile: profile, Domains: 6, Each: 11, Length: time.Minute,
+			Name: "lost-engines", Profile: profile, Domains: 6, EnginesPerDomain: 11, Length: time.Minute,
 			LossEvery: 3 * time.Second, AddEvery: 4 * time.Second,
-			Needs: map[garnetworks.ModelName]float64{"large": 4, "small": 4},
+			RequiredGroups: map[garnetworks.ModelName]float64{"large": 4, "small": 4},
 		},
 		"lost-engines-grown": {
-			Name: "lost-engines-grown", Profile: grown, Domains: 6, Each: 27, Length: time.Minute,
+			Name: "lost-engines-grown", Profile: grown, Domains: 6, EnginesPerDomain: 27, Length: time.Minute,
 			LossEvery: time.Second, AddEvery: 1400 * time.Millisecond,
-			Needs: map[garnetworks.ModelName]float64{"large": 5, "small": 8},
+			RequiredGroups: map[garnetworks.ModelName]float64{"large": 5, "small": 8},
 		},
 		"small-domains": {
-			Name: "small-domains", Profile: small, Domains: 6, Each: 8, Length: time.Minute,
+			Name: "small-domains", Profile: small, Domains: 6, EnginesPerDomain: 8, Length: time.Minute,
 			LossEvery: 3 * time.Second, AddEvery: 3500 * time.Millisecond,
-			Needs: map[garnetworks.ModelName]float64{"large": 6, "small": 6}, RestartAt: []time.Duration{15 * time.Second, 30 * time.Second},
+			RequiredGroups: map[garnetworks.ModelName]float64{"large": 6, "small": 6}, RestartAt: []time.Duration{15 * time.Second, 30 * time.Second},
 		},
 	}
 }
@@ -83,9 +83,9 @@
 func SharePatterns() map[string]GroupPattern {
 	return map[string]GroupPattern{
 		"old-shares": {
-			Name: "old-shares", Profile: withModels(8, 2, 0.5, 14, 20), Domains: 9, Each: 18, Length: time.Minute,
+			Name: "old-shares", Profile: withModels(8, 2, 0.5, 14, 20), Domains: 9, EnginesPerDomain: 18, Length: time.Minute,
 			LossEvery: 1500 * time.Millisecond, AddEvery: 2 * time.Second,
-			Needs: map[garnetworks.ModelName]float64{"large": 3, "small": 50},
+			RequiredGroups: map[garnetworks.ModelName]float64{"large": 3, "small": 50},
 		},
 	}
 }
@@ -94,7 +94,7 @@
 // one's share of the work, and what their weight store carries: loads in a second, and at
 // once.
 func withModels(large, small int, largeShare, loadsPerSecond float64, loadsAtOnce int) garnetworks.EngineProfile {
-	profile := engines()
+	profile := engineProfile()
 	profile.LoadsPerSecond, profile.MaxConcurrentLoads, profile.FormTime = loadsPerSecond, loadsAtOnce, 300*time.Millisecond
 	profile.Models = []garnetworks.ModelProfile{
 		{Name: "large", GroupSize: large, InitialShare: largeShare, TimeFactor: 1, LoadTime: 16 * time.Second, WarmLoadTime: 1600 * time.Millisecond},
@@ -104,9 +104,9 @@
 }
 
 // work returns the calls that need the groups that the pattern says.
-func (p *GroupPattern) work() map[garnetworks.ModelName]float64 {
+func (p *GroupPattern) demand() map[garnetworks.ModelName]float64 {
 	calls := make(map[garnetworks.ModelName]float64)
-	for model, groups := range p.Needs {
+	for model, groups := range p.RequiredGroups {
 		calls[model] = groups * float64(p.Profile.Slots)
 	}
 	return calls
@@ -121,16 +121,16 @@
 // GroupResult is what a policy made of a pattern of losses.
 type GroupResult struct {
 	Losses int
-	// Down holds the milliseconds from the loss of a group to the first call of the
+	// Downtime holds the milliseconds from the loss of a group to the first call of the
 	// group that takes its place; a group that nothing takes the place of counts until
 	// the end.
-	Down *hdrhistogram.Histogram
+	Downtime *hdrhistogram.Histogram
 	// Idle is the time that living engines spent in no serving group, added up.
 	Idle    time.Duration
 	Samples []Sample
-	// Served is the mean part of the work that the serving groups could take: of each
+	// ServedShare is the mean part of the work that the serving groups could take: of each
 	// model, at most what its calls need.
-	Served float64
+	ServedShare float64
 }
 
 // groupPolicy decides which groups exist.
@@ -140,16 +140,16 @@
 	Answered(now time.Time, order garnetworks.GroupOrder, err error)
 }
 
-// groupPolicies are the policies by name; notices says whether silence of a group is
-// noticed, or only the lapse of an entry, and observes whether the models' work is known
+// groupPolicies are the policies by name; detectsSilence says whether silence of a group is
+// noticed, or only the lapse of an entry, and observesDemand whether the models' work is known
 // beside their stated shares.
 var groupPolicies = map[string]struct {
-	policy            func() groupPolicy
-	notices, observes bool
+	policy                         func() groupPolicy
+	detectsSilence, observesDemand bool
 }{
 	"former": {func() groupPolicy { return former.NewPlanner() }, true, true},
 	"stated": {func() groupPolicy { return former.NewPlanner() }, true, false},
-	"naive":  {func() groupPolicy { return &naive{} }, false, false},
+	"naive":  {func() groupPolicy { return &naivePlanner{} }, false, false},
 }
 
 // GroupPolicyNames returns the names of the policies for groups.
@@ -162,65 +162,65 @@
 		return nil, garnetworks.Errorf(garnetworks.KindInvalidRequest, "no policy %q; there are %v", policyName, GroupPolicyNames())
 	}
 	const mostMS, digits, stream = 120000, 2, 11
-	r := &regrouping{
-		fleet: newFleet(pattern), policy: p.policy(), notices: p.notices, observes: p.observes,
+	r := &groupRun{
+		fleet: newFleet(pattern), policy: p.policy(), detectsSilence: p.detectsSilence, observesDemand: p.observesDemand,
 		random: rand.New(rand.NewPCG(seed, stream)),
-		result: &GroupResult{Down: hdrhistogram.New(1, mostMS, digits)},
+		result: &GroupResult{Downtime: hdrhistogram.New(1, mostMS, digits)},
 	}
-	for now := time.Duration(0); now < pattern.Length; now += planEvery {
+	for now := time.Duration(0); now < pattern.Length; now += planInterval {
 		r.step(now)
 	}
-	r.settle(pattern.Length)
+	r.recordUnreplaced(pattern.Length)
 	for _, sample := range r.result.Samples {
-		r.result.Served += r.served(sample) / float64(len(r.result.Samples))
+		r.result.ServedShare += r.servedShare(sample) / float64(len(r.result.Samples))
 	}
 	return r.result, nil
 }
 
-// regrouping is one replay of losses.
-type regrouping struct {
+// groupRun is one replay of losses.
+type groupRun struct {
 	*fleet
-	policy  groupPolicy
-	notices bool
-	// observes says that the policy is told of the models' work.
-	observes bool
-	random   *rand.Rand
-	result   *GroupResult
+	policy         groupPolicy
+	detectsSilence bool
+	// observesDemand says that the policy is told of the models' work.
+	observesDemand bool
+	random         *rand.Rand
+	result         *GroupResult
 	// down holds the times since which groups are missing, oldest first.
 	down map[garnetworks.ModelName][]time.Duration
 	// added, lost and restarted count the engines, and the domains, so far.
 	added, lost, restarted int
 }
 
-func (r *regrouping) step(now time.Duration) {
+func (r *groupRun) step(now time.Duration) {
 	r.now = now
 	r.advance()
 	if now >= firstCall {
-		r.strike()
+		r.injectLosses()
 		r.restart()
 	}
 	in := former.Input{
-		Servers: r.list(now - listLag), Service: service, Profile: &r.pattern.Profile, Unresponsive: r.dark(r.notices),
+		Servers: r.snapshotAt(now - storeLag), Service: service, Profile: &r.pattern.Profile, Unresponsive: r.unresponsive(r.detectsSilence),
 		Term: 1, Loads: r.pattern.Profile.MaxConcurrentLoads, BeforeFirstCall: now < firstCall,
 	}
-	if r.observes && now >= firstCall {
-		in.Demand = r.pattern.work()
+	if r.observesDemand && now >= firstCall {
+		in.Demand = r.pattern.demand()
 	}
 	for _, o := range r.policy.Plan(instant(now), in) {
 		r.policy.Sent(instant(now), o)
-		r.policy.Answered(instant(now), o, r.carryOut(&o))
+		r.policy.Answered(instant(now), o, r.execute(&o))
 	}
-	r.match()
+	r.matchReplacements()
 	if now >= firstCall {
-		r.result.Idle += time.Duration(r.idle()) * planEvery
-		if now%sampleEvery == 0 {
+		r.result.Idle += time.Duration(r.idle()) * planInterval
+		if now%sampleInterval == 0 {
 			r.result.Samples = append(r.result.Samples, Sample{now, r.serving()})
 		}
 	}
 }
 
 // strike loses a member of a serving group when it is due, and adds an engine.
-func (r *regrouping) strike() {
+func (r *groupRun) injectLosses() {
 	since := r.now - firstCall
 	for r.pattern.AddEvery > 0 && since >= time.Duration(r.added+1)*r.pattern.AddEvery {
 		r.added++
@@ -244,7 +244,7 @@
 
 // restart lets a domain begin anew when it is due: its engines come back under other
 // names, with what their hosts hold.
-func (r *regrouping) restart() {
+func (r *groupRun) restart() {
 	if r.restarted >= len(r.pattern.RestartAt) || r.now < r.pattern.RestartAt[r.restarted] {
 		return
 	}
@@ -252,44 +252,44 @@
 	r.restarted++
 	for _, id := range slices.Sorted(maps.Keys(r.engines)) {
 		old := r.engines[id]
-		if old.Domain == domainName(domain) && old.lostAt == alive {
-			old.lostAt = r.now - lapseTime
+		if old.Domain == domainName(domain) && old.lostAt == never {
+			old.lostAt = r.now - entryLapseTime
 			r.add(domain).Staged = old.Staged
 		}
 	}
 }
 
 // served is the part of the work that the groups of a sample could take.
-func (r *regrouping) served(s Sample) float64 {
+func (r *groupRun) servedShare(s Sample) float64 {
 	sum := 0.0
 	for _, m := range r.pattern.Profile.Models {
-		sum += m.InitialShare * min(1, float64(s.Serving[m.Name])/r.pattern.Needs[m.Name])
+		sum += m.InitialShare * min(1, float64(s.Serving[m.Name])/r.pattern.RequiredGroups[m.Name])
 	}
 	return sum
 }
 
 // match takes the groups that opened as replacements of those lost longest ago.
-func (r *regrouping) match() {
+func (r *groupRun) matchReplacements() {
 	for _, model := range r.opened {
 		waiting := r.down[model]
 		if len(waiting) == 0 {
 			continue
 		}
-		r.record(r.now - waiting[0])
+		r.recordDowntime(r.now - waiting[0])
 		r.down[model] = slices.Delete(waiting, 0, 1)
 	}
 	r.opened = nil
 }
 
-func (r *regrouping) record(down time.Duration) {
-	_ = r.result.Down.RecordValue(down.Milliseconds()) // beyond the range
+func (r *groupRun) recordDowntime(down time.Duration) {
+	_ = r.result.Downtime.RecordValue(down.Milliseconds()) // beyond the range
 }
 
 // settle counts the groups that were not replaced.
-func (r *regrouping) settle(end time.Duration) {
+func (r *groupRun) recordUnreplaced(end time.Duration) {
 	for _, waiting := range r.down {
 		for _, since := range waiting {
-			r.record(end - since)
+			r.recordDowntime(end - since)
 		}
 	}
 }
--- a/experimenter/regroup_test.go
+++ b/experimenter/regroup_test.go
@@ -6,8 +6,8 @@
 	"github.com/garnetworks/garnetworks/experimenter"
 )
 
-// shortEngines is the size up to which losses are replayed in short runs.
-const shortEngines = 200
+// maxShortEngines is the size up to which losses are replayed in short runs.
+const maxShortEngines = 200
 
 // Story: engines are lost for good every few seconds, and new ones come without
 // weights. A lost group must be back within the time of a warm start (silence and two
@@ -16,7 +16,7 @@
 	const median = 50
 	for name, pattern := range experimenter.GroupPatterns() {
 		t.Run(name, func(t *testing.T) {
-			if testing.Short() && pattern.Domains*pattern.Each > shortEngines {
+			if testing.Short() && pattern.Domains*pattern.EnginesPerDomain > maxShortEngines {
 				t.Skip("a replay of that size takes minutes under the race detector")
 			}
 			ours, err := experimenter.RunGroups(&pattern, "former", 1)
@@ -29,10 +29,10 @@
 			}
 			for policy, r := range map[string]*experimenter.GroupResult{"former": ours, "naive": base} {
 				t.Logf("%s: %d losses, down p50 %d ms, p75 %d, worst %d, idle %s", policy, r.Losses,
-					r.Down.ValueAtQuantile(median), r.Down.ValueAtQuantile(75), r.Down.Max(), r.Idle)
+					r.Downtime.ValueAtQuantile(median), r.Downtime.ValueAtQuantile(75), r.Downtime.Max(), r.Idle)
 			}
 			const warm = 2500
-			got, naive := ours.Down.ValueAtQuantile(median), base.Down.ValueAtQuantile(median)
+			got, naive := ours.Downtime.ValueAtQuantile(median), base.Downtime.ValueAtQuantile(median)
 			if got > warm || got > naive/2 {
 				t.Errorf("a lost group is away for %d ms in the median, %d with the baseline", got, naive)
 			}
--- a/experimenter/shares_test.go
+++ b/experimenter/shares_test.go
@@ -11,7 +11,7 @@
 // tenth of the calls, and those of the other model are turned away beside free places. By
 // what is observed, groups change their model, and no site whose shares are right loses
 // more than the noise of a few losses by it.
-func TestGroupsFollowTheObservedWork(t *testing.T) {
+func TestGroupsFollowObservedDemand(t *testing.T) {
 	const (
 		seeds = 3
 		noise = 0.02
@@ -20,7 +20,7 @@
 	maps.Copy(patterns, experimenter.SharePatterns())
 	for name, pattern := range patterns {
 		t.Run(name, func(t *testing.T) {
-			if testing.Short() || pattern.Domains*pattern.Each > shortEngines {
+			if testing.Short() || pattern.Domains*pattern.EnginesPerDomain > maxShortEngines {
 				t.Skip("a replay of that size takes minutes under the race detector")
 			}
 			served := make(map[string]float64)
@@ -30,7 +30,7 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					served[policy] += r.Served / seeds
+					served[policy] += r.ServedShare / seeds
 				}
 			}
 			t.Logf("served %.3f by the observed work, %.3f by the stated shares", served["former"], served["stated"])
