--- a/experimenter/doc.go
+++ b/experimenter/doc.go
@@ -1,17 +1,19 @@
-// Package experimenter replays a load pattern against policies of waiting, refusing
-// and placing, in one process and on a clock of its own. It runs the decisions
-// themselves, not processes and networks: arrivals are drawn from a seed, groups
-// work by the engines' published figures, nodes hear of each other with a lag, and
-// turned-away clients come back once.
+// Package experimenter simulates policies for scheduling calls and forming groups under a
+// load pattern. It runs in one process on a simulated clock and executes the policies'
+// own decision code, not processes and networks: arrivals are drawn from a seed, groups
+// work at the engines' published speed, nodes exchange their load with a delay, and
+// rejected clients retry as the pattern says.
 //
 //	E1  The same pattern, seed and policy give the same figures.
-//	E2  All policies of a run see the same arrivals and the same losses.
-//	E3  A group lets calls in between two passes. A pass reads the prompts of those
-//	    it let in, one after the other, and does Stride token steps for all; its
-//	    time follows EngineProfile. An event is what a pass makes for a call.
-//	E4  Worth counts as users value it: the whole for an answer whose first event
-//	    and pauses keep the objective, a part for a later one, nothing for none.
-//	E5  Losses of engines are replayed against the policies for groups with engines
-//	    that carry orders out by their published times, a store that tells of them
-//	    late, and entries that lapse; nothing of it knows the policy.
+//	E2  All policies see the same arrivals and the same losses.
+//	E3  A group admits calls between two passes. A pass prefills the prompts of the
+//	    newly admitted calls one after the other and runs StepsPerPass token steps
+//	    for all calls; its duration follows EngineProfile. Each pass yields one event
+//	    per call.
+//	E4  Credit follows the users' valuation: the full worth for a response whose first
+//	    event and gaps are within the objective, LateWorth for a later one, nothing
+//	    for none.
+//	E5  Losses of engines are simulated for the policies that form groups, with
+//	    engines that execute orders at their published speed, a store that lists
+//	    changes late, and entries that lapse; none of this depends on the policy.
 package experimenter
--- a/experimenter/experimenter.go
+++ b/experimenter/experimenter.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	// exchangeInterval is how often nodes hear of each other, lag how old that is.
+	// exchangeInterval is the time between two exchanges of the nodes' load.
 	exchangeInterval = exchanger.Interval
 	tickInterval     = 20 * time.Millisecond
-	// maxRetryWaitFraction is the part of the time left for which a client waits at most
-	// before it comes back.
+	// maxRetryWaitFraction is the longest wait before a retry, as a fraction of the time left
+	// to the client's deadline.
 	maxRetryWaitFraction = 1.0 / 3
 )
 
-// Result is what one policy made of a pattern, for one kind of request.
+// Result is the outcome of a simulation for one class of requests.
 type Result struct {
 	Requests, OnTime, Late, Refused, Failed int
-	// Earned is earned, Owed what answers on time would have earned.
+	// Earned is the credit gained, Owed what responses on time would have gained.
 	Earned, Owed float64
-	// FirstEvent holds the milliseconds from the first try to the first event.
+	// FirstEvent holds the milliseconds from the first attempt to the first event.
 	FirstEvent *hdrhistogram.Histogram
 }
 
-// Share is the part of the worth that was earned.
+// Share returns the earned fraction of the owed credit.
 func (r *Result) Share() float64 {
 	if r.Owed == 0 {
 		return 0
@@ -40,14 +40,14 @@
 	return r.Earned / r.Owed
 }
 
-// Results are those of all kinds by name, of the largest tenth of each kind, and of
-// each workspace; the sum stands under the empty name.
+// Results holds results by name: of each kind, of the largest tenth of each kind, and of
+// each workspace. The empty name holds the total.
 type Results map[string]*Result
 
 // PolicyNames returns the names of all policies.
 func PolicyNames() []string { return slices.Sorted(maps.Keys(policies)) }
 
-// Run replays the pattern against a policy.
+// Run simulates the pattern with a policy.
 func Run(pattern *Pattern, policyName string, seed uint64) (Results, error) {
 	newPolicy, ok := policies[policyName]
 	if !ok {
@@ -67,8 +67,8 @@
 	return r.results, nil
 }
 
-// event is something to do at a time; order keeps events of one time in the order
-// in which they were planned (rule E1).
+// event is a scheduled action; order keeps events of one time in the order in which they
+// were scheduled (rule E1).
 type event struct {
 	at    time.Duration
 	order int
@@ -99,7 +99,7 @@
 	return last
 }
 
-// run is one replay.
+// run is the state of one simulation.
 type run struct {
 	pattern *Pattern
 	now     time.Duration
@@ -130,7 +130,7 @@
 	return garnetworks.GroupID(fmt.Sprintf("%s.%d", model, n))
 }
 
-// schedule plans what happens without the policies' doing.
+// schedule adds the events that don't depend on the policy.
 func (r *run) schedule(seed uint64) {
 	r.at(0, r.publishGroups)
 	for _, c := range r.pattern.draw(seed) {
@@ -167,7 +167,7 @@
 	}
 }
 
-// exchange tells each node the calls of the others as they were an interval ago.
+// exchange gives each node the load of the others as it was half an interval before.
 func (r *run) exchange() {
 	reports := make([]garnetworks.LoadReport, len(r.nodes))
 	for i, n := range r.nodes {
@@ -181,7 +181,7 @@
 	})
 }
 
-// counted returns the results that a call counts for.
+// resultsOf returns the results that count a call.
 func (r *run) resultsOf(c *call) []*Result {
 	names := []string{"", c.kind.Name, fmt.Sprintf("workspace %d", c.workspace)}
 	if c.large {
@@ -209,7 +209,7 @@
 	r.apply(n, n.arrive(r.now, c))
 }
 
-// take carries a node's decisions out.
+// apply executes a node's decisions.
 func (r *run) apply(n policy, decisions []decision) {
 	for _, v := range decisions {
 		if v.group == "" {
@@ -227,7 +227,7 @@
 	}
 }
 
-// refuse lets the client come back, or counts the call as refused.
+// refuse schedules the client's retry, or counts the call as refused.
 func (r *run) refuse(v decision) {
 	c := v.call
 	left := c.kind.Deadline - (r.now - c.first)
@@ -251,7 +251,7 @@
 	r.apply(n, n.finished(r.now, t))
 }
 
-// lose takes a group away with its calls.
+// failGroup marks a group as lost and fails its calls.
 func (r *run) failGroup(g *group) {
 	g.down = true
 	tasks := append(g.running, g.waiting...)
@@ -262,7 +262,7 @@
 	}
 }
 
-// work begins a pass of a group that is idle.
+// startPass begins a pass if the group is idle.
 func (r *run) startPass(g *group) {
 	if g.busy || g.down {
 		return
@@ -283,7 +283,7 @@
 	first, done := g.finishPass(r.now)
 	for _, t := range first {
 		for _, result := range r.resultsOf(t.call) {
-			_ = result.FirstEvent.RecordValue((r.now - t.first).Milliseconds()) // beyond the range
+			_ = result.FirstEvent.RecordValue((r.now - t.first).Milliseconds()) // fails only for values beyond the histogram's range
 		}
 		r.nodes[t.node].firstEvent(r.now, t)
 	}
@@ -295,7 +295,7 @@
 	r.startPass(g)
 }
 
-// count takes a whole answer (rule E4).
+// countResponse counts a complete response (rule E4).
 func (r *run) countResponse(t *task) {
 	for _, result := range r.resultsOf(t.call) {
 		switch {
--- a/experimenter/experimenter_test.go
+++ b/experimenter/experimenter_test.go
@@ -16,14 +16,13 @@
 	return results[""]
 }
 
-// Story: load patterns at their worst, each replayed against the scheduler and
-// against sending every call at once to the group with the fewest calls of the
-// node. Users must be served better, or at least as well where there is room.
+// Guards against a scheduler that serves users worse than sending each call at once to the
+// group with the fewest calls of the node.
 func TestPoliciesUnderLoad(t *testing.T) {
 	cases := map[string]struct {
-		// gain is the least gain in the part of the worth that is earned.
+		// gain is the smallest gain in the earned share over the baseline.
 		gain float64
-		// share is the least part that the scheduler earns.
+		// share is the smallest share that the scheduler must earn.
 		share float64
 	}{
 		"calm":       {gain: 0, share: 0.95},
@@ -60,13 +59,11 @@
 func TestUnknownPolicy(t *testing.T) {
 	p := experimenter.Patterns()["calm"]
 	if _, err := experimenter.Run(&p, "none", 1); err == nil {
-		t.Error("it ran")
+		t.Error("an unknown policy was accepted")
 	}
 }
 
-// Story: under overload the calls that are turned away are those of one kind, of one
-// workspace, or the largest ones; these callers are served less than half as often
-// as all.
+// Guards against rejecting mainly one kind, one workspace or the largest calls under overload.
 func TestNobodyIsStarvedUnderOverload(t *testing.T) {
 	p := experimenter.Patterns()["overload"]
 	results, err := experimenter.Run(&p, "scheduler", 1)
--- a/experimenter/fleet.go
+++ b/experimenter/fleet.go
@@ -11,27 +11,27 @@
 	"github.com/garnetworks/garnetworks/former"
 )
 
-// service is the name of the one service of a fleet.
+// service is the name of the only service of a fleet.
 const service garnetworks.ServiceName = "llm"
 
-// engine is an engine with what it does at the moment.
+// engine is the state of a simulated engine.
 type engine struct {
 	garnetworks.RegisteredServer
-	// readyAt ends a join, openAt an opening, stagedAt a load onto the host.
+	// readyAt is the end of a join, openAt that of opening, stagedAt that of a load to the host.
 	readyAt, openAt, stagedAt time.Duration
 	staging                   garnetworks.ModelName
-	// lostAt is when it was lost; negative while it lives.
+	// lostAt is when the engine was lost; never while it is alive.
 	lostAt time.Duration
 }
 
-// fleet is the engines of a pattern, which carry orders out by their published times.
+// fleet holds the engines of a pattern, which execute orders at their published speed.
 type fleet struct {
 	pattern *GroupPattern
 	now     time.Duration
 	engines map[garnetworks.InstanceID]*engine
-	// opened are the models of the groups that began to serve in this step.
+	// opened holds the models of the groups that began to serve in this step.
 	opened []garnetworks.ModelName
-	// lists are the last lists that the store could give, by their times.
+	// snapshots holds the store's recent contents, oldest first.
 	snapshots []timedSnapshot
 }
 
@@ -64,7 +64,7 @@
 	return e
 }
 
-// advance ends what is due.
+// advance completes the loads, joins and openings that are due.
 func (f *fleet) advance() {
 	for _, id := range slices.Sorted(maps.Keys(f.engines)) {
 		e := f.engines[id]
@@ -95,7 +95,7 @@
 	e.Model, e.Membership.State = model, garnetworks.MemberReady
 }
 
-// snapshot is what the store tells now: lost engines stay until their entry lapses.
+// snapshot returns the store's contents now: lost engines stay until their entry lapses.
 func (f *fleet) snapshot() follower.Servers {
 	servers := make(follower.Servers, len(f.engines))
 	for id, e := range f.engines {
@@ -106,7 +106,7 @@
 	return servers
 }
 
-// list returns the newest list that is not newer than a time.
+// snapshotAt returns the newest snapshot that is not newer than the time.
 func (f *fleet) snapshotAt(at time.Duration) follower.Servers {
 	servers := f.snapshots[0].servers
 	for _, l := range f.snapshots {
@@ -117,7 +117,7 @@
 	return servers
 }
 
-// dark returns the lost engines that probes have found.
+// unresponsive returns the lost engines that probes have detected.
 func (f *fleet) unresponsive(detectsSilence bool) garnetworks.Set[garnetworks.Incarnation] {
 	unresponsive := make(garnetworks.Set[garnetworks.Incarnation])
 	for _, e := range f.engines {
@@ -128,7 +128,7 @@
 	return unresponsive
 }
 
-// execute does what an engine does with an order.
+// execute applies an order to its engine.
 func (f *fleet) execute(o *garnetworks.GroupOrder) error {
 	e := f.engines[o.Incarnation.Instance]
 	if e == nil || e.lostAt != never {
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// change opens, closes or leaves the engine's group.
+// changeMembership opens, closes or leaves the engine's group.
 func (f *fleet) changeMembership(e *engine, kind garnetworks.GroupOrderKind) {
 	switch kind {
 	case garnetworks.GroupOpen:
@@ -183,7 +183,7 @@
 	e.readyAt = f.now + took
 }
 
-// loadTime is the time of a load that begins now: longer the more run at once.
+// loadTime returns the duration of a load that begins now; it grows with concurrent loads.
 func (f *fleet) loadTime(model garnetworks.ModelName) time.Duration {
 	took := f.model(model).LoadTime
 	if f.now < firstCall {
@@ -207,7 +207,7 @@
 	return &garnetworks.ModelProfile{GroupSize: 1}
 }
 
-// whole reports whether all members of the engine's group live.
+// complete reports whether all members of the engine's group are alive.
 func (f *fleet) complete(head *engine) bool {
 	n := 0
 	for _, e := range f.engines {
@@ -218,7 +218,7 @@
 	return n == f.model(former.GroupModel(head.Membership.Group)).GroupSize
 }
 
-// heads returns the heads of the groups that serve.
+// heads returns the heads of the serving groups.
 func (f *fleet) heads() []*engine {
 	var heads []*engine
 	for _, id := range slices.Sorted(maps.Keys(f.engines)) {
@@ -237,7 +237,7 @@
 	return counts
 }
 
-// members returns the members of the groups that serve.
+// members returns the members of the serving groups.
 func (f *fleet) members() []*engine {
 	serving := make(garnetworks.Set[garnetworks.GroupID])
 	for _, h := range f.heads() {
@@ -252,7 +252,7 @@
 	return members
 }
 
-// idle counts the living engines that are in no group that serves.
+// idle returns the number of engines that are alive and in no serving group.
 func (f *fleet) idle() int {
 	living := 0
 	for _, e := range f.engines {
--- a/experimenter/group.go
+++ b/experimenter/group.go
@@ -7,31 +7,31 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// task is a call at a group.
+// task is a call that was sent to a group.
 type task struct {
 	*call
 	sentAt    time.Duration
 	remaining int
 	begun     bool
-	// started is when its first event came, last when the last one did.
+	// firstEventAt and lastEventAt are the times of its first and latest event.
 	firstEventAt, lastEventAt time.Duration
 	maxGap                    time.Duration
 	group                     garnetworks.GroupID
 }
 
-// group works on calls by passes (rule E3).
+// group is a simulated group, which processes calls in passes (rule E3).
 type group struct {
 	id      garnetworks.GroupID
 	model   *garnetworks.ModelProfile
 	profile *garnetworks.EngineProfile
 	running []*task
 	waiting []*task
-	// busy says that a pass is under way; down that the group is lost.
+	// busy says that a pass is running, down that the group is lost.
 	busy, down bool
 }
 
-// pass lets calls in and returns how long the next pass takes; 0 if there is
-// nothing to do.
+// beginPass admits waiting calls and returns the duration of the next pass; 0 if there
+// are no calls.
 func (g *group) beginPass() time.Duration {
 	prefillSeconds := 0.0
 	for len(g.waiting) > 0 && len(g.running) < g.profile.Slots {
@@ -48,8 +48,8 @@
 	return time.Duration(float64(took) * g.model.TimeFactor)
 }
 
-// end ends a pass and returns the calls that had their first event and those that
-// are done.
+// finishPass ends a pass and returns the calls that had their first event and those that
+// are complete.
 func (g *group) finishPass(now time.Duration) (first, done []*task) {
 	for _, t := range g.running {
 		if !t.begun {
--- a/experimenter/naive.go
+++ b/experimenter/naive.go
@@ -9,20 +9,20 @@
 	"github.com/garnetworks/garnetworks/former"
 )
 
-// naive is the baseline for groups: a group is given up when an entry of it has
-// lapsed, its members leave, and any free instances of a domain become a group of the
-// model with the fewest groups, whatever they hold. It prepares no spares.
+// naivePlanner is the baseline for forming groups: it gives a group up when a member's
+// entry has lapsed, and makes any free instances of a domain a group of the model with the
+// fewest groups, whatever weights they hold. It prepares no spares.
 type naivePlanner struct {
 	sequence uint32
-	// bound are the instances that were ordered into a group, until their entries
-	// tell of it.
+	// ordered holds the epochs of instances that were ordered into a group, until the store
+	// lists them as members.
 	ordered map[garnetworks.InstanceID]garnetworks.FencingToken
 }
 
 // Sent implements groupPolicy.
 func (n *naivePlanner) Sent(time.Time, garnetworks.GroupOrder) {}
 
-// Answered implements groupPolicy; the baseline learns by the list alone.
+// Answered implements groupPolicy; the baseline uses only the store's list.
 func (n *naivePlanner) Answered(time.Time, garnetworks.GroupOrder, error) {}
 
 // Plan implements groupPolicy.
@@ -46,7 +46,7 @@
 	return append(orders, n.formGroups(&in, counts)...)
 }
 
-// forming reports whether entries of the group's members are still to come.
+// forming reports whether members of the group are still to be listed.
 func (n *naivePlanner) forming(g *former.Group) bool {
 	for _, epoch := range n.ordered {
 		if epoch == g.Epoch {
@@ -56,7 +56,7 @@
 	return false
 }
 
-// form orders groups of free instances, by their identifiers.
+// formGroups returns orders that form groups of the free instances.
 func (n *naivePlanner) formGroups(in *former.Input, counts map[garnetworks.ModelName]int) []garnetworks.GroupOrder {
 	free := make(map[garnetworks.DomainID][]garnetworks.Incarnation)
 	for _, id := range slices.Sorted(maps.Keys(in.Servers)) {
--- a/experimenter/pattern.go
+++ b/experimenter/pattern.go
@@ -9,36 +9,36 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Kind is a kind of request.
+// Kind is a class of requests with the same model, size distribution and objectives.
 type Kind struct {
 	Name  string
 	Model garnetworks.ModelName
-	// PerSecond is the rate of first tries at the whole site.
+	// PerSecond is the rate of first attempts at the whole site.
 	PerSecond float64
-	// Prompt and Answer are mean numbers of tokens, drawn from a log-normal
-	// distribution with Spread.
+	// Prompt and Answer are mean numbers of tokens. They are drawn from a log-normal
+	// distribution whose logarithm has the standard deviation Spread.
 	Prompt, Answer, Spread float64
 	Objective, MaxGap      time.Duration
 	Deadline               time.Duration
-	// Worth is that of an answer on time, LateWorth that of a later one.
+	// Worth is the credit for a response on time, LateWorth that for a later one.
 	Worth, LateWorth float64
 }
 
-// Loss takes a group away for a while.
+// Loss takes a group out of service at a time for a duration.
 type Loss struct {
 	At, For time.Duration
 	Model   garnetworks.ModelName
 	Group   int
 }
 
-// Burst multiplies the rate of a kind for a while; an empty Kind means all.
+// Burst multiplies the rate of a kind for a duration; an empty Kind means all kinds.
 type Burst struct {
 	At, For time.Duration
 	Kind    string
 	Factor  float64
 }
 
-// Pattern is a load with its site.
+// Pattern describes a load and the site that receives it.
 type Pattern struct {
 	Name    string
 	Length  time.Duration
@@ -46,32 +46,32 @@
 	// Groups is the number of groups of each model.
 	Groups map[garnetworks.ModelName]int
 	Kinds  []Kind
-	// Nodes are the parts of the calls that come to each node; they sum to 1.
+	// Nodes are the fractions of the calls that each node receives; they sum to 1.
 	Nodes  []float64
 	Losses []Loss
 	Bursts []Burst
-	// Retries is the number of times that a refused client comes back.
+	// Retries is the number of times that a rejected client retries.
 	Retries int
 }
 
-// call is one try of a client.
+// call is one attempt of a client.
 type call struct {
 	kind           *Kind
 	node           int
 	first, arrived time.Duration
 	prompt, answer int
 	tries          int
-	// workspace is the workspace that sent it; large says that it is among the largest
-	// tenth of its kind.
+	// workspace is the number of the sending workspace; large says that the call is among the
+	// largest tenth of its kind.
 	workspace int
 	large     bool
 }
 
-// workspaces is the number of workspaces; each sends half as much as the one before
-// it, so that a few are large.
+// workspaces is the number of workspaces; each sends half as many calls as the one before,
+// but the last as many.
 const workspaces = 6
 
-// drawWorkspace returns a workspace for a mark in [0, 1).
+// drawWorkspace returns a workspace for a random number u in [0, 1).
 func drawWorkspace(u float64) int {
 	t := 0
 	for part := 0.5; u >= part && t < workspaces-1; part /= 2 {
@@ -96,7 +96,7 @@
 	}
 }
 
-// draw returns the first tries of the pattern in order of time (rule E2).
+// draw returns the first attempts of the pattern's clients, by kind (rule E2).
 func (p *Pattern) draw(seed uint64) []*call {
 	const streams = 7
 	random := rand.New(rand.NewPCG(seed, streams))
@@ -122,7 +122,7 @@
 		}
 	}
 	markLargest(calls)
-	// Workspaces are drawn apart, so that they don't change the arrivals.
+	// A separate generator keeps the arrivals independent of the workspaces.
 	workspaceRandom := rand.New(rand.NewPCG(seed, streams+1))
 	for _, c := range calls {
 		c.workspace = drawWorkspace(workspaceRandom.Float64())
@@ -130,7 +130,7 @@
 	return calls
 }
 
-// times is the factor on a kind's rate at a time.
+// rateFactor returns the factor on a kind's rate at a time.
 func (p *Pattern) rateFactor(kind *Kind, at time.Duration) float64 {
 	times := 1.0
 	for _, b := range p.Bursts {
@@ -152,11 +152,11 @@
 }
 
 func drawTokens(random *rand.Rand, mean, spread float64) int {
-	// The mean of a log-normal distribution lies above its median.
+	// The mean of a log-normal distribution is above its median.
 	return 1 + int(math.Exp(math.Log(mean)-spread*spread/2+random.NormFloat64()*spread))
 }
 
-// engines are the figures that the users' engines publish.
+// engineProfile returns the profile that the users' engines publish.
 func engineProfile() garnetworks.EngineProfile {
 	return garnetworks.EngineProfile{
 		Slots: 26, StepsPerPass: 6, StepTime: 6450 * time.Microsecond, StepTimePerCall: 97 * time.Microsecond, PrefillRate: 56100,
@@ -173,11 +173,10 @@
 	}
 }
 
-// sixNodes get uneven parts of the calls: one zone has three nodes, one a single
-// node for more than a third of the calls.
+// sixNodes are uneven fractions of the calls, with more than a third at one node.
 var sixNodes = []float64{0.11, 0.1, 0.1, 0.15, 0.15, 0.39}
 
-// Patterns returns the load patterns that the policies answer.
+// Patterns returns the load patterns by name.
 func Patterns() map[string]Pattern {
 	base := Pattern{
 		Length: 30 * time.Second, Profile: engineProfile(), Groups: map[garnetworks.ModelName]int{"large": 6, "small": 6},
--- a/experimenter/policy.go
+++ b/experimenter/policy.go
@@ -9,15 +9,15 @@
 	"github.com/garnetworks/garnetworks/scheduler"
 )
 
-// decision is what a policy decides on a call that waits or comes.
+// decision sends a call to a group, or rejects it if group is empty.
 type decision struct {
 	call  *call
 	group garnetworks.GroupID
-	// after is when a refused client may come back.
+	// retryAfter is the time after which a rejected client may retry.
 	retryAfter time.Duration
 }
 
-// policy decides at one node.
+// policy decides on the calls of one node.
 type policy interface {
 	arrive(now time.Duration, c *call) []decision
 	firstEvent(now time.Duration, t *task)
@@ -28,13 +28,13 @@
 	setPeerLoad(now time.Duration, r garnetworks.LoadReport) []decision
 }
 
-// Policies are the policies by name.
+// policies holds the constructors of all policies by name.
 var policies = map[string]func(seed uint64) policy{
 	"scheduler":     newSchedulerPolicy,
 	"least-running": newLeastRunning,
 }
 
-// schedulerPolicy is package scheduler.
+// schedulerPolicy decides by package scheduler.
 type schedulerPolicy struct {
 	*scheduler.Scheduler
 	calls map[garnetworks.CallID]*call
@@ -98,8 +98,8 @@
 	return s.convert(s.SetPeerLoad(instant(now), r, true))
 }
 
-// leastRunning is the baseline: each call goes at once to the group with the fewest
-// calls of its node, first come first served, and nothing is turned away.
+// leastRunning is the baseline: it sends each call at once to the group with the fewest
+// calls of its node and rejects a call only if its model has no group.
 type leastRunning struct {
 	list    []scheduler.Group
 	running map[garnetworks.GroupID]int
--- a/experimenter/regroup.go
+++ b/experimenter/regroup.go
@@ -12,44 +12,44 @@
 	"github.com/garnetworks/garnetworks/former"
 )
 
-// Times of the site in which groups are lost.
+// Parameters of the simulated losses of engines.
 const (
-	// planInterval is the time between two plans, storeLag how old the store's list is.
+	// planInterval is the time between two plans, storeLag the age of the store's list.
 	planInterval = 50 * time.Millisecond
 	storeLag     = 50 * time.Millisecond
-	// detectionTime is the time from a loss to its confirmation where silence is noticed:
-	// 0.3 s without events and two probes of 0.15 s.
+	// detectionTime is the time from a loss to its confirmation by policies that detect
+	// silence: 0.3 s without events and two probes of 0.15 s.
 	detectionTime = 600 * time.Millisecond
 	// entryLapseTime is the time after which a lost engine's entry is gone: three heartbeats
 	// of 1.2 s.
 	entryLapseTime = 3600 * time.Millisecond
-	// rejoinTime is the time of a join of the model in memory.
+	// rejoinTime is the duration of a join if the engine has the model in memory.
 	rejoinTime = 200 * time.Millisecond
-	// firstCall is when the first call comes; loads take a tenth of the time before.
+	// firstCall is the time of the first call; loads before it take a tenth of their time.
 	firstCall          = 10 * time.Second
 	initialLoadSpeedup = 10
 	sampleInterval     = 500 * time.Millisecond
 )
 
-// GroupPattern is a site whose engines are lost for good, one after the other, and
-// replaced by new ones without weights.
+// GroupPattern describes a site whose engines are lost for good one after the other, while
+// engines without weights are added.
 type GroupPattern struct {
 	Name    string
 	Profile garnetworks.EngineProfile
-	// Domains of EnginesPerDomain engines stand at the start.
+	// The site starts with Domains fabric domains of EnginesPerDomain engines each.
 	Domains, EnginesPerDomain int
 	Length                    time.Duration
-	// LossEvery and AddEvery are the times between two losses and two additions;
-	// losses hit members of serving groups.
+	// LossEvery and AddEvery are the times between two losses and between two additions; only
+	// members of serving groups are lost.
 	LossEvery, AddEvery time.Duration
 	// RequiredGroups is the number of groups that each model's calls need.
 	RequiredGroups map[garnetworks.ModelName]float64
-	// RestartAt are times at which all engines of the first domains, one domain for each
-	// time, begin anew: with their hosts' models, without groups or memory.
+	// RestartAt are the times at which domains restart, the first domain at the first time and
+	// so on: their engines lose group and memory, but keep the models staged on their hosts.
 	RestartAt []time.Duration
 }
 
-// GroupPatterns returns the patterns of losses.
+// GroupPatterns returns the patterns of engine losses by name.
 func GroupPatterns() map[string]GroupPattern {
 	profile := withModels(6, 3, 0.67, 5.5, 8)
 	grown := withModels(12, 6, 0.5, 14, 20)
@@ -79,7 +79,7 @@
 	}
 }
 
-// SharePatterns returns the patterns in which the work differs from the stated shares.
+// SharePatterns returns the patterns whose demand differs from the initial shares.
 func SharePatterns() map[string]GroupPattern {
 	return map[string]GroupPattern{
 		"old-shares": {
@@ -90,9 +90,9 @@
 	}
 }
 
-// withModels returns engines that form groups of a large and a small model, of the large
-// one's share of the work, and what their weight store carries: loads in a second, and at
-// once.
+// withModels returns a profile with groups of large and small engines for a large and a
+// small model, the large model's share of the demand, and the limits of the weight store:
+// loads per second and concurrent loads.
 func withModels(large, small int, largeShare, loadsPerSecond float64, loadsAtOnce int) garnetworks.EngineProfile {
 	profile := engineProfile()
 	profile.LoadsPerSecond, profile.MaxConcurrentLoads, profile.FormTime = loadsPerSecond, loadsAtOnce, 300*time.Millisecond
@@ -103,7 +103,7 @@
 	return profile
 }
 
-// work returns the calls that need the groups that the pattern says.
+// demand returns the calls of each model that need RequiredGroups groups.
 func (p *GroupPattern) demand() map[garnetworks.ModelName]float64 {
 	calls := make(map[garnetworks.ModelName]float64)
 	for model, groups := range p.RequiredGroups {
@@ -112,37 +112,36 @@
 	return calls
 }
 
-// Sample is the number of serving groups of each model at a time.
+// Sample holds the number of serving groups of each model at a time.
 type Sample struct {
 	At      time.Duration
 	Serving map[garnetworks.ModelName]int
 }
 
-// GroupResult is what a policy made of a pattern of losses.
+// GroupResult is the outcome of a simulation of engine losses.
 type GroupResult struct {
 	Losses int
-	// Downtime holds the milliseconds from the loss of a group to the first call of the
-	// group that takes its place; a group that nothing takes the place of counts until
-	// the end.
+	// Downtime holds the milliseconds from the loss of a group until its replacement serves;
+	// the downtime of a group without replacement lasts until the end.
 	Downtime *hdrhistogram.Histogram
-	// Idle is the time that living engines spent in no serving group, added up.
+	// Idle is the total time since the first call that engines were alive but in no serving group.
 	Idle    time.Duration
 	Samples []Sample
-	// ServedShare is the mean part of the work that the serving groups could take: of each
-	// model, at most what its calls need.
+	// ServedShare is the mean share of the demand that the serving groups could take; a model's
+	// groups above RequiredGroups don't count.
 	ServedShare float64
 }
 
-// groupPolicy decides which groups exist.
+// groupPolicy decides which groups to form and dissolve.
 type groupPolicy interface {
 	Plan(now time.Time, in former.Input) []garnetworks.GroupOrder
 	Sent(now time.Time, order garnetworks.GroupOrder)
 	Answered(now time.Time, order garnetworks.GroupOrder, err error)
 }
 
-// groupPolicies are the policies by name; detectsSilence says whether silence of a group is
-// noticed, or only the lapse of an entry, and observesDemand whether the models' work is known
-// beside their stated shares.
+// groupPolicies holds the policies by name. detectsSilence says that silent engines are
+// detected before their entry lapses, observesDemand that the policy gets the models'
+// current demand beside their initial shares.
 var groupPolicies = map[string]struct {
 	policy                         func() groupPolicy
 	detectsSilence, observesDemand bool
@@ -152,10 +151,10 @@
 	"naive":  {func() groupPolicy { return &naivePlanner{} }, false, false},
 }
 
-// GroupPolicyNames returns the names of the policies for groups.
+// GroupPolicyNames returns the names of the policies that form groups.
 func GroupPolicyNames() []string { return []string{"former", "stated", "naive"} }
 
-// RunGroups replays losses against a policy.
+// RunGroups simulates the pattern's losses with a policy.
 func RunGroups(pattern *GroupPattern, policyName string, seed uint64) (*GroupResult, error) {
 	p, ok := groupPolicies[policyName]
 	if !ok {
@@ -177,18 +176,18 @@
 	return r.result, nil
 }
 
-// groupRun is one replay of losses.
+// groupRun is the state of one simulation of engine losses.
 type groupRun struct {
 	*fleet
 	policy         groupPolicy
 	detectsSilence bool
-	// observesDemand says that the policy is told of the models' work.
+	// observesDemand says that the policy gets the models' demand.
 	observesDemand bool
 	random         *rand.Rand
 	result         *GroupResult
-	// down holds the times since which groups are missing, oldest first.
+	// down holds the times at which missing groups were lost, oldest first.
 	down map[garnetworks.ModelName][]time.Duration
-	// added, lost and restarted count the engines, and the domains, so far.
+	// added and lost count engines, restarted counts domains.
 	added, lost, restarted int
 }
 
@@ -219,7 +218,7 @@
 	}
 }
 
-// strike loses a member of a serving group when it is due, and adds an engine.
+// injectLosses adds the engines and loses the members of serving groups that are due.
 func (r *groupRun) injectLosses() {
 	since := r.now - firstCall
 	for r.pattern.AddEvery > 0 && since >= time.Duration(r.added+1)*r.pattern.AddEvery {
@@ -242,8 +241,8 @@
 	}
 }
 
-// restart lets a domain begin anew when it is due: its engines come back under other
-// names, with what their hosts hold.
+// restart restarts a domain if it is due: its engines return as new ones with the models
+// staged on their hosts.
 func (r *groupRun) restart() {
 	if r.restarted >= len(r.pattern.RestartAt) || r.now < r.pattern.RestartAt[r.restarted] {
 		return
@@ -259,7 +258,7 @@
 	}
 }
 
-// served is the part of the work that the groups of a sample could take.
+// servedShare returns the share of the demand that a sample's groups could take.
 func (r *groupRun) servedShare(s Sample) float64 {
 	sum := 0.0
 	for _, m := range r.pattern.Profile.Models {
@@ -268,7 +267,7 @@
 	return sum
 }
 
-// match takes the groups that opened as replacements of those lost longest ago.
+// matchReplacements counts opened groups as replacements of those lost longest ago.
 func (r *groupRun) matchReplacements() {
 	for _, model := range r.opened {
 		waiting := r.down[model]
@@ -282,10 +281,10 @@
 }
 
 func (r *groupRun) recordDowntime(down time.Duration) {
-	_ = r.result.Downtime.RecordValue(down.Milliseconds()) // beyond the range
+	_ = r.result.Downtime.RecordValue(down.Milliseconds()) // fails only for values beyond the histogram's range
 }
 
-// settle counts the groups that were not replaced.
+// recordUnreplaced records the downtime of groups without replacement.
 func (r *groupRun) recordUnreplaced(end time.Duration) {
 	for _, waiting := range r.down {
 		for _, since := range waiting {
--- a/experimenter/regroup_test.go
+++ b/experimenter/regroup_test.go
@@ -6,12 +6,11 @@
 	"github.com/garnetworks/garnetworks/experimenter"
 )
 
-// maxShortEngines is the size up to which losses are replayed in short runs.
+// maxShortEngines is the largest number of engines that short runs simulate.
 const maxShortEngines = 200
 
-// Story: engines are lost for good every few seconds, and new ones come without
-// weights. A lost group must be back within the time of a warm start (silence and two
-// probes 0.6 s, the join 1.6 s, the opening 0.3 s), not after a load.
+// Guards against lost groups that return only after a load instead of a warm start, which
+// takes detection (0.6 s), join (1.6 s) and opening (0.3 s).
 func TestGroupsUnderLosses(t *testing.T) {
 	const median = 50
 	for name, pattern := range experimenter.GroupPatterns() {
@@ -34,7 +33,7 @@
 			const warm = 2500
 			got, naive := ours.Downtime.ValueAtQuantile(median), base.Downtime.ValueAtQuantile(median)
 			if got > warm || got > naive/2 {
-				t.Errorf("a lost group is away for %d ms in the median, %d with the baseline", got, naive)
+				t.Errorf("median downtime of a lost group is %d ms, %d ms with the baseline", got, naive)
 			}
 			if ours.Idle >= base.Idle {
 				t.Errorf("engines are idle for %s, and for %s with the baseline", ours.Idle, base.Idle)
@@ -46,6 +45,6 @@
 func TestUnknownGroupPolicy(t *testing.T) {
 	pattern := experimenter.GroupPatterns()["lost-engines"]
 	if _, err := experimenter.RunGroups(&pattern, "none", 1); err == nil {
-		t.Error("it ran")
+		t.Error("an unknown policy was accepted")
 	}
 }
--- a/experimenter/shares_test.go
+++ b/experimenter/shares_test.go
@@ -7,10 +7,8 @@
 	"github.com/garnetworks/garnetworks/experimenter"
 )
 
-// Story: a site's work has shifted since its shares were stated. Half of its engines serve a
-// tenth of the calls, and those of the other model are turned away beside free places. By
-// what is observed, groups change their model, and no site whose shares are right loses
-// more than the noise of a few losses by it.
+// Guards against groups that stay with the initial shares when the demand has shifted,
+// and against observed demand that costs sites whose shares are right.
 func TestGroupsFollowObservedDemand(t *testing.T) {
 	const (
 		seeds = 3
@@ -33,9 +31,9 @@
 					served[policy] += r.ServedShare / seeds
 				}
 			}
-			t.Logf("served %.3f by the observed work, %.3f by the stated shares", served["former"], served["stated"])
+			t.Logf("served %.3f with observed demand, %.3f with initial shares", served["former"], served["stated"])
 			if served["former"] < served["stated"]-noise {
-				t.Errorf("served %.3f, %.3f by the stated shares", served["former"], served["stated"])
+				t.Errorf("served %.3f, %.3f with initial shares", served["former"], served["stated"])
 			}
 			if least := 0.95; name == "old-shares" && served["former"] < least {
 				t.Errorf("served %.3f, want %.2f", served["former"], least)
