--- a/diagnoser/report.go
+++ b/diagnoser/report.go
@@ -7,41 +7,40 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Report is the account of all requests.
+// Report is the diagnosis of all requests.
 type Report struct {
 	Lines Lines `json:"lines"`
-	// Total is the count over all requests, and Causes the same by cause, the dearest
-	// first.
+	// Total counts all requests; Causes counts them by cause, the costliest first.
 	Total  Counts       `json:"total"`
 	Causes []CauseCount `json:"causes"`
-	// Kinds are the causes' counts by kind of request.
+	// Kinds counts requests by kind and cause.
 	Kinds []KindCount `json:"kinds"`
-	// Tables count by what requests have in common, in a fixed order.
-	Tables []Table `json:"tables"`
-	Moves  Moves   `json:"moves"`
-	// Firsts describe what groups had before calls whose first event was late, and
-	// before those on time.
-	Firsts []FirstEvent `json:"first-events"`
-	// Seconds is the account of each second of receipt, from the first one.
+	// Tables counts requests by other properties, in a fixed order.
+	Tables    []Table   `json:"tables"`
+	Failovers Failovers `json:"moves"`
+	// FirstEvents describes the load of groups before calls whose first event was late, and
+	// before calls on time.
+	FirstEvents []FirstEvent `json:"first-events"`
+	// Seconds has an entry for each second from the first receipt.
 	Seconds []Second `json:"seconds"`
 }
 
-// Counts are numbers of requests and their credit.
+// Counts holds numbers of requests and their credit.
 type Counts struct {
 	Requests   int `json:"requests"`
 	OnTime     int `json:"on-time"`
 	Late       int `json:"late"`
 	Refused    int `json:"refused"`
 	Failed     int `json:"failed"`
-	Left       int `json:"left"`
+	Abandoned  int `json:"left"`
 	NotAllowed int `json:"not-allowed"`
-	// Owed is the credit of all requests that were owed an answer, Earned what they
-	// brought.
+	// Owed is the credit that the requests on time and the missed ones would bring if all
+	// were on time, Earned the credit that they brought.
 	Owed   float64 `json:"owed"`
 	Earned float64 `json:"earned"`
 }
 
-// Share is the earned part of the credit.
+// Share returns the earned fraction of the owed credit.
 func (c *Counts) Share() float64 {
 	if c.Owed == 0 {
 		return 0
@@ -49,7 +48,7 @@
 	return c.Earned / c.Owed
 }
 
-func (c *Counts) add(j *judged) {
+func (c *Counts) add(j *diagnosed) {
 	c.Requests++
 	c.Owed += j.owed()
 	c.Earned += j.earned()
@@ -62,54 +61,53 @@
 		c.Refused++
 	case Failed:
 		c.Failed++
-	case Left:
-		c.Left++
+	case Abandoned:
+		c.Abandoned++
 	case NotAllowed:
 		c.NotAllowed++
 	}
 }
 
-// CauseCount is what one cause did.
+// CauseCount counts the requests of one cause.
 type CauseCount struct {
 	Cause Cause  `json:"cause"`
 	Text  string `json:"text"`
 	Counts
-	// Lost is the part of all owed credit that its requests did not earn, and Bound
-	// the part that would be earned if only this cause were gone (rule D5).
+	// Lost is the fraction of all owed credit that its requests did not earn. Bound is the
+	// share that would be earned without this cause (rule D5).
 	Lost  float64 `json:"lost"`
 	Bound float64 `json:"bound"`
-	// Spare is the number of its requests that were turned away while there were free
-	// places at groups of other models.
+	// Spare is the number of its requests that were rejected while groups of other models had
+	// free slots.
 	Spare int `json:"spare"`
-	// HeldBack is the number of calls like those of its requests whose lines the nodes
-	// held back. How many requests they were is not known, so they are counted here
-	// only (rule D4).
-	HeldBack int `json:"held-back"`
+	// Suppressed is the number of calls of the same cause whose lines the nodes suppressed. The
+	// number of their requests is not known, so they are counted only here (rule D4).
+	Suppressed int `json:"held-back"`
 }
 
-// KindCount is what one cause did to requests of one kind.
+// KindCount counts the requests of one kind and cause.
 type KindCount struct {
 	Kind  string `json:"kind"`
 	Cause Cause  `json:"cause"`
 	Counts
 }
 
-// Table is an account by one property of requests.
+// Table counts requests by one property.
 type Table struct {
 	By   string `json:"by"`
 	Rows []Row  `json:"rows"`
 }
 
-// Row is the account of the requests with one value of the property.
+// Row counts the requests with one value of the property.
 type Row struct {
 	Name string `json:"name"`
 	Counts
-	// ByCause is the credit that each cause cost, as a part of the row's.
+	// ByCause is the credit that each cause cost, as a fraction of the row's owed credit.
 	ByCause map[Cause]float64 `json:"by-cause"`
 }
 
-// Dearest returns the cause that cost the row most; empty if none did.
-func (r *Row) Dearest() Cause {
+// Costliest returns the cause that cost the row most; empty if none did.
+func (r *Row) Costliest() Cause {
 	best := Cause("")
 	for _, c := range causes {
 		if r.ByCause[c.Cause] > 0 && (best == "" || r.ByCause[c.Cause] > r.ByCause[best]) {
@@ -119,19 +117,19 @@
 	return best
 }
 
-// Moves are the steps of requests whose group was lost.
-type Moves struct {
-	See   Spread `json:"see"`
-	Place Spread `json:"place"`
-	Read  Spread `json:"read"`
+// Failovers summarizes the failover steps of requests whose group was lost.
+type Failovers struct {
+	Detect  Spread `json:"see"`
+	Place   Spread `json:"place"`
+	Prefill Spread `json:"read"`
 }
 
-// Spread describes times, in milliseconds.
+// Spread summarizes durations in milliseconds.
 type Spread struct {
-	Count   int   `json:"count"`
-	Median  int64 `json:"median-ms"`
-	Quarter int64 `json:"third-quartile-ms"`
-	Most    int64 `json:"most-ms"`
+	Count         int   `json:"count"`
+	Median        int64 `json:"median-ms"`
+	ThirdQuartile int64 `json:"third-quartile-ms"`
+	Max           int64 `json:"most-ms"`
 }
 
 func newSpread(times []time.Duration) Spread {
@@ -140,35 +138,35 @@
 	}
 	slices.Sort(times)
 	at := func(part float64) int64 { return times[int(part*float64(len(times)-1))].Milliseconds() }
-	return Spread{Count: len(times), Median: at(0.5), Quarter: at(0.75), Most: at(1)}
+	return Spread{Count: len(times), Median: at(0.5), ThirdQuartile: at(0.75), Max: at(1)}
 }
 
-// FirstEvent describes calls by what their group had before them.
+// FirstEvent summarizes calls by the load of their group when they began.
 type FirstEvent struct {
 	Model garnetworks.ModelName `json:"model"`
 	Late  bool                  `json:"late"`
 	Count int                   `json:"count"`
-	// Median time to the first event, and medians of what the group had before.
-	FirstMS int64 `json:"first-ms"`
-	Prompt  int   `json:"prompt"`
-	Calls   int   `json:"calls"`
-	Reading int   `json:"reading"`
+	// FirstMS, Prompt, CallsAhead and PrefillAhead are medians.
+	FirstMS      int64 `json:"first-ms"`
+	Prompt       int   `json:"prompt"`
+	CallsAhead   int   `json:"calls"`
+	PrefillAhead int   `json:"reading"`
 }
 
-// Second is the account of the requests that came in one second.
+// Second counts the requests that were received within one second.
 type Second struct {
 	At time.Time `json:"at"`
 	Counts
 	ByCause map[Cause]int `json:"by-cause"`
-	// Losses are instances told to be lost in the second, Groups those of each model
-	// that had calls in it.
+	// Losses is the number of instances reported lost in the second, Groups the number of
+	// groups of each model that had calls in it.
 	Losses int                           `json:"losses"`
 	Groups map[garnetworks.ModelName]int `json:"groups"`
 }
 
-// Report judges all requests.
+// Report diagnoses all requests.
 func (d *Diagnoser) Report() *Report {
-	all := d.judgeAll()
+	all := d.diagnoseAll()
 	r := &Report{Lines: d.lines}
 	for _, j := range all {
 		r.Total.add(j)
@@ -176,8 +174,8 @@
 	r.Causes = causeCounts(all, r.Total)
 	r.Kinds = kindCounts(all)
 	r.Tables = d.tables(all)
-	r.Moves = moves(all)
-	r.Firsts = firstEvents(all)
+	r.Failovers = failovers(all)
+	r.FirstEvents = firstEvents(all)
 	r.Seconds = d.seconds(all)
 	return r
 }
--- a/diagnoser/seconds.go
+++ b/diagnoser/seconds.go
@@ -6,11 +6,11 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// maxSeconds bounds the seconds that are told one by one; a day has 86,400.
+// maxSeconds limits the seconds of a report; a day has 86,400.
 const maxSeconds = 100_000
 
-// seconds accounts for each second from the first receipt to the last end.
-func (d *Diagnoser) seconds(all []*judged) []Second {
+// seconds counts the requests of each second from the first receipt to the last end.
+func (d *Diagnoser) seconds(all []*diagnosed) []Second {
 	if len(all) == 0 {
 		return nil
 	}
@@ -42,8 +42,8 @@
 	return list
 }
 
-// countGroups counts the groups that had calls in each second.
-func countGroups(all []*judged, begin time.Time, list []Second) {
+// countGroups counts, for each second, the groups that had answered calls in it.
+func countGroups(all []*diagnosed, begin time.Time, list []Second) {
 	type at struct {
 		second int
 		group  garnetworks.GroupID
--- a/experimenter/fleet.go
+++ b/experimenter/fleet.go
@@ -11,41 +11,41 @@
 	"github.com/garnetworks/garnetworks/former"
 )
 
-// service is the name of the one service of a fleet.
+// service is the name of the only service of a fleet.
 const service garnetworks.ServiceName = "llm"
 
-// engine is an engine with what it does at the moment.
+// engine is the state of a simulated engine.
 type engine struct {
 	garnetworks.RegisteredServer
-	// readyAt ends a join, openAt an opening, stagedAt a load onto the host.
+	// readyAt is the end of a join, openAt that of opening, stagedAt that of a load to the host.
 	readyAt, openAt, stagedAt time.Duration
 	staging                   garnetworks.ModelName
-	// lostAt is when it was lost; negative while it lives.
+	// lostAt is when the engine was lost; never while it is alive.
 	lostAt time.Duration
 }
 
-// fleet is the engines of a pattern, which carry orders out by their published times.
+// fleet holds the engines of a pattern, which execute orders at their published speed.
 type fleet struct {
 	pattern *GroupPattern
 	now     time.Duration
 	engines map[garnetworks.InstanceID]*engine
-	// opened are the models of the groups that began to serve in this step.
+	// opened holds the models of the groups that began to serve in this step.
 	opened []garnetworks.ModelName
-	// lists are the last lists that the store could give, by their times.
-	lists []timedList
+	// snapshots holds the store's recent contents, oldest first.
+	snapshots []timedSnapshot
 }
 
-type timedList struct {
+type timedSnapshot struct {
 	at      time.Duration
 	servers follower.Servers
 }
 
-const alive = time.Duration(-1)
+const never = time.Duration(-1)
 
 func newFleet(pattern *GroupPattern) *fleet {
 	f := &fleet{pattern: pattern, engines: make(map[garnetworks.InstanceID]*engine)}
 	for d := range pattern.Domains {
-		for range pattern.Each {
+		for range pattern.EnginesPerDomain {
 			f.add(d)
 		}
 	}
@@ -56,7 +56,7 @@
 
 // add adds an engine without weights to a domain.
 func (f *fleet) add(domain int) *engine {
-	e := &engine{lostAt: alive, openAt: alive}
+	e := &engine{lostAt: never, openAt: never}
 	e.ID = garnetworks.InstanceID(fmt.Sprintf("i-%d-%03d", domain, len(f.engines)))
 	e.Service, e.State, e.Address = service, garnetworks.ListedLive, string(e.ID)
 	e.Domain = domainName(domain)
@@ -64,7 +64,7 @@
 	return e
 }
 
-// advance ends what is due.
+// advance completes the loads, joins and openings that are due.
 func (f *fleet) advance() {
 	for _, id := range slices.Sorted(maps.Keys(f.engines)) {
 		e := f.engines[id]
@@ -72,22 +72,22 @@
 			e.Staged, e.staging = []garnetworks.ModelName{e.staging}, ""
 		}
 		if e.Membership.State == garnetworks.MemberJoining && f.now >= e.readyAt {
-			f.joined(e)
+			f.finishJoin(e)
 		}
-		if e.openAt != alive && f.now >= e.openAt {
-			e.openAt, e.Membership.State = alive, garnetworks.MemberOpen
-			if f.whole(e) {
+		if e.openAt != never && f.now >= e.openAt {
+			e.openAt, e.Membership.State = never, garnetworks.MemberOpen
+			if f.complete(e) {
 				f.opened = append(f.opened, e.Model)
 			}
 		}
 	}
-	f.lists = append(f.lists, timedList{f.now, f.snapshot()})
-	if len(f.lists) > 1 && f.lists[1].at <= f.now-listLag {
-		f.lists = f.lists[1:]
+	f.snapshots = append(f.snapshots, timedSnapshot{f.now, f.snapshot()})
+	if len(f.snapshots) > 1 && f.snapshots[1].at <= f.now-storeLag {
+		f.snapshots = f.snapshots[1:]
 	}
 }
 
-func (f *fleet) joined(e *engine) {
+func (f *fleet) finishJoin(e *engine) {
 	model := former.GroupModel(e.Membership.Group)
 	if e.Model != model && !slices.Contains(e.Staged, model) {
 		e.Staged = []garnetworks.ModelName{model}
@@ -95,21 +95,21 @@
 	e.Model, e.Membership.State = model, garnetworks.MemberReady
 }
 
-// snapshot is what the store tells now: lost engines stay until their entry lapses.
+// snapshot returns the store's contents now: lost engines stay until their entry lapses.
 func (f *fleet) snapshot() follower.Servers {
 	servers := make(follower.Servers, len(f.engines))
 	for id, e := range f.engines {
-		if e.lostAt == alive || f.now-e.lostAt < lapseTime {
+		if e.lostAt == never || f.now-e.lostAt < entryLapseTime {
 			servers[id] = e.RegisteredServer
 		}
 	}
 	return servers
 }
 
-// list returns the newest list that is not newer than a time.
-func (f *fleet) list(at time.Duration) follower.Servers {
-	servers := f.lists[0].servers
-	for _, l := range f.lists {
+// snapshotAt returns the newest snapshot that is not newer than the time.
+func (f *fleet) snapshotAt(at time.Duration) follower.Servers {
+	servers := f.snapshots[0].servers
+	for _, l := range f.snapshots {
 		if l.at <= at {
 			servers = l.servers
 		}
@@ -117,21 +117,21 @@
 	return servers
 }
 
-// dark returns the lost engines that probes have found.
-func (f *fleet) dark(notices bool) garnetworks.Set[garnetworks.Incarnation] {
-	dark := make(garnetworks.Set[garnetworks.Incarnation])
+// unresponsive returns the lost engines that probes have detected.
+func (f *fleet) unresponsive(detectsSilence bool) garnetworks.Set[garnetworks.Incarnation] {
+	unresponsive := make(garnetworks.Set[garnetworks.Incarnation])
 	for _, e := range f.engines {
-		if notices && e.lostAt != alive && f.now-e.lostAt >= suspectTime {
-			dark.Add(e.Incarnation())
+		if detectsSilence && e.lostAt != never && f.now-e.lostAt >= detectionTime {
+			unresponsive.Add(e.Incarnation())
 		}
 	}
-	return dark
+	return unresponsive
 }
 
-// carryOut does what an engine does with an order.
-func (f *fleet) carryOut(o *garnetworks.GroupOrder) error {
+// execute applies an order to its engine.
+func (f *fleet) execute(o *garnetworks.GroupOrder) error {
 	e := f.engines[o.Incarnation.Instance]
-	if e == nil || e.lostAt != alive {
+	if e == nil || e.lostAt != never {
 		return garnetworks.Errorf(garnetworks.KindUnreachable, "the engine is lost")
 	}
 	same := e.Membership.Group == o.Group && e.Membership.Epoch == o.Epoch
@@ -150,26 +150,26 @@
 	if !same {
 		return garnetworks.Errorf(garnetworks.KindConflict, "the engine is not in the group")
 	}
-	f.change(e, o.Kind)
+	f.changeMembership(e, o.Kind)
 	return nil
 }
 
-// change opens, closes or leaves the engine's group.
-func (f *fleet) change(e *engine, kind garnetworks.GroupOrderKind) {
+// changeMembership opens, closes or leaves the engine's group.
+func (f *fleet) changeMembership(e *engine, kind garnetworks.GroupOrderKind) {
 	switch kind {
 	case garnetworks.GroupOpen:
-		if e.Membership.State == garnetworks.MemberReady && e.openAt == alive {
+		if e.Membership.State == garnetworks.MemberReady && e.openAt == never {
 			e.openAt = f.now + f.pattern.Profile.FormTime
 		}
 	case garnetworks.GroupClose:
 		e.Membership.State = garnetworks.MemberReady
 	case garnetworks.GroupLeave:
-		e.Membership, e.openAt = garnetworks.Membership{}, alive
+		e.Membership, e.openAt = garnetworks.Membership{}, never
 	}
 }
 
 func (f *fleet) join(e *engine, o *garnetworks.GroupOrder) {
-	e.openAt = alive
+	e.openAt = never
 	e.Membership = garnetworks.Membership{
 		Group: o.Group, Epoch: o.Epoch, Rank: slices.Index(o.Members, e.Incarnation()), State: garnetworks.MemberJoining,
 	}
@@ -183,11 +183,11 @@
 	e.readyAt = f.now + took
 }
 
-// loadTime is the time of a load that begins now: longer the more run at once.
+// loadTime returns the duration of a load that begins now; it grows with concurrent loads.
 func (f *fleet) loadTime(model garnetworks.ModelName) time.Duration {
 	took := f.model(model).LoadTime
 	if f.now < firstCall {
-		return took / firstLoadPart
+		return took / initialLoadSpeedup
 	}
 	running := 1
 	for _, e := range f.engines {
@@ -207,22 +207,22 @@
 	return &garnetworks.ModelProfile{GroupSize: 1}
 }
 
-// whole reports whether all members of the engine's group live.
-func (f *fleet) whole(head *engine) bool {
+// complete reports whether all members of the engine's group are alive.
+func (f *fleet) complete(head *engine) bool {
 	n := 0
 	for _, e := range f.engines {
-		if e.lostAt == alive && e.Membership.Group == head.Membership.Group && e.Membership.Epoch == head.Membership.Epoch {
+		if e.lostAt == never && e.Membership.Group == head.Membership.Group && e.Membership.Epoch == head.Membership.Epoch {
 			n++
 		}
 	}
 	return n == f.model(former.GroupModel(head.Membership.Group)).GroupSize
 }
 
-// heads returns the heads of the groups that serve.
+// heads returns the heads of the serving groups.
 func (f *fleet) heads() []*engine {
 	var heads []*engine
 	for _, id := range slices.Sorted(maps.Keys(f.engines)) {
-		if e := f.engines[id]; e.lostAt == alive && e.Membership.State == garnetworks.MemberOpen && f.whole(e) {
+		if e := f.engines[id]; e.lostAt == never && e.Membership.State == garnetworks.MemberOpen && f.complete(e) {
 			heads = append(heads, e)
 		}
 	}
@@ -237,7 +237,7 @@
 	return counts
 }
 
-// members returns the members of the groups that serve.
+// members returns the members of the serving groups.
 func (f *fleet) members() []*engine {
 	serving := make(garnetworks.Set[garnetworks.GroupID])
 	for _, h := range f.heads() {
@@ -245,18 +245,18 @@
 	}
 	var members []*engine
 	for _, id := range slices.Sorted(maps.Keys(f.engines)) {
-		if e := f.engines[id]; e.lostAt == alive && serving.Has(e.Membership.Group) {
+		if e := f.engines[id]; e.lostAt == never && serving.Has(e.Membership.Group) {
 			members = append(members, e)
 		}
 	}
 	return members
 }
 
-// idle counts the living engines that are in no group that serves.
+// idle returns the number of engines that are alive and in no serving group.
 func (f *fleet) idle() int {
 	living := 0
 	for _, e := range f.engines {
-		if e.lostAt == alive {
+		if e.lostAt == never {
 			living++
 		}
 	}
--- a/experimenter/pattern.go
+++ b/experimenter/pattern.go
@@ -9,36 +9,36 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Kind is a kind of request.
+// Kind is a class of requests with the same model, size distribution and objectives.
 type Kind struct {
 	Name  string
 	Model garnetworks.ModelName
-	// PerSecond is the rate of first tries at the whole site.
+	// PerSecond is the rate of first attempts at the whole site.
 	PerSecond float64
-	// Prompt and Answer are mean numbers of tokens, drawn from a log-normal
-	// distribution with Spread.
+	// Prompt and Answer are mean numbers of tokens. They are drawn from a log-normal
+	// distribution whose logarithm has the standard deviation Spread.
 	Prompt, Answer, Spread float64
 	Objective, MaxGap      time.Duration
 	Deadline               time.Duration
-	// Worth is that of an answer on time, LateWorth that of a later one.
+	// Worth is the credit for a response on time, LateWorth that for a later one.
 	Worth, LateWorth float64
 }
 
-// Loss takes a group away for a while.
+// Loss takes a group out of service at a time for a duration.
 type Loss struct {
 	At, For time.Duration
 	Model   garnetworks.ModelName
 	Group   int
 }
 
-// Burst multiplies the rate of a kind for a while; an empty Kind means all.
+// Burst multiplies the rate of a kind for a duration; an empty Kind means all kinds.
 type Burst struct {
 	At, For time.Duration
 	Kind    string
-	Times   float64
+	Factor  float64
 }
 
-// Pattern is a load with its site.
+// Pattern describes a load and the site that receives it.
 type Pattern struct {
 	Name    string
 	Length  time.Duration
@@ -46,36 +46,36 @@
 	// Groups is the number of groups of each model.
 	Groups map[garnetworks.ModelName]int
 	Kinds  []Kind
-	// Nodes are the parts of the calls that come to each node; they sum to 1.
+	// Nodes are the fractions of the calls that each node receives; they sum to 1.
 	Nodes  []float64
 	Losses []Loss
 	Bursts []Burst
-	// Retries is the number of times that a refused client comes back.
+	// Retries is the number of times that a rejected client retries.
 	Retries int
 }
 
-// call is one try of a client.
+// call is one attempt of a client.
 type call struct {
 	kind           *Kind
 	node           int
 	first, arrived time.Duration
 	prompt, answer int
 	tries          int
-	// tenant is the workspace that sent it; large says that it is among the largest
-	// tenth of its kind.
-	tenant int
-	large  bool
+	// workspace is the number of the sending workspace; large says that the call is among the
+	// largest tenth of its kind.
+	workspace int
+	large     bool
 }
 
-// tenants is the number of workspaces; each sends half as much as the one before
-// it, so that a few are large.
-const tenants = 6
+// workspaces is the number of workspaces; each sends half as many calls as the one before,
+// but the last as many.
+const workspaces = 6
 
-// drawTenant returns a workspace for a mark in [0, 1).
-func drawTenant(mark float64) int {
+// drawWorkspace returns a workspace for a random number u in [0, 1).
+func drawWorkspace(u float64) int {
 	t := 0
-	for part := 0.5; mark >= part && t < tenants-1; part /= 2 {
-		mark -= part
+	for part := 0.5; u >= part && t < workspaces-1; part /= 2 {
+		u -= part
 		t++
 	}
 	return t
@@ -96,7 +96,7 @@
 	}
 }
 
-// draw returns the first tries of the pattern in order of time (rule E2).
+// draw returns the first attempts of the pattern's clients, by kind (rule E2).
 func (p *Pattern) draw(seed uint64) []*call {
 	const streams = 7
 	random := rand.New(rand.NewPCG(seed, streams))
@@ -105,14 +105,14 @@
 		kind := &p.Kinds[k]
 		most := kind.PerSecond
 		for _, b := range p.Bursts {
-			most = max(most, kind.PerSecond*b.Times)
+			most = max(most, kind.PerSecond*b.Factor)
 		}
 		for at := time.Duration(0); ; {
 			at += time.Duration(random.ExpFloat64() / most * float64(time.Second))
 			if at >= p.Length {
 				break
 			}
-			if random.Float64()*most > kind.PerSecond*p.times(kind, at) {
+			if random.Float64()*most > kind.PerSecond*p.rateFactor(kind, at) {
 				continue
 			}
 			calls = append(calls, &call{
@@ -122,42 +122,42 @@
 		}
 	}
 	markLargest(calls)
-	// Workspaces are drawn apart, so that they don't change the arrivals.
-	apart := rand.New(rand.NewPCG(seed, streams+1))
+	// A separate generator keeps the arrivals independent of the workspaces.
+	workspaceRandom := rand.New(rand.NewPCG(seed, streams+1))
 	for _, c := range calls {
-		c.tenant = drawTenant(apart.Float64())
+		c.workspace = drawWorkspace(workspaceRandom.Float64())
 	}
 	return calls
 }
 
-// times is the factor on a kind's rate at a time.
-func (p *Pattern) times(kind *Kind, at time.Duration) float64 {
+// rateFactor returns the factor on a kind's rate at a time.
+func (p *Pattern) rateFactor(kind *Kind, at time.Duration) float64 {
 	times := 1.0
 	for _, b := range p.Bursts {
 		if at >= b.At && at < b.At+b.For && (b.Kind == "" || b.Kind == kind.Name) {
-			times *= b.Times
+			times *= b.Factor
 		}
 	}
 	return times
 }
 
-func (p *Pattern) node(mark float64) int {
+func (p *Pattern) node(u float64) int {
 	for i, part := range p.Nodes {
-		if mark < part {
+		if u < part {
 			return i
 		}
-		mark -= part
+		u -= part
 	}
 	return len(p.Nodes) - 1
 }
 
 func drawTokens(random *rand.Rand, mean, spread float64) int {
-	// The mean of a log-normal distribution lies above its median.
+	// The mean of a log-normal distribution is above its median.
 	return 1 + int(math.Exp(math.Log(mean)-spread*spread/2+random.NormFloat64()*spread))
 }
 
-// engines are the figures that the users' engines publish.
-func engines() garnetworks.EngineProfile {
+// engineProfile returns the profile that the users' engines publish.
+func engineProfile() garnetworks.EngineProfile {
 	return garnetworks.EngineProfile{
 		Slots: 26, StepsPerPass: 6, StepTime: 6450 * time.Microsecond, StepTimePerCall: 97 * time.Microsecond, PrefillRate: 56100,
 		Models: []garnetworks.ModelProfile{{Name: "large", GroupSize: 6, TimeFactor: 1}, {Name: "small", GroupSize: 3, TimeFactor: 0.6}},
@@ -173,14 +173,13 @@
 	}
 }
 
-// sixNodes get uneven parts of the calls: one zone has three nodes, one a single
-// node for more than a third of the calls.
+// sixNodes are uneven fractions of the calls, with more than a third at one node.
 var sixNodes = []float64{0.11, 0.1, 0.1, 0.15, 0.15, 0.39}
 
-// Patterns returns the load patterns that the policies answer.
+// Patterns returns the load patterns by name.
 func Patterns() map[string]Pattern {
 	base := Pattern{
-		Length: 30 * time.Second, Profile: engines(), Groups: map[garnetworks.ModelName]int{"large": 6, "small": 6},
+		Length: 30 * time.Second, Profile: engineProfile(), Groups: map[garnetworks.ModelName]int{"large": 6, "small": 6},
 		Kinds: kinds(1), Nodes: sixNodes, Retries: 1,
 	}
 	patterns := make(map[string]Pattern)
@@ -192,7 +191,7 @@
 	}
 	add("calm", func(*Pattern) {})
 	add("overload", func(p *Pattern) { p.Kinds = kinds(1.7) })
-	add("burst", func(p *Pattern) { p.Bursts = []Burst{{At: 10 * time.Second, For: 5 * time.Second, Times: 2}} })
+	add("burst", func(p *Pattern) { p.Bursts = []Burst{{At: 10 * time.Second, For: 5 * time.Second, Factor: 2}} })
 	add("losses", func(p *Pattern) {
 		for i := range 9 {
 			model := garnetworks.ModelName("large")
--- a/experimenter/shares_test.go
+++ b/experimenter/shares_test.go
@@ -7,11 +7,9 @@
 	"github.com/garnetworks/garnetworks/experimenter"
 )
 
-// Story: a site's work has shifted since its shares were stated. Half of its engines serve a
-// tenth of the calls, and those of the other model are turned away beside free places. By
-// what is observed, groups change their model, and no site whose shares are right loses
-// more than the noise of a few losses by it.
-func TestGroupsFollowTheObservedWork(t *testing.T) {
+// Guards against groups that stay with the initial shares when the demand has shifted,
+// and against observed demand that costs sites whose shares are right.
+func TestGroupsFollowObservedDemand(t *testing.T) {
 	const (
 		seeds = 3
 		noise = 0.02
@@ -20,7 +18,7 @@
 	maps.Copy(patterns, experimenter.SharePatterns())
 	for name, pattern := range patterns {
 		t.Run(name, func(t *testing.T) {
-			if testing.Short() || pattern.Domains*pattern.Each > shortEngines {
+			if testing.Short() || pattern.Domains*pattern.EnginesPerDomain > maxShortEngines {
 				t.Skip("a replay of that size takes minutes under the race detector")
 			}
 			served := make(map[string]float64)
@@ -30,12 +28,12 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					served[policy] += r.Served / seeds
+					served[policy] += r.ServedShare / seeds
 				}
 			}
-			t.Logf("served %.3f by the observed work, %.3f by the stated shares", served["former"], served["stated"])
+			t.Logf("served %.3f with observed demand, %.3f with initial shares", served["former"], served["stated"])
 			if served["former"] < served["stated"]-noise {
-				t.Errorf("served %.3f, %.3f by the stated shares", served["former"], served["stated"])
+				t.Errorf("served %.3f, %.3f with initial shares", served["former"], served["stated"])
 			}
 			if least := 0.95; name == "old-shares" && served["former"] < least {
 				t.Errorf("served %.3f, want %.2f", served["former"], least)
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -1,14 +1,13 @@
-// Package meter counts what a node does and shows it to operators as metrics.
+// Package meter counts a node's work and exports the counts as Prometheus metrics.
 //
 // The rules:
 //
-//	M1  Each metric stands once in the table Metrics with its unit and meaning;
-//	    docs/metrics.md is printed from it.
-//	M2  Labels take values from closed lists or from the manifest and the
-//	    instance list, never from callers, so that no caller can grow a node's
-//	    memory.
-//	M3  Every call to the object API is counted at the place where it is sent,
-//	    a waiting watch as one, as the platform counts them.
+//	M1  Each metric is listed once in the table Metrics with its unit and meaning;
+//	    docs/metrics.md is generated from it.
+//	M2  Label values come from closed lists or from the manifest and the instance
+//	    list, never from callers, so that no caller can grow a node's memory.
+//	M3  Every call to the object API is counted where it is sent; a watch counts
+//	    as one call however long it waits, as the platform counts them.
 package meter
 
 import (
@@ -26,46 +25,46 @@
 // Meter holds a node's metrics.
 type Meter struct {
 	registry *prometheus.Registry
-	rows     map[string]Metric
-
-	calls       *prometheus.CounterVec
-	tokens      *prometheus.CounterVec
-	firstToken  prometheus.Histogram
-	betweenTime prometheus.Histogram
-	inFlight    prometheus.Gauge
-	objectCalls *prometheus.CounterVec
-	peerBytes   *prometheus.CounterVec
-	peerCalls   *prometheus.CounterVec
-	generation  prometheus.Gauge
-	lease       *prometheus.GaugeVec
-	groups      *prometheus.GaugeVec
-	measures    *prometheus.GaugeVec
-	power       *prometheus.GaugeVec
-	events      *prometheus.CounterVec
-	claimWrites *prometheus.CounterVec
-	passed      *prometheus.CounterVec
-	firstEvent  *prometheus.HistogramVec
-	wait        *prometheus.HistogramVec
-	attempts    *prometheus.CounterVec
-	attemptTime *prometheus.HistogramVec
-	objectTime  *prometheus.HistogramVec
-	totals      map[string]prometheus.Counter
-	levels      map[string]prometheus.Gauge
-	seen        map[string]uint64
+	byName   map[string]Metric
+
+	calls         *prometheus.CounterVec
+	tokens        *prometheus.CounterVec
+	firstToken    prometheus.Histogram
+	betweenTokens prometheus.Histogram
+	inFlight      prometheus.Gauge
+	objectCalls   *prometheus.CounterVec
+	peerBytes     *prometheus.CounterVec
+	peerCalls     *prometheus.CounterVec
+	generation    prometheus.Gauge
+	lease         *prometheus.GaugeVec
+	groups        *prometheus.GaugeVec
+	measures      *prometheus.GaugeVec
+	power         *prometheus.GaugeVec
+	events        *prometheus.CounterVec
+	claimWrites   *prometheus.CounterVec
+	proxiedCalls  *prometheus.CounterVec
+	firstEvent    *prometheus.HistogramVec
+	queueWait     *prometheus.HistogramVec
+	attempts      *prometheus.CounterVec
+	attemptTime   *prometheus.HistogramVec
+	objectTime    *prometheus.HistogramVec
+	counters      map[string]prometheus.Counter
+	gauges        map[string]prometheus.Gauge
+	lastTotals    map[string]uint64
 }
 
-// Metric is a row of the table of metrics.
+// Metric is a row of the table Metrics.
 type Metric struct {
-	// Name is the full name with its unit as the last word.
+	// Name is the full name; its last word is the unit.
 	Name string
 	// Help is one sentence.
 	Help string
-	// Labels are the metric's labels in order; no caller chooses a label's value
+	// Labels are the metric's labels in order. Callers never choose label values
 	// (rule M2).
 	Labels []string
 }
 
-// Metrics is the table of everything that a node shows.
+// Metrics lists every metric that a node exports.
 var Metrics = []Metric{
 	{"garnet_calls_total", "Calls of callers that ended, by what was called, outcome and error kind (empty if completed).", []string{"target", "outcome", "kind"}},
 	{"garnet_tokens_total", "Tokens delivered to callers, by workspace.", []string{"workspace"}},
@@ -97,9 +96,9 @@
 	{"garnet_events_total", "Events recorded on the time line, by kind.", []string{"kind"}},
 }
 
-// The histograms' buckets stand close around the users' goals, 0.84 s to the
-// first token and 46 ms between tokens, so that the share within the goal is
-// read without interpolation.
+// The buckets are in seconds. They are narrow around the users' objectives, 0.84 s to
+// the first token and 46 ms between tokens, which are bucket bounds themselves, so that
+// the share within an objective is read without interpolation.
 var (
 	firstTokenBuckets = []float64{.01, .025, .05, .1, .2, .3, .42, .6, .84, 1.2, 2, 4, 8}
 	attemptBuckets    = []float64{.01, .025, .05, .1, .15, .25, .4, .6, 1, 2, 4, 8}
@@ -109,42 +108,42 @@
 
 // New returns a meter with its own registry.
 func New() *Meter {
-	rows := make(map[string]Metric, len(Metrics))
-	m := &Meter{registry: prometheus.NewRegistry(), rows: rows}
+	byName := make(map[string]Metric, len(Metrics))
+	m := &Meter{registry: prometheus.NewRegistry(), byName: byName}
 	for _, row := range Metrics {
-		rows[row.Name] = row
+		byName[row.Name] = row
 	}
 	counter := func(name string) *prometheus.CounterVec {
-		v := prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: rows[name].Help}, rows[name].Labels)
+		v := prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: byName[name].Help}, byName[name].Labels)
 		m.registry.MustRegister(v)
 		return v
 	}
 	gauges := func(name string) *prometheus.GaugeVec {
-		v := prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: name, Help: rows[name].Help}, rows[name].Labels)
+		v := prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: name, Help: byName[name].Help}, byName[name].Labels)
 		m.registry.MustRegister(v)
 		return v
 	}
 	histogram := func(name string, buckets []float64) prometheus.Histogram {
-		h := prometheus.NewHistogram(prometheus.HistogramOpts{Name: name, Help: rows[name].Help, Buckets: buckets})
+		h := prometheus.NewHistogram(prometheus.HistogramOpts{Name: name, Help: byName[name].Help, Buckets: buckets})
 		m.registry.MustRegister(h)
 		return h
 	}
 	histograms := func(name string, buckets []float64) *prometheus.HistogramVec {
-		v := prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: name, Help: rows[name].Help, Buckets: buckets}, rows[name].Labels)
+		v := prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: name, Help: byName[name].Help, Buckets: buckets}, byName[name].Labels)
 		m.registry.MustRegister(v)
 		return v
 	}
 
-	m.passed = counter("garnet_passed_calls_total")
+	m.proxiedCalls = counter("garnet_passed_calls_total")
 	m.firstEvent = histograms("garnet_passed_first_event_seconds", firstTokenBuckets)
-	m.wait = histograms("garnet_passed_wait_seconds", attemptBuckets)
+	m.queueWait = histograms("garnet_passed_wait_seconds", attemptBuckets)
 	m.attempts = counter("garnet_attempts_total")
 	m.attemptTime = histograms("garnet_attempt_seconds", attemptBuckets)
 	m.objectTime = histograms("garnet_object_api_seconds", objectBuckets)
 	m.calls = counter("garnet_calls_total")
 	m.tokens = counter("garnet_tokens_total")
 	m.firstToken = histogram("garnet_first_token_seconds", firstTokenBuckets)
-	m.betweenTime = histogram("garnet_between_tokens_seconds", betweenBuckets)
+	m.betweenTokens = histogram("garnet_between_tokens_seconds", betweenBuckets)
 	m.inFlight = gauges("garnet_calls_in_flight").WithLabelValues()
 	m.objectCalls = counter("garnet_object_api_calls_total")
 	m.peerBytes = counter("garnet_peer_bytes_total")
@@ -156,15 +155,15 @@
 	m.power = gauges("garnet_power_watts")
 	m.events = counter("garnet_events_total")
 	m.claimWrites = counter("garnet_claim_writes_total")
-	m.totals = map[string]prometheus.Counter{}
+	m.counters = map[string]prometheus.Counter{}
 	for _, name := range []string{"garnet_events_overwritten_total", "garnet_probes_dropped_total", "garnet_log_lines_dropped_total"} {
-		m.totals[name] = counter(name).WithLabelValues()
+		m.counters[name] = counter(name).WithLabelValues()
 	}
-	m.levels = map[string]prometheus.Gauge{}
+	m.gauges = map[string]prometheus.Gauge{}
 	for _, name := range []string{"garnet_claims_owed", "garnet_claim_shards_refusing", "garnet_held_contents"} {
-		m.levels[name] = gauges(name).WithLabelValues()
+		m.gauges[name] = gauges(name).WithLabelValues()
 	}
-	m.seen = map[string]uint64{}
+	m.lastTotals = map[string]uint64{}
 	return m
 }
 
@@ -173,58 +172,58 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// Registry lets embedders register metrics of their own.
+// Registry returns the registry, on which embedders register their own metrics.
 func (m *Meter) Registry() *prometheus.Registry { return m.registry }
 
 // InFlight sets the number of calls admitted and not ended.
 func (m *Meter) InFlight(n int) { m.inFlight.Set(float64(n)) }
 
-// CallEnded counts a call that ended; kind is empty if it completed.
+// CallEnded counts a call that has ended; kind is empty if it completed.
 func (m *Meter) CallEnded(target string, outcome garnetworks.Outcome, kind garnetworks.Kind) {
 	m.calls.WithLabelValues(target, string(outcome), string(kind)).Inc()
 }
 
-// PassedCall counts a call that is passed on whole; kind is empty if it completed.
-func (m *Meter) PassedCall(route string, outcome garnetworks.Outcome, kind garnetworks.Kind) {
-	m.passed.WithLabelValues(route, string(outcome), string(kind)).Inc()
+// ProxiedCall counts a proxied call that has ended; kind is empty if it completed.
+func (m *Meter) ProxiedCall(route string, outcome garnetworks.Outcome, kind garnetworks.Kind) {
+	m.proxiedCalls.WithLabelValues(route, string(outcome), string(kind)).Inc()
 }
 
-// FirstEvent observes the time to the first event of a call of the route.
+// FirstEvent observes the time from the receipt of a route's call to its first event.
 func (m *Meter) FirstEvent(route string, d time.Duration) {
 	m.firstEvent.WithLabelValues(route).Observe(d.Seconds())
 }
 
-// Waited observes how long a call waited for a place.
-func (m *Meter) Waited(model garnetworks.ModelName, d time.Duration) {
-	m.wait.WithLabelValues(string(model)).Observe(d.Seconds())
+// QueueWait observes how long a call waited for a slot at a group of the model.
+func (m *Meter) QueueWait(model garnetworks.ModelName, d time.Duration) {
+	m.queueWait.WithLabelValues(string(model)).Observe(d.Seconds())
 }
 
-// Attempt counts an attempt that ended.
+// Attempt counts an attempt that ended in the phase and observes its duration.
 func (m *Meter) Attempt(service garnetworks.ServiceName, group garnetworks.GroupID, phase garnetworks.CallPhase, took time.Duration) {
 	m.attempts.WithLabelValues(string(service), string(group), string(phase)).Inc()
 	m.attemptTime.WithLabelValues(string(service)).Observe(took.Seconds())
 }
 
-// ForgetGroup drops a group's counters, so that groups that come and go don't
-// grow the node's memory (rule M2).
+// ForgetGroup deletes a group's counters, so that groups that come and go don't grow the
+// node's memory (rule M2).
 func (m *Meter) ForgetGroup(group garnetworks.GroupID) {
 	m.attempts.DeletePartialMatch(prometheus.Labels{"group": string(group)})
 }
 
-// LinesDropped takes the number of log lines dropped since the start. One
-// goroutine alone calls it.
+// LinesDropped sets the number of log lines dropped since the start. It is not safe for
+// concurrent use, nor beside SyncTotals.
 func (m *Meter) LinesDropped(total uint64) {
-	m.grow(m.totals["garnet_log_lines_dropped_total"], "lines", total)
+	m.syncCounter(m.counters["garnet_log_lines_dropped_total"], "lines", total)
 }
 
-// HeldContents takes the number of contents that are kept from servers.
-func (m *Meter) HeldContents(n int) { m.levels["garnet_held_contents"].Set(float64(n)) }
+// QuarantinedContents sets the number of quarantined call contents.
+func (m *Meter) QuarantinedContents(n int) { m.gauges["garnet_held_contents"].Set(float64(n)) }
 
-// ShowRoutingAge makes the metrics show how long ago the routing was last known to be the
-// newest one, as of each reading. It is called once at most.
-func (m *Meter) ShowRoutingAge(age func() time.Duration) {
+// RegisterRoutingAge exports the time since the routing was last known to be the newest
+// one; age is called at each scrape. It must be called at most once.
+func (m *Meter) RegisterRoutingAge(age func() time.Duration) {
 	const name = "garnet_routing_age_seconds"
-	options := prometheus.GaugeOpts{Name: name, Help: m.rows[name].Help}
+	options := prometheus.GaugeOpts{Name: name, Help: m.byName[name].Help}
 	m.registry.MustRegister(prometheus.NewGaugeFunc(options, func() float64 { return age().Seconds() }))
 }
 
@@ -237,10 +236,10 @@
 func (m *Meter) FirstToken(d time.Duration) { m.firstToken.Observe(d.Seconds()) }
 
 // BetweenTokens observes the mean time between two tokens of an answer.
-func (m *Meter) BetweenTokens(d time.Duration) { m.betweenTime.Observe(d.Seconds()) }
+func (m *Meter) BetweenTokens(d time.Duration) { m.betweenTokens.Observe(d.Seconds()) }
 
-// InForce sets the generation in force at the node.
-func (m *Meter) InForce(g garnetworks.Generation) { m.generation.Set(float64(g)) }
+// ManifestGeneration sets the generation of the manifest in force at the node.
+func (m *Meter) ManifestGeneration(g garnetworks.Generation) { m.generation.Set(float64(g)) }
 
 // Lease sets whether the node holds the named lease.
 func (m *Meter) Lease(name string, held bool) {
@@ -251,41 +250,41 @@
 	m.lease.WithLabelValues(name).Set(value)
 }
 
-// Peer adds the bytes and messages exchanged with other nodes in one
-// direction, "in" or "out".
-func (m *Meter) Peer(direction string, bytes, messages uint64) {
+// PeerTraffic adds bytes and messages exchanged with other nodes in one direction, "in"
+// or "out".
+func (m *Meter) PeerTraffic(direction string, bytes, messages uint64) {
 	m.peerBytes.WithLabelValues(direction).Add(float64(bytes))
 	m.peerCalls.WithLabelValues(direction).Add(float64(messages))
 }
 
-// Claims are the counters of a node's claims since its start, and their state.
+// Claims holds a node's claim counters since its start, and its current claim state.
 type Claims struct {
 	Written, Conflicts, Failed, Forwarded uint64
-	Owed, Refusing                        int
+	Unrecorded, RefusingShards            int
 }
 
-// Upkeep takes counters that other packages keep since their start. One
-// goroutine alone calls it.
-func (m *Meter) Upkeep(c Claims, overwritten, dropped uint64) {
+// SyncTotals sets counters that other packages keep since their start, and the claim
+// gauges. It is not safe for concurrent use, nor beside LinesDropped.
+func (m *Meter) SyncTotals(c Claims, overwritten, dropped uint64) {
 	for result, total := range map[string]uint64{"written": c.Written, "conflict": c.Conflicts, "failed": c.Failed, "forwarded": c.Forwarded} {
-		m.grow(m.claimWrites.WithLabelValues(result), "claims "+result, total)
+		m.syncCounter(m.claimWrites.WithLabelValues(result), "claims "+result, total)
 	}
-	m.grow(m.totals["garnet_events_overwritten_total"], "overwritten", overwritten)
-	m.grow(m.totals["garnet_probes_dropped_total"], "dropped", dropped)
-	m.levels["garnet_claims_owed"].Set(float64(c.Owed))
-	m.levels["garnet_claim_shards_refusing"].Set(float64(c.Refusing))
+	m.syncCounter(m.counters["garnet_events_overwritten_total"], "overwritten", overwritten)
+	m.syncCounter(m.counters["garnet_probes_dropped_total"], "dropped", dropped)
+	m.gauges["garnet_claims_owed"].Set(float64(c.Unrecorded))
+	m.gauges["garnet_claim_shards_refusing"].Set(float64(c.RefusingShards))
 }
 
-// grow brings a counter to a total that only grows.
-func (m *Meter) grow(counter prometheus.Counter, name string, total uint64) {
-	if last := m.seen[name]; total > last {
+// syncCounter raises a counter by the increase of total since the last call with the name.
+func (m *Meter) syncCounter(counter prometheus.Counter, name string, total uint64) {
+	if last := m.lastTotals[name]; total > last {
 		counter.Add(float64(total - last))
-		m.seen[name] = total
+		m.lastTotals[name] = total
 	}
 }
 
-// View sets the gauges of one availability zone.
-func (m *Meter) View(view garnetworks.ZoneView) {
+// ZoneView sets the gauges of one availability zone.
+func (m *Meter) ZoneView(view garnetworks.ZoneView) {
 	count := make(map[garnetworks.GroupState]int)
 	for i := range view.Groups {
 		count[view.Groups[i].State]++
@@ -305,7 +304,7 @@
 	garnetworks.GroupDraining, garnetworks.GroupBroken,
 }
 
-// Recorder returns a recorder that counts events before it hands them to next.
+// Recorder returns a recorder that counts events by kind and passes them to next.
 func (m *Meter) Recorder(next garnetworks.Recorder) garnetworks.Recorder {
 	return &countingRecorder{Recorder: next, events: m.events}
 }
@@ -315,13 +314,13 @@
 	events *prometheus.CounterVec
 }
 
-// Record counts and passes on.
+// Record implements garnetworks.Recorder.
 func (r *countingRecorder) Record(event garnetworks.Event) {
 	r.events.WithLabelValues(string(event.Kind)).Inc()
 	r.Recorder.Record(event)
 }
 
-// Page returns docs/metrics.md (M1).
+// Page returns the content of docs/metrics.md (M1).
 func Page() string {
 	var b strings.Builder
 	b.WriteString("# Metrics\n\nEach entry node serves these at `/metrics` of its admin address. The unit is the last word of the name.\n\n")
--- a/runner/admin.go
+++ b/runner/admin.go
@@ -53,7 +53,7 @@
 func (r *Runner) updateTrafficMetrics() {
 	now := r.traffic.Count()
 	last := r.reportedTraffic
-	r.meter.Peer("in", now.BytesReceived-last.BytesReceived, now.MessagesReceived-last.MessagesReceived)
-	r.meter.Peer("out", now.BytesSent-last.BytesSent, now.MessagesSent-last.MessagesSent)
+	r.meter.PeerTraffic("in", now.BytesReceived-last.BytesReceived, now.MessagesReceived-last.MessagesReceived)
+	r.meter.PeerTraffic("out", now.BytesSent-last.BytesSent, now.MessagesSent-last.MessagesSent)
 	r.reportedTraffic = now
 }
