--- a/cmd/garnetdemo/standins.go
+++ b/cmd/garnetdemo/standins.go
@@ -74,7 +74,7 @@
 		Fleet:    s.fleet,
 		Objects:  objects,
 		Services: map[string]*faker.Service{"ledger": s.service},
-		Targets: map[string]faker.Faulty{
+		Targets: map[string]faker.FaultTarget{
 			"objects": objects, "instances": list, "power": power, "weights": weights, "ledger": s.service,
 		},
 	}
@@ -90,7 +90,7 @@
 }
 
 func (s *standIns) serveEngines(control *faker.Control) error {
-	domains := make(map[string]faker.Several)
+	domains := make(map[string]faker.FaultGroup)
 	for _, zone := range zones {
 		for i := range s.engines {
 			e := s.fleet.Add(engineSpec(zone, i))
--- a/faker/batch.go
+++ b/faker/batch.go
@@ -25,20 +25,20 @@
 	next    int
 	readyAt time.Time
 	// out is closed after the last chunk; broken then says what went wrong.
-	out       chan garnetworks.Chunk
-	broken    error
+	chunks    chan garnetworks.Chunk
+	err       error
 	cancelled bool
 }
 
 // outDepth is how far an answer runs ahead of its reader before the engine
 // holds it back.
-const outDepth = 64
+const chunkBuffer = 64
 
 // refusalDelay is what a refused caller is told to wait.
 const refusalDelay = 200 * time.Millisecond
 
 // refusal returns the error of a call that was not begun.
-func refusal(kind garnetworks.Kind, reason string) *garnetworks.Error {
+func newRefusal(kind garnetworks.Kind, reason string) *garnetworks.Error {
 	return &garnetworks.Error{Kind: kind, Detail: reason, RetryAfter: refusalDelay}
 }
 
@@ -46,7 +46,7 @@
 func (e *Engine) submit(call *garnetworks.EngineCall) (*sequence, *garnetworks.Error) {
 	e.fleet.mu.Lock()
 	defer e.fleet.mu.Unlock()
-	refused, missing := e.refuses(call)
+	refused, missing := e.checkCall(call)
 	reason := ""
 	if refused != nil {
 		reason = refused.Detail
@@ -65,9 +65,9 @@
 		return nil, refused
 	}
 	s := &sequence{
-		call: *call,
-		next: call.ResumeFrom,
-		out:  make(chan garnetworks.Chunk, outDepth),
+		call:   *call,
+		next:   call.ResumeFrom,
+		chunks: make(chan garnetworks.Chunk, chunkBuffer),
 	}
 	e.batch.waiting = append(e.batch.waiting, s)
 	slices.SortStableFunc(e.batch.waiting, func(a, b *sequence) int {
@@ -75,40 +75,40 @@
 	})
 	if !e.batch.stepping {
 		e.batch.stepping = true
-		go e.steps()
+		go e.runSteps()
 	}
-	if e.crashOn != "" && call.Prompt == e.crashOn {
+	if e.crashPrompt != "" && call.Prompt == e.crashPrompt {
 		e.crashes++
 		go e.Restart()
 	}
 	return s, nil
 }
 
-// refuses returns why the call can't be begun, or nil, and how long a member
+// checkCall returns why the call can't be begun, or nil, and how long a member
 // has been missing.
-func (e *Engine) refuses(call *garnetworks.EngineCall) (*garnetworks.Error, time.Duration) {
+func (e *Engine) checkCall(call *garnetworks.EngineCall) (*garnetworks.Error, time.Duration) {
 	switch {
 	case e.power != garnetworks.PowerOn:
-		return refusal(garnetworks.KindNotReady, "the instance is off"), 0
+		return newRefusal(garnetworks.KindNotReady, "the instance is off"), 0
 	case e.group == "" || call.Group != e.group || call.Token != e.token:
-		return refusal(garnetworks.KindStaleToken, "the engine is not a member of the group with this token"), 0
+		return newRefusal(garnetworks.KindStaleToken, "the engine is not a member of the group with this token"), 0
 	case e.phase == garnetworks.EngineDraining:
-		return refusal(garnetworks.KindShuttingDown, "the engine drains"), 0
+		return newRefusal(garnetworks.KindShuttingDown, "the engine drains"), 0
 	case e.phase != garnetworks.EngineReady:
-		return refusal(garnetworks.KindNotReady, "the engine is "+string(e.phase)), 0
+		return newRefusal(garnetworks.KindNotReady, "the engine is "+string(e.phase)), 0
 	case e.members[0] != e.spec.ID:
-		return refusal(garnetworks.KindNotReady, "the engine is not the group's first member"), 0
+		return newRefusal(garnetworks.KindNotReady, "the engine is not the group's first member"), 0
 	case call.Model != e.model:
-		return refusal(garnetworks.KindNotReady, "the group serves another model"), 0
+		return newRefusal(garnetworks.KindNotReady, "the group serves another model"), 0
 	case call.Adapter != "" && !slices.Contains(e.adapters, call.Adapter):
-		return refusal(garnetworks.KindNotReady, "the adapter is not loaded"), 0
+		return newRefusal(garnetworks.KindNotReady, "the adapter is not loaded"), 0
 	case call.MaxTokens <= 0:
-		return refusal(garnetworks.KindInvalidRequest, "the number of tokens is not above 0"), 0
+		return newRefusal(garnetworks.KindInvalidRequest, "the number of tokens is not above 0"), 0
 	case len(e.batch.waiting) >= e.spec.Queue:
-		return refusal(garnetworks.KindOverloaded, "the queue is full"), 0
+		return newRefusal(garnetworks.KindOverloaded, "the queue is full"), 0
 	}
 	if m, since := e.missingMember(); m != "" {
-		return refusal(garnetworks.KindNotReady, "member "+string(m)+" is missing"), max(time.Since(since), 1)
+		return newRefusal(garnetworks.KindNotReady, "member "+string(m)+" is missing"), max(time.Since(since), 1)
 	}
 	return nil, 0
 }
@@ -129,13 +129,13 @@
 	return "", time.Time{}
 }
 
-// steps makes tokens until the engine has no calls.
-func (e *Engine) steps() {
+// runSteps makes tokens until the engine has no calls.
+func (e *Engine) runSteps() {
 	for {
 		if sleep(e.fleet.ctx, e.stepTime()) != nil {
 			return
 		}
-		if e.thaw(e.fleet.ctx) != nil {
+		if e.waitUnfrozen(e.fleet.ctx) != nil {
 			return
 		}
 		if !e.step() {
@@ -160,11 +160,11 @@
 	e.fleet.mu.Lock()
 	defer e.fleet.mu.Unlock()
 	if !e.up() {
-		e.breakAll("the engine died")
+		e.abortAll("the engine died")
 	}
 	e.admit()
 	if m, _ := e.missingMember(); m != "" && len(e.batch.running) > 0 {
-		e.breakAll("member " + string(m) + " is missing")
+		e.abortAll("member " + string(m) + " is missing")
 	}
 	now := time.Now()
 	e.batch.running = slices.DeleteFunc(e.batch.running, func(s *sequence) bool {
@@ -196,7 +196,7 @@
 // emit sends the sequence's next token and reports whether the answer is whole.
 // It sends nothing while the reader is far behind.
 func (e *Engine) emit(s *sequence) bool {
-	if len(s.out) >= outDepth-1 {
+	if len(s.chunks) >= chunkBuffer-1 {
 		return false
 	}
 	if s.next >= s.call.MaxTokens {
@@ -210,7 +210,7 @@
 			return true
 		}
 	}
-	s.out <- garnetworks.Chunk{Attempt: s.call.Attempt, Index: s.next, Text: text, Tokens: 1}
+	s.chunks <- garnetworks.Chunk{Attempt: s.call.Attempt, Index: s.next, Text: text, Tokens: 1}
 	s.next++
 	if s.next < s.call.MaxTokens {
 		return false
@@ -220,22 +220,22 @@
 }
 
 func (e *Engine) finish(s *sequence, reason string) {
-	s.out <- garnetworks.Chunk{
+	s.chunks <- garnetworks.Chunk{
 		Attempt:      s.call.Attempt,
 		Index:        s.next,
 		End:          true,
 		FinishReason: reason,
 		Load:         garnetworks.Some(e.measure()),
 	}
-	close(s.out)
+	close(s.chunks)
 }
 
-// breakAll ends all calls without their end markers.
-func (e *Engine) breakAll(reason string) {
+// abortAll ends all calls without their end markers.
+func (e *Engine) abortAll(reason string) {
 	for _, s := range slices.Concat(e.batch.running, e.batch.waiting) {
 		if !s.cancelled {
-			s.broken = garnetworks.Errorf(garnetworks.KindStreamBroken, "%s", reason)
-			close(s.out)
+			s.err = garnetworks.Errorf(garnetworks.KindStreamBroken, "%s", reason)
+			close(s.chunks)
 		}
 	}
 	e.batch.running, e.batch.waiting = nil, nil
@@ -247,10 +247,10 @@
 	s.cancelled = true
 }
 
-func (e *Engine) brokenBy(s *sequence) error {
+func (e *Engine) sequenceErr(s *sequence) error {
 	e.fleet.mu.Lock()
 	defer e.fleet.mu.Unlock()
-	return s.broken
+	return s.err
 }
 
 // Generate starts an attempt in process, with the failures that an adapter
@@ -263,30 +263,30 @@
 	defer cancel()
 	t, err := e.begin(bounded, MethodGenerate)
 	if err != nil {
-		return nil, beforeBegin(err, ctx.Err() == nil)
+		return nil, beginError(err, ctx.Err() == nil)
 	}
 	s, refused := e.submit(call)
 	if refused != nil {
 		return nil, &garnetworks.AttemptError{Phase: garnetworks.PhaseRefused, RetryAfter: refused.RetryAfter, Cause: refused}
 	}
-	if e.take(MethodGenerate, lostAnswers) {
+	if e.consume(MethodGenerate, lostAnswers) {
 		e.cancel(s)
 		return nil, &garnetworks.AttemptError{Phase: garnetworks.PhaseWait, Cause: errLost}
 	}
-	if e.take(MethodGenerate, lateAnswers) {
-		if err := sleep(ctx, e.FaultsNow().LateBy); err != nil {
+	if e.consume(MethodGenerate, lateAnswers) {
+		if err := sleep(ctx, e.CurrentFaults().LateBy); err != nil {
 			e.cancel(s)
 			return nil, &garnetworks.AttemptError{Phase: garnetworks.PhaseWait, Cause: err}
 		}
 	}
 	st := &stream{ctx: ctx, engine: e, sequence: s, silenced: t.silenced}
-	st.plan(&e.Faults)
+	st.takeFaults(&e.Faults)
 	return st, nil
 }
 
 // beforeBegin maps a fault that came before the call's effect to how far an
 // adapter would have come.
-func beforeBegin(err error, silent bool) error {
+func beginError(err error, silent bool) error {
 	switch err {
 	case errDown:
 		return &garnetworks.AttemptError{Phase: garnetworks.PhaseConnect, Cause: err}
@@ -303,20 +303,20 @@
 	sequence *sequence
 	silenced <-chan struct{}
 	// truncate and cross are the number of chunks before the fault; -1 is never.
-	truncate int
-	cross    int
-	sent     int
-	ended    bool
+	truncateAt int
+	mismatchAt int
+	sent       int
+	ended      bool
 }
 
-func (st *stream) plan(f *Faults) {
-	st.truncate, st.cross = -1, -1
-	after := f.FaultsNow().BreakAfter
-	if f.take(MethodGenerate, truncatedAnswers) {
-		st.truncate = after
+func (st *stream) takeFaults(f *Faults) {
+	st.truncateAt, st.mismatchAt = -1, -1
+	after := f.CurrentFaults().BreakAfter
+	if f.consume(MethodGenerate, truncatedAnswers) {
+		st.truncateAt = after
 	}
-	if f.take(MethodGenerate, crossedAnswers) {
-		st.cross = after
+	if f.consume(MethodGenerate, crossedAnswers) {
+		st.mismatchAt = after
 	}
 }
 
@@ -325,23 +325,23 @@
 	if st.ended {
 		return io.EOF
 	}
-	if st.sent == st.truncate {
+	if st.sent == st.truncateAt {
 		return &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: io.ErrUnexpectedEOF}
 	}
-	if st.sent == st.cross {
+	if st.sent == st.mismatchAt {
 		return &garnetworks.AttemptError{Phase: garnetworks.PhaseMismatched}
 	}
 	for {
 		plan, changed, _ := st.engine.snapshot()
 		if plan.Frozen || isClosed(st.silenced) {
-			return st.hang(chunk, changed)
+			return st.stall(chunk, changed)
 		}
 		select {
 		case <-st.ctx.Done():
-			return st.givenUp()
+			return st.contextError()
 		case <-st.silenced:
 		case <-changed:
-		case c, ok := <-st.sequence.out:
+		case c, ok := <-st.sequence.chunks:
 			return st.deliver(chunk, c, ok)
 		}
 	}
@@ -356,13 +356,13 @@
 	}
 }
 
-func (st *stream) givenUp() error {
+func (st *stream) contextError() error {
 	return &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: st.ctx.Err()}
 }
 
 func (st *stream) deliver(chunk *garnetworks.Chunk, c garnetworks.Chunk, ok bool) error {
 	if !ok {
-		return &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: st.engine.brokenBy(st.sequence)}
+		return &garnetworks.AttemptError{Phase: garnetworks.PhaseBody, Cause: st.engine.sequenceErr(st.sequence)}
 	}
 	st.sent++
 	st.ended = c.End
@@ -370,14 +370,14 @@
 	return nil
 }
 
-// hang waits for the silence bound, as an adapter would on a connection that
+// stall waits for the silence bound, as an adapter would on a connection that
 // makes no progress, or until a frozen engine goes on.
-func (st *stream) hang(chunk *garnetworks.Chunk, changed <-chan struct{}) error {
+func (st *stream) stall(chunk *garnetworks.Chunk, changed <-chan struct{}) error {
 	timer := time.NewTimer(st.engine.fleet.Silence)
 	defer timer.Stop()
 	select {
 	case <-st.ctx.Done():
-		return st.givenUp()
+		return st.contextError()
 	case <-changed:
 		return st.Next(chunk)
 	case <-timer.C:
--- a/faker/cache.go
+++ b/faker/cache.go
@@ -14,10 +14,10 @@
 	if !e.on() {
 		return nil, errNoEngine(e.Spec().Address)
 	}
-	return apply(ctx, &e.Faults, MethodCacheEvents, failedRead(garnetworks.KindUnreachable), func() ([]garnetworks.CacheEvent, error) {
+	return withFaults(ctx, &e.Faults, MethodCacheEvents, failedRead(garnetworks.KindUnreachable), func() ([]garnetworks.CacheEvent, error) {
 		e.fleet.mu.Lock()
 		defer e.fleet.mu.Unlock()
-		return e.cache.since(after, time.Now().Add(-e.spec.EventLag), e.spec.EventGap), nil
+		return e.cache.eventsAfter(after, time.Now().Add(-e.spec.EventLag), e.spec.EventGap), nil
 	})
 }
 
@@ -43,11 +43,11 @@
 
 // cache is a bounded prefix cache with its events.
 type cache struct {
-	limit  int
-	clock  uint64
-	blocks map[uint64]uint64
-	newest uint64
-	events []cacheEvent
+	limit      int
+	clock      uint64
+	blocks     map[uint64]uint64
+	lastNumber uint64
+	events     []cacheEvent
 }
 
 type cacheEvent struct {
@@ -77,14 +77,14 @@
 	for _, b := range blocks {
 		c.clock++
 		if _, ok := c.blocks[b]; !ok {
-			c.note(b, true)
+			c.recordEvent(b, true)
 		}
 		c.blocks[b] = c.clock
 	}
 	for len(c.blocks) > c.limit {
 		b := oldest(c.blocks)
 		delete(c.blocks, b)
-		c.note(b, false)
+		c.recordEvent(b, false)
 	}
 }
 
@@ -93,16 +93,16 @@
 	return slices.MinFunc(keys, func(a, b uint64) int { return int(blocks[a]) - int(blocks[b]) })
 }
 
-func (c *cache) note(block uint64, added bool) {
-	c.newest++
-	event := garnetworks.CacheEvent{Number: c.newest, Block: block, Added: added}
+func (c *cache) recordEvent(block uint64, added bool) {
+	c.lastNumber++
+	event := garnetworks.CacheEvent{Number: c.lastNumber, Block: block, Added: added}
 	c.events = append(c.events, cacheEvent{event, time.Now()})
 	if excess := len(c.events) - maxCacheEvents; excess > 0 {
 		c.events = slices.Clone(c.events[excess:])
 	}
 }
 
-func (c *cache) since(after uint64, until time.Time, gap uint64) []garnetworks.CacheEvent {
+func (c *cache) eventsAfter(after uint64, until time.Time, gap uint64) []garnetworks.CacheEvent {
 	var events []garnetworks.CacheEvent
 	for _, e := range c.events {
 		lost := gap > 0 && e.Number%gap == 0
--- a/faker/control.go
+++ b/faker/control.go
@@ -13,42 +13,42 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Faulty is a stand-in whose faults can be set.
-type Faulty interface {
+// FaultTarget is a stand-in whose faults can be set.
+type FaultTarget interface {
 	SetFaults(plan FaultPlan)
-	FaultsNow() FaultPlan
+	CurrentFaults() FaultPlan
 	SilenceOpen()
 	DropConnections()
 }
 
-// Several is stand-ins that fail together, as a fabric domain or an availability
+// FaultGroup is stand-ins that fail together, as a fabric domain or an availability
 // zone does.
-type Several []Faulty
+type FaultGroup []FaultTarget
 
 // SetFaults sets the plan of each.
-func (s Several) SetFaults(plan FaultPlan) {
+func (s FaultGroup) SetFaults(plan FaultPlan) {
 	for _, f := range s {
 		f.SetFaults(plan)
 	}
 }
 
-// FaultsNow returns the plan of the first.
-func (s Several) FaultsNow() FaultPlan {
+// CurrentFaults returns the plan of the first.
+func (s FaultGroup) CurrentFaults() FaultPlan {
 	if len(s) == 0 {
 		return FaultPlan{}
 	}
-	return s[0].FaultsNow()
+	return s[0].CurrentFaults()
 }
 
 // SilenceOpen makes the open connections of each silent.
-func (s Several) SilenceOpen() {
+func (s FaultGroup) SilenceOpen() {
 	for _, f := range s {
 		f.SilenceOpen()
 	}
 }
 
 // DropConnections breaks the open connections of each.
-func (s Several) DropConnections() {
+func (s FaultGroup) DropConnections() {
 	for _, f := range s {
 		f.DropConnections()
 	}
@@ -58,7 +58,7 @@
 // address of its own, which no fault concerns.
 type Control struct {
 	// Targets are the stand-ins by the names in the control path.
-	Targets map[string]Faulty
+	Targets map[string]FaultTarget
 	// Fleet, Objects and Services may be nil.
 	Fleet    *Fleet
 	Objects  *Objects
@@ -136,10 +136,10 @@
 func ServeControlAt(address string, c *Control) (*Server, error) {
 	r := chi.NewRouter()
 	r.Get("/faults", c.serveFaults)
-	r.Get("/faults/{target}", c.serveTarget)
-	r.Put("/faults/{target}", c.serveSet)
-	r.Post("/faults/{target}/silence", c.act(Faulty.SilenceOpen))
-	r.Post("/faults/{target}/drop", c.act(Faulty.DropConnections))
+	r.Get("/faults/{target}", c.serveTargetFaults)
+	r.Put("/faults/{target}", c.serveSetFaults)
+	r.Post("/faults/{target}/silence", c.actionHandler(FaultTarget.SilenceOpen))
+	r.Post("/faults/{target}/drop", c.actionHandler(FaultTarget.DropConnections))
 	r.Post("/engines/{engine}/{action}", c.serveEngine)
 	r.Get("/state", c.serveState)
 	r.Get("/groups", c.serveGroups)
@@ -150,14 +150,14 @@
 func (c *Control) serveFaults(w http.ResponseWriter, r *http.Request) {
 	plans := make(map[string]PlanBody, len(c.Targets))
 	for name, target := range c.Targets {
-		plans[name] = planBody(target.FaultsNow())
+		plans[name] = planBody(target.CurrentFaults())
 	}
 	reply(w, r, plans, nil)
 }
 
 // target returns the stand-in that the path names, or answers that there is
 // none.
-func (c *Control) target(w http.ResponseWriter, r *http.Request) (Faulty, bool) {
+func (c *Control) target(w http.ResponseWriter, r *http.Request) (FaultTarget, bool) {
 	name := chi.URLParam(r, "target")
 	target, ok := c.Targets[name]
 	if !ok {
@@ -167,13 +167,13 @@
 	return target, ok
 }
 
-func (c *Control) serveTarget(w http.ResponseWriter, r *http.Request) {
+func (c *Control) serveTargetFaults(w http.ResponseWriter, r *http.Request) {
 	if target, ok := c.target(w, r); ok {
-		reply(w, r, planBody(target.FaultsNow()), nil)
+		reply(w, r, planBody(target.CurrentFaults()), nil)
 	}
 }
 
-func (c *Control) serveSet(w http.ResponseWriter, r *http.Request) {
+func (c *Control) serveSetFaults(w http.ResponseWriter, r *http.Request) {
 	target, ok := c.target(w, r)
 	if !ok {
 		return
@@ -186,10 +186,10 @@
 		return
 	}
 	target.SetFaults(body.plan())
-	reply(w, r, planBody(target.FaultsNow()), nil)
+	reply(w, r, planBody(target.CurrentFaults()), nil)
 }
 
-func (c *Control) act(action func(Faulty)) http.HandlerFunc {
+func (c *Control) actionHandler(action func(FaultTarget)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if target, ok := c.target(w, r); ok {
 			action(target)
@@ -276,7 +276,7 @@
 		replyProblem(w, garnetworks.Errorf(garnetworks.KindNotFound, "there is no service %q", name))
 		return
 	}
-	reply(w, r, service.ExecutionsByKeys(), nil)
+	reply(w, r, service.ExecutionsPerKey(), nil)
 }
 
 // GroupBody is a group that serves now, by its first member's word.
--- a/faker/control_test.go
+++ b/faker/control_test.go
@@ -13,7 +13,7 @@
 
 // A zone is cut off from the object API while the others reach it; its waiting
 // watches must end, or a test of the cut-off zone waits for their time.
-func TestViewIsCutOffAlone(t *testing.T) {
+func TestObjectsViewFaultIsolation(t *testing.T) {
 	tests := map[string]func(o *Objects, v *ObjectsView){
 		"view": func(_ *Objects, v *ObjectsView) { v.SetFaults(FaultPlan{Down: true}) },
 		"base": func(o *Objects, _ *ObjectsView) { o.SetFaults(FaultPlan{Down: true}) },
@@ -44,9 +44,9 @@
 	e := f.Add(EngineSpec{ListedInstance: garnetworks.ListedInstance{ID: "e"}, On: true})
 	objects := NewObjects(ObjectsOptions{})
 	ledger := NewService("ledger", 0)
-	ledger.note(&garnetworks.ServiceCall{IdempotencyKey: "visit-7"})
+	ledger.countExecution(&garnetworks.ServiceCall{IdempotencyKey: "visit-7"})
 	services := map[string]*Service{"ledger": ledger}
-	s, err := ServeControl(&Control{Targets: map[string]Faulty{"e": e, "objects": objects}, Fleet: f, Objects: objects, Services: services})
+	s, err := ServeControl(&Control{Targets: map[string]FaultTarget{"e": e, "objects": objects}, Fleet: f, Objects: objects, Services: services})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,7 +72,7 @@
 		return answer.Bytes()
 	}
 	send(http.MethodPut, "/faults/objects", `{"late-by-ms": 1500, "late-answers": 2, "methods": ["put"]}`, http.StatusOK)
-	if got := objects.FaultsNow(); got.LateBy != 1500*time.Millisecond || got.LateAnswers != 2 || len(got.Methods) != 1 {
+	if got := objects.CurrentFaults(); got.LateBy != 1500*time.Millisecond || got.LateAnswers != 2 || len(got.Methods) != 1 {
 		t.Errorf("got plan %+v", got)
 	}
 	send(http.MethodPut, "/faults/objects", `{"late-by": 1500}`, http.StatusBadRequest)
--- a/faker/engine.go
+++ b/faker/engine.go
@@ -63,32 +63,32 @@
 	spec  EngineSpec
 
 	// The fields below are guarded by fleet.mu.
-	power       garnetworks.PowerState
-	boot        uint64
-	incarnation uint64
-	phase       garnetworks.EnginePhase
-	group       garnetworks.GroupID
-	token       garnetworks.FencingToken
-	highest     garnetworks.FencingToken
-	members     []garnetworks.InstanceID
-	model       garnetworks.ModelName
-	version     garnetworks.VersionName
-	adapters    []garnetworks.AdapterName
-	weights     []garnetworks.WeightID
-	lastOrder   string
-	leaving     bool
-	orders      int
+	power        garnetworks.PowerState
+	boot         uint64
+	incarnation  uint64
+	phase        garnetworks.EnginePhase
+	group        garnetworks.GroupID
+	token        garnetworks.FencingToken
+	highestToken garnetworks.FencingToken
+	members      []garnetworks.InstanceID
+	model        garnetworks.ModelName
+	version      garnetworks.VersionName
+	adapters     []garnetworks.AdapterName
+	weights      []garnetworks.WeightID
+	lastOrder    string
+	leaving      bool
+	orders       int
 	// loads are the running loads of weights.
 	loads    map[garnetworks.WeightID]*load
 	slowdown float64
 	// crashOn is the prompt of calls under which the process ends; crashes counts them.
-	crashOn string
-	crashes int
+	crashPrompt string
+	crashes     int
 	// downSince is when the engine stopped taking part; zero while it does.
 	downSince time.Time
 	batch     batch
 	cache     cache
-	reported  garnetworks.EngineLoad
+	lastLoad  garnetworks.EngineLoad
 }
 
 func newEngine(f *Fleet, spec EngineSpec) *Engine {
@@ -121,11 +121,11 @@
 func (e *Engine) reset() {
 	e.cancelLoads()
 	e.phase = garnetworks.EngineIdle
-	e.group, e.token, e.highest, e.members = "", 0, 0, nil
+	e.group, e.token, e.highestToken, e.members = "", 0, 0, nil
 	e.model, e.version, e.adapters, e.weights = "", "", nil, nil
 	e.lastOrder, e.leaving = "", false
 	e.cache = newCache(e.spec.CacheBlocks)
-	e.reported = garnetworks.EngineLoad{}
+	e.lastLoad = garnetworks.EngineLoad{}
 }
 
 // Spec returns the engine's description with its address.
@@ -182,7 +182,7 @@
 	e.fleet.mu.Lock()
 	if e.power != garnetworks.PowerOff {
 		e.power = garnetworks.PowerOff
-		e.die("the instance was powered off")
+		e.terminate("the instance was powered off")
 	}
 	id := e.spec.ID
 	e.fleet.mu.Unlock()
@@ -196,7 +196,7 @@
 // incarnation grows.
 func (e *Engine) Restart() {
 	e.fleet.mu.Lock()
-	e.die("the engine restarted")
+	e.terminate("the engine restarted")
 	e.incarnation++
 	e.downSince = time.Time{}
 	e.fleet.mu.Unlock()
@@ -220,12 +220,12 @@
 	e.slowdown = factor
 }
 
-// SetCrashOn makes the engine's process end, and start again, under each call with the
+// SetCrashPrompt makes the engine's process end, and start again, under each call with the
 // prompt; an empty one ends it under none.
-func (e *Engine) SetCrashOn(prompt string) {
+func (e *Engine) SetCrashPrompt(prompt string) {
 	e.fleet.mu.Lock()
 	defer e.fleet.mu.Unlock()
-	e.crashOn = prompt
+	e.crashPrompt = prompt
 }
 
 // Crashes returns how often the process ended under a call.
@@ -246,10 +246,10 @@
 // members know how long the engine has been missing.
 func (e *Engine) SetFaults(plan FaultPlan) {
 	e.Faults.SetFaults(plan)
-	e.noteAbsence()
+	e.updateDownSince()
 }
 
-func (e *Engine) noteAbsence() {
+func (e *Engine) updateDownSince() {
 	e.fleet.mu.Lock()
 	defer e.fleet.mu.Unlock()
 	switch {
@@ -260,15 +260,15 @@
 	}
 }
 
-func (e *Engine) die(reason string) {
-	e.breakAll(reason)
+func (e *Engine) terminate(reason string) {
+	e.abortAll(reason)
 	e.reset()
 	e.downSince = time.Now()
 }
 
 // up reports whether the engine takes part in its group now.
 func (e *Engine) up() bool {
-	plan := e.FaultsNow()
+	plan := e.CurrentFaults()
 	return e.power == garnetworks.PowerOn && !plan.Down && !plan.Frozen
 }
 
@@ -284,7 +284,7 @@
 	if !e.on() {
 		return garnetworks.EngineStatus{}, errNoEngine(e.Spec().Address)
 	}
-	return apply(ctx, &e.Faults, MethodStatus, failedRead(garnetworks.KindUnreachable), func() (garnetworks.EngineStatus, error) {
+	return withFaults(ctx, &e.Faults, MethodStatus, failedRead(garnetworks.KindUnreachable), func() (garnetworks.EngineStatus, error) {
 		e.fleet.mu.Lock()
 		defer e.fleet.mu.Unlock()
 		return e.status(), nil
@@ -305,7 +305,7 @@
 		LastOrder:   e.lastOrder,
 		Leaving:     e.leaving,
 		Load:        e.measure(),
-		CacheEvents: e.cache.newest,
+		CacheEvents: e.cache.lastNumber,
 	}
 }
 
@@ -313,8 +313,8 @@
 // report is older than the lag.
 func (e *Engine) measure() garnetworks.EngineLoad {
 	now := time.Now()
-	if e.reported.At.IsZero() || now.Sub(e.reported.At) >= e.spec.LoadLag {
-		e.reported = garnetworks.EngineLoad{
+	if e.lastLoad.At.IsZero() || now.Sub(e.lastLoad.At) >= e.spec.LoadLag {
+		e.lastLoad = garnetworks.EngineLoad{
 			Running:   len(e.batch.running),
 			Waiting:   len(e.batch.waiting),
 			Capacity:  e.spec.Slots,
@@ -322,5 +322,5 @@
 			At:        now,
 		}
 	}
-	return e.reported
+	return e.lastLoad
 }
--- a/faker/faults.go
+++ b/faker/faults.go
@@ -48,8 +48,8 @@
 	conns    map[*conn]struct{}
 }
 
-// ticket is one call's share of the faults.
-type ticket struct {
+// callState is one call's share of the faults.
+type callState struct {
 	method   string
 	silenced <-chan struct{}
 }
@@ -71,8 +71,8 @@
 	}
 }
 
-// FaultsNow returns the plan with the counts that are left.
-func (f *Faults) FaultsNow() FaultPlan {
+// CurrentFaults returns the plan with the counts that are left.
+func (f *Faults) CurrentFaults() FaultPlan {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	plan := f.plan
@@ -136,23 +136,23 @@
 
 // begin lets a call in: it waits while the stand-in is frozen or slow and fails
 // if it is down or unavailable. No effect may come before it.
-func (f *Faults) begin(ctx context.Context, method string) (ticket, error) {
+func (f *Faults) begin(ctx context.Context, method string) (callState, error) {
 	plan, _, silenced := f.snapshot()
-	t := ticket{method: method, silenced: silenced}
-	if err := f.thaw(ctx); err != nil {
+	t := callState{method: method, silenced: silenced}
+	if err := f.waitUnfrozen(ctx); err != nil {
 		return t, err
 	}
-	if plan.concerns(method) {
+	if plan.appliesTo(method) {
 		if err := sleep(ctx, plan.Delay); err != nil {
 			return t, err
 		}
 	}
 	// The plan may have changed while the call waited.
-	plan = f.FaultsNow()
+	plan = f.CurrentFaults()
 	if plan.Down {
 		return t, errDown
 	}
-	if plan.Unavailable && plan.concerns(method) {
+	if plan.Unavailable && plan.appliesTo(method) {
 		return t, errUnavailable
 	}
 	return t, nil
@@ -160,8 +160,8 @@
 
 // end lets the answer out: it waits if the answer is late or the call silent,
 // and returns errLost if the answer gets lost.
-func (f *Faults) end(ctx context.Context, t ticket) error {
-	if err := f.thaw(ctx); err != nil {
+func (f *Faults) end(ctx context.Context, t callState) error {
+	if err := f.waitUnfrozen(ctx); err != nil {
 		return err
 	}
 	select {
@@ -170,20 +170,20 @@
 		return ctx.Err()
 	default:
 	}
-	late, lost := f.take(t.method, lateAnswers), f.take(t.method, lostAnswers)
+	late, lost := f.consume(t.method, lateAnswers), f.consume(t.method, lostAnswers)
 	if late {
-		if err := sleep(ctx, f.FaultsNow().LateBy); err != nil {
+		if err := sleep(ctx, f.CurrentFaults().LateBy); err != nil {
 			return err
 		}
 	}
-	if lost || f.FaultsNow().Down {
+	if lost || f.CurrentFaults().Down {
 		return errLost
 	}
 	return nil
 }
 
-// thaw waits until the stand-in is not frozen.
-func (f *Faults) thaw(ctx context.Context) error {
+// waitUnfrozen waits until the stand-in is not frozen.
+func (f *Faults) waitUnfrozen(ctx context.Context) error {
 	for {
 		plan, changed, _ := f.snapshot()
 		if !plan.Frozen {
@@ -197,9 +197,9 @@
 	}
 }
 
-// untilDown returns a context that ends when the stand-in goes down, as a call
+// cancelWhenDown returns a context that ends when the stand-in goes down, as a call
 // that waits on its connection would.
-func (f *Faults) untilDown(ctx context.Context) (context.Context, context.CancelFunc) {
+func (f *Faults) cancelWhenDown(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	go func() {
 		for {
@@ -223,11 +223,11 @@
 func crossedAnswers(p *FaultPlan) *int   { return &p.CrossAnswers }
 func truncatedAnswers(p *FaultPlan) *int { return &p.TruncateAnswers }
 
-// take uses up one of the counted faults.
-func (f *Faults) take(method string, field func(*FaultPlan) *int) bool {
+// consume uses up one of the counted faults.
+func (f *Faults) consume(method string, field func(*FaultPlan) *int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.plan.concerns(method) {
+	if !f.plan.appliesTo(method) {
 		return false
 	}
 	n := field(&f.plan)
@@ -238,7 +238,7 @@
 	return *n < 0
 }
 
-func (p FaultPlan) concerns(method string) bool {
+func (p FaultPlan) appliesTo(method string) bool {
 	return len(p.Methods) == 0 || slices.Contains(p.Methods, method)
 }
 
@@ -265,7 +265,7 @@
 
 // apply runs effect between the faults. failed maps an error of the faults to
 // the interface's kinds; begun says whether effect ran.
-func apply[T any](ctx context.Context, f *Faults, method string, failed func(err error, begun bool) error, effect func() (T, error)) (T, error) {
+func withFaults[T any](ctx context.Context, f *Faults, method string, failed func(err error, begun bool) error, effect func() (T, error)) (T, error) {
 	var none T
 	t, err := f.begin(ctx, method)
 	if err != nil {
--- a/faker/fleet.go
+++ b/faker/fleet.go
@@ -27,11 +27,11 @@
 
 	// mu guards the state of all engines, because an engine looks at the members
 	// of its group.
-	mu        sync.Mutex
-	engines   map[garnetworks.InstanceID]*Engine
-	addresses map[string]*Engine
-	attempts  []Attempt
-	lost      uint64
+	mu              sync.Mutex
+	engines         map[garnetworks.InstanceID]*Engine
+	addresses       map[string]*Engine
+	attempts        []Attempt
+	droppedAttempts uint64
 }
 
 // Attempt is the record of one call that reached an engine, for oracles.
@@ -74,7 +74,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, e := range f.engines {
-		e.breakAll("the fleet was closed")
+		e.abortAll("the fleet was closed")
 	}
 }
 
@@ -128,12 +128,12 @@
 func (f *Fleet) Attempts() (attempts []Attempt, lost uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.attempts), f.lost
+	return slices.Clone(f.attempts), f.droppedAttempts
 }
 
 func (f *Fleet) record(a Attempt) {
 	if len(f.attempts) == maxAttempts {
-		f.lost++
+		f.droppedAttempts++
 		return
 	}
 	f.attempts = append(f.attempts, a)
@@ -145,8 +145,8 @@
 	}
 }
 
-// move gives an engine another address, once its listener is known.
-func (f *Fleet) move(e *Engine, address string) {
+// setAddress gives an engine another address, once its listener is known.
+func (f *Fleet) setAddress(e *Engine, address string) {
 	f.mu.Lock()
 	delete(f.addresses, e.spec.Address)
 	e.spec.Address = address
@@ -158,7 +158,7 @@
 	}
 }
 
-func (f *Fleet) at(address string) *Engine {
+func (f *Fleet) engineAt(address string) *Engine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.addresses[address]
@@ -170,7 +170,7 @@
 
 // Order implements garnetworks.EngineOrders.
 func (f *Fleet) Order(ctx context.Context, address string, order garnetworks.EngineOrder) (garnetworks.EngineStatus, error) {
-	e := f.at(address)
+	e := f.engineAt(address)
 	if e == nil {
 		return garnetworks.EngineStatus{}, errNoEngine(address)
 	}
@@ -179,7 +179,7 @@
 
 // Status implements garnetworks.EngineOrders.
 func (f *Fleet) Status(ctx context.Context, address string) (garnetworks.EngineStatus, error) {
-	e := f.at(address)
+	e := f.engineAt(address)
 	if e == nil {
 		return garnetworks.EngineStatus{}, errNoEngine(address)
 	}
@@ -188,7 +188,7 @@
 
 // CacheEvents implements garnetworks.CacheEvents.
 func (f *Fleet) CacheEvents(ctx context.Context, address string, after uint64) ([]garnetworks.CacheEvent, error) {
-	e := f.at(address)
+	e := f.engineAt(address)
 	if e == nil {
 		return nil, errNoEngine(address)
 	}
@@ -197,7 +197,7 @@
 
 // Generate implements garnetworks.EngineCaller.
 func (f *Fleet) Generate(ctx context.Context, address string, call *garnetworks.EngineCall) (garnetworks.EngineStream, error) {
-	e := f.at(address)
+	e := f.engineAt(address)
 	if e == nil {
 		return nil, &garnetworks.AttemptError{Phase: garnetworks.PhaseConnect, Cause: errNoEngine(address)}
 	}
--- a/faker/fleet_test.go
+++ b/faker/fleet_test.go
@@ -29,7 +29,7 @@
 // oracle is what a reader of the contract believes of one engine.
 type oracle struct {
 	on, frozen, down bool
-	checks           bool
+	checksFencing    bool
 	group            garnetworks.GroupID
 	token, highest   garnetworks.FencingToken
 	members          []garnetworks.InstanceID
@@ -51,20 +51,20 @@
 		id := garnetworks.InstanceID(fmt.Sprintf("e%d", i))
 		m.fleet.Add(EngineSpec{ListedInstance: garnetworks.ListedInstance{ID: id}, On: true, ChecksFencing: i < 2})
 		m.ids = append(m.ids, id)
-		m.states[id] = &oracle{on: true, checks: i < 2}
+		m.states[id] = &oracle{on: true, checksFencing: i < 2}
 	}
 	return m
 }
 
-func (m *fleetMachine) draw(t *rapid.T) (*Engine, *oracle) {
+func (m *fleetMachine) drawEngine(t *rapid.T) (*Engine, *oracle) {
 	id := rapid.SampledFrom(m.ids).Draw(t, "engine")
 	return m.fleet.Engine(id), m.states[id]
 }
 
-func (o *oracle) reached() bool { return o.on && !o.down && !o.frozen }
+func (o *oracle) reachable() bool { return o.on && !o.down && !o.frozen }
 
-// forget is what a new process knows.
-func (o *oracle) forget() {
+// reset is what a new process knows.
+func (o *oracle) reset() {
 	o.group, o.token, o.highest, o.members, o.draining = "", 0, 0, nil, false
 }
 
@@ -75,9 +75,9 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	_, err := e.Order(ctx, order)
-	stale := o.checks && order.Token < o.highest
+	stale := o.checksFencing && order.Token < o.highest
 	switch {
-	case !o.reached():
+	case !o.reachable():
 		if err == nil {
 			t.Fatalf("an engine that can't be reached obeyed")
 		}
@@ -91,10 +91,10 @@
 		t.Fatal(err)
 	}
 	o.highest = max(o.highest, order.Token)
-	o.obey(order)
+	o.apply(order)
 }
 
-func (o *oracle) obey(order garnetworks.EngineOrder) {
+func (o *oracle) apply(order garnetworks.EngineOrder) {
 	switch order.Kind {
 	case garnetworks.OrderForm:
 		if order.Group != o.group || order.Token != o.token {
@@ -122,23 +122,23 @@
 	})
 }
 
-func (m *fleetMachine) plainOrder(kind garnetworks.OrderKind) func(*rapid.T) {
+func (m *fleetMachine) orderOf(kind garnetworks.OrderKind) func(*rapid.T) {
 	return func(t *rapid.T) {
-		e, o := m.draw(t)
+		e, o := m.drawEngine(t)
 		m.order(t, e, o, garnetworks.EngineOrder{Kind: kind})
 	}
 }
 
-// wantServes reports whether a call with the oracle's group and token must be
+// shouldServe reports whether a call with the oracle's group and token must be
 // begun by the engine.
-func (m *fleetMachine) wantServes(id garnetworks.InstanceID) bool {
+func (m *fleetMachine) shouldServe(id garnetworks.InstanceID) bool {
 	o := m.states[id]
-	if !o.reached() || o.group == "" || o.draining || o.members[0] != id {
+	if !o.reachable() || o.group == "" || o.draining || o.members[0] != id {
 		return false
 	}
 	for _, member := range o.members {
 		other := m.states[member]
-		if !other.reached() || other.group != o.group || other.token != o.token {
+		if !other.reachable() || other.group != o.group || other.token != o.token {
 			return false
 		}
 	}
@@ -149,14 +149,14 @@
 func (m *fleetMachine) check(t *rapid.T) {
 	for _, id := range m.ids {
 		o := m.states[id]
-		for _, wrong := range []garnetworks.FencingToken{0, 1} {
+		for _, offset := range []garnetworks.FencingToken{0, 1} {
 			call := &garnetworks.EngineCall{
 				CallRequest: garnetworks.CallRequest{Model: "model", Prompt: "x", MaxTokens: 1},
 				Group:       o.group,
-				Token:       o.token + wrong,
+				Token:       o.token + offset,
 			}
 			served := m.serves(id, call)
-			if want := wrong == 0 && m.wantServes(id); served != want {
+			if want := offset == 0 && m.shouldServe(id); served != want {
 				t.Fatalf("engine %s with %+v served call with token %v: %v, want %v", id, *o, call.Token, served, want)
 			}
 		}
@@ -183,7 +183,7 @@
 // A member dies, is frozen, or follows another order than the rest of its group,
 // in any order of events; the group must not serve, or oracles that rely on the
 // stand-ins prove nothing.
-func TestFleetServesOnlyWholeGroups(t *testing.T) {
+func TestFleetServesOnlyCompleteGroups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		// The deadline of a test can't be asked for within the bubble.
 		rapid.Check(struct{ rapid.TB }{t}, func(rt *rapid.T) {
@@ -192,17 +192,17 @@
 			rt.Repeat(map[string]func(*rapid.T){
 				"form":    m.form,
 				"form ":   m.form,
-				"release": m.plainOrder(garnetworks.OrderRelease),
-				"drain":   m.plainOrder(garnetworks.OrderDrain),
+				"release": m.orderOf(garnetworks.OrderRelease),
+				"drain":   m.orderOf(garnetworks.OrderDrain),
 				"restart": func(t *rapid.T) {
-					e, o := m.draw(t)
+					e, o := m.drawEngine(t)
 					if o.on {
 						e.Restart()
-						o.forget()
+						o.reset()
 					}
 				},
 				"power": func(t *rapid.T) {
-					e, o := m.draw(t)
+					e, o := m.drawEngine(t)
 					if o.on {
 						e.PowerOff()
 					} else {
@@ -211,15 +211,15 @@
 						time.Sleep(time.Millisecond)
 					}
 					o.on = !o.on
-					o.forget()
+					o.reset()
 				},
 				"freeze": func(t *rapid.T) {
-					e, o := m.draw(t)
+					e, o := m.drawEngine(t)
 					o.frozen = !o.frozen
 					e.SetFaults(FaultPlan{Frozen: o.frozen, Down: o.down})
 				},
 				"down": func(t *rapid.T) {
-					e, o := m.draw(t)
+					e, o := m.drawEngine(t)
 					o.down = !o.down
 					e.SetFaults(FaultPlan{Frozen: o.frozen, Down: o.down})
 				},
@@ -234,12 +234,12 @@
 
 // A planner that trusts the store's rate and shares it well sees loads take as
 // long as planned; one that overbooks sees all of them slow down.
-func TestLoadsShareTheStore(t *testing.T) {
+func TestLoadsShareStoreRate(t *testing.T) {
 	const rate, size = 1000, 1000
 	id := garnetworks.WeightID{Model: "m", Version: "v"}
 	tests := map[string]struct {
-		asked []int64
-		want  []time.Duration
+		requestedRates []int64
+		want           []time.Duration
 	}{
 		"alone":      {[]int64{0}, []time.Duration{time.Second}},
 		"own rate":   {[]int64{500}, []time.Duration{2 * time.Second}},
@@ -252,11 +252,11 @@
 			synctest.Test(t, func(t *testing.T) {
 				w := NewWeightStore(rate, map[garnetworks.WeightID]int64{id: size})
 				start := time.Now()
-				took := make([]time.Duration, len(test.asked))
+				took := make([]time.Duration, len(test.requestedRates))
 				var loads sync.WaitGroup
-				for i, asked := range test.asked {
+				for i, asked := range test.requestedRates {
 					loads.Go(func() {
-						if err := w.read(t.Context(), id, &load{asked: asked}); err != nil {
+						if err := w.read(t.Context(), id, &load{requestedRate: asked}); err != nil {
 							t.Error(err)
 						}
 						took[i] = time.Since(start)
@@ -274,7 +274,7 @@
 }
 
 // serving returns an engine that serves alone in a group.
-func serving(t *testing.T, spec EngineSpec) *Engine {
+func newServingEngine(t *testing.T, spec EngineSpec) *Engine {
 	f := NewFleet(nil, nil)
 	t.Cleanup(f.Close)
 	spec.ID, spec.On = "e", true
@@ -289,7 +289,7 @@
 }
 
 // timeTo returns the times to the first token and to the end of a call.
-func timeTo(t *testing.T, e *Engine, prompt string, priority, tokens int) (first, end time.Duration) {
+func measureCall(t *testing.T, e *Engine, prompt string, priority, tokens int) (first, end time.Duration) {
 	start := time.Now()
 	stream, err := e.Generate(t.Context(), &garnetworks.EngineCall{
 		CallRequest: garnetworks.CallRequest{Model: "m", Prompt: prompt, Priority: priority, MaxTokens: tokens},
@@ -318,30 +318,30 @@
 	spec := EngineSpec{FirstToken: prefix, PerToken: perToken, PerBlock: perBlock, Slots: 1, CacheBlocks: 4}
 	prompt := string(make([]byte, 3*garnetworks.PrefixBlockBytes))
 	synctest.Test(t, func(t *testing.T) {
-		e := serving(t, spec)
-		cold, end := timeTo(t, e, prompt, 0, 5)
+		e := newServingEngine(t, spec)
+		cold, end := measureCall(t, e, prompt, 0, 5)
 		if want := prefix + 3*perBlock; cold != want || end != want+4*perToken {
 			t.Errorf("cold: got %v and %v, want %v and %v", cold, end, want, want+4*perToken)
 		}
-		if warm, _ := timeTo(t, e, prompt, 0, 1); warm != prefix {
+		if warm, _ := measureCall(t, e, prompt, 0, 1); warm != prefix {
 			t.Errorf("warm: got %v, want %v", warm, prefix)
 		}
 		other := "other" + string(make([]byte, 3*garnetworks.PrefixBlockBytes))
-		timeTo(t, e, other, 0, 1)
-		if evicted, _ := timeTo(t, e, prompt, 0, 1); evicted <= prefix {
+		measureCall(t, e, other, 0, 1)
+		if evicted, _ := measureCall(t, e, prompt, 0, 1); evicted <= prefix {
 			t.Errorf("evicted: got %v, want more than %v", evicted, prefix)
 		}
 		e.SetSlowdown(3)
-		if slow, _ := timeTo(t, e, "x", 0, 1); slow < 3*prefix-3*perToken {
+		if slow, _ := measureCall(t, e, "x", 0, 1); slow < 3*prefix-3*perToken {
 			t.Errorf("straggler: got %v, want about %v", slow, 3*prefix)
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
-		e := serving(t, spec)
+		e := newServingEngine(t, spec)
 		ends := make([]time.Duration, 3)
 		var calls sync.WaitGroup
 		for priority := range ends {
-			calls.Go(func() { _, ends[priority] = timeTo(t, e, "x", priority, 3) })
+			calls.Go(func() { _, ends[priority] = measureCall(t, e, "x", priority, 3) })
 			synctest.Wait()
 		}
 		calls.Wait()
@@ -351,7 +351,7 @@
 	})
 }
 
-func TestListLags(t *testing.T) {
+func TestInstanceListLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := NewInstanceList(time.Second)
 		l.Report(garnetworks.ListedInstance{ID: "e", Zone: "z"})
--- a/faker/listener.go
+++ b/faker/listener.go
@@ -21,7 +21,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.faults.FaultsNow().Down || (l.refuses != nil && l.refuses()) {
+		if l.faults.CurrentFaults().Down || (l.refuses != nil && l.refuses()) {
 			reset(c)
 			continue
 		}
--- a/faker/objects.go
+++ b/faker/objects.go
@@ -111,19 +111,19 @@
 
 // Get implements garnetworks.ObjectAPI.
 func (o *Objects) Get(ctx context.Context, key string) (garnetworks.Object, error) {
-	return apply(ctx, &o.Faults, MethodGet, failedObjectRead, func() (garnetworks.Object, error) { return o.get(key) })
+	return withFaults(ctx, &o.Faults, MethodGet, failedObjectRead, func() (garnetworks.Object, error) { return o.get(key) })
 }
 
 // Put implements garnetworks.ObjectAPI.
 func (o *Objects) Put(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
-	return apply(ctx, &o.Faults, MethodPut, failedObjectWrite, func() (garnetworks.Revision, error) {
+	return withFaults(ctx, &o.Faults, MethodPut, failedObjectWrite, func() (garnetworks.Revision, error) {
 		return o.put(key, value, after)
 	})
 }
 
 // Delete implements garnetworks.ObjectAPI.
 func (o *Objects) Delete(ctx context.Context, key string, after garnetworks.Revision) error {
-	_, err := apply(ctx, &o.Faults, MethodDelete, failedObjectWrite, func() (struct{}, error) {
+	_, err := withFaults(ctx, &o.Faults, MethodDelete, failedObjectWrite, func() (struct{}, error) {
 		return struct{}{}, o.delete(key, after)
 	})
 	return err
@@ -131,13 +131,13 @@
 
 // List implements garnetworks.ObjectAPI.
 func (o *Objects) List(ctx context.Context, prefix string) ([]garnetworks.Object, garnetworks.Revision, error) {
-	p, err := apply(ctx, &o.Faults, MethodList, failedObjectRead, func() (page, error) { return o.list(prefix) })
+	p, err := withFaults(ctx, &o.Faults, MethodList, failedObjectRead, func() (page, error) { return o.list(prefix) })
 	return p.objects, p.revision, err
 }
 
 // Watch implements garnetworks.ObjectAPI.
 func (o *Objects) Watch(ctx context.Context, prefix string, after garnetworks.Revision, wait time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
-	return watchThrough(ctx, &o.Faults, func(ctx context.Context) (page, error) {
+	return watchWithFaults(ctx, &o.Faults, func(ctx context.Context) (page, error) {
 		changes, revision, err := o.watch(ctx, prefix, after, wait)
 		return page{changes, revision}, err
 	})
@@ -250,10 +250,10 @@
 }
 
 // watchThrough makes a watch whose end the faults can bring about.
-func watchThrough(ctx context.Context, f *Faults, watch func(ctx context.Context) (page, error)) ([]garnetworks.Object, garnetworks.Revision, error) {
-	ctx, cancel := f.untilDown(ctx)
+func watchWithFaults(ctx context.Context, f *Faults, watch func(ctx context.Context) (page, error)) ([]garnetworks.Object, garnetworks.Revision, error) {
+	ctx, cancel := f.cancelWhenDown(ctx)
 	defer cancel()
-	p, err := apply(ctx, f, MethodWatch, failedObjectRead, func() (page, error) { return watch(ctx) })
+	p, err := withFaults(ctx, f, MethodWatch, failedObjectRead, func() (page, error) { return watch(ctx) })
 	return p.objects, p.revision, err
 }
 
@@ -320,21 +320,21 @@
 
 // Get implements garnetworks.ObjectAPI.
 func (v *ObjectsView) Get(ctx context.Context, key string) (garnetworks.Object, error) {
-	return apply(ctx, &v.Faults, MethodGet, failedObjectRead, func() (garnetworks.Object, error) {
+	return withFaults(ctx, &v.Faults, MethodGet, failedObjectRead, func() (garnetworks.Object, error) {
 		return v.objects.Get(ctx, key)
 	})
 }
 
 // Put implements garnetworks.ObjectAPI.
 func (v *ObjectsView) Put(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
-	return apply(ctx, &v.Faults, MethodPut, failedObjectWrite, func() (garnetworks.Revision, error) {
+	return withFaults(ctx, &v.Faults, MethodPut, failedObjectWrite, func() (garnetworks.Revision, error) {
 		return v.objects.Put(ctx, key, value, after)
 	})
 }
 
 // Delete implements garnetworks.ObjectAPI.
 func (v *ObjectsView) Delete(ctx context.Context, key string, after garnetworks.Revision) error {
-	_, err := apply(ctx, &v.Faults, MethodDelete, failedObjectWrite, func() (struct{}, error) {
+	_, err := withFaults(ctx, &v.Faults, MethodDelete, failedObjectWrite, func() (struct{}, error) {
 		return struct{}{}, v.objects.Delete(ctx, key, after)
 	})
 	return err
@@ -342,7 +342,7 @@
 
 // List implements garnetworks.ObjectAPI.
 func (v *ObjectsView) List(ctx context.Context, prefix string) ([]garnetworks.Object, garnetworks.Revision, error) {
-	p, err := apply(ctx, &v.Faults, MethodList, failedObjectRead, func() (page, error) {
+	p, err := withFaults(ctx, &v.Faults, MethodList, failedObjectRead, func() (page, error) {
 		objects, revision, err := v.objects.List(ctx, prefix)
 		return page{objects, revision}, err
 	})
@@ -351,7 +351,7 @@
 
 // Watch implements garnetworks.ObjectAPI.
 func (v *ObjectsView) Watch(ctx context.Context, prefix string, after garnetworks.Revision, wait time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
-	return watchThrough(ctx, &v.Faults, func(ctx context.Context) (page, error) {
+	return watchWithFaults(ctx, &v.Faults, func(ctx context.Context) (page, error) {
 		objects, revision, err := v.objects.Watch(ctx, prefix, after, wait)
 		return page{objects, revision}, err
 	})
--- a/faker/orders.go
+++ b/faker/orders.go
@@ -13,33 +13,33 @@
 	if !e.on() {
 		return garnetworks.EngineStatus{}, errNoEngine(e.Spec().Address)
 	}
-	return apply(ctx, &e.Faults, MethodOrder, failedWrite(garnetworks.KindUnreachable), func() (garnetworks.EngineStatus, error) {
+	return withFaults(ctx, &e.Faults, MethodOrder, failedWrite(garnetworks.KindUnreachable), func() (garnetworks.EngineStatus, error) {
 		e.fleet.mu.Lock()
 		defer e.fleet.mu.Unlock()
-		if err := e.carryOut(order); err != nil {
+		if err := e.execute(order); err != nil {
 			return garnetworks.EngineStatus{}, err
 		}
 		return e.status(), nil
 	})
 }
 
-func (e *Engine) carryOut(order garnetworks.EngineOrder) error {
-	if e.spec.ChecksFencing && order.Token < e.highest {
-		return garnetworks.Errorf(garnetworks.KindStaleToken, "token %v is lower than %v", order.Token, e.highest)
+func (e *Engine) execute(order garnetworks.EngineOrder) error {
+	if e.spec.ChecksFencing && order.Token < e.highestToken {
+		return garnetworks.Errorf(garnetworks.KindStaleToken, "token %v is lower than %v", order.Token, e.highestToken)
 	}
 	if order.ID != "" && order.ID == e.lastOrder {
 		return nil
 	}
-	if err := e.obey(order); err != nil {
+	if err := e.dispatch(order); err != nil {
 		return err
 	}
-	e.highest = max(e.highest, order.Token)
+	e.highestToken = max(e.highestToken, order.Token)
 	e.lastOrder = order.ID
 	e.orders++
 	return nil
 }
 
-func (e *Engine) obey(order garnetworks.EngineOrder) error {
+func (e *Engine) dispatch(order garnetworks.EngineOrder) error {
 	switch order.Kind {
 	case garnetworks.OrderForm:
 		return e.form(order)
@@ -81,7 +81,7 @@
 }
 
 func (e *Engine) leave(reason string) {
-	e.breakAll(reason)
+	e.abortAll(reason)
 	e.cancelLoads()
 	e.phase = garnetworks.EngineIdle
 	e.group, e.token, e.members = "", 0, nil
@@ -106,26 +106,26 @@
 	id := garnetworks.WeightID{Model: order.Model, Version: order.Version}
 	switch {
 	case slices.Contains(e.weights, id):
-		e.becomeReady()
+		e.updateReadiness()
 	case e.fleet.Store == nil:
-		e.loaded(id)
+		e.addWeights(id)
 	case e.loads[id] != nil:
 		e.fleet.Store.setRate(e.loads[id], order.LoadRate)
 	default:
 		ctx, cancel := context.WithCancel(e.fleet.ctx)
-		l := &load{asked: order.LoadRate, cancel: cancel}
+		l := &load{requestedRate: order.LoadRate, cancel: cancel}
 		e.loads[id] = l
 		go e.loadWeights(ctx, id, l)
 	}
 }
 
-func (e *Engine) loaded(id garnetworks.WeightID) {
+func (e *Engine) addWeights(id garnetworks.WeightID) {
 	e.weights = append(e.weights, id)
-	e.becomeReady()
+	e.updateReadiness()
 }
 
-// becomeReady ends the loading phase once the group's weights are there.
-func (e *Engine) becomeReady() {
+// updateReadiness ends the loading phase once the group's weights are there.
+func (e *Engine) updateReadiness() {
 	id := garnetworks.WeightID{Model: e.model, Version: e.version}
 	if e.phase == garnetworks.EngineLoading && slices.Contains(e.weights, id) {
 		e.phase = garnetworks.EngineReady
@@ -148,5 +148,5 @@
 	}
 	l.cancel()
 	delete(e.loads, id)
-	e.loaded(id)
+	e.addWeights(id)
 }
--- a/faker/platform.go
+++ b/faker/platform.go
@@ -27,7 +27,7 @@
 	lag time.Duration
 	// changes are in the order of their times; shown holds those already seen.
 	changes []listChange
-	shown   map[garnetworks.InstanceID]garnetworks.ListedInstance
+	visible map[garnetworks.InstanceID]garnetworks.ListedInstance
 }
 
 type listChange struct {
@@ -39,20 +39,20 @@
 // NewInstanceList returns an empty list that shows changes after lag.
 func NewInstanceList(lag time.Duration) *InstanceList {
 	return &InstanceList{
-		lag:   lag,
-		shown: make(map[garnetworks.InstanceID]garnetworks.ListedInstance),
+		lag:     lag,
+		visible: make(map[garnetworks.InstanceID]garnetworks.ListedInstance),
 	}
 }
 
 // Report enters or changes a row.
-func (l *InstanceList) Report(row garnetworks.ListedInstance) { l.enter(listChange{row: row}) }
+func (l *InstanceList) Report(row garnetworks.ListedInstance) { l.addChange(listChange{row: row}) }
 
 // Remove takes a row away.
 func (l *InstanceList) Remove(id garnetworks.InstanceID) {
-	l.enter(listChange{row: garnetworks.ListedInstance{ID: id}, removed: true})
+	l.addChange(listChange{row: garnetworks.ListedInstance{ID: id}, removed: true})
 }
 
-func (l *InstanceList) enter(change listChange) {
+func (l *InstanceList) addChange(change listChange) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change.at = time.Now()
@@ -61,12 +61,12 @@
 
 // Instances implements garnetworks.InstanceList.
 func (l *InstanceList) Instances(ctx context.Context, zone garnetworks.ZoneID) ([]garnetworks.ListedInstance, error) {
-	return apply(ctx, &l.Faults, MethodInstances, failedRead(garnetworks.KindUnreachable), func() ([]garnetworks.ListedInstance, error) {
+	return withFaults(ctx, &l.Faults, MethodInstances, failedRead(garnetworks.KindUnreachable), func() ([]garnetworks.ListedInstance, error) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.show(time.Now().Add(-l.lag))
+		l.applyChanges(time.Now().Add(-l.lag))
 		var rows []garnetworks.ListedInstance
-		for _, row := range l.shown {
+		for _, row := range l.visible {
 			if row.Zone == zone {
 				rows = append(rows, row)
 			}
@@ -76,14 +76,14 @@
 	})
 }
 
-func (l *InstanceList) show(until time.Time) {
+func (l *InstanceList) applyChanges(until time.Time) {
 	for len(l.changes) > 0 && !l.changes[0].at.After(until) {
 		c := l.changes[0]
 		l.changes = l.changes[1:]
 		if c.removed {
-			delete(l.shown, c.row.ID)
+			delete(l.visible, c.row.ID)
 		} else {
-			l.shown[c.row.ID] = c.row
+			l.visible[c.row.ID] = c.row
 		}
 	}
 }
@@ -94,17 +94,17 @@
 	fleet *Fleet
 	mu    sync.Mutex
 	// tokens are the highest seen for each instance.
-	tokens map[garnetworks.InstanceID]garnetworks.FencingToken
-	done   map[garnetworks.InstanceID]string
-	orders int
+	tokens     map[garnetworks.InstanceID]garnetworks.FencingToken
+	lastOrders map[garnetworks.InstanceID]string
+	orders     int
 }
 
 // NewPower returns a power switch for the fleet's engines.
 func NewPower(fleet *Fleet) *Power {
 	return &Power{
-		fleet:  fleet,
-		tokens: make(map[garnetworks.InstanceID]garnetworks.FencingToken),
-		done:   make(map[garnetworks.InstanceID]string),
+		fleet:      fleet,
+		tokens:     make(map[garnetworks.InstanceID]garnetworks.FencingToken),
+		lastOrders: make(map[garnetworks.InstanceID]string),
 	}
 }
 
@@ -118,7 +118,7 @@
 
 // SetPower implements garnetworks.PowerSwitch.
 func (p *Power) SetPower(ctx context.Context, order garnetworks.PowerOrder) error {
-	_, err := apply(ctx, &p.Faults, MethodSetPower, failedWrite(garnetworks.KindUnreachable), func() (struct{}, error) {
+	_, err := withFaults(ctx, &p.Faults, MethodSetPower, failedWrite(garnetworks.KindUnreachable), func() (struct{}, error) {
 		return struct{}{}, p.set(order)
 	})
 	return err
@@ -135,10 +135,10 @@
 		return garnetworks.Errorf(garnetworks.KindStaleToken, "token %v is lower than %v", order.Token, seen)
 	}
 	p.tokens[order.Instance] = order.Token
-	if p.done[order.Instance] == order.ID {
+	if p.lastOrders[order.Instance] == order.ID {
 		return nil
 	}
-	p.done[order.Instance] = order.ID
+	p.lastOrders[order.Instance] = order.ID
 	p.orders++
 	if order.On {
 		e.PowerOn()
@@ -150,7 +150,7 @@
 
 // Power implements garnetworks.PowerSwitch.
 func (p *Power) Power(ctx context.Context, instance garnetworks.InstanceID) (garnetworks.PowerState, error) {
-	return apply(ctx, &p.Faults, MethodPower, failedRead(garnetworks.KindUnreachable), func() (garnetworks.PowerState, error) {
+	return withFaults(ctx, &p.Faults, MethodPower, failedRead(garnetworks.KindUnreachable), func() (garnetworks.PowerState, error) {
 		e := p.fleet.Engine(instance)
 		if e == nil {
 			return garnetworks.PowerUnknown, garnetworks.Errorf(garnetworks.KindNotFound, "no instance %q", instance)
@@ -167,14 +167,14 @@
 	sizes map[garnetworks.WeightID]int64
 	// loads holds the rate that each running load asked for; 0 asks for a fair
 	// share.
-	loads map[*load]struct{}
-	peak  int64
+	loads    map[*load]struct{}
+	peakRate int64
 }
 
 // load is one running load; the store's lock guards asked.
 type load struct {
-	asked  int64
-	cancel context.CancelFunc
+	requestedRate int64
+	cancel        context.CancelFunc
 }
 
 // NewWeightStore returns a store of the given rate in bytes a second.
@@ -196,23 +196,23 @@
 	w.sizes[id] = size
 }
 
-// PeakAsked returns the highest sum of rates that loads asked for at once.
-func (w *WeightStore) PeakAsked() int64 {
+// PeakRequestedRate returns the highest sum of rates that loads asked for at once.
+func (w *WeightStore) PeakRequestedRate() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.peak
+	return w.peakRate
 }
 
 // Rate implements garnetworks.WeightStore.
 func (w *WeightStore) Rate(ctx context.Context) (int64, error) {
-	return apply(ctx, &w.Faults, MethodRate, failedRead(garnetworks.KindUnreachable), func() (int64, error) {
+	return withFaults(ctx, &w.Faults, MethodRate, failedRead(garnetworks.KindUnreachable), func() (int64, error) {
 		return w.rate, nil
 	})
 }
 
 // Size implements garnetworks.WeightStore.
 func (w *WeightStore) Size(ctx context.Context, id garnetworks.WeightID) (int64, error) {
-	return apply(ctx, &w.Faults, MethodSize, failedRead(garnetworks.KindUnreachable), func() (int64, error) {
+	return withFaults(ctx, &w.Faults, MethodSize, failedRead(garnetworks.KindUnreachable), func() (int64, error) {
 		return w.size(id)
 	})
 }
@@ -237,67 +237,67 @@
 	if err != nil {
 		return err
 	}
-	w.enter(l)
-	defer w.leave(l)
-	for left := float64(size); left > 0; {
-		if err := w.thaw(ctx); err != nil {
+	w.addLoad(l)
+	defer w.removeLoad(l)
+	for remaining := float64(size); remaining > 0; {
+		if err := w.waitUnfrozen(ctx); err != nil {
 			return err
 		}
-		rate := w.share(l)
+		rate := w.allocatedRate(l)
 		step := loadStep
-		if need := time.Duration(left / rate * float64(time.Second)); need < step {
+		if need := time.Duration(remaining / rate * float64(time.Second)); need < step {
 			step = max(need, time.Microsecond)
 		}
 		if err := sleep(ctx, step); err != nil {
 			return err
 		}
-		if !w.FaultsNow().Down {
-			left -= rate * step.Seconds()
+		if !w.CurrentFaults().Down {
+			remaining -= rate * step.Seconds()
 		}
 	}
 	return nil
 }
 
-func (w *WeightStore) enter(l *load) {
+func (w *WeightStore) addLoad(l *load) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.loads[l] = struct{}{}
-	w.notePeak()
+	w.updatePeak()
 }
 
-func (w *WeightStore) notePeak() {
+func (w *WeightStore) updatePeak() {
 	var sum int64
 	for l := range w.loads {
-		sum += l.asked
+		sum += l.requestedRate
 	}
-	w.peak = max(w.peak, sum)
+	w.peakRate = max(w.peakRate, sum)
 }
 
 // setRate changes the rate that a load asks for.
-func (w *WeightStore) setRate(l *load, asked int64) {
+func (w *WeightStore) setRate(l *load, requested int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	l.asked = asked
-	w.notePeak()
+	l.requestedRate = requested
+	w.updatePeak()
 }
 
-func (w *WeightStore) leave(l *load) {
+func (w *WeightStore) removeLoad(l *load) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.loads, l)
 }
 
-// share returns the bytes a second that l gets now: what it asked for, scaled
+// allocatedRate returns the bytes a second that l gets now: what it asked for, scaled
 // down if the store is asked for more than it has.
-func (w *WeightStore) share(l *load) float64 {
+func (w *WeightStore) allocatedRate(l *load) float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	fair := float64(w.rate) / float64(len(w.loads))
 	want := func(l *load) float64 {
-		if l.asked == 0 {
+		if l.requestedRate == 0 {
 			return fair
 		}
-		return float64(l.asked)
+		return float64(l.requestedRate)
 	}
 	var sum float64
 	for other := range w.loads {
--- a/faker/serve.go
+++ b/faker/serve.go
@@ -147,7 +147,7 @@
 	return true
 }
 
-func number(w http.ResponseWriter, text string) (uint64, bool) {
+func parseNumber(w http.ResponseWriter, text string) (uint64, bool) {
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
 		replyProblem(w, garnetworks.Errorf(garnetworks.KindInvalidRequest, "%q is not a number", text))
@@ -181,7 +181,7 @@
 }
 
 func (h objectHandler) put(w http.ResponseWriter, r *http.Request) {
-	after, ok := number(w, r.Header.Get(connector.HeaderRevision))
+	after, ok := parseNumber(w, r.Header.Get(connector.HeaderRevision))
 	if !ok {
 		return
 	}
@@ -197,7 +197,7 @@
 }
 
 func (h objectHandler) delete(w http.ResponseWriter, r *http.Request) {
-	after, ok := number(w, r.Header.Get(connector.HeaderRevision))
+	after, ok := parseNumber(w, r.Header.Get(connector.HeaderRevision))
 	if !ok {
 		return
 	}
@@ -212,11 +212,11 @@
 
 func (h objectHandler) watch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	after, ok := number(w, query.Get("after"))
+	after, ok := parseNumber(w, query.Get("after"))
 	if !ok {
 		return
 	}
-	millis, ok := number(w, query.Get("wait-ms"))
+	millis, ok := parseNumber(w, query.Get("wait-ms"))
 	if !ok {
 		return
 	}
@@ -291,7 +291,7 @@
 	}
 	t, err := s.begin(r.Context(), MethodCall)
 	if errors.Is(err, errUnavailable) {
-		refuse(w, connector.HeaderCall, string(call.ID), errNotBegun)
+		refuse(w, connector.HeaderCall, string(call.ID), errUnavailableServer)
 		return
 	}
 	if err != nil {
@@ -300,24 +300,24 @@
 	s.answer(w, r, t, call)
 }
 
-func (s *Service) answer(w http.ResponseWriter, r *http.Request, t ticket, call *garnetworks.ServiceCall) {
-	if refused := s.refuses(); refused != nil {
+func (s *Service) answer(w http.ResponseWriter, r *http.Request, t callState, call *garnetworks.ServiceCall) {
+	if refused := s.checkAccepting(); refused != nil {
 		refuse(w, connector.HeaderCall, string(call.ID), refused)
 		return
 	}
-	answer, err := s.execute(r.Context(), call)
+	answer, err := s.run(r.Context(), call)
 	if err != nil || s.end(r.Context(), t) != nil {
 		panic(http.ErrAbortHandler)
 	}
 	echo := call.ID
-	if previous := s.previous(call.ID); s.take(MethodCall, crossedAnswers) {
+	if previous := s.previousCall(call.ID); s.consume(MethodCall, crossedAnswers) {
 		echo = previous
 	}
 	w.Header().Set(connector.HeaderCall, string(echo))
 	w.Header().Set("Content-Type", answer.ContentType)
 	w.Header().Set("Content-Length", strconv.Itoa(len(answer.Body)))
 	w.WriteHeader(answer.Status)
-	if s.take(MethodCall, truncatedAnswers) {
+	if s.consume(MethodCall, truncatedAnswers) {
 		_, _ = w.Write(answer.Body[:len(answer.Body)/2])
 		flush(w)
 		panic(http.ErrAbortHandler)
@@ -325,8 +325,8 @@
 	_, _ = w.Write(answer.Body)
 }
 
-// errNotBegun is the refusal of a server that is unavailable.
-var errNotBegun = refusal(garnetworks.KindNotReady, "the server is unavailable")
+// errUnavailableServer is the refusal of a server that is unavailable.
+var errUnavailableServer = newRefusal(garnetworks.KindNotReady, "the server is unavailable")
 
 // refuse answers that a call was not begun, with the proof that rule C3 of
 // package connector asks for.
--- a/faker/serveengine.go
+++ b/faker/serveengine.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return nil, err
 	}
-	e.fleet.move(e, s.Address)
+	e.fleet.setAddress(e, s.Address)
 	return s, nil
 }
 
@@ -50,7 +50,7 @@
 }
 
 func (e *Engine) serveCacheEvents(w http.ResponseWriter, r *http.Request) {
-	after, ok := number(w, r.URL.Query().Get("after"))
+	after, ok := parseNumber(w, r.URL.Query().Get("after"))
 	if !ok {
 		return
 	}
@@ -81,11 +81,11 @@
 	if !readJSON(w, r, &body) {
 		return nil, false
 	}
-	token, ok := number(w, r.Header.Get(connector.HeaderToken))
+	token, ok := parseNumber(w, r.Header.Get(connector.HeaderToken))
 	if !ok {
 		return nil, false
 	}
-	resume, ok := number(w, r.Header.Get(connector.HeaderResume))
+	resume, ok := parseNumber(w, r.Header.Get(connector.HeaderResume))
 	if !ok {
 		return nil, false
 	}
@@ -122,7 +122,7 @@
 	}
 	t, err := e.begin(r.Context(), MethodGenerate)
 	if errors.Is(err, errUnavailable) {
-		refuse(w, connector.HeaderAttempt, string(call.Attempt), errNotBegun)
+		refuse(w, connector.HeaderAttempt, string(call.Attempt), errUnavailableServer)
 		return
 	}
 	if err != nil {
@@ -147,16 +147,16 @@
 var keepAliveComment = []byte(": waiting\n\n")
 
 // foreignAttempt is the identifier that crossed answers carry.
-const foreignAttempt = garnetworks.CallID("attempt-of-another-call")
+const mismatchedAttempt = garnetworks.CallID("attempt-of-another-call")
 
 // stream writes the answer as server-sent events.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, s *sequence) {
 	st := &stream{}
-	st.plan(&e.Faults)
+	st.takeFaults(&e.Faults)
 	attempt := s.call.Attempt
 	header := attempt
-	if st.cross == 0 {
-		header = foreignAttempt
+	if st.mismatchAt == 0 {
+		header = mismatchedAttempt
 	}
 	w.Header().Set(connector.HeaderAttempt, string(header))
 	w.Header().Set("Content-Type", "text/event-stream")
@@ -164,22 +164,22 @@
 	flush(w)
 	ticker := time.NewTicker(keepAlive)
 	defer ticker.Stop()
-	var events eventWriter
+	var events eventEncoder
 	for sent := 0; ; sent++ {
-		if sent == st.truncate {
+		if sent == st.truncateAt {
 			panic(http.ErrAbortHandler)
 		}
-		if sent == st.cross {
-			attempt = foreignAttempt
+		if sent == st.mismatchAt {
+			attempt = mismatchedAttempt
 		}
 		chunk, ok := e.nextChunk(w, r, s, ticker.C)
-		if !ok || e.thaw(r.Context()) != nil {
+		if !ok || e.waitUnfrozen(r.Context()) != nil {
 			panic(http.ErrAbortHandler)
 		}
 		if _, err := w.Write(events.encode(attempt, &chunk)); err != nil {
 			return
 		}
-		if len(s.out) == 0 || chunk.End {
+		if len(s.chunks) == 0 || chunk.End {
 			flush(w)
 		}
 		if chunk.End {
@@ -196,10 +196,10 @@
 			return garnetworks.Chunk{}, false
 		case <-e.fleet.ctx.Done():
 			return garnetworks.Chunk{}, false
-		case chunk, ok := <-s.out:
+		case chunk, ok := <-s.chunks:
 			return chunk, ok
 		case <-tick:
-			if e.thaw(r.Context()) != nil {
+			if e.waitUnfrozen(r.Context()) != nil {
 				return garnetworks.Chunk{}, false
 			}
 			_, _ = w.Write(keepAliveComment)
@@ -208,15 +208,15 @@
 	}
 }
 
-// eventWriter encodes chunks into one buffer.
-type eventWriter struct {
+// eventEncoder encodes chunks into one buffer.
+type eventEncoder struct {
 	buffer  bytes.Buffer
 	encoder *json.Encoder
 	body    connector.EventBody
 	load    garnetworks.EngineLoad
 }
 
-func (ew *eventWriter) encode(attempt garnetworks.CallID, chunk *garnetworks.Chunk) []byte {
+func (ew *eventEncoder) encode(attempt garnetworks.CallID, chunk *garnetworks.Chunk) []byte {
 	if ew.encoder == nil {
 		ew.encoder = json.NewEncoder(&ew.buffer)
 	}
--- a/faker/service.go
+++ b/faker/service.go
@@ -21,14 +21,14 @@
 	Faults
 	name garnetworks.ServiceName
 
-	mu      sync.Mutex
-	took    time.Duration
-	leaving bool
-	byCall  map[garnetworks.CallID]int
-	byKey   map[string]int
-	byBody  map[string]int
-	total   int
-	last    garnetworks.CallID
+	mu       sync.Mutex
+	duration time.Duration
+	leaving  bool
+	byCall   map[garnetworks.CallID]int
+	byKey    map[string]int
+	byBody   map[string]int
+	total    int
+	last     garnetworks.CallID
 }
 
 // ServiceResult is the body of a plain service's answer.
@@ -41,13 +41,13 @@
 }
 
 // NewService returns a server of the service whose executions take some time.
-func NewService(name garnetworks.ServiceName, took time.Duration) *Service {
+func NewService(name garnetworks.ServiceName, duration time.Duration) *Service {
 	return &Service{
-		name:   name,
-		took:   took,
-		byCall: make(map[garnetworks.CallID]int),
-		byKey:  make(map[string]int),
-		byBody: make(map[string]int),
+		name:     name,
+		duration: duration,
+		byCall:   make(map[garnetworks.CallID]int),
+		byKey:    make(map[string]int),
+		byBody:   make(map[string]int),
 	}
 }
 
@@ -79,8 +79,8 @@
 	return s.byKey[key]
 }
 
-// ExecutionsByKeys returns the number of executions of each idempotency key.
-func (s *Service) ExecutionsByKeys() map[string]int {
+// ExecutionsPerKey returns the number of executions of each idempotency key.
+func (s *Service) ExecutionsPerKey() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.byKey)
@@ -93,11 +93,11 @@
 	return s.byBody[body]
 }
 
-// execute runs the call and counts it before anything is answered (rule F4).
-func (s *Service) execute(ctx context.Context, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
-	execution := s.note(call)
+// run runs the call and counts it before anything is answered (rule F4).
+func (s *Service) run(ctx context.Context, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
+	execution := s.countExecution(call)
 	// The execution counts although its caller may go away now.
-	_ = sleep(ctx, s.took)
+	_ = sleep(ctx, s.duration)
 	result := ServiceResult{Service: s.name, Path: call.Path, Key: call.IdempotencyKey, Execution: execution}
 	body, err := json.Marshal(result)
 	if err != nil {
@@ -111,17 +111,17 @@
 	}, nil
 }
 
-// refuses returns why new calls can't be begun, or nil.
-func (s *Service) refuses() *garnetworks.Error {
+// checkAccepting returns why new calls can't be begun, or nil.
+func (s *Service) checkAccepting() *garnetworks.Error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.leaving {
 		return nil
 	}
-	return refusal(garnetworks.KindShuttingDown, "the server is leaving")
+	return newRefusal(garnetworks.KindShuttingDown, "the server is leaving")
 }
 
-func (s *Service) note(call *garnetworks.ServiceCall) int {
+func (s *Service) countExecution(call *garnetworks.ServiceCall) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.total++
@@ -133,9 +133,9 @@
 	return s.total
 }
 
-// previous returns the identifier of the call answered before, for crossed
+// previousCall returns the identifier of the call answered before, for crossed
 // answers, and remembers id.
-func (s *Service) previous(id garnetworks.CallID) garnetworks.CallID {
+func (s *Service) previousCall(id garnetworks.CallID) garnetworks.CallID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	last := s.last
@@ -154,13 +154,13 @@
 	}
 	t, err := s.begin(ctx, MethodCall)
 	if err != nil {
-		return garnetworks.ServiceResponse{}, beforeBegin(err, false)
+		return garnetworks.ServiceResponse{}, beginError(err, false)
 	}
-	if refused := s.refuses(); refused != nil {
+	if refused := s.checkAccepting(); refused != nil {
 		return garnetworks.ServiceResponse{}, &garnetworks.AttemptError{Phase: garnetworks.PhaseRefused, RetryAfter: refused.RetryAfter, Cause: refused}
 	}
-	answer, err := s.execute(ctx, call)
-	previous := s.previous(call.ID)
+	answer, err := s.run(ctx, call)
+	previous := s.previousCall(call.ID)
 	if err == nil {
 		err = ctx.Err()
 	}
@@ -170,10 +170,10 @@
 	if err != nil {
 		return garnetworks.ServiceResponse{}, &garnetworks.AttemptError{Phase: garnetworks.PhaseWait, Cause: err}
 	}
-	if s.take(MethodCall, truncatedAnswers) {
+	if s.consume(MethodCall, truncatedAnswers) {
 		return garnetworks.ServiceResponse{}, &garnetworks.AttemptError{Phase: garnetworks.PhaseBody}
 	}
-	if s.take(MethodCall, crossedAnswers) && previous != call.ID {
+	if s.consume(MethodCall, crossedAnswers) && previous != call.ID {
 		return garnetworks.ServiceResponse{}, &garnetworks.AttemptError{Phase: garnetworks.PhaseMismatched}
 	}
 	return answer, nil
--- a/faker/token.go
+++ b/faker/token.go
@@ -9,7 +9,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-var words = []string{
+var vocabulary = []string{
 	"pump", "valve", "seal", "motor", "gauge", "well", "the", "of", "and", "was",
 	"fixture", "referee", "match", "roster", "office", "a", "to", "in", "is", "ö",
 }
@@ -19,7 +19,7 @@
 	d := xxhash.New()
 	_, _ = d.WriteString(string(call.Model) + "\x00" + string(call.Adapter) + "\x00" + call.Prompt + "\x00")
 	_, _ = d.WriteString(strconv.Itoa(index))
-	return words[d.Sum64()%uint64(len(words))] + " "
+	return vocabulary[d.Sum64()%uint64(len(vocabulary))] + " "
 }
 
 // AnswerText returns the text of the answer's tokens from first up to, not
--- a/runner/held_test.go
+++ b/runner/held_test.go
@@ -20,7 +20,7 @@
 		defer s.close()
 		s.begin()
 		for _, e := range s.fleet.Engines() {
-			e.SetCrashOn(prompt)
+			e.SetCrashPrompt(prompt)
 		}
 		crashes := func() (sum int) {
 			for _, e := range s.fleet.Engines() {
--- a/runner/random_test.go
+++ b/runner/random_test.go
@@ -103,14 +103,14 @@
 
 func (m *machine) freeze(t *rapid.T) {
 	e := m.engineOf(t)
-	e.SetFaults(faker.FaultPlan{Frozen: !e.FaultsNow().Frozen})
+	e.SetFaults(faker.FaultPlan{Frozen: !e.CurrentFaults().Frozen})
 }
 
 func (m *machine) restart(t *rapid.T) { m.engineOf(t).Restart() }
 
 func (m *machine) toggleDown(t *rapid.T) {
 	e := m.engineOf(t)
-	e.SetFaults(faker.FaultPlan{Down: !e.FaultsNow().Down})
+	e.SetFaults(faker.FaultPlan{Down: !e.CurrentFaults().Down})
 }
 
 func (m *machine) domainDown(t *rapid.T) {
