--- a/faker/batch.go
+++ b/faker/batch.go
@@ -11,38 +11,39 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// batch holds an engine's calls; fleet.mu guards it.
+// batch holds an engine's queued and running sequences. Guarded by fleet.mu.
 type batch struct {
 	running []*sequence
 	waiting []*sequence
-	// stepping says that the goroutine that makes tokens runs.
+	// stepping reports whether the decoding goroutine (runSteps) is running.
 	stepping bool
 }
 
-// sequence is one answer in the making.
+// sequence is the state of one generation.
 type sequence struct {
 	call    garnetworks.EngineCall
 	next    int
 	readyAt time.Time
-	// out is closed after the last chunk; broken then says what went wrong.
+	// chunks is closed after the last chunk. If the sequence was aborted, err is set
+	// before the close.
 	chunks    chan garnetworks.Chunk
 	err       error
 	cancelled bool
 }
 
-// outDepth is how far an answer runs ahead of its reader before the engine
-// holds it back.
+// chunkBuffer is the number of generated chunks buffered for the reader; the engine
+// pauses the sequence while the buffer is full.
 const chunkBuffer = 64
 
-// refusalDelay is what a refused caller is told to wait.
+// refusalDelay is the RetryAfter of a refused call.
 const refusalDelay = 200 * time.Millisecond
 
-// refusal returns the error of a call that was not begun.
+// newRefusal returns the error for a call that was not started.
 func newRefusal(kind garnetworks.Kind, reason string) *garnetworks.Error {
 	return &garnetworks.Error{Kind: kind, Detail: reason, RetryAfter: refusalDelay}
 }
 
-// submit takes a call into the engine's queue or refuses it.
+// submit queues the call, or refuses it, and records the attempt.
 func (e *Engine) submit(call *garnetworks.EngineCall) (*sequence, *garnetworks.Error) {
 	e.fleet.mu.Lock()
 	defer e.fleet.mu.Unlock()
@@ -84,8 +85,8 @@
 	return s, nil
 }
 
-// checkCall returns why the call can't be begun, or nil, and how long a member
-// has been missing.
+// checkCall returns the reason to refuse the call, or nil. If a group member is
+// missing, it also returns for how long.
 func (e *Engine) checkCall(call *garnetworks.EngineCall) (*garnetworks.Error, time.Duration) {
 	switch {
 	case e.power != garnetworks.PowerOn:
@@ -113,8 +114,8 @@
 	return nil, 0
 }
 
-// missingMember returns a member that does not take part in the group (rule
-// F2) and since when.
+// missingMember returns a group member that is not participating in the group (rule F2)
+// and the time since when, or "" if all members participate.
 func (e *Engine) missingMember() (garnetworks.InstanceID, time.Time) {
 	for _, id := range e.members {
 		m := e.fleet.engines[id]
@@ -129,7 +130,7 @@
 	return "", time.Time{}
 }
 
-// runSteps makes tokens until the engine has no calls.
+// runSteps generates tokens until the engine has no calls left.
 func (e *Engine) runSteps() {
 	for {
 		if sleep(e.fleet.ctx, e.stepTime()) != nil {
@@ -154,8 +155,8 @@
 	return time.Duration(float64(d) * e.slowdown)
 }
 
-// step makes one token for each answer in the batch and reports whether there
-// is more to do.
+// step generates one token for each running sequence and reports whether any sequence
+// is left.
 func (e *Engine) step() bool {
 	e.fleet.mu.Lock()
 	defer e.fleet.mu.Unlock()
@@ -184,8 +185,8 @@
 	}
 }
 
-// prefill returns the time to the sequence's first token and enters its prompt
-// into the cache.
+// prefill adds the prompt's blocks to the prefix cache and returns the time to the
+// sequence's first token.
 func (e *Engine) prefill(s *sequence) time.Duration {
 	blocks := garnetworks.PrefixBlocks(s.call.Model, s.call.Adapter, s.call.Prompt, maxPromptBlocks)
 	missing := len(blocks) - e.cache.hits(blocks)
@@ -193,8 +194,8 @@
 	return e.slowed(e.spec.FirstToken + time.Duration(missing)*e.spec.PerBlock)
 }
 
-// emit sends the sequence's next token and reports whether the answer is whole.
-// It sends nothing while the reader is far behind.
+// emit sends the sequence's next token and reports whether the sequence is finished.
+// It sends nothing while the reader's buffer is full.
 func (e *Engine) emit(s *sequence) bool {
 	if len(s.chunks) >= chunkBuffer-1 {
 		return false
@@ -230,7 +231,7 @@
 	close(s.chunks)
 }
 
-// abortAll ends all calls without their end markers.
+// abortAll ends all sequences without an end chunk. The caller holds fleet.mu.
 func (e *Engine) abortAll(reason string) {
 	for _, s := range slices.Concat(e.batch.running, e.batch.waiting) {
 		if !s.cancelled {
@@ -253,8 +254,7 @@
 	return s.err
 }
 
-// Generate starts an attempt in process, with the failures that an adapter
-// would report.
+// Generate starts an attempt in process and reports failures as a network adapter would.
 func (e *Engine) Generate(ctx context.Context, call *garnetworks.EngineCall) (garnetworks.EngineStream, error) {
 	if !e.on() {
 		return nil, &garnetworks.AttemptError{Phase: garnetworks.PhaseConnect, Cause: errNoEngine(e.Spec().Address)}
@@ -284,8 +284,8 @@
 	return st, nil
 }
 
-// beforeBegin maps a fault that came before the call's effect to how far an
-// adapter would have come.
+// beginError maps a fault that occurred before the call took effect to the AttemptError
+// that a network adapter would return. silent becomes Stalled for other errors.
 func beginError(err error, silent bool) error {
 	switch err {
 	case errDown:
@@ -296,13 +296,13 @@
 	return &garnetworks.AttemptError{Phase: garnetworks.PhaseWait, Stalled: silent, Cause: err}
 }
 
-// stream is an attempt's answer in process.
+// stream is the in-process response stream of an attempt.
 type stream struct {
 	ctx      context.Context
 	engine   *Engine
 	sequence *sequence
 	silenced <-chan struct{}
-	// truncate and cross are the number of chunks before the fault; -1 is never.
+	// truncateAt and mismatchAt are the numbers of chunks sent before the fault; -1 means never.
 	truncateAt int
 	mismatchAt int
 	sent       int
@@ -370,8 +370,8 @@
 	return nil
 }
 
-// stall waits for the silence bound, as an adapter would on a connection that
-// makes no progress, or until a frozen engine goes on.
+// stall waits until the plan changes, which may unfreeze the engine, or until the fleet's
+// Silence timeout, after which it fails as an adapter does on a stalled connection.
 func (st *stream) stall(chunk *garnetworks.Chunk, changed <-chan struct{}) error {
 	timer := time.NewTimer(st.engine.fleet.Silence)
 	defer timer.Stop()
--- a/faker/cache.go
+++ b/faker/cache.go
@@ -9,7 +9,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// CacheEvents returns the events after the given number that have come by now.
+// CacheEvents returns the events numbered above after that are older than the event lag.
 func (e *Engine) CacheEvents(ctx context.Context, after uint64) ([]garnetworks.CacheEvent, error) {
 	if !e.on() {
 		return nil, errNoEngine(e.Spec().Address)
@@ -21,7 +21,7 @@
 	})
 }
 
-// KVCache is the exported form of a prompt's cached prefix.
+// KVCache is the exported form of a prompt's cached prefix blocks.
 type KVCache struct {
 	Blocks []uint64 `json:"blocks"`
 }
@@ -34,14 +34,14 @@
 	return KVCache{Blocks: blocks[:e.cache.hits(blocks)]}
 }
 
-// ImportKV puts an exported prefix into the cache.
+// ImportKV adds the blocks of an exported prefix to the cache.
 func (e *Engine) ImportKV(kv KVCache) {
 	e.fleet.mu.Lock()
 	defer e.fleet.mu.Unlock()
 	e.cache.add(kv.Blocks)
 }
 
-// cache is a bounded prefix cache with its events.
+// cache is a bounded LRU prefix cache that logs its additions and evictions.
 type cache struct {
 	limit      int
 	clock      uint64
@@ -61,7 +61,7 @@
 
 func (c *cache) used() float64 { return float64(len(c.blocks)) / float64(c.limit) }
 
-// hits returns how many of the blocks, from the first on, are cached.
+// hits returns the length of the longest prefix of blocks that is cached.
 func (c *cache) hits(blocks []uint64) int {
 	for i, b := range blocks {
 		if _, ok := c.blocks[b]; !ok {
@@ -71,8 +71,7 @@
 	return len(blocks)
 }
 
-// add enters the blocks and evicts the least recently used ones beyond the
-// limit.
+// add inserts the blocks, then evicts the least recently used ones beyond the limit.
 func (c *cache) add(blocks []uint64) {
 	for _, b := range blocks {
 		c.clock++
--- a/faker/control.go
+++ b/faker/control.go
@@ -13,7 +13,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// FaultTarget is a stand-in whose faults can be set.
+// FaultTarget is a fake whose faults can be set.
 type FaultTarget interface {
 	SetFaults(plan FaultPlan)
 	CurrentFaults() FaultPlan
@@ -21,18 +21,18 @@
 	DropConnections()
 }
 
-// FaultGroup is stand-ins that fail together, as a fabric domain or an availability
-// zone does.
+// FaultGroup is a set of fakes that fail together, such as those of a network domain or an
+// availability zone.
 type FaultGroup []FaultTarget
 
-// SetFaults sets the plan of each.
+// SetFaults sets the plan of every member.
 func (s FaultGroup) SetFaults(plan FaultPlan) {
 	for _, f := range s {
 		f.SetFaults(plan)
 	}
 }
 
-// CurrentFaults returns the plan of the first.
+// CurrentFaults returns the plan of the first member.
 func (s FaultGroup) CurrentFaults() FaultPlan {
 	if len(s) == 0 {
 		return FaultPlan{}
@@ -40,24 +40,24 @@
 	return s[0].CurrentFaults()
 }
 
-// SilenceOpen makes the open connections of each silent.
+// SilenceOpen makes the open connections of every member silent.
 func (s FaultGroup) SilenceOpen() {
 	for _, f := range s {
 		f.SilenceOpen()
 	}
 }
 
-// DropConnections breaks the open connections of each.
+// DropConnections breaks the open connections of every member.
 func (s FaultGroup) DropConnections() {
 	for _, f := range s {
 		f.DropConnections()
 	}
 }
 
-// Control lets another process bring failures about over HTTP. It has an
-// address of its own, which no fault concerns.
+// Control is an HTTP API that lets another process inject faults. It is served on an
+// address of its own, which no fault affects.
 type Control struct {
-	// Targets are the stand-ins by the names in the control path.
+	// Targets maps the names used in request paths to fakes.
 	Targets map[string]FaultTarget
 	// Fleet, Objects and Services may be nil.
 	Fleet    *Fleet
@@ -65,7 +65,7 @@
 	Services map[string]*Service
 }
 
-// PlanBody is a FaultPlan as it travels; times are in milliseconds.
+// PlanBody is the JSON form of a FaultPlan, with durations in milliseconds.
 type PlanBody struct {
 	DelayMillis     int64    `json:"delay-ms,omitempty"`
 	Down            bool     `json:"down,omitempty"`
@@ -112,27 +112,27 @@
 	}
 }
 
-// StateBody answers GET /state.
+// StateBody is the response to GET /state.
 type StateBody struct {
 	// ObjectCalls counts the object API's calls by method.
 	ObjectCalls map[string]uint64 `json:"object-calls,omitempty"`
 	Throttled   uint64            `json:"throttled"`
-	// Draw is the power drawn by all instances that are not off.
+	// Draw is the total power of all instances that are not off.
 	Draw    garnetworks.Watts          `json:"draw-watts"`
 	Engines []garnetworks.EngineStatus `json:"engines,omitempty"`
-	// Attempts and Refused count the calls that reached engines.
-	// Orders are the orders that each engine carried out; repeats count once.
-	Orders   map[garnetworks.InstanceID]int `json:"orders,omitempty"`
-	Attempts int                            `json:"attempts"`
-	Refused  int                            `json:"refused"`
+	// Orders counts the orders that each engine executed, without repeated ones.
+	Orders map[garnetworks.InstanceID]int `json:"orders,omitempty"`
+	// Attempts counts the calls that reached engines, Refused those of them that were refused.
+	Attempts int `json:"attempts"`
+	Refused  int `json:"refused"`
 	// Executions counts the plain services' executions.
 	Executions map[string]int `json:"executions,omitempty"`
 }
 
-// ServeControl serves the control path on the loopback address.
+// ServeControl serves the control API on the loopback address.
 func ServeControl(c *Control) (*Server, error) { return ServeControlAt(loopback, c) }
 
-// ServeControlAt serves the control path on an address.
+// ServeControlAt serves the control API on the given address.
 func ServeControlAt(address string, c *Control) (*Server, error) {
 	r := chi.NewRouter()
 	r.Get("/faults", c.serveFaults)
@@ -155,8 +155,7 @@
 	reply(w, r, plans, nil)
 }
 
-// target returns the stand-in that the path names, or answers that there is
-// none.
+// target returns the fake named in the path. If there is none, it replies with an error.
 func (c *Control) target(w http.ResponseWriter, r *http.Request) (FaultTarget, bool) {
 	name := chi.URLParam(r, "target")
 	target, ok := c.Targets[name]
@@ -198,7 +197,7 @@
 	}
 }
 
-// engineActions are what can be done to an engine's instance.
+// engineActions maps action names in request paths to actions on an engine.
 var engineActions = map[string]func(*Engine){
 	"restart":   (*Engine).Restart,
 	"power-on":  (*Engine).PowerOn,
@@ -206,7 +205,7 @@
 	"leave":     (*Engine).SetLeaving,
 }
 
-// serveEngine acts on an engine; slow-down takes its factor from the query.
+// serveEngine runs an action on an engine; slow-down takes its factor from the query.
 func (c *Control) serveEngine(w http.ResponseWriter, r *http.Request) {
 	var e *Engine
 	if c.Fleet != nil {
@@ -245,7 +244,7 @@
 	reply(w, r, c.State(), nil)
 }
 
-// State returns the stand-ins' counters and states.
+// State returns the counters and states of the fakes.
 func (c *Control) State() StateBody {
 	var body StateBody
 	if c.Objects != nil {
@@ -267,8 +266,8 @@
 	return body
 }
 
-// serveKeys answers with the executions of each idempotency key, so that a load
-// from another process can be held against what ran.
+// serveKeys replies with the number of executions per idempotency key, so that a load
+// generator in another process can compare them with the calls it sent.
 func (c *Control) serveKeys(w http.ResponseWriter, r *http.Request) {
 	name := chi.URLParam(r, "service")
 	service := c.Services[name]
@@ -279,10 +278,10 @@
 	reply(w, r, service.ExecutionsPerKey(), nil)
 }
 
-// GroupBody is a group that serves now, by its first member's word.
+// GroupBody describes a serving group, as its first member reports it.
 type GroupBody struct {
 	Group garnetworks.GroupID `json:"group"`
-	// Token is a string, because it does not fit the numbers of every reader.
+	// Token is encoded as a string, because some JSON readers lose precision above 2^53.
 	Token   uint64                `json:"token,string"`
 	Model   garnetworks.ModelName `json:"model"`
 	Address string                `json:"address"`
@@ -296,7 +295,7 @@
 	reply(w, r, groups, nil)
 }
 
-// Groups returns the groups that serve now.
+// Groups returns the groups that are serving now.
 func (f *Fleet) Groups() []GroupBody {
 	var groups []GroupBody
 	for _, e := range f.Engines() {
@@ -310,8 +309,7 @@
 	return groups
 }
 
-// statuses returns the true states of all engines that run, whatever their
-// faults.
+// statuses returns the actual status of every running engine, regardless of faults.
 func (f *Fleet) statuses() []garnetworks.EngineStatus {
 	var statuses []garnetworks.EngineStatus
 	for _, e := range f.Engines() {
--- a/faker/control_test.go
+++ b/faker/control_test.go
@@ -11,8 +11,8 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// A zone is cut off from the object API while the others reach it; its waiting
-// watches must end, or a test of the cut-off zone waits for their time.
+// Guards against a view's fault that affects callers outside the view, and against watches
+// that stay open after their view or the object API goes down.
 func TestObjectsViewFaultIsolation(t *testing.T) {
 	tests := map[string]func(o *Objects, v *ObjectsView){
 		"view": func(_ *Objects, v *ObjectsView) { v.SetFaults(FaultPlan{Down: true}) },
--- a/faker/doc.go
+++ b/faker/doc.go
@@ -1,21 +1,21 @@
-// Package faker holds small stand-ins for what the platform gives: the object
-// API, the instance list, the power switch, the weight store, model engines
-// and plain services. They implement the root interfaces in process, and serve
-// them over HTTP on the loopback address (ServePlatform, ServeEngine,
-// ServeService) in the formats of docs/wire.md.
+// Package faker provides small fakes of the platform's services: the object API, the
+// instance list, the power switch, the weight store, model engines and plain services.
+// They implement the root package's interfaces in process and serve them over HTTP on the
+// loopback address (ServePlatform, ServeEngine, ServeService) in the formats of
+// docs/wire.md.
 //
-// Rules of the stand-ins, which oracles may rely on:
+// Rules that test oracles may rely on:
 //
-//	F1  Each stand-in embeds Faults; a fault changes when and whether answers
-//	    arrive, never whether the stand-in's own state is consistent.
+//	F1  Each fake embeds Faults. A fault changes when and whether responses
+//	    arrive, never whether the fake's own state is consistent.
 //	F2  An engine generates a token only while it is a member of the call's
 //	    group with the call's token and each member of the group is up and
 //	    holds the same group and token.
-//	F3  The text of an answer is a function of model, adapter, prompt and token
-//	    position alone (Token), so that any whole answer can be checked and any
-//	    engine can resume another's stream.
+//	F3  The text of a response is a function of model, adapter, prompt and token
+//	    position alone (Token), so that any complete response can be checked and
+//	    any engine can resume another's stream.
 //	F4  A plain service counts each execution by call identifier, idempotency
-//	    key and body before it answers.
+//	    key and body before it responds.
 //	F5  An engine that checks fencing refuses an order whose token is lower than
-//	    the highest it has seen; one that doesn't obeys every order.
+//	    the highest it has seen; one that doesn't executes every order.
 package faker
--- a/faker/engine.go
+++ b/faker/engine.go
@@ -8,7 +8,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Methods of engines.
+// Fault methods of engines, for FaultPlan.Methods.
 const (
 	MethodOrder       = "order"
 	MethodStatus      = "status"
@@ -16,32 +16,31 @@
 	MethodGenerate    = "generate"
 )
 
-// EngineSpec describes an engine and its instance; zero times and sizes mean
-// the defaults, which are small so that tests are quick.
+// EngineSpec describes an engine and its instance. A zero Slots, Queue, FirstToken, PerToken,
+// CacheBlocks, State or Address selects the default; default times are short to keep tests fast.
 type EngineSpec struct {
 	garnetworks.ListedInstance
 	Watts garnetworks.Watts
-	// On says that the instance runs from the start.
+	// On starts the instance powered on.
 	On bool
-	// Boot is the time from power-on to the first answer.
+	// Boot is the time from power-on until the engine responds.
 	Boot time.Duration
-	// ChecksFencing makes the engine refuse orders with old tokens (rule F5).
+	// ChecksFencing makes the engine refuse orders with stale tokens (rule F5).
 	ChecksFencing bool
-	// Slots is the size of the batch, Queue the number of calls that may wait.
+	// Slots is the maximum batch size, Queue the maximum number of waiting calls.
 	Slots int
 	Queue int
-	// FirstToken is the time to the first token when the batch has room, with
-	// PerBlock added for each prompt block that is not in the cache.
+	// FirstToken is the time to the first token for a call in the batch, plus PerBlock for
+	// each prompt block that is not cached.
 	FirstToken time.Duration
 	PerBlock   time.Duration
-	// PerToken is the time between tokens of one answer.
+	// PerToken is the time between two tokens of a response.
 	PerToken time.Duration
-	// CacheBlocks is the number of prompt prefix blocks that the cache holds.
+	// CacheBlocks is the capacity of the prefix cache in blocks.
 	CacheBlocks int
-	// LoadLag is how old a reported load can be.
+	// LoadLag is the maximum age of a reported load.
 	LoadLag time.Duration
-	// EventLag is how late cache events come; every EventGap-th never comes (0:
-	// all come).
+	// EventLag delays cache events. Every EventGap-th event is lost; 0 loses none.
 	EventLag time.Duration
 	EventGap uint64
 }
@@ -56,7 +55,7 @@
 	maxPromptBlocks    = 64
 )
 
-// Engine is a model engine on one instance.
+// Engine is a fake model engine on one instance.
 type Engine struct {
 	Faults
 	fleet *Fleet
@@ -78,13 +77,13 @@
 	lastOrder    string
 	leaving      bool
 	orders       int
-	// loads are the running loads of weights.
+	// loads are the weight loads in progress.
 	loads    map[garnetworks.WeightID]*load
 	slowdown float64
-	// crashOn is the prompt of calls under which the process ends; crashes counts them.
+	// crashPrompt is the prompt that crashes the process; crashes counts these crashes.
 	crashPrompt string
 	crashes     int
-	// downSince is when the engine stopped taking part; zero while it does.
+	// downSince is when the engine stopped participating; zero while it participates.
 	downSince time.Time
 	batch     batch
 	cache     cache
@@ -117,7 +116,7 @@
 	}
 }
 
-// reset gives the engine the state of a process that has just started.
+// reset restores the state of a newly started process. The caller holds fleet.mu.
 func (e *Engine) reset() {
 	e.cancelLoads()
 	e.phase = garnetworks.EngineIdle
@@ -128,29 +127,29 @@
 	e.lastLoad = garnetworks.EngineLoad{}
 }
 
-// Spec returns the engine's description with its address.
+// Spec returns the engine's spec, with defaults and its current address.
 func (e *Engine) Spec() EngineSpec {
 	e.fleet.mu.Lock()
 	defer e.fleet.mu.Unlock()
 	return e.spec
 }
 
-// PowerState returns the instance's true power state.
+// PowerState returns the instance's actual power state.
 func (e *Engine) PowerState() garnetworks.PowerState {
 	e.fleet.mu.Lock()
 	defer e.fleet.mu.Unlock()
 	return e.power
 }
 
-// Orders returns the number of orders carried out; repeated ones count once.
+// Orders returns the number of orders executed, without repeated ones.
 func (e *Engine) Orders() int {
 	e.fleet.mu.Lock()
 	defer e.fleet.mu.Unlock()
 	return e.orders
 }
 
-// PowerOn starts the instance; the engine answers after the boot time, with a
-// new incarnation and no state.
+// PowerOn starts the instance. The engine responds after the boot time, with a new
+// incarnation and no state.
 func (e *Engine) PowerOn() {
 	e.fleet.mu.Lock()
 	defer e.fleet.mu.Unlock()
@@ -177,7 +176,7 @@
 	e.fleet.report(row)
 }
 
-// PowerOff stops the instance at once; its connections break.
+// PowerOff stops the instance at once, breaks its connections and removes it from the list.
 func (e *Engine) PowerOff() {
 	e.fleet.mu.Lock()
 	if e.power != garnetworks.PowerOff {
@@ -193,7 +192,7 @@
 }
 
 // Restart replaces the engine's process: its state and calls are lost and its
-// incarnation grows.
+// incarnation increases.
 func (e *Engine) Restart() {
 	e.fleet.mu.Lock()
 	e.terminate("the engine restarted")
@@ -203,7 +202,7 @@
 	e.DropConnections()
 }
 
-// SetLeaving makes the engine say that it will stop, and the list too.
+// SetLeaving marks the instance as leaving in its status and in the instance list.
 func (e *Engine) SetLeaving() {
 	e.fleet.mu.Lock()
 	e.leaving = true
@@ -213,37 +212,37 @@
 	e.fleet.report(row)
 }
 
-// SetSlowdown makes the engine a straggler: its times grow by the factor.
+// SetSlowdown multiplies the engine's token times by the factor, to simulate a straggler.
 func (e *Engine) SetSlowdown(factor float64) {
 	e.fleet.mu.Lock()
 	defer e.fleet.mu.Unlock()
 	e.slowdown = factor
 }
 
-// SetCrashPrompt makes the engine's process end, and start again, under each call with the
-// prompt; an empty one ends it under none.
+// SetCrashPrompt makes every call with this prompt crash and restart the engine's process.
+// An empty prompt turns this off.
 func (e *Engine) SetCrashPrompt(prompt string) {
 	e.fleet.mu.Lock()
 	defer e.fleet.mu.Unlock()
 	e.crashPrompt = prompt
 }
 
-// Crashes returns how often the process ended under a call.
+// Crashes returns how often a call crashed the process.
 func (e *Engine) Crashes() int {
 	e.fleet.mu.Lock()
 	defer e.fleet.mu.Unlock()
 	return e.crashes
 }
 
-// SetEventGap makes every gap-th cache event get lost; 0 loses none.
+// SetEventGap loses every gap-th cache event; 0 loses none.
 func (e *Engine) SetEventGap(gap uint64) {
 	e.fleet.mu.Lock()
 	defer e.fleet.mu.Unlock()
 	e.spec.EventGap = gap
 }
 
-// SetFaults replaces the plan. It shadows Faults.SetFaults so that the other
-// members know how long the engine has been missing.
+// SetFaults replaces the plan. It shadows Faults.SetFaults to track since when the engine
+// has been missing from its group.
 func (e *Engine) SetFaults(plan FaultPlan) {
 	e.Faults.SetFaults(plan)
 	e.updateDownSince()
@@ -266,20 +265,21 @@
 	e.downSince = time.Now()
 }
 
-// up reports whether the engine takes part in its group now.
+// up reports whether the engine can participate in its group: it is powered on and neither
+// down nor frozen. The caller holds fleet.mu.
 func (e *Engine) up() bool {
 	plan := e.CurrentFaults()
 	return e.power == garnetworks.PowerOn && !plan.Down && !plan.Frozen
 }
 
-// on reports whether the engine's process runs.
+// on reports whether the instance is powered on.
 func (e *Engine) on() bool {
 	e.fleet.mu.Lock()
 	defer e.fleet.mu.Unlock()
 	return e.power == garnetworks.PowerOn
 }
 
-// Status returns the engine's own word on its state.
+// Status returns the status that the engine reports.
 func (e *Engine) Status(ctx context.Context) (garnetworks.EngineStatus, error) {
 	if !e.on() {
 		return garnetworks.EngineStatus{}, errNoEngine(e.Spec().Address)
@@ -309,8 +309,8 @@
 	}
 }
 
-// measure returns the load as last measured; it is measured again once the
-// report is older than the lag.
+// measure returns the reported load, measured anew if the last report is at least LoadLag
+// old. The caller holds fleet.mu.
 func (e *Engine) measure() garnetworks.EngineLoad {
 	now := time.Now()
 	if e.lastLoad.At.IsZero() || now.Sub(e.lastLoad.At) >= e.spec.LoadLag {
--- a/faker/faults.go
+++ b/faker/faults.go
@@ -9,37 +9,36 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// FaultPlan says what a stand-in does wrong; the zero plan does nothing wrong.
-// Counts fall by one with each use; a negative count lasts.
+// FaultPlan describes the faults of a fake; the zero plan has none. Each use of a counted
+// fault decrements its count; a negative count never runs out.
 type FaultPlan struct {
-	// Delay passes before each call is looked at.
+	// Delay is waited before each call is processed.
 	Delay time.Duration `json:"delay,omitempty"`
 	// Down drops connections and fails calls without effect.
 	Down bool `json:"down,omitempty"`
-	// Unavailable answers each call, without effect, that the stand-in can't.
+	// Unavailable refuses each call, without effect, as unavailable.
 	Unavailable bool `json:"unavailable,omitempty"`
-	// Frozen holds every call and every running stream until it is taken back,
-	// as a paused process would.
+	// Frozen holds every call and stream until it is cleared, like a paused process.
 	Frozen bool `json:"frozen,omitempty"`
-	// LoseAnswers counts answers that get lost after their effect.
+	// LoseAnswers is the number of responses to lose after the call took effect.
 	LoseAnswers int `json:"lose-answers,omitempty"`
-	// LateAnswers counts answers that come LateBy after their effect.
+	// LateAnswers is the number of responses to send LateBy after the call took effect.
 	LateAnswers int           `json:"late-answers,omitempty"`
 	LateBy      time.Duration `json:"late-by,omitempty"`
-	// CrossAnswers counts answers that carry another call's identifier.
+	// CrossAnswers is the number of responses to send with another call's identifier.
 	CrossAnswers int `json:"cross-answers,omitempty"`
-	// TruncateAnswers counts answers that break off in the middle.
+	// TruncateAnswers is the number of responses to break off in the middle.
 	TruncateAnswers int `json:"truncate-answers,omitempty"`
-	// BreakAfter is the number of events of a stream that are sent before it is
-	// truncated or crossed.
+	// BreakAfter is the number of stream events sent before the stream is truncated or
+	// carries another call's identifier.
 	BreakAfter int `json:"break-after,omitempty"`
-	// Methods limits the plan to these methods; empty means all. Down and Frozen
-	// are not limited.
+	// Methods limits the plan to these methods; empty means all. Down and Frozen always
+	// apply to all methods.
 	Methods []string `json:"methods,omitempty"`
 }
 
-// Faults is embedded in each stand-in (rule F1). The zero value does nothing
-// wrong.
+// Faults injects faults into the fake that embeds it (rule F1). The zero value injects
+// none.
 type Faults struct {
 	mu       sync.Mutex
 	plan     FaultPlan
@@ -48,7 +47,7 @@
 	conns    map[*conn]struct{}
 }
 
-// callState is one call's share of the faults.
+// callState is the fault state of one call.
 type callState struct {
 	method   string
 	silenced <-chan struct{}
@@ -71,7 +70,7 @@
 	}
 }
 
-// CurrentFaults returns the plan with the counts that are left.
+// CurrentFaults returns the plan with its remaining counts.
 func (f *Faults) CurrentFaults() FaultPlan {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -80,8 +79,8 @@
 	return plan
 }
 
-// SilenceOpen makes the connections and calls that are open now silent for
-// good; new ones work.
+// SilenceOpen makes the currently open connections and calls silent permanently; new ones
+// work.
 func (f *Faults) SilenceOpen() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -112,7 +111,7 @@
 	return conns
 }
 
-// signal wakes those that wait for a change of the plan.
+// signal wakes the goroutines that wait for a change of the plan. The caller holds f.mu.
 func (f *Faults) signal() {
 	if f.changed != nil {
 		close(f.changed)
@@ -120,8 +119,8 @@
 	f.changed = nil
 }
 
-// snapshot returns the plan, a channel that its next change closes, and one
-// that SilenceOpen closes.
+// snapshot returns the plan, a channel closed by its next change, and a channel closed by
+// SilenceOpen.
 func (f *Faults) snapshot() (plan FaultPlan, changed, silenced <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -134,8 +133,8 @@
 	return f.plan, f.changed, f.silenced
 }
 
-// begin lets a call in: it waits while the stand-in is frozen or slow and fails
-// if it is down or unavailable. No effect may come before it.
+// begin waits while the fake is frozen or delayed, and fails if it is down or unavailable.
+// A call must not take effect before begin returns.
 func (f *Faults) begin(ctx context.Context, method string) (callState, error) {
 	plan, _, silenced := f.snapshot()
 	t := callState{method: method, silenced: silenced}
@@ -158,8 +157,8 @@
 	return t, nil
 }
 
-// end lets the answer out: it waits if the answer is late or the call silent,
-// and returns errLost if the answer gets lost.
+// end waits if the response is late or the call is silent, and returns errLost if the
+// response is to be lost.
 func (f *Faults) end(ctx context.Context, t callState) error {
 	if err := f.waitUnfrozen(ctx); err != nil {
 		return err
@@ -182,7 +181,7 @@
 	return nil
 }
 
-// waitUnfrozen waits until the stand-in is not frozen.
+// waitUnfrozen waits until the fake is not frozen.
 func (f *Faults) waitUnfrozen(ctx context.Context) error {
 	for {
 		plan, changed, _ := f.snapshot()
@@ -197,8 +196,8 @@
 	}
 }
 
-// cancelWhenDown returns a context that ends when the stand-in goes down, as a call
-// that waits on its connection would.
+// cancelWhenDown returns a context that is cancelled when the fake goes down, as the
+// context of a call on a broken connection would be.
 func (f *Faults) cancelWhenDown(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	go func() {
@@ -217,13 +216,13 @@
 	return ctx, func() { cancel(nil) }
 }
 
-// Fields of the plan that count down.
+// Accessors of the plan's counted faults, for consume.
 func lostAnswers(p *FaultPlan) *int      { return &p.LoseAnswers }
 func lateAnswers(p *FaultPlan) *int      { return &p.LateAnswers }
 func crossedAnswers(p *FaultPlan) *int   { return &p.CrossAnswers }
 func truncatedAnswers(p *FaultPlan) *int { return &p.TruncateAnswers }
 
-// consume uses up one of the counted faults.
+// consume reports whether a counted fault applies to the method, and decrements its count.
 func (f *Faults) consume(method string, field func(*FaultPlan) *int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -242,7 +241,7 @@
 	return len(p.Methods) == 0 || slices.Contains(p.Methods, method)
 }
 
-// Errors of the faults; each stand-in maps them to its interface's kinds.
+// Errors of injected faults; each fake maps them to its interface's kinds.
 var (
 	errDown        = garnetworks.Errorf(garnetworks.KindUnreachable, "the stand-in is down")
 	errUnavailable = garnetworks.Errorf(garnetworks.KindUnreachable, "the stand-in is unavailable")
@@ -263,8 +262,8 @@
 	}
 }
 
-// apply runs effect between the faults. failed maps an error of the faults to
-// the interface's kinds; begun says whether effect ran.
+// withFaults runs effect between begin and end. failed maps an injected error to the
+// interface's kinds; its argument begun tells whether effect has run.
 func withFaults[T any](ctx context.Context, f *Faults, method string, failed func(err error, begun bool) error, effect func() (T, error)) (T, error) {
 	var none T
 	t, err := f.begin(ctx, method)
@@ -278,14 +277,14 @@
 	return result, effectErr
 }
 
-// failedRead is for methods without effect.
+// failedRead maps injected errors for methods without effect.
 func failedRead(kind garnetworks.Kind) func(error, bool) error {
 	return func(err error, _ bool) error {
 		return garnetworks.WrapError(kind, err, "no answer")
 	}
 }
 
-// failedWrite is for methods with an effect.
+// failedWrite maps injected errors for methods with an effect.
 func failedWrite(kind garnetworks.Kind) func(error, bool) error {
 	return func(err error, begun bool) error {
 		if begun {
--- a/faker/fleet.go
+++ b/faker/fleet.go
@@ -10,23 +10,22 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Fleet is a set of engines that know each other as members of groups. It
-// implements garnetworks.EngineOrders, CacheEvents and EngineCaller in process,
-// by the engines' addresses.
+// Fleet is a set of engines that can form groups. It implements garnetworks.EngineOrders,
+// CacheEvents and EngineCaller in process, addressing engines by their Address.
 type Fleet struct {
-	// Store is where the engines load weights from; nil loads them at once.
+	// Store is the source of the engines' weights; if nil, weights load at once.
 	Store *WeightStore
-	// List is told of instances that come and go; nil tells none.
+	// List, if not nil, is updated when instances start and stop.
 	List *InstanceList
-	// Silence is how long the in-process caller waits on a silent call before it
-	// gives up, as an adapter would.
+	// Silence is how long an in-process call waits on a silent engine before it fails, as an
+	// adapter's stall timeout would.
 	Silence time.Duration
 
 	ctx  context.Context
 	stop context.CancelFunc
 
-	// mu guards the state of all engines, because an engine looks at the members
-	// of its group.
+	// mu guards the state of all engines, because an engine reads the state of the other
+	// members of its group.
 	mu              sync.Mutex
 	engines         map[garnetworks.InstanceID]*Engine
 	addresses       map[string]*Engine
@@ -34,7 +33,7 @@
 	droppedAttempts uint64
 }
 
-// Attempt is the record of one call that reached an engine, for oracles.
+// Attempt records a call that reached an engine, for test oracles.
 type Attempt struct {
 	ID       garnetworks.CallID
 	Call     garnetworks.CallID
@@ -42,10 +41,10 @@
 	Group    garnetworks.GroupID
 	Token    garnetworks.FencingToken
 	At       time.Time
-	// Refused says why the engine did not begin it; empty if it did.
+	// Refused is why the engine refused the call; empty if it accepted it.
 	Refused string
-	// MissingFor is how long a member had been missing when the call came; 0 if
-	// none was.
+	// MissingFor is how long a group member had been missing when the call arrived; 0 if none
+	// was.
 	MissingFor time.Duration
 }
 
@@ -54,7 +53,7 @@
 	maxAttempts    = 1 << 18
 )
 
-// NewFleet returns a fleet without engines. Close ends its goroutines.
+// NewFleet returns a fleet without engines. Close stops its goroutines.
 func NewFleet(store *WeightStore, list *InstanceList) *Fleet {
 	ctx, stop := context.WithCancel(context.Background())
 	return &Fleet{
@@ -78,7 +77,7 @@
 	}
 }
 
-// Add enters an engine and reports it to the list if it is on.
+// Add adds an engine and, if it is powered on, reports it to the list.
 func (f *Fleet) Add(spec EngineSpec) *Engine {
 	e := newEngine(f, spec)
 	f.mu.Lock()
@@ -91,14 +90,14 @@
 	return e
 }
 
-// Engine returns an engine, or nil if there is none.
+// Engine returns the engine of an instance, or nil.
 func (f *Fleet) Engine(id garnetworks.InstanceID) *Engine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.engines[id]
 }
 
-// Engines returns all engines by instance.
+// Engines returns all engines, sorted by instance.
 func (f *Fleet) Engines() []*Engine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -110,7 +109,7 @@
 	return engines
 }
 
-// Draw returns the watts of all instances that are not off.
+// Draw returns the total power of all instances that are not off.
 func (f *Fleet) Draw() garnetworks.Watts {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -123,8 +122,8 @@
 	return sum
 }
 
-// Attempts returns the calls that reached engines, in order. Only the first
-// 2^18 are kept; lost counts the rest.
+// Attempts returns the calls that reached engines, in order of arrival. Only the first
+// maxAttempts are kept; lost counts the others.
 func (f *Fleet) Attempts() (attempts []Attempt, lost uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -145,7 +144,7 @@
 	}
 }
 
-// setAddress gives an engine another address, once its listener is known.
+// setAddress changes an engine's address and reports it to the list if it is powered on.
 func (f *Fleet) setAddress(e *Engine, address string) {
 	f.mu.Lock()
 	delete(f.addresses, e.spec.Address)
--- a/faker/fleet_test.go
+++ b/faker/fleet_test.go
@@ -26,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-// oracle is what a reader of the contract believes of one engine.
+// oracle models the expected state of one engine.
 type oracle struct {
 	on, frozen, down bool
 	checksFencing    bool
@@ -36,8 +36,8 @@
 	draining         bool
 }
 
-// fleetMachine gives a fleet random orders and failures and compares, after each,
-// which engines begin a call with what the oracle says (rules F2 and F5).
+// fleetMachine applies random orders and faults to a fleet and compares which engines
+// accept a call with the oracle's prediction (rules F2 and F5).
 type fleetMachine struct {
 	fleet  *Fleet
 	ids    []garnetworks.InstanceID
@@ -63,7 +63,7 @@
 
 func (o *oracle) reachable() bool { return o.on && !o.down && !o.frozen }
 
-// reset is what a new process knows.
+// reset models a restarted process.
 func (o *oracle) reset() {
 	o.group, o.token, o.highest, o.members, o.draining = "", 0, 0, nil, false
 }
@@ -79,7 +79,7 @@
 	switch {
 	case !o.reachable():
 		if err == nil {
-			t.Fatalf("an engine that can't be reached obeyed")
+			t.Fatalf("an unreachable engine executed an order")
 		}
 		return
 	case stale:
@@ -108,8 +108,7 @@
 }
 
 func (m *fleetMachine) form(t *rapid.T) {
-	// The members follow from the group, as they do for a group that is decided
-	// once.
+	// Each group has fixed members, as a group decided once does.
 	first := rapid.IntRange(0, len(m.ids)-2).Draw(t, "first")
 	members := slices.Clone(m.ids[first : first+2])
 	id := rapid.SampledFrom(members).Draw(t, "member")
@@ -129,8 +128,8 @@
 	}
 }
 
-// shouldServe reports whether a call with the oracle's group and token must be
-// begun by the engine.
+// shouldServe reports whether the engine must accept a call with the oracle's group and
+// token.
 func (m *fleetMachine) shouldServe(id garnetworks.InstanceID) bool {
 	o := m.states[id]
 	if !o.reachable() || o.group == "" || o.draining || o.members[0] != id {
@@ -145,7 +144,7 @@
 	return true
 }
 
-// check calls every engine with each group and token around what it holds.
+// check sends every engine a call with its group's token and one with the next token.
 func (m *fleetMachine) check(t *rapid.T) {
 	for _, id := range m.ids {
 		o := m.states[id]
@@ -180,12 +179,11 @@
 	return true
 }
 
-// A member dies, is frozen, or follows another order than the rest of its group,
-// in any order of events; the group must not serve, or oracles that rely on the
-// stand-ins prove nothing.
+// Guards against a group that serves while a member is down, frozen, or in another group
+// or token, since test oracles rely on rule F2.
 func TestFleetServesOnlyCompleteGroups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		// The deadline of a test can't be asked for within the bubble.
+		// rapid would call Deadline, which panics inside a synctest bubble, so hide it.
 		rapid.Check(struct{ rapid.TB }{t}, func(rt *rapid.T) {
 			m := newFleetMachine()
 			defer m.fleet.Close()
@@ -232,8 +230,8 @@
 	})
 }
 
-// A planner that trusts the store's rate and shares it well sees loads take as
-// long as planned; one that overbooks sees all of them slow down.
+// Guards against loads that exceed the store's rate or that get less than their requested
+// share of it.
 func TestLoadsShareStoreRate(t *testing.T) {
 	const rate, size = 1000, 1000
 	id := garnetworks.WeightID{Model: "m", Version: "v"}
@@ -273,7 +271,7 @@
 	}
 }
 
-// serving returns an engine that serves alone in a group.
+// newServingEngine returns an engine that serves in a group of its own.
 func newServingEngine(t *testing.T, spec EngineSpec) *Engine {
 	f := NewFleet(nil, nil)
 	t.Cleanup(f.Close)
@@ -288,7 +286,7 @@
 	return e
 }
 
-// timeTo returns the times to the first token and to the end of a call.
+// measureCall returns the time to the first token and the total time of a call.
 func measureCall(t *testing.T, e *Engine, prompt string, priority, tokens int) (first, end time.Duration) {
 	start := time.Now()
 	stream, err := e.Generate(t.Context(), &garnetworks.EngineCall{
--- a/faker/listener.go
+++ b/faker/listener.go
@@ -5,16 +5,16 @@
 	"sync/atomic"
 )
 
-// listener hands out connections that SilenceOpen can make silent.
+// listener accepts connections that SilenceOpen can silence.
 type listener struct {
 	net.Listener
 	faults *Faults
-	// refuses may be nil.
+	// refuses makes the listener reset new connections while it returns true; may be nil.
 	refuses func() bool
 }
 
-// Accept waits for a connection; while the stand-in is down or refuses, each
-// is reset at once.
+// Accept returns the next connection. While the fake is down or refuses, it resets
+// connections instead.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -29,7 +29,7 @@
 	}
 }
 
-// reset closes c so that the other end sees a reset and not an orderly end.
+// reset closes c so that the peer sees a TCP reset instead of an orderly close.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -37,8 +37,8 @@
 	_ = c.Close()
 }
 
-// conn is a connection that can go silent: bytes that come are dropped, bytes
-// that go are swallowed, and neither end is told.
+// conn is a connection that can go silent: it then discards incoming and outgoing bytes
+// without an error on either side.
 type conn struct {
 	net.Conn
 	faults *Faults
@@ -56,7 +56,7 @@
 	return tracked
 }
 
-// Read drops what comes while the connection is silent.
+// Read discards incoming bytes while the connection is silent.
 func (c *conn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
@@ -66,7 +66,7 @@
 	}
 }
 
-// Write swallows p while the connection is silent.
+// Write discards p while the connection is silent.
 func (c *conn) Write(p []byte) (int, error) {
 	if c.silent.Load() {
 		return len(p), nil
@@ -74,8 +74,8 @@
 	return c.Conn.Write(p)
 }
 
-// Close forgets the connection. A silent one tells its other end nothing, so
-// its socket stays open until the other end closes it.
+// Close untracks the connection. A silent connection must not notify its peer, so its
+// socket stays open until the peer closes it.
 func (c *conn) Close() error {
 	c.faults.mu.Lock()
 	delete(c.faults.conns, c)
--- a/faker/objects.go
+++ b/faker/objects.go
@@ -14,7 +14,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Methods of the object API, as counted and as named in FaultPlan.Methods.
+// Fault methods of the object API, for FaultPlan.Methods and Objects.Counts.
 const (
 	MethodGet    = "get"
 	MethodPut    = "put"
@@ -23,21 +23,21 @@
 	MethodWatch  = "watch"
 )
 
-// ObjectsOptions bound an object API; zero fields mean the defaults.
+// ObjectsOptions limits an object API; zero fields select the defaults.
 type ObjectsOptions struct {
-	// WritesPerSecond and ReadsPerSecond are the rates beyond which calls are
-	// throttled; 0 means no limit. A burst of one second's worth is let through.
+	// WritesPerSecond and ReadsPerSecond are rate limits; 0 means no limit. A burst of one
+	// second's worth of calls is allowed.
 	WritesPerSecond float64
 	ReadsPerSecond  float64
 	// History is the number of changes kept for watches; 4096 by default.
 	History int
-	// MaxBytes is the largest value; garnetworks.MaxObjectBytes by default.
+	// MaxBytes is the maximum size of a value; garnetworks.MaxObjectBytes by default.
 	MaxBytes int
 }
 
 const defaultHistory = 4096
 
-// Objects is an object API in memory.
+// Objects is an in-memory object API.
 type Objects struct {
 	Faults
 	options ObjectsOptions
@@ -47,7 +47,7 @@
 	mu       sync.Mutex
 	objects  map[string]garnetworks.Object
 	revision garnetworks.Revision
-	// history holds the last changes in order; what is older is compacted.
+	// history holds the latest changes in order; changes up to compacted are dropped.
 	history   []garnetworks.Object
 	compacted garnetworks.Revision
 	changed   chan struct{}
@@ -80,14 +80,14 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
-// SetRates changes the rates; 0 means no limit.
+// SetRates changes the rate limits; 0 means no limit.
 func (o *Objects) SetRates(writesPerSecond, readsPerSecond float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.writes, o.reads = limiter(writesPerSecond), limiter(readsPerSecond)
 }
 
-// Counts returns the number of calls by method, throttled ones included.
+// Counts returns the number of calls by method, including throttled ones.
 func (o *Objects) Counts() map[string]uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -101,7 +101,7 @@
 	return o.throttled
 }
 
-// Compact forgets the history up to now, so that older watches must list.
+// Compact drops the history, so that watches from an older revision must list again.
 func (o *Objects) Compact() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -249,7 +249,7 @@
 	revision garnetworks.Revision
 }
 
-// watchThrough makes a watch whose end the faults can bring about.
+// watchWithFaults runs a watch that fails when the fake goes down while it waits.
 func watchWithFaults(ctx context.Context, f *Faults, watch func(ctx context.Context) (page, error)) ([]garnetworks.Object, garnetworks.Revision, error) {
 	ctx, cancel := f.cancelWhenDown(ctx)
 	defer cancel()
@@ -273,7 +273,7 @@
 	return changes, o.revision, o.changed, nil
 }
 
-// change stores a change under the next revision and wakes the watches.
+// change stores a change at the next revision and wakes all watches. The caller holds o.mu.
 func (o *Objects) change(object garnetworks.Object) {
 	o.revision++
 	object.Revision = o.revision
@@ -304,15 +304,14 @@
 	return &garnetworks.Error{Kind: garnetworks.KindThrottled, Detail: "too many calls", RetryAfter: throttleDelay}
 }
 
-// throttleDelay is what a throttled caller is told to wait.
+// throttleDelay is the RetryAfter of a throttled call.
 const throttleDelay = 100 * time.Millisecond
 
-// View returns the object API as seen from one place, with faults of its own:
-// a cut-off availability zone is a view that is down.
+// View returns a view of the object API with faults of its own. A view that is down
+// simulates an availability zone cut off from the object API.
 func (o *Objects) View() *ObjectsView { return &ObjectsView{objects: o} }
 
-// ObjectsView is an object API over another one's objects. The faults of both
-// apply.
+// ObjectsView is an object API on the objects of another. The faults of both apply.
 type ObjectsView struct {
 	Faults
 	objects *Objects
--- a/faker/orders.go
+++ b/faker/orders.go
@@ -8,7 +8,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Order carries out an order.
+// Order executes an order and returns the engine's status after it.
 func (e *Engine) Order(ctx context.Context, order garnetworks.EngineOrder) (garnetworks.EngineStatus, error) {
 	if !e.on() {
 		return garnetworks.EngineStatus{}, errNoEngine(e.Spec().Address)
@@ -45,8 +45,8 @@
 		return e.form(order)
 	case garnetworks.OrderRelease:
 		e.leave("the group was released")
-		// Statuses with a lower token than an earlier one are taken for echoes, so
-		// an engine that forgot the token would not be heard of after its release.
+		// Readers of statuses ignore one with a lower token than an earlier one, so the engine
+		// keeps the order's token after the release.
 		e.token = order.Token
 	case garnetworks.OrderDrain:
 		e.drain()
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// form joins a group. The same group and token again change only the rate of a
-// load that runs.
+// form joins the engine to a group. Repeating the current group and token only changes the
+// rate of a running load.
 func (e *Engine) form(order garnetworks.EngineOrder) error {
 	if !slices.Contains(order.Members, e.spec.ID) {
 		return garnetworks.Errorf(garnetworks.KindInvalidRequest, "%s is not among the members of group %s", e.spec.ID, order.Group)
@@ -101,7 +101,8 @@
 	e.loads = make(map[garnetworks.WeightID]*load)
 }
 
-// load reads weights in the background. A load that runs gets the order's rate.
+// load loads the order's weights in the background, or at once if the fleet has no store.
+// If that load is already running, it only changes its rate.
 func (e *Engine) load(order garnetworks.EngineOrder) {
 	id := garnetworks.WeightID{Model: order.Model, Version: order.Version}
 	switch {
@@ -124,7 +125,7 @@
 	e.updateReadiness()
 }
 
-// updateReadiness ends the loading phase once the group's weights are there.
+// updateReadiness ends the loading phase once the group's weights are loaded.
 func (e *Engine) updateReadiness() {
 	id := garnetworks.WeightID{Model: e.model, Version: e.version}
 	if e.phase == garnetworks.EngineLoading && slices.Contains(e.weights, id) {
@@ -132,7 +133,7 @@
 	}
 }
 
-// loadRetry is how long a failed load waits before it starts again.
+// loadRetry is the delay before a failed load is retried.
 const loadRetry = 200 * time.Millisecond
 
 func (e *Engine) loadWeights(ctx context.Context, id garnetworks.WeightID, l *load) {
--- a/faker/platform.go
+++ b/faker/platform.go
@@ -11,7 +11,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Methods of the instance list, the power switch and the weight store.
+// Fault methods of the instance list, the power switch and the weight store.
 const (
 	MethodInstances = "instances"
 	MethodSetPower  = "set-power"
@@ -20,12 +20,12 @@
 	MethodSize      = "size"
 )
 
-// InstanceList is an instance list that lags behind what is reported to it.
+// InstanceList is an instance list that shows changes with a delay.
 type InstanceList struct {
 	Faults
 	mu  sync.Mutex
 	lag time.Duration
-	// changes are in the order of their times; shown holds those already seen.
+	// changes are pending in order of time; visible holds the rows after the applied ones.
 	changes []listChange
 	visible map[garnetworks.InstanceID]garnetworks.ListedInstance
 }
@@ -36,7 +36,7 @@
 	removed bool
 }
 
-// NewInstanceList returns an empty list that shows changes after lag.
+// NewInstanceList returns an empty list that shows each change after lag.
 func NewInstanceList(lag time.Duration) *InstanceList {
 	return &InstanceList{
 		lag:     lag,
@@ -44,10 +44,10 @@
 	}
 }
 
-// Report enters or changes a row.
+// Report adds or updates a row.
 func (l *InstanceList) Report(row garnetworks.ListedInstance) { l.addChange(listChange{row: row}) }
 
-// Remove takes a row away.
+// Remove deletes a row.
 func (l *InstanceList) Remove(id garnetworks.InstanceID) {
 	l.addChange(listChange{row: garnetworks.ListedInstance{ID: id}, removed: true})
 }
@@ -88,12 +88,13 @@
 	}
 }
 
-// Power is the platform's power switch over a fleet.
+// Power is the power switch for the engines of a fleet.
 type Power struct {
 	Faults
 	fleet *Fleet
 	mu    sync.Mutex
-	// tokens are the highest seen for each instance.
+	// tokens holds the highest fencing token seen for each instance, lastOrders the
+	// identifier of its last order.
 	tokens     map[garnetworks.InstanceID]garnetworks.FencingToken
 	lastOrders map[garnetworks.InstanceID]string
 	orders     int
@@ -108,8 +109,7 @@
 	}
 }
 
-// Orders returns the number of orders that were carried out; repeated ones
-// count once.
+// Orders returns the number of orders executed, without repeated ones.
 func (p *Power) Orders() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -159,25 +159,26 @@
 	})
 }
 
-// WeightStore is a weight store whose rate all loads share.
+// WeightStore is a weight store whose bandwidth is shared by all loads.
 type WeightStore struct {
 	Faults
 	mu    sync.Mutex
 	rate  int64
 	sizes map[garnetworks.WeightID]int64
-	// loads holds the rate that each running load asked for; 0 asks for a fair
-	// share.
+	// loads are the running loads.
 	loads    map[*load]struct{}
 	peakRate int64
 }
 
-// load is one running load; the store's lock guards asked.
+// load is a running load. requestedRate is in bytes per second, 0 requests a fair share;
+// the store's mu guards it.
 type load struct {
 	requestedRate int64
 	cancel        context.CancelFunc
 }
 
-// NewWeightStore returns a store of the given rate in bytes a second.
+// NewWeightStore returns a store with a rate in bytes per second and the sizes of its
+// weights in bytes.
 func NewWeightStore(rate int64, sizes map[garnetworks.WeightID]int64) *WeightStore {
 	return &WeightStore{
 		rate:  rate,
@@ -186,7 +187,7 @@
 	}
 }
 
-// SetSize adds weights or changes their size.
+// SetSize adds weights or changes their size in bytes.
 func (w *WeightStore) SetSize(id garnetworks.WeightID, size int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -196,7 +197,8 @@
 	w.sizes[id] = size
 }
 
-// PeakRequestedRate returns the highest sum of rates that loads asked for at once.
+// PeakRequestedRate returns the highest sum of the rates that concurrent loads requested,
+// in bytes per second.
 func (w *WeightStore) PeakRequestedRate() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -227,11 +229,11 @@
 	return size, nil
 }
 
-// loadStep is how often a running load looks at its share again.
+// loadStep is how often a running load recomputes its rate.
 const loadStep = 50 * time.Millisecond
 
-// read takes as long as loading the weights takes among the other loads. While
-// the store is down or frozen no byte comes.
+// read simulates loading the weights at the rate allocated to l. It makes no progress
+// while the store is down or frozen.
 func (w *WeightStore) read(ctx context.Context, id garnetworks.WeightID, l *load) error {
 	size, err := w.size(id)
 	if err != nil {
@@ -273,7 +275,7 @@
 	w.peakRate = max(w.peakRate, sum)
 }
 
-// setRate changes the rate that a load asks for.
+// setRate changes the requested rate of a load.
 func (w *WeightStore) setRate(l *load, requested int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -287,8 +289,8 @@
 	delete(w.loads, l)
 }
 
-// allocatedRate returns the bytes a second that l gets now: what it asked for, scaled
-// down if the store is asked for more than it has.
+// allocatedRate returns the current rate of l in bytes per second: its requested rate,
+// scaled down if all requests together exceed the store's rate.
 func (w *WeightStore) allocatedRate(l *load) float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/faker/serve.go
+++ b/faker/serve.go
@@ -15,17 +15,17 @@
 	"github.com/garnetworks/garnetworks/connector"
 )
 
-// loopback is where stand-ins listen unless told otherwise.
+// loopback is the default listen address.
 const loopback = "127.0.0.1:0"
 
-// Server serves a stand-in over HTTP/1.1.
+// Server serves a fake over HTTP/1.1.
 type Server struct {
 	// Address is the IP address and port that the server listens on.
 	Address string
 	server  *http.Server
 }
 
-// Close ends the server and its connections.
+// Close stops the server and closes its connections.
 func (s *Server) Close() error { return s.server.Close() }
 
 // URL returns the server's base URL.
@@ -46,9 +46,8 @@
 	return s, nil
 }
 
-// Platform is the platform's side as one server: object API, instance list,
-// power switch and weight store. Its own faults concern the connections; each
-// part has its own besides.
+// Platform combines an object API, an instance list, a power switch and a weight store in
+// one server. Its own faults affect connections; each part also has faults of its own.
 type Platform struct {
 	Faults
 	Objects   garnetworks.ObjectAPI
@@ -60,7 +59,7 @@
 // ServePlatform serves the platform on the loopback address.
 func ServePlatform(p *Platform) (*Server, error) { return ServePlatformAt(loopback, p) }
 
-// ServePlatformAt serves the platform on an address.
+// ServePlatformAt serves the platform on the given address.
 func ServePlatformAt(address string, p *Platform) (*Server, error) {
 	r := chi.NewRouter()
 	if p.Objects != nil {
@@ -80,9 +79,8 @@
 	return serve(address, r, &p.Faults, nil)
 }
 
-// reply writes a result or an error. An error that stands for a lost answer or
-// a server that is down breaks the connection instead, so that the other end
-// sees what it would see in such a failure.
+// reply writes a result or an error. For a lost response or a fake that is down it breaks
+// the connection instead, as the real failure would.
 func reply(w http.ResponseWriter, r *http.Request, result any, err error) {
 	switch {
 	case err == nil:
@@ -122,8 +120,8 @@
 	replyJSON(w, answer.Status, p)
 }
 
-// maxRequestBytes bounds the bodies that stand-ins read; values travel as they
-// are, so it is above the object API's own bound.
+// maxRequestBytes limits request bodies. It exceeds the object API's limit, so that an
+// oversized value reaches the object API's own check.
 const maxRequestBytes = 8 << 20
 
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
@@ -266,10 +264,10 @@
 	reply(w, r, connector.BytesBody{Bytes: size}, err)
 }
 
-// ServeService serves a plain service's server on the loopback address.
+// ServeService serves a server of a plain service on the loopback address.
 func ServeService(s *Service) (*Server, error) { return ServeServiceAt(loopback, s) }
 
-// ServeServiceAt serves a plain service's server on an address.
+// ServeServiceAt serves a server of a plain service on the given address.
 func ServeServiceAt(address string, s *Service) (*Server, error) {
 	return serve(address, http.HandlerFunc(s.serve), &s.Faults, nil)
 }
@@ -325,11 +323,11 @@
 	_, _ = w.Write(answer.Body)
 }
 
-// errUnavailableServer is the refusal of a server that is unavailable.
+// errUnavailableServer is the refusal of a fake with the Unavailable fault.
 var errUnavailableServer = newRefusal(garnetworks.KindNotReady, "the server is unavailable")
 
-// refuse answers that a call was not begun, with the proof that rule C3 of
-// package connector asks for.
+// refuse replies that a call was not started, with the proof required by rule C3 of
+// package connector.
 func refuse(w http.ResponseWriter, header, id string, refused *garnetworks.Error) {
 	w.Header().Set(header, id)
 	w.Header().Set(connector.HeaderOutcome, string(garnetworks.OutcomeNotRun))
--- a/faker/serveengine.go
+++ b/faker/serveengine.go
@@ -14,11 +14,11 @@
 	"github.com/garnetworks/garnetworks/connector"
 )
 
-// ServeEngine serves an engine on the loopback address and enters the address
-// in its fleet and list.
+// ServeEngine serves an engine on the loopback address and sets its address in the fleet
+// and the instance list.
 func ServeEngine(e *Engine) (*Server, error) { return ServeEngineAt(loopback, e) }
 
-// ServeEngineAt serves an engine on an address.
+// ServeEngineAt serves an engine on the given address.
 func ServeEngineAt(address string, e *Engine) (*Server, error) {
 	r := chi.NewRouter()
 	r.Post(connector.PathOrders, e.serveOrder)
@@ -75,7 +75,8 @@
 	reply(w, r, struct{}{}, nil)
 }
 
-// engineCall reads a call from its headers and body.
+// engineCall decodes a call from the request's headers and body. If it is invalid, it
+// replies with an error and returns false.
 func engineCall(w http.ResponseWriter, r *http.Request) (*garnetworks.EngineCall, bool) {
 	var body connector.GenerateBody
 	if !readJSON(w, r, &body) {
@@ -140,16 +141,15 @@
 	e.stream(w, r, s)
 }
 
-// keepAlive is how often an engine shows that a call without new tokens is
-// still alive.
+// keepAlive is the interval of keep-alive comments on a stream without new tokens.
 const keepAlive = 500 * time.Millisecond
 
 var keepAliveComment = []byte(": waiting\n\n")
 
-// foreignAttempt is the identifier that crossed answers carry.
+// mismatchedAttempt is the attempt identifier sent by the CrossAnswers fault.
 const mismatchedAttempt = garnetworks.CallID("attempt-of-another-call")
 
-// stream writes the answer as server-sent events.
+// stream writes the response as server-sent events.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, s *sequence) {
 	st := &stream{}
 	st.takeFaults(&e.Faults)
@@ -188,7 +188,8 @@
 	}
 }
 
-// nextChunk waits for a chunk; false says that the answer broke off.
+// nextChunk waits for the next chunk, sending keep-alive comments meanwhile. It returns
+// false if the stream broke off.
 func (e *Engine) nextChunk(w http.ResponseWriter, r *http.Request, s *sequence, tick <-chan time.Time) (garnetworks.Chunk, bool) {
 	for {
 		select {
@@ -208,7 +209,7 @@
 	}
 }
 
-// eventEncoder encodes chunks into one buffer.
+// eventEncoder encodes chunks as server-sent events into a reused buffer.
 type eventEncoder struct {
 	buffer  bytes.Buffer
 	encoder *json.Encoder
@@ -237,7 +238,7 @@
 		ew.load = load
 		ew.body.Load = &ew.load
 	}
-	// Encode ends with a line feed of its own; a second one ends the event.
+	// Encode appends a newline; a second one ends the event.
 	if err := ew.encoder.Encode(&ew.body); err != nil {
 		panic(http.ErrAbortHandler)
 	}
--- a/faker/service.go
+++ b/faker/service.go
@@ -12,11 +12,11 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// MethodCall is the method of plain services.
+// MethodCall is the fault method of plain services.
 const MethodCall = "call"
 
-// Service is one backend server of a plain service. It runs each call it gets,
-// as often as it gets it, and counts.
+// Service is a fake backend server of a plain service. It executes every call it receives,
+// repeated ones too, and counts the executions.
 type Service struct {
 	Faults
 	name garnetworks.ServiceName
@@ -31,16 +31,16 @@
 	last     garnetworks.CallID
 }
 
-// ServiceResult is the body of a plain service's answer.
+// ServiceResult is the body of a plain service's response.
 type ServiceResult struct {
 	Service garnetworks.ServiceName `json:"service"`
 	Path    string                  `json:"path"`
 	Key     string                  `json:"key,omitempty"`
-	// Execution counts the executions of the server from 1.
+	// Execution is the number of this execution on the server, starting at 1.
 	Execution int `json:"execution"`
 }
 
-// NewService returns a server of the service whose executions take some time.
+// NewService returns a server of the service. Each execution takes the given duration.
 func NewService(name garnetworks.ServiceName, duration time.Duration) *Service {
 	return &Service{
 		name:     name,
@@ -51,52 +51,52 @@
 	}
 }
 
-// SetLeaving makes the server refuse new calls, or take them again.
+// SetLeaving sets whether the server refuses new calls.
 func (s *Service) SetLeaving(leaving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = leaving
 }
 
-// Executions returns the number of executions in all.
+// Executions returns the total number of executions.
 func (s *Service) Executions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.total
 }
 
-// ExecutionsOf returns the number of executions of one call identifier.
+// ExecutionsOf returns the number of executions with the call identifier.
 func (s *Service) ExecutionsOf(id garnetworks.CallID) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.byCall[id]
 }
 
-// ExecutionsByKey returns the number of executions with one idempotency key.
+// ExecutionsByKey returns the number of executions with the idempotency key.
 func (s *Service) ExecutionsByKey(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.byKey[key]
 }
 
-// ExecutionsPerKey returns the number of executions of each idempotency key.
+// ExecutionsPerKey returns the number of executions for each idempotency key.
 func (s *Service) ExecutionsPerKey() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.byKey)
 }
 
-// ExecutionsByBody returns the number of executions of each body.
+// ExecutionsByBody returns the number of executions with the body.
 func (s *Service) ExecutionsByBody(body string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.byBody[body]
 }
 
-// run runs the call and counts it before anything is answered (rule F4).
+// run executes the call, counting it before the response is written (rule F4).
 func (s *Service) run(ctx context.Context, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
 	execution := s.countExecution(call)
-	// The execution counts although its caller may go away now.
+	// A cancelled caller does not undo the execution.
 	_ = sleep(ctx, s.duration)
 	result := ServiceResult{Service: s.name, Path: call.Path, Key: call.IdempotencyKey, Execution: execution}
 	body, err := json.Marshal(result)
@@ -111,7 +111,7 @@
 	}, nil
 }
 
-// checkAccepting returns why new calls can't be begun, or nil.
+// checkAccepting returns the reason to refuse new calls, or nil.
 func (s *Service) checkAccepting() *garnetworks.Error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,8 +133,8 @@
 	return s.total
 }
 
-// previousCall returns the identifier of the call answered before, for crossed
-// answers, and remembers id.
+// previousCall returns the identifier of the previous call, for responses with another
+// call's identifier, and stores id for the next time.
 func (s *Service) previousCall(id garnetworks.CallID) garnetworks.CallID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,8 +146,7 @@
 	return last
 }
 
-// Call answers a call in process, with the failures that an adapter would
-// report.
+// Call executes a call in process and reports failures as a network adapter would.
 func (s *Service) Call(ctx context.Context, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
 	if _, err := url.ParseRequestURI(call.Path); err != nil || call.Path[0] != '/' {
 		return garnetworks.ServiceResponse{}, &garnetworks.AttemptError{Phase: garnetworks.PhaseConnect, Cause: err}
@@ -179,14 +178,14 @@
 	return answer, nil
 }
 
-// Services is a set of plain-service servers by address. It implements
+// Services maps addresses to plain-service servers. It implements
 // garnetworks.ServiceCaller in process.
 type Services struct {
 	mu        sync.Mutex
 	addresses map[string]*Service
 }
 
-// Add enters a server at an address.
+// Add registers a server at an address.
 func (s *Services) Add(address string, server *Service) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/faker/token.go
+++ b/faker/token.go
@@ -14,7 +14,7 @@
 	"fixture", "referee", "match", "roster", "office", "a", "to", "in", "is", "ö",
 }
 
-// Token returns the text of an answer's token (rule F3).
+// Token returns the text of the token at index of the response (rule F3).
 func Token(call *garnetworks.CallRequest, index int) string {
 	d := xxhash.New()
 	_, _ = d.WriteString(string(call.Model) + "\x00" + string(call.Adapter) + "\x00" + call.Prompt + "\x00")
@@ -22,8 +22,7 @@
 	return vocabulary[d.Sum64()%uint64(len(vocabulary))] + " "
 }
 
-// AnswerText returns the text of the answer's tokens from first up to, not
-// including, end.
+// AnswerText returns the text of the response's tokens in the range [first, end).
 func AnswerText(call *garnetworks.CallRequest, first, end int) string {
 	var b strings.Builder
 	for i := first; i < end; i++ {
