--- a/faker/impersonator/backend.go
+++ b/faker/impersonator/backend.go
@@ -17,30 +17,30 @@
 type BackendFaults struct {
 	// Full refuses calls as not run.
 	Full bool
-	// Still gives no events and no answers; Dark does not even answer orders.
-	Still, Dark bool
+	// Stalled gives no events and no answers; Unreachable does not even answer orders.
+	Stalled, Unreachable bool
 	// BreakAfter ends a stream without an end after so many events and the
 	// beginning of the next one; 0 never does.
 	BreakAfter int
 	// PreemptAfter stops a stream for Preempted after so many events, as an engine
 	// does that needs the memory for another call; 0 never does.
 	PreemptAfter int
-	Preempted    time.Duration
-	// Slow is how long a run of a plain service takes.
-	Slow time.Duration
-	// Unsigned leaves out the mark of a backend server.
-	Unsigned bool
-	// LoseAnswers is the number of next calls that run and are not answered.
-	LoseAnswers int
+	PreemptTime  time.Duration
+	// ExecutionTime is how long a run of a plain service takes.
+	ExecutionTime time.Duration
+	// OmitStamp leaves out the mark of a backend server.
+	OmitStamp bool
+	// LoseResponses is the number of next calls that run and are not answered.
+	LoseResponses int
 	// Fail answers calls with status 500 after running them.
 	Fail bool
-	// ExtraAnswers is the number of next answers that are followed by a second
+	// ExtraResponses is the number of next answers that are followed by a second
 	// one on the same connection.
-	ExtraAnswers int
+	ExtraResponses int
 	// LoseOrders is the number of next orders that are taken and not answered.
 	LoseOrders int
-	// CrashOn is the body of calls under which the backend crashes; empty is none.
-	CrashOn string
+	// CrashBody is the body of calls under which the backend crashes; empty is none.
+	CrashBody string
 }
 
 // Run is a call that a backend ran.
@@ -67,8 +67,8 @@
 	// JoinTime is the time that a join takes.
 	JoinTime time.Duration
 
-	store *Store
-	hang  *hanger
+	store   *Store
+	blocker *callBlocker
 
 	registering sync.Mutex
 
@@ -86,13 +86,13 @@
 	// token is the highest fencing token seen; orders with a lower one are refused.
 	token uint64
 	// born is the start that it tells, in Unix milliseconds; 0 tells none.
-	born  int64
-	ended bool
+	startedAt int64
+	stopped   bool
 }
 
 // NewBackend starts a backend and registers it in the store, if there is one.
 func NewBackend(store *Store, id, service, zone, domain string) *Backend {
-	b := &Backend{ID: id, Service: service, Zone: zone, Domain: domain, Events: 5, EventTime: 5 * time.Millisecond, store: store, hang: newHanger(), state: "ready"}
+	b := &Backend{ID: id, Service: service, Zone: zone, Domain: domain, Events: 5, EventTime: 5 * time.Millisecond, store: store, blocker: newCallBlocker(), state: "ready"}
 	b.Server = httptest.NewServer(http.HandlerFunc(b.serve))
 	b.register()
 	return b
@@ -101,8 +101,8 @@
 // Address returns the backend's IP number and port.
 func (b *Backend) Address() string { return strings.TrimPrefix(b.URL, "http://") }
 
-// Faults changes the faults.
-func (b *Backend) Faults(change func(*BackendFaults)) {
+// UpdateFaults changes the faults.
+func (b *Backend) UpdateFaults(change func(*BackendFaults)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	change(&b.faults)
@@ -122,8 +122,8 @@
 	return b.running
 }
 
-// Holding returns the number of calls that hang.
-func (b *Backend) Holding() int { return int(b.hang.held.Load()) }
+// BlockedCalls returns the number of calls that hang.
+func (b *Backend) BlockedCalls() int { return int(b.blocker.blocked.Load()) }
 
 // Orders returns the orders that were taken, such as "join m.1".
 func (b *Backend) Orders() []string {
@@ -140,10 +140,10 @@
 	b.register()
 }
 
-// Die ends the backend as a crash does, and its entry as the platform does later.
-func (b *Backend) Die() {
+// Kill ends the backend as a crash does, and its entry as the platform does later.
+func (b *Backend) Kill() {
 	b.mu.Lock()
-	b.ended = true
+	b.stopped = true
 	b.mu.Unlock()
 	b.CloseClientConnections()
 	b.Close()
@@ -159,7 +159,7 @@
 // at its address, and its entry lapses later.
 func (b *Backend) Crash() {
 	b.mu.Lock()
-	b.ended = true
+	b.stopped = true
 	b.mu.Unlock()
 	_ = b.Listener.Close() // Close closes it again
 	b.CloseClientConnections()
@@ -169,43 +169,43 @@
 	}
 }
 
-// Cut cuts the backend off from the platform and from its callers: connections break off,
+// Partition cuts the backend off from the platform and from its callers: connections break off,
 // later ones get no answer, and its entry lapses later, though it lives.
-func (b *Backend) Cut() {
-	b.Faults(func(f *BackendFaults) { f.Dark = true })
+func (b *Backend) Partition() {
+	b.UpdateFaults(func(f *BackendFaults) { f.Unreachable = true })
 	b.CloseClientConnections()
 	if b.store != nil {
 		time.AfterFunc(crashedEntryTime, func() { b.store.Remove("servers", b.ID) })
 	}
 }
 
-// Rejoin ends what Cut began: the backend answers, and its entry is back with the same
+// Heal ends what Cut began: the backend answers, and its entry is back with the same
 // start.
-func (b *Backend) Rejoin() {
-	b.Faults(func(f *BackendFaults) { f.Dark = false })
+func (b *Backend) Heal() {
+	b.UpdateFaults(func(f *BackendFaults) { f.Unreachable = false })
 	b.register()
 }
 
-// Ended reports whether the backend has died or crashed.
-func (b *Backend) Ended() bool {
+// Stopped reports whether the backend has died or crashed.
+func (b *Backend) Stopped() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.ended
+	return b.stopped
 }
 
 // Close ends the backend and all calls that hang in it.
 func (b *Backend) Close() {
-	b.hang.end()
+	b.blocker.release()
 	b.Server.Close()
 }
 
-// StartAgain lets the backend crash and start again at once under its identifier, at a
+// Restart lets the backend crash and start again at once under its identifier, at a
 // time in Unix milliseconds: calls break off, and it knows nothing of before but what its
 // host holds.
-func (b *Backend) StartAgain(born int64) {
+func (b *Backend) Restart(startedAt int64) {
 	b.CloseClientConnections()
 	b.mu.Lock()
-	b.member, b.model, b.epoch, b.token, b.born = Member{}, "", 0, 0, born
+	b.member, b.model, b.epoch, b.token, b.startedAt = Member{}, "", 0, 0, startedAt
 	b.mu.Unlock()
 	b.register()
 }
@@ -219,7 +219,7 @@
 	b.registering.Lock()
 	defer b.registering.Unlock()
 	b.mu.Lock()
-	if b.ended {
+	if b.stopped {
 		b.mu.Unlock()
 		return
 	}
@@ -227,8 +227,8 @@
 		"service": b.Service, "address": b.Address(), "zone": b.Zone, "version": "v1", "slots": 4,
 		"state": b.state, "cold-remaining-ms": 0, "sequence": 1, "domain": b.Domain, "staged": slices.Clone(b.staged), "unknown-field": 1,
 	}
-	if b.born != 0 {
-		entry["born"] = b.born
+	if b.startedAt != 0 {
+		entry["born"] = b.startedAt
 	}
 	if b.model != "" {
 		entry["models"] = []map[string]any{{"name": b.model, "version": 1}}
@@ -244,8 +244,8 @@
 	b.mu.Lock()
 	f := b.faults
 	b.mu.Unlock()
-	if f.Dark {
-		b.hang.wait(r)
+	if f.Unreachable {
+		b.blocker.block(r)
 		return
 	}
 	switch r.URL.Path {
@@ -261,8 +261,8 @@
 func (b *Backend) report(w http.ResponseWriter) {
 	b.mu.Lock()
 	report := map[string]any{"busy": false, "queued": 0, "running": 0}
-	if b.born != 0 {
-		report["born"] = b.born
+	if b.startedAt != 0 {
+		report["born"] = b.startedAt
 	}
 	b.mu.Unlock()
 	reply(w, http.StatusOK, report)
@@ -282,8 +282,8 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if f.Still {
-		b.hang.wait(r)
+	if f.Stalled {
+		b.blocker.block(r)
 		return
 	}
 	body, _ := io.ReadAll(r.Body)
@@ -294,13 +294,13 @@
 	b.mu.Lock()
 	b.runs = append(b.runs, run)
 	b.running++
-	lose := b.faults.LoseAnswers > 0
+	lose := b.faults.LoseResponses > 0
 	if lose {
-		b.faults.LoseAnswers--
+		b.faults.LoseResponses--
 	}
-	extra := b.faults.ExtraAnswers > 0
+	extra := b.faults.ExtraResponses > 0
 	if extra {
-		b.faults.ExtraAnswers--
+		b.faults.ExtraResponses--
 	}
 	b.mu.Unlock()
 	defer func() {
@@ -311,12 +311,12 @@
 	if lose {
 		panic(http.ErrAbortHandler)
 	}
-	if f.CrashOn != "" && run.Body == f.CrashOn {
+	if f.CrashBody != "" && run.Body == f.CrashBody {
 		go b.Crash()
 		<-r.Context().Done()
 		return
 	}
-	if !f.Unsigned {
+	if !f.OmitStamp {
 		w.Header().Set("Garnetworks-Response-Stamp", "stamp."+b.ID)
 	}
 	switch {
@@ -326,22 +326,22 @@
 	case r.Header.Get("Garnetworks-Model") != "":
 		b.stream(w, r, f)
 	case extra:
-		b.twice(w, id)
+		b.respondTwice(w, id)
 	default:
-		b.hang.pause(r, f.Slow)
+		b.blocker.delay(r, f.ExecutionTime)
 		_, _ = io.WriteString(w, "answer of "+b.ID+" to "+id)
 	}
 }
 
 // twice answers twice on the same connection.
-func (b *Backend) twice(w http.ResponseWriter, id string) {
+func (b *Backend) respondTwice(w http.ResponseWriter, id string) {
 	c, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
 	}
 	text := "answer of " + b.ID + " to " + id
-	one := fmt.Sprintf("HTTP/1.1 200 OK\r\nGarnetworks-Request-Id: %s\r\nGarnetworks-Response-Stamp: stamp.%s\r\nContent-Length: %d\r\n\r\n%s", id, b.ID, len(text), text)
-	_, _ = buffered.WriteString(one + one)
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nGarnetworks-Request-Id: %s\r\nGarnetworks-Response-Stamp: stamp.%s\r\nContent-Length: %d\r\n\r\n%s", id, b.ID, len(text), text)
+	_, _ = buffered.WriteString(response + response)
 	_ = buffered.Flush()
 	go func() {
 		// The connection stays open, as an engine's does.
@@ -362,14 +362,14 @@
 		case <-time.After(b.EventTime):
 		}
 		b.mu.Lock()
-		still := b.faults.Still
+		stalled := b.faults.Stalled
 		b.mu.Unlock()
-		if still {
-			b.hang.wait(r)
+		if stalled {
+			b.blocker.block(r)
 			return
 		}
 		if f.PreemptAfter > 0 && n-last == f.PreemptAfter+1 {
-			time.Sleep(f.Preempted)
+			time.Sleep(f.PreemptTime)
 		}
 		if f.BreakAfter > 0 && n-last > f.BreakAfter {
 			_, _ = fmt.Fprintf(w, "id: %d\nda", n)
@@ -400,7 +400,7 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	status := b.take(&o)
+	status := b.executeOrder(&o)
 	b.register()
 	b.mu.Lock()
 	lose := b.faults.LoseOrders > 0
@@ -415,7 +415,7 @@
 }
 
 // take carries an order out and returns the answer's status.
-func (b *Backend) take(o *orderBody) int {
+func (b *Backend) executeOrder(o *orderBody) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if o.Token < b.token {
@@ -435,7 +435,7 @@
 		}
 		b.epoch = o.Epoch
 		b.member = Member{Name: o.Group, Epoch: o.Epoch, Rank: slices.Index(o.Members, b.ID), State: "joining"}
-		time.AfterFunc(b.JoinTime, func() { b.joined(o) })
+		time.AfterFunc(b.JoinTime, func() { b.finishJoin(o) })
 	case "open", "close", "leave":
 		if !same {
 			return http.StatusConflict
@@ -458,7 +458,7 @@
 	return http.StatusAccepted
 }
 
-func (b *Backend) joined(o *orderBody) {
+func (b *Backend) finishJoin(o *orderBody) {
 	b.mu.Lock()
 	if b.member.Name != o.Group || b.member.Epoch != o.Epoch || b.member.State != "joining" {
 		b.mu.Unlock()
--- a/faker/impersonator/hanger.go
+++ b/faker/impersonator/hanger.go
@@ -8,38 +8,38 @@
 	"time"
 )
 
-// hanger holds calls that are never answered, until their clients leave or the
+// callBlocker holds calls that are never answered, until their clients leave or the
 // stand-in ends.
-type hanger struct {
+type callBlocker struct {
 	once sync.Once
-	over chan struct{}
+	stop chan struct{}
 	// held is the number of calls that are being held.
-	held atomic.Int64
+	blocked atomic.Int64
 }
 
-func newHanger() *hanger { return &hanger{over: make(chan struct{})} }
+func newCallBlocker() *callBlocker { return &callBlocker{stop: make(chan struct{})} }
 
-func (h *hanger) wait(r *http.Request) {
-	h.held.Add(1)
-	defer h.held.Add(-1)
+func (h *callBlocker) block(r *http.Request) {
+	h.blocked.Add(1)
+	defer h.blocked.Add(-1)
 	// A server sees that its client left only once the body has been read.
 	_, _ = io.Copy(io.Discard, r.Body)
 	select {
-	case <-h.over:
+	case <-h.stop:
 	case <-r.Context().Done():
 	}
 }
 
-// pause holds a call for a while.
-func (h *hanger) pause(r *http.Request, d time.Duration) {
+// delay holds a call for a while.
+func (h *callBlocker) delay(r *http.Request, d time.Duration) {
 	if d <= 0 {
 		return
 	}
 	select {
 	case <-time.After(d):
-	case <-h.over:
+	case <-h.stop:
 	case <-r.Context().Done():
 	}
 }
 
-func (h *hanger) end() { h.once.Do(func() { close(h.over) }) }
+func (h *callBlocker) release() { h.once.Do(func() { close(h.stop) }) }
--- a/faker/impersonator/store.go
+++ b/faker/impersonator/store.go
@@ -29,8 +29,8 @@
 	// StaleLists is the number of next lists that answer with an empty, older state,
 	// as a replica that lags does.
 	StaleLists int
-	// CutWatches ends waiting watches without an answer.
-	CutWatches bool
+	// AbortWatches ends waiting watches without an answer.
+	AbortWatches bool
 	// Refuse names callers, by the value of the User-Agent header, that get 503
 	// while others are served.
 	Refuse map[string]bool
@@ -71,30 +71,30 @@
 	kinds    map[string]map[string]object
 	history  []change
 	// kept is the revision up to which the history is forgotten.
-	kept  uint64
-	calls map[string]int
-	wake  chan struct{}
-	hang  *hanger
+	compacted uint64
+	calls     map[string]int
+	wake      chan struct{}
+	blocker   *callBlocker
 }
 
 // NewStore starts an empty store.
 func NewStore() *Store {
-	s := &Store{revision: 1, kinds: make(map[string]map[string]object), calls: make(map[string]int), wake: make(chan struct{}), hang: newHanger()}
+	s := &Store{revision: 1, kinds: make(map[string]map[string]object), calls: make(map[string]int), wake: make(chan struct{}), blocker: newCallBlocker()}
 	s.Server = httptest.NewServer(http.HandlerFunc(s.serve))
 	return s
 }
 
 // Close ends the store and all calls that hang in it.
 func (s *Store) Close() {
-	s.hang.end()
+	s.blocker.release()
 	s.Server.Close()
 }
 
 // Address returns the store's IP number and port.
 func (s *Store) Address() string { return strings.TrimPrefix(s.URL, "http://") }
 
-// Faults changes the faults.
-func (s *Store) Faults(change func(*StoreFaults)) {
+// UpdateFaults changes the faults.
+func (s *Store) UpdateFaults(change func(*StoreFaults)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(&s.faults)
@@ -105,7 +105,7 @@
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.history, s.kept = nil, s.revision
+	s.history, s.compacted = nil, s.revision
 	s.wakeLocked()
 }
 
@@ -172,69 +172,69 @@
 }
 
 // verdict is what a fault makes of a call.
-type verdict int
+type faultKind int
 
 const (
-	verdictServe verdict = iota
-	verdictDown
-	verdictSilent
-	verdictThrottle
-	verdictLose
-	verdictLate
+	faultNone faultKind = iota
+	faultDown
+	faultSilent
+	faultThrottle
+	faultLoseResponse
+	faultLateWrite
 )
 
-func (s *Store) judge(r *http.Request) (verdict, time.Duration) {
+func (s *Store) nextFault(r *http.Request) (faultKind, time.Duration) {
 	kind := strings.Split(strings.TrimPrefix(r.URL.Path, "/v1/objects/"), "/")[0]
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls[r.Method+" "+kind]++
 	f := &s.faults
-	writes := r.Method != http.MethodGet
+	isWrite := r.Method != http.MethodGet
 	switch {
 	case f.Silent:
-		return verdictSilent, 0
+		return faultSilent, 0
 	case f.Down || f.Refuse[r.UserAgent()]:
-		return verdictDown, f.Delay
+		return faultDown, f.Delay
 	case f.Throttle > 0:
 		f.Throttle--
-		return verdictThrottle, f.Delay
-	case writes && f.LoseWrites > 0:
+		return faultThrottle, f.Delay
+	case isWrite && f.LoseWrites > 0:
 		f.LoseWrites--
-		return verdictLose, f.Delay
-	case writes && f.LateWrites > 0:
+		return faultLoseResponse, f.Delay
+	case isWrite && f.LateWrites > 0:
 		f.LateWrites--
-		return verdictLate, f.LateBy
+		return faultLateWrite, f.LateBy
 	}
-	return verdictServe, f.Delay
+	return faultNone, f.Delay
 }
 
 func (s *Store) serve(w http.ResponseWriter, r *http.Request) {
-	v, delay := s.judge(r)
+	v, delay := s.nextFault(r)
 	switch v {
-	case verdictSilent:
-		s.hang.wait(r)
+	case faultSilent:
+		s.blocker.block(r)
 		return
-	case verdictDown:
+	case faultDown:
 		http.Error(w, "down", http.StatusServiceUnavailable)
 		return
-	case verdictThrottle:
+	case faultThrottle:
 		http.Error(w, "beyond the rates", http.StatusTooManyRequests)
 		return
-	case verdictLose:
-		s.answer(httptest.NewRecorder(), r)
+	case faultLoseResponse:
+		s.handle(httptest.NewRecorder(), r)
 		panic(http.ErrAbortHandler)
-	case verdictLate:
-		s.late(r, delay)
-		s.hang.wait(r)
+	case faultLateWrite:
+		s.delayWrite(r, delay)
+		s.blocker.block(r)
 		return
-	case verdictServe:
+	case faultNone:
 		time.Sleep(delay)
-		s.answer(w, r)
+		s.handle(w, r)
 	}
 }
 
 // late does a write after a while, whatever has become of its caller.
-func (s *Store) late(r *http.Request, after time.Duration) {
+func (s *Store) delayWrite(r *http.Request, after time.Duration) {
 	copied := r.Clone(r.Context())
 	var body strings.Builder
 	buffer := make([]byte, 1<<10)
@@ -248,7 +248,7 @@
 	text := body.String()
 	time.AfterFunc(after, func() {
 		copied.Body = readCloser{strings.NewReader(text)}
-		s.answer(httptest.NewRecorder(), copied)
+		s.handle(httptest.NewRecorder(), copied)
 	})
 }
 
@@ -256,7 +256,7 @@
 
 func (readCloser) Close() error { return nil }
 
-func (s *Store) answer(w http.ResponseWriter, r *http.Request) {
+func (s *Store) handle(w http.ResponseWriter, r *http.Request) {
 	rest := strings.TrimPrefix(r.URL.EscapedPath(), "/v1/objects/")
 	kind, name, named := strings.Cut(rest, "/")
 	name, err := url.PathUnescape(name)
@@ -301,7 +301,7 @@
 }
 
 func (s *Store) list(w http.ResponseWriter, kind, after string) {
-	const usualPage = 500
+	const defaultPageSize = 500
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.StaleLists > 0 {
@@ -311,7 +311,7 @@
 	}
 	page := s.PageSize
 	if page == 0 {
-		page = usualPage
+		page = defaultPageSize
 	}
 	var names []string
 	for name := range s.kinds[kind] {
@@ -337,26 +337,26 @@
 	}
 	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timer.Stop()
-	for over := false; ; {
+	for expired := false; ; {
 		s.mu.Lock()
-		cut, gone, wake := s.faults.CutWatches, after < s.kept, s.wake
+		abort, compacted, wake := s.faults.AbortWatches, after < s.compacted, s.wake
 		events := s.eventsLocked(kind, after)
 		revision := s.revision
 		s.mu.Unlock()
 		switch {
-		case cut:
+		case abort:
 			panic(http.ErrAbortHandler)
-		case gone:
+		case compacted:
 			http.Error(w, "the history is gone", http.StatusGone)
 			return
-		case len(events) > 0 || over:
+		case len(events) > 0 || expired:
 			reply(w, http.StatusOK, map[string]any{"events": events, "current-rev": revision})
 			return
 		}
 		select {
 		case <-wake:
 		case <-timer.C:
-			over = true
+			expired = true
 		case <-r.Context().Done():
 			return
 		}
@@ -375,10 +375,10 @@
 
 // decode reads an object of a write, or refuses the call.
 func (s *Store) decode(w http.ResponseWriter, r *http.Request) (object, bool) {
-	const usualBytes = 1 << 20
+	const defaultValueBytes = 1 << 20
 	limit := s.ValueBytes
 	if limit == 0 {
-		limit = usualBytes
+		limit = defaultValueBytes
 	}
 	var o object
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
@@ -460,8 +460,8 @@
 	reply(w, http.StatusOK, old)
 }
 
-// Hold puts a finalizer on an object.
-func (s *Store) Hold(kind, name, finalizer string) {
+// AddFinalizer puts a finalizer on an object.
+func (s *Store) AddFinalizer(kind, name, finalizer string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o := s.kinds[kind][name]
--- a/launcher/cause_test.go
+++ b/launcher/cause_test.go
@@ -57,7 +57,7 @@
 			target: onceURL,
 			strike: func(s *site) {
 				for _, b := range s.services {
-					b.Faults(func(f *impersonator.BackendFaults) { f.LoseAnswers = 1 })
+					b.UpdateFaults(func(f *impersonator.BackendFaults) { f.LoseResponses = 1 })
 				}
 			},
 			check: func(t *testing.T, line map[string]any) {
@@ -71,7 +71,7 @@
 			target: onceURL,
 			strike: func(s *site) {
 				for _, b := range s.services {
-					b.Faults(func(f *impersonator.BackendFaults) { f.Full = true })
+					b.UpdateFaults(func(f *impersonator.BackendFaults) { f.Full = true })
 				}
 			},
 			check: func(t *testing.T, line map[string]any) {
@@ -101,7 +101,7 @@
 	s := open(t, 3)
 	s.serve(streamURL)
 	for _, e := range s.engines {
-		e.Faults(func(f *impersonator.BackendFaults) { f.BreakAfter = 2 })
+		e.UpdateFaults(func(f *impersonator.BackendFaults) { f.BreakAfter = 2 })
 	}
 	id := newID()
 	a := s.call(http.MethodPost, streamURL, func(r *http.Request) { r.Header.Set("Garnetworks-Request-Id", id) })
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -75,7 +75,7 @@
 	s := open(t, 3)
 	s.stop()
 	<-s.done
-	s.store.Faults(func(f *impersonator.StoreFaults) { f.Down = true })
+	s.store.UpdateFaults(func(f *impersonator.StoreFaults) { f.Down = true })
 	s.start()
 	var a answer
 	s.eventually("the node listens", func() bool { a = s.call(http.MethodPost, onceURL, nil); return a.err == nil })
@@ -85,7 +85,7 @@
 	if r, err := http.Get(s.ready); err != nil || r.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("ready: %v, %v", r, err)
 	}
-	s.store.Faults(func(f *impersonator.StoreFaults) { f.Down = false })
+	s.store.UpdateFaults(func(f *impersonator.StoreFaults) { f.Down = false })
 	s.serve(onceURL)
 }
 
@@ -98,7 +98,7 @@
 		e.Events = 20
 	}
 	first := s.head()
-	first.Faults(func(f *impersonator.BackendFaults) { f.BreakAfter = 3 })
+	first.UpdateFaults(func(f *impersonator.BackendFaults) { f.BreakAfter = 3 })
 	s.eventually("a call is resumed", func() bool {
 		a := s.call(http.MethodPost, streamURL, nil)
 		if a.err == nil && a.status == http.StatusOK && a.body != pieces(20) {
@@ -121,7 +121,7 @@
 	s := open(t, 3)
 	s.serve(onceURL)
 	for _, b := range s.services {
-		b.Faults(func(f *impersonator.BackendFaults) { f.LoseAnswers = 1 })
+		b.UpdateFaults(func(f *impersonator.BackendFaults) { f.LoseResponses = 1 })
 	}
 	before := len(s.services[0].Runs()) + len(s.services[1].Runs())
 	a := s.call(http.MethodPost, onceURL, nil)
@@ -138,8 +138,8 @@
 func TestLostAnswerOfACallThatMayBeRepeated(t *testing.T) {
 	s := open(t, 3)
 	s.serve(safeURL)
-	s.services[0].Faults(func(f *impersonator.BackendFaults) { f.LoseAnswers = 1 })
-	s.services[1].Faults(func(f *impersonator.BackendFaults) { f.LoseAnswers = 0 })
+	s.services[0].UpdateFaults(func(f *impersonator.BackendFaults) { f.LoseResponses = 1 })
+	s.services[1].UpdateFaults(func(f *impersonator.BackendFaults) { f.LoseResponses = 0 })
 	for range 4 {
 		if a := s.call(http.MethodGet, safeURL, nil); a.status != http.StatusOK {
 			t.Errorf("got %+v", a)
@@ -180,7 +180,7 @@
 	s := open(t, 3)
 	s.serve(onceURL)
 	for _, b := range s.services {
-		b.Faults(func(f *impersonator.BackendFaults) { f.Full = true })
+		b.UpdateFaults(func(f *impersonator.BackendFaults) { f.Full = true })
 	}
 	a := s.call(http.MethodPost, onceURL, nil)
 	if a.status != http.StatusServiceUnavailable || a.header.Get("Retry-After") == "" {
@@ -235,14 +235,14 @@
 	s.serve(streamURL)
 	head := s.head()
 	for _, e := range s.engines {
-		e.Faults(func(f *impersonator.BackendFaults) { f.Still = true })
+		e.UpdateFaults(func(f *impersonator.BackendFaults) { f.Stalled = true })
 	}
 	before := len(head.Runs())
 	ctx, leave := context.WithCancel(t.Context())
 	go func() {
 		s.call(http.MethodPost, streamURL, func(r *http.Request) { *r = *r.WithContext(ctx) })
 	}()
-	s.eventually("the call is with the engine", func() bool { return head.Holding() > 0 })
+	s.eventually("the call is with the engine", func() bool { return head.BlockedCalls() > 0 })
 	leave()
 	s.eventually("the log tells that the client left", func() bool { return strings.Contains(s.logs.String(), `"kind":"cancelled"`) })
 	if strings.Contains(s.logs.String(), "backend-timeout") || len(head.Runs()) != before {
@@ -277,7 +277,7 @@
 func TestLostEngineIsReplaced(t *testing.T) {
 	s := open(t, 4)
 	s.serve(streamURL)
-	s.head().Die()
+	s.head().Kill()
 	s.eventually("another engine serves", func() bool {
 		a := s.call(http.MethodPost, streamURL, nil)
 		return a.status == http.StatusOK && a.body == pieces(5)
@@ -289,7 +289,7 @@
 func TestLaggingListTakesNoServersAway(t *testing.T) {
 	s := open(t, 3)
 	s.serve(onceURL)
-	s.store.Faults(func(f *impersonator.StoreFaults) { f.StaleLists = 3 })
+	s.store.UpdateFaults(func(f *impersonator.StoreFaults) { f.StaleLists = 3 })
 	s.store.Compact()
 	s.store.Set("servers", "s-new", entry("other", "127.0.0.1:1"))
 	for range 50 {
@@ -306,7 +306,7 @@
 	s := open(t, 3)
 	s.serve(streamURL)
 	for _, e := range s.engines {
-		e.Faults(func(f *impersonator.BackendFaults) { f.PreemptAfter, f.Preempted = 2, 50*time.Millisecond })
+		e.UpdateFaults(func(f *impersonator.BackendFaults) { f.PreemptAfter, f.PreemptTime = 2, 50*time.Millisecond })
 	}
 	if a := s.call(http.MethodPost, streamURL, nil); a.status != http.StatusOK || a.body != pieces(5) {
 		t.Errorf("got %+v", a)
@@ -320,7 +320,7 @@
 	s := open(t, 3)
 	s.serve(streamURL)
 	for _, e := range s.engines {
-		e.Faults(func(f *impersonator.BackendFaults) { f.PreemptAfter, f.Preempted = 2, time.Second })
+		e.UpdateFaults(func(f *impersonator.BackendFaults) { f.PreemptAfter, f.PreemptTime = 2, time.Second })
 	}
 	if a := s.call(http.MethodPost, streamURL, nil); a.status != http.StatusOK || a.body != pieces(5) {
 		t.Errorf("got %+v", a)
@@ -334,7 +334,7 @@
 	s.serve(streamURL)
 	const silence = 2 * time.Second
 	first := s.head()
-	first.Faults(func(f *impersonator.BackendFaults) { f.PreemptAfter, f.Preempted = 2, silence })
+	first.UpdateFaults(func(f *impersonator.BackendFaults) { f.PreemptAfter, f.PreemptTime = 2, silence })
 	s.eventually("a call is moved", func() bool {
 		a := s.call(http.MethodPost, streamURL, nil)
 		if a.status != http.StatusOK || a.body != pieces(5) {
@@ -359,7 +359,7 @@
 	s.serve(safeURL)
 	s.node.Reload(garnetworks.SiteBounds{RevokeTime: 5 * time.Second, RetryWindow: 10 * time.Second})
 	for _, b := range s.services {
-		b.Faults(func(f *impersonator.BackendFaults) { f.Slow = 700 * time.Millisecond })
+		b.UpdateFaults(func(f *impersonator.BackendFaults) { f.ExecutionTime = 700 * time.Millisecond })
 	}
 	a := s.call(http.MethodGet, safeURL, func(r *http.Request) { r.Header.Set("Garnetworks-Deadline-Ms", "1400") })
 	if a.status != http.StatusOK {
@@ -377,7 +377,7 @@
 	head := s.head()
 	for round, again := range []*impersonator.Backend{other(s.engines, head), head} {
 		before := len(again.Orders())
-		again.StartAgain(int64(1764720000000 + round))
+		again.Restart(int64(1764720000000 + round))
 		s.eventually("a call succeeds at a group of the later life", func() bool {
 			a := s.call(http.MethodPost, streamURL, nil)
 			return a.status == http.StatusOK && a.body == pieces(5)
--- a/launcher/quarantine_test.go
+++ b/launcher/quarantine_test.go
@@ -40,7 +40,7 @@
 		s.services = append(s.services, b)
 	}
 	for _, b := range append(append([]*impersonator.Backend(nil), s.engines...), s.services...) {
-		b.Faults(func(f *impersonator.BackendFaults) { f.CrashOn = crashing })
+		b.UpdateFaults(func(f *impersonator.BackendFaults) { f.CrashBody = crashing })
 	}
 	s.eventually("all groups serve", func() bool {
 		open := 0
@@ -192,7 +192,7 @@
 	s := openCrashing(t)
 	slow := func(time time.Duration) {
 		for _, b := range s.services {
-			b.Faults(func(f *impersonator.BackendFaults) { f.Slow = time })
+			b.UpdateFaults(func(f *impersonator.BackendFaults) { f.ExecutionTime = time })
 		}
 	}
 	slow(time.Minute)
@@ -227,7 +227,7 @@
 func TestCallIsNotBlamedForEnginesThatWereCutOff(t *testing.T) {
 	s := openCrashing(t)
 	for _, e := range s.engines {
-		e.Faults(func(f *impersonator.BackendFaults) { f.CrashOn = "" })
+		e.UpdateFaults(func(f *impersonator.BackendFaults) { f.CrashBody = "" })
 		e.Events, e.EventTime = 400, 10*time.Millisecond
 	}
 	const body = "sound"
@@ -244,7 +244,7 @@
 		}()
 		s.eventually("the call runs", func() bool { return runningOf(s.engines) != nil })
 		b := runningOf(s.engines)
-		b.Cut()
+		b.Partition()
 		cut = append(cut, b)
 		s.eventually("the node has left the engine", func() bool { return b.Running() == 0 })
 		s.eventually("the entry lapses", func() bool { return s.told("server-gone", b.ID) })
@@ -254,7 +254,7 @@
 	}
 	time.Sleep(spreadTime)
 	for _, b := range cut {
-		b.Rejoin()
+		b.Heal()
 	}
 	time.Sleep(spreadTime)
 	for _, e := range s.engines {
@@ -274,7 +274,7 @@
 // runningOf returns the backend that runs a call and has not ended.
 func runningOf(backends []*impersonator.Backend) *impersonator.Backend {
 	for _, b := range backends {
-		if b.Running() > 0 && !b.Ended() {
+		if b.Running() > 0 && !b.Stopped() {
 			return b
 		}
 	}
