--- a/faker/impersonator/backend.go
+++ b/faker/impersonator/backend.go
@@ -13,43 +13,44 @@
 	"time"
 )
 
-// BackendFaults are what may be wrong with a Backend.
+// BackendFaults are the injectable faults of a Backend.
 type BackendFaults struct {
 	// Full refuses calls as not run.
 	Full bool
-	// Stalled gives no events and no answers; Unreachable does not even answer orders.
+	// Stalled sends no events and no responses to calls; Unreachable responds to nothing,
+	// orders included.
 	Stalled, Unreachable bool
-	// BreakAfter ends a stream without an end after so many events and the
-	// beginning of the next one; 0 never does.
+	// BreakAfter breaks a stream off in the middle of the event after this many events; 0
+	// never does.
 	BreakAfter int
-	// PreemptAfter stops a stream for Preempted after so many events, as an engine
-	// does that needs the memory for another call; 0 never does.
+	// PreemptAfter pauses a stream for PreemptTime after this many events, as an engine does
+	// that needs the memory for another call; 0 never does.
 	PreemptAfter int
 	PreemptTime  time.Duration
-	// ExecutionTime is how long a run of a plain service takes.
+	// ExecutionTime is the duration of a plain service's call.
 	ExecutionTime time.Duration
-	// OmitStamp leaves out the mark of a backend server.
+	// OmitStamp leaves out the response stamp of the backend server.
 	OmitStamp bool
-	// LoseResponses is the number of next calls that run and are not answered.
+	// LoseResponses is the number of following calls that run without a response.
 	LoseResponses int
-	// Fail answers calls with status 500 after running them.
+	// Fail runs calls and responds with status 500.
 	Fail bool
-	// ExtraResponses is the number of next answers that are followed by a second
-	// one on the same connection.
+	// ExtraResponses is the number of following responses that are sent twice on the same
+	// connection.
 	ExtraResponses int
-	// LoseOrders is the number of next orders that are taken and not answered.
+	// LoseOrders is the number of following orders that are executed without a response.
 	LoseOrders int
-	// CrashBody is the body of calls under which the backend crashes; empty is none.
+	// CrashBody is the body of calls that crash the backend; empty matches none.
 	CrashBody string
 }
 
-// Run is a call that a backend ran.
+// Run records a call that a backend ran.
 type Run struct {
 	ID, Method, Target, Body, Workspace, Key, ResumeAfter string
 	At                                                    time.Time
 }
 
-// Member is a backend's state in a group, as it goes over the wire.
+// Member is a backend's group membership in its wire format.
 type Member struct {
 	Name  string `json:"name"`
 	Epoch uint64 `json:"epoch"`
@@ -57,14 +58,14 @@
 	State string `json:"state"`
 }
 
-// Backend stands in for a model engine or for a server of a plain service.
+// Backend is a fake model engine or plain-service server.
 type Backend struct {
 	*httptest.Server
 	ID, Service, Zone, Domain string
-	// Events is the number of events of a stream, EventTime the time between two.
+	// Events is the number of events of a stream, EventTime the time before each.
 	Events    int
 	EventTime time.Duration
-	// JoinTime is the time that a join takes.
+	// JoinTime is the duration of a join.
 	JoinTime time.Duration
 
 	store   *Store
@@ -74,7 +75,7 @@
 
 	mu     sync.Mutex
 	faults BackendFaults
-	// running counts the calls that are being answered.
+	// running is the number of calls in progress.
 	running int
 	runs    []Run
 	orders  []string
@@ -85,12 +86,12 @@
 	epoch   uint64
 	// token is the highest fencing token seen; orders with a lower one are refused.
 	token uint64
-	// born is the start that it tells, in Unix milliseconds; 0 tells none.
+	// startedAt is the reported start time in Unix milliseconds; 0 reports none.
 	startedAt int64
 	stopped   bool
 }
 
-// NewBackend starts a backend and registers it in the store, if there is one.
+// NewBackend starts a backend and registers it in the store, unless store is nil.
 func NewBackend(store *Store, id, service, zone, domain string) *Backend {
 	b := &Backend{ID: id, Service: service, Zone: zone, Domain: domain, Events: 5, EventTime: 5 * time.Millisecond, store: store, blocker: newCallBlocker(), state: "ready"}
 	b.Server = httptest.NewServer(http.HandlerFunc(b.serve))
@@ -98,41 +99,41 @@
 	return b
 }
 
-// Address returns the backend's IP number and port.
+// Address returns the backend's IP address and port.
 func (b *Backend) Address() string { return strings.TrimPrefix(b.URL, "http://") }
 
-// UpdateFaults changes the faults.
+// UpdateFaults changes the faults in place.
 func (b *Backend) UpdateFaults(change func(*BackendFaults)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	change(&b.faults)
 }
 
-// Runs returns the calls that ran.
+// Runs returns the calls that ran, in order of arrival.
 func (b *Backend) Runs() []Run {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.runs)
 }
 
-// Running returns the number of calls that are being answered.
+// Running returns the number of calls in progress.
 func (b *Backend) Running() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.running
 }
 
-// BlockedCalls returns the number of calls that hang.
+// BlockedCalls returns the number of calls that are blocked without a response.
 func (b *Backend) BlockedCalls() int { return int(b.blocker.blocked.Load()) }
 
-// Orders returns the orders that were taken, such as "join m.1".
+// Orders returns the accepted orders as operation and group, such as "join m.1".
 func (b *Backend) Orders() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.orders)
 }
 
-// Drain announces that the backend will stop.
+// Drain sets the backend's registered state to draining.
 func (b *Backend) Drain() {
 	b.mu.Lock()
 	b.state = "draining"
@@ -140,7 +141,7 @@
 	b.register()
 }
 
-// Kill ends the backend as a crash does, and its entry as the platform does later.
+// Kill stops the backend, breaks its connections and removes its entry from the store.
 func (b *Backend) Kill() {
 	b.mu.Lock()
 	b.stopped = true
@@ -152,11 +153,11 @@
 	}
 }
 
-// crashedEntryTime is how long the entry of a backend that crashed stays.
+// crashedEntryTime is how long the entry of a crashed or partitioned backend remains.
 const crashedEntryTime = 300 * time.Millisecond
 
-// Crash ends the backend as its process's end does: connections break off, nobody listens
-// at its address, and its entry lapses later.
+// Crash simulates the end of the backend's process: connections break, nothing listens at
+// its address, and its entry expires later.
 func (b *Backend) Crash() {
 	b.mu.Lock()
 	b.stopped = true
@@ -169,8 +170,8 @@
 	}
 }
 
-// Partition cuts the backend off from the platform and from its callers: connections break off,
-// later ones get no answer, and its entry lapses later, though it lives.
+// Partition cuts the running backend off from the platform and its callers: connections
+// break, later requests get no response, and its entry expires later.
 func (b *Backend) Partition() {
 	b.UpdateFaults(func(f *BackendFaults) { f.Unreachable = true })
 	b.CloseClientConnections()
@@ -179,29 +180,29 @@
 	}
 }
 
-// Heal ends what Cut began: the backend answers, and its entry is back with the same
-// start.
+// Heal ends a partition: the backend responds again and re-registers with the same start
+// time.
 func (b *Backend) Heal() {
 	b.UpdateFaults(func(f *BackendFaults) { f.Unreachable = false })
 	b.register()
 }
 
-// Stopped reports whether the backend has died or crashed.
+// Stopped reports whether the backend was killed or has crashed.
 func (b *Backend) Stopped() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.stopped
 }
 
-// Close ends the backend and all calls that hang in it.
+// Close stops the server and releases all blocked calls.
 func (b *Backend) Close() {
 	b.blocker.release()
 	b.Server.Close()
 }
 
-// Restart lets the backend crash and start again at once under its identifier, at a
-// time in Unix milliseconds: calls break off, and it knows nothing of before but what its
-// host holds.
+// Restart simulates a crash and an immediate restart under the same identifier, at a start
+// time in Unix milliseconds. Connections break; the membership, the loaded model, the epoch
+// and the fencing token are lost; models staged on the host remain.
 func (b *Backend) Restart(startedAt int64) {
 	b.CloseClientConnections()
 	b.mu.Lock()
@@ -210,12 +211,12 @@
 	b.register()
 }
 
-// register writes the backend's entry.
+// register writes the backend's entry to the store.
 func (b *Backend) register() {
 	if b.store == nil {
 		return
 	}
-	// Entries are written in the order of the states that they tell.
+	// The lock keeps an older state from overwriting a newer one in the store.
 	b.registering.Lock()
 	defer b.registering.Unlock()
 	b.mu.Lock()
@@ -333,7 +334,7 @@
 	}
 }
 
-// twice answers twice on the same connection.
+// respondTwice sends the same response twice on one connection.
 func (b *Backend) respondTwice(w http.ResponseWriter, id string) {
 	c, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -344,13 +345,13 @@
 	_, _ = buffered.WriteString(response + response)
 	_ = buffered.Flush()
 	go func() {
-		// The connection stays open, as an engine's does.
+		// Keeps the connection open, as an engine does.
 		_, _ = io.Copy(io.Discard, c)
 		_ = c.Close()
 	}()
 }
 
-// stream gives events with numbers from 1.
+// stream sends events with identifiers from 1, or from the one after Last-Event-Id.
 func (b *Backend) stream(w http.ResponseWriter, r *http.Request, f *BackendFaults) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	last, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
@@ -414,7 +415,7 @@
 	w.WriteHeader(status)
 }
 
-// take carries an order out and returns the answer's status.
+// executeOrder executes an order and returns the response's status.
 func (b *Backend) executeOrder(o *orderBody) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/faker/impersonator/hanger.go
+++ b/faker/impersonator/hanger.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// callBlocker holds calls that are never answered, until their clients leave or the
-// stand-in ends.
+// callBlocker blocks calls without a response until their clients disconnect or the fake
+// stops.
 type callBlocker struct {
 	once sync.Once
 	stop chan struct{}
-	// held is the number of calls that are being held.
+	// blocked is the number of calls that block is holding.
 	blocked atomic.Int64
 }
 
@@ -22,7 +22,7 @@
 func (h *callBlocker) block(r *http.Request) {
 	h.blocked.Add(1)
 	defer h.blocked.Add(-1)
-	// A server sees that its client left only once the body has been read.
+	// The server notices that a client disconnected only after the body has been read.
 	_, _ = io.Copy(io.Discard, r.Body)
 	select {
 	case <-h.stop:
@@ -30,7 +30,7 @@
 	}
 }
 
-// delay holds a call for a while.
+// delay blocks a call for the duration d.
 func (h *callBlocker) delay(r *http.Request, d time.Duration) {
 	if d <= 0 {
 		return
--- a/faker/impersonator/store.go
+++ b/faker/impersonator/store.go
@@ -12,31 +12,30 @@
 	"time"
 )
 
-// StoreFaults are what may be wrong with a Store.
+// StoreFaults are the injectable faults of a Store.
 type StoreFaults struct {
-	// Down answers 503 to everything; Silent answers nothing at all.
+	// Down responds to every call with 503; Silent never responds.
 	Down, Silent bool
-	// Delay is waited before each answer.
+	// Delay is waited before each response.
 	Delay time.Duration
-	// LoseWrites is the number of next writes that are done and not answered.
+	// LoseWrites is the number of following writes that are applied without a response.
 	LoseWrites int
-	// LateWrites is the number of next writes that get no answer and are done
-	// LateBy later, if their condition still holds.
+	// LateWrites is the number of following writes that get no response and are applied LateBy
+	// later, if their condition still holds.
 	LateWrites int
 	LateBy     time.Duration
-	// Throttle is the number of next calls that are refused with 429.
+	// Throttle is the number of following calls that are refused with 429.
 	Throttle int
-	// StaleLists is the number of next lists that answer with an empty, older state,
-	// as a replica that lags does.
+	// StaleLists is the number of following lists that return an empty, older state, as a
+	// lagging replica does.
 	StaleLists int
-	// AbortWatches ends waiting watches without an answer.
+	// AbortWatches breaks waiting watches off without a response.
 	AbortWatches bool
-	// Refuse names callers, by the value of the User-Agent header, that get 503
-	// while others are served.
+	// Refuse is the set of User-Agent values whose calls get 503.
 	Refuse map[string]bool
 }
 
-// object is a stored object as it goes over the wire.
+// object is a stored object in its wire format.
 type object struct {
 	Metadata metadata        `json:"metadata"`
 	Spec     json.RawMessage `json:"spec"`
@@ -57,12 +56,12 @@
 	deleted bool
 }
 
-// Store stands in for the platform's store.
+// Store is a fake of the platform's store.
 type Store struct {
 	*httptest.Server
-	// PageSize is the most objects in one list; 0 means 500.
+	// PageSize is the maximum number of objects in one list; 0 means 500.
 	PageSize int
-	// ValueBytes is the largest object; 0 means 1 MiB.
+	// ValueBytes is the maximum size of an object in bytes; 0 means 1 MiB.
 	ValueBytes int
 
 	mu       sync.Mutex
@@ -70,7 +69,7 @@
 	revision uint64
 	kinds    map[string]map[string]object
 	history  []change
-	// kept is the revision up to which the history is forgotten.
+	// compacted is the revision up to which the history is dropped.
 	compacted uint64
 	calls     map[string]int
 	wake      chan struct{}
@@ -84,16 +83,16 @@
 	return s
 }
 
-// Close ends the store and all calls that hang in it.
+// Close stops the server and releases all blocked calls.
 func (s *Store) Close() {
 	s.blocker.release()
 	s.Server.Close()
 }
 
-// Address returns the store's IP number and port.
+// Address returns the store's IP address and port.
 func (s *Store) Address() string { return strings.TrimPrefix(s.URL, "http://") }
 
-// UpdateFaults changes the faults.
+// UpdateFaults changes the faults in place and wakes the watches.
 func (s *Store) UpdateFaults(change func(*StoreFaults)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +100,7 @@
 	s.wakeLocked()
 }
 
-// Compact forgets the history up to now.
+// Compact drops the history up to the current revision.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,11 +119,11 @@
 	return calls
 }
 
-// Set writes an object as the operator or a server would.
+// Set writes an object, as the operator or a backend server would.
 func (s *Store) Set(kind, name string, spec any) {
 	text, err := json.Marshal(spec)
 	if err != nil {
-		panic("impersonator: a spec does not marshal: " + err.Error())
+		panic("impersonator: cannot marshal the spec: " + err.Error())
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,7 +133,7 @@
 	s.writeLocked(kind, o)
 }
 
-// Remove deletes an object as the platform would.
+// Remove deletes an object regardless of its finalizers, as the platform would.
 func (s *Store) Remove(kind, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -171,7 +170,7 @@
 	s.wakeLocked()
 }
 
-// verdict is what a fault makes of a call.
+// faultKind is the kind of fault that applies to a call.
 type faultKind int
 
 const (
@@ -233,7 +232,7 @@
 	}
 }
 
-// late does a write after a while, whatever has become of its caller.
+// delayWrite applies a write later, even if its caller has disconnected.
 func (s *Store) delayWrite(r *http.Request, after time.Duration) {
 	copied := r.Clone(r.Context())
 	var body strings.Builder
@@ -373,7 +372,7 @@
 	return events
 }
 
-// decode reads an object of a write, or refuses the call.
+// decode reads the object of a write, or replies with an error and returns false.
 func (s *Store) decode(w http.ResponseWriter, r *http.Request) (object, bool) {
 	const defaultValueBytes = 1 << 20
 	limit := s.ValueBytes
@@ -385,7 +384,7 @@
 		http.Error(w, "body", http.StatusBadRequest)
 		return o, false
 	}
-	// A value in base64 takes a third more than its bytes.
+	// The limit is doubled, because base64 makes the encoded value a third larger.
 	if len(o.Spec) > limit*2 {
 		http.Error(w, "too large", http.StatusRequestEntityTooLarge)
 		return o, false
@@ -451,7 +450,7 @@
 		return
 	}
 	if len(old.Metadata.Finalizers) > 0 {
-		// The object stays, marked, until nobody holds it any more.
+		// The object stays, marked as deleting, until its last finalizer is removed.
 		old.Metadata.Deleting = true
 		reply(w, http.StatusOK, s.writeLocked(kind, old))
 		return
@@ -460,7 +459,7 @@
 	reply(w, http.StatusOK, old)
 }
 
-// AddFinalizer puts a finalizer on an object.
+// AddFinalizer adds a finalizer to an object.
 func (s *Store) AddFinalizer(kind, name, finalizer string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
