--- a/faker/engine.go
+++ b/faker/engine.go
@@ -16,8 +16,9 @@
 	MethodGenerate    = "generate"
 )
 
-// EngineSpec describes an engine and its instance. A zero Slots, Queue, FirstToken, PerToken,
-// CacheBlocks, State or Address selects the default; default times are short to keep tests fast.
+// EngineSpec describes an engine and its instance. A zero Slots, Queue, FirstToken,
+// PerToken, CacheBlocks, State or Address selects the default; default times are short to
+// keep tests fast.
 type EngineSpec struct {
 	garnetworks.ListedInstance
 	Watts garnetworks.Watts
