--- a/faker/batch.go
+++ b/faker/batch.go
@@ -284,8 +284,9 @@
 	return st, nil
 }
 
-// beginError maps a fault that occurred before the call took effect to the AttemptError
-// that a network adapter would return. silent becomes Stalled for other errors.
+// beginError maps an error of Faults.begin to the AttemptError that a network adapter would
+// return. Errors other than errDown and errUnavailable occur in the wait for a response;
+// silent sets their Stalled.
 func beginError(err error, silent bool) error {
 	switch err {
 	case errDown:
@@ -370,8 +371,8 @@
 	return nil
 }
 
-// stall waits until the plan changes, which may unfreeze the engine, or until the fleet's
-// Silence timeout, after which it fails as an adapter does on a stalled connection.
+// stall waits until the plan changes, which may unfreeze the engine, and then continues with
+// Next. It fails if the context ends or, as on a stalled connection, after fleet.Silence.
 func (st *stream) stall(chunk *garnetworks.Chunk, changed <-chan struct{}) error {
 	timer := time.NewTimer(st.engine.fleet.Silence)
 	defer timer.Stop()
--- a/faker/engine.go
+++ b/faker/engine.go
@@ -117,7 +117,8 @@
 	}
 }
 
-// reset restores the state of a newly started process. The caller holds fleet.mu.
+// reset restores the state of a newly started process. The caller holds fleet.mu, unless
+// the engine is not in the fleet yet.
 func (e *Engine) reset() {
 	e.cancelLoads()
 	e.phase = garnetworks.EngineIdle
--- a/faker/fleet.go
+++ b/faker/fleet.go
@@ -123,8 +123,8 @@
 }
 
 // Attempts returns the calls that reached engines, in order of arrival. Only the first
-// maxAttempts are kept; lost counts the others.
-func (f *Fleet) Attempts() (attempts []Attempt, lost uint64) {
+// maxAttempts are kept; dropped counts the others.
+func (f *Fleet) Attempts() (attempts []Attempt, dropped uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.attempts), f.droppedAttempts
