--- a/faker/impersonator/backend.go
+++ b/faker/impersonator/backend.go
@@ -13,43 +13,44 @@
 	"time"
 )
 
-// BackendFaults are what may be wrong with a Backend.
+// BackendFaults are the injectable faults of a Backend.
 type BackendFaults struct {
 	// Full refuses calls as not run.
 	Full bool
-	// Still gives no events and no answers; Dark does not even answer orders.
-	Still, Dark bool
-	// BreakAfter ends a stream without an end after so many events and the
-	// beginning of the next one; 0 never does.
+	// Stalled sends no events and no responses to calls; Unreachable responds to nothing,
+	// orders included.
+	Stalled, Unreachable bool
+	// BreakAfter breaks a stream off in the middle of the event after this many events; 0
+	// never does.
 	BreakAfter int
-	// PreemptAfter stops a stream for Preempted after so many events, as an engine
-	// does that needs the memory for another call; 0 never does.
+	// PreemptAfter pauses a stream for PreemptTime after this many events, as an engine does
+	// that needs the memory for another call; 0 never does.
 	PreemptAfter int
-	Preempted    time.Duration
-	// Slow is how long a run of a plain service takes.
-	Slow time.Duration
-	// Unsigned leaves out the mark of a backend server.
-	Unsigned bool
-	// LoseAnswers is the number of next calls that run and are not answered.
-	LoseAnswers int
-	// Fail answers calls with status 500 after running them.
+	PreemptTime  time.Duration
+	// ExecutionTime is the duration of a plain service's call.
+	ExecutionTime time.Duration
+	// OmitStamp leaves out the response stamp of the backend server.
+	OmitStamp bool
+	// LoseResponses is the number of following calls that run without a response.
+	LoseResponses int
+	// Fail runs calls and responds with status 500.
 	Fail bool
-	// ExtraAnswers is the number of next answers that are followed by a second
-	// one on the same connection.
-	ExtraAnswers int
-	// LoseOrders is the number of next orders that are taken and not answered.
+	// ExtraResponses is the number of following responses that are sent twice on the same
+	// connection.
+	ExtraResponses int
+	// LoseOrders is the number of following orders that are executed without a response.
 	LoseOrders int
-	// CrashOn is the body of calls under which the backend crashes; empty is none.
-	CrashOn string
+	// CrashBody is the body of calls that crash the backend; empty matches none.
+	CrashBody string
 }
 
-// Run is a call that a backend ran.
+// Run records a call that a backend ran.
 type Run struct {
 	ID, Method, Target, Body, Workspace, Key, ResumeAfter string
 	At                                                    time.Time
 }
 
-// Member is a backend's state in a group, as it goes over the wire.
+// Member is a backend's group membership in its wire format.
 type Member struct {
 	Name  string `json:"name"`
 	Epoch uint64 `json:"epoch"`
@@ -57,24 +58,24 @@
 	State string `json:"state"`
 }
 
-// Backend stands in for a model engine or for a server of a plain service.
+// Backend is a fake model engine or plain-service server.
 type Backend struct {
 	*httptest.Server
 	ID, Service, Zone, Domain string
-	// Events is the number of events of a stream, EventTime the time between two.
+	// Events is the number of events of a stream, EventTime the time before each.
 	Events    int
 	EventTime time.Duration
-	// JoinTime is the time that a join takes.
+	// JoinTime is the duration of a join.
 	JoinTime time.Duration
 
-	store *Store
-	hang  *hanger
+	store   *Store
+	blocker *callBlocker
 
 	registering sync.Mutex
 
 	mu     sync.Mutex
 	faults BackendFaults
-	// running counts the calls that are being answered.
+	// running is the number of calls in progress.
 	running int
 	runs    []Run
 	orders  []string
@@ -85,54 +86,54 @@
 	epoch   uint64
 	// token is the highest fencing token seen; orders with a lower one are refused.
 	token uint64
-	// born is the start that it tells, in Unix milliseconds; 0 tells none.
-	born  int64
-	ended bool
+	// startedAt is the reported start time in Unix milliseconds; 0 reports none.
+	startedAt int64
+	stopped   bool
 }
 
-// NewBackend starts a backend and registers it in the store, if there is one.
+// NewBackend starts a backend and registers it in the store, unless store is nil.
 func NewBackend(store *Store, id, service, zone, domain string) *Backend {
-	b := &Backend{ID: id, Service: service, Zone: zone, Domain: domain, Events: 5, EventTime: 5 * time.Millisecond, store: store, hang: newHanger(), state: "ready"}
+	b := &Backend{ID: id, Service: service, Zone: zone, Domain: domain, Events: 5, EventTime: 5 * time.Millisecond, store: store, blocker: newCallBlocker(), state: "ready"}
 	b.Server = httptest.NewServer(http.HandlerFunc(b.serve))
 	b.register()
 	return b
 }
 
-// Address returns the backend's IP number and port.
+// Address returns the backend's IP address and port.
 func (b *Backend) Address() string { return strings.TrimPrefix(b.URL, "http://") }
 
-// Faults changes the faults.
-func (b *Backend) Faults(change func(*BackendFaults)) {
+// UpdateFaults changes the faults in place.
+func (b *Backend) UpdateFaults(change func(*BackendFaults)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	change(&b.faults)
 }
 
-// Runs returns the calls that ran.
+// Runs returns the calls that ran, in order of arrival.
 func (b *Backend) Runs() []Run {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.runs)
 }
 
-// Running returns the number of calls that are being answered.
+// Running returns the number of calls in progress.
 func (b *Backend) Running() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.running
 }
 
-// Holding returns the number of calls that hang.
-func (b *Backend) Holding() int { return int(b.hang.held.Load()) }
+// BlockedCalls returns the number of calls that are blocked without a response.
+func (b *Backend) BlockedCalls() int { return int(b.blocker.blocked.Load()) }
 
-// Orders returns the orders that were taken, such as "join m.1".
+// Orders returns the accepted orders as operation and group, such as "join m.1".
 func (b *Backend) Orders() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.orders)
 }
 
-// Drain announces that the backend will stop.
+// Drain sets the backend's registered state to draining.
 func (b *Backend) Drain() {
 	b.mu.Lock()
 	b.state = "draining"
@@ -140,10 +141,10 @@
 	b.register()
 }
 
-// Die ends the backend as a crash does, and its entry as the platform does later.
-func (b *Backend) Die() {
+// Kill stops the backend, breaks its connections and removes its entry from the store.
+func (b *Backend) Kill() {
 	b.mu.Lock()
-	b.ended = true
+	b.stopped = true
 	b.mu.Unlock()
 	b.CloseClientConnections()
 	b.Close()
@@ -152,14 +153,14 @@
 	}
 }
 
-// crashedEntryTime is how long the entry of a backend that crashed stays.
+// crashedEntryTime is how long the entry of a crashed or partitioned backend remains.
 const crashedEntryTime = 300 * time.Millisecond
 
-// Crash ends the backend as its process's end does: connections break off, nobody listens
-// at its address, and its entry lapses later.
+// Crash simulates the end of the backend's process: connections break, nothing listens at
+// its address, and its entry expires later.
 func (b *Backend) Crash() {
 	b.mu.Lock()
-	b.ended = true
+	b.stopped = true
 	b.mu.Unlock()
 	_ = b.Listener.Close() // Close closes it again
 	b.CloseClientConnections()
@@ -169,57 +170,57 @@
 	}
 }
 
-// Cut cuts the backend off from the platform and from its callers: connections break off,
-// later ones get no answer, and its entry lapses later, though it lives.
-func (b *Backend) Cut() {
-	b.Faults(func(f *BackendFaults) { f.Dark = true })
+// Partition cuts the running backend off from the platform and its callers: connections
+// break, later requests get no response, and its entry expires later.
+func (b *Backend) Partition() {
+	b.UpdateFaults(func(f *BackendFaults) { f.Unreachable = true })
 	b.CloseClientConnections()
 	if b.store != nil {
 		time.AfterFunc(crashedEntryTime, func() { b.store.Remove("servers", b.ID) })
 	}
 }
 
-// Rejoin ends what Cut began: the backend answers, and its entry is back with the same
-// start.
-func (b *Backend) Rejoin() {
-	b.Faults(func(f *BackendFaults) { f.Dark = false })
+// Heal ends a partition: the backend responds again and re-registers with the same start
+// time.
+func (b *Backend) Heal() {
+	b.UpdateFaults(func(f *BackendFaults) { f.Unreachable = false })
 	b.register()
 }
 
-// Ended reports whether the backend has died or crashed.
-func (b *Backend) Ended() bool {
+// Stopped reports whether the backend was killed or has crashed.
+func (b *Backend) Stopped() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.ended
+	return b.stopped
 }
 
-// Close ends the backend and all calls that hang in it.
+// Close stops the server and releases all blocked calls.
 func (b *Backend) Close() {
-	b.hang.end()
+	b.blocker.release()
 	b.Server.Close()
 }
 
-// StartAgain lets the backend crash and start again at once under its identifier, at a
-// time in Unix milliseconds: calls break off, and it knows nothing of before but what its
-// host holds.
-func (b *Backend) StartAgain(born int64) {
+// Restart simulates a crash and an immediate restart under the same identifier, at a start
+// time in Unix milliseconds. Connections break; the membership, the loaded model, the epoch
+// and the fencing token are lost; models staged on the host remain.
+func (b *Backend) Restart(startedAt int64) {
 	b.CloseClientConnections()
 	b.mu.Lock()
-	b.member, b.model, b.epoch, b.token, b.born = Member{}, "", 0, 0, born
+	b.member, b.model, b.epoch, b.token, b.startedAt = Member{}, "", 0, 0, startedAt
 	b.mu.Unlock()
 	b.register()
 }
 
-// register writes the backend's entry.
+// register writes the backend's entry to the store.
 func (b *Backend) register() {
 	if b.store == nil {
 		return
 	}
-	// Entries are written in the order of the states that they tell.
+	// The lock keeps an older state from overwriting a newer one in the store.
 	b.registering.Lock()
 	defer b.registering.Unlock()
 	b.mu.Lock()
-	if b.ended {
+	if b.stopped {
 		b.mu.Unlock()
 		return
 	}
@@ -227,8 +228,8 @@
 		"service": b.Service, "address": b.Address(), "zone": b.Zone, "version": "v1", "slots": 4,
 		"state": b.state, "cold-remaining-ms": 0, "sequence": 1, "domain": b.Domain, "staged": slices.Clone(b.staged), "unknown-field": 1,
 	}
-	if b.born != 0 {
-		entry["born"] = b.born
+	if b.startedAt != 0 {
+		entry["born"] = b.startedAt
 	}
 	if b.model != "" {
 		entry["models"] = []map[string]any{{"name": b.model, "version": 1}}
@@ -244,8 +245,8 @@
 	b.mu.Lock()
 	f := b.faults
 	b.mu.Unlock()
-	if f.Dark {
-		b.hang.wait(r)
+	if f.Unreachable {
+		b.blocker.block(r)
 		return
 	}
 	switch r.URL.Path {
@@ -261,8 +262,8 @@
 func (b *Backend) report(w http.ResponseWriter) {
 	b.mu.Lock()
 	report := map[string]any{"busy": false, "queued": 0, "running": 0}
-	if b.born != 0 {
-		report["born"] = b.born
+	if b.startedAt != 0 {
+		report["born"] = b.startedAt
 	}
 	b.mu.Unlock()
 	reply(w, http.StatusOK, report)
@@ -282,8 +283,8 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if f.Still {
-		b.hang.wait(r)
+	if f.Stalled {
+		b.blocker.block(r)
 		return
 	}
 	body, _ := io.ReadAll(r.Body)
@@ -294,13 +295,13 @@
 	b.mu.Lock()
 	b.runs = append(b.runs, run)
 	b.running++
-	lose := b.faults.LoseAnswers > 0
+	lose := b.faults.LoseResponses > 0
 	if lose {
-		b.faults.LoseAnswers--
+		b.faults.LoseResponses--
 	}
-	extra := b.faults.ExtraAnswers > 0
+	extra := b.faults.ExtraResponses > 0
 	if extra {
-		b.faults.ExtraAnswers--
+		b.faults.ExtraResponses--
 	}
 	b.mu.Unlock()
 	defer func() {
@@ -311,12 +312,12 @@
 	if lose {
 		panic(http.ErrAbortHandler)
 	}
-	if f.CrashOn != "" && run.Body == f.CrashOn {
+	if f.CrashBody != "" && run.Body == f.CrashBody {
 		go b.Crash()
 		<-r.Context().Done()
 		return
 	}
-	if !f.Unsigned {
+	if !f.OmitStamp {
 		w.Header().Set("Garnetworks-Response-Stamp", "stamp."+b.ID)
 	}
 	switch {
@@ -326,31 +327,31 @@
 	case r.Header.Get("Garnetworks-Model") != "":
 		b.stream(w, r, f)
 	case extra:
-		b.twice(w, id)
+		b.respondTwice(w, id)
 	default:
-		b.hang.pause(r, f.Slow)
+		b.blocker.delay(r, f.ExecutionTime)
 		_, _ = io.WriteString(w, "answer of "+b.ID+" to "+id)
 	}
 }
 
-// twice answers twice on the same connection.
-func (b *Backend) twice(w http.ResponseWriter, id string) {
+// respondTwice sends the same response twice on one connection.
+func (b *Backend) respondTwice(w http.ResponseWriter, id string) {
 	c, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
 	}
 	text := "answer of " + b.ID + " to " + id
-	one := fmt.Sprintf("HTTP/1.1 200 OK\r\nGarnetworks-Request-Id: %s\r\nGarnetworks-Response-Stamp: stamp.%s\r\nContent-Length: %d\r\n\r\n%s", id, b.ID, len(text), text)
-	_, _ = buffered.WriteString(one + one)
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nGarnetworks-Request-Id: %s\r\nGarnetworks-Response-Stamp: stamp.%s\r\nContent-Length: %d\r\n\r\n%s", id, b.ID, len(text), text)
+	_, _ = buffered.WriteString(response + response)
 	_ = buffered.Flush()
 	go func() {
-		// The connection stays open, as an engine's does.
+		// Keeps the connection open, as an engine does.
 		_, _ = io.Copy(io.Discard, c)
 		_ = c.Close()
 	}()
 }
 
-// stream gives events with numbers from 1.
+// stream sends events with identifiers from 1, or from the one after Last-Event-Id.
 func (b *Backend) stream(w http.ResponseWriter, r *http.Request, f *BackendFaults) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	last, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
@@ -362,14 +363,14 @@
 		case <-time.After(b.EventTime):
 		}
 		b.mu.Lock()
-		still := b.faults.Still
+		stalled := b.faults.Stalled
 		b.mu.Unlock()
-		if still {
-			b.hang.wait(r)
+		if stalled {
+			b.blocker.block(r)
 			return
 		}
 		if f.PreemptAfter > 0 && n-last == f.PreemptAfter+1 {
-			time.Sleep(f.Preempted)
+			time.Sleep(f.PreemptTime)
 		}
 		if f.BreakAfter > 0 && n-last > f.BreakAfter {
 			_, _ = fmt.Fprintf(w, "id: %d\nda", n)
@@ -400,7 +401,7 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	status := b.take(&o)
+	status := b.executeOrder(&o)
 	b.register()
 	b.mu.Lock()
 	lose := b.faults.LoseOrders > 0
@@ -414,8 +415,8 @@
 	w.WriteHeader(status)
 }
 
-// take carries an order out and returns the answer's status.
-func (b *Backend) take(o *orderBody) int {
+// executeOrder executes an order and returns the response's status.
+func (b *Backend) executeOrder(o *orderBody) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if o.Token < b.token {
@@ -435,7 +436,7 @@
 		}
 		b.epoch = o.Epoch
 		b.member = Member{Name: o.Group, Epoch: o.Epoch, Rank: slices.Index(o.Members, b.ID), State: "joining"}
-		time.AfterFunc(b.JoinTime, func() { b.joined(o) })
+		time.AfterFunc(b.JoinTime, func() { b.finishJoin(o) })
 	case "open", "close", "leave":
 		if !same {
 			return http.StatusConflict
@@ -458,7 +459,7 @@
 	return http.StatusAccepted
 }
 
-func (b *Backend) joined(o *orderBody) {
+func (b *Backend) finishJoin(o *orderBody) {
 	b.mu.Lock()
 	if b.member.Name != o.Group || b.member.Epoch != o.Epoch || b.member.State != "joining" {
 		b.mu.Unlock()
--- a/faker/impersonator/store.go
+++ b/faker/impersonator/store.go
@@ -12,31 +12,30 @@
 	"time"
 )
 
-// StoreFaults are what may be wrong with a Store.
+// StoreFaults are the injectable faults of a Store.
 type StoreFaults struct {
-	// Down answers 503 to everything; Silent answers nothing at all.
+	// Down responds to every call with 503; Silent never responds.
 	Down, Silent bool
-	// Delay is waited before each answer.
+	// Delay is waited before each response.
 	Delay time.Duration
-	// LoseWrites is the number of next writes that are done and not answered.
+	// LoseWrites is the number of following writes that are applied without a response.
 	LoseWrites int
-	// LateWrites is the number of next writes that get no answer and are done
-	// LateBy later, if their condition still holds.
+	// LateWrites is the number of following writes that get no response and are applied LateBy
+	// later, if their condition still holds.
 	LateWrites int
 	LateBy     time.Duration
-	// Throttle is the number of next calls that are refused with 429.
+	// Throttle is the number of following calls that are refused with 429.
 	Throttle int
-	// StaleLists is the number of next lists that answer with an empty, older state,
-	// as a replica that lags does.
+	// StaleLists is the number of following lists that return an empty, older state, as a
+	// lagging replica does.
 	StaleLists int
-	// CutWatches ends waiting watches without an answer.
-	CutWatches bool
-	// Refuse names callers, by the value of the User-Agent header, that get 503
-	// while others are served.
+	// AbortWatches breaks waiting watches off without a response.
+	AbortWatches bool
+	// Refuse is the set of User-Agent values whose calls get 503.
 	Refuse map[string]bool
 }
 
-// object is a stored object as it goes over the wire.
+// object is a stored object in its wire format.
 type object struct {
 	Metadata metadata        `json:"metadata"`
 	Spec     json.RawMessage `json:"spec"`
@@ -57,12 +56,12 @@
 	deleted bool
 }
 
-// Store stands in for the platform's store.
+// Store is a fake of the platform's store.
 type Store struct {
 	*httptest.Server
-	// PageSize is the most objects in one list; 0 means 500.
+	// PageSize is the maximum number of objects in one list; 0 means 500.
 	PageSize int
-	// ValueBytes is the largest object; 0 means 1 MiB.
+	// ValueBytes is the maximum size of an object in bytes; 0 means 1 MiB.
 	ValueBytes int
 
 	mu       sync.Mutex
@@ -70,42 +69,42 @@
 	revision uint64
 	kinds    map[string]map[string]object
 	history  []change
-	// kept is the revision up to which the history is forgotten.
-	kept  uint64
-	calls map[string]int
-	wake  chan struct{}
-	hang  *hanger
+	// compacted is the revision up to which the history is dropped.
+	compacted uint64
+	calls     map[string]int
+	wake      chan struct{}
+	blocker   *callBlocker
 }
 
 // NewStore starts an empty store.
 func NewStore() *Store {
-	s := &Store{revision: 1, kinds: make(map[string]map[string]object), calls: make(map[string]int), wake: make(chan struct{}), hang: newHanger()}
+	s := &Store{revision: 1, kinds: make(map[string]map[string]object), calls: make(map[string]int), wake: make(chan struct{}), blocker: newCallBlocker()}
 	s.Server = httptest.NewServer(http.HandlerFunc(s.serve))
 	return s
 }
 
-// Close ends the store and all calls that hang in it.
+// Close stops the server and releases all blocked calls.
 func (s *Store) Close() {
-	s.hang.end()
+	s.blocker.release()
 	s.Server.Close()
 }
 
-// Address returns the store's IP number and port.
+// Address returns the store's IP address and port.
 func (s *Store) Address() string { return strings.TrimPrefix(s.URL, "http://") }
 
-// Faults changes the faults.
-func (s *Store) Faults(change func(*StoreFaults)) {
+// UpdateFaults changes the faults in place and wakes the watches.
+func (s *Store) UpdateFaults(change func(*StoreFaults)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(&s.faults)
 	s.wakeLocked()
 }
 
-// Compact forgets the history up to now.
+// Compact drops the history up to the current revision.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.history, s.kept = nil, s.revision
+	s.history, s.compacted = nil, s.revision
 	s.wakeLocked()
 }
 
@@ -120,11 +119,11 @@
 	return calls
 }
 
-// Set writes an object as the operator or a server would.
+// Set writes an object, as the operator or a backend server would.
 func (s *Store) Set(kind, name string, spec any) {
 	text, err := json.Marshal(spec)
 	if err != nil {
-		panic("impersonator: a spec does not marshal: " + err.Error())
+		panic("impersonator: cannot marshal the spec: " + err.Error())
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,7 +133,7 @@
 	s.writeLocked(kind, o)
 }
 
-// Remove deletes an object as the platform would.
+// Remove deletes an object regardless of its finalizers, as the platform would.
 func (s *Store) Remove(kind, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -171,70 +170,70 @@
 	s.wakeLocked()
 }
 
-// verdict is what a fault makes of a call.
-type verdict int
+// faultKind is the kind of fault that applies to a call.
+type faultKind int
 
 const (
-	verdictServe verdict = iota
-	verdictDown
-	verdictSilent
-	verdictThrottle
-	verdictLose
-	verdictLate
+	faultNone faultKind = iota
+	faultDown
+	faultSilent
+	faultThrottle
+	faultLoseResponse
+	faultLateWrite
 )
 
-func (s *Store) judge(r *http.Request) (verdict, time.Duration) {
+func (s *Store) nextFault(r *http.Request) (faultKind, time.Duration) {
 	kind := strings.Split(strings.TrimPrefix(r.URL.Path, "/v1/objects/"), "/")[0]
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls[r.Method+" "+kind]++
 	f := &s.faults
-	writes := r.Method != http.MethodGet
+	isWrite := r.Method != http.MethodGet
 	switch {
 	case f.Silent:
-		return verdictSilent, 0
+		return faultSilent, 0
 	case f.Down || f.Refuse[r.UserAgent()]:
-		return verdictDown, f.Delay
+		return faultDown, f.Delay
 	case f.Throttle > 0:
 		f.Throttle--
-		return verdictThrottle, f.Delay
-	case writes && f.LoseWrites > 0:
+		return faultThrottle, f.Delay
+	case isWrite && f.LoseWrites > 0:
 		f.LoseWrites--
-		return verdictLose, f.Delay
-	case writes && f.LateWrites > 0:
+		return faultLoseResponse, f.Delay
+	case isWrite && f.LateWrites > 0:
 		f.LateWrites--
-		return verdictLate, f.LateBy
+		return faultLateWrite, f.LateBy
 	}
-	return verdictServe, f.Delay
+	return faultNone, f.Delay
 }
 
 func (s *Store) serve(w http.ResponseWriter, r *http.Request) {
-	v, delay := s.judge(r)
+	v, delay := s.nextFault(r)
 	switch v {
-	case verdictSilent:
-		s.hang.wait(r)
+	case faultSilent:
+		s.blocker.block(r)
 		return
-	case verdictDown:
+	case faultDown:
 		http.Error(w, "down", http.StatusServiceUnavailable)
 		return
-	case verdictThrottle:
+	case faultThrottle:
 		http.Error(w, "beyond the rates", http.StatusTooManyRequests)
 		return
-	case verdictLose:
-		s.answer(httptest.NewRecorder(), r)
+	case faultLoseResponse:
+		s.handle(httptest.NewRecorder(), r)
 		panic(http.ErrAbortHandler)
-	case verdictLate:
-		s.late(r, delay)
-		s.hang.wait(r)
+	case faultLateWrite:
+		s.delayWrite(r, delay)
+		s.blocker.block(r)
 		return
-	case verdictServe:
+	case faultNone:
 		time.Sleep(delay)
-		s.answer(w, r)
+		s.handle(w, r)
 	}
 }
 
-// late does a write after a while, whatever has become of its caller.
-func (s *Store) late(r *http.Request, after time.Duration) {
+// delayWrite applies a write later, even if its caller has disconnected.
+func (s *Store) delayWrite(r *http.Request, after time.Duration) {
 	copied := r.Clone(r.Context())
 	var body strings.Builder
 	buffer := make([]byte, 1<<10)
@@ -248,7 +247,7 @@
 	text := body.String()
 	time.AfterFunc(after, func() {
 		copied.Body = readCloser{strings.NewReader(text)}
-		s.answer(httptest.NewRecorder(), copied)
+		s.handle(httptest.NewRecorder(), copied)
 	})
 }
 
@@ -256,7 +255,7 @@
 
 func (readCloser) Close() error { return nil }
 
-func (s *Store) answer(w http.ResponseWriter, r *http.Request) {
+func (s *Store) handle(w http.ResponseWriter, r *http.Request) {
 	rest := strings.TrimPrefix(r.URL.EscapedPath(), "/v1/objects/")
 	kind, name, named := strings.Cut(rest, "/")
 	name, err := url.PathUnescape(name)
@@ -301,7 +300,7 @@
 }
 
 func (s *Store) list(w http.ResponseWriter, kind, after string) {
-	const usualPage = 500
+	const defaultPageSize = 500
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.StaleLists > 0 {
@@ -311,7 +310,7 @@
 	}
 	page := s.PageSize
 	if page == 0 {
-		page = usualPage
+		page = defaultPageSize
 	}
 	var names []string
 	for name := range s.kinds[kind] {
@@ -337,26 +336,26 @@
 	}
 	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timer.Stop()
-	for over := false; ; {
+	for expired := false; ; {
 		s.mu.Lock()
-		cut, gone, wake := s.faults.CutWatches, after < s.kept, s.wake
+		abort, compacted, wake := s.faults.AbortWatches, after < s.compacted, s.wake
 		events := s.eventsLocked(kind, after)
 		revision := s.revision
 		s.mu.Unlock()
 		switch {
-		case cut:
+		case abort:
 			panic(http.ErrAbortHandler)
-		case gone:
+		case compacted:
 			http.Error(w, "the history is gone", http.StatusGone)
 			return
-		case len(events) > 0 || over:
+		case len(events) > 0 || expired:
 			reply(w, http.StatusOK, map[string]any{"events": events, "current-rev": revision})
 			return
 		}
 		select {
 		case <-wake:
 		case <-timer.C:
-			over = true
+			expired = true
 		case <-r.Context().Done():
 			return
 		}
@@ -373,19 +372,19 @@
 	return events
 }
 
-// decode reads an object of a write, or refuses the call.
+// decode reads the object of a write, or replies with an error and returns false.
 func (s *Store) decode(w http.ResponseWriter, r *http.Request) (object, bool) {
-	const usualBytes = 1 << 20
+	const defaultValueBytes = 1 << 20
 	limit := s.ValueBytes
 	if limit == 0 {
-		limit = usualBytes
+		limit = defaultValueBytes
 	}
 	var o object
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
 		http.Error(w, "body", http.StatusBadRequest)
 		return o, false
 	}
-	// A value in base64 takes a third more than its bytes.
+	// The limit is doubled, because base64 makes the encoded value a third larger.
 	if len(o.Spec) > limit*2 {
 		http.Error(w, "too large", http.StatusRequestEntityTooLarge)
 		return o, false
@@ -451,7 +450,7 @@
 		return
 	}
 	if len(old.Metadata.Finalizers) > 0 {
-		// The object stays, marked, until nobody holds it any more.
+		// The object stays, marked as deleting, until its last finalizer is removed.
 		old.Metadata.Deleting = true
 		reply(w, http.StatusOK, s.writeLocked(kind, old))
 		return
@@ -460,8 +459,8 @@
 	reply(w, http.StatusOK, old)
 }
 
-// Hold puts a finalizer on an object.
-func (s *Store) Hold(kind, name, finalizer string) {
+// AddFinalizer adds a finalizer to an object.
+func (s *Store) AddFinalizer(kind, name, finalizer string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o := s.kinds[kind][name]
--- a/faker/objects.go
+++ b/faker/objects.go
@@ -14,7 +14,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Methods of the object API, as counted and as named in FaultPlan.Methods.
+// Fault methods of the object API, for FaultPlan.Methods and Objects.Counts.
 const (
 	MethodGet    = "get"
 	MethodPut    = "put"
@@ -23,21 +23,21 @@
 	MethodWatch  = "watch"
 )
 
-// ObjectsOptions bound an object API; zero fields mean the defaults.
+// ObjectsOptions limits an object API; zero fields select the defaults.
 type ObjectsOptions struct {
-	// WritesPerSecond and ReadsPerSecond are the rates beyond which calls are
-	// throttled; 0 means no limit. A burst of one second's worth is let through.
+	// WritesPerSecond and ReadsPerSecond are rate limits; 0 means no limit. A burst of one
+	// second's worth of calls is allowed.
 	WritesPerSecond float64
 	ReadsPerSecond  float64
 	// History is the number of changes kept for watches; 4096 by default.
 	History int
-	// MaxBytes is the largest value; garnetworks.MaxObjectBytes by default.
+	// MaxBytes is the maximum size of a value; garnetworks.MaxObjectBytes by default.
 	MaxBytes int
 }
 
 const defaultHistory = 4096
 
-// Objects is an object API in memory.
+// Objects is an in-memory object API.
 type Objects struct {
 	Faults
 	options ObjectsOptions
@@ -47,7 +47,7 @@
 	mu       sync.Mutex
 	objects  map[string]garnetworks.Object
 	revision garnetworks.Revision
-	// history holds the last changes in order; what is older is compacted.
+	// history holds the latest changes in order; changes up to compacted are dropped.
 	history   []garnetworks.Object
 	compacted garnetworks.Revision
 	changed   chan struct{}
@@ -80,14 +80,14 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
-// SetRates changes the rates; 0 means no limit.
+// SetRates changes the rate limits; 0 means no limit.
 func (o *Objects) SetRates(writesPerSecond, readsPerSecond float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.writes, o.reads = limiter(writesPerSecond), limiter(readsPerSecond)
 }
 
-// Counts returns the number of calls by method, throttled ones included.
+// Counts returns the number of calls by method, including throttled ones.
 func (o *Objects) Counts() map[string]uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -101,7 +101,7 @@
 	return o.throttled
 }
 
-// Compact forgets the history up to now, so that older watches must list.
+// Compact drops the history, so that watches from an older revision must list again.
 func (o *Objects) Compact() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -111,19 +111,19 @@
 
 // Get implements garnetworks.ObjectAPI.
 func (o *Objects) Get(ctx context.Context, key string) (garnetworks.Object, error) {
-	return apply(ctx, &o.Faults, MethodGet, failedObjectRead, func() (garnetworks.Object, error) { return o.get(key) })
+	return withFaults(ctx, &o.Faults, MethodGet, failedObjectRead, func() (garnetworks.Object, error) { return o.get(key) })
 }
 
 // Put implements garnetworks.ObjectAPI.
 func (o *Objects) Put(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
-	return apply(ctx, &o.Faults, MethodPut, failedObjectWrite, func() (garnetworks.Revision, error) {
+	return withFaults(ctx, &o.Faults, MethodPut, failedObjectWrite, func() (garnetworks.Revision, error) {
 		return o.put(key, value, after)
 	})
 }
 
 // Delete implements garnetworks.ObjectAPI.
 func (o *Objects) Delete(ctx context.Context, key string, after garnetworks.Revision) error {
-	_, err := apply(ctx, &o.Faults, MethodDelete, failedObjectWrite, func() (struct{}, error) {
+	_, err := withFaults(ctx, &o.Faults, MethodDelete, failedObjectWrite, func() (struct{}, error) {
 		return struct{}{}, o.delete(key, after)
 	})
 	return err
@@ -131,13 +131,13 @@
 
 // List implements garnetworks.ObjectAPI.
 func (o *Objects) List(ctx context.Context, prefix string) ([]garnetworks.Object, garnetworks.Revision, error) {
-	p, err := apply(ctx, &o.Faults, MethodList, failedObjectRead, func() (page, error) { return o.list(prefix) })
+	p, err := withFaults(ctx, &o.Faults, MethodList, failedObjectRead, func() (page, error) { return o.list(prefix) })
 	return p.objects, p.revision, err
 }
 
 // Watch implements garnetworks.ObjectAPI.
 func (o *Objects) Watch(ctx context.Context, prefix string, after garnetworks.Revision, wait time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
-	return watchThrough(ctx, &o.Faults, func(ctx context.Context) (page, error) {
+	return watchWithFaults(ctx, &o.Faults, func(ctx context.Context) (page, error) {
 		changes, revision, err := o.watch(ctx, prefix, after, wait)
 		return page{changes, revision}, err
 	})
@@ -249,11 +249,11 @@
 	revision garnetworks.Revision
 }
 
-// watchThrough makes a watch whose end the faults can bring about.
-func watchThrough(ctx context.Context, f *Faults, watch func(ctx context.Context) (page, error)) ([]garnetworks.Object, garnetworks.Revision, error) {
-	ctx, cancel := f.untilDown(ctx)
+// watchWithFaults runs a watch that fails when the fake goes down while it waits.
+func watchWithFaults(ctx context.Context, f *Faults, watch func(ctx context.Context) (page, error)) ([]garnetworks.Object, garnetworks.Revision, error) {
+	ctx, cancel := f.cancelWhenDown(ctx)
 	defer cancel()
-	p, err := apply(ctx, f, MethodWatch, failedObjectRead, func() (page, error) { return watch(ctx) })
+	p, err := withFaults(ctx, f, MethodWatch, failedObjectRead, func() (page, error) { return watch(ctx) })
 	return p.objects, p.revision, err
 }
 
@@ -273,7 +273,7 @@
 	return changes, o.revision, o.changed, nil
 }
 
-// change stores a change under the next revision and wakes the watches.
+// change stores a change at the next revision and wakes all watches. The caller holds o.mu.
 func (o *Objects) change(object garnetworks.Object) {
 	o.revision++
 	object.Revision = o.revision
@@ -304,15 +304,14 @@
 	return &garnetworks.Error{Kind: garnetworks.KindThrottled, Detail: "too many calls", RetryAfter: throttleDelay}
 }
 
-// throttleDelay is what a throttled caller is told to wait.
+// throttleDelay is the RetryAfter of a throttled call.
 const throttleDelay = 100 * time.Millisecond
 
-// View returns the object API as seen from one place, with faults of its own:
-// a cut-off availability zone is a view that is down.
+// View returns a view of the object API with faults of its own. A view that is down
+// simulates an availability zone cut off from the object API.
 func (o *Objects) View() *ObjectsView { return &ObjectsView{objects: o} }
 
-// ObjectsView is an object API over another one's objects. The faults of both
-// apply.
+// ObjectsView is an object API on the objects of another. The faults of both apply.
 type ObjectsView struct {
 	Faults
 	objects *Objects
@@ -320,21 +319,21 @@
 
 // Get implements garnetworks.ObjectAPI.
 func (v *ObjectsView) Get(ctx context.Context, key string) (garnetworks.Object, error) {
-	return apply(ctx, &v.Faults, MethodGet, failedObjectRead, func() (garnetworks.Object, error) {
+	return withFaults(ctx, &v.Faults, MethodGet, failedObjectRead, func() (garnetworks.Object, error) {
 		return v.objects.Get(ctx, key)
 	})
 }
 
 // Put implements garnetworks.ObjectAPI.
 func (v *ObjectsView) Put(ctx context.Context, key string, value []byte, after garnetworks.Revision) (garnetworks.Revision, error) {
-	return apply(ctx, &v.Faults, MethodPut, failedObjectWrite, func() (garnetworks.Revision, error) {
+	return withFaults(ctx, &v.Faults, MethodPut, failedObjectWrite, func() (garnetworks.Revision, error) {
 		return v.objects.Put(ctx, key, value, after)
 	})
 }
 
 // Delete implements garnetworks.ObjectAPI.
 func (v *ObjectsView) Delete(ctx context.Context, key string, after garnetworks.Revision) error {
-	_, err := apply(ctx, &v.Faults, MethodDelete, failedObjectWrite, func() (struct{}, error) {
+	_, err := withFaults(ctx, &v.Faults, MethodDelete, failedObjectWrite, func() (struct{}, error) {
 		return struct{}{}, v.objects.Delete(ctx, key, after)
 	})
 	return err
@@ -342,7 +341,7 @@
 
 // List implements garnetworks.ObjectAPI.
 func (v *ObjectsView) List(ctx context.Context, prefix string) ([]garnetworks.Object, garnetworks.Revision, error) {
-	p, err := apply(ctx, &v.Faults, MethodList, failedObjectRead, func() (page, error) {
+	p, err := withFaults(ctx, &v.Faults, MethodList, failedObjectRead, func() (page, error) {
 		objects, revision, err := v.objects.List(ctx, prefix)
 		return page{objects, revision}, err
 	})
@@ -351,7 +350,7 @@
 
 // Watch implements garnetworks.ObjectAPI.
 func (v *ObjectsView) Watch(ctx context.Context, prefix string, after garnetworks.Revision, wait time.Duration) ([]garnetworks.Object, garnetworks.Revision, error) {
-	return watchThrough(ctx, &v.Faults, func(ctx context.Context) (page, error) {
+	return watchWithFaults(ctx, &v.Faults, func(ctx context.Context) (page, error) {
 		objects, revision, err := v.objects.Watch(ctx, prefix, after, wait)
 		return page{objects, revision}, err
 	})
--- a/faker/orders.go
+++ b/faker/orders.go
@@ -8,45 +8,45 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Order carries out an order.
+// Order executes an order and returns the engine's status after it.
 func (e *Engine) Order(ctx context.Context, order garnetworks.EngineOrder) (garnetworks.EngineStatus, error) {
 	if !e.on() {
 		return garnetworks.EngineStatus{}, errNoEngine(e.Spec().Address)
 	}
-	return apply(ctx, &e.Faults, MethodOrder, failedWrite(garnetworks.KindUnreachable), func() (garnetworks.EngineStatus, error) {
+	return withFaults(ctx, &e.Faults, MethodOrder, failedWrite(garnetworks.KindUnreachable), func() (garnetworks.EngineStatus, error) {
 		e.fleet.mu.Lock()
 		defer e.fleet.mu.Unlock()
-		if err := e.carryOut(order); err != nil {
+		if err := e.execute(order); err != nil {
 			return garnetworks.EngineStatus{}, err
 		}
 		return e.status(), nil
 	})
 }
 
-func (e *Engine) carryOut(order garnetworks.EngineOrder) error {
-	if e.spec.ChecksFencing && order.Token < e.highest {
-		return garnetworks.Errorf(garnetworks.KindStaleToken, "token %v is lower than %v", order.Token, e.highest)
+func (e *Engine) execute(order garnetworks.EngineOrder) error {
+	if e.spec.ChecksFencing && order.Token < e.highestToken {
+		return garnetworks.Errorf(garnetworks.KindStaleToken, "token %v is lower than %v", order.Token, e.highestToken)
 	}
 	if order.ID != "" && order.ID == e.lastOrder {
 		return nil
 	}
-	if err := e.obey(order); err != nil {
+	if err := e.dispatch(order); err != nil {
 		return err
 	}
-	e.highest = max(e.highest, order.Token)
+	e.highestToken = max(e.highestToken, order.Token)
 	e.lastOrder = order.ID
 	e.orders++
 	return nil
 }
 
-func (e *Engine) obey(order garnetworks.EngineOrder) error {
+func (e *Engine) dispatch(order garnetworks.EngineOrder) error {
 	switch order.Kind {
 	case garnetworks.OrderForm:
 		return e.form(order)
 	case garnetworks.OrderRelease:
 		e.leave("the group was released")
-		// Statuses with a lower token than an earlier one are taken for echoes, so
-		// an engine that forgot the token would not be heard of after its release.
+		// Readers of statuses ignore one with a lower token than an earlier one, so the engine
+		// keeps the order's token after the release.
 		e.token = order.Token
 	case garnetworks.OrderDrain:
 		e.drain()
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// form joins a group. The same group and token again change only the rate of a
-// load that runs.
+// form joins the engine to a group. Repeating the current group and token only changes the
+// rate of a running load.
 func (e *Engine) form(order garnetworks.EngineOrder) error {
 	if !slices.Contains(order.Members, e.spec.ID) {
 		return garnetworks.Errorf(garnetworks.KindInvalidRequest, "%s is not among the members of group %s", e.spec.ID, order.Group)
@@ -81,7 +81,7 @@
 }
 
 func (e *Engine) leave(reason string) {
-	e.breakAll(reason)
+	e.abortAll(reason)
 	e.cancelLoads()
 	e.phase = garnetworks.EngineIdle
 	e.group, e.token, e.members = "", 0, nil
@@ -101,38 +101,39 @@
 	e.loads = make(map[garnetworks.WeightID]*load)
 }
 
-// load reads weights in the background. A load that runs gets the order's rate.
+// load loads the order's weights in the background, or at once if the fleet has no store.
+// If that load is already running, it only changes its rate.
 func (e *Engine) load(order garnetworks.EngineOrder) {
 	id := garnetworks.WeightID{Model: order.Model, Version: order.Version}
 	switch {
 	case slices.Contains(e.weights, id):
-		e.becomeReady()
+		e.updateReadiness()
 	case e.fleet.Store == nil:
-		e.loaded(id)
+		e.addWeights(id)
 	case e.loads[id] != nil:
 		e.fleet.Store.setRate(e.loads[id], order.LoadRate)
 	default:
 		ctx, cancel := context.WithCancel(e.fleet.ctx)
-		l := &load{asked: order.LoadRate, cancel: cancel}
+		l := &load{requestedRate: order.LoadRate, cancel: cancel}
 		e.loads[id] = l
 		go e.loadWeights(ctx, id, l)
 	}
 }
 
-func (e *Engine) loaded(id garnetworks.WeightID) {
+func (e *Engine) addWeights(id garnetworks.WeightID) {
 	e.weights = append(e.weights, id)
-	e.becomeReady()
+	e.updateReadiness()
 }
 
-// becomeReady ends the loading phase once the group's weights are there.
-func (e *Engine) becomeReady() {
+// updateReadiness ends the loading phase once the group's weights are loaded.
+func (e *Engine) updateReadiness() {
 	id := garnetworks.WeightID{Model: e.model, Version: e.version}
 	if e.phase == garnetworks.EngineLoading && slices.Contains(e.weights, id) {
 		e.phase = garnetworks.EngineReady
 	}
 }
 
-// loadRetry is how long a failed load waits before it starts again.
+// loadRetry is the delay before a failed load is retried.
 const loadRetry = 200 * time.Millisecond
 
 func (e *Engine) loadWeights(ctx context.Context, id garnetworks.WeightID, l *load) {
@@ -148,5 +149,5 @@
 	}
 	l.cancel()
 	delete(e.loads, id)
-	e.loaded(id)
+	e.addWeights(id)
 }
--- a/faker/platform.go
+++ b/faker/platform.go
@@ -11,7 +11,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// Methods of the instance list, the power switch and the weight store.
+// Fault methods of the instance list, the power switch and the weight store.
 const (
 	MethodInstances = "instances"
 	MethodSetPower  = "set-power"
@@ -20,14 +20,14 @@
 	MethodSize      = "size"
 )
 
-// InstanceList is an instance list that lags behind what is reported to it.
+// InstanceList is an instance list that shows changes with a delay.
 type InstanceList struct {
 	Faults
 	mu  sync.Mutex
 	lag time.Duration
-	// changes are in the order of their times; shown holds those already seen.
+	// changes are pending in order of time; visible holds the rows after the applied ones.
 	changes []listChange
-	shown   map[garnetworks.InstanceID]garnetworks.ListedInstance
+	visible map[garnetworks.InstanceID]garnetworks.ListedInstance
 }
 
 type listChange struct {
@@ -36,23 +36,23 @@
 	removed bool
 }
 
-// NewInstanceList returns an empty list that shows changes after lag.
+// NewInstanceList returns an empty list that shows each change after lag.
 func NewInstanceList(lag time.Duration) *InstanceList {
 	return &InstanceList{
-		lag:   lag,
-		shown: make(map[garnetworks.InstanceID]garnetworks.ListedInstance),
+		lag:     lag,
+		visible: make(map[garnetworks.InstanceID]garnetworks.ListedInstance),
 	}
 }
 
-// Report enters or changes a row.
-func (l *InstanceList) Report(row garnetworks.ListedInstance) { l.enter(listChange{row: row}) }
+// Report adds or updates a row.
+func (l *InstanceList) Report(row garnetworks.ListedInstance) { l.addChange(listChange{row: row}) }
 
-// Remove takes a row away.
+// Remove deletes a row.
 func (l *InstanceList) Remove(id garnetworks.InstanceID) {
-	l.enter(listChange{row: garnetworks.ListedInstance{ID: id}, removed: true})
+	l.addChange(listChange{row: garnetworks.ListedInstance{ID: id}, removed: true})
 }
 
-func (l *InstanceList) enter(change listChange) {
+func (l *InstanceList) addChange(change listChange) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change.at = time.Now()
@@ -61,12 +61,12 @@
 
 // Instances implements garnetworks.InstanceList.
 func (l *InstanceList) Instances(ctx context.Context, zone garnetworks.ZoneID) ([]garnetworks.ListedInstance, error) {
-	return apply(ctx, &l.Faults, MethodInstances, failedRead(garnetworks.KindUnreachable), func() ([]garnetworks.ListedInstance, error) {
+	return withFaults(ctx, &l.Faults, MethodInstances, failedRead(garnetworks.KindUnreachable), func() ([]garnetworks.ListedInstance, error) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.show(time.Now().Add(-l.lag))
+		l.applyChanges(time.Now().Add(-l.lag))
 		var rows []garnetworks.ListedInstance
-		for _, row := range l.shown {
+		for _, row := range l.visible {
 			if row.Zone == zone {
 				rows = append(rows, row)
 			}
@@ -76,40 +76,40 @@
 	})
 }
 
-func (l *InstanceList) show(until time.Time) {
+func (l *InstanceList) applyChanges(until time.Time) {
 	for len(l.changes) > 0 && !l.changes[0].at.After(until) {
 		c := l.changes[0]
 		l.changes = l.changes[1:]
 		if c.removed {
-			delete(l.shown, c.row.ID)
+			delete(l.visible, c.row.ID)
 		} else {
-			l.shown[c.row.ID] = c.row
+			l.visible[c.row.ID] = c.row
 		}
 	}
 }
 
-// Power is the platform's power switch over a fleet.
+// Power is the power switch for the engines of a fleet.
 type Power struct {
 	Faults
 	fleet *Fleet
 	mu    sync.Mutex
-	// tokens are the highest seen for each instance.
-	tokens map[garnetworks.InstanceID]garnetworks.FencingToken
-	done   map[garnetworks.InstanceID]string
-	orders int
+	// tokens holds the highest fencing token seen for each instance, lastOrders the
+	// identifier of its last order.
+	tokens     map[garnetworks.InstanceID]garnetworks.FencingToken
+	lastOrders map[garnetworks.InstanceID]string
+	orders     int
 }
 
 // NewPower returns a power switch for the fleet's engines.
 func NewPower(fleet *Fleet) *Power {
 	return &Power{
-		fleet:  fleet,
-		tokens: make(map[garnetworks.InstanceID]garnetworks.FencingToken),
-		done:   make(map[garnetworks.InstanceID]string),
+		fleet:      fleet,
+		tokens:     make(map[garnetworks.InstanceID]garnetworks.FencingToken),
+		lastOrders: make(map[garnetworks.InstanceID]string),
 	}
 }
 
-// Orders returns the number of orders that were carried out; repeated ones
-// count once.
+// Orders returns the number of orders executed, without repeated ones.
 func (p *Power) Orders() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,7 +118,7 @@
 
 // SetPower implements garnetworks.PowerSwitch.
 func (p *Power) SetPower(ctx context.Context, order garnetworks.PowerOrder) error {
-	_, err := apply(ctx, &p.Faults, MethodSetPower, failedWrite(garnetworks.KindUnreachable), func() (struct{}, error) {
+	_, err := withFaults(ctx, &p.Faults, MethodSetPower, failedWrite(garnetworks.KindUnreachable), func() (struct{}, error) {
 		return struct{}{}, p.set(order)
 	})
 	return err
@@ -135,10 +135,10 @@
 		return garnetworks.Errorf(garnetworks.KindStaleToken, "token %v is lower than %v", order.Token, seen)
 	}
 	p.tokens[order.Instance] = order.Token
-	if p.done[order.Instance] == order.ID {
+	if p.lastOrders[order.Instance] == order.ID {
 		return nil
 	}
-	p.done[order.Instance] = order.ID
+	p.lastOrders[order.Instance] = order.ID
 	p.orders++
 	if order.On {
 		e.PowerOn()
@@ -150,7 +150,7 @@
 
 // Power implements garnetworks.PowerSwitch.
 func (p *Power) Power(ctx context.Context, instance garnetworks.InstanceID) (garnetworks.PowerState, error) {
-	return apply(ctx, &p.Faults, MethodPower, failedRead(garnetworks.KindUnreachable), func() (garnetworks.PowerState, error) {
+	return withFaults(ctx, &p.Faults, MethodPower, failedRead(garnetworks.KindUnreachable), func() (garnetworks.PowerState, error) {
 		e := p.fleet.Engine(instance)
 		if e == nil {
 			return garnetworks.PowerUnknown, garnetworks.Errorf(garnetworks.KindNotFound, "no instance %q", instance)
@@ -159,25 +159,26 @@
 	})
 }
 
-// WeightStore is a weight store whose rate all loads share.
+// WeightStore is a weight store whose bandwidth is shared by all loads.
 type WeightStore struct {
 	Faults
 	mu    sync.Mutex
 	rate  int64
 	sizes map[garnetworks.WeightID]int64
-	// loads holds the rate that each running load asked for; 0 asks for a fair
-	// share.
-	loads map[*load]struct{}
-	peak  int64
+	// loads are the running loads.
+	loads    map[*load]struct{}
+	peakRate int64
 }
 
-// load is one running load; the store's lock guards asked.
+// load is a running load. requestedRate is in bytes per second, 0 requests a fair share;
+// the store's mu guards it.
 type load struct {
-	asked  int64
-	cancel context.CancelFunc
+	requestedRate int64
+	cancel        context.CancelFunc
 }
 
-// NewWeightStore returns a store of the given rate in bytes a second.
+// NewWeightStore returns a store with a rate in bytes per second and the sizes of its
+// weights in bytes.
 func NewWeightStore(rate int64, sizes map[garnetworks.WeightID]int64) *WeightStore {
 	return &WeightStore{
 		rate:  rate,
@@ -186,7 +187,7 @@
 	}
 }
 
-// SetSize adds weights or changes their size.
+// SetSize adds weights or changes their size in bytes.
 func (w *WeightStore) SetSize(id garnetworks.WeightID, size int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -196,23 +197,24 @@
 	w.sizes[id] = size
 }
 
-// PeakAsked returns the highest sum of rates that loads asked for at once.
-func (w *WeightStore) PeakAsked() int64 {
+// PeakRequestedRate returns the highest sum of the rates that concurrent loads requested,
+// in bytes per second.
+func (w *WeightStore) PeakRequestedRate() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.peak
+	return w.peakRate
 }
 
 // Rate implements garnetworks.WeightStore.
 func (w *WeightStore) Rate(ctx context.Context) (int64, error) {
-	return apply(ctx, &w.Faults, MethodRate, failedRead(garnetworks.KindUnreachable), func() (int64, error) {
+	return withFaults(ctx, &w.Faults, MethodRate, failedRead(garnetworks.KindUnreachable), func() (int64, error) {
 		return w.rate, nil
 	})
 }
 
 // Size implements garnetworks.WeightStore.
 func (w *WeightStore) Size(ctx context.Context, id garnetworks.WeightID) (int64, error) {
-	return apply(ctx, &w.Faults, MethodSize, failedRead(garnetworks.KindUnreachable), func() (int64, error) {
+	return withFaults(ctx, &w.Faults, MethodSize, failedRead(garnetworks.KindUnreachable), func() (int64, error) {
 		return w.size(id)
 	})
 }
@@ -227,77 +229,77 @@
 	return size, nil
 }
 
-// loadStep is how often a running load looks at its share again.
+// loadStep is how often a running load recomputes its rate.
 const loadStep = 50 * time.Millisecond
 
-// read takes as long as loading the weights takes among the other loads. While
-// the store is down or frozen no byte comes.
+// read simulates loading the weights at the rate allocated to l. It makes no progress
+// while the store is down or frozen.
 func (w *WeightStore) read(ctx context.Context, id garnetworks.WeightID, l *load) error {
 	size, err := w.size(id)
 	if err != nil {
 		return err
 	}
-	w.enter(l)
-	defer w.leave(l)
-	for left := float64(size); left > 0; {
-		if err := w.thaw(ctx); err != nil {
+	w.addLoad(l)
+	defer w.removeLoad(l)
+	for remaining := float64(size); remaining > 0; {
+		if err := w.waitUnfrozen(ctx); err != nil {
 			return err
 		}
-		rate := w.share(l)
+		rate := w.allocatedRate(l)
 		step := loadStep
-		if need := time.Duration(left / rate * float64(time.Second)); need < step {
+		if need := time.Duration(remaining / rate * float64(time.Second)); need < step {
 			step = max(need, time.Microsecond)
 		}
 		if err := sleep(ctx, step); err != nil {
 			return err
 		}
-		if !w.FaultsNow().Down {
-			left -= rate * step.Seconds()
+		if !w.CurrentFaults().Down {
+			remaining -= rate * step.Seconds()
 		}
 	}
 	return nil
 }
 
-func (w *WeightStore) enter(l *load) {
+func (w *WeightStore) addLoad(l *load) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.loads[l] = struct{}{}
-	w.notePeak()
+	w.updatePeak()
 }
 
-func (w *WeightStore) notePeak() {
+func (w *WeightStore) updatePeak() {
 	var sum int64
 	for l := range w.loads {
-		sum += l.asked
+		sum += l.requestedRate
 	}
-	w.peak = max(w.peak, sum)
+	w.peakRate = max(w.peakRate, sum)
 }
 
-// setRate changes the rate that a load asks for.
-func (w *WeightStore) setRate(l *load, asked int64) {
+// setRate changes the requested rate of a load.
+func (w *WeightStore) setRate(l *load, requested int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	l.asked = asked
-	w.notePeak()
+	l.requestedRate = requested
+	w.updatePeak()
 }
 
-func (w *WeightStore) leave(l *load) {
+func (w *WeightStore) removeLoad(l *load) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.loads, l)
 }
 
-// share returns the bytes a second that l gets now: what it asked for, scaled
-// down if the store is asked for more than it has.
-func (w *WeightStore) share(l *load) float64 {
+// allocatedRate returns the current rate of l in bytes per second: its requested rate,
+// scaled down if all requests together exceed the store's rate.
+func (w *WeightStore) allocatedRate(l *load) float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	fair := float64(w.rate) / float64(len(w.loads))
 	want := func(l *load) float64 {
-		if l.asked == 0 {
+		if l.requestedRate == 0 {
 			return fair
 		}
-		return float64(l.asked)
+		return float64(l.requestedRate)
 	}
 	var sum float64
 	for other := range w.loads {
--- a/faker/serve.go
+++ b/faker/serve.go
@@ -15,17 +15,17 @@
 	"github.com/garnetworks/garnetworks/connector"
 )
 
-// loopback is where stand-ins listen unless told otherwise.
+// loopback is the default listen address.
 const loopback = "127.0.0.1:0"
 
-// Server serves a stand-in over HTTP/1.1.
+// Server serves a fake over HTTP/1.1.
 type Server struct {
 	// Address is the IP address and port that the server listens on.
 	Address string
 	server  *http.Server
 }
 
-// Close ends the server and its connections.
+// Close stops the server and closes its connections.
 func (s *Server) Close() error { return s.server.Close() }
 
 // URL returns the server's base URL.
@@ -46,9 +46,8 @@
 	return s, nil
 }
 
-// Platform is the platform's side as one server: object API, instance list,
-// power switch and weight store. Its own faults concern the connections; each
-// part has its own besides.
+// Platform combines an object API, an instance list, a power switch and a weight store in
+// one server. Its own faults affect connections; each part also has faults of its own.
 type Platform struct {
 	Faults
 	Objects   garnetworks.ObjectAPI
@@ -60,7 +59,7 @@
 // ServePlatform serves the platform on the loopback address.
 func ServePlatform(p *Platform) (*Server, error) { return ServePlatformAt(loopback, p) }
 
-// ServePlatformAt serves the platform on an address.
+// ServePlatformAt serves the platform on the given address.
 func ServePlatformAt(address string, p *Platform) (*Server, error) {
 	r := chi.NewRouter()
 	if p.Objects != nil {
@@ -80,9 +79,8 @@
 	return serve(address, r, &p.Faults, nil)
 }
 
-// reply writes a result or an error. An error that stands for a lost answer or
-// a server that is down breaks the connection instead, so that the other end
-// sees what it would see in such a failure.
+// reply writes a result or an error. For a lost response or a fake that is down it breaks
+// the connection instead, as the real failure would.
 func reply(w http.ResponseWriter, r *http.Request, result any, err error) {
 	switch {
 	case err == nil:
@@ -122,8 +120,8 @@
 	replyJSON(w, answer.Status, p)
 }
 
-// maxRequestBytes bounds the bodies that stand-ins read; values travel as they
-// are, so it is above the object API's own bound.
+// maxRequestBytes limits request bodies. It exceeds the object API's limit, so that an
+// oversized value reaches the object API's own check.
 const maxRequestBytes = 8 << 20
 
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
@@ -147,7 +145,7 @@
 	return true
 }
 
-func number(w http.ResponseWriter, text string) (uint64, bool) {
+func parseNumber(w http.ResponseWriter, text string) (uint64, bool) {
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
 		replyProblem(w, garnetworks.Errorf(garnetworks.KindInvalidRequest, "%q is not a number", text))
@@ -181,7 +179,7 @@
 }
 
 func (h objectHandler) put(w http.ResponseWriter, r *http.Request) {
-	after, ok := number(w, r.Header.Get(connector.HeaderRevision))
+	after, ok := parseNumber(w, r.Header.Get(connector.HeaderRevision))
 	if !ok {
 		return
 	}
@@ -197,7 +195,7 @@
 }
 
 func (h objectHandler) delete(w http.ResponseWriter, r *http.Request) {
-	after, ok := number(w, r.Header.Get(connector.HeaderRevision))
+	after, ok := parseNumber(w, r.Header.Get(connector.HeaderRevision))
 	if !ok {
 		return
 	}
@@ -212,11 +210,11 @@
 
 func (h objectHandler) watch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	after, ok := number(w, query.Get("after"))
+	after, ok := parseNumber(w, query.Get("after"))
 	if !ok {
 		return
 	}
-	millis, ok := number(w, query.Get("wait-ms"))
+	millis, ok := parseNumber(w, query.Get("wait-ms"))
 	if !ok {
 		return
 	}
@@ -266,10 +264,10 @@
 	reply(w, r, connector.BytesBody{Bytes: size}, err)
 }
 
-// ServeService serves a plain service's server on the loopback address.
+// ServeService serves a server of a plain service on the loopback address.
 func ServeService(s *Service) (*Server, error) { return ServeServiceAt(loopback, s) }
 
-// ServeServiceAt serves a plain service's server on an address.
+// ServeServiceAt serves a server of a plain service on the given address.
 func ServeServiceAt(address string, s *Service) (*Server, error) {
 	return serve(address, http.HandlerFunc(s.serve), &s.Faults, nil)
 }
@@ -291,7 +289,7 @@
 	}
 	t, err := s.begin(r.Context(), MethodCall)
 	if errors.Is(err, errUnavailable) {
-		refuse(w, connector.HeaderCall, string(call.ID), errNotBegun)
+		refuse(w, connector.HeaderCall, string(call.ID), errUnavailableServer)
 		return
 	}
 	if err != nil {
@@ -300,24 +298,24 @@
 	s.answer(w, r, t, call)
 }
 
-func (s *Service) answer(w http.ResponseWriter, r *http.Request, t ticket, call *garnetworks.ServiceCall) {
-	if refused := s.refuses(); refused != nil {
+func (s *Service) answer(w http.ResponseWriter, r *http.Request, t callState, call *garnetworks.ServiceCall) {
+	if refused := s.checkAccepting(); refused != nil {
 		refuse(w, connector.HeaderCall, string(call.ID), refused)
 		return
 	}
-	answer, err := s.execute(r.Context(), call)
+	answer, err := s.run(r.Context(), call)
 	if err != nil || s.end(r.Context(), t) != nil {
 		panic(http.ErrAbortHandler)
 	}
 	echo := call.ID
-	if previous := s.previous(call.ID); s.take(MethodCall, crossedAnswers) {
+	if previous := s.previousCall(call.ID); s.consume(MethodCall, crossedAnswers) {
 		echo = previous
 	}
 	w.Header().Set(connector.HeaderCall, string(echo))
 	w.Header().Set("Content-Type", answer.ContentType)
 	w.Header().Set("Content-Length", strconv.Itoa(len(answer.Body)))
 	w.WriteHeader(answer.Status)
-	if s.take(MethodCall, truncatedAnswers) {
+	if s.consume(MethodCall, truncatedAnswers) {
 		_, _ = w.Write(answer.Body[:len(answer.Body)/2])
 		flush(w)
 		panic(http.ErrAbortHandler)
@@ -325,11 +323,11 @@
 	_, _ = w.Write(answer.Body)
 }
 
-// errNotBegun is the refusal of a server that is unavailable.
-var errNotBegun = refusal(garnetworks.KindNotReady, "the server is unavailable")
+// errUnavailableServer is the refusal of a fake with the Unavailable fault.
+var errUnavailableServer = newRefusal(garnetworks.KindNotReady, "the server is unavailable")
 
-// refuse answers that a call was not begun, with the proof that rule C3 of
-// package connector asks for.
+// refuse replies that a call was not started, with the proof required by rule C3 of
+// package connector.
 func refuse(w http.ResponseWriter, header, id string, refused *garnetworks.Error) {
 	w.Header().Set(header, id)
 	w.Header().Set(connector.HeaderOutcome, string(garnetworks.OutcomeNotRun))
--- a/faker/service.go
+++ b/faker/service.go
@@ -12,92 +12,92 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// MethodCall is the method of plain services.
+// MethodCall is the fault method of plain services.
 const MethodCall = "call"
 
-// Service is one backend server of a plain service. It runs each call it gets,
-// as often as it gets it, and counts.
+// Service is a fake backend server of a plain service. It executes every call it receives,
+// repeated ones too, and counts the executions.
 type Service struct {
 	Faults
 	name garnetworks.ServiceName
 
-	mu      sync.Mutex
-	took    time.Duration
-	leaving bool
-	byCall  map[garnetworks.CallID]int
-	byKey   map[string]int
-	byBody  map[string]int
-	total   int
-	last    garnetworks.CallID
+	mu       sync.Mutex
+	duration time.Duration
+	leaving  bool
+	byCall   map[garnetworks.CallID]int
+	byKey    map[string]int
+	byBody   map[string]int
+	total    int
+	last     garnetworks.CallID
 }
 
-// ServiceResult is the body of a plain service's answer.
+// ServiceResult is the body of a plain service's response.
 type ServiceResult struct {
 	Service garnetworks.ServiceName `json:"service"`
 	Path    string                  `json:"path"`
 	Key     string                  `json:"key,omitempty"`
-	// Execution counts the executions of the server from 1.
+	// Execution is the number of this execution on the server, starting at 1.
 	Execution int `json:"execution"`
 }
 
-// NewService returns a server of the service whose executions take some time.
-func NewService(name garnetworks.ServiceName, took time.Duration) *Service {
+// NewService returns a server of the service. Each execution takes the given duration.
+func NewService(name garnetworks.ServiceName, duration time.Duration) *Service {
 	return &Service{
-		name:   name,
-		took:   took,
-		byCall: make(map[garnetworks.CallID]int),
-		byKey:  make(map[string]int),
-		byBody: make(map[string]int),
+		name:     name,
+		duration: duration,
+		byCall:   make(map[garnetworks.CallID]int),
+		byKey:    make(map[string]int),
+		byBody:   make(map[string]int),
 	}
 }
 
-// SetLeaving makes the server refuse new calls, or take them again.
+// SetLeaving sets whether the server refuses new calls.
 func (s *Service) SetLeaving(leaving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = leaving
 }
 
-// Executions returns the number of executions in all.
+// Executions returns the total number of executions.
 func (s *Service) Executions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.total
 }
 
-// ExecutionsOf returns the number of executions of one call identifier.
+// ExecutionsOf returns the number of executions with the call identifier.
 func (s *Service) ExecutionsOf(id garnetworks.CallID) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.byCall[id]
 }
 
-// ExecutionsByKey returns the number of executions with one idempotency key.
+// ExecutionsByKey returns the number of executions with the idempotency key.
 func (s *Service) ExecutionsByKey(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.byKey[key]
 }
 
-// ExecutionsByKeys returns the number of executions of each idempotency key.
-func (s *Service) ExecutionsByKeys() map[string]int {
+// ExecutionsPerKey returns the number of executions for each idempotency key.
+func (s *Service) ExecutionsPerKey() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.byKey)
 }
 
-// ExecutionsByBody returns the number of executions of each body.
+// ExecutionsByBody returns the number of executions with the body.
 func (s *Service) ExecutionsByBody(body string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.byBody[body]
 }
 
-// execute runs the call and counts it before anything is answered (rule F4).
-func (s *Service) execute(ctx context.Context, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
-	execution := s.note(call)
-	// The execution counts although its caller may go away now.
-	_ = sleep(ctx, s.took)
+// run executes the call, counting it before the response is written (rule F4).
+func (s *Service) run(ctx context.Context, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
+	execution := s.countExecution(call)
+	// A cancelled caller does not undo the execution.
+	_ = sleep(ctx, s.duration)
 	result := ServiceResult{Service: s.name, Path: call.Path, Key: call.IdempotencyKey, Execution: execution}
 	body, err := json.Marshal(result)
 	if err != nil {
@@ -111,17 +111,17 @@
 	}, nil
 }
 
-// refuses returns why new calls can't be begun, or nil.
-func (s *Service) refuses() *garnetworks.Error {
+// checkAccepting returns the reason to refuse new calls, or nil.
+func (s *Service) checkAccepting() *garnetworks.Error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.leaving {
 		return nil
 	}
-	return refusal(garnetworks.KindShuttingDown, "the server is leaving")
+	return newRefusal(garnetworks.KindShuttingDown, "the server is leaving")
 }
 
-func (s *Service) note(call *garnetworks.ServiceCall) int {
+func (s *Service) countExecution(call *garnetworks.ServiceCall) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.total++
@@ -133,9 +133,9 @@
 	return s.total
 }
 
-// previous returns the identifier of the call answered before, for crossed
-// answers, and remembers id.
-func (s *Service) previous(id garnetworks.CallID) garnetworks.CallID {
+// previousCall returns the identifier of the previous call, for responses with another
+// call's identifier, and stores id for the next time.
+func (s *Service) previousCall(id garnetworks.CallID) garnetworks.CallID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	last := s.last
@@ -146,21 +146,20 @@
 	return last
 }
 
-// Call answers a call in process, with the failures that an adapter would
-// report.
+// Call executes a call in process and reports failures as a network adapter would.
 func (s *Service) Call(ctx context.Context, call *garnetworks.ServiceCall) (garnetworks.ServiceResponse, error) {
 	if _, err := url.ParseRequestURI(call.Path); err != nil || call.Path[0] != '/' {
 		return garnetworks.ServiceResponse{}, &garnetworks.AttemptError{Phase: garnetworks.PhaseConnect, Cause: err}
 	}
 	t, err := s.begin(ctx, MethodCall)
 	if err != nil {
-		return garnetworks.ServiceResponse{}, beforeBegin(err, false)
+		return garnetworks.ServiceResponse{}, beginError(err, false)
 	}
-	if refused := s.refuses(); refused != nil {
+	if refused := s.checkAccepting(); refused != nil {
 		return garnetworks.ServiceResponse{}, &garnetworks.AttemptError{Phase: garnetworks.PhaseRefused, RetryAfter: refused.RetryAfter, Cause: refused}
 	}
-	answer, err := s.execute(ctx, call)
-	previous := s.previous(call.ID)
+	answer, err := s.run(ctx, call)
+	previous := s.previousCall(call.ID)
 	if err == nil {
 		err = ctx.Err()
 	}
@@ -170,23 +169,23 @@
 	if err != nil {
 		return garnetworks.ServiceResponse{}, &garnetworks.AttemptError{Phase: garnetworks.PhaseWait, Cause: err}
 	}
-	if s.take(MethodCall, truncatedAnswers) {
+	if s.consume(MethodCall, truncatedAnswers) {
 		return garnetworks.ServiceResponse{}, &garnetworks.AttemptError{Phase: garnetworks.PhaseBody}
 	}
-	if s.take(MethodCall, crossedAnswers) && previous != call.ID {
+	if s.consume(MethodCall, crossedAnswers) && previous != call.ID {
 		return garnetworks.ServiceResponse{}, &garnetworks.AttemptError{Phase: garnetworks.PhaseMismatched}
 	}
 	return answer, nil
 }
 
-// Services is a set of plain-service servers by address. It implements
+// Services maps addresses to plain-service servers. It implements
 // garnetworks.ServiceCaller in process.
 type Services struct {
 	mu        sync.Mutex
 	addresses map[string]*Service
 }
 
-// Add enters a server at an address.
+// Add registers a server at an address.
 func (s *Services) Add(address string, server *Service) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/launcher/cause_test.go
+++ b/launcher/cause_test.go
@@ -57,7 +57,7 @@
 			target: onceURL,
 			inject: func(s *site) {
 				for _, b := range s.services {
-					b.Faults(func(f *impersonator.BackendFaults) { f.LoseAnswers = 1 })
+					b.UpdateFaults(func(f *impersonator.BackendFaults) { f.LoseResponses = 1 })
 				}
 			},
 			check: func(t *testing.T, line map[string]any) {
@@ -71,7 +71,7 @@
 			target: onceURL,
 			inject: func(s *site) {
 				for _, b := range s.services {
-					b.Faults(func(f *impersonator.BackendFaults) { f.Full = true })
+					b.UpdateFaults(func(f *impersonator.BackendFaults) { f.Full = true })
 				}
 			},
 			check: func(t *testing.T, line map[string]any) {
@@ -100,7 +100,7 @@
 	s := newSite(t, 3)
 	s.awaitSuccess(streamURL)
 	for _, e := range s.engines {
-		e.Faults(func(f *impersonator.BackendFaults) { f.BreakAfter = 2 })
+		e.UpdateFaults(func(f *impersonator.BackendFaults) { f.BreakAfter = 2 })
 	}
 	id := newID()
 	a := s.call(http.MethodPost, streamURL, func(r *http.Request) { r.Header.Set("Garnetworks-Request-Id", id) })
--- a/launcher/quarantine_test.go
+++ b/launcher/quarantine_test.go
@@ -41,7 +41,7 @@
 		s.services = append(s.services, b)
 	}
 	for _, b := range append(append([]*impersonator.Backend(nil), s.engines...), s.services...) {
-		b.Faults(func(f *impersonator.BackendFaults) { f.CrashOn = crashBody })
+		b.UpdateFaults(func(f *impersonator.BackendFaults) { f.CrashBody = crashBody })
 	}
 	s.eventually("all groups serve", func() bool {
 		open := 0
@@ -188,7 +188,7 @@
 	s := newCrashingSite(t)
 	slow := func(delay time.Duration) {
 		for _, b := range s.services {
-			b.Faults(func(f *impersonator.BackendFaults) { f.Slow = delay })
+			b.UpdateFaults(func(f *impersonator.BackendFaults) { f.ExecutionTime = delay })
 		}
 	}
 	slow(time.Minute)
@@ -220,7 +220,7 @@
 func TestCallIsNotBlamedForEnginesThatWereCutOff(t *testing.T) {
 	s := newCrashingSite(t)
 	for _, e := range s.engines {
-		e.Faults(func(f *impersonator.BackendFaults) { f.CrashOn = "" })
+		e.UpdateFaults(func(f *impersonator.BackendFaults) { f.CrashBody = "" })
 		e.Events, e.EventTime = 400, 10*time.Millisecond
 	}
 	const body = "sound"
@@ -237,7 +237,7 @@
 		}()
 		s.eventually("the call runs", func() bool { return runningOf(s.engines) != nil })
 		b := runningOf(s.engines)
-		b.Cut()
+		b.Partition()
 		cut = append(cut, b)
 		s.eventually("the node has closed its call to the engine", func() bool { return b.Running() == 0 })
 		s.eventually("the entry expires", func() bool { return s.logged("server-gone", b.ID) })
@@ -247,7 +247,7 @@
 	}
 	time.Sleep(propagationTime)
 	for _, b := range cut {
-		b.Rejoin()
+		b.Heal()
 	}
 	time.Sleep(propagationTime)
 	for _, e := range s.engines {
@@ -267,7 +267,7 @@
 // runningOf returns a backend that runs a call and has not crashed.
 func runningOf(backends []*impersonator.Backend) *impersonator.Backend {
 	for _, b := range backends {
-		if b.Running() > 0 && !b.Ended() {
+		if b.Running() > 0 && !b.Stopped() {
 			return b
 		}
 	}
