--- a/committer/doc.go
+++ b/committer/doc.go
@@ -27,8 +27,8 @@
 //	    manifest does not exclude has reported that it has applied it. A report is
 //	    valid only for the incarnation that sent it.
 //	M8  The reports of a zone's nodes are merged into one. Merging never discards a
-//	    newer report, so any node may do it. Each node waits for a time that grows
-//	    with its rank before it publishes or writes in place of the nodes before it.
+//	    newer report, so any node may do it. Of n nodes the k-th waits k periods
+//	    before it publishes or writes in place of the nodes before it.
 //	M9  A new node obtains the newest generation from the object API or its peers
 //	    before it becomes ready; a node that reaches neither stays unready.
 //	M10 A manifest that this program can't decode completely is never applied in
--- a/configurer/configurer.go
+++ b/configurer/configurer.go
@@ -3,9 +3,9 @@
 //
 // The rules:
 //
-//	C1  Every field is declared once in the table Fields, with its help, default
-//	    and setter, which also checks it; the printed example and the errors are
-//	    made from the table.
+//	C1  Every field is declared once in the table Fields, with its help, default,
+//	    check and setter; the printed example and the errors are made from the
+//	    table.
 //	C2  Unknown fields are rejected.
 //	C3  A field without a default is required.
 //	C4  Each fault is one line with the field, the value and what is allowed;
--- a/connector/doc.go
+++ b/connector/doc.go
@@ -21,7 +21,7 @@
 //	    of its connection has no end marker.
 //	C5  A write to the platform without a response is KindResponseLost, unless rule C1
 //	    proves that it was not sent (rule G11).
-//	C6  A connection without progress for the stall timeout ends the attempt. The idle
-//	    connections to the same address are closed, because what dropped the state of
-//	    one connection has probably dropped that of all.
+//	C6  A connection without progress for the stall timeout ends the attempt. The
+//	    pooled connections to the same address are closed, because what dropped the
+//	    state of one connection has probably dropped that of all.
 package connector
--- a/controller/doc.go
+++ b/controller/doc.go
@@ -23,8 +23,8 @@
 //	    not watts, and a successor that has not read the decision would count
 //	    the instance as off.
 //	C6  Every write without an answer is read back (rule G11). An object under
-//	    this holder's term was written by it; a higher term means that the
-//	    holder has been superseded.
+//	    this holder's term was written by it; any object with a higher term ends
+//	    its tenure as holder.
 //	C7  Instances that ignore fencing tokens get no order outside C2 and C3, and
 //	    their reported status decides, not what they were ordered.
 //	C8  A holder that gets no status from any instance assumes that it is isolated:
--- a/distributor/distributor.go
+++ b/distributor/distributor.go
@@ -12,15 +12,16 @@
 //	    a zone or region boundary.
 //	D3  The order within a branch is a hash of node and update, so that over
 //	    many updates the forwarding load is spread evenly over the nodes.
-//	D4  A node forwards a version to each target at most once. A repeated request
-//	    for the same targets is acknowledged but not forwarded again.
+//	D4  A node takes responsibility for a part of the targets of an update once:
+//	    whoever sends it the same targets again gets an acknowledgement without
+//	    another round of forwarding.
 //	D5  If the first node of a branch does not answer, the branch is sent to the
 //	    next one, up to MaxForwardAttempts nodes; repair covers the rest.
-//	D6  Each heartbeat compares digests of the versions that both sides hold. If
-//	    they differ, the requesting node fetches what it lacks after RepairGrace,
-//	    and pushes what the other side lacked in two consecutive exchanges. A
-//	    node thus catches up with a reachable peer within a heartbeat interval,
-//	    and a node that cannot be called is updated by its own calls.
+//	D6  Each heartbeat compares digests of what both sides hold. If they differ,
+//	    the requesting node fetches what it lacks after RepairGrace, and pushes
+//	    what the other side lacked in two consecutive exchanges. Each node thus
+//	    holds what a reachable peer holds after one heartbeat interval, and a
+//	    node that cannot be called is updated by its own calls.
 //	D7  Bodies, messages, topics, jobs and hops are bounded. What exceeds a bound
 //	    is counted and left to repair.
 //	D8  Transient topics, which are published again periodically, are broadcast
--- a/drainer/drainer.go
+++ b/drainer/drainer.go
@@ -14,10 +14,10 @@
 //	D4  Of the operators' and the controllers' reports the newest version counts;
 //	    older versions that arrive late are dropped (rule G10).
 //	D5  A group gets no new work if one of its members is leaving, or if its
-//	    controller has ever reported it as draining or broken: such a group is
+//	    controller has ever reported it as draining: a group that drained is
 //	    formed again under a new name only.
-//	D6  Servers and groups are forgotten once no source has reported them for
-//	    Retention.
+//	D6  Only servers and groups that no source has reported for Retention are
+//	    forgotten.
 package drainer
 
 import (
--- a/exchanger/exchanger.go
+++ b/exchanger/exchanger.go
@@ -2,14 +2,14 @@
 // so that the nodes share the groups' capacity without a common queue.
 //
 //	X1  Nodes form cells: the nodes of an availability zone, or of the whole region
-//	    if it has few. The head of a cell is its first node in order of preference;
-//	    while it is unreachable, the next one acts as head. Nodes report to the head
-//	    of their cell, and heads exchange the sums over their cells. So per interval
-//	    a node sends one message, and a head one to each other cell.
+//	    if it has few. The head of a cell is its first node in order of preference.
+//	    Nodes report to the head of their cell, and heads exchange the sums over
+//	    their cells. So per interval a node sends one message, and a head one more
+//	    for each cell.
 //	X2  A report is valid for ReportAge. After that, a node that is disconnected or
 //	    gone no longer counts.
 //	X3  A node that gets no responses uses the last sums for StaleAfter, and then
-//	    treats the load of the others as unknown.
+//	    reports that the load of the others is unknown.
 //	X4  Suspicions of groups are sent with the reports, once by each node, so that
 //	    the lease holder learns of groups to which it has no calls itself.
 //	X5  Records of calls under which servers ended are sent with the reports while
--- a/experimenter/doc.go
+++ b/experimenter/doc.go
@@ -5,7 +5,7 @@
 // rejected clients retry as the pattern says.
 //
 //	E1  The same pattern, seed and policy give the same figures.
-//	E2  All policies see the same arrivals and the same losses.
+//	E2  All policies of a run see the same arrivals and the same losses.
 //	E3  A group admits calls between two passes. A pass prefills the prompts of the
 //	    newly admitted calls one after the other and runs StepsPerPass token steps
 //	    for all calls; its duration follows EngineProfile. Each pass yields one event
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -7,9 +7,10 @@
 //	    outage of the store, when entries have expired because servers could not
 //	    renew them. Such servers are kept until RecoveryTime after the store's
 //	    recovery and dropped only if their entries are still missing.
-//	F3  A routing that can't be decoded changes nothing and is recorded.
-//	F4  The age of the routing is known at all times, so that a node that can't
-//	    reach the store stops accepting keys in time.
+//	F3  A routing that can't be decoded changes nothing and is reported in the
+//	    log.
+//	F4  How old the routing may be is known at all times, since a node that can't
+//	    reach the store must stop accepting keys in time.
 //	F5  A server whose entry can't be decoded is dropped as if the entry had been
 //	    removed; calls in flight on it continue. It is not known who wrote the
 //	    entry, nor who answers at the earlier address. A live server rewrites its
@@ -18,9 +19,9 @@
 //	    server that restarts under its identifier replaces the earlier incarnation
 //	    at once, and the group of the earlier one has lost a member.
 //	F7  The removal of an entry does not prove that the server ended: in a zone
-//	    that is cut off, all entries expire while their servers keep serving. So
-//	    the last entry of a departed incarnation is kept, with the address to
-//	    probe it at.
+//	    that is partitioned, all entries expire while their servers keep serving.
+//	    So the address of a departed incarnation is kept, for those who need to
+//	    probe it.
 package follower
 
 import (
--- a/former/doc.go
+++ b/former/doc.go
@@ -21,10 +21,10 @@
 //	    Free instances load what a group lacks, and the group is formed when all
 //	    its members hold the model.
 //	O8  The number of orders in flight is bounded by what the node can handle. The
-//	    rest waits in order of urgency: orders that let groups serve, then those
-//	    that clean up, then those that prepare spares. An order that is no longer
-//	    in the newest plan is never sent.
+//	    rest waits in order of urgency: orders that let calls be served, then
+//	    those that clean up, then those that prepare. An order that has become
+//	    pointless while it waited is never sent.
 //	O9  A node's own delay does not count against an engine: a probe whose timeout
-//	    was noticed late is discarded, and failures in several zones at once are
-//	    first presumed to be a local fault.
+//	    was noticed late is discarded, and many unanswered probes in several zones
+//	    are first presumed to be the node's own fault.
 package former
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -9,10 +9,11 @@
 //	    began the call (rule G5). A call that may have run is answered 502 or 504.
 //	W3  A call that may not be repeated goes to another server only if the first
 //	    one proved that it did not begin it.
-//	W4  A key is accepted only while the routing was last confirmed as the newest
-//	    within RevokeTime, whether the store can be reached or not.
+//	W4  A key is accepted only while the routing is known to be newer than
+//	    RevokeTime, whether the store can be reached or not.
 //	W5  When a client disconnects, its call is cancelled at the server at once.
-//	W6  A call that fails is answered at once, with Retry-After if it did not run.
+//	W6  A call that is given up is answered at once, with Retry-After if it did
+//	    not run.
 //
 // What a node may do with the routing depends on the routing's age, the time since it was
 // last confirmed as the newest:
--- a/granter/doc.go
+++ b/granter/doc.go
@@ -22,11 +22,11 @@
 //	W7  A ledger is never written by a manifest generation or a term lower than
 //	    the one it holds.
 //	W8  Targets are allocated in whole groups: first the models' minimum groups in
-//	    order of priority, then the others. The rest is split in proportion to
-//	    what each zone was allocated. A zone's target changes at most once in
-//	    MinMoveInterval and by at least 1/minMoveDivisor of the cap, unless the
-//	    cap, the manifest or the set of zones changed. So a zone's grant changes
-//	    direction at most 3600 s / MinMoveInterval times an hour.
+//	    order of priority, then the others. The rest is shared by need. A zone's
+//	    target changes at most once in MinMoveInterval and by at least
+//	    1/minMoveDivisor of the cap, unless the cap, the manifest or the set of
+//	    zones changed. So a zone's grant changes direction at most 3600 s /
+//	    MinMoveInterval times an hour.
 //	W9  Until every zone of the manifest that is not left out has stated its draw
 //	    once, no grant grows beyond what its zone draws already: the draw of an
 //	    unknown zone may be more than 0.
--- a/grouper/doc.go
+++ b/grouper/doc.go
@@ -20,7 +20,7 @@
 //	D6  An instance that is new, was lost or restarted joins no group until it has
 //	    confirmed, while in no group, a release under a token issued since then.
 //	D7  A member that ignores fencing tokens and leaves a group joins another one
-//	    only after it has confirmed its release: an order that another lease
+//	    only after its status was read back as idle: an order that another lease
 //	    holder sent earlier may still have reached it.
 //	D8  Only instances in no group are powered off. Their power counts as drawn
 //	    until a power-off under a newer token than every power-on was acknowledged
--- a/messenger/messenger.go
+++ b/messenger/messenger.go
@@ -11,7 +11,7 @@
 //	    heartbeats and reports are merged by incarnation, updates and proposals by
 //	    version and commit identifier, the others only read.
 //	M4  Messages, connections, concurrent calls and durations are bounded.
-//	M5  Each message may carry a hybrid logical timestamp; a message whose timestamp is
+//	M5  Each message carries a hybrid logical timestamp; a message whose timestamp is
 //	    too far ahead is rejected before it is processed.
 //	M6  An error keeps its kind when it is sent to the caller.
 //	M7  Without certificates, a server listens only on loopback addresses, unless the
--- a/picker/picker.go
+++ b/picker/picker.go
@@ -1,11 +1,11 @@
 // Package picker chooses the backend server of a plain service for a call. It is pure: it does
 // no I/O and takes the time as an argument.
 //
-//	K1  The server with the lowest expected answer time gets the call: its mean answer time
-//	    multiplied by the number of this node's calls there, including the new one.
-//	K2  The score of a server is raised by its rate of recent failures, so that it gets fewer
-//	    calls. Failures decay, so that it is tried again.
-//	K3  An unreachable server gets no call for Cooldown, unless no other server is left.
+//	K1  The server that is expected to answer soonest gets the call, by the time that its
+//	    recent answers took multiplied by the number of calls that this node has there.
+//	K2  A server that failed calls recently gets fewer, in proportion to how many it failed;
+//	    an occasional call still shows whether it is healthy again.
+//	K3  An unreachable server gets no call for Cooldown.
 //	K4  Among equal servers, one in the node's own availability zone is preferred.
 package picker
 
--- a/placer/doc.go
+++ b/placer/doc.go
@@ -25,11 +25,10 @@
 //	    of the slots before it, leaves enough power for it and the domains
 //	    have enough instances, in whatever condition these are. So a fault
 //	    never makes a group unwanted.
-//	P3  Power: the planned draw is never above the limit. An instance is
-//	    powered on only if the pessimistic draw (everything not proven off)
-//	    leaves room for it. If the groups draw more than a lowered limit, those
-//	    of the last slots are ended first, with Grace.Shed to finish their
-//	    calls.
+//	P3  Power: the planned draw is never above the limit. An instance is powered
+//	    on only if the pessimistic draw (everything not proven off) leaves room
+//	    for it. If the draw is above the limit, slots lose their groups from the
+//	    last slot up, with Grace.Shed to finish their calls.
 //	P4  A group with a member that is lost (didn't confirm its membership in
 //	    time), returned (came back, but is not re-admitted yet) or not powered
 //	    is dissolved at once; the survivors become free and keep their weights.
@@ -90,16 +89,14 @@
 //	    then to replacements, then to spares; within each, by priority, and by
 //	    the fewest bytes left, which minimizes the sum of waits. Loading groups
 //	    keep a small minimum rate; preloads get only what is left.
-//	P13 No flapping: an instance that was powered on is not powered off by
-//	    choice (that is, without a fault) before FlapDampingTime has passed,
-//	    and a spare that was powered off by choice is not powered on again as a
-//	    spare before then. A model that lost groups to a lowered limit or
-//	    maximum regains those above its minimum no sooner than FlapDampingTime
-//	    after that, those of its minimum no sooner than ReformDelay; the groups
-//	    that remained are replaced without delay. Members reserved for a slot
-//	    are kept until another choice is sooner by ReservationHysteresis. Rates
-//	    change by steps of at least an eighth. A plan applied to its own result
-//	    has no decisions.
+//	P13 No flapping: an instance that was powered on is not powered off by choice
+//	    (that is, without a fault) before FlapDampingTime has passed, and a spare
+//	    that was powered off by choice is not powered on again before then. A
+//	    model that lost groups to a lowered limit or maximum regains more than
+//	    what remained no sooner than FlapDampingTime after that, and its minimum
+//	    no sooner than ReformDelay. Members reserved for a slot are kept until
+//	    another choice is sooner by ReservationHysteresis. Rates change by steps
+//	    of at least an eighth. A plan applied to its own result has no decisions.
 //	P14 If S·g > D, a group's members are powered on so late that their boots
 //	    end when the store has loaded the groups before it.
 package placer
--- a/prober/doc.go
+++ b/prober/doc.go
@@ -15,9 +15,9 @@
 //	    it, the highest token counts. A status with a lower incarnation or token is
 //	    never accepted, however recent its probe: it comes from a process that has
 //	    ended, or from one that returned with an outdated state.
-//	P4  A failed probe changes nothing: a prober that can't reach an engine must not
-//	    take out a group that another prober reaches. A member that nobody reaches
-//	    stops confirming when its confirmation expires (rule G1).
+//	P4  A failed probe withdraws nothing: a prober that can't reach an engine must
+//	    not take out a group that another prober reaches. A member that nobody
+//	    reaches stops confirming when its confirmation expires (rule G1).
 //	P5  A group is confirmed only while the confirmation of each of its members is
 //	    at most ConfirmationBound old, names the same group, token, model and
 //	    version, and says that the member is ready and not leaving.
--- a/quarantiner/doc.go
+++ b/quarantiner/doc.go
@@ -9,9 +9,9 @@
 //
 //	Z1  A call is identified by its content (garnetworks.ContentDigest), and a server by
 //	    its incarnation. An incarnation counts once for a content, whoever reports it.
-//	Z2  Only a confirmed crash counts: an interrupted connection may be the network's
+//	Z2  Only a detected crash counts: an interrupted connection may be the network's
 //	    fault, silence that of a member or of the node itself, and a server may be
-//	    deregistered because it is partitioned. A crash inferred from refused connections
+//	    deregistered because it is partitioned. A crash detected by refused connections
 //	    alone is withdrawn once the incarnation answers; only another incarnation in its
 //	    place is a proof.
 //	Z3  A content is quarantined once CrashThreshold incarnations have crashed during it
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -8,15 +8,16 @@
 //	N2  A node is ready once it knows the manifest in force. It reports this to the
 //	    load balancer and to its peers, and withdraws it first when it stops.
 //	N3  A planned stop withdraws readiness, lets calls in flight finish within the
-//	    grace period, flushes unrecorded outcomes, releases leases, and only then
-//	    closes the connections. A second signal ends the grace period.
+//	    grace period, records what is left to record, releases leases, and only
+//	    then closes the connections. A second signal ends the grace period.
 //	N4  The nodes of a zone report their demand and slow groups to the zone's
 //	    controller periodically, less often in larger zones. The response carries
 //	    the node's shares of the limits.
-//	N5  A node that receives neither a pulse of its own zone nor another node's
-//	    probe results for PulseTimeout is isolated and probes all engines of the
-//	    zone itself, so that its router can rely on its own results (rule G1).
-//	    While only the controller is being replaced, the shared probes suffice.
+//	N5  A node that receives neither a fresh pulse of its own zone nor another
+//	    node's probe results for PulseTimeout is isolated and probes all engines
+//	    of the zone itself, so that its router can rely on its own results (rule
+//	    G1). While only the controller is being replaced, the shared probes
+//	    suffice.
 //	N6  A duty that ends before the node is stopped ends the node, because a node
 //	    that works only partly is worse than one that gets replaced.
 package runner
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -4,10 +4,12 @@
 //
 // Load patterns and the rules that handle them:
 //
-//	Q1  Sustained overload. A call that waits beyond its objective delays those
-//	    behind it as well. So a call waits at most until a group could just give
-//	    its first event on time, and is rejected on arrival if the calls ahead
-//	    of it, at the rate at which slots become free, would make it wait longer.
+//	Q1  Sustained overload. A call that waits beyond its objective is worth
+//	    little to its caller and delays those behind it as well. So a call waits
+//	    at most until a group could just give its first event on time, and is
+//	    rejected on arrival if the calls ahead of it, at the rate at which slots
+//	    become free, would make it wait longer. What is served is then served on
+//	    time.
 //	Q2  Bursts at a node that sees only a part of the traffic. The node keeps a
 //	    window for each group: the number of calls that it allows there at once.
 //	    The window grows by one for each full window of calls with a timely first
@@ -19,14 +21,14 @@
 //	Q4  Calls of several priorities. The most urgent come first; within a priority,
 //	    the one with the earliest objective.
 //	Q5  A call that was interrupted by the failure of its group. It goes before all
-//	    others, since its client waits in the middle of an answer, and has more
-//	    time to wait before it is rejected.
+//	    others, since its client waits between two events, and it is not rejected
+//	    while a group serves.
 //	Q6  Many nodes that learn of the same free slots at once. Until the next report,
 //	    each takes a share of the free slots in proportion to its share of the
 //	    calls, in addition to those that its own calls free.
 //	Q7  Many nodes that act on the same outdated report. If each chose the least
 //	    loaded group, all would send their calls there until the next report. So
-//	    each call goes to the less loaded of a few randomly drawn groups.
+//	    each call goes to the better one of a few randomly drawn groups.
 //	Q8  A group that fails or never begins a part of its calls and answers the
 //	    others, while its health checks pass. Each such call raises its failure
 //	    rate, and while that is high, a node has few calls there at once, which
@@ -37,7 +39,7 @@
 //	    processed within the pause that clients allow; further calls go elsewhere or
 //	    wait.
 //	Q10 An availability zone that is unreachable from the node while its groups are
-//	    still listed. If several of its groups do not respond and no event is
+//	    still listed. If several of its groups do not respond and nothing is
 //	    received from the zone, it gets one probing call at a time, unless no zone
 //	    is reachable.
 //	Q11 A group whose instances have all failed, while their entries have not
--- a/sharer/sharer.go
+++ b/sharer/sharer.go
@@ -5,7 +5,7 @@
 //
 //	S1  Nodes report to the controller of their own zone only; controllers send each other
 //	    the sum of their zone, so that traffic grows with the number of zones.
-//	S2  Another zone's sum is divided equally among its nodes. Shares are then computed by
+//	S2  A zone's sum is divided equally among its nodes. Shares are then computed by
 //	    package admitter over all nodes of the site, so they sum to 1 at most, and the
 //	    equal share of a silent node stays reserved.
 //	S3  A report older than admitter.ShareBound counts as silence.
--- a/splicer/splicer.go
+++ b/splicer/splicer.go
@@ -5,8 +5,9 @@
 //	    incomplete event is discarded, and the next attempt sends it whole.
 //	S2  An event whose number is not above the last one returned is skipped, so that
 //	    an attempt that resumes too early repeats nothing.
-//	S3  A gap in the numbers between two attempts ends the stream with ErrGap, so
-//	    that a client never takes an incomplete answer for a whole one.
+//	S3  An event whose number leaves a gap ends the answer as interrupted: a
+//	    client learns of a missing piece by an interrupted answer, never by an
+//	    answer that looks complete.
 package splicer
 
 import (
--- a/watcher/doc.go
+++ b/watcher/doc.go
@@ -4,9 +4,9 @@
 //
 // The package keeps these rules:
 //
-//	W1  A watch that has not returned after Wait and Margin has stalled: its
-//	    connection may be dead although new ones work. The watch is abandoned
-//	    and the prefix is listed again.
+//	W1  A watch that has sent nothing for Wait and Margin has stalled: its
+//	    connection may be dead although new ones work. The watch is abandoned and
+//	    the prefix is listed again.
 //	W2  A list that reflects an older revision of the store than one already
 //	    seen is rejected. An object is delivered only if its revision is above
 //	    the one last delivered for its key.
