--- a/cmd/garnetd/main.go
+++ b/cmd/garnetd/main.go
@@ -78,14 +78,14 @@
 		Output:     stderr,
 		JSONFormat: true,
 	})
-	stop, hurry, release := signals()
+	stop, force, release := signalContexts()
 	defer release()
 	r, err := runner.New(runner.Options{Settings: settings, Logger: logger, Program: version, LameDuck: f.LameDuck})
 	if err != nil {
 		_, _ = fmt.Fprintln(stderr, err)
 		return exitSettings
 	}
-	if err := r.Run(stop, hurry); err != nil {
+	if err := r.Run(stop, force); err != nil {
 		logger.Error("node failed", "error", err)
 		return exitFailed
 	}
@@ -94,16 +94,16 @@
 
 // signals returns a context that ends at the first SIGINT or SIGTERM and one
 // that ends at the second.
-func signals() (stop, hurry context.Context, release func()) {
+func signalContexts() (stop, force context.Context, release func()) {
 	received := make(chan os.Signal, 2)
 	signal.Notify(received, syscall.SIGINT, syscall.SIGTERM)
-	stop, first := context.WithCancel(context.Background())
-	hurry, second := context.WithCancel(context.Background())
+	stop, cancelStop := context.WithCancel(context.Background())
+	force, cancelForce := context.WithCancel(context.Background())
 	go func() {
 		<-received
-		first()
+		cancelStop()
 		<-received
-		second()
+		cancelForce()
 	}()
-	return stop, hurry, func() { signal.Stop(received) }
+	return stop, force, func() { signal.Stop(received) }
 }
--- a/cmd/garnetd/main_test.go
+++ b/cmd/garnetd/main_test.go
@@ -12,12 +12,12 @@
 
 func TestRunBeforeServing(t *testing.T) {
 	dir := t.TempDir()
-	right := filepath.Join(dir, "right.yaml")
-	wrong := filepath.Join(dir, "wrong.yaml")
-	if err := os.WriteFile(right, []byte(configurer.Example()), 0o600); err != nil {
+	valid := filepath.Join(dir, "right.yaml")
+	invalid := filepath.Join(dir, "wrong.yaml")
+	if err := os.WriteFile(valid, []byte(configurer.Example()), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(wrong, []byte(strings.Replace(configurer.Example(), "zone: zone-a", "zoom: zone-a", 1)), 0o600); err != nil {
+	if err := os.WriteFile(invalid, []byte(strings.Replace(configurer.Example(), "zone: zone-a", "zoom: zone-a", 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	tests := map[string]struct {
@@ -30,8 +30,8 @@
 		"example":       {flags{PrintExample: true}, exitOK, "listen:", ""},
 		"no settings":   {flags{}, exitSettings, "", "settings: file: missing value"},
 		"missing file":  {flags{Settings: filepath.Join(dir, "none.yaml")}, exitSettings, "", "can't be read"},
-		"right file":    {flags{Settings: right, CheckSettings: true}, exitOK, "settings are right", ""},
-		"unknown field": {flags{Settings: wrong, CheckSettings: true}, exitSettings, "", `settings: zoom: unknown field "zone-a"`},
+		"valid file":    {flags{Settings: valid, CheckSettings: true}, exitOK, "settings are right", ""},
+		"unknown field": {flags{Settings: invalid, CheckSettings: true}, exitSettings, "", `settings: zoom: unknown field "zone-a"`},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/garnetd/platform.go
+++ b/cmd/garnetd/platform.go
@@ -15,17 +15,17 @@
 )
 
 // closePatience is how long a process that ends waits for its last log lines.
-const closePatience = 200 * time.Millisecond
+const logCloseTimeout = 200 * time.Millisecond
 
 // servePlatform runs the node on the users' platform.
 func servePlatform(f flags, stdout, stderr io.Writer) int {
-	hangups := catchHangups()
+	hangups := notifyHangups()
 	path := os.Getenv(platform.SettingsVariable)
 	if path == "" {
 		_, _ = fmt.Fprintf(stderr, "settings: the environment variable %s names no file\n", platform.SettingsVariable)
 		return exitSettings
 	}
-	site, err := platform.LoadSettings(path)
+	settings, err := platform.LoadSettings(path)
 	if err != nil {
 		_, _ = fmt.Fprintln(stderr, err)
 		return exitSettings
@@ -34,14 +34,14 @@
 		_, _ = fmt.Fprintln(stdout, "settings are right")
 		return exitOK
 	}
-	lines := emitter.New(stdout, 0)
-	defer lines.Close(closePatience)
-	logger := hclog.New(&hclog.LoggerOptions{Level: hclog.Info, Output: lines, JSONFormat: true}).With("node", string(site.Node))
+	logOutput := emitter.New(stdout, 0)
+	defer logOutput.Close(logCloseTimeout)
+	logger := hclog.New(&hclog.LoggerOptions{Level: hclog.Info, Output: logOutput, JSONFormat: true}).With("node", string(settings.Node))
 	backends := platform.NewBackends()
 	node, err := launcher.New(launcher.Options{
-		Site:    site,
+		Site:    settings,
 		Program: version,
-		Objects: platform.NewStore(site.ObjectAPI),
+		Objects: platform.NewStore(settings.ObjectAPI),
 		Reader:  platform.SiteReader{},
 		Calls:   platform.CallReader{},
 		Proxy:   backends,
@@ -50,16 +50,16 @@
 		Sweep:   backends.Sweep,
 		Logger:  logger,
 
-		LinesDropped: lines.Dropped,
+		LinesDropped: logOutput.Dropped,
 	})
 	if err != nil {
 		_, _ = fmt.Fprintln(stderr, err)
 		return exitSettings
 	}
-	stop, _, release := signals()
+	stop, _, release := signalContexts()
 	defer release()
-	settings := newSettingsFollower(path, hangups, logger, func(site garnetworks.NodeSettings) { node.Reload(site.Bounds) })
-	go settings.run(stop)
+	reloader := newSettingsReloader(path, hangups, logger, func(changed garnetworks.NodeSettings) { node.Reload(changed.Bounds) })
+	go reloader.run(stop)
 	if err := node.Run(stop); err != nil {
 		logger.Error("node failed", "error", err)
 		return exitFailed
--- a/cmd/garnetd/reload.go
+++ b/cmd/garnetd/reload.go
@@ -16,14 +16,14 @@
 
 // readSettingsEvery is how often the settings file is looked at without a signal;
 // the file is a few KB.
-const readSettingsEvery = 5 * time.Second
+const settingsPollInterval = 5 * time.Second
 
-// settingsFollower applies the settings file whenever it has changed.
+// settingsReloader applies the settings file whenever it has changed.
 //
 // Failure: the platform sends SIGHUP when the file has changed. A process that does
 // not catch the signal is ended by it, with all calls in flight. That holds for a node
 // that is stopping as well, so the signal is caught until the process ends.
-type settingsFollower struct {
+type settingsReloader struct {
 	path   string
 	last   []byte
 	logger hclog.Logger
@@ -32,57 +32,57 @@
 }
 
 // catchHangups catches SIGHUP from now on.
-func catchHangups() chan os.Signal {
+func notifyHangups() chan os.Signal {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	return hangups
 }
 
 // newSettingsFollower reads the file once, and again at each of the hangups.
-func newSettingsFollower(path string, hangups chan os.Signal, logger hclog.Logger, apply func(garnetworks.NodeSettings)) *settingsFollower {
-	f := &settingsFollower{path: path, logger: logger, apply: apply, signal: hangups}
+func newSettingsReloader(path string, hangups chan os.Signal, logger hclog.Logger, apply func(garnetworks.NodeSettings)) *settingsReloader {
+	r := &settingsReloader{path: path, logger: logger, apply: apply, signal: hangups}
 	var err error
-	if f.last, err = os.ReadFile(path); err != nil {
+	if r.last, err = os.ReadFile(path); err != nil {
 		logger.Error("settings-refused", "error", err.Error())
 	}
-	return f
+	return r
 }
 
 // run follows the file until ctx ends.
-func (f *settingsFollower) run(ctx context.Context) {
-	ticker := time.NewTicker(readSettingsEvery)
+func (r *settingsReloader) run(ctx context.Context) {
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.signal:
-			f.read(true)
+		case <-r.signal:
+			r.reloadIfChanged(true)
 		case <-ticker.C:
-			f.read(false)
+			r.reloadIfChanged(false)
 		}
 	}
 }
 
-// read applies the file if it has changed; what can't be read changes nothing.
-func (f *settingsFollower) read(asked bool) {
-	text, err := os.ReadFile(f.path)
+// reloadIfChanged applies the file if it has changed; what can't be reloadIfChanged changes nothing.
+func (r *settingsReloader) reloadIfChanged(signaled bool) {
+	text, err := os.ReadFile(r.path)
 	if err != nil {
-		f.logger.Error("settings-refused", "error", err.Error())
+		r.logger.Error("settings-refused", "error", err.Error())
 		return
 	}
-	if bytes.Equal(text, f.last) {
-		if asked {
-			f.logger.Info("settings-reloaded", "changed", false)
+	if bytes.Equal(text, r.last) {
+		if signaled {
+			r.logger.Info("settings-reloaded", "changed", false)
 		}
 		return
 	}
-	f.last = text
-	site, err := platform.ReadSettings(text)
+	r.last = text
+	settings, err := platform.ReadSettings(text)
 	if err != nil {
-		f.logger.Error("settings-refused", "error", err.Error())
+		r.logger.Error("settings-refused", "error", err.Error())
 		return
 	}
-	f.apply(site)
-	f.logger.Info("settings-reloaded", "changed", true)
+	r.apply(settings)
+	r.logger.Info("settings-reloaded", "changed", true)
 }
--- a/cmd/garnetd/reload_test.go
+++ b/cmd/garnetd/reload_test.go
@@ -27,7 +27,7 @@
 	}
 	write(settingsText + "5000}\n")
 	applied := make(chan garnetworks.NodeSettings, 1)
-	f := newSettingsFollower(path, catchHangups(), hclog.NewNullLogger(), func(site garnetworks.NodeSettings) { applied <- site })
+	f := newSettingsReloader(path, notifyHangups(), hclog.NewNullLogger(), func(site garnetworks.NodeSettings) { applied <- site })
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { defer close(ended); f.run(ctx) }()
@@ -44,15 +44,15 @@
 
 // Story: a settings file is being written while it is read, or holds nonsense. What
 // was in force stays.
-func TestBadSettingsChangeNothing(t *testing.T) {
+func TestInvalidSettingsAreIgnored(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "boot.yaml")
-	f := newSettingsFollower(path, catchHangups(), hclog.NewNullLogger(), func(garnetworks.NodeSettings) { t.Error("applied") })
+	f := newSettingsReloader(path, notifyHangups(), hclog.NewNullLogger(), func(garnetworks.NodeSettings) { t.Error("applied") })
 	defer f.run(stopped())
-	f.read(true)
+	f.reloadIfChanged(true)
 	if err := os.WriteFile(path, []byte("node: ["), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f.read(true)
+	f.reloadIfChanged(true)
 }
 
 // stopped returns a context that has ended.
@@ -70,7 +70,7 @@
 	if err := os.WriteFile(path, []byte(settingsText+"1000}\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f := newSettingsFollower(path, catchHangups(), hclog.NewNullLogger(), func(garnetworks.NodeSettings) {})
+	f := newSettingsReloader(path, notifyHangups(), hclog.NewNullLogger(), func(garnetworks.NodeSettings) {})
 	stopping, stop := context.WithCancel(t.Context())
 	stop()
 	f.run(stopping)
