--- a/cmd/garnetd/main.go
+++ b/cmd/garnetd/main.go
@@ -1,5 +1,5 @@
-// Command garnetd is the daemon of an entry instance. It reads its settings,
-// joins the site and serves until it is told to stop.
+// Command garnetd is the daemon of an entry instance. It reads its settings, joins the
+// site and serves calls until a signal stops it.
 package main
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/garnetworks/garnetworks/runner"
 )
 
-// version is the program's version, as nodes tell each other.
+// version is the program version that the node reports to other nodes.
 const version = "0.1.0"
 
 // Exit codes.
@@ -69,8 +69,8 @@
 	return serve(f, settings, stderr)
 }
 
-// serve runs the node until the first signal, and ends its grace period at the
-// second.
+// serve runs the node until the first SIGINT or SIGTERM, which starts a graceful shutdown;
+// the second signal ends the grace period.
 func serve(f flags, settings configurer.Settings, stderr io.Writer) int {
 	logger := hclog.New(&hclog.LoggerOptions{
 		Name:       "garnetd",
@@ -92,8 +92,8 @@
 	return exitOK
 }
 
-// signals returns a context that ends at the first SIGINT or SIGTERM and one
-// that ends at the second.
+// signalContexts returns a context that is canceled by the first SIGINT or SIGTERM, one that
+// is canceled by the second, and a function that stops catching these signals.
 func signalContexts() (stop, force context.Context, release func()) {
 	received := make(chan os.Signal, 2)
 	signal.Notify(received, syscall.SIGINT, syscall.SIGTERM)
--- a/cmd/garnetd/platform.go
+++ b/cmd/garnetd/platform.go
@@ -14,10 +14,11 @@
 	"github.com/garnetworks/garnetworks/platform"
 )
 
-// closePatience is how long a process that ends waits for its last log lines.
+// logCloseTimeout is how long an exiting process waits for its last log lines to be written.
 const logCloseTimeout = 200 * time.Millisecond
 
-// servePlatform runs the node on the users' platform.
+// servePlatform runs the node on the users' platform, with the settings file that the
+// platform names in the environment.
 func servePlatform(f flags, stdout, stderr io.Writer) int {
 	hangups := notifyHangups()
 	path := os.Getenv(platform.SettingsVariable)
--- a/cmd/garnetd/reload.go
+++ b/cmd/garnetd/reload.go
@@ -14,15 +14,14 @@
 	"github.com/garnetworks/garnetworks/platform"
 )
 
-// readSettingsEvery is how often the settings file is looked at without a signal;
-// the file is a few KB.
+// settingsPollInterval is how often the settings file is checked for changes without a signal.
 const settingsPollInterval = 5 * time.Second
 
 // settingsReloader applies the settings file whenever it has changed.
 //
-// Failure: the platform sends SIGHUP when the file has changed. A process that does
-// not catch the signal is ended by it, with all calls in flight. That holds for a node
-// that is stopping as well, so the signal is caught until the process ends.
+// The platform sends SIGHUP after changing the file. Uncaught, the signal would end the
+// process with all its calls in flight, also while the node is shutting down, so it is
+// caught until the process exits.
 type settingsReloader struct {
 	path   string
 	last   []byte
@@ -31,14 +30,15 @@
 	signal chan os.Signal
 }
 
-// catchHangups catches SIGHUP from now on.
+// notifyHangups starts catching SIGHUP and returns the channel that receives the signals.
 func notifyHangups() chan os.Signal {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	return hangups
 }
 
-// newSettingsFollower reads the file once, and again at each of the hangups.
+// newSettingsReloader reads the file as it stands, without applying it; run applies later
+// changes.
 func newSettingsReloader(path string, hangups chan os.Signal, logger hclog.Logger, apply func(garnetworks.NodeSettings)) *settingsReloader {
 	r := &settingsReloader{path: path, logger: logger, apply: apply, signal: hangups}
 	var err error
@@ -48,7 +48,7 @@
 	return r
 }
 
-// run follows the file until ctx ends.
+// run reloads the file on each SIGHUP and at each poll until ctx ends.
 func (r *settingsReloader) run(ctx context.Context) {
 	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
@@ -64,7 +64,8 @@
 	}
 }
 
-// reloadIfChanged applies the file if it has changed; what can't be reloadIfChanged changes nothing.
+// reloadIfChanged applies the file if it has changed. A file that is unreadable or invalid is
+// logged and changes nothing. If signaled, an unchanged file is logged as well.
 func (r *settingsReloader) reloadIfChanged(signaled bool) {
 	text, err := os.ReadFile(r.path)
 	if err != nil {
--- a/cmd/garnetd/reload_test.go
+++ b/cmd/garnetd/reload_test.go
@@ -15,8 +15,8 @@
 
 const settingsText = "node: n1\nzone: z1\nlisten: {front: '127.0.0.1:1'}\nplatform: {address: '127.0.0.1:2'}\nbounds: {revoke-ms: "
 
-// Story: the platform tells all nodes by SIGHUP that their settings have changed.
-// The nodes were ended by the signal, with all calls in flight.
+// Guards against SIGHUP, by which the platform announces changed settings, ending the node
+// with its calls in flight.
 func TestHangupReloadsSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "boot.yaml")
 	write := func(text string) {
@@ -42,8 +42,7 @@
 	<-ended
 }
 
-// Story: a settings file is being written while it is read, or holds nonsense. What
-// was in force stays.
+// Guards against a partly written or invalid settings file replacing the settings in force.
 func TestInvalidSettingsAreIgnored(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "boot.yaml")
 	f := newSettingsReloader(path, notifyHangups(), hclog.NewNullLogger(), func(garnetworks.NodeSettings) { t.Error("applied") })
@@ -55,16 +54,14 @@
 	f.reloadIfChanged(true)
 }
 
-// stopped returns a context that has ended.
+// stopped returns a canceled context.
 func stopped() context.Context {
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
 	return ctx
 }
 
-// Story: a node is stopped as planned and finishes its calls. Meanwhile the platform
-// tells all nodes by SIGHUP that their settings have changed. The node no longer caught
-// the signal and was ended by it, half a second into its grace period.
+// Guards against SIGHUP ending a node during its shutdown grace period, with calls in flight.
 func TestHangupDoesNotEndAStoppingNode(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "boot.yaml")
 	if err := os.WriteFile(path, []byte(settingsText+"1000}\n"), 0o600); err != nil {
@@ -77,7 +74,7 @@
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	// The signal is delivered before this one returns, or ends the test.
+	// The signal may be delivered after Kill returns; if it isn't caught, it ends the test.
 	for len(f.signal) == 0 {
 		time.Sleep(time.Millisecond)
 	}
