--- a/cmd/garnetlab/main.go
+++ b/cmd/garnetlab/main.go
@@ -38,7 +38,7 @@
 }
 
 // selected returns the named patterns, or all of them if none is named.
-func selected[P any](names []string, patterns map[string]P) ([]string, error) {
+func selectNames[P any](names []string, patterns map[string]P) ([]string, error) {
 	all := slices.Sorted(maps.Keys(patterns))
 	if len(names) == 0 {
 		return all, nil
@@ -54,7 +54,7 @@
 // run replays each pattern against each policy.
 func run(f flags, out io.Writer) error {
 	patterns := experimenter.Patterns()
-	names, err := selected(f.Pattern, patterns)
+	names, err := selectNames(f.Pattern, patterns)
 	if err != nil {
 		return err
 	}
@@ -72,7 +72,7 @@
 				return err
 			}
 			shares[policy] = append(shares[policy], results[""].Share())
-			print(table, name, policy, results, f.Kinds)
+			printResults(table, name, policy, results, f.Kinds)
 		}
 	}
 	if f.Plot != "" {
@@ -87,7 +87,7 @@
 func runGroups(f flags, out io.Writer) error {
 	patterns := experimenter.GroupPatterns()
 	maps.Copy(patterns, experimenter.SharePatterns())
-	names, err := selected(f.Pattern, patterns)
+	names, err := selectNames(f.Pattern, patterns)
 	if err != nil {
 		return err
 	}
@@ -105,7 +105,7 @@
 				return err
 			}
 			results[policy] = result
-			_, _ = fmt.Fprint(table, groupsLine(name, policy, result))
+			_, _ = fmt.Fprint(table, groupsRow(name, policy, result))
 		}
 		if f.Plot != "" {
 			if err := plotGroups(f.Plot, name, results); err != nil {
@@ -116,8 +116,8 @@
 	return table.Flush()
 }
 
-func print(out io.Writer, pattern, policy string, results experimenter.Results, kinds bool) {
-	const median, late, latest = 50, 95, 99
+func printResults(out io.Writer, pattern, policy string, results experimenter.Results, kinds bool) {
+	const median, p95, p99 = 50, 95, 99
 	for _, kind := range slices.Sorted(maps.Keys(results)) {
 		if kind != "" && !kinds {
 			continue
@@ -125,6 +125,6 @@
 		r := results[kind]
 		_, _ = fmt.Fprintf(out, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%.3f\t%d\t%d\t%d\n", pattern, policy, kind,
 			r.Asked, r.OnTime, r.Late, r.Refused, r.Failed, r.Share(),
-			r.First.ValueAtQuantile(median), r.First.ValueAtQuantile(late), r.First.ValueAtQuantile(latest))
+			r.First.ValueAtQuantile(median), r.First.ValueAtQuantile(p95), r.First.ValueAtQuantile(p99))
 	}
 }
--- a/cmd/garnetlab/plot.go
+++ b/cmd/garnetlab/plot.go
@@ -32,8 +32,8 @@
 	p.Legend.Left = true
 	var lines []any
 	for _, policy := range slices.Sorted(maps.Keys(results)) {
-		for _, model := range models(results[policy]) {
-			lines = append(lines, policy+", "+string(model), points(results[policy], model))
+		for _, model := range servingModels(results[policy]) {
+			lines = append(lines, policy+", "+string(model), servingPoints(results[policy], model))
 		}
 	}
 	if err := plotutil.AddLines(p, lines...); err != nil {
@@ -65,7 +65,7 @@
 	return errors.Wrapf(p.Save(plotWidth, plotHeight, file), "%s can't be written", file)
 }
 
-func models(r *experimenter.GroupResult) []garnetworks.ModelName {
+func servingModels(r *experimenter.GroupResult) []garnetworks.ModelName {
 	names := make(garnetworks.Set[garnetworks.ModelName])
 	for _, s := range r.Samples {
 		for m := range s.Serving {
@@ -75,7 +75,7 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-func points(r *experimenter.GroupResult, model garnetworks.ModelName) plotter.XYs {
+func servingPoints(r *experimenter.GroupResult, model garnetworks.ModelName) plotter.XYs {
 	xys := make(plotter.XYs, 0, len(r.Samples))
 	for _, s := range r.Samples {
 		xys = append(xys, plotter.XY{X: s.At.Seconds(), Y: float64(s.Serving[model])})
@@ -84,8 +84,8 @@
 }
 
 // groupsLine is one line of the table of losses.
-func groupsLine(pattern, policy string, r *experimenter.GroupResult) string {
-	const median, quartile = 50, 75
+func groupsRow(pattern, policy string, r *experimenter.GroupResult) string {
+	const median, upperQuartile = 50, 75
 	return fmt.Sprintf("%s\t%s\t%d\t%d\t%d\t%d\t%.0f\t%.3f\n", pattern, policy, r.Losses,
-		r.Down.ValueAtQuantile(median), r.Down.ValueAtQuantile(quartile), r.Down.Max(), r.Idle.Seconds(), r.Served)
+		r.Down.ValueAtQuantile(median), r.Down.ValueAtQuantile(upperQuartile), r.Down.Max(), r.Idle.Seconds(), r.Served)
 }
