--- a/cmd/garnetlab/main.go
+++ b/cmd/garnetlab/main.go
@@ -1,5 +1,5 @@
-// Command garnetlab replays load patterns against policies of waiting, refusing and
-// placing, and prints what each made of them.
+// Command garnetlab simulates load patterns and losses of engines under policies for
+// queueing, admission, placement and forming groups, and prints the results of each policy.
 package main
 
 import (
@@ -37,7 +37,7 @@
 	}
 }
 
-// selected returns the named patterns, or all of them if none is named.
+// selectNames returns names, which must all be keys of patterns, or all keys if names is empty.
 func selectNames[P any](names []string, patterns map[string]P) ([]string, error) {
 	all := slices.Sorted(maps.Keys(patterns))
 	if len(names) == 0 {
@@ -51,7 +51,7 @@
 	return names, nil
 }
 
-// run replays each pattern against each policy.
+// run simulates each selected load pattern under each policy.
 func run(f flags, out io.Writer) error {
 	patterns := experimenter.Patterns()
 	names, err := selectNames(f.Pattern, patterns)
@@ -83,7 +83,7 @@
 	return table.Flush()
 }
 
-// runGroups replays each pattern of losses against each policy for groups.
+// runGroups simulates each selected pattern of engine losses under each group policy.
 func runGroups(f flags, out io.Writer) error {
 	patterns := experimenter.GroupPatterns()
 	maps.Copy(patterns, experimenter.SharePatterns())
--- a/cmd/garnetlab/plot.go
+++ b/cmd/garnetlab/plot.go
@@ -16,14 +16,14 @@
 	"github.com/garnetworks/garnetworks/experimenter"
 )
 
-// Size of a plot on paper.
+// Size of a plot.
 const (
 	plotWidth  = 16 * vg.Centimeter
 	plotHeight = 9 * vg.Centimeter
 )
 
-// plotGroups draws the numbers of serving groups over time, a line for each policy and
-// model, to a file named after the pattern.
+// plotGroups plots the number of serving groups over time, one line per policy and model,
+// to an SVG file named after the pattern.
 func plotGroups(dir, pattern string, results map[string]*experimenter.GroupResult) error {
 	p := plot.New()
 	p.Title.Text = pattern + ": groups that serve"
@@ -43,7 +43,8 @@
 	return errors.Wrapf(p.Save(plotWidth, plotHeight, file), "%s can't be written", file)
 }
 
-// plotLoad draws the share of the worth that each policy earned of each pattern.
+// plotLoad plots, for each policy and pattern, the share of the attainable worth that was
+// earned, to load.svg.
 func plotLoad(dir string, patterns []string, shares map[string][]float64) error {
 	p := plot.New()
 	p.Title.Text = "part of the worth that was earned"
@@ -83,7 +84,7 @@
 	return xys
 }
 
-// groupsLine is one line of the table of losses.
+// groupsRow returns one tab-separated row of the table that runGroups prints.
 func groupsRow(pattern, policy string, r *experimenter.GroupResult) string {
 	const median, upperQuartile = 50, 75
 	return fmt.Sprintf("%s\t%s\t%d\t%d\t%d\t%d\t%.0f\t%.3f\n", pattern, policy, r.Losses,
