--- a/cmd/garnetdemo/calls.go
+++ b/cmd/garnetdemo/calls.go
@@ -39,7 +39,7 @@
 	callTimeout  = 10 * time.Second
 )
 
-func (c *caller) send(ctx context.Context, node int, method, path, key, body string) (reply, error) {
+func (c *caller) send(ctx context.Context, node int, method, path, idempotencyKey, body string) (reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+c.nodes[node]+path, strings.NewReader(body))
@@ -48,8 +48,8 @@
 	}
 	request.Header.Set("Authorization", "Bearer "+c.key)
 	request.Header.Set("Content-Type", "application/json")
-	if key != "" {
-		request.Header.Set("Idempotency-Key", key)
+	if idempotencyKey != "" {
+		request.Header.Set("Idempotency-Key", idempotencyKey)
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
@@ -94,9 +94,9 @@
 	check func(r reply) error
 }
 
-// samples sends the sample calls, prints each answer, and returns an error if
+// runSamples sends the sample calls, prints each answer, and returns an error if
 // one was wrong.
-func (c *caller) samples(ctx context.Context, w io.Writer, service *faker.Service) error {
+func (c *caller) runSamples(ctx context.Context, w io.Writer, service *faker.Service) error {
 	key := "visit-" + ulid.Make().String()
 	var first reply
 	list := []sample{
@@ -113,16 +113,16 @@
 		{"refused call", c.post(1, "/v1/completions", "", `{"model":"unknown","prompt":"x"}`), checkRefused},
 		{"models", c.get(2, "/v1/models"), checkModels},
 	}
-	wrong := 0
+	failed := 0
 	for _, s := range list {
 		if err := s.run(ctx, w); err != nil {
 			_, _ = fmt.Fprintf(w, "WRONG: %v\n", err)
-			wrong++
+			failed++
 		}
 		_, _ = fmt.Fprintln(w)
 	}
-	if wrong > 0 {
-		return errors.Errorf("%d of %d answers were wrong", wrong, len(list))
+	if failed > 0 {
+		return errors.Errorf("%d of %d answers were wrong", failed, len(list))
 	}
 	_, _ = fmt.Fprintf(w, "all %d answers were right\n", len(list))
 	return nil
@@ -136,7 +136,7 @@
 		return err
 	}
 	_, _ = fmt.Fprintf(w, "== %s: status %d, outcome %s, %.1f ms\n%s\n",
-		s.title, r.status, r.outcome, float64(time.Since(start).Microseconds())/1000, brief(r.body))
+		s.title, r.status, r.outcome, float64(time.Since(start).Microseconds())/1000, abbreviate(r.body))
 	return s.check(r)
 }
 
@@ -147,17 +147,17 @@
 )
 
 // brief leaves out the middle of a long stream.
-func brief(body string) string {
+func abbreviate(body string) string {
 	events := strings.Split(strings.TrimSpace(body), "\n\n")
-	if left := len(events) - firstEvents - lastEvents; left > 0 {
-		middle := fmt.Sprintf("(%d more events)", left)
-		events = append(append(events[:firstEvents:firstEvents], middle), events[len(events)-lastEvents:]...)
+	if omitted := len(events) - firstEvents - lastEvents; omitted > 0 {
+		marker := fmt.Sprintf("(%d more events)", omitted)
+		events = append(append(events[:firstEvents:firstEvents], marker), events[len(events)-lastEvents:]...)
 	}
 	return strings.Join(events, "\n")
 }
 
-func (c *caller) post(node int, path, key, body string) func(context.Context) (reply, error) {
-	return func(ctx context.Context) (reply, error) { return c.send(ctx, node, http.MethodPost, path, key, body) }
+func (c *caller) post(node int, path, idempotencyKey, body string) func(context.Context) (reply, error) {
+	return func(ctx context.Context) (reply, error) { return c.send(ctx, node, http.MethodPost, path, idempotencyKey, body) }
 }
 
 func (c *caller) get(node int, path string) func(context.Context) (reply, error) {
--- a/cmd/garnetdemo/main.go
+++ b/cmd/garnetdemo/main.go
@@ -63,7 +63,7 @@
 	}
 	defer s.close()
 	if f.StandInsOnly {
-		return standInsOnly(ctx, f, s, stdout)
+		return serveStandIns(ctx, f, s, stdout)
 	}
 	nodes, err := startNodes(s, logger)
 	if err != nil {
@@ -83,14 +83,14 @@
 	if err != nil {
 		return errors.Wrap(err, "the manifest did not come into force")
 	}
-	c := &caller{key: s.key.Secret, nodes: nodes.callers()}
+	c := &caller{key: s.key.Secret, nodes: nodes.callerAddresses()}
 	if err := c.awaitServing(ready); err != nil {
 		return errors.Wrap(err, "the site does not serve")
 	}
 	_, _ = fmt.Fprintf(stdout, "manifest generation %d is in force and %d nodes serve after %.1f s\n\n",
 		generation, len(c.nodes), time.Since(start).Seconds())
 	if f.Once {
-		return c.samples(ctx, stdout, s.service)
+		return c.runSamples(ctx, stdout, s.service)
 	}
 	printSite(stdout, s, nodes)
 	return nodes.wait(ctx)
@@ -130,7 +130,7 @@
 }
 
 // standInsOnly writes the files for garnetd processes and waits.
-func standInsOnly(ctx context.Context, f flags, s *standIns, stdout io.Writer) error {
+func serveStandIns(ctx context.Context, f flags, s *standIns, stdout io.Writer) error {
 	if err := os.MkdirAll(f.Dir, 0o755); err != nil {
 		return errors.Wrap(err, "the directory can't be made")
 	}
@@ -146,7 +146,7 @@
 	_, _ = fmt.Fprintf(stdout, "workspace key: %s\n", s.key.Secret)
 	_, _ = fmt.Fprintln(stdout, "\nThe entry nodes, each in a shell of its own:")
 	for _, zone := range zones {
-		_, _ = fmt.Fprintf(stdout, "  go run ./cmd/garnetd --settings %s\n", filepath.Join(f.Dir, settingsName(zone)))
+		_, _ = fmt.Fprintf(stdout, "  go run ./cmd/garnetd --settings %s\n", filepath.Join(f.Dir, settingsFileName(zone)))
 	}
 	peers := peersAddress(f.FirstPort, 0)
 	_, _ = fmt.Fprintf(stdout, "Their first manifest, and the site afterwards:\n")
@@ -155,7 +155,7 @@
 	_, _ = fmt.Fprintf(stdout, "  go run ./cmd/garnetctl --nodes %s status\n", peers)
 	_, _ = fmt.Fprintf(stdout, "Load on all nodes, checked against what the stand-ins did:\n")
 	_, _ = fmt.Fprintf(stdout, "  go run ./cmd/garnetload%s --key %s --service-share 0.3 --repeat 0.2 --verify --executions %s\n",
-		callersFlags(f.FirstPort), s.key.Secret, s.control.Address)
+		urlFlags(f.FirstPort), s.key.Secret, s.control.Address)
 	_, _ = fmt.Fprintln(stdout, "\nStop with ctrl-c.")
 	<-ctx.Done()
 	return nil
--- a/cmd/garnetdemo/main_test.go
+++ b/cmd/garnetdemo/main_test.go
@@ -13,7 +13,7 @@
 	"github.com/garnetworks/garnetworks/parser"
 )
 
-func TestOnceSendsRightAnswers(t *testing.T) {
+func TestOnceGetsExpectedAnswers(t *testing.T) {
 	var stdout, stderr bytes.Buffer
 	f := flags{Once: true, Engines: 8, Wait: time.Minute, LogLevel: "error"}
 	if code := run(t.Context(), f, &stdout, &stderr); code != exitOK {
@@ -23,7 +23,7 @@
 
 // A new user starts the stand-ins alone and garnetd refuses the settings that
 // were written for it, because a field was renamed.
-func TestWrittenFilesAreRight(t *testing.T) {
+func TestWrittenFilesAreValid(t *testing.T) {
 	dir := t.TempDir()
 	ctx, cancel := context.WithCancel(t.Context())
 	var stdout, stderr bytes.Buffer
@@ -47,7 +47,7 @@
 		t.Fatalf("got exit code %d\n%s", code, &stderr)
 	}
 	for _, zone := range zones {
-		if _, err := configurer.Load(filepath.Join(dir, settingsName(zone))); err != nil {
+		if _, err := configurer.Load(filepath.Join(dir, settingsFileName(zone))); err != nil {
 			t.Error(err)
 		}
 	}
--- a/cmd/garnetdemo/nodes.go
+++ b/cmd/garnetdemo/nodes.go
@@ -93,7 +93,7 @@
 	}
 }
 
-func (ns *nodes) callers() []string {
+func (ns *nodes) callerAddresses() []string {
 	var addresses []string
 	for _, n := range ns.list {
 		addresses = append(addresses, n.runner.Addresses().Callers)
@@ -102,7 +102,7 @@
 }
 
 // progressEvery is how often the commit's progress is asked for.
-const progressEvery = 20 * time.Millisecond
+const progressPollInterval = 20 * time.Millisecond
 
 // commit hands a manifest to the first node, as garnetctl does, and waits until
 // it is in force everywhere.
@@ -126,7 +126,7 @@
 		select {
 		case <-ctx.Done():
 			return 0, errors.Errorf("it stands at %+v, error %v", response, err)
-		case <-time.After(progressEvery):
+		case <-time.After(progressPollInterval):
 		}
 	}
 }
@@ -144,7 +144,7 @@
 			return err
 		case err := <-ns.ended:
 			return err
-		case <-time.After(progressEvery):
+		case <-time.After(progressPollInterval):
 		}
 	}
 }
@@ -181,7 +181,7 @@
 }
 
 // callersFlags names the written settings' callers' addresses to garnetload.
-func callersFlags(firstPort int) string {
+func urlFlags(firstPort int) string {
 	var text strings.Builder
 	for i := range zones {
 		_, _ = fmt.Fprintf(&text, " --url http://127.0.0.1:%d", firstPort+portsPerNode*i)
@@ -189,7 +189,7 @@
 	return text.String()
 }
 
-func settingsName(zone garnetworks.ZoneID) string { return "entry-" + string(zone) + ".yaml" }
+func settingsFileName(zone garnetworks.ZoneID) string { return "entry-" + string(zone) + ".yaml" }
 
 // settingsFiles returns a settings file for each zone's node, by name.
 func settingsFiles(s *standIns, firstPort int) map[string]string {
@@ -205,7 +205,7 @@
 				seeds = append(seeds, peersAddress(firstPort, other))
 			}
 		}
-		files[settingsName(zone)] = settingsText(zone, s.platforms[zone].URL(), listen, seeds)
+		files[settingsFileName(zone)] = settingsText(zone, s.platforms[zone].URL(), listen, seeds)
 	}
 	return files
 }
--- a/cmd/garnetdemo/standins.go
+++ b/cmd/garnetdemo/standins.go
@@ -82,7 +82,7 @@
 		s.close()
 		return nil, err
 	}
-	if err := s.serveRest(shared, control, list); err != nil {
+	if err := s.serveServiceAndPlatform(shared, control, list); err != nil {
 		s.close()
 		return nil, err
 	}
@@ -94,7 +94,7 @@
 	for _, zone := range zones {
 		for i := range s.engines {
 			e := s.fleet.Add(engineSpec(zone, i))
-			if _, err := s.keep(faker.ServeEngine(e)); err != nil {
+			if _, err := s.track(faker.ServeEngine(e)); err != nil {
 				return err
 			}
 			spec := e.Spec()
@@ -108,10 +108,10 @@
 	return nil
 }
 
-// serveRest serves the plain service, the platform once for each zone, so that
+// serveServiceAndPlatform serves the plain service, the platform once for each zone, so that
 // a zone can be cut off from it, and the control path.
-func (s *standIns) serveRest(shared *faker.Platform, control *faker.Control, list *faker.InstanceList) error {
-	server, err := s.keep(faker.ServeService(s.service))
+func (s *standIns) serveServiceAndPlatform(shared *faker.Platform, control *faker.Control, list *faker.InstanceList) error {
+	server, err := s.track(faker.ServeService(s.service))
 	if err != nil {
 		return err
 	}
@@ -120,17 +120,17 @@
 	})
 	for _, zone := range zones {
 		platform := &faker.Platform{Objects: shared.Objects, Instances: shared.Instances, Power: shared.Power, Weights: shared.Weights}
-		if s.platforms[zone], err = s.keep(faker.ServePlatform(platform)); err != nil {
+		if s.platforms[zone], err = s.track(faker.ServePlatform(platform)); err != nil {
 			return err
 		}
 		control.Targets["platform-"+string(zone)] = platform
 	}
-	s.control, err = s.keep(faker.ServeControl(control))
+	s.control, err = s.track(faker.ServeControl(control))
 	return err
 }
 
-// keep remembers a server for close.
-func (s *standIns) keep(server *faker.Server, err error) (*faker.Server, error) {
+// track remembers a server for close.
+func (s *standIns) track(server *faker.Server, err error) (*faker.Server, error) {
 	if err != nil {
 		return nil, errors.Wrap(err, "a stand-in can't be served")
 	}
@@ -181,8 +181,8 @@
 
 // manifest returns a manifest whose cap is below what all engines draw.
 func (s *standIns) manifest() string {
-	const capParts, allParts = 5, 6
-	watts := len(zones)*s.engines*engineWatts*capParts/allParts + serverWatts
+	const capNumerator, capDenominator = 5, 6
+	watts := len(zones)*s.engines*engineWatts*capNumerator/capDenominator + serverWatts
 	var text strings.Builder
 	_, _ = fmt.Fprintf(&text, manifestHead, watts, engineWatts, serverWatts)
 	_, _ = fmt.Fprintf(&text, modelEntry, "chat", weightBytes, enginesPerDomain, className(0), 1, len(zones), 100)
