--- a/cmd/garnetdemo/calls.go
+++ b/cmd/garnetdemo/calls.go
@@ -18,14 +18,14 @@
 	"github.com/garnetworks/garnetworks/faker"
 )
 
-// caller calls the site as a workspace's program would.
+// caller calls the entry nodes as a workspace's client would.
 type caller struct {
 	key string
-	// nodes are the callers' addresses of the entry nodes.
+	// nodes holds the entry nodes' addresses for callers.
 	nodes []string
 }
 
-// reply is a whole answer.
+// reply is an answer that was read to its end.
 type reply struct {
 	status  int
 	outcome string
@@ -69,7 +69,7 @@
 	return string(body)
 }
 
-// awaitServing waits until every node answers a completion.
+// awaitServing waits until every node has completed a call to the model.
 func (c *caller) awaitServing(ctx context.Context) error {
 	for node := range c.nodes {
 		for {
@@ -87,15 +87,16 @@
 	return nil
 }
 
-// sample is one of the sample calls; its check returns what is wrong.
+// sample is one of the sample calls; check returns an error if the reply isn't the expected
+// one.
 type sample struct {
 	title string
 	call  func(ctx context.Context) (reply, error)
 	check func(r reply) error
 }
 
-// runSamples sends the sample calls, prints each answer, and returns an error if
-// one was wrong.
+// runSamples sends the sample calls, prints each answer, and returns an error if any of them
+// was not the expected one.
 func (c *caller) runSamples(ctx context.Context, w io.Writer, service *faker.Service) error {
 	key := "visit-" + ulid.Make().String()
 	var first reply
@@ -140,13 +141,13 @@
 	return s.check(r)
 }
 
-// Numbers of events of a stream that are printed.
+// Number of events printed from the start and the end of a stream.
 const (
 	firstEvents = 3
 	lastEvents  = 2
 )
 
-// brief leaves out the middle of a long stream.
+// abbreviate replaces the middle of a long stream by the number of events left out.
 func abbreviate(body string) string {
 	events := strings.Split(strings.TrimSpace(body), "\n\n")
 	if omitted := len(events) - firstEvents - lastEvents; omitted > 0 {
@@ -157,7 +158,9 @@
 }
 
 func (c *caller) post(node int, path, idempotencyKey, body string) func(context.Context) (reply, error) {
-	return func(ctx context.Context) (reply, error) { return c.send(ctx, node, http.MethodPost, path, idempotencyKey, body) }
+	return func(ctx context.Context) (reply, error) {
+		return c.send(ctx, node, http.MethodPost, path, idempotencyKey, body)
+	}
 }
 
 func (c *caller) get(node int, path string) func(context.Context) (reply, error) {
@@ -177,12 +180,12 @@
 	}
 }
 
-// sampleText is what the engines' stand-ins answer to the sample prompt.
+// sampleText returns the text that a simulated engine answers to the sample prompt.
 func sampleText() string {
 	return faker.AnswerText(&garnetworks.CallRequest{Model: "chat", Prompt: samplePrompt}, 0, sampleTokens)
 }
 
-// completion is what the checks read of a completion or of one event of it.
+// completion holds the fields that the checks read of a completion or of one event of it.
 type completion struct {
 	Choices []struct {
 		Text string `json:"text"`
@@ -215,7 +218,7 @@
 	return nil
 }
 
-// checkStream joins the events' texts and wants the end of the stream.
+// checkStream compares the joined text of the events, and requires the end marker.
 func checkStream(r reply) error {
 	if err := wantCompleted(http.StatusOK)(r); err != nil {
 		return err
--- a/cmd/garnetdemo/main.go
+++ b/cmd/garnetdemo/main.go
@@ -1,6 +1,6 @@
-// Command garnetdemo runs a small site in one process on the loopback address:
-// stand-ins for the platform, engines and a plain service in three availability
-// zones, and one entry node in each zone, connected over HTTP and TCP.
+// Command garnetdemo runs a small site in one process on the loopback address: simulations
+// (stand-ins) of the platform, of engines in three availability zones and of a plain service,
+// and one entry node in each zone, connected over HTTP and TCP.
 package main
 
 import (
@@ -73,8 +73,8 @@
 	return serve(ctx, f, s, nodes, stdout)
 }
 
-// serve commits the manifest, waits until every node serves, and then sends the
-// sample calls or stays.
+// serve commits the manifest, waits until every node serves, and then sends the sample calls
+// or runs until ctx ends.
 func serve(ctx context.Context, f flags, s *standIns, nodes *nodes, stdout io.Writer) error {
 	ready, cancel := context.WithTimeout(ctx, f.Wait)
 	defer cancel()
@@ -96,7 +96,7 @@
 	return nodes.wait(ctx)
 }
 
-// printSite tells where everything listens and how to call it.
+// printSite prints the addresses of the site and example commands that use it.
 func printSite(w io.Writer, s *standIns, nodes *nodes) {
 	for _, n := range nodes.list {
 		a := n.runner.Addresses()
@@ -129,7 +129,7 @@
 `, callers, s.key.Secret, peers, s.control.Address)
 }
 
-// standInsOnly writes the files for garnetd processes and waits.
+// serveStandIns writes the files that garnetd processes need and runs until ctx ends.
 func serveStandIns(ctx context.Context, f flags, s *standIns, stdout io.Writer) error {
 	if err := os.MkdirAll(f.Dir, 0o755); err != nil {
 		return errors.Wrap(err, "the directory can't be made")
--- a/cmd/garnetdemo/main_test.go
+++ b/cmd/garnetdemo/main_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// A new user starts the stand-ins alone and garnetd refuses the settings that
-// were written for it, because a field was renamed.
+// Guards against written settings and manifests that garnetd refuses, such as after a field
+// was renamed.
 func TestWrittenFilesAreValid(t *testing.T) {
 	dir := t.TempDir()
 	ctx, cancel := context.WithCancel(t.Context())
--- a/cmd/garnetdemo/nodes.go
+++ b/cmd/garnetdemo/nodes.go
@@ -16,7 +16,7 @@
 	"github.com/garnetworks/garnetworks/runner"
 )
 
-// nodes are the entry nodes, one for each zone.
+// nodes holds the entry nodes, one for each zone.
 type nodes struct {
 	list   []*node
 	cancel context.CancelFunc
@@ -32,8 +32,7 @@
 
 const anyPort = "127.0.0.1:0"
 
-// startNodes starts an entry node in each zone, from settings as garnetd reads
-// them.
+// startNodes starts an entry node in each zone, with settings in the format that garnetd reads.
 func startNodes(s *standIns, logger hclog.Logger) (*nodes, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ns := &nodes{cancel: cancel, ended: make(chan error, len(zones))}
@@ -72,7 +71,7 @@
 	return n, nil
 }
 
-// wait returns at the end of ctx, or with the error of a node that ends.
+// wait returns nil once ctx ends, or an error as soon as a node ends.
 func (ns *nodes) wait(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
@@ -85,7 +84,7 @@
 	}
 }
 
-// stop stops all nodes as planned and waits for them.
+// stop shuts all nodes down gracefully and waits for them.
 func (ns *nodes) stop() {
 	ns.cancel()
 	for _, n := range ns.list {
@@ -101,11 +100,12 @@
 	return addresses
 }
 
-// progressEvery is how often the commit's progress is asked for.
+// progressPollInterval is the interval between polls of the commit's progress, and between
+// attempts to propose it.
 const progressPollInterval = 20 * time.Millisecond
 
-// commit hands a manifest to the first node, as garnetctl does, and waits until
-// it is in force everywhere.
+// commit proposes a manifest to the first node, as garnetctl does, and waits until it is in
+// force everywhere.
 func (ns *nodes) commit(ctx context.Context, text string) (garnetworks.Generation, error) {
 	client := messenger.NewClient(messenger.ClientOptions{})
 	defer client.Close()
@@ -131,8 +131,8 @@
 	}
 }
 
-// propose repeats the proposal until the node takes it; repeating never commits
-// twice. The node may still be joining the site.
+// propose retries the proposal until the node accepts it or refuses the manifest, as the node
+// may still be joining the site. Retries carry the same commit ID, so they commit only once.
 func (ns *nodes) propose(ctx context.Context, client *messenger.Client, address string, request *garnetworks.ProposeRequest) error {
 	for {
 		_, err := client.Propose(ctx, address, request)
@@ -149,8 +149,8 @@
 	}
 }
 
-// settingsText returns the settings file of a zone's node; listen holds the
-// callers', the peers' and the admin address.
+// settingsText returns the settings file of a zone's node; listen holds its addresses for
+// callers, peers and admin requests.
 func settingsText(zone garnetworks.ZoneID, platform string, listen [3]string, seeds []string) string {
 	quoted := make([]string, len(seeds))
 	for i, seed := range seeds {
@@ -173,14 +173,14 @@
 `, zone, region, listen[0], listen[1], listen[2], strings.Join(quoted, ", "), platform)
 }
 
-// portsPerNode is how many ports each written settings file uses.
+// portsPerNode is the number of ports that each written settings file uses.
 const portsPerNode = 3
 
 func peersAddress(firstPort, node int) string {
 	return fmt.Sprintf("127.0.0.1:%d", firstPort+portsPerNode*node+1)
 }
 
-// callersFlags names the written settings' callers' addresses to garnetload.
+// urlFlags returns garnetload's flags for the caller addresses of the written settings.
 func urlFlags(firstPort int) string {
 	var text strings.Builder
 	for i := range zones {
@@ -191,7 +191,7 @@
 
 func settingsFileName(zone garnetworks.ZoneID) string { return "entry-" + string(zone) + ".yaml" }
 
-// settingsFiles returns a settings file for each zone's node, by name.
+// settingsFiles returns a settings file for each zone's node, by file name.
 func settingsFiles(s *standIns, firstPort int) map[string]string {
 	files := make(map[string]string, len(zones))
 	for i, zone := range zones {
--- a/cmd/garnetdemo/standins.go
+++ b/cmd/garnetdemo/standins.go
@@ -14,7 +14,8 @@
 
 var zones = []garnetworks.ZoneID{"zone-a", "zone-b", "zone-c"}
 
-// Sizes of the demonstration.
+// Sizes, rates and delays of the simulated site. weightRate is in bytes per second; every
+// eventGap-th cache event is lost.
 const (
 	region           = "region-1"
 	enginesPerDomain = 4
@@ -30,26 +31,25 @@
 	serviceTime      = 5 * time.Millisecond
 )
 
-// Rates of the object API, as the platform's.
+// Rate limits of the object API, in requests per second.
 const (
 	objectWrites = 300
 	objectReads  = 2000
 )
 
-// standIns is everything outside the entry nodes.
+// standIns holds the simulations of everything outside the entry nodes.
 type standIns struct {
 	engines int
 	key     keymaker.Key
 	fleet   *faker.Fleet
 	service *faker.Service
-	// platforms are the platform as each zone reaches it.
+	// platforms holds each zone's server of the platform.
 	platforms map[garnetworks.ZoneID]*faker.Server
 	control   *faker.Server
 	servers   []*faker.Server
 }
 
-// startStandIns serves the stand-ins with the given number of engines in each
-// zone.
+// startStandIns starts the simulations, with the given number of engines in each zone.
 func startStandIns(engines int) (*standIns, error) {
 	if engines < enginesPerDomain {
 		return nil, errors.Errorf("--engines is %d; %d at least are needed for a replica group", engines, enginesPerDomain)
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// serveServiceAndPlatform serves the plain service, the platform once for each zone, so that
-// a zone can be cut off from it, and the control path.
+// serveServiceAndPlatform serves the plain service and the control path, and the platform once
+// for each zone, so that a zone can be partitioned from it.
 func (s *standIns) serveServiceAndPlatform(shared *faker.Platform, control *faker.Control, list *faker.InstanceList) error {
 	server, err := s.track(faker.ServeService(s.service))
 	if err != nil {
@@ -129,7 +129,7 @@
 	return err
 }
 
-// track remembers a server for close.
+// track records a server so that close closes it.
 func (s *standIns) track(server *faker.Server, err error) (*faker.Server, error) {
 	if err != nil {
 		return nil, errors.Wrap(err, "a stand-in can't be served")
@@ -145,8 +145,8 @@
 	s.fleet.Close()
 }
 
-// engineSpec describes the ith engine of a zone. Every other domain's engines
-// check fencing tokens.
+// engineSpec describes the ith engine of a zone. The engines of every other domain check
+// fencing tokens.
 func engineSpec(zone garnetworks.ZoneID, i int) faker.EngineSpec {
 	domain := i / enginesPerDomain
 	return faker.EngineSpec{
@@ -170,7 +170,7 @@
 
 func checksFencing(domain int) bool { return domain%2 == 0 }
 
-// className returns the class of a domain's engines; a class says whether its
+// className returns the instance class of a domain's engines; the class states whether its
 // instances check fencing tokens.
 func className(domain int) string {
 	if checksFencing(domain) {
@@ -179,7 +179,7 @@
 	return "large-trusting"
 }
 
-// manifest returns a manifest whose cap is below what all engines draw.
+// manifest returns a manifest whose power cap is below what all engines together draw.
 func (s *standIns) manifest() string {
 	const capNumerator, capDenominator = 5, 6
 	watts := len(zones)*s.engines*engineWatts*capNumerator/capDenominator + serverWatts
