--- a/cmd/garnetload/drive.go
+++ b/cmd/garnetload/drive.go
@@ -10,11 +10,11 @@
 )
 
 // resultDepth is how many results wait for the collector.
-const resultDepth = 1024
+const resultQueueSize = 1024
 
 // drive sends the plan's calls when they are due and collects their results.
 func drive(ctx context.Context, f flags, p *plan, s *sender, progress io.Writer) *report {
-	results := make(chan result, resultDepth)
+	results := make(chan result, resultQueueSize)
 	report := newReport()
 	var inFlight atomic.Int64
 	collected := make(chan struct{})
@@ -62,10 +62,10 @@
 }
 
 // collect enters results into the report and prints progress lines.
-func collect(report *report, results <-chan result, every time.Duration, inFlight *atomic.Int64, progress io.Writer) {
+func collect(report *report, results <-chan result, interval time.Duration, inFlight *atomic.Int64, progress io.Writer) {
 	var tick <-chan time.Time
-	if every > 0 {
-		ticker := time.NewTicker(every)
+	if interval > 0 {
+		ticker := time.NewTicker(interval)
 		defer ticker.Stop()
 		tick = ticker.C
 	}
--- a/cmd/garnetload/executions.go
+++ b/cmd/garnetload/executions.go
@@ -35,12 +35,12 @@
 // executionsBody holds what the site said of keyed calls against what their
 // service ran. The last three are 0 at a site that keeps its word.
 type executionsBody struct {
-	Keys          int `json:"keys"`
-	NeverRan      int `json:"never-ran"`
-	RanOnce       int `json:"ran-once"`
-	RanAgain      int `json:"ran-more-than-once"`
-	NotRunButRan  int `json:"not-run-but-ran"`
-	CompletedOnly int `json:"completed-but-never-ran"`
+	Keys                 int `json:"keys"`
+	NeverRan             int `json:"never-ran"`
+	RanOnce              int `json:"ran-once"`
+	RanAgain             int `json:"ran-more-than-once"`
+	NotRunButRan         int `json:"not-run-but-ran"`
+	CompletedButNeverRan int `json:"completed-but-never-ran"`
 }
 
 // compareExecutions does no I/O. A key all of whose calls were answered with
@@ -61,14 +61,14 @@
 			b.NotRunButRan++
 		}
 		if ran[key] == 0 && k.completed > 0 {
-			b.CompletedOnly++
+			b.CompletedButNeverRan++
 		}
 	}
 	return b
 }
 
-// learnExecutions asks the stand-ins how often the service ran each key.
-func (s *sender) learnExecutions(ctx context.Context) (map[string]int, error) {
+// fetchExecutions asks the stand-ins how often the service ran each key.
+func (s *sender) fetchExecutions(ctx context.Context) (map[string]int, error) {
 	service, _, _ := strings.Cut(s.Service, "/")
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.Executions+"/services/"+service+"/keys", nil)
 	if err != nil {
@@ -99,7 +99,7 @@
 		{"ran once", b.RanOnce},
 		{"ran more than once", b.RanAgain},
 		{"said to be not run, but ran", b.NotRunButRan},
-		{"said to be completed, but never ran", b.CompletedOnly},
+		{"said to be completed, but never ran", b.CompletedButNeverRan},
 	}
 	for _, row := range rows {
 		_, _ = fmt.Fprintf(w, "%s\t%d\t\n", row.name, row.count)
--- a/cmd/garnetload/main.go
+++ b/cmd/garnetload/main.go
@@ -71,7 +71,7 @@
 		return exitFailed
 	}
 	report := drive(ctx, f, p, s, stderr)
-	if err := report.compare(ctx, s); err != nil {
+	if err := report.addExecutions(ctx, s); err != nil {
 		// The answers are counted all the same; what is missing is said.
 		_, _ = fmt.Fprintln(stderr, "garnetload:", err)
 	}
--- a/cmd/garnetload/main_test.go
+++ b/cmd/garnetload/main_test.go
@@ -95,7 +95,7 @@
 	}
 	const late = 3 * time.Second
 	r := s.send(t.Context(), job{class: classGateway, url: server.URL, model: "chat", prompt: "x"}, time.Now().Add(-late))
-	if r.outcome != outcomeCompleted || r.firstToken < late || r.total < late || r.late < late {
+	if r.outcome != outcomeCompleted || r.firstToken < late || r.total < late || r.sendDelay < late {
 		t.Errorf("got %+v, want a completed call with times of %v and more", r, late)
 	}
 }
@@ -123,7 +123,7 @@
 			w.Header().Set("Retry-After", "2")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}, "not-run", "overloaded"},
-		"somebody else's answer": {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) }, outcomeBroken, "status 502"},
+		"answer without outcome": {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) }, outcomeBroken, "status 502"},
 		"no answer":              {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, outcomeNoAnswer, "EOF"},
 	}
 	for name, test := range tests {
@@ -142,11 +142,11 @@
 	}
 }
 
-func TestPlanIsBoundedAndRepeats(t *testing.T) {
+func TestPlanIsBoundedAndReproducible(t *testing.T) {
 	f := testFlags("http://127.0.0.1:1")
 	f.Count, f.Duration, f.ServiceShare, f.Repeat = 0, 200*time.Millisecond, 0.5, 0.5
 	f.Key = []string{"a=3", "b"}
-	make1 := func() []job {
+	makeJobs := func() []job {
 		p, err := newPlan(f)
 		if err != nil {
 			t.Fatal(err)
@@ -157,7 +157,7 @@
 		}
 		return jobs
 	}
-	first, second := make1(), make1()
+	first, second := makeJobs(), makeJobs()
 	if len(first) == 0 || len(first) != len(second) {
 		t.Fatalf("got %d and %d calls", len(first), len(second))
 	}
@@ -178,7 +178,7 @@
 
 // A site says "not run" of a call that its service has run, and its caller sends
 // it again: the load tool must tell that from the service's own counts.
-func TestExecutionsAreHeldAgainstOutcomes(t *testing.T) {
+func TestExecutionsAreComparedWithOutcomes(t *testing.T) {
 	tests := map[string]struct {
 		outcomes []string
 		ran      int
@@ -189,7 +189,7 @@
 		"ran twice":               {[]string{outcomeCompleted, outcomeCompleted}, 2, executionsBody{RanAgain: 1}},
 		"not run":                 {[]string{outcomeNotRun}, 0, executionsBody{NeverRan: 1}},
 		"false not run":           {[]string{outcomeNotRun, outcomeNotRun}, 1, executionsBody{RanOnce: 1, NotRunButRan: 1}},
-		"false completed":         {[]string{outcomeCompleted}, 0, executionsBody{NeverRan: 1, CompletedOnly: 1}},
+		"false completed":         {[]string{outcomeCompleted}, 0, executionsBody{NeverRan: 1, CompletedButNeverRan: 1}},
 		"unknown, then refused":   {[]string{"unknown", outcomeNotRun}, 1, executionsBody{RanOnce: 1}},
 		"refused, then completed": {[]string{outcomeNotRun, outcomeCompleted}, 1, executionsBody{RanOnce: 1}},
 		"no answer":               {[]string{outcomeNoAnswer}, 1, executionsBody{RanOnce: 1}},
@@ -208,7 +208,7 @@
 	}
 }
 
-func TestBadFlagsAreNamed(t *testing.T) {
+func TestInvalidFlagsAreReported(t *testing.T) {
 	tests := map[string]struct {
 		change func(f *flags)
 		want   string
--- a/cmd/garnetload/plan.go
+++ b/cmd/garnetload/plan.go
@@ -50,8 +50,8 @@
 type plan struct {
 	flags
 	random  *rand.Rand
-	keys    mix
-	models  mix
+	keys    weightedChoice
+	models  weightedChoice
 	prefix  []string
 	sent    int
 	elapsed float64
@@ -64,11 +64,11 @@
 	if err := f.check(); err != nil {
 		return nil, err
 	}
-	keys, err := parseMix("--key", f.Key)
+	keys, err := parseWeightedChoice("--key", f.Key)
 	if err != nil {
 		return nil, err
 	}
-	models, err := parseMix("--model", f.Model)
+	models, err := parseWeightedChoice("--model", f.Model)
 	if err != nil {
 		return nil, err
 	}
@@ -132,7 +132,7 @@
 
 // next returns the next call, or false at the end of the plan.
 func (p *plan) next() (job, bool) {
-	p.elapsed += p.gap()
+	p.elapsed += p.arrivalInterval()
 	due := time.Duration(p.elapsed * float64(time.Second))
 	if due > p.Duration || p.sent >= p.limit() {
 		return job{}, false
@@ -140,7 +140,7 @@
 	j := job{number: p.sent, due: due, url: p.URL[p.sent%len(p.URL)], key: p.keys.pick(p.random)}
 	p.sent++
 	if p.random.Float64() < p.ServiceShare {
-		p.service(&j)
+		p.makeServiceCall(&j)
 		return j, true
 	}
 	j.class = classGateway
@@ -151,7 +151,7 @@
 		j.class = classDirect
 	}
 	j.model = p.models.pick(p.random)
-	j.prompt = p.promptOf(j.number)
+	j.prompt = p.makePrompt(j.number)
 	return j, true
 }
 
@@ -162,25 +162,25 @@
 	return p.Count
 }
 
-// gap returns the seconds between two calls. Independent callers arrive as a
+// arrivalInterval returns the seconds between two calls. Independent callers arrive as a
 // Poisson process, whose gaps are exponential.
-func (p *plan) gap() float64 {
+func (p *plan) arrivalInterval() float64 {
 	if p.Arrivals == "constant" {
 		return 1 / p.Rate
 	}
 	return p.random.ExpFloat64() / p.Rate
 }
 
-func (p *plan) promptOf(number int) string {
-	own := fill(fmt.Sprintf("call %d of run %d: ", number, p.Seed), p.PromptBytes)
+func (p *plan) makePrompt(number int) string {
+	unique := fill(fmt.Sprintf("call %d of run %d: ", number, p.Seed), p.PromptBytes)
 	if len(p.prefix) == 0 {
-		return own
+		return unique
 	}
-	return p.prefix[p.random.IntN(len(p.prefix))] + own
+	return p.prefix[p.random.IntN(len(p.prefix))] + unique
 }
 
-// service makes the job a call to the plain service.
-func (p *plan) service(j *job) {
+// makeServiceCall makes the job a call to the plain makeServiceCall.
+func (p *plan) makeServiceCall(j *job) {
 	j.class = classService
 	number := p.keyed
 	if p.keyed > 0 && p.random.Float64() < p.Repeat {
@@ -199,27 +199,27 @@
 	return strings.Repeat(text, length/len(text)+1)[:length]
 }
 
-// mix is a choice among values by weight.
-type mix struct {
+// weightedChoice is a choice among values by weight.
+type weightedChoice struct {
 	values  []string
 	weights []float64
 	sum     float64
 }
 
 // parseMix reads value[=weight] texts.
-func parseMix(name string, texts []string) (mix, error) {
-	var m mix
+func parseWeightedChoice(name string, texts []string) (weightedChoice, error) {
+	var m weightedChoice
 	for _, text := range texts {
 		value, weight := text, 1.0
 		if i := strings.LastIndexByte(text, '='); i >= 0 {
 			w, err := strconv.ParseFloat(text[i+1:], 64)
 			if err != nil || !(w > 0) || math.IsInf(w, 0) {
-				return mix{}, errors.Errorf("%s: bad weight in %q; allowed: a number above 0", name, text)
+				return weightedChoice{}, errors.Errorf("%s: bad weight in %q; allowed: a number above 0", name, text)
 			}
 			value, weight = text[:i], w
 		}
 		if value == "" {
-			return mix{}, errors.Errorf("%s: empty value; allowed: a value, or value=weight", name)
+			return weightedChoice{}, errors.Errorf("%s: empty value; allowed: a value, or value=weight", name)
 		}
 		m.values = append(m.values, value)
 		m.weights = append(m.weights, weight)
@@ -228,7 +228,7 @@
 	return m, nil
 }
 
-func (m mix) pick(random *rand.Rand) string {
+func (m weightedChoice) pick(random *rand.Rand) string {
 	if len(m.values) == 1 {
 		return m.values[0]
 	}
--- a/cmd/garnetload/report.go
+++ b/cmd/garnetload/report.go
@@ -15,8 +15,8 @@
 
 // Bounds of the histograms, in microseconds: an hour, three digits.
 const (
-	highestMicros = 3_600_000_000
-	digits        = 3
+	maxMicros         = 3_600_000_000
+	significantDigits = 3
 )
 
 // report holds the results by class.
@@ -31,14 +31,14 @@
 
 // tally holds the results of one class.
 type tally struct {
-	calls      int
-	tokens     int
-	outcomes   map[outcomeKey]int
-	withDelay  int
-	late       *hdrhistogram.Histogram
-	firstToken *hdrhistogram.Histogram
-	between    *hdrhistogram.Histogram
-	total      *hdrhistogram.Histogram
+	calls          int
+	tokens         int
+	outcomes       map[outcomeKey]int
+	withRetryAfter int
+	sendDelay      *hdrhistogram.Histogram
+	firstToken     *hdrhistogram.Histogram
+	betweenTokens  *hdrhistogram.Histogram
+	total          *hdrhistogram.Histogram
 }
 
 type outcomeKey struct{ outcome, kind string }
@@ -47,20 +47,20 @@
 	return &report{Classes: make(map[class]*tally), keys: make(map[string]*keyCalls)}
 }
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, highestMicros, digits) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxMicros, significantDigits) }
 
 func newTally() *tally {
 	return &tally{
-		outcomes:   make(map[outcomeKey]int),
-		late:       newHistogram(),
-		firstToken: newHistogram(),
-		between:    newHistogram(),
-		total:      newHistogram(),
+		outcomes:      make(map[outcomeKey]int),
+		sendDelay:     newHistogram(),
+		firstToken:    newHistogram(),
+		betweenTokens: newHistogram(),
+		total:         newHistogram(),
 	}
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), 1), highestMicros))
+	_ = h.RecordValue(min(max(d.Microseconds(), 1), maxMicros))
 }
 
 // add enters a result. Times of calls that were not completed are counted under
@@ -75,12 +75,12 @@
 	r.addKey(result)
 	t.outcomes[outcomeKey{result.outcome, result.kind}]++
 	if result.retryAfter {
-		t.withDelay++
+		t.withRetryAfter++
 	}
 	if result.outcome == outcomeNotSent {
 		return
 	}
-	record(t.late, result.late)
+	record(t.sendDelay, result.sendDelay)
 	if result.outcome != outcomeCompleted {
 		return
 	}
@@ -88,7 +88,7 @@
 	record(t.total, result.total)
 	record(t.firstToken, result.firstToken)
 	for _, gap := range result.gaps {
-		record(t.between, gap)
+		record(t.betweenTokens, gap)
 	}
 }
 
@@ -102,12 +102,12 @@
 	r.keys[result.key].add(result.outcome)
 }
 
-// compare enters what the stand-ins say of the keyed calls.
-func (r *report) compare(ctx context.Context, s *sender) error {
+// addExecutions enters what the stand-ins say of the keyed calls.
+func (r *report) addExecutions(ctx context.Context, s *sender) error {
 	if s.Executions == "" {
 		return nil
 	}
-	ran, err := s.learnExecutions(ctx)
+	ran, err := s.fetchExecutions(ctx)
 	if err != nil {
 		return err
 	}
@@ -143,7 +143,7 @@
 	Percentiles map[string]float64 `json:"percentiles-ms"`
 }
 
-func timesOf(h *hdrhistogram.Histogram) timesBody {
+func summarize(h *hdrhistogram.Histogram) timesBody {
 	body := timesBody{Count: h.TotalCount(), MeanMillis: h.Mean() / 1000, Percentiles: make(map[string]float64)}
 	for _, p := range percentiles {
 		body.Percentiles[fmt.Sprintf("%g", p)] = millis(h, p)
@@ -182,11 +182,11 @@
 			Tokens:           t.tokens,
 			TokensPerSecond:  float64(t.tokens) / r.Seconds,
 			Outcomes:         t.sortedOutcomes(),
-			AnswersWithDelay: t.withDelay,
-			SentLate:         timesOf(t.late),
-			FirstToken:       timesOf(t.firstToken),
-			BetweenTokens:    timesOf(t.between),
-			WholeAnswer:      timesOf(t.total),
+			AnswersWithDelay: t.withRetryAfter,
+			SentLate:         summarize(t.sendDelay),
+			FirstToken:       summarize(t.firstToken),
+			BetweenTokens:    summarize(t.betweenTokens),
+			WholeAnswer:      summarize(t.total),
 		})
 	}
 	return bodies
@@ -218,7 +218,7 @@
 	Ratio      float64 `json:"ratio"`
 }
 
-func (r *report) added() []addedBody {
+func (r *report) addedLatencies() []addedBody {
 	through, direct := r.Classes[classGateway], r.Classes[classDirect]
 	if through == nil || direct == nil {
 		return nil
@@ -228,7 +228,7 @@
 		through, direct *hdrhistogram.Histogram
 	}{
 		{"first token", through.firstToken, direct.firstToken},
-		{"between tokens", through.between, direct.between},
+		{"between tokens", through.betweenTokens, direct.betweenTokens},
 		{"whole answer", through.total, direct.total},
 	}
 	var list []addedBody
@@ -251,7 +251,7 @@
 		*report
 		Classes []classBody `json:"classes"`
 		Added   []addedBody `json:"added-latency,omitempty"`
-	}{r, r.classes(), r.added()})
+	}{r, r.classes(), r.addedLatencies()})
 }
 
 func (r *report) writeTable(w io.Writer) error {
@@ -260,7 +260,7 @@
 	for _, c := range r.classes() {
 		writeClass(t, c)
 	}
-	if added := r.added(); len(added) > 0 {
+	if added := r.addedLatencies(); len(added) > 0 {
 		_, _ = fmt.Fprint(t, "\nadded latency\tpercentile\tthrough node\tdirect\tratio\t\n")
 		for _, a := range added {
 			_, _ = fmt.Fprintf(t, "%s\tp%g\t%.2f ms\t%.2f ms\t%.2f\t\n", a.Time, a.Percentile, a.Through, a.Direct, a.Ratio)
--- a/cmd/garnetload/sender.go
+++ b/cmd/garnetload/sender.go
@@ -30,7 +30,7 @@
 	kind    string
 	// late is how long after its due time the call was sent; the other times are
 	// from the due time too.
-	late       time.Duration
+	sendDelay  time.Duration
 	firstToken time.Duration
 	total      time.Duration
 	gaps       []time.Duration
@@ -50,9 +50,9 @@
 // sender sends calls.
 type sender struct {
 	flags
-	client *http.Client
-	groups map[string][]faker.GroupBody
-	turn   atomic.Uint64
+	client    *http.Client
+	groups    map[string][]faker.GroupBody
+	nextGroup atomic.Uint64
 }
 
 func newSender(ctx context.Context, f flags) (*sender, error) {
@@ -64,11 +64,11 @@
 	if f.Direct == "" {
 		return s, nil
 	}
-	return s, s.learnGroups(ctx)
+	return s, s.fetchGroups(ctx)
 }
 
-// learnGroups asks the stand-ins for the groups that serve.
-func (s *sender) learnGroups(ctx context.Context) error {
+// fetchGroups asks the stand-ins for the groups that serve.
+func (s *sender) fetchGroups(ctx context.Context) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.Direct+"/groups", nil)
 	if err != nil {
 		return err
@@ -96,7 +96,7 @@
 func (s *sender) send(ctx context.Context, j job, due time.Time) result {
 	ctx, cancel := context.WithDeadline(ctx, due.Add(s.Timeout))
 	defer cancel()
-	r := result{class: j.class, key: j.idempotencyKey, late: time.Since(due)}
+	r := result{class: j.class, key: j.idempotencyKey, sendDelay: time.Since(due)}
 	request, err := s.request(ctx, j)
 	if err != nil {
 		r.outcome, r.kind = outcomeNotSent, err.Error()
@@ -109,7 +109,7 @@
 		return r
 	}
 	defer response.Body.Close()
-	s.read(ctx, j, response, due, &r)
+	s.readAnswer(ctx, j, response, due, &r)
 	r.total = time.Since(due)
 	return r
 }
@@ -165,7 +165,7 @@
 	if len(groups) == 0 {
 		return nil, errors.Errorf("no group serves %s", j.model)
 	}
-	g := groups[s.turn.Add(1)%uint64(len(groups))]
+	g := groups[s.nextGroup.Add(1)%uint64(len(groups))]
 	body, err := json.Marshal(connector.GenerateBody{Model: g.Model, Prompt: j.prompt, MaxTokens: s.MaxTokens})
 	if err != nil {
 		return nil, err
@@ -184,40 +184,40 @@
 	return request, nil
 }
 
-// read reads the answer into r.
-func (s *sender) read(ctx context.Context, j job, response *http.Response, due time.Time, r *result) {
+// readAnswer reads the answer into r.
+func (s *sender) readAnswer(ctx context.Context, j job, response *http.Response, due time.Time, r *result) {
 	r.retryAfter = response.Header.Get("Retry-After") != ""
 	var text string
-	var whole bool
+	var complete bool
 	var err error
 	switch {
 	case response.StatusCode != http.StatusOK:
 		_, err = io.Copy(io.Discard, response.Body)
-		whole = err == nil
+		complete = err == nil
 	case j.class == classService:
 		_, err = io.Copy(io.Discard, response.Body)
-		whole = err == nil
+		complete = err == nil
 		r.firstToken = time.Since(due)
 	case s.Whole && j.class == classGateway:
 		text, err = s.readWhole(response.Body, r)
-		whole = err == nil
+		complete = err == nil
 		r.firstToken = time.Since(due)
 	default:
-		text, whole, err = readStream(response.Body, due, r)
+		text, complete, err = readStream(response.Body, due, r)
 	}
 	r.outcome, r.kind = header(response, connector.HeaderOutcome), header(response, "Garnet-Error-Kind")
 	if response.StatusCode != http.StatusOK && r.kind == "" {
 		r.kind = fmt.Sprintf("status %d", response.StatusCode)
 	}
-	if j.class == classDirect && whole && response.StatusCode == http.StatusOK {
+	if j.class == classDirect && complete && response.StatusCode == http.StatusOK {
 		r.outcome = outcomeCompleted
 	}
 	switch {
 	case err != nil:
 		r.outcome, r.kind = outcomeBroken, failureKind(ctx, err)
-	case !whole && r.outcome == outcomeCompleted, r.outcome == "":
+	case !complete && r.outcome == outcomeCompleted, r.outcome == "":
 		r.outcome = outcomeBroken
-	case s.Verify && r.outcome == outcomeCompleted && j.class != classService && text != s.wanted(j):
+	case s.Verify && r.outcome == outcomeCompleted && j.class != classService && text != s.expectedText(j):
 		r.outcome = outcomeWrong
 	}
 }
@@ -230,8 +230,8 @@
 	return response.Trailer.Get(name)
 }
 
-// wanted is what the engines' stand-ins must answer.
-func (s *sender) wanted(j job) string {
+// expectedText is what the engines' stand-ins must answer.
+func (s *sender) expectedText(j job) string {
 	call := &garnetworks.CallRequest{Model: garnetworks.ModelName(j.model), Prompt: j.prompt}
 	return faker.AnswerText(call, 0, s.MaxTokens)
 }
@@ -269,7 +269,7 @@
 
 // readStream reads server-sent events up to the end marker, [DONE] or an event
 // named end.
-func readStream(body io.Reader, due time.Time, r *result) (text string, whole bool, err error) {
+func readStream(body io.Reader, due time.Time, r *result) (text string, complete bool, err error) {
 	var b strings.Builder
 	var last time.Time
 	scanner := bufio.NewScanner(body)
@@ -277,14 +277,14 @@
 	for scanner.Scan() {
 		line := scanner.Text()
 		if line == "event: "+connector.EventEnd {
-			whole = true
+			complete = true
 		}
 		data, ok := strings.CutPrefix(line, "data: ")
 		if !ok {
 			continue
 		}
 		if data == "[DONE]" {
-			whole = true
+			complete = true
 			continue
 		}
 		var e event
@@ -304,5 +304,5 @@
 		r.tokens++
 		b.WriteString(e.text())
 	}
-	return b.String(), whole, scanner.Err()
+	return b.String(), complete, scanner.Err()
 }
