--- a/cmd/garnetload/drive.go
+++ b/cmd/garnetload/drive.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// resultDepth is how many results wait for the collector.
+// resultQueueSize is the capacity of the channel between the calls and the collector.
 const resultQueueSize = 1024
 
-// drive sends the plan's calls when they are due and collects their results.
+// drive sends the plan's calls when they are due and returns the report of their results.
 func drive(ctx context.Context, f flags, p *plan, s *sender, progress io.Writer) *report {
 	results := make(chan result, resultQueueSize)
 	report := newReport()
@@ -28,8 +28,8 @@
 	return report
 }
 
-// sendAll sends each call at its time, whether or not earlier ones were
-// answered, and waits for the answers.
+// sendAll sends each call when it is due, whether or not earlier calls were answered, and
+// waits for all answers.
 func sendAll(ctx context.Context, f flags, p *plan, s *sender, results chan<- result, inFlight *atomic.Int64) {
 	var calls sync.WaitGroup
 	defer calls.Wait()
@@ -61,7 +61,7 @@
 	}
 }
 
-// collect enters results into the report and prints progress lines.
+// collect adds results to the report and prints progress lines, until results is closed.
 func collect(report *report, results <-chan result, interval time.Duration, inFlight *atomic.Int64, progress io.Writer) {
 	var tick <-chan time.Time
 	if interval > 0 {
--- a/cmd/garnetload/executions.go
+++ b/cmd/garnetload/executions.go
@@ -13,10 +13,10 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// outcomeNotRun is the site's word that a call had no effect.
+// outcomeNotRun is the outcome of a call that had no effect.
 const outcomeNotRun = string(garnetworks.OutcomeNotRun)
 
-// keyCalls counts the calls with one idempotency key by what became of them.
+// keyCalls counts the calls with one idempotency key by outcome.
 type keyCalls struct {
 	completed, notRun, other int
 }
@@ -32,8 +32,8 @@
 	}
 }
 
-// executionsBody holds what the site said of keyed calls against what their
-// service ran. The last three are 0 at a site that keeps its word.
+// executionsBody compares the outcomes of keyed calls with their executions by the service.
+// The last three fields are 0 if the site reports outcomes correctly and runs no key twice.
 type executionsBody struct {
 	Keys                 int `json:"keys"`
 	NeverRan             int `json:"never-ran"`
@@ -43,8 +43,8 @@
 	CompletedButNeverRan int `json:"completed-but-never-ran"`
 }
 
-// compareExecutions does no I/O. A key all of whose calls were answered with
-// not-run must not have run; one call that was not answered leaves it open.
+// compareExecutions does no I/O. A key must not have run if all its calls ended with not-run
+// or were not sent; a call with any other outcome may have run.
 func compareExecutions(calls map[string]*keyCalls, ran map[string]int) executionsBody {
 	var b executionsBody
 	for key, k := range calls {
@@ -67,7 +67,8 @@
 	return b
 }
 
-// fetchExecutions asks the stand-ins how often the service ran each key.
+// fetchExecutions asks the control path of the simulated site how often the service ran each
+// key.
 func (s *sender) fetchExecutions(ctx context.Context) (map[string]int, error) {
 	service, _, _ := strings.Cut(s.Service, "/")
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.Executions+"/services/"+service+"/keys", nil)
--- a/cmd/garnetload/main.go
+++ b/cmd/garnetload/main.go
@@ -1,7 +1,6 @@
-// Command garnetload sends calls to entry nodes at times that do not depend on
-// the answers (an open loop), and measures each from the time at which it was
-// due. So a site that falls behind is seen to: calls that a closed loop would
-// have held back are sent and waited for all the same.
+// Command garnetload sends calls to entry nodes at times that do not depend on the answers (an
+// open loop), and measures latencies from the time at which a call was due. A closed loop would
+// send fewer calls to a site that falls behind, and so underreport its latency.
 package main
 
 import (
@@ -72,7 +71,7 @@
 	}
 	report := drive(ctx, f, p, s, stderr)
 	if err := report.addExecutions(ctx, s); err != nil {
-		// The answers are counted all the same; what is missing is said.
+		// The report is written without the executions.
 		_, _ = fmt.Fprintln(stderr, "garnetload:", err)
 	}
 	if f.Output == "json" {
--- a/cmd/garnetload/main_test.go
+++ b/cmd/garnetload/main_test.go
@@ -48,9 +48,8 @@
 	return `data: {"choices":[{"text":"` + text + `"}]}` + "\n\n"
 }
 
-// A site stands still for a while. A tool that waits for answers before it
-// sends the next call sees one slow call and reports a good site; callers see
-// hundreds. Here no call is answered before all have arrived.
+// Guards against waiting for answers before sending further calls, which hides a stalled site:
+// no call is answered here before all have arrived.
 func TestCallsAreSentWithoutWaitingForAnswers(t *testing.T) {
 	f := testFlags("")
 	var arrived atomic.Int64
@@ -82,8 +81,7 @@
 	}
 }
 
-// A call is sent late because the tool or the site was busy; measured from when
-// it was sent, its wait would not show.
+// Guards against measuring from the time of sending, which hides how late a call was sent.
 func TestTimesCountFromWhenCallsWereDue(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		answerCompletion(w, r, completionEvent)
@@ -176,8 +174,7 @@
 	}
 }
 
-// A site says "not run" of a call that its service has run, and its caller sends
-// it again: the load tool must tell that from the service's own counts.
+// Guards against missing a call that the site reports as not run although its service ran it.
 func TestExecutionsAreComparedWithOutcomes(t *testing.T) {
 	tests := map[string]struct {
 		outcomes []string
--- a/cmd/garnetload/plan.go
+++ b/cmd/garnetload/plan.go
@@ -13,14 +13,14 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds of a run.
+// Upper bounds of the flags.
 const (
 	maxDuration = time.Hour
 	maxCount    = 10_000_000
 	maxRate     = 100_000
 )
 
-// class is where a call goes.
+// class says where a call goes; results are reported by class.
 type class string
 
 const (
@@ -32,20 +32,20 @@
 // job is one call of the plan.
 type job struct {
 	number int
-	// due is the time after the start at which the call is to be sent.
+	// due is the offset from the start at which the call is to be sent.
 	due    time.Duration
 	class  class
 	url    string
 	key    string
 	model  string
 	prompt string
-	// idempotencyKey is empty for calls without one. body is that of a call to a
-	// plain service.
+	// idempotencyKey is empty for calls without one. body is set for calls to the plain service
+	// only.
 	idempotencyKey string
 	body           string
 }
 
-// plan makes the calls one after the other. It does no I/O; the same flags make
+// plan generates the calls one after the other. It does no I/O, and the same flags generate
 // the same calls.
 type plan struct {
 	flags
@@ -55,7 +55,7 @@
 	prefix  []string
 	sent    int
 	elapsed float64
-	// keyed counts the distinct keyed calls.
+	// keyed counts the distinct calls to the plain service.
 	keyed  int
 	direct bool
 }
@@ -79,7 +79,7 @@
 	return p, nil
 }
 
-// check returns what is wrong with the flags.
+// check returns an error for the first invalid flag or address.
 func (f flags) check() error {
 	bounds := []struct {
 		name     string
@@ -117,7 +117,8 @@
 	return nil
 }
 
-// checkAddress refuses addresses that other people's machines may stand behind.
+// checkAddress rejects addresses other than loopback ones unless --allow-remote is set, so
+// that no load is sent to other people's machines by mistake.
 func (f flags) checkAddress(address string) error {
 	u, err := url.Parse(address)
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") || u.Host == "" {
@@ -162,8 +163,8 @@
 	return p.Count
 }
 
-// arrivalInterval returns the seconds between two calls. Independent callers arrive as a
-// Poisson process, whose gaps are exponential.
+// arrivalInterval returns the seconds between two calls. Calls of independent callers arrive as
+// a Poisson process, whose intervals are exponentially distributed.
 func (p *plan) arrivalInterval() float64 {
 	if p.Arrivals == "constant" {
 		return 1 / p.Rate
@@ -179,7 +180,7 @@
 	return p.prefix[p.random.IntN(len(p.prefix))] + unique
 }
 
-// makeServiceCall makes the job a call to the plain makeServiceCall.
+// makeServiceCall makes the job a call to the plain service, possibly a repeated one.
 func (p *plan) makeServiceCall(j *job) {
 	j.class = classService
 	number := p.keyed
@@ -194,19 +195,19 @@
 	}
 }
 
-// fill repeats text up to length bytes.
+// fill repeats text and cuts it to length bytes.
 func fill(text string, length int) string {
 	return strings.Repeat(text, length/len(text)+1)[:length]
 }
 
-// weightedChoice is a choice among values by weight.
+// weightedChoice picks values at random in proportion to their weights.
 type weightedChoice struct {
 	values  []string
 	weights []float64
 	sum     float64
 }
 
-// parseMix reads value[=weight] texts.
+// parseWeightedChoice parses texts of the form value or value=weight; name is the flag's name.
 func parseWeightedChoice(name string, texts []string) (weightedChoice, error) {
 	var m weightedChoice
 	for _, text := range texts {
--- a/cmd/garnetload/report.go
+++ b/cmd/garnetload/report.go
@@ -13,7 +13,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of the histograms, in microseconds: an hour, three digits.
+// Bounds of the histograms: an hour, in microseconds, at three significant digits.
 const (
 	maxMicros         = 3_600_000_000
 	significantDigits = 3
@@ -23,8 +23,8 @@
 type report struct {
 	Seconds float64          `json:"seconds"`
 	Classes map[class]*tally `json:"-"`
-	// keys are the keyed calls, and Executions what became of them; nil if nobody
-	// asked.
+	// keys holds the calls of each idempotency key. Executions is nil unless --executions is
+	// set and its answer was read.
 	keys       map[string]*keyCalls
 	Executions *executionsBody `json:"executions,omitempty"`
 }
@@ -63,8 +63,8 @@
 	_ = h.RecordValue(min(max(d.Microseconds(), 1), maxMicros))
 }
 
-// add enters a result. Times of calls that were not completed are counted under
-// their outcome alone, so that quick refusals don't embellish the percentiles.
+// add adds a result. Latencies are recorded for completed calls only, so that fast refusals
+// don't lower the percentiles.
 func (r *report) add(result result) {
 	t := r.Classes[result.class]
 	if t == nil {
@@ -102,7 +102,7 @@
 	r.keys[result.key].add(result.outcome)
 }
 
-// addExecutions enters what the stand-ins say of the keyed calls.
+// addExecutions compares keyed calls with the executions that the simulated service counted.
 func (r *report) addExecutions(ctx context.Context, s *sender) error {
 	if s.Executions == "" {
 		return nil
@@ -136,7 +136,7 @@
 
 var percentiles = []float64{50, 90, 95, 99, 99.9, 100}
 
-// timesBody is a histogram's percentiles in milliseconds.
+// timesBody summarizes a histogram in milliseconds.
 type timesBody struct {
 	Count       int64              `json:"count"`
 	MeanMillis  float64            `json:"mean-ms"`
@@ -209,7 +209,7 @@
 	return list
 }
 
-// addedBody compares calls through an entry node with direct ones of the run.
+// addedBody compares calls through an entry node with direct calls to engines in the same run.
 type addedBody struct {
 	Time       string  `json:"time"`
 	Percentile float64 `json:"percentile"`
--- a/cmd/garnetload/sender.go
+++ b/cmd/garnetload/sender.go
@@ -20,16 +20,16 @@
 	"github.com/garnetworks/garnetworks/faker"
 )
 
-// result is what became of one call.
+// result is the outcome of one call and its latencies.
 type result struct {
 	class class
 	// key is the idempotency key, or empty.
 	key string
-	// outcome is the word of the answer, or one of the outcomes below.
+	// outcome is the outcome that the answer states, or one of the outcomes below.
 	outcome string
 	kind    string
-	// late is how long after its due time the call was sent; the other times are
-	// from the due time too.
+	// sendDelay is the time from when the call was due until it was sent. firstToken and total
+	// are measured from the due time as well; gaps are the times between tokens.
 	sendDelay  time.Duration
 	firstToken time.Duration
 	total      time.Duration
@@ -38,7 +38,7 @@
 	retryAfter bool
 }
 
-// Outcomes that the tool itself finds.
+// Outcomes: completed, as the site states it, and those that the load tool itself detects.
 const (
 	outcomeCompleted = string(garnetworks.OutcomeCompleted)
 	outcomeNotSent   = "not-sent"
@@ -47,7 +47,7 @@
 	outcomeWrong     = "wrong-text"
 )
 
-// sender sends calls.
+// sender sends calls to entry nodes, or directly to the engines of serving groups.
 type sender struct {
 	flags
 	client    *http.Client
@@ -67,7 +67,7 @@
 	return s, s.fetchGroups(ctx)
 }
 
-// fetchGroups asks the stand-ins for the groups that serve.
+// fetchGroups asks the control path of the simulated site for the serving groups.
 func (s *sender) fetchGroups(ctx context.Context) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.Direct+"/groups", nil)
 	if err != nil {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// send makes one call and measures it from when it was due.
+// send makes one call and measures its latencies from when it was due.
 func (s *sender) send(ctx context.Context, j job, due time.Time) result {
 	ctx, cancel := context.WithDeadline(ctx, due.Add(s.Timeout))
 	defer cancel()
@@ -114,8 +114,8 @@
 	return r
 }
 
-// failureKind names a failure without the addresses in it, so that equal ones
-// are counted together.
+// failureKind returns the innermost cause of a failure, without addresses, so that equal
+// failures are counted together.
 func failureKind(ctx context.Context, err error) string {
 	if ctx.Err() != nil {
 		return "timeout"
@@ -159,7 +159,7 @@
 	return request, nil
 }
 
-// directRequest calls an engine as an entry node does.
+// directRequest returns a request to an engine as an entry node would send it.
 func (s *sender) directRequest(ctx context.Context, j job) (*http.Request, error) {
 	groups := s.groups[j.model]
 	if len(groups) == 0 {
@@ -184,7 +184,7 @@
 	return request, nil
 }
 
-// readAnswer reads the answer into r.
+// readAnswer reads the response and sets r's outcome, kind, tokens and latencies except total.
 func (s *sender) readAnswer(ctx context.Context, j job, response *http.Response, due time.Time, r *result) {
 	r.retryAfter = response.Header.Get("Retry-After") != ""
 	var text string
@@ -222,7 +222,7 @@
 	}
 }
 
-// header reads a header that may come as a trailer.
+// header returns a header that may be sent as a trailer.
 func header(response *http.Response, name string) string {
 	if value := response.Header.Get(name); value != "" {
 		return value
@@ -230,14 +230,14 @@
 	return response.Trailer.Get(name)
 }
 
-// expectedText is what the engines' stand-ins must answer.
+// expectedText returns the text that simulated engines answer to the job's prompt.
 func (s *sender) expectedText(j job) string {
 	call := &garnetworks.CallRequest{Model: garnetworks.ModelName(j.model), Prompt: j.prompt}
 	return faker.AnswerText(call, 0, s.MaxTokens)
 }
 
-// event is what is read of an event's data: a completion's from an entry node,
-// or an engine's own.
+// event holds the fields that are read of a completion's event from an entry node, of a whole
+// completion, or of an engine's event.
 type event struct {
 	Text    string `json:"text"`
 	Choices []struct {
@@ -264,11 +264,11 @@
 	return e.text(), nil
 }
 
-// maxLine bounds a line of a stream.
+// maxLine limits the length of a line of a stream, in bytes.
 const maxLine = 1 << 20
 
-// readStream reads server-sent events up to the end marker, [DONE] or an event
-// named end.
+// readStream reads server-sent events to the end of the body. complete tells whether the end
+// marker was seen: data [DONE] or an event named connector.EventEnd.
 func readStream(body io.Reader, due time.Time, r *result) (text string, complete bool, err error) {
 	var b strings.Builder
 	var last time.Time
