--- a/cmd/garnetctl/causes.go
+++ b/cmd/garnetctl/causes.go
@@ -11,7 +11,7 @@
 	"github.com/garnetworks/garnetworks/diagnoser"
 )
 
-// causesCommand says why requests were not served in time, from log lines.
+// causesCommand reports from the nodes' log lines why requests were not served in time.
 type causesCommand struct {
 	Logs    []string      `arg:"" optional:"" help:"Files with log lines of the nodes, in any order; standard input if none is named, or for -."`
 	Credits string        `help:"A YAML file with what requests are worth; docs/causes.md describes it. All are worth the same without it."`
@@ -22,12 +22,12 @@
 	Plot    string        `help:"File for a plot over time, as SVG; none if it is empty." type:"path"`
 }
 
-// tableNames are the tables by what --by calls them.
+// tableNames maps the values of --by to the By field of the report's tables.
 var tableNames = map[string]string{
 	"model": "model", "kind": "kind", "size": "kind and size tenth", "workspace": "workspace", "zone": "zone",
 }
 
-// Run reads the lines and prints the account.
+// Run reads the log lines and prints the report.
 func (c *causesCommand) Run(s *session) error {
 	options := diagnoser.Options{Credits: diagnoser.DefaultCredits(), Way: c.Way, From: c.From, Until: c.Until}
 	if c.Credits != "" {
@@ -68,7 +68,7 @@
 	return c.print(s, report)
 }
 
-// readFile hands a file to read.
+// readFile opens a file and passes it to read.
 func readFile(name string, read func(io.Reader) error) error {
 	file, err := os.Open(name)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// print prints the account for people.
+// print prints the report as text.
 func (c *causesCommand) print(s *session, r *diagnoser.Report) error {
 	l := r.Lines
 	fmt.Fprintf(s.stdout, "%d lines: %d of calls, %d of events, %d cut, %d foreign; %d calls whose lines were held back\n",
@@ -167,5 +167,5 @@
 	return t.print(out)
 }
 
-// part is a part of 1 as text.
+// formatShare formats a fraction of 1.
 func formatShare(p float64) string { return fmt.Sprintf("%.3f", p) }
--- a/cmd/garnetctl/causes_test.go
+++ b/cmd/garnetctl/causes_test.go
@@ -20,7 +20,7 @@
 
 func noDial(tlsFlags) (garnetworks.PeerCaller, error) { return nil, nil }
 
-// runCauses runs the command on standard input.
+// runCauses runs the causes command with input as standard input.
 func runCauses(t *testing.T, input string, args ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	var out, errs bytes.Buffer
@@ -28,8 +28,7 @@
 	return code, out.String(), errs.String()
 }
 
-// Story: an engineer on call pipes the lines of all nodes into the command, after users
-// complained.
+// Guards against losing requests or misjudging their causes in lines piped from several nodes.
 func TestCausesFromLines(t *testing.T) {
 	input := startLine + "\n" + lateLine + "\n" + refusedLine + "\nsomething else\n"
 	code, out, errs := runCauses(t, input, "--by", "model,kind,size,workspace,zone")
--- a/cmd/garnetctl/fake_test.go
+++ b/cmd/garnetctl/fake_test.go
@@ -9,21 +9,20 @@
 	"github.com/garnetworks/garnetworks/parser"
 )
 
-// fakeNodes answers as three entry nodes in three zones would. Zero fields
-// answer for a healthy site.
+// fakeNodes answers as three entry nodes in three zones would. With zero fields it answers
+// as a healthy site, but proposals must be set before a call of Propose.
 type fakeNodes struct {
 	garnetworks.PeerCaller
-	// down are the addresses that can't be reached.
+	// down holds the addresses that are unreachable.
 	down garnetworks.Set[string]
-	// proposals and progress are answered one after the other, the last one for
-	// good.
+	// proposals and progress are returned one after the other; the last one is repeated.
 	proposals []proposal
 	progress  []garnetworks.CommitProgress
-	// asked are the proposals that came in.
+	// received holds the proposals in the order of their arrival.
 	received []*garnetworks.ProposeRequest
-	// none says that there is no manifest yet.
+	// noManifest makes the nodes answer as if no manifest had been committed.
 	noManifest bool
-	// overrun is the number of events that the first node no longer holds.
+	// lostEvents is the number of events that the first node no longer holds.
 	lostEvents uint64
 }
 
@@ -74,7 +73,7 @@
 	return status, nil
 }
 
-// views tell of two zones; the third one's controller is silent.
+// views returns the views of two zones' controllers; the third zone's is missing.
 func views() []garnetworks.ZoneView {
 	group := func(id garnetworks.GroupID, zone garnetworks.ZoneID, state garnetworks.GroupState, confirmed bool) garnetworks.GroupView {
 		return garnetworks.GroupView{
@@ -102,7 +101,7 @@
 	}
 }
 
-// manifest returns the example as the manifest in force.
+// manifest returns the example manifest, encoded as the one in force.
 func (f *fakeNodes) manifest() []byte {
 	if f.noManifest {
 		return nil
@@ -143,8 +142,8 @@
 	return &garnetworks.ProgressResponse{Progress: p}, nil
 }
 
-// stage returns a commit's progress with some zones done: the first ones have
-// staged it, the first ones of these apply it.
+// commitProgress returns a commit's progress in which the first zones, up to the number staged,
+// have staged it, and the first ones, up to the number applied, have applied it.
 func commitProgress(state garnetworks.CommitState, staged, applied int) garnetworks.CommitProgress {
 	p := garnetworks.CommitProgress{
 		CommitID: "c8", Operator: "anna", Base: 7, Proposal: 9, State: state, ProposedAt: at(0),
@@ -183,8 +182,8 @@
 	return p
 }
 
-// Events answers with the events of one group's failure: the clock of node-b is
-// three seconds behind, which the timestamps make up for.
+// Events returns the events of one group's failure. Their timestamps are in causal order
+// across the nodes.
 func (f *fakeNodes) Events(_ context.Context, address string, request *garnetworks.EventsRequest) (*garnetworks.EventsResponse, error) {
 	i, err := f.reach(address)
 	if err != nil {
--- a/cmd/garnetctl/key.go
+++ b/cmd/garnetctl/key.go
@@ -6,13 +6,13 @@
 	"github.com/garnetworks/garnetworks/keymaker"
 )
 
-// keyCommands make workspace keys.
+// keyCommands creates and hashes workspace keys.
 type keyCommands struct {
 	New  newKeyCommand  `cmd:"" help:"Make a key; it is shown once."`
 	Hash hashKeyCommand `cmd:"" help:"Print the hash of a key read from standard input."`
 }
 
-// newKeyCommand makes a key.
+// newKeyCommand creates a workspace key.
 type newKeyCommand struct{}
 
 // Run prints the key and its hash.
@@ -31,8 +31,8 @@
 	return nil
 }
 
-// hashKeyCommand hashes a key. It reads standard input, since arguments can be
-// seen by other users of the machine and stay in the shell's history.
+// hashKeyCommand prints the hash of a key. It reads standard input, since arguments are
+// visible to other users of the machine and stay in the shell's history.
 type hashKeyCommand struct{}
 
 // Run prints the hash.
--- a/cmd/garnetctl/main.go
+++ b/cmd/garnetctl/main.go
@@ -1,7 +1,6 @@
-// Command garnetctl is the operators' command line. It checks manifests and
-// commits them through any entry node, follows a commit until it is in force,
-// and shows what all nodes know: the state of the site, its groups, power and
-// nodes, and the time line of events.
+// Command garnetctl is the operators' command line. It checks manifests and commits them
+// through any entry node, follows a commit until it is in force, and shows the state of the
+// site, its groups, power and nodes, and the timeline of events.
 package main
 
 import (
@@ -34,7 +33,7 @@
 	exitFailed      = 9
 )
 
-// exitCodes say what each exit code means.
+// exitCodes describes each exit code.
 var exitCodes = []struct {
 	code int
 	text string
@@ -90,15 +89,14 @@
 	return exitFailed
 }
 
-// tlsFlags name the operator's certificate.
+// tlsFlags names the files of the operator's certificate and keys.
 type tlsFlags struct {
 	Certificate string `help:"The operator's certificate, a PEM file." env:"GARNETCTL_TLS_CERTIFICATE"`
 	Key         string `help:"The certificate's key, a PEM file." env:"GARNETCTL_TLS_KEY"`
 	Authorities string `help:"The authorities that vouch for nodes, a PEM file." env:"GARNETCTL_TLS_AUTHORITIES"`
 }
 
-// check returns an error that names the flag that is missing where only some are
-// given.
+// check returns an error that names a missing flag, unless all flags are set.
 func (f tlsFlags) check() error {
 	for name, value := range map[string]string{"--tls-certificate": f.Certificate, "--tls-key": f.Key, "--tls-authorities": f.Authorities} {
 		if value == "" {
@@ -108,7 +106,7 @@
 	return nil
 }
 
-// cli is the grammar of the command line.
+// cli defines the commands and flags.
 type cli struct {
 	Nodes   []string      `help:"Peer addresses of entry nodes, ip:port; one that answers is enough." env:"GARNETCTL_NODES" placeholder:"IP:PORT,..."`
 	Output  string        `help:"How to print: a table for people or json for programs." enum:"table,json" default:"table"`
@@ -126,7 +124,7 @@
 	Codes    codesCommand     `cmd:"" name:"exit-codes" help:"Show what each exit code means."`
 }
 
-// session is what a command works with.
+// session holds what a command needs: its streams, output format, clock and site.
 type session struct {
 	ctx    context.Context
 	stdin  io.Reader
@@ -134,12 +132,12 @@
 	stderr io.Writer
 	json   bool
 	site   *site
-	// now and pause are the clock's, which tests replace.
+	// now and pause read the clock and sleep; pause returns an error once ctx ends.
 	now   func() time.Time
 	pause func(time.Duration) error
 }
 
-// note prints a line that is not part of the output.
+// note prints a line to standard error.
 func (s *session) note(format string, args ...any) {
 	_, _ = fmt.Fprintf(s.stderr, format+"\n", args...)
 }
@@ -150,10 +148,10 @@
 	os.Exit(run(ctx, os.Args[1:], os.Stdin, os.Stdout, os.Stderr, dial))
 }
 
-// dialer opens the way to the nodes.
+// dialer returns a client for calls to the nodes.
 type dialer func(tlsFlags) (garnetworks.PeerCaller, error)
 
-// dial returns a client of the nodes' protocol.
+// dial returns a client of the nodes' protocol, with TLS if its flags are set.
 func dial(f tlsFlags) (garnetworks.PeerCaller, error) {
 	if f == (tlsFlags{}) {
 		return messenger.NewClient(messenger.ClientOptions{}), nil
@@ -168,7 +166,7 @@
 	return messenger.NewClient(messenger.ClientOptions{Keys: keys}), nil
 }
 
-// run carries out one command and returns the exit code.
+// run executes one command and returns the exit code.
 func run(ctx context.Context, args []string, stdin io.Reader, stdout, stderr io.Writer, dial dialer) int {
 	var c cli
 	helpShown := false
@@ -206,7 +204,7 @@
 	return exitCode(err)
 }
 
-// sleep waits for d or the end of ctx.
+// sleep waits until d has passed, or returns ctx's error if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/cmd/garnetctl/main_test.go
+++ b/cmd/garnetctl/main_test.go
@@ -19,8 +19,8 @@
 
 const nodesFlag = "--nodes=10.0.1.4:7600,10.0.2.4:7600"
 
-// execute runs a command line against the nodes and returns all that its user
-// sees.
+// execute runs a command line against the nodes and returns the exit code and a transcript of
+// the command, its output and its exit code.
 func execute(ctx context.Context, nodes *fakeNodes, stdin string, args ...string) (int, string) {
 	var stdout, stderr bytes.Buffer
 	code := run(ctx, args, strings.NewReader(stdin), &stdout, &stderr, func(tlsFlags) (garnetworks.PeerCaller, error) { return nodes, nil })
@@ -103,9 +103,8 @@
 	}
 }
 
-// A commit's answer is lost on the way to the operator, and the same node can't
-// be reached any more. The command must ask the next node with the same commit
-// identifier, so that the commit is never made twice.
+// Guards against committing twice when the answer to a proposal is lost: every retry must
+// carry the same commit ID and base generation.
 func TestCommitRetriesWithTheSameID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nodes := &fakeNodes{proposals: []proposal{
@@ -125,8 +124,8 @@
 	})
 }
 
-// What show prints, changed, must build on the generation that it shows, not on
-// the newest: another operator may have committed in between.
+// Guards against overwriting another operator's commit: an edited manifest from show must be
+// based on the generation that show printed, not on the newest.
 func TestCommitBuildsOnShownGeneration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nodes := &fakeNodes{proposals: []proposal{{progress: committed()}}}
@@ -148,8 +147,8 @@
 	}
 }
 
-// Following the time line, an event of one node arrives a round later than a
-// younger event of another. The reader must see them in causal order, each once.
+// Guards against events out of causal order, missing or repeated with --follow, when one node's
+// events arrive after younger events of another.
 func TestFollowKeepsOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
@@ -169,15 +168,15 @@
 	})
 }
 
-// lateEvents has the first node's events arrive two rounds late.
+// lateEvents withholds events of the first two nodes in the first round.
 type lateEvents struct {
 	*fakeNodes
 	mu sync.Mutex
-	// rounds counts the reads of each node; nodes are read at the same time.
+	// rounds counts the reads of each node; nodes are read concurrently.
 	rounds map[string]int
 }
 
-// round returns the number of the read of a node that begins now, from 1.
+// round returns the number of this read of the node, from 1.
 func (l *lateEvents) round(address string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/cmd/garnetctl/manifest.go
+++ b/cmd/garnetctl/manifest.go
@@ -17,7 +17,7 @@
 	"github.com/garnetworks/garnetworks/parser"
 )
 
-// manifestCommands work with manifests.
+// manifestCommands holds the commands for manifests.
 type manifestCommands struct {
 	Check   checkCommand   `cmd:"" help:"Tell every problem of a manifest."`
 	Diff    diffCommand    `cmd:"" help:"Tell the differences between two manifests."`
@@ -39,7 +39,7 @@
 		defer func() { _ = f.Close() }()
 		in = f
 	}
-	// One byte more than is allowed shows that there is too much.
+	// One byte more than the limit lets the parser detect a text that is too long.
 	data, err := io.ReadAll(io.LimitReader(in, parser.MaxTextBytes+1))
 	if err != nil {
 		return nil, &exitError{exitUsage, err}
@@ -47,7 +47,7 @@
 	return data, nil
 }
 
-// readManifest reads and checks a manifest.
+// readManifest reads and parses a manifest.
 func (s *session) readManifest(name string) (*garnetworks.Manifest, []byte, error) {
 	data, err := s.readFile(name)
 	if err != nil {
@@ -60,13 +60,13 @@
 	return manifest, data, nil
 }
 
-// checkCommand checks a manifest.
+// checkCommand checks a manifest for problems.
 type checkCommand struct {
 	File  string `arg:"" help:"The manifest, or - for standard input."`
 	Fleet string `help:"The platform's instance list, a JSON file: refuse groups that no fabric domain can hold." type:"path"`
 }
 
-// Run prints the problems.
+// Run prints the problems, and returns an error if there are any.
 func (c checkCommand) Run(s *session) error {
 	data, err := s.readFile(c.File)
 	if err != nil {
@@ -105,8 +105,8 @@
 	if err := json.Unmarshal(data, &fleet); err != nil {
 		return nil, &exitError{exitUsage, fmt.Errorf("%s is not a list of instances: %w", c.Fleet, err)}
 	}
-	// An empty list mostly comes from a query that went wrong. To the parser it
-	// would mean that the fleet is not known, and nothing would be checked.
+	// An empty list is most often the result of a failed query. The parser takes it for an
+	// unknown fleet and would skip the checks against the fleet.
 	if len(fleet) == 0 {
 		return nil, &exitError{exitUsage, fmt.Errorf("%s holds no instances", c.Fleet)}
 	}
@@ -177,8 +177,7 @@
 	return s.printChanges(parser.Diff(&current.Manifest, after))
 }
 
-// manifest returns the manifest that a node decides by, or nil if there is
-// none.
+// manifest returns the manifest that a node has in force, or nil if there is none.
 func (s *site) manifest(ctx context.Context) (*garnetworks.AcceptedManifest, error) {
 	var response *garnetworks.ProgressResponse
 	err := s.callAny(ctx, func(ctx context.Context, address string) error {
@@ -192,9 +191,8 @@
 	return decodeAccepted(response.Manifest)
 }
 
-// decodeAccepted refuses a manifest that this program can't read in full: shown
-// without what it does not know, changed and committed again, the text would take
-// that away.
+// decodeAccepted rejects a manifest with fields that this program doesn't know: show would
+// omit them, and a commit of the edited text would remove them.
 func decodeAccepted(body []byte) (*garnetworks.AcceptedManifest, error) {
 	accepted := &garnetworks.AcceptedManifest{}
 	var raw struct {
@@ -214,8 +212,7 @@
 	return accepted, nil
 }
 
-// baseGeneration finds the generation that show has written into a manifest's first
-// comment.
+// baseGeneration matches the comment by which show states the manifest's generation.
 var baseGeneration = regexp.MustCompile(`(?m)^# generation: ([0-9]+)$`)
 
 // commitCommand commits a manifest.
@@ -228,7 +225,7 @@
 	Wait      time.Duration `help:"How long to wait until it is in force; 0 does not wait." default:"60s"`
 }
 
-// Run commits the manifest and follows it.
+// Run commits the manifest and, unless --wait is 0, waits until it is in force.
 func (c commitCommand) Run(s *session) error {
 	_, data, err := s.readManifest(c.File)
 	if err != nil {
@@ -249,7 +246,7 @@
 	return s.followCommit(request.CommitID, progress, s.now().Add(c.Wait))
 }
 
-// request returns the proposal to be sent.
+// request returns the proposal to send.
 func (c commitCommand) request(s *session, data []byte) (*garnetworks.ProposeRequest, error) {
 	base, err := c.base(s, data)
 	if err != nil {
@@ -290,13 +287,13 @@
 	return status.Generation, nil
 }
 
-// proposeRetryInterval is the time between two tries of a commit whose fate is unknown
-// or that has to wait for another one.
+// proposeRetryInterval is the time between attempts to propose a commit.
 const proposeRetryInterval = time.Second
 
-// propose hands the commit to a node. While its fate is unknown, no node can be
-// reached or another commit is pending, it asks again with the same identifier,
-// which never commits twice. So the loser of a race learns who has won.
+// propose sends the commit to a node. It retries until the given time while the outcome is
+// unknown, no node can be reached or another commit is pending. Retries carry the same commit
+// ID, so the manifest is committed at most once, and a stale base is reported with the commit
+// that won.
 func (s *session) propose(request *garnetworks.ProposeRequest, until time.Time) (garnetworks.CommitProgress, error) {
 	unknown, last := false, ""
 	for {
@@ -323,14 +320,14 @@
 	}
 }
 
-// passes reports whether the same request may be answered otherwise later.
+// retryable reports whether a retry of the same request may succeed.
 func retryable(err error) bool {
 	return garnetworks.IsKind(err, garnetworks.KindOutcomeUnknown, garnetworks.KindResponseLost, garnetworks.KindUnreachable,
 		garnetworks.KindObjectAPIDown, garnetworks.KindThrottled, garnetworks.KindNotReady, garnetworks.KindShuttingDown,
 		garnetworks.KindConflict)
 }
 
-// unknown says truthfully how a commit ended that got no clear answer.
+// unknownOutcome returns err, or if the outcome is unknown, an error that says how to retry.
 func (s *session) unknownOutcome(request *garnetworks.ProposeRequest, err error, unknown bool) error {
 	if !unknown {
 		return err
@@ -340,7 +337,7 @@
 		request.CommitID, err, request.CommitID, request.Base)}
 }
 
-// watchCommand follows a commit.
+// watchCommand follows a commit's progress.
 type watchCommand struct {
 	Commit string        `arg:"" optional:"" help:"The commit; the newest one if left out."`
 	Wait   time.Duration `help:"How long to wait until it is in force; 0 prints once." default:"60s"`
@@ -362,11 +359,11 @@
 	return s.followCommit(id, progress, s.now().Add(c.Wait))
 }
 
-// watchPollInterval is the time between two looks at a commit.
+// watchPollInterval is the time between polls of a commit's progress.
 const watchPollInterval = 200 * time.Millisecond
 
-// followCommit prints each change of a commit until it is decided, or in force,
-// or the time is over.
+// followCommit prints each change of a commit's progress until its state is final, the given
+// time is reached or the session ends.
 func (s *session) followCommit(id string, p garnetworks.CommitProgress, until time.Time) error {
 	last := ""
 	for {
@@ -389,12 +386,12 @@
 	}
 }
 
-// ended reports whether nothing more comes of a commit.
+// isFinal reports whether a commit in this state can't change any more.
 func isFinal(state garnetworks.CommitState) bool {
 	return state == garnetworks.CommitInForce || state == garnetworks.CommitRefused || state == garnetworks.CommitSuperseded
 }
 
-// progressLine tells in one line how far the zones are.
+// progressLine summarizes the state and the zones' progress in one line.
 func progressLine(p garnetworks.CommitProgress) string {
 	line := string(p.State)
 	for _, z := range p.Zones {
@@ -410,7 +407,7 @@
 	return line
 }
 
-// finish prints how a commit stands and returns the error for its state.
+// finish prints a commit's progress and returns the error for its state.
 func (s *session) finish(p garnetworks.CommitProgress) error {
 	var err error
 	if s.json {
@@ -469,7 +466,7 @@
 	return zoneTable(p).print(s.stdout)
 }
 
-// zoneTable tells by zone and node what is staged and in force.
+// zoneTable lists by zone and node what is staged and in force.
 func zoneTable(p garnetworks.CommitProgress) *table {
 	t := newTable("zone", "node", "staged", "in force", "refusal")
 	for _, z := range p.Zones {
@@ -495,7 +492,7 @@
 	return t
 }
 
-// step tells when something was done.
+// formatStep returns the time of a completed step, or yes or no if no time is known.
 func formatStep(done bool, at time.Time) string {
 	if done && !at.IsZero() {
 		return formatTime(at)
@@ -506,7 +503,7 @@
 // showCommand prints the manifest in force.
 type showCommand struct{}
 
-// Run prints the manifest.
+// Run prints the manifest in force, as a text that can be committed again.
 func (showCommand) Run(s *session) error {
 	accepted, err := s.site.manifest(s.ctx)
 	if err != nil {
@@ -526,8 +523,8 @@
 	return err
 }
 
-// formatManifest returns a text that parses to the same manifest and names the
-// generation, so that a commit of the changed text builds on it.
+// formatManifest returns a text that parses to the same manifest and states its generation,
+// so that a commit of the edited text is based on it.
 func formatManifest(accepted *garnetworks.AcceptedManifest) (string, error) {
 	text, err := parser.Format(&accepted.Manifest)
 	if err != nil {
@@ -537,10 +534,10 @@
 		accepted.Generation, sanitizeCell(accepted.CommitID), sanitizeCell(accepted.Operator), formatTime(accepted.At), text), nil
 }
 
-// exampleCommand prints the example.
+// exampleCommand prints an example manifest.
 type exampleCommand struct{}
 
-// Run prints the example.
+// Run prints the example manifest.
 func (exampleCommand) Run(s *session) error {
 	_, err := io.WriteString(s.stdout, parser.Example())
 	return err
--- a/cmd/garnetctl/plot.go
+++ b/cmd/garnetctl/plot.go
@@ -19,14 +19,14 @@
 	"github.com/garnetworks/garnetworks/diagnoser"
 )
 
-// Size of the plot of causes on paper; each of its two parts has half the height.
+// Size of the plot of causes; each of its two parts has half the height.
 const (
 	causesWidth  = 24 * vg.Centimeter
 	causesHeight = 18 * vg.Centimeter
 )
 
-// plotCauses draws what was missed in each second by cause, and below it the groups
-// that had calls and the instances that were lost.
+// plotCauses plots the requests missed per second by cause, and below them the groups that
+// received calls and the losses of instances, to an SVG file.
 func plotCauses(r *diagnoser.Report, file string) error {
 	missed, err := missedPlot(r)
 	if err != nil {
@@ -44,7 +44,7 @@
 	return writeTo(file, canvas)
 }
 
-// missedPlot stacks the requests that missed by their causes.
+// missedPlot returns a stacked bar chart of the requests missed per second, by cause.
 func missedPlot(r *diagnoser.Report) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = "requests that missed, by second of receipt"
@@ -79,8 +79,7 @@
 	return p, nil
 }
 
-// groupsPlot draws the numbers of groups by model, and a mark for each second with
-// losses.
+// groupsPlot plots the number of groups by model, with a mark for each second with losses.
 func groupsPlot(r *diagnoser.Report) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = "groups that had calls, and losses of instances"
--- a/cmd/garnetctl/site.go
+++ b/cmd/garnetctl/site.go
@@ -11,20 +11,19 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// parallelCalls bounds the calls to nodes at once.
+// parallelCalls is the maximum number of concurrent calls to nodes.
 const parallelCalls = 16
 
-// site reaches the entry nodes.
+// site sends calls to the entry nodes; timeout applies to each call.
 type site struct {
 	caller    garnetworks.PeerCaller
 	addresses []string
 	timeout   time.Duration
 }
 
-// any tries the given nodes in turn until one answers: an error that the node
-// itself returned ends the search. The error tells of an answer that was lost
-// rather than of a node that was not reached, for the lost one may have been
-// carried out.
+// callAny calls the nodes in turn until one answers; an error that the node itself returned
+// counts as an answer. If none answers, it returns a lost response in preference to an
+// unreachable node, since the call with the lost response may have been executed.
 func (s *site) callAny(ctx context.Context, call func(ctx context.Context, address string) error) error {
 	if len(s.addresses) == 0 {
 		return &exitError{exitUsage, garnetworks.Errorf(garnetworks.KindInvalidRequest, "name a node by --nodes or GARNETCTL_NODES")}
@@ -55,7 +54,7 @@
 	return response, err
 }
 
-// progress tells how a commit stands.
+// progress returns a commit's progress; an empty ID means the newest commit.
 func (s *site) progress(ctx context.Context, commitID string) (garnetworks.CommitProgress, error) {
 	var response *garnetworks.ProgressResponse
 	err := s.callAny(ctx, func(ctx context.Context, address string) error {
@@ -69,7 +68,8 @@
 	return response.Progress, nil
 }
 
-// nodesOf returns the nodes of all rosters, by zone and name.
+// nodesOf returns the nodes of all rosters, or the answering node if there are none, sorted by
+// zone and ID.
 func nodesOf(status *garnetworks.StatusResponse) []garnetworks.NodeInfo {
 	nodes := []garnetworks.NodeInfo{}
 	for _, r := range status.Rosters {
@@ -84,14 +84,14 @@
 	return nodes
 }
 
-// nodeStatus is a node with its own view, or why it could not be reached.
+// nodeStatus holds a node's own view, or the error of the call for it.
 type nodeStatus struct {
 	garnetworks.NodeInfo
 	status *garnetworks.StatusResponse
 	err    error
 }
 
-// everyone asks each node for its own view.
+// nodeStatuses calls each node for its own view.
 func (s *site) nodeStatuses(ctx context.Context, nodes []garnetworks.NodeInfo) []nodeStatus {
 	list := make([]nodeStatus, len(nodes))
 	s.forEachNode(ctx, nodes, func(ctx context.Context, i int, n garnetworks.NodeInfo) {
@@ -101,7 +101,7 @@
 	return list
 }
 
-// each calls the nodes, some at once.
+// forEachNode calls the function for each node, with at most parallelCalls calls at once.
 func (s *site) forEachNode(ctx context.Context, nodes []garnetworks.NodeInfo, call func(ctx context.Context, i int, n garnetworks.NodeInfo)) {
 	var g errgroup.Group
 	g.SetLimit(parallelCalls)
--- a/cmd/garnetctl/table.go
+++ b/cmd/garnetctl/table.go
@@ -11,12 +11,12 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// table prints columns for people.
+// table prints rows in aligned columns.
 type table struct {
 	rows [][]string
 }
 
-// newTable returns a table with a header; none is printed if it is empty.
+// newTable returns a table with the given header in upper case, or none if it is empty.
 func newTable(header ...string) *table {
 	t := &table{}
 	if len(header) > 0 {
@@ -35,7 +35,7 @@
 
 func (t *table) row(cells ...string) { t.rows = append(t.rows, cells) }
 
-// print writes the rows with their columns below each other.
+// print writes the rows in aligned columns.
 func (t *table) print(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, row := range t.rows {
@@ -48,8 +48,8 @@
 	return tw.Flush()
 }
 
-// plain makes a cell fit for a terminal: what nodes and manifests send must not
-// move the cursor or break the columns.
+// sanitizeCell replaces control characters, so that texts from nodes and manifests can't
+// control the terminal or break the columns. An empty cell becomes a dash.
 func sanitizeCell(cell string) string {
 	if cell == "" {
 		return "-"
@@ -62,14 +62,14 @@
 	}, cell)
 }
 
-// printJSON prints a value for programs.
+// printJSON prints a value as indented JSON.
 func (s *session) printJSON(value any) error {
 	encoder := json.NewEncoder(s.stdout)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(value)
 }
 
-// clock returns a time for people; zero is empty.
+// formatTime formats a time in UTC; the zero time is empty.
 func formatTime(t time.Time) string {
 	if t.IsZero() {
 		return ""
@@ -79,7 +79,7 @@
 
 func formatWatts(w garnetworks.Watts) string { return fmt.Sprintf("%d W", w) }
 
-// span returns a duration to the tenth of a second.
+// formatDuration formats a duration, rounded to a tenth of a second.
 func formatDuration(d time.Duration) string { return d.Round(100 * time.Millisecond).String() }
 
 func formatGeneration(g garnetworks.Generation) string {
@@ -89,7 +89,7 @@
 	return fmt.Sprint(g)
 }
 
-// list joins values with commas.
+// joinNames joins values with commas.
 func joinNames[T ~string](values []T) string {
 	words := make([]string, len(values))
 	for i, v := range values {
@@ -105,7 +105,7 @@
 	return "no"
 }
 
-// count returns a number with its noun.
+// pluralize returns a number with its noun, in the plural unless the number is 1.
 func pluralize(n int, noun string) string {
 	if n == 1 {
 		return "1 " + noun
--- a/cmd/garnetctl/timeline.go
+++ b/cmd/garnetctl/timeline.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// eventsPage is the number of events asked for at once.
+	// eventsPage is the maximum number of events per request.
 	eventsPage = 1000
 	// followInterval is the time between two rounds of --follow.
 	followInterval = time.Second
-	// rosterRounds is the number of rounds between two looks at the rosters.
+	// rosterRounds is the number of rounds between updates of the list of nodes.
 	rosterRounds = 5
 )
 
@@ -49,25 +49,25 @@
 	return f
 }
 
-// eventReader reads the events of all nodes, and remembers how far it has come.
+// eventReader reads the events of all nodes incrementally.
 type eventReader struct {
 	site  *site
 	nodes []garnetworks.NodeInfo
-	// after holds the last sequence number read of each process.
+	// after holds the sequence number of the last event read from each process.
 	after map[process]uint64
-	// pending are events that may yet be preceded by others.
+	// pending holds events that an event still to be read may precede.
 	pending []garnetworks.Event
-	// until is the newest timestamp of the round before.
+	// until is the newest timestamp read in earlier rounds.
 	until garnetworks.Timestamp
 }
 
-// process is one start of a node; each counts its events from 1.
+// process identifies one run of a node; sequence numbers start from 1 in each.
 type process struct {
 	node        garnetworks.NodeID
 	incarnation uint64
 }
 
-// Run prints the time line.
+// Run prints the timeline.
 func (c *timelineCommand) Run(s *session) error {
 	status, err := s.site.status(s.ctx)
 	if err != nil {
@@ -89,7 +89,7 @@
 	return partialError("%s not reached, %s in what the others hold", pluralize(len(t.Unreachable), "node"), pluralize(len(t.Gaps), "gap"))
 }
 
-// since drops the events before the span that was asked for.
+// since removes events older than --since.
 func (c *timelineCommand) since(s *session, t recorder.Timeline) recorder.Timeline {
 	if c.Since <= 0 {
 		return t
@@ -99,7 +99,7 @@
 	return t
 }
 
-// follow prints new events round by round until interrupted.
+// follow prints new events, round by round, until interrupted.
 func (c *timelineCommand) follow(s *session, r *eventReader) error {
 	reported := garnetworks.NewSet[garnetworks.NodeID]()
 	for round := 1; ; round++ {
@@ -123,8 +123,8 @@
 	}
 }
 
-// newlyUnreachable returns the nodes that were not reported of before, and forgets those
-// that are back.
+// newlyUnreachable returns the nodes of lost that are not in reported, and sets reported to
+// the nodes of lost.
 func newlyUnreachable(lost []recorder.Unreachable, reported garnetworks.Set[garnetworks.NodeID]) []recorder.Unreachable {
 	var fresh []recorder.Unreachable
 	now := garnetworks.NewSet[garnetworks.NodeID]()
@@ -141,7 +141,7 @@
 	return fresh
 }
 
-// refresh takes over the nodes that have come and gone.
+// refresh updates the list of nodes; it keeps the old one if no node answers.
 func (r *eventReader) refresh(ctx context.Context) {
 	status, err := r.site.status(ctx)
 	if err == nil {
@@ -149,7 +149,7 @@
 	}
 }
 
-// read returns all events that the nodes have beyond what was read.
+// read returns all events that were not read before.
 func (r *eventReader) read(ctx context.Context) recorder.Timeline {
 	list := make([]recorder.NodeEvents, len(r.nodes))
 	last := make([]uint64, len(r.nodes))
@@ -164,8 +164,8 @@
 
 func processOf(n garnetworks.NodeInfo) process { return process{n.ID, n.Incarnation} }
 
-// readNode reads a node's events page by page. What was read before an error is
-// kept for the next round, so that nothing is shown twice or left out.
+// readNode reads a node's events page by page. After an error it returns no events and the
+// position before the call, so that the next round reads them all, each once.
 func (r *eventReader) readNode(ctx context.Context, n garnetworks.NodeInfo, after uint64) (recorder.NodeEvents, uint64) {
 	events := recorder.NodeEvents{Node: n.ID}
 	start := after
@@ -185,9 +185,9 @@
 	}
 }
 
-// round reads once and returns the events that no later round can precede: an
-// event that is newer than all of the round before is pending for the next one,
-// since another node's earlier event may still be on its way.
+// round reads new events and returns those that no later round is expected to precede. An
+// event newer than all events of earlier rounds stays pending until the next round, as an
+// earlier event of another node may still arrive; a round without new events returns all.
 func (r *eventReader) round(ctx context.Context) recorder.Timeline {
 	t := r.read(ctx)
 	quiet := len(t.Events) == 0
@@ -222,7 +222,7 @@
 	)
 }
 
-// printEvents prints a time line for people.
+// printEvents prints a timeline as text.
 func printEvents(s *session, t recorder.Timeline) {
 	for _, u := range t.Unreachable {
 		s.note("node %s could not be reached, its events are missing: %s", u.Node, u.Reason)
@@ -261,7 +261,7 @@
 	return strings.Join(words, " ")
 }
 
-// printLines prints a round for programs: one JSON value a line.
+// printLines prints a round as JSON, one value per line.
 func printLines(s *session, t recorder.Timeline) {
 	encoder := json.NewEncoder(s.stdout)
 	for _, u := range t.Unreachable {
--- a/cmd/garnetctl/views.go
+++ b/cmd/garnetctl/views.go
@@ -10,7 +10,7 @@
 	"github.com/garnetworks/garnetworks"
 )
 
-// statusCommand shows the site at a glance.
+// statusCommand shows a summary of the site.
 type statusCommand struct{}
 
 // siteStatus is the output of status.
@@ -20,14 +20,14 @@
 	Nodes       int                        `json:"nodes"`
 	Ready       int                        `json:"ready"`
 	Unreachable []garnetworks.NodeID       `json:"unreachable,omitempty"`
-	// Behind are reachable nodes that decide by a lower generation.
+	// Behind lists reachable nodes whose manifest in force has a lower generation.
 	Behind []garnetworks.NodeID `json:"behind,omitempty"`
-	// ObjectAPIDown are the nodes that can't reach the object API.
+	// ObjectAPIDown lists the nodes that can't reach the object API.
 	ObjectAPIDown []garnetworks.NodeID    `json:"object-api-down,omitempty"`
 	Groups        int                     `json:"groups"`
 	Serving       int                     `json:"serving"`
 	Measures      garnetworks.ZoneMetrics `json:"measures"`
-	// Silent are the zones that no controller tells of.
+	// Silent lists the zones without a view from their controller.
 	Silent []garnetworks.ZoneID `json:"silent-zones,omitempty"`
 }
 
@@ -54,7 +54,7 @@
 	return err
 }
 
-// partly returns the error of an answer that lacks something.
+// partialError returns the error for an incomplete answer.
 func partialError(format string, args ...any) error {
 	return &exitError{exitPartial, fmt.Errorf(format, args...)}
 }
@@ -141,8 +141,7 @@
 	return before + joinNames(values)
 }
 
-// describeCommit tells of the manifest that is in force and of the newest
-// commit.
+// describeCommit describes the manifest in force and the newest commit.
 func describeCommit(newest garnetworks.Generation, p garnetworks.CommitProgress) string {
 	if newest == 0 && p.CommitID == "" {
 		return "none yet"
@@ -202,7 +201,7 @@
 	return t.print(s.stdout)
 }
 
-// describeState tells why a group that serves gets no calls.
+// describeState returns a group's state, and whether a member is unconfirmed or the group slow.
 func describeState(g garnetworks.GroupView) string {
 	words := []string{string(g.State)}
 	if g.State == garnetworks.GroupServing && !g.Confirmed {
@@ -236,7 +235,7 @@
 	return out
 }
 
-// powerCommand shows the draw and the two measures.
+// powerCommand shows each zone's power draw and limit, group downtime and stranded instances.
 type powerCommand struct{}
 
 // zonePower is a row of power's output.
@@ -295,11 +294,11 @@
 	Generation garnetworks.Generation `json:"generation"`
 	Staged     garnetworks.Generation `json:"staged,omitempty"`
 	Leases     []string               `json:"leases,omitempty"`
-	// ClockAhead is how far the node's clock reads ahead of this machine's.
+	// ClockAhead is how far the node's clock is ahead of this machine's.
 	ClockAhead time.Duration `json:"clock-ahead"`
-	// ObjectAPIDown says that the node can't reach the object API.
+	// ObjectAPIDown tells that the node can't reach the object API.
 	ObjectAPIDown bool `json:"object-api-down,omitempty"`
-	// Unreachable says why the node did not answer.
+	// Unreachable is the error of the call to the node, or empty.
 	Unreachable string `json:"unreachable,omitempty"`
 }
 
