--- a/cmd/garnetctl/main_test.go
+++ b/cmd/garnetctl/main_test.go
@@ -149,7 +149,7 @@
 
 // Guards against events out of causal order, missing or repeated with --follow, when one node's
 // events arrive after younger events of another.
-func TestFollowKeepsOrder(t *testing.T) {
+func TestFollowKeepsCausalOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
--- a/cmd/garnetctl/manifest.go
+++ b/cmd/garnetctl/manifest.go
@@ -269,14 +269,14 @@
 }
 
 func (c commitCommand) base(s *session, data []byte) (garnetworks.Generation, error) {
-	word := c.Base
-	if found := baseGeneration.FindSubmatch(data); word == "" && found != nil {
-		word = string(found[1])
+	value := c.Base
+	if found := baseGeneration.FindSubmatch(data); value == "" && found != nil {
+		value = string(found[1])
 	}
-	if word != "" && word != "newest" {
-		base, err := strconv.ParseUint(word, 10, 64)
+	if value != "" && value != "newest" {
+		base, err := strconv.ParseUint(value, 10, 64)
 		if err != nil {
-			return 0, &exitError{exitUsage, fmt.Errorf("--base is a generation or newest, not %q", word)}
+			return 0, &exitError{exitUsage, fmt.Errorf("--base is a generation or newest, not %q", value)}
 		}
 		return garnetworks.Generation(base), nil
 	}
--- a/cmd/garnetctl/site.go
+++ b/cmd/garnetctl/site.go
@@ -28,19 +28,19 @@
 	if len(s.addresses) == 0 {
 		return &exitError{exitUsage, garnetworks.Errorf(garnetworks.KindInvalidRequest, "name a node by --nodes or GARNETCTL_NODES")}
 	}
-	var worst error
+	var callErr error
 	for _, address := range s.addresses {
-		bounded, cancel := context.WithTimeout(ctx, s.timeout)
-		err := call(bounded, address)
+		callCtx, cancel := context.WithTimeout(ctx, s.timeout)
+		err := call(callCtx, address)
 		cancel()
 		if !garnetworks.IsKind(err, garnetworks.KindUnreachable, garnetworks.KindResponseLost) {
 			return err
 		}
-		if worst == nil || garnetworks.IsKind(err, garnetworks.KindResponseLost) {
-			worst = err
+		if callErr == nil || garnetworks.IsKind(err, garnetworks.KindResponseLost) {
+			callErr = err
 		}
 	}
-	return worst
+	return callErr
 }
 
 // status returns one node's view of the site.
@@ -107,9 +107,9 @@
 	g.SetLimit(parallelCalls)
 	for i, n := range nodes {
 		g.Go(func() error {
-			bounded, cancel := context.WithTimeout(ctx, s.timeout)
+			callCtx, cancel := context.WithTimeout(ctx, s.timeout)
 			defer cancel()
-			call(bounded, i, n)
+			call(callCtx, i, n)
 			return nil
 		})
 	}
--- a/cmd/garnetctl/timeline.go
+++ b/cmd/garnetctl/timeline.go
@@ -126,19 +126,19 @@
 // newlyUnreachable returns the nodes of lost that are not in reported, and sets reported to
 // the nodes of lost.
 func newlyUnreachable(lost []recorder.Unreachable, reported garnetworks.Set[garnetworks.NodeID]) []recorder.Unreachable {
-	var fresh []recorder.Unreachable
-	now := garnetworks.NewSet[garnetworks.NodeID]()
+	var added []recorder.Unreachable
+	unreachable := garnetworks.NewSet[garnetworks.NodeID]()
 	for _, u := range lost {
-		now.Add(u.Node)
+		unreachable.Add(u.Node)
 		if !reported.Has(u.Node) {
-			fresh = append(fresh, u)
+			added = append(added, u)
 		}
 	}
 	clear(reported)
-	for n := range now {
+	for n := range unreachable {
 		reported.Add(n)
 	}
-	return fresh
+	return added
 }
 
 // refresh updates the list of nodes; it keeps the old one if no node answers.
@@ -190,7 +190,7 @@
 // earlier event of another node may still arrive; a round without new events returns all.
 func (r *eventReader) round(ctx context.Context) recorder.Timeline {
 	t := r.read(ctx)
-	quiet := len(t.Events) == 0
+	noEvents := len(t.Events) == 0
 	newest := r.until
 	for _, e := range t.Events {
 		if newest.Before(e.At) {
@@ -200,7 +200,7 @@
 	all := append(r.pending, t.Events...)
 	slices.SortFunc(all, compareEvents)
 	ready := all
-	if !quiet {
+	if !noEvents {
 		i, _ := slices.BinarySearchFunc(all, r.until, func(e garnetworks.Event, until garnetworks.Timestamp) int {
 			if until.Before(e.At) {
 				return 1
