--- a/cmd/garnetctl/causes.go
+++ b/cmd/garnetctl/causes.go
@@ -11,7 +11,7 @@
 	"github.com/garnetworks/garnetworks/diagnoser"
 )
 
-// causesCommand says why requests were not served in time, from log lines.
+// causesCommand reports from the nodes' log lines why requests were not served in time.
 type causesCommand struct {
 	Logs    []string      `arg:"" optional:"" help:"Files with log lines of the nodes, in any order; standard input if none is named, or for -."`
 	Credits string        `help:"A YAML file with what requests are worth; docs/causes.md describes it. All are worth the same without it."`
@@ -22,12 +22,12 @@
 	Plot    string        `help:"File for a plot over time, as SVG; none if it is empty." type:"path"`
 }
 
-// tableNames are the tables by what --by calls them.
+// tableNames maps the values of --by to the By field of the report's tables.
 var tableNames = map[string]string{
 	"model": "model", "kind": "kind", "size": "kind and size tenth", "workspace": "workspace", "zone": "zone",
 }
 
-// Run reads the lines and prints the account.
+// Run reads the log lines and prints the report.
 func (c *causesCommand) Run(s *session) error {
 	options := diagnoser.Options{Credits: diagnoser.DefaultCredits(), RoundTrip: c.Way, From: c.From, Until: c.Until}
 	if c.Credits != "" {
@@ -68,7 +68,7 @@
 	return c.print(s, report)
 }
 
-// readFile hands a file to read.
+// readFile opens a file and passes it to read.
 func readFile(name string, read func(io.Reader) error) error {
 	file, err := os.Open(name)
 	if err != nil {
@@ -81,14 +81,14 @@
 	return nil
 }
 
-// print prints the account for people.
+// print prints the report as text.
 func (c *causesCommand) print(s *session, r *diagnoser.Report) error {
 	l := r.Lines
 	fmt.Fprintf(s.stdout, "%d lines: %d of calls, %d of events, %d cut, %d foreign; %d calls whose lines were held back\n",
 		l.Read, l.Calls, l.Events, l.Truncated, l.Foreign, l.Suppressed)
 	t := &r.Total
 	fmt.Fprintf(s.stdout, "%d requests: %d on time, %d late, %d refused, %d failed, %d left, %d not allowed; %s of the credit earned\n\n",
-		t.Requests, t.OnTime, t.Late, t.Refused, t.Failed, t.Abandoned, t.NotAllowed, part(t.Share()))
+		t.Requests, t.OnTime, t.Late, t.Refused, t.Failed, t.Abandoned, t.NotAllowed, formatShare(t.Share()))
 	for _, print := range []func(io.Writer, *diagnoser.Report) error{printCauses, printMoves, printFirsts} {
 		if err := print(s.stdout, r); err != nil {
 			return err
@@ -115,7 +115,7 @@
 			spare = fmt.Sprint(c.Spare)
 		}
 		t.row(string(c.Cause), fmt.Sprint(c.Late), fmt.Sprint(c.Refused), fmt.Sprint(c.Failed), fmt.Sprint(c.Abandoned+c.NotAllowed),
-			part(c.Lost), part(c.Bound), spare, c.Text)
+			formatShare(c.Lost), formatShare(c.Bound), spare, c.Text)
 	}
 	return t.print(out)
 }
@@ -162,10 +162,10 @@
 		w := &table.Rows[i]
 		dearest := w.Costliest()
 		t.row(w.Name, fmt.Sprint(w.Requests), fmt.Sprint(w.OnTime), fmt.Sprint(w.Late), fmt.Sprint(w.Refused), fmt.Sprint(w.Failed),
-			fmt.Sprint(w.Abandoned), part(w.Share()), string(dearest), part(w.ByCause[dearest]))
+			fmt.Sprint(w.Abandoned), formatShare(w.Share()), string(dearest), formatShare(w.ByCause[dearest]))
 	}
 	return t.print(out)
 }
 
-// part is a part of 1 as text.
-func part(p float64) string { return fmt.Sprintf("%.3f", p) }
+// formatShare formats a fraction of 1.
+func formatShare(p float64) string { return fmt.Sprintf("%.3f", p) }
--- a/cmd/garnetctl/fake_test.go
+++ b/cmd/garnetctl/fake_test.go
@@ -9,22 +9,21 @@
 	"github.com/garnetworks/garnetworks/parser"
 )
 
-// fakeNodes answers as three entry nodes in three zones would. Zero fields
-// answer for a healthy site.
+// fakeNodes answers as three entry nodes in three zones would. With zero fields it answers
+// as a healthy site, but proposals must be set before a call of Propose.
 type fakeNodes struct {
 	garnetworks.PeerCaller
-	// down are the addresses that can't be reached.
+	// down holds the addresses that are unreachable.
 	down garnetworks.Set[string]
-	// proposals and progress are answered one after the other, the last one for
-	// good.
+	// proposals and progress are returned one after the other; the last one is repeated.
 	proposals []proposal
 	progress  []garnetworks.CommitProgress
-	// asked are the proposals that came in.
-	asked []*garnetworks.ProposeRequest
-	// none says that there is no manifest yet.
-	none bool
-	// overrun is the number of events that the first node no longer holds.
-	overrun uint64
+	// received holds the proposals in the order of their arrival.
+	received []*garnetworks.ProposeRequest
+	// noManifest makes the nodes answer as if no manifest had been committed.
+	noManifest bool
+	// lostEvents is the number of events that the first node no longer holds.
+	lostEvents uint64
 }
 
 type proposal struct {
@@ -74,7 +73,7 @@
 	return status, nil
 }
 
-// views tell of two zones; the third one's controller is silent.
+// views returns the views of two zones' controllers; the third zone's is missing.
 func views() []garnetworks.ZoneView {
 	group := func(id garnetworks.GroupID, zone garnetworks.ZoneID, state garnetworks.GroupState, confirmed bool) garnetworks.GroupView {
 		return garnetworks.GroupView{
@@ -102,9 +101,9 @@
 	}
 }
 
-// manifest returns the example as the manifest in force.
+// manifest returns the example manifest, encoded as the one in force.
 func (f *fakeNodes) manifest() []byte {
-	if f.none {
+	if f.noManifest {
 		return nil
 	}
 	manifest, _ := parser.Parse("", []byte(parser.Example()))
@@ -118,7 +117,7 @@
 	if _, err := f.reach(address); err != nil {
 		return nil, err
 	}
-	f.asked = append(f.asked, request)
+	f.received = append(f.received, request)
 	p := f.proposals[0]
 	if len(f.proposals) > 1 {
 		f.proposals = f.proposals[1:]
@@ -134,7 +133,7 @@
 		return &garnetworks.ProgressResponse{Manifest: f.manifest()}, nil
 	}
 	if len(f.progress) == 0 {
-		return &garnetworks.ProgressResponse{Progress: inForce()}, nil
+		return &garnetworks.ProgressResponse{Progress: committed()}, nil
 	}
 	p := f.progress[0]
 	if len(f.progress) > 1 {
@@ -143,9 +142,9 @@
 	return &garnetworks.ProgressResponse{Progress: p}, nil
 }
 
-// stage returns a commit's progress with some zones done: the first ones have
-// staged it, the first ones of these apply it.
-func stage(state garnetworks.CommitState, staged, applied int) garnetworks.CommitProgress {
+// commitProgress returns a commit's progress in which the first zones, up to the number staged,
+// have staged it, and the first ones, up to the number applied, have applied it.
+func commitProgress(state garnetworks.CommitState, staged, applied int) garnetworks.CommitProgress {
 	p := garnetworks.CommitProgress{
 		CommitID: "c8", Operator: "anna", Base: 7, Proposal: 9, State: state, ProposedAt: at(0),
 	}
@@ -171,20 +170,20 @@
 	return p
 }
 
-func inForce() garnetworks.CommitProgress {
-	p := stage(garnetworks.CommitInForce, 3, 3)
+func committed() garnetworks.CommitProgress {
+	p := commitProgress(garnetworks.CommitInForce, 3, 3)
 	p.InForceAt = at(0.4)
 	return p
 }
 
-func held() garnetworks.CommitProgress {
-	p := stage(garnetworks.CommitHeld, 2, 0)
+func heldCommit() garnetworks.CommitProgress {
+	p := commitProgress(garnetworks.CommitHeld, 2, 0)
 	p.Reason = "zone south-c has not staged it at any of its nodes"
 	return p
 }
 
-// Events answers with the events of one group's failure: the clock of node-b is
-// three seconds behind, which the timestamps make up for.
+// Events returns the events of one group's failure. Their timestamps are in causal order
+// across the nodes.
 func (f *fakeNodes) Events(_ context.Context, address string, request *garnetworks.EventsRequest) (*garnetworks.EventsResponse, error) {
 	i, err := f.reach(address)
 	if err != nil {
@@ -211,7 +210,7 @@
 	lists[2][0].Group = ""
 	response := &garnetworks.EventsResponse{Node: infos[i].ID}
 	if i == 0 {
-		response.Lost = f.overrun
+		response.Lost = f.lostEvents
 	}
 	for _, e := range lists[i] {
 		if e.Sequence > request.After {
--- a/cmd/garnetctl/manifest.go
+++ b/cmd/garnetctl/manifest.go
@@ -17,7 +17,7 @@
 	"github.com/garnetworks/garnetworks/parser"
 )
 
-// manifestCommands work with manifests.
+// manifestCommands holds the commands for manifests.
 type manifestCommands struct {
 	Check   checkCommand   `cmd:"" help:"Tell every problem of a manifest."`
 	Diff    diffCommand    `cmd:"" help:"Tell the differences between two manifests."`
@@ -39,7 +39,7 @@
 		defer func() { _ = f.Close() }()
 		in = f
 	}
-	// One byte more than is allowed shows that there is too much.
+	// One byte more than the limit lets the parser detect a text that is too long.
 	data, err := io.ReadAll(io.LimitReader(in, parser.MaxTextBytes+1))
 	if err != nil {
 		return nil, &exitError{exitUsage, err}
@@ -47,7 +47,7 @@
 	return data, nil
 }
 
-// readManifest reads and checks a manifest.
+// readManifest reads and parses a manifest.
 func (s *session) readManifest(name string) (*garnetworks.Manifest, []byte, error) {
 	data, err := s.readFile(name)
 	if err != nil {
@@ -60,13 +60,13 @@
 	return manifest, data, nil
 }
 
-// checkCommand checks a manifest.
+// checkCommand checks a manifest for problems.
 type checkCommand struct {
 	File  string `arg:"" help:"The manifest, or - for standard input."`
 	Fleet string `help:"The platform's instance list, a JSON file: refuse groups that no fabric domain can hold." type:"path"`
 }
 
-// Run prints the problems.
+// Run prints the problems, and returns an error if there are any.
 func (c checkCommand) Run(s *session) error {
 	data, err := s.readFile(c.File)
 	if err != nil {
@@ -84,11 +84,11 @@
 		err = s.printJSON(problems)
 	} else {
 		for _, p := range problems {
-			_, _ = fmt.Fprintln(s.stdout, plain(p.String()))
+			_, _ = fmt.Fprintln(s.stdout, sanitizeCell(p.String()))
 		}
 	}
 	if err == nil && len(problems) > 0 {
-		err = &exitError{exitInvalid, fmt.Errorf("%s", count(len(problems), "problem"))}
+		err = &exitError{exitInvalid, fmt.Errorf("%s", pluralize(len(problems), "problem"))}
 	}
 	return err
 }
@@ -105,8 +105,8 @@
 	if err := json.Unmarshal(data, &fleet); err != nil {
 		return nil, &exitError{exitUsage, fmt.Errorf("%s is not a list of instances: %w", c.Fleet, err)}
 	}
-	// An empty list mostly comes from a query that went wrong. To the parser it
-	// would mean that the fleet is not known, and nothing would be checked.
+	// An empty list is most often the result of a failed query. The parser takes it for an
+	// unknown fleet and would skip the checks against the fleet.
 	if len(fleet) == 0 {
 		return nil, &exitError{exitUsage, fmt.Errorf("%s holds no instances", c.Fleet)}
 	}
@@ -177,11 +177,10 @@
 	return s.printChanges(parser.Diff(&current.Manifest, after))
 }
 
-// manifest returns the manifest that a node decides by, or nil if there is
-// none.
+// manifest returns the manifest that a node has in force, or nil if there is none.
 func (s *site) manifest(ctx context.Context) (*garnetworks.AcceptedManifest, error) {
 	var response *garnetworks.ProgressResponse
-	err := s.any(ctx, func(ctx context.Context, address string) error {
+	err := s.callAny(ctx, func(ctx context.Context, address string) error {
 		var err error
 		response, err = s.caller.Progress(ctx, address, &garnetworks.ProgressRequest{WithManifest: true})
 		return err
@@ -192,9 +191,8 @@
 	return decodeAccepted(response.Manifest)
 }
 
-// decodeAccepted refuses a manifest that this program can't read in full: shown
-// without what it does not know, changed and committed again, the text would take
-// that away.
+// decodeAccepted rejects a manifest with fields that this program doesn't know: show would
+// omit them, and a commit of the edited text would remove them.
 func decodeAccepted(body []byte) (*garnetworks.AcceptedManifest, error) {
 	accepted := &garnetworks.AcceptedManifest{}
 	var raw struct {
@@ -214,9 +212,8 @@
 	return accepted, nil
 }
 
-// basedOn finds the generation that show has written into a manifest's first
-// comment.
-var basedOn = regexp.MustCompile(`(?m)^# generation: ([0-9]+)$`)
+// baseGeneration matches the comment by which show states the manifest's generation.
+var baseGeneration = regexp.MustCompile(`(?m)^# generation: ([0-9]+)$`)
 
 // commitCommand commits a manifest.
 type commitCommand struct {
@@ -228,7 +225,7 @@
 	Wait      time.Duration `help:"How long to wait until it is in force; 0 does not wait." default:"60s"`
 }
 
-// Run commits the manifest and follows it.
+// Run commits the manifest and, unless --wait is 0, waits until it is in force.
 func (c commitCommand) Run(s *session) error {
 	_, data, err := s.readManifest(c.File)
 	if err != nil {
@@ -249,7 +246,7 @@
 	return s.followCommit(request.CommitID, progress, s.now().Add(c.Wait))
 }
 
-// request returns the proposal to be sent.
+// request returns the proposal to send.
 func (c commitCommand) request(s *session, data []byte) (*garnetworks.ProposeRequest, error) {
 	base, err := c.base(s, data)
 	if err != nil {
@@ -272,14 +269,14 @@
 }
 
 func (c commitCommand) base(s *session, data []byte) (garnetworks.Generation, error) {
-	word := c.Base
-	if found := basedOn.FindSubmatch(data); word == "" && found != nil {
-		word = string(found[1])
+	value := c.Base
+	if found := baseGeneration.FindSubmatch(data); value == "" && found != nil {
+		value = string(found[1])
 	}
-	if word != "" && word != "newest" {
-		base, err := strconv.ParseUint(word, 10, 64)
+	if value != "" && value != "newest" {
+		base, err := strconv.ParseUint(value, 10, 64)
 		if err != nil {
-			return 0, &exitError{exitUsage, fmt.Errorf("--base is a generation or newest, not %q", word)}
+			return 0, &exitError{exitUsage, fmt.Errorf("--base is a generation or newest, not %q", value)}
 		}
 		return garnetworks.Generation(base), nil
 	}
@@ -290,18 +287,18 @@
 	return status.Generation, nil
 }
 
-// proposeAgain is the time between two tries of a commit whose fate is unknown
-// or that has to wait for another one.
-const proposeAgain = time.Second
+// proposeRetryInterval is the time between attempts to propose a commit.
+const proposeRetryInterval = time.Second
 
-// propose hands the commit to a node. While its fate is unknown, no node can be
-// reached or another commit is pending, it asks again with the same identifier,
-// which never commits twice. So the loser of a race learns who has won.
+// propose sends the commit to a node. It retries until the given time while the outcome is
+// unknown, no node can be reached or another commit is pending. Retries carry the same commit
+// ID, so the manifest is committed at most once, and a stale base is reported with the commit
+// that won.
 func (s *session) propose(request *garnetworks.ProposeRequest, until time.Time) (garnetworks.CommitProgress, error) {
 	unknown, last := false, ""
 	for {
 		var response *garnetworks.ProposeResponse
-		err := s.site.any(s.ctx, func(ctx context.Context, address string) error {
+		err := s.site.callAny(s.ctx, func(ctx context.Context, address string) error {
 			var err error
 			response, err = s.site.caller.Propose(ctx, address, request)
 			return err
@@ -310,28 +307,28 @@
 			return response.Progress, nil
 		}
 		unknown = unknown || garnetworks.IsKind(err, garnetworks.KindOutcomeUnknown, garnetworks.KindResponseLost)
-		if !passes(err) && !unknown || garnetworks.IsKind(err, garnetworks.KindStaleGeneration) {
+		if !retryable(err) && !unknown || garnetworks.IsKind(err, garnetworks.KindStaleGeneration) {
 			return garnetworks.CommitProgress{}, err
 		}
 		if text := err.Error(); text != last {
 			s.note("asking again until --wait is over: %s", text)
 			last = text
 		}
-		if !s.now().Add(proposeAgain).Before(until) || s.pause(proposeAgain) != nil {
-			return garnetworks.CommitProgress{}, s.unknown(request, err, unknown)
+		if !s.now().Add(proposeRetryInterval).Before(until) || s.pause(proposeRetryInterval) != nil {
+			return garnetworks.CommitProgress{}, s.unknownOutcome(request, err, unknown)
 		}
 	}
 }
 
-// passes reports whether the same request may be answered otherwise later.
-func passes(err error) bool {
+// retryable reports whether a retry of the same request may succeed.
+func retryable(err error) bool {
 	return garnetworks.IsKind(err, garnetworks.KindOutcomeUnknown, garnetworks.KindResponseLost, garnetworks.KindUnreachable,
 		garnetworks.KindObjectAPIDown, garnetworks.KindThrottled, garnetworks.KindNotReady, garnetworks.KindShuttingDown,
 		garnetworks.KindConflict)
 }
 
-// unknown says truthfully how a commit ended that got no clear answer.
-func (s *session) unknown(request *garnetworks.ProposeRequest, err error, unknown bool) error {
+// unknownOutcome returns err, or if the outcome is unknown, an error that says how to retry.
+func (s *session) unknownOutcome(request *garnetworks.ProposeRequest, err error, unknown bool) error {
 	if !unknown {
 		return err
 	}
@@ -340,7 +337,7 @@
 		request.CommitID, err, request.CommitID, request.Base)}
 }
 
-// watchCommand follows a commit.
+// watchCommand follows a commit's progress.
 type watchCommand struct {
 	Commit string        `arg:"" optional:"" help:"The commit; the newest one if left out."`
 	Wait   time.Duration `help:"How long to wait until it is in force; 0 prints once." default:"60s"`
@@ -362,11 +359,11 @@
 	return s.followCommit(id, progress, s.now().Add(c.Wait))
 }
 
-// watchEvery is the time between two looks at a commit.
-const watchEvery = 200 * time.Millisecond
+// watchPollInterval is the time between polls of a commit's progress.
+const watchPollInterval = 200 * time.Millisecond
 
-// followCommit prints each change of a commit until it is decided, or in force,
-// or the time is over.
+// followCommit prints each change of a commit's progress until its state is final, the given
+// time is reached or the session ends.
 func (s *session) followCommit(id string, p garnetworks.CommitProgress, until time.Time) error {
 	last := ""
 	for {
@@ -374,10 +371,10 @@
 			last = line
 			s.note("%s", line)
 		}
-		if ended(p.State) || !s.now().Before(until) {
+		if isFinal(p.State) || !s.now().Before(until) {
 			return s.finish(p)
 		}
-		if s.pause(watchEvery) != nil {
+		if s.pause(watchPollInterval) != nil {
 			return s.finish(p)
 		}
 		next, err := s.site.progress(s.ctx, id)
@@ -389,12 +386,12 @@
 	}
 }
 
-// ended reports whether nothing more comes of a commit.
-func ended(state garnetworks.CommitState) bool {
+// isFinal reports whether a commit in this state can't change any more.
+func isFinal(state garnetworks.CommitState) bool {
 	return state == garnetworks.CommitInForce || state == garnetworks.CommitRefused || state == garnetworks.CommitSuperseded
 }
 
-// progressLine tells in one line how far the zones are.
+// progressLine summarizes the state and the zones' progress in one line.
 func progressLine(p garnetworks.CommitProgress) string {
 	line := string(p.State)
 	for _, z := range p.Zones {
@@ -410,7 +407,7 @@
 	return line
 }
 
-// finish prints how a commit stands and returns the error for its state.
+// finish prints a commit's progress and returns the error for its state.
 func (s *session) finish(p garnetworks.CommitProgress) error {
 	var err error
 	if s.json {
@@ -452,14 +449,14 @@
 		t.row("became", fmt.Sprintf("generation %d", p.Generation))
 	}
 	if p.Winner.CommitID != "" {
-		t.row("winner", fmt.Sprintf("generation %d, commit %s by %s at %s", p.Winner.Generation, p.Winner.CommitID, p.Winner.Operator, clock(p.Winner.At)))
+		t.row("winner", fmt.Sprintf("generation %d, commit %s by %s at %s", p.Winner.Generation, p.Winner.CommitID, p.Winner.Operator, formatTime(p.Winner.At)))
 	}
 	for _, step := range []struct {
 		name string
 		at   time.Time
 	}{{"proposed", p.ProposedAt}, {"accepted", p.AcceptedAt}, {"in force", p.InForceAt}} {
 		if !step.at.IsZero() {
-			t.row(step.name, clock(step.at))
+			t.row(step.name, formatTime(step.at))
 		}
 	}
 	if err := t.print(s.stdout); err != nil || len(p.Zones) == 0 {
@@ -469,7 +466,7 @@
 	return zoneTable(p).print(s.stdout)
 }
 
-// zoneTable tells by zone and node what is staged and in force.
+// zoneTable lists by zone and node what is staged and in force.
 func zoneTable(p garnetworks.CommitProgress) *table {
 	t := newTable("zone", "node", "staged", "in force", "refusal")
 	for _, z := range p.Zones {
@@ -480,14 +477,14 @@
 		if z.Live == 0 {
 			t.row(name, "no live node known")
 		}
-		told := garnetworks.NewSet[garnetworks.NodeID]()
+		listed := garnetworks.NewSet[garnetworks.NodeID]()
 		unstaged, unapplied := garnetworks.NewSet(z.Unstaged...), garnetworks.NewSet(z.Unapplied...)
 		for _, n := range z.Nodes {
-			told.Add(n.Node)
-			t.row(name, string(n.Node), step(!unstaged.Has(n.Node), n.StagedAt), step(!unapplied.Has(n.Node), n.AppliedAt), n.Refusal)
+			listed.Add(n.Node)
+			t.row(name, string(n.Node), formatStep(!unstaged.Has(n.Node), n.StagedAt), formatStep(!unapplied.Has(n.Node), n.AppliedAt), n.Refusal)
 		}
 		for _, n := range z.Unapplied {
-			if !told.Has(n) {
+			if !listed.Has(n) {
 				t.row(name, string(n), "no", "no")
 			}
 		}
@@ -495,10 +492,10 @@
 	return t
 }
 
-// step tells when something was done.
-func step(done bool, at time.Time) string {
+// formatStep returns the time of a completed step, or yes or no if no time is known.
+func formatStep(done bool, at time.Time) string {
 	if done && !at.IsZero() {
-		return clock(at)
+		return formatTime(at)
 	}
 	return yesNo(done)
 }
@@ -506,7 +503,7 @@
 // showCommand prints the manifest in force.
 type showCommand struct{}
 
-// Run prints the manifest.
+// Run prints the manifest in force, as a text that can be committed again.
 func (showCommand) Run(s *session) error {
 	accepted, err := s.site.manifest(s.ctx)
 	if err != nil {
@@ -526,21 +523,21 @@
 	return err
 }
 
-// formatManifest returns a text that parses to the same manifest and names the
-// generation, so that a commit of the changed text builds on it.
+// formatManifest returns a text that parses to the same manifest and states its generation,
+// so that a commit of the edited text is based on it.
 func formatManifest(accepted *garnetworks.AcceptedManifest) (string, error) {
 	text, err := parser.Format(&accepted.Manifest)
 	if err != nil {
 		return "", err
 	}
 	return fmt.Sprintf("# generation: %d\n# commit %s by %s, accepted %s\n%s",
-		accepted.Generation, plain(accepted.CommitID), plain(accepted.Operator), clock(accepted.At), text), nil
+		accepted.Generation, sanitizeCell(accepted.CommitID), sanitizeCell(accepted.Operator), formatTime(accepted.At), text), nil
 }
 
-// exampleCommand prints the example.
+// exampleCommand prints an example manifest.
 type exampleCommand struct{}
 
-// Run prints the example.
+// Run prints the example manifest.
 func (exampleCommand) Run(s *session) error {
 	_, err := io.WriteString(s.stdout, parser.Example())
 	return err
--- a/cmd/garnetctl/timeline.go
+++ b/cmd/garnetctl/timeline.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// eventsPage is the number of events asked for at once.
+	// eventsPage is the maximum number of events per request.
 	eventsPage = 1000
-	// followEvery is the time between two rounds of --follow.
-	followEvery = time.Second
-	// rosterRounds is the number of rounds between two looks at the rosters.
+	// followInterval is the time between two rounds of --follow.
+	followInterval = time.Second
+	// rosterRounds is the number of rounds between updates of the list of nodes.
 	rosterRounds = 5
 )
 
@@ -49,31 +49,31 @@
 	return f
 }
 
-// reader reads the events of all nodes, and remembers how far it has come.
-type reader struct {
+// eventReader reads the events of all nodes incrementally.
+type eventReader struct {
 	site  *site
 	nodes []garnetworks.NodeInfo
-	// after holds the last sequence number read of each process.
+	// after holds the sequence number of the last event read from each process.
 	after map[process]uint64
-	// held are events that may yet be preceded by others.
-	held []garnetworks.Event
-	// until is the newest timestamp of the round before.
+	// pending holds events that an event still to be read may precede.
+	pending []garnetworks.Event
+	// until is the newest timestamp read in earlier rounds.
 	until garnetworks.Timestamp
 }
 
-// process is one start of a node; each counts its events from 1.
+// process identifies one run of a node; sequence numbers start from 1 in each.
 type process struct {
 	node        garnetworks.NodeID
 	incarnation uint64
 }
 
-// Run prints the time line.
+// Run prints the timeline.
 func (c *timelineCommand) Run(s *session) error {
 	status, err := s.site.status(s.ctx)
 	if err != nil {
 		return err
 	}
-	r := &reader{site: s.site, nodes: nodesOf(status), after: map[process]uint64{}}
+	r := &eventReader{site: s.site, nodes: nodesOf(status), after: map[process]uint64{}}
 	if c.Follow {
 		return c.follow(s, r)
 	}
@@ -86,10 +86,10 @@
 	if err != nil || len(t.Unreachable)+len(t.Gaps) == 0 {
 		return err
 	}
-	return partly("%s not reached, %s in what the others hold", count(len(t.Unreachable), "node"), count(len(t.Gaps), "gap"))
+	return partialError("%s not reached, %s in what the others hold", pluralize(len(t.Unreachable), "node"), pluralize(len(t.Gaps), "gap"))
 }
 
-// since drops the events before the span that was asked for.
+// since removes events older than --since.
 func (c *timelineCommand) since(s *session, t recorder.Timeline) recorder.Timeline {
 	if c.Since <= 0 {
 		return t
@@ -99,22 +99,22 @@
 	return t
 }
 
-// follow prints new events round by round until interrupted.
-func (c *timelineCommand) follow(s *session, r *reader) error {
-	told := garnetworks.NewSet[garnetworks.NodeID]()
+// follow prints new events, round by round, until interrupted.
+func (c *timelineCommand) follow(s *session, r *eventReader) error {
+	reported := garnetworks.NewSet[garnetworks.NodeID]()
 	for round := 1; ; round++ {
 		t := r.round(s.ctx)
 		if s.ctx.Err() != nil {
 			return nil
 		}
 		t = c.since(s, c.filter().Apply(t))
-		t.Unreachable = newlyLost(t.Unreachable, told)
+		t.Unreachable = newlyUnreachable(t.Unreachable, reported)
 		if s.json {
 			printLines(s, t)
 		} else {
 			printEvents(s, t)
 		}
-		if s.pause(followEvery) != nil {
+		if s.pause(followInterval) != nil {
 			return nil
 		}
 		if round%rosterRounds == 0 {
@@ -123,37 +123,37 @@
 	}
 }
 
-// newlyLost returns the nodes that were not told of before, and forgets those
-// that are back.
-func newlyLost(lost []recorder.Unreachable, told garnetworks.Set[garnetworks.NodeID]) []recorder.Unreachable {
-	var fresh []recorder.Unreachable
-	now := garnetworks.NewSet[garnetworks.NodeID]()
+// newlyUnreachable returns the nodes of lost that are not in reported, and sets reported to
+// the nodes of lost.
+func newlyUnreachable(lost []recorder.Unreachable, reported garnetworks.Set[garnetworks.NodeID]) []recorder.Unreachable {
+	var added []recorder.Unreachable
+	unreachable := garnetworks.NewSet[garnetworks.NodeID]()
 	for _, u := range lost {
-		now.Add(u.Node)
-		if !told.Has(u.Node) {
-			fresh = append(fresh, u)
+		unreachable.Add(u.Node)
+		if !reported.Has(u.Node) {
+			added = append(added, u)
 		}
 	}
-	clear(told)
-	for n := range now {
-		told.Add(n)
+	clear(reported)
+	for n := range unreachable {
+		reported.Add(n)
 	}
-	return fresh
+	return added
 }
 
-// refresh takes over the nodes that have come and gone.
-func (r *reader) refresh(ctx context.Context) {
+// refresh updates the list of nodes; it keeps the old one if no node answers.
+func (r *eventReader) refresh(ctx context.Context) {
 	status, err := r.site.status(ctx)
 	if err == nil {
 		r.nodes = nodesOf(status)
 	}
 }
 
-// read returns all events that the nodes have beyond what was read.
-func (r *reader) read(ctx context.Context) recorder.Timeline {
+// read returns all events that were not read before.
+func (r *eventReader) read(ctx context.Context) recorder.Timeline {
 	list := make([]recorder.NodeEvents, len(r.nodes))
 	last := make([]uint64, len(r.nodes))
-	r.site.each(ctx, r.nodes, func(ctx context.Context, i int, n garnetworks.NodeInfo) {
+	r.site.forEachNode(ctx, r.nodes, func(ctx context.Context, i int, n garnetworks.NodeInfo) {
 		list[i], last[i] = r.readNode(ctx, n, r.after[processOf(n)])
 	})
 	for i, n := range r.nodes {
@@ -164,9 +164,9 @@
 
 func processOf(n garnetworks.NodeInfo) process { return process{n.ID, n.Incarnation} }
 
-// readNode reads a node's events page by page. What was read before an error is
-// kept for the next round, so that nothing is shown twice or left out.
-func (r *reader) readNode(ctx context.Context, n garnetworks.NodeInfo, after uint64) (recorder.NodeEvents, uint64) {
+// readNode reads a node's events page by page. After an error it returns no events and the
+// position before the call, so that the next round reads them all, each once.
+func (r *eventReader) readNode(ctx context.Context, n garnetworks.NodeInfo, after uint64) (recorder.NodeEvents, uint64) {
 	events := recorder.NodeEvents{Node: n.ID}
 	start := after
 	for {
@@ -185,22 +185,22 @@
 	}
 }
 
-// round reads once and returns the events that no later round can precede: an
-// event that is newer than all of the round before is held for the next one,
-// since another node's earlier event may still be on its way.
-func (r *reader) round(ctx context.Context) recorder.Timeline {
+// round reads new events and returns those that no later round is expected to precede. An
+// event newer than all events of earlier rounds stays pending until the next round, as an
+// earlier event of another node may still arrive; a round without new events returns all.
+func (r *eventReader) round(ctx context.Context) recorder.Timeline {
 	t := r.read(ctx)
-	quiet := len(t.Events) == 0
+	noEvents := len(t.Events) == 0
 	newest := r.until
 	for _, e := range t.Events {
 		if newest.Before(e.At) {
 			newest = e.At
 		}
 	}
-	all := append(r.held, t.Events...)
+	all := append(r.pending, t.Events...)
 	slices.SortFunc(all, compareEvents)
 	ready := all
-	if !quiet {
+	if !noEvents {
 		i, _ := slices.BinarySearchFunc(all, r.until, func(e garnetworks.Event, until garnetworks.Timestamp) int {
 			if until.Before(e.At) {
 				return 1
@@ -209,7 +209,7 @@
 		})
 		ready = all[:i]
 	}
-	r.held = slices.Clone(all[len(ready):])
+	r.pending = slices.Clone(all[len(ready):])
 	r.until = newest
 	t.Events = ready
 	return t
@@ -222,7 +222,7 @@
 	)
 }
 
-// printEvents prints a time line for people.
+// printEvents prints a timeline as text.
 func printEvents(s *session, t recorder.Timeline) {
 	for _, u := range t.Unreachable {
 		s.note("node %s could not be reached, its events are missing: %s", u.Node, u.Reason)
@@ -230,13 +230,13 @@
 	for _, g := range t.Gaps {
 		before := ""
 		if g.Before != (garnetworks.Timestamp{}) {
-			before = " before " + clock(g.Before.Time())
+			before = " before " + formatTime(g.Before.Time())
 		}
 		s.note("node %s no longer holds %d events%s", g.Node, g.Lost, before)
 	}
 	out := &table{}
 	for _, e := range t.Events {
-		out.row(clock(e.At.Time()), string(e.Node), string(e.Kind), describeEvent(e))
+		out.row(formatTime(e.At.Time()), string(e.Node), string(e.Kind), describeEvent(e))
 	}
 	_ = out.print(s.stdout)
 }
@@ -253,7 +253,7 @@
 	add("group", string(e.Group))
 	add("instance", string(e.Instance))
 	add("call", string(e.Call))
-	add("generation", generation(e.Generation))
+	add("generation", formatGeneration(e.Generation))
 	add("error", string(e.Error))
 	if e.Detail != "" {
 		words = append(words, e.Detail)
@@ -261,7 +261,7 @@
 	return strings.Join(words, " ")
 }
 
-// printLines prints a round for programs: one JSON value a line.
+// printLines prints a round as JSON, one value per line.
 func printLines(s *session, t recorder.Timeline) {
 	encoder := json.NewEncoder(s.stdout)
 	for _, u := range t.Unreachable {
--- a/cmd/garnetd/main.go
+++ b/cmd/garnetd/main.go
@@ -1,5 +1,5 @@
-// Command garnetd is the daemon of an entry instance. It reads its settings,
-// joins the site and serves until it is told to stop.
+// Command garnetd is the daemon of an entry instance. It reads its settings, joins the
+// site and serves calls until a signal stops it.
 package main
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/garnetworks/garnetworks/runner"
 )
 
-// version is the program's version, as nodes tell each other.
+// version is the program version that the node reports to other nodes.
 const version = "0.1.0"
 
 // Exit codes.
@@ -69,8 +69,8 @@
 	return serve(f, settings, stderr)
 }
 
-// serve runs the node until the first signal, and ends its grace period at the
-// second.
+// serve runs the node until the first SIGINT or SIGTERM, which starts a graceful shutdown;
+// the second signal ends the grace period.
 func serve(f flags, settings configurer.Settings, stderr io.Writer) int {
 	logger := hclog.New(&hclog.LoggerOptions{
 		Name:       "garnetd",
@@ -78,32 +78,32 @@
 		Output:     stderr,
 		JSONFormat: true,
 	})
-	stop, hurry, release := signals()
+	stop, force, release := signalContexts()
 	defer release()
 	r, err := runner.New(runner.Options{Settings: settings, Logger: logger, Program: version, LameDuck: f.LameDuck})
 	if err != nil {
 		_, _ = fmt.Fprintln(stderr, err)
 		return exitSettings
 	}
-	if err := r.Run(stop, hurry); err != nil {
+	if err := r.Run(stop, force); err != nil {
 		logger.Error("node failed", "error", err)
 		return exitFailed
 	}
 	return exitOK
 }
 
-// signals returns a context that ends at the first SIGINT or SIGTERM and one
-// that ends at the second.
-func signals() (stop, hurry context.Context, release func()) {
+// signalContexts returns a context that is canceled by the first SIGINT or SIGTERM, one that
+// is canceled by the second, and a function that stops catching these signals.
+func signalContexts() (stop, force context.Context, release func()) {
 	received := make(chan os.Signal, 2)
 	signal.Notify(received, syscall.SIGINT, syscall.SIGTERM)
-	stop, first := context.WithCancel(context.Background())
-	hurry, second := context.WithCancel(context.Background())
+	stop, cancelStop := context.WithCancel(context.Background())
+	force, cancelForce := context.WithCancel(context.Background())
 	go func() {
 		<-received
-		first()
+		cancelStop()
 		<-received
-		second()
+		cancelForce()
 	}()
-	return stop, hurry, func() { signal.Stop(received) }
+	return stop, force, func() { signal.Stop(received) }
 }
--- a/cmd/garnetd/reload.go
+++ b/cmd/garnetd/reload.go
@@ -14,16 +14,15 @@
 	"github.com/garnetworks/garnetworks/platform"
 )
 
-// readSettingsEvery is how often the settings file is looked at without a signal;
-// the file is a few KB.
-const readSettingsEvery = 5 * time.Second
+// settingsPollInterval is how often the settings file is checked for changes without a signal.
+const settingsPollInterval = 5 * time.Second
 
-// settingsFollower applies the settings file whenever it has changed.
+// settingsReloader applies the settings file whenever it has changed.
 //
-// Failure: the platform sends SIGHUP when the file has changed. A process that does
-// not catch the signal is ended by it, with all calls in flight. That holds for a node
-// that is stopping as well, so the signal is caught until the process ends.
-type settingsFollower struct {
+// The platform sends SIGHUP after changing the file. Uncaught, the signal would end the
+// process with all its calls in flight, also while the node is shutting down, so it is
+// caught until the process exits.
+type settingsReloader struct {
 	path   string
 	last   []byte
 	logger hclog.Logger
@@ -31,58 +30,60 @@
 	signal chan os.Signal
 }
 
-// catchHangups catches SIGHUP from now on.
-func catchHangups() chan os.Signal {
+// notifyHangups starts catching SIGHUP and returns the channel that receives the signals.
+func notifyHangups() chan os.Signal {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	return hangups
 }
 
-// newSettingsFollower reads the file once, and again at each of the hangups.
-func newSettingsFollower(path string, hangups chan os.Signal, logger hclog.Logger, apply func(garnetworks.NodeSettings)) *settingsFollower {
-	f := &settingsFollower{path: path, logger: logger, apply: apply, signal: hangups}
+// newSettingsReloader reads the file as it stands, without applying it; run applies later
+// changes.
+func newSettingsReloader(path string, hangups chan os.Signal, logger hclog.Logger, apply func(garnetworks.NodeSettings)) *settingsReloader {
+	r := &settingsReloader{path: path, logger: logger, apply: apply, signal: hangups}
 	var err error
-	if f.last, err = os.ReadFile(path); err != nil {
+	if r.last, err = os.ReadFile(path); err != nil {
 		logger.Error("settings-refused", "error", err.Error())
 	}
-	return f
+	return r
 }
 
-// run follows the file until ctx ends.
-func (f *settingsFollower) run(ctx context.Context) {
-	ticker := time.NewTicker(readSettingsEvery)
+// run reloads the file on each SIGHUP and at each poll until ctx ends.
+func (r *settingsReloader) run(ctx context.Context) {
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.signal:
-			f.read(true)
+		case <-r.signal:
+			r.reloadIfChanged(true)
 		case <-ticker.C:
-			f.read(false)
+			r.reloadIfChanged(false)
 		}
 	}
 }
 
-// read applies the file if it has changed; what can't be read changes nothing.
-func (f *settingsFollower) read(asked bool) {
-	text, err := os.ReadFile(f.path)
+// reloadIfChanged applies the file if it has changed. A file that is unreadable or invalid is
+// logged and changes nothing. If signaled, an unchanged file is logged as well.
+func (r *settingsReloader) reloadIfChanged(signaled bool) {
+	text, err := os.ReadFile(r.path)
 	if err != nil {
-		f.logger.Error("settings-refused", "error", err.Error())
+		r.logger.Error("settings-refused", "error", err.Error())
 		return
 	}
-	if bytes.Equal(text, f.last) {
-		if asked {
-			f.logger.Info("settings-reloaded", "changed", false)
+	if bytes.Equal(text, r.last) {
+		if signaled {
+			r.logger.Info("settings-reloaded", "changed", false)
 		}
 		return
 	}
-	f.last = text
-	site, err := platform.ReadSettings(text)
+	r.last = text
+	settings, err := platform.ReadSettings(text)
 	if err != nil {
-		f.logger.Error("settings-refused", "error", err.Error())
+		r.logger.Error("settings-refused", "error", err.Error())
 		return
 	}
-	f.apply(site)
-	f.logger.Info("settings-reloaded", "changed", true)
+	r.apply(settings)
+	r.logger.Info("settings-reloaded", "changed", true)
 }
--- a/cmd/garnetd/reload_test.go
+++ b/cmd/garnetd/reload_test.go
@@ -15,8 +15,8 @@
 
 const settingsText = "node: n1\nzone: z1\nlisten: {front: '127.0.0.1:1'}\nplatform: {address: '127.0.0.1:2'}\nbounds: {revoke-ms: "
 
-// Story: the platform tells all nodes by SIGHUP that their settings have changed.
-// The nodes were ended by the signal, with all calls in flight.
+// Guards against SIGHUP, by which the platform announces changed settings, ending the node
+// with its calls in flight.
 func TestHangupReloadsSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "boot.yaml")
 	write := func(text string) {
@@ -27,7 +27,7 @@
 	}
 	write(settingsText + "5000}\n")
 	applied := make(chan garnetworks.NodeSettings, 1)
-	f := newSettingsFollower(path, catchHangups(), hclog.NewNullLogger(), func(site garnetworks.NodeSettings) { applied <- site })
+	f := newSettingsReloader(path, notifyHangups(), hclog.NewNullLogger(), func(site garnetworks.NodeSettings) { applied <- site })
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { defer close(ended); f.run(ctx) }()
@@ -42,42 +42,39 @@
 	<-ended
 }
 
-// Story: a settings file is being written while it is read, or holds nonsense. What
-// was in force stays.
-func TestBadSettingsChangeNothing(t *testing.T) {
+// Guards against a partly written or invalid settings file replacing the settings in force.
+func TestInvalidSettingsAreIgnored(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "boot.yaml")
-	f := newSettingsFollower(path, catchHangups(), hclog.NewNullLogger(), func(garnetworks.NodeSettings) { t.Error("applied") })
+	f := newSettingsReloader(path, notifyHangups(), hclog.NewNullLogger(), func(garnetworks.NodeSettings) { t.Error("applied") })
 	defer f.run(stopped())
-	f.read(true)
+	f.reloadIfChanged(true)
 	if err := os.WriteFile(path, []byte("node: ["), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f.read(true)
+	f.reloadIfChanged(true)
 }
 
-// stopped returns a context that has ended.
+// stopped returns a canceled context.
 func stopped() context.Context {
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
 	return ctx
 }
 
-// Story: a node is stopped as planned and finishes its calls. Meanwhile the platform
-// tells all nodes by SIGHUP that their settings have changed. The node no longer caught
-// the signal and was ended by it, half a second into its grace period.
+// Guards against SIGHUP ending a node during its shutdown grace period, with calls in flight.
 func TestHangupDoesNotEndAStoppingNode(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "boot.yaml")
 	if err := os.WriteFile(path, []byte(settingsText+"1000}\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f := newSettingsFollower(path, catchHangups(), hclog.NewNullLogger(), func(garnetworks.NodeSettings) {})
+	f := newSettingsReloader(path, notifyHangups(), hclog.NewNullLogger(), func(garnetworks.NodeSettings) {})
 	stopping, stop := context.WithCancel(t.Context())
 	stop()
 	f.run(stopping)
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	// The signal is delivered before this one returns, or ends the test.
+	// The signal may be delivered after Kill returns; if it isn't caught, it ends the test.
 	for len(f.signal) == 0 {
 		time.Sleep(time.Millisecond)
 	}
--- a/cmd/garnetdemo/standins.go
+++ b/cmd/garnetdemo/standins.go
@@ -14,7 +14,8 @@
 
 var zones = []garnetworks.ZoneID{"zone-a", "zone-b", "zone-c"}
 
-// Sizes of the demonstration.
+// Sizes, rates and delays of the simulated site. weightRate is in bytes per second; every
+// eventGap-th cache event is lost.
 const (
 	region           = "region-1"
 	enginesPerDomain = 4
@@ -30,26 +31,25 @@
 	serviceTime      = 5 * time.Millisecond
 )
 
-// Rates of the object API, as the platform's.
+// Rate limits of the object API, in requests per second.
 const (
 	objectWrites = 300
 	objectReads  = 2000
 )
 
-// standIns is everything outside the entry nodes.
+// standIns holds the simulations of everything outside the entry nodes.
 type standIns struct {
 	engines int
 	key     keymaker.Key
 	fleet   *faker.Fleet
 	service *faker.Service
-	// platforms are the platform as each zone reaches it.
+	// platforms holds each zone's server of the platform.
 	platforms map[garnetworks.ZoneID]*faker.Server
 	control   *faker.Server
 	servers   []*faker.Server
 }
 
-// startStandIns serves the stand-ins with the given number of engines in each
-// zone.
+// startStandIns starts the simulations, with the given number of engines in each zone.
 func startStandIns(engines int) (*standIns, error) {
 	if engines < enginesPerDomain {
 		return nil, errors.Errorf("--engines is %d; %d at least are needed for a replica group", engines, enginesPerDomain)
@@ -82,7 +82,7 @@
 		s.close()
 		return nil, err
 	}
-	if err := s.serveRest(shared, control, list); err != nil {
+	if err := s.serveServiceAndPlatform(shared, control, list); err != nil {
 		s.close()
 		return nil, err
 	}
@@ -94,7 +94,7 @@
 	for _, zone := range zones {
 		for i := range s.engines {
 			e := s.fleet.Add(engineSpec(zone, i))
-			if _, err := s.keep(faker.ServeEngine(e)); err != nil {
+			if _, err := s.track(faker.ServeEngine(e)); err != nil {
 				return err
 			}
 			spec := e.Spec()
@@ -108,10 +108,10 @@
 	return nil
 }
 
-// serveRest serves the plain service, the platform once for each zone, so that
-// a zone can be cut off from it, and the control path.
-func (s *standIns) serveRest(shared *faker.Platform, control *faker.Control, list *faker.InstanceList) error {
-	server, err := s.keep(faker.ServeService(s.service))
+// serveServiceAndPlatform serves the plain service and the control path, and the platform once
+// for each zone, so that a zone can be partitioned from it.
+func (s *standIns) serveServiceAndPlatform(shared *faker.Platform, control *faker.Control, list *faker.InstanceList) error {
+	server, err := s.track(faker.ServeService(s.service))
 	if err != nil {
 		return err
 	}
@@ -120,17 +120,17 @@
 	})
 	for _, zone := range zones {
 		platform := &faker.Platform{Objects: shared.Objects, Instances: shared.Instances, Power: shared.Power, Weights: shared.Weights}
-		if s.platforms[zone], err = s.keep(faker.ServePlatform(platform)); err != nil {
+		if s.platforms[zone], err = s.track(faker.ServePlatform(platform)); err != nil {
 			return err
 		}
 		control.Targets["platform-"+string(zone)] = platform
 	}
-	s.control, err = s.keep(faker.ServeControl(control))
+	s.control, err = s.track(faker.ServeControl(control))
 	return err
 }
 
-// keep remembers a server for close.
-func (s *standIns) keep(server *faker.Server, err error) (*faker.Server, error) {
+// track records a server so that close closes it.
+func (s *standIns) track(server *faker.Server, err error) (*faker.Server, error) {
 	if err != nil {
 		return nil, errors.Wrap(err, "a stand-in can't be served")
 	}
@@ -145,8 +145,8 @@
 	s.fleet.Close()
 }
 
-// engineSpec describes the ith engine of a zone. Every other domain's engines
-// check fencing tokens.
+// engineSpec describes the ith engine of a zone. The engines of every other domain check
+// fencing tokens.
 func engineSpec(zone garnetworks.ZoneID, i int) faker.EngineSpec {
 	domain := i / enginesPerDomain
 	return faker.EngineSpec{
@@ -170,7 +170,7 @@
 
 func checksFencing(domain int) bool { return domain%2 == 0 }
 
-// className returns the class of a domain's engines; a class says whether its
+// className returns the instance class of a domain's engines; the class states whether its
 // instances check fencing tokens.
 func className(domain int) string {
 	if checksFencing(domain) {
@@ -179,10 +179,10 @@
 	return "large-trusting"
 }
 
-// manifest returns a manifest whose cap is below what all engines draw.
+// manifest returns a manifest whose power cap is below what all engines together draw.
 func (s *standIns) manifest() string {
-	const capParts, allParts = 5, 6
-	watts := len(zones)*s.engines*engineWatts*capParts/allParts + serverWatts
+	const capNumerator, capDenominator = 5, 6
+	watts := len(zones)*s.engines*engineWatts*capNumerator/capDenominator + serverWatts
 	var text strings.Builder
 	_, _ = fmt.Fprintf(&text, manifestHead, watts, engineWatts, serverWatts)
 	_, _ = fmt.Fprintf(&text, modelEntry, "chat", weightBytes, enginesPerDomain, className(0), 1, len(zones), 100)
--- a/cmd/garnetlab/main.go
+++ b/cmd/garnetlab/main.go
@@ -1,5 +1,5 @@
-// Command garnetlab replays load patterns against policies of waiting, refusing and
-// placing, and prints what each made of them.
+// Command garnetlab simulates load patterns and losses of engines under policies for
+// queueing, admission, placement and forming groups, and prints the results of each policy.
 package main
 
 import (
@@ -37,8 +37,8 @@
 	}
 }
 
-// selected returns the named patterns, or all of them if none is named.
-func selected[P any](names []string, patterns map[string]P) ([]string, error) {
+// selectNames returns names, which must all be keys of patterns, or all keys if names is empty.
+func selectNames[P any](names []string, patterns map[string]P) ([]string, error) {
 	all := slices.Sorted(maps.Keys(patterns))
 	if len(names) == 0 {
 		return all, nil
@@ -51,10 +51,10 @@
 	return names, nil
 }
 
-// run replays each pattern against each policy.
+// run simulates each selected load pattern under each policy.
 func run(f flags, out io.Writer) error {
 	patterns := experimenter.Patterns()
-	names, err := selected(f.Pattern, patterns)
+	names, err := selectNames(f.Pattern, patterns)
 	if err != nil {
 		return err
 	}
@@ -72,7 +72,7 @@
 				return err
 			}
 			shares[policy] = append(shares[policy], results[""].Share())
-			print(table, name, policy, results, f.Kinds)
+			printResults(table, name, policy, results, f.Kinds)
 		}
 	}
 	if f.Plot != "" {
@@ -83,11 +83,11 @@
 	return table.Flush()
 }
 
-// runGroups replays each pattern of losses against each policy for groups.
+// runGroups simulates each selected pattern of engine losses under each group policy.
 func runGroups(f flags, out io.Writer) error {
 	patterns := experimenter.GroupPatterns()
 	maps.Copy(patterns, experimenter.SharePatterns())
-	names, err := selected(f.Pattern, patterns)
+	names, err := selectNames(f.Pattern, patterns)
 	if err != nil {
 		return err
 	}
@@ -105,7 +105,7 @@
 				return err
 			}
 			results[policy] = result
-			_, _ = fmt.Fprint(table, groupsLine(name, policy, result))
+			_, _ = fmt.Fprint(table, groupsRow(name, policy, result))
 		}
 		if f.Plot != "" {
 			if err := plotGroups(f.Plot, name, results); err != nil {
@@ -116,8 +116,8 @@
 	return table.Flush()
 }
 
-func print(out io.Writer, pattern, policy string, results experimenter.Results, kinds bool) {
-	const median, late, latest = 50, 95, 99
+func printResults(out io.Writer, pattern, policy string, results experimenter.Results, kinds bool) {
+	const median, p95, p99 = 50, 95, 99
 	for _, kind := range slices.Sorted(maps.Keys(results)) {
 		if kind != "" && !kinds {
 			continue
@@ -125,6 +125,6 @@
 		r := results[kind]
 		_, _ = fmt.Fprintf(out, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%.3f\t%d\t%d\t%d\n", pattern, policy, kind,
 			r.Requests, r.OnTime, r.Late, r.Refused, r.Failed, r.Share(),
-			r.FirstEvent.ValueAtQuantile(median), r.FirstEvent.ValueAtQuantile(late), r.FirstEvent.ValueAtQuantile(latest))
+			r.FirstEvent.ValueAtQuantile(median), r.FirstEvent.ValueAtQuantile(p95), r.FirstEvent.ValueAtQuantile(p99))
 	}
 }
--- a/cmd/garnetlab/plot.go
+++ b/cmd/garnetlab/plot.go
@@ -16,14 +16,14 @@
 	"github.com/garnetworks/garnetworks/experimenter"
 )
 
-// Size of a plot on paper.
+// Size of a plot.
 const (
 	plotWidth  = 16 * vg.Centimeter
 	plotHeight = 9 * vg.Centimeter
 )
 
-// plotGroups draws the numbers of serving groups over time, a line for each policy and
-// model, to a file named after the pattern.
+// plotGroups plots the number of serving groups over time, one line per policy and model,
+// to an SVG file named after the pattern.
 func plotGroups(dir, pattern string, results map[string]*experimenter.GroupResult) error {
 	p := plot.New()
 	p.Title.Text = pattern + ": groups that serve"
@@ -32,8 +32,8 @@
 	p.Legend.Left = true
 	var lines []any
 	for _, policy := range slices.Sorted(maps.Keys(results)) {
-		for _, model := range models(results[policy]) {
-			lines = append(lines, policy+", "+string(model), points(results[policy], model))
+		for _, model := range servingModels(results[policy]) {
+			lines = append(lines, policy+", "+string(model), servingPoints(results[policy], model))
 		}
 	}
 	if err := plotutil.AddLines(p, lines...); err != nil {
@@ -43,7 +43,8 @@
 	return errors.Wrapf(p.Save(plotWidth, plotHeight, file), "%s can't be written", file)
 }
 
-// plotLoad draws the share of the worth that each policy earned of each pattern.
+// plotLoad plots, for each policy and pattern, the share of the attainable worth that was
+// earned, to load.svg.
 func plotLoad(dir string, patterns []string, shares map[string][]float64) error {
 	p := plot.New()
 	p.Title.Text = "part of the worth that was earned"
@@ -65,7 +66,7 @@
 	return errors.Wrapf(p.Save(plotWidth, plotHeight, file), "%s can't be written", file)
 }
 
-func models(r *experimenter.GroupResult) []garnetworks.ModelName {
+func servingModels(r *experimenter.GroupResult) []garnetworks.ModelName {
 	names := make(garnetworks.Set[garnetworks.ModelName])
 	for _, s := range r.Samples {
 		for m := range s.Serving {
@@ -75,7 +76,7 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-func points(r *experimenter.GroupResult, model garnetworks.ModelName) plotter.XYs {
+func servingPoints(r *experimenter.GroupResult, model garnetworks.ModelName) plotter.XYs {
 	xys := make(plotter.XYs, 0, len(r.Samples))
 	for _, s := range r.Samples {
 		xys = append(xys, plotter.XY{X: s.At.Seconds(), Y: float64(s.Serving[model])})
@@ -83,9 +84,9 @@
 	return xys
 }
 
-// groupsLine is one line of the table of losses.
-func groupsLine(pattern, policy string, r *experimenter.GroupResult) string {
-	const median, quartile = 50, 75
+// groupsRow returns one tab-separated row of the table that runGroups prints.
+func groupsRow(pattern, policy string, r *experimenter.GroupResult) string {
+	const median, upperQuartile = 50, 75
 	return fmt.Sprintf("%s\t%s\t%d\t%d\t%d\t%d\t%.0f\t%.3f\n", pattern, policy, r.Losses,
-		r.Downtime.ValueAtQuantile(median), r.Downtime.ValueAtQuantile(quartile), r.Downtime.Max(), r.Idle.Seconds(), r.ServedShare)
+		r.Downtime.ValueAtQuantile(median), r.Downtime.ValueAtQuantile(upperQuartile), r.Downtime.Max(), r.Idle.Seconds(), r.ServedShare)
 }
--- a/cmd/garnetload/drive.go
+++ b/cmd/garnetload/drive.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// resultDepth is how many results wait for the collector.
-const resultDepth = 1024
+// resultQueueSize is the capacity of the channel between the calls and the collector.
+const resultQueueSize = 1024
 
-// drive sends the plan's calls when they are due and collects their results.
+// drive sends the plan's calls when they are due and returns the report of their results.
 func drive(ctx context.Context, f flags, p *plan, s *sender, progress io.Writer) *report {
-	results := make(chan result, resultDepth)
+	results := make(chan result, resultQueueSize)
 	report := newReport()
 	var inFlight atomic.Int64
 	collected := make(chan struct{})
@@ -28,8 +28,8 @@
 	return report
 }
 
-// sendAll sends each call at its time, whether or not earlier ones were
-// answered, and waits for the answers.
+// sendAll sends each call when it is due, whether or not earlier calls were answered, and
+// waits for all answers.
 func sendAll(ctx context.Context, f flags, p *plan, s *sender, results chan<- result, inFlight *atomic.Int64) {
 	var calls sync.WaitGroup
 	defer calls.Wait()
@@ -61,11 +61,11 @@
 	}
 }
 
-// collect enters results into the report and prints progress lines.
-func collect(report *report, results <-chan result, every time.Duration, inFlight *atomic.Int64, progress io.Writer) {
+// collect adds results to the report and prints progress lines, until results is closed.
+func collect(report *report, results <-chan result, interval time.Duration, inFlight *atomic.Int64, progress io.Writer) {
 	var tick <-chan time.Time
-	if every > 0 {
-		ticker := time.NewTicker(every)
+	if interval > 0 {
+		ticker := time.NewTicker(interval)
 		defer ticker.Stop()
 		tick = ticker.C
 	}
--- a/cmd/garnetload/plan.go
+++ b/cmd/garnetload/plan.go
@@ -13,14 +13,14 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds of a run.
+// Upper bounds of the flags.
 const (
 	maxDuration = time.Hour
 	maxCount    = 10_000_000
 	maxRate     = 100_000
 )
 
-// class is where a call goes.
+// class says where a call goes; results are reported by class.
 type class string
 
 const (
@@ -32,30 +32,30 @@
 // job is one call of the plan.
 type job struct {
 	number int
-	// due is the time after the start at which the call is to be sent.
+	// due is the offset from the start at which the call is to be sent.
 	due    time.Duration
 	class  class
 	url    string
 	key    string
 	model  string
 	prompt string
-	// idempotencyKey is empty for calls without one. body is that of a call to a
-	// plain service.
+	// idempotencyKey is empty for calls without one. body is set for calls to the plain service
+	// only.
 	idempotencyKey string
 	body           string
 }
 
-// plan makes the calls one after the other. It does no I/O; the same flags make
+// plan generates the calls one after the other. It does no I/O, and the same flags generate
 // the same calls.
 type plan struct {
 	flags
 	random  *rand.Rand
-	keys    mix
-	models  mix
+	keys    weightedChoice
+	models  weightedChoice
 	prefix  []string
 	sent    int
 	elapsed float64
-	// keyed counts the distinct keyed calls.
+	// keyed counts the distinct calls to the plain service.
 	keyed  int
 	direct bool
 }
@@ -64,11 +64,11 @@
 	if err := f.check(); err != nil {
 		return nil, err
 	}
-	keys, err := parseMix("--key", f.Key)
+	keys, err := parseWeightedChoice("--key", f.Key)
 	if err != nil {
 		return nil, err
 	}
-	models, err := parseMix("--model", f.Model)
+	models, err := parseWeightedChoice("--model", f.Model)
 	if err != nil {
 		return nil, err
 	}
@@ -79,7 +79,7 @@
 	return p, nil
 }
 
-// check returns what is wrong with the flags.
+// check returns an error for the first invalid flag or address.
 func (f flags) check() error {
 	bounds := []struct {
 		name     string
@@ -117,7 +117,8 @@
 	return nil
 }
 
-// checkAddress refuses addresses that other people's machines may stand behind.
+// checkAddress rejects addresses other than loopback ones unless --allow-remote is set, so
+// that no load is sent to other people's machines by mistake.
 func (f flags) checkAddress(address string) error {
 	u, err := url.Parse(address)
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") || u.Host == "" {
@@ -132,7 +133,7 @@
 
 // next returns the next call, or false at the end of the plan.
 func (p *plan) next() (job, bool) {
-	p.elapsed += p.gap()
+	p.elapsed += p.arrivalInterval()
 	due := time.Duration(p.elapsed * float64(time.Second))
 	if due > p.Duration || p.sent >= p.limit() {
 		return job{}, false
@@ -140,7 +141,7 @@
 	j := job{number: p.sent, due: due, url: p.URL[p.sent%len(p.URL)], key: p.keys.pick(p.random)}
 	p.sent++
 	if p.random.Float64() < p.ServiceShare {
-		p.service(&j)
+		p.makeServiceCall(&j)
 		return j, true
 	}
 	j.class = classGateway
@@ -151,7 +152,7 @@
 		j.class = classDirect
 	}
 	j.model = p.models.pick(p.random)
-	j.prompt = p.promptOf(j.number)
+	j.prompt = p.makePrompt(j.number)
 	return j, true
 }
 
@@ -162,25 +163,25 @@
 	return p.Count
 }
 
-// gap returns the seconds between two calls. Independent callers arrive as a
-// Poisson process, whose gaps are exponential.
-func (p *plan) gap() float64 {
+// arrivalInterval returns the seconds between two calls. Calls of independent callers arrive as
+// a Poisson process, whose intervals are exponentially distributed.
+func (p *plan) arrivalInterval() float64 {
 	if p.Arrivals == "constant" {
 		return 1 / p.Rate
 	}
 	return p.random.ExpFloat64() / p.Rate
 }
 
-func (p *plan) promptOf(number int) string {
-	own := fill(fmt.Sprintf("call %d of run %d: ", number, p.Seed), p.PromptBytes)
+func (p *plan) makePrompt(number int) string {
+	unique := fill(fmt.Sprintf("call %d of run %d: ", number, p.Seed), p.PromptBytes)
 	if len(p.prefix) == 0 {
-		return own
+		return unique
 	}
-	return p.prefix[p.random.IntN(len(p.prefix))] + own
+	return p.prefix[p.random.IntN(len(p.prefix))] + unique
 }
 
-// service makes the job a call to the plain service.
-func (p *plan) service(j *job) {
+// makeServiceCall makes the job a call to the plain service, possibly a repeated one.
+func (p *plan) makeServiceCall(j *job) {
 	j.class = classService
 	number := p.keyed
 	if p.keyed > 0 && p.random.Float64() < p.Repeat {
@@ -194,32 +195,32 @@
 	}
 }
 
-// fill repeats text up to length bytes.
+// fill repeats text and cuts it to length bytes.
 func fill(text string, length int) string {
 	return strings.Repeat(text, length/len(text)+1)[:length]
 }
 
-// mix is a choice among values by weight.
-type mix struct {
+// weightedChoice picks values at random in proportion to their weights.
+type weightedChoice struct {
 	values  []string
 	weights []float64
 	sum     float64
 }
 
-// parseMix reads value[=weight] texts.
-func parseMix(name string, texts []string) (mix, error) {
-	var m mix
+// parseWeightedChoice parses texts of the form value or value=weight; name is the flag's name.
+func parseWeightedChoice(name string, texts []string) (weightedChoice, error) {
+	var m weightedChoice
 	for _, text := range texts {
 		value, weight := text, 1.0
 		if i := strings.LastIndexByte(text, '='); i >= 0 {
 			w, err := strconv.ParseFloat(text[i+1:], 64)
 			if err != nil || !(w > 0) || math.IsInf(w, 0) {
-				return mix{}, errors.Errorf("%s: bad weight in %q; allowed: a number above 0", name, text)
+				return weightedChoice{}, errors.Errorf("%s: bad weight in %q; allowed: a number above 0", name, text)
 			}
 			value, weight = text[:i], w
 		}
 		if value == "" {
-			return mix{}, errors.Errorf("%s: empty value; allowed: a value, or value=weight", name)
+			return weightedChoice{}, errors.Errorf("%s: empty value; allowed: a value, or value=weight", name)
 		}
 		m.values = append(m.values, value)
 		m.weights = append(m.weights, weight)
@@ -228,7 +229,7 @@
 	return m, nil
 }
 
-func (m mix) pick(random *rand.Rand) string {
+func (m weightedChoice) pick(random *rand.Rand) string {
 	if len(m.values) == 1 {
 		return m.values[0]
 	}
