--- a/cmd/garnetload/sender.go
+++ b/cmd/garnetload/sender.go
@@ -154,7 +154,7 @@
 	request.Header.Set("Authorization", "Bearer "+j.key)
 	request.Header.Set("Content-Type", "application/json")
 	if j.idempotencyKey != "" {
-		request.Header.Set(connector.HeaderKey, j.idempotencyKey)
+		request.Header.Set(connector.HeaderIdempotencyKey, j.idempotencyKey)
 	}
 	return request, nil
 }
--- a/connector/link_test.go
+++ b/connector/link_test.go
@@ -133,7 +133,7 @@
 			t.Fatal(err)
 		}
 		request.Header.Set(HeaderCall, id)
-		request.Header.Set(HeaderKey, id)
+		request.Header.Set(HeaderIdempotencyKey, id)
 		tr := &trace{}
 		return p.transport(address).RoundTrip(request.WithContext(httptrace.WithClientTrace(t.Context(), tr.hooks())))
 	}
--- a/connector/servicecaller.go
+++ b/connector/servicecaller.go
@@ -73,7 +73,7 @@
 		h.Set("Content-Type", call.ContentType)
 	}
 	if call.IdempotencyKey != "" {
-		h.Set(HeaderKey, call.IdempotencyKey)
+		h.Set(HeaderIdempotencyKey, call.IdempotencyKey)
 	}
 	return request, nil
 }
--- a/connector/wire.go
+++ b/connector/wire.go
@@ -25,8 +25,8 @@
 	// HeaderRevision carries an object's revision. On a write, it is the revision that the
 	// object must still have.
 	HeaderRevision = "Garnet-Revision"
-	// HeaderKey carries the caller's idempotency key.
-	HeaderKey = "Idempotency-Key"
+	// HeaderIdempotencyKey carries the caller's idempotency key.
+	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
 // HTTP paths of the platform and the engines.
--- a/exchanger/exchanger.go
+++ b/exchanger/exchanger.go
@@ -90,9 +90,9 @@
 type Upstream struct {
 	// Relays are the addresses of the nodes to ask first, in order.
 	Relays []string
-	// Spares are the addresses of the other nodes of the cell, and of the heads of the region's
-	// other cells.
-	Spares []string
+	// Fallbacks are the addresses of the other nodes of the cell, and of the heads of the
+	// region's other cells.
+	Fallbacks []string
 	// MultipleCells says that the region has several cells, so that data from its reader passes
 	// through two nodes.
 	MultipleCells bool
@@ -111,11 +111,11 @@
 	if len(relays) == 0 {
 		relays = addressesBefore(self, heads)
 	}
-	return Upstream{Relays: relays, Spares: spareAddresses(self, relays, cell, heads), MultipleCells: len(heads) > 1}
+	return Upstream{Relays: relays, Fallbacks: fallbackAddresses(self, relays, cell, heads), MultipleCells: len(heads) > 1}
 }
 
-// spareAddresses returns the addresses in lists without duplicates, self and relays.
-func spareAddresses(self garnetworks.NodeInfo, relays []string, lists ...[]garnetworks.NodeInfo) []string {
+// fallbackAddresses returns the addresses in lists without duplicates, self and relays.
+func fallbackAddresses(self garnetworks.NodeInfo, relays []string, lists ...[]garnetworks.NodeInfo) []string {
 	seen := garnetworks.NewSet(append([]string{self.Address}, relays...)...)
 	var addresses []string
 	for _, n := range slices.Concat(lists...) {
--- a/faker/serve.go
+++ b/faker/serve.go
@@ -285,7 +285,7 @@
 		Path:           r.URL.RequestURI(),
 		ContentType:    r.Header.Get("Content-Type"),
 		Body:           body,
-		IdempotencyKey: r.Header.Get(connector.HeaderKey),
+		IdempotencyKey: r.Header.Get(connector.HeaderIdempotencyKey),
 	}
 	t, err := s.begin(r.Context(), MethodCall)
 	if errors.Is(err, errUnavailable) {
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -56,9 +56,9 @@
 	// ActingPause is the pause of a node that acts on the entries; it is shorter because
 	// each step of forming a group waits for the previous one.
 	ActingPause = 50 * time.Millisecond
-	// AlonePause is the pause of a node that reads from the store itself only because it
+	// IsolatedPause is the pause of a node that reads from the store itself only because it
 	// reaches no other node. It delays by that much when the node learns of a new group.
-	AlonePause = 600 * time.Millisecond
+	IsolatedPause = 600 * time.Millisecond
 	// ResponseMargin is how long after its wait a watch may take to respond.
 	ResponseMargin = 700 * time.Millisecond
 	// ListTimeout limits the time of a list call.
@@ -92,8 +92,8 @@
 	LastResume func(now time.Time) time.Time
 	// Acting reports whether the node acts on the servers that it reads; it may be nil.
 	Acting func() bool
-	// Alone reports whether no other node relies on what this node reads; it may be nil.
-	Alone func() bool
+	// Isolated reports whether no other node relies on what this node reads; it may be nil.
+	Isolated func() bool
 	// Recorder records the changes of the node's view.
 	Recorder garnetworks.Recorder
 	// Random returns values in [0, 1); nil takes the runtime's generator.
@@ -158,8 +158,8 @@
 	if f.options.Acting != nil && f.options.Acting() {
 		return ActingPause
 	}
-	if f.options.Alone != nil && f.options.Alone() {
-		return AlonePause
+	if f.options.Isolated != nil && f.options.Isolated() {
+		return IsolatedPause
 	}
 	return ServersPause
 }
--- a/forwarder/hold_test.go
+++ b/forwarder/hold_test.go
@@ -46,7 +46,7 @@
 			Probe: func(context.Context, garnetworks.Incarnation, bool) garnetworks.CrashState {
 				return garnetworks.CrashProven
 			},
-			Objects: unavailableObjects{}, Reads: func() bool { return false },
+			Objects: unavailableObjects{}, IsReader: func() bool { return false },
 		})
 		ctx, stop := context.WithCancel(t.Context())
 		go func() { _ = quarantine.Run(ctx) }()
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -169,7 +169,7 @@
 	}
 	l.follower = follower.New(follower.Options{
 		Objects: l.peers.relayer, Confirmed: l.peers.relayer.Confirmed, LastResume: clocks.LastResume, Reader: options.Reader, Recorder: events,
-		Acting: func() bool { return l.peers.leading() }, Alone: l.peers.relayer.Isolated,
+		Acting: func() bool { return l.peers.leading() }, Isolated: l.peers.relayer.Isolated,
 	})
 	l.lease, err = leaser.New(leaser.Options{
 		Self: site.Node, Key: leaseKey, Objects: objects, Settings: leaseSettings(), Recorder: events, Zone: site.Zone, MilliCPU: site.MilliCPU,
@@ -185,7 +185,7 @@
 		Demand:      func() map[garnetworks.ModelName]float64 { return l.gateway.OfferedLoad() },
 	})
 	l.quarantine = quarantiner.New(quarantiner.Options{
-		Probe: l.probeIncarnation, Objects: objects, Reads: func() bool { return l.peers.exchanger.IsReader() }, Recorder: events,
+		Probe: l.probeIncarnation, Objects: objects, IsReader: func() bool { return l.peers.exchanger.IsReader() }, Recorder: events,
 		InitialReadDelay: quarantineReadDelay(site),
 	})
 	l.gateway = gateway.New(gateway.Options{
--- a/launcher/peers.go
+++ b/launcher/peers.go
@@ -37,7 +37,7 @@
 }
 
 // newPeers assembles the parts. The caller sets exchanger and leading before use.
-func newPeers(options *Options, objects garnetworks.ObjectAPI, events garnetworks.Recorder, timeline *recorder.Recorder, woke func(time.Time) time.Time, prefixes []string) (*peers, error) {
+func newPeers(options *Options, objects garnetworks.ObjectAPI, events garnetworks.Recorder, timeline *recorder.Recorder, lastResume func(time.Time) time.Time, prefixes []string) (*peers, error) {
 	site := &options.Site
 	p := &peers{
 		timeline: timeline,
@@ -61,7 +61,7 @@
 		Publish: p.distributor.Publish, Hold: p.distributor.Hold,
 		Piggybackers: []tracker.Piggybacker{p.distributor}, Log: log("membership"),
 	})
-	p.relayer = relayer.New(relayer.Options{Objects: objects, Peers: p.client, Relays: p.relays, Fallbacks: p.spares, Chained: p.chained, Woke: woke, Prefixes: prefixes, ApplyTime: site.Bounds.ApplyTime, FirstStart: site.FirstStart})
+	p.relayer = relayer.New(relayer.Options{Objects: objects, Peers: p.client, Relays: p.relays, Fallbacks: p.fallbacks, Chained: p.chained, LastResume: lastResume, Prefixes: prefixes, ApplyTime: site.Bounds.ApplyTime, FirstStart: site.FirstStart})
 	var err error
 	p.server, err = messenger.NewServer(messenger.ServerOptions{Handler: &peerHandler{p}, Clock: timeline, Log: log("peer call")})
 	return p, err
@@ -76,14 +76,14 @@
 	return p.findUpstream().Relays
 }
 
-// spares returns further nodes to ask when neither the relays nor the object API answer; for
-// the lease holder these include the relays.
-func (p *peers) spares() []string {
+// fallbacks returns further nodes to ask when neither the relays nor the object API answer;
+// for the lease holder these include the relays.
+func (p *peers) fallbacks() []string {
 	u := p.findUpstream()
 	if p.leading() {
-		return slices.Concat(u.Relays, u.Spares)
+		return slices.Concat(u.Relays, u.Fallbacks)
 	}
-	return u.Spares
+	return u.Fallbacks
 }
 
 // upstreamEvery is how long the nodes to ask are cached. Each request needs them, and
--- a/quarantiner/keeper.go
+++ b/quarantiner/keeper.go
@@ -123,7 +123,7 @@
 	listed, failures := false, 0
 	sleep(ctx, q.options.InitialReadDelay)
 	for ctx.Err() == nil {
-		if !q.options.Reads() {
+		if !q.options.IsReader() {
 			sleep(ctx, roleCheckInterval)
 			continue
 		}
@@ -251,7 +251,7 @@
 // needsStore reports whether there is anything for this node to write.
 func (q *Quarantiner) needsStore() bool {
 	now := time.Now()
-	reads := q.options.Reads()
+	reads := q.options.IsReader()
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return slices.ContainsFunc(q.storable(), func(content garnetworks.ContentDigest) bool {
--- a/quarantiner/quarantiner.go
+++ b/quarantiner/quarantiner.go
@@ -43,8 +43,8 @@
 	Probe func(ctx context.Context, incarnation garnetworks.Incarnation, unregistered bool) garnetworks.CrashState
 	// Objects is the object API itself, not a cache.
 	Objects garnetworks.ObjectAPI
-	// Reads reports whether the node reads the object API for others, or reaches no other node.
-	Reads func() bool
+	// IsReader reports whether the node reads the object API for others, or reaches no other node.
+	IsReader func() bool
 	// InitialReadDelay is how long a node that starts leaves reading the object to others,
 	// from which it learns the content meanwhile.
 	InitialReadDelay time.Duration
--- a/quarantiner/site_test.go
+++ b/quarantiner/site_test.go
@@ -62,7 +62,7 @@
 	n := &node{info: garnetworks.NodeInfo{ID: garnetworks.NodeID(address), Address: address, Zone: garnetworks.ZoneID(fmt.Sprint(zone)), Region: "r"}}
 	s.mu.Unlock()
 	n.Quarantiner = quarantiner.New(quarantiner.Options{
-		Probe: s.probe, Objects: &nodeObjects{s.objects, s, n}, Reads: func() bool { return n.exchanger.IsReader() },
+		Probe: s.probe, Objects: &nodeObjects{s.objects, s, n}, IsReader: func() bool { return n.exchanger.IsReader() },
 	})
 	n.exchanger = exchanger.New(exchanger.Options{
 		Peers: peerCaller{s, n}, Self: func() garnetworks.NodeInfo { return n.info }, Nodes: func() []garnetworks.NodeInfo { return s.others(n) },
--- a/relayer/follow.go
+++ b/relayer/follow.go
@@ -50,7 +50,7 @@
 // objects to a node that drops them for their age.
 func (r *Relayer) finish(response *garnetworks.FollowResponse, start, confirmed time.Time) (*garnetworks.FollowResponse, error) {
 	now := time.Now()
-	if response.Revision == 0 || !confirmed.After(r.options.Woke(now)) {
+	if response.Revision == 0 || !confirmed.After(r.options.LastResume(now)) {
 		return nil, garnetworks.Errorf(garnetworks.KindNotReady, "the node has no contents confirmed since it started or was last suspended")
 	}
 	if age := now.Sub(confirmed); age >= MaxAge {
--- a/relayer/model_test.go
+++ b/relayer/model_test.go
@@ -146,8 +146,8 @@
 	return nil
 }
 
-// woke returns when the node last resumed from a suspension.
-func (n *modelNode) woke(time.Time) time.Time {
+// lastResume returns when the node last resumed from a suspension.
+func (n *modelNode) lastResume(time.Time) time.Time {
 	var last time.Time
 	now := n.now()
 	for _, f := range n.schedule.faults {
@@ -340,7 +340,7 @@
 		return found
 	}
 	n.relayer = relayer.New(relayer.Options{
-		Objects: objectAPI{modelNode: n}, Peers: n, Woke: n.woke, ApplyTime: applyTime,
+		Objects: objectAPI{modelNode: n}, Peers: n, LastResume: n.lastResume, ApplyTime: applyTime,
 		Prefixes: []string{siteReader{}.RoutingKey(), siteReader{}.ServerPrefix()},
 		Relays: func() []string {
 			if index == sim.schedule.leader {
@@ -350,14 +350,14 @@
 		},
 		Fallbacks: func() []string {
 			if index == sim.schedule.leader {
-				return slices.Concat(upstream().Relays, upstream().Spares)
+				return slices.Concat(upstream().Relays, upstream().Fallbacks)
 			}
-			return upstream().Spares
+			return upstream().Fallbacks
 		},
 		Chained: func() bool { return upstream().MultipleCells }, Random: n.float,
 	})
 	n.follower = follower.New(follower.Options{
-		Objects: n.relayer, Confirmed: n.relayer.Confirmed, LastResume: n.woke, Reader: siteReader{}, Recorder: discardRecorder{}, Alone: n.relayer.Isolated, Random: n.float,
+		Objects: n.relayer, Confirmed: n.relayer.Confirmed, LastResume: n.lastResume, Reader: siteReader{}, Recorder: discardRecorder{}, Isolated: n.relayer.Isolated, Random: n.float,
 	})
 	ctx, n.stop = context.WithCancel(ctx)
 	sim.mu.Lock()
--- a/relayer/relayer.go
+++ b/relayer/relayer.go
@@ -81,8 +81,8 @@
 	Fallbacks func() []string
 	// Chained reports whether followers of this node have followers in turn; it may be nil.
 	Chained func() bool
-	// Woke returns when the instance was last found to have been suspended.
-	Woke func(now time.Time) time.Time
+	// LastResume returns when the instance was last found to have been suspended.
+	LastResume func(now time.Time) time.Time
 	// ApplyTime is the time within which the site expects changes to apply.
 	ApplyTime time.Duration
 	// FirstStart is set when the whole site starts for the first time.
--- a/runner/join.go
+++ b/runner/join.go
@@ -104,7 +104,7 @@
 func (r *Runner) buildCallHandling(options Options) {
 	r.quarantine = quarantiner.New(quarantiner.Options{
 		Probe: r.probeCrash, Objects: r.platform.Objects, Recorder: r.events,
-		Reads: r.committer.IsWatcher, ReadWait: watcher.DefaultWait,
+		IsReader: r.committer.IsWatcher, ReadWait: watcher.DefaultWait,
 		Publish: func(value []byte, revision garnetworks.Revision) {
 			r.publish(garnetworks.Update{Topic: garnetworks.TopicQuarantinedCalls, Version: garnetworks.UpdateVersion{Sequence: uint64(revision)}, Body: value})
 		},
--- a/server/call.go
+++ b/server/call.go
@@ -277,7 +277,7 @@
 		return err
 	}
 	c.report.Service = service
-	key, err := parseIdempotencyKey(c.r.Header.Values(HeaderKey))
+	key, err := parseIdempotencyKey(c.r.Header.Values(HeaderIdempotencyKey))
 	if err != nil {
 		return err
 	}
--- a/server/problem.go
+++ b/server/problem.go
@@ -13,13 +13,13 @@
 
 // Headers of responses; some are trailers of streams.
 const (
-	HeaderOutcome     = "Garnet-Outcome"
-	HeaderCallID      = "Garnet-Call-Id"
-	HeaderErrorKind   = "Garnet-Error-Kind"
-	HeaderReplayed    = "Garnet-Replayed"
-	HeaderKey         = "Idempotency-Key"
-	headerRetryAfter  = "Retry-After"
-	headerContentType = "Content-Type"
+	HeaderOutcome        = "Garnet-Outcome"
+	HeaderCallID         = "Garnet-Call-Id"
+	HeaderErrorKind      = "Garnet-Error-Kind"
+	HeaderReplayed       = "Garnet-Replayed"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	headerRetryAfter     = "Retry-After"
+	headerContentType    = "Content-Type"
 )
 
 // ProblemType is the prefix of the type of problem documents; the error's kind follows.
