--- a/committer/store.go
+++ b/committer/store.go
@@ -89,7 +89,7 @@
 	"the object API holds a lower generation than nodes have applied: its data went back; nothing was written")
 
 // errOutcomeUnknown says that a write of the head may have taken effect.
-func errOutcomeUnknown(cause error) error {
+func outcomeUnknownError(cause error) error {
 	return garnetworks.WrapError(garnetworks.KindOutcomeUnknown, cause,
 		"the answer to the write was lost and the object API can't be read now; ask again with the same commit identifier, it is never committed twice")
 }
@@ -175,7 +175,7 @@
 	}
 	switch {
 	case t.maybeWritten:
-		return errOutcomeUnknown(t.lastErr)
+		return outcomeUnknownError(t.lastErr)
 	case errors.Is(t.lastErr, errStaleHead):
 		return t.lastErr
 	case garnetworks.IsKind(t.lastErr, garnetworks.KindConflict):
--- a/controller/step.go
+++ b/controller/step.go
@@ -27,13 +27,13 @@
 			e.RaiseFloor = s.Term
 			return e
 		}
-		s.begin(o)
+		s.beginTerm(o)
 	}
 	s.detectPause(o.Now)
 	s.startReads(o, &e)
 	switch s.Phase {
 	case PhaseLoading:
-		s.load(o, &e)
+		s.listDomains(o, &e)
 	case PhaseClaiming:
 		s.claim(o, &e)
 	case PhaseActive:
@@ -60,7 +60,7 @@
 	s.lastStep = now
 }
 
-func (s *ZoneState) begin(o Observation) {
+func (s *ZoneState) beginTerm(o Observation) {
 	s.Term = o.Term
 	s.refused = ""
 	s.enter(PhaseLoading, o.Now)
@@ -92,7 +92,7 @@
 	s.changed = true
 }
 
-func (s *ZoneState) load(o Observation, e *Effects) {
+func (s *ZoneState) listDomains(o Observation, e *Effects) {
 	if o.Term == 0 {
 		return
 	}
--- a/former/balance.go
+++ b/former/balance.go
@@ -152,7 +152,7 @@
 				continue
 			}
 			// A single group that is replaced by a single one serves again after a warm start.
-			if one := len(groups) == 1 && candidates[i].ready < 2*m.GroupSize; !one && !r.paysOff(groups, m, free, counts) {
+			if oneForOne := len(groups) == 1 && candidates[i].ready < 2*m.GroupSize; !oneForOne && !r.paysOff(groups, m, free, counts) {
 				continue
 			}
 			if gain := r.reallocationGain(free, groups, m, counts); gain > bestGain {
@@ -325,7 +325,7 @@
 		case GroupModel(s.Membership.Group) == m.Name:
 		case s.Model == m.Name || slices.Contains(s.Staged, m.Name) || r.stagingModel(s) == m.Name:
 			ready++
-		case r.stagingModel(s) == "" && hostDuplicatesMemory(s) && s.Membership.State != garnetworks.MemberJoining:
+		case r.stagingModel(s) == "" && lacksSecondModel(s) && s.Membership.State != garnetworks.MemberJoining:
 			hosts = append(hosts, *s)
 		}
 	}
@@ -340,7 +340,7 @@
 
 // hostDuplicatesMemory reports whether the newest model on the host is the one that the
 // instance has in memory, or the host has none. It is false if the memory is empty.
-func hostDuplicatesMemory(s *garnetworks.RegisteredServer) bool {
+func lacksSecondModel(s *garnetworks.RegisteredServer) bool {
 	return s.Model != "" && (len(s.Staged) == 0 || s.Staged[len(s.Staged)-1] == s.Model)
 }
 
--- a/former/spares.go
+++ b/former/spares.go
@@ -44,7 +44,7 @@
 	}
 	// Empty hosts first, then those that hold only the model in memory.
 	slices.SortFunc(others, func(a, b garnetworks.RegisteredServer) int {
-		return cmp.Or(cmp.Compare(len(a.Staged), len(b.Staged)), compareBool(hostDuplicatesMemory(&b), hostDuplicatesMemory(&a)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(len(a.Staged), len(b.Staged)), compareBool(lacksSecondModel(&b), lacksSecondModel(&a)), cmp.Compare(a.ID, b.ID))
 	})
 	for i := range max(0, missing) {
 		if r.loadsLeft <= 0 {
