--- a/committer/store.go
+++ b/committer/store.go
@@ -52,8 +52,8 @@
 	return object.Value, err
 }
 
-// writeBody stores a commit's manifest body. An existing body must be the same: it is that of
-// an earlier attempt.
+// writeBody stores a commit's manifest body. If a body exists, as after an earlier attempt, it
+// must be the same.
 func (s store) writeBody(ctx context.Context, commitID string, body []byte) error {
 	var err error
 	for range maxAttempts {
@@ -83,27 +83,29 @@
 }
 
 // errStaleHead says that the object API returned a lower generation than the node has
-// applied. With a stale read this passes after a moment, with an object API that was
-// restored from an older copy it does not.
+// applied. After a stale read this passes soon; if the object API was restored from an older
+// copy, it doesn't.
 var errStaleHead = garnetworks.Errorf(garnetworks.KindStaleGeneration,
 	"the object API holds a lower generation than nodes have applied: its data went back; nothing was written")
 
-// errOutcomeUnknown says that a write of the head may have taken effect.
+// outcomeUnknownError returns the error for a write of the head that may have taken effect.
 func outcomeUnknownError(cause error) error {
 	return garnetworks.WrapError(garnetworks.KindOutcomeUnknown, cause,
 		"the answer to the write was lost and the object API can't be read now; ask again with the same commit identifier, it is never committed twice")
 }
 
-// updateHead reads the head and writes the result of edit by a conditional update, and starts
-// over if another writer came first. Edit returns false if nothing is to be written. The
-// result is the head that was written, or the one for which edit returned false.
+// updateHead reads the head, writes the result of edit by a conditional update, and starts over
+// if another writer came first. Edit returns false if nothing is to be written. The result is
+// the head that was written, or the one for which edit returned false.
 //
-// Rule M4: the response of a write can be lost after it took effect, which shows as an error
-// that does not rule out an effect. The next attempt reads the head. If it includes the edit,
-// edit returns false. If it has a newer revision without the edit, another writer came first,
-// and the lost write, which names the old revision, can no longer take effect. If the revision
-// is unchanged, the read may be stale, so nothing is concluded: the write is repeated after the
-// same revision, and conflicts if the lost one took effect.
+// Rule M4: the response of a write can be lost after the write took effect. If an error leaves
+// that possible, the next attempt reads the head:
+//
+//   - If the head includes the edit, edit returns false.
+//   - If it has a newer revision without the edit, another writer came first. The lost write
+//     depends on the old revision and can no longer take effect.
+//   - If its revision is unchanged, the read may be stale. The write is repeated on the same
+//     revision, and conflicts if the lost one took effect.
 func (s store) updateHead(ctx context.Context, edit func(Head) (Head, bool, error)) (headObject, error) {
 	t := &attempts{}
 	for try := range maxAttempts {
@@ -136,7 +138,7 @@
 	return headObject{}, t.finalError(ctx.Err())
 }
 
-// writeHead writes the head if its revision is still after.
+// writeHead writes the head if the stored one is still at the revision after.
 func (s store) writeHead(ctx context.Context, h Head, after garnetworks.Revision) (garnetworks.Revision, error) {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -146,20 +148,20 @@
 // attempts holds what is known about the attempts of one update.
 type attempts struct {
 	lastErr error
-	// maybeWritten says that a write conditional on revision after may have taken effect.
+	// maybeWritten is true if a write conditional on the revision after may have taken effect.
 	maybeWritten bool
 	after        garnetworks.Revision
 }
 
-// observeHead handles the revision of a head that was read. A newer one than that of the
-// uncertain write settles its outcome.
+// observeHead handles the revision of a head that was read. If it is newer than the one on which
+// an uncertain write was conditional, the outcome of that write is known.
 func (t *attempts) observeHead(revision garnetworks.Revision) {
 	if revision > t.after {
 		t.maybeWritten = false
 	}
 }
 
-// observeFailure handles the error of a write after a revision.
+// observeFailure handles the error of a write that was conditional on the revision after.
 func (t *attempts) observeFailure(err error, after garnetworks.Revision) {
 	t.lastErr = err
 	if garnetworks.IsKind(err, garnetworks.KindConflict) || tookNoEffect(err) {
@@ -168,7 +170,8 @@
 	t.maybeWritten, t.after = true, after
 }
 
-// finalError returns the error to report after the last attempt.
+// finalError returns the error to report when updateHead gives up. It uses cause if no attempt
+// has failed.
 func (t *attempts) finalError(cause error) error {
 	if t.lastErr == nil {
 		t.lastErr = cause
@@ -196,7 +199,7 @@
 }
 
 // deleteBodies deletes the bodies of commits and returns the commits whose bodies no longer
-// exist. It does not retry; the next proposal does.
+// exist. Failed deletions are repeated by the next proposal.
 func (s store) deleteBodies(ctx context.Context, commits []string) []string {
 	var deleted []string
 	for _, id := range commits {
--- a/controller/step.go
+++ b/controller/step.go
@@ -46,12 +46,11 @@
 // been paused; steps normally come every Times.Tick.
 const pauseThreshold = 2 * time.Second
 
-// detectPause restarts the measurement of silence after the process was paused.
-//
-// Failure: a resumed holder has only old statuses, takes its own pause for the engines'
-// silence, and yields its lease or counts every member as lost; a zone's only node then
-// leaves the zone without a controller for yieldPeriod. An instance that fell silent during
-// the pause is detected Times.Loss later, as after a change of holder.
+// detectPause restarts the measurement of silence after the process was paused. A resumed
+// holder has only old statuses. Without the restart it would take its own pause for silence of
+// the engines, and yield its lease or count every member as lost; a zone with a single node
+// would then have no controller for yieldPeriod. An instance that fell silent during the pause
+// is detected Times.Loss after the restart, as after a change of holder.
 func (s *ZoneState) detectPause(now time.Time) {
 	if gap := now.Sub(s.lastStep); !s.lastStep.IsZero() && gap > pauseThreshold {
 		s.ListeningSince = now
@@ -126,7 +125,7 @@
 	return nil
 }
 
-// claim writes each object under this term (C1) and then enters PhaseActive.
+// claim writes each object under this term (rule C1) and then enters PhaseActive.
 func (s *ZoneState) claim(o Observation, e *Effects) {
 	if o.Term == 0 {
 		return
@@ -147,9 +146,9 @@
 	case s.Power.MustRead:
 		s.Power.read(o.Now, e)
 	case s.Power.Revision == 0:
-		// There is no power statement: the first one is written once the zone's draw is
-		// known, because the site would read an empty one as a draw of 0. Creating it is
-		// conditional too.
+		// There is no power statement, hence nothing to claim: its creation is conditional on its
+		// absence. It is written once the zone's draw is known, because the site would read an
+		// empty statement as a draw of 0.
 		return true
 	case s.Power.Stored.Term > s.Term:
 		e.RaiseFloor = max(e.RaiseFloor, s.Power.Stored.Term)
@@ -168,7 +167,8 @@
 	case d.MustRead:
 		d.read(o.Now, e)
 	case d.Stored.Term > s.Term:
-		// The lease's record was deleted or restored: its term went back.
+		// The lease's record was deleted or restored from an old copy, so its term is lower than
+		// the stored one.
 		e.RaiseFloor = max(e.RaiseFloor, d.Stored.Term)
 	case d.Stored.Term < s.Term:
 		d.Decided = grouper.Clone(&d.Stored)
@@ -278,7 +278,8 @@
 	}
 }
 
-// OnStatus handles a status that was read directly or that answered an order.
+// OnStatus handles a status that was read directly or that answered an order, unless the known
+// status of the instance was requested at the same time or later.
 func (s *ZoneState) OnStatus(sent time.Time, status garnetworks.EngineStatus, err error) {
 	if err != nil || status.Instance == "" {
 		return
--- a/former/balance.go
+++ b/former/balance.go
@@ -11,21 +11,20 @@
 )
 
 const (
-	// reallocationTimeout bounds the wait for a reallocation. The calls of a closed group
-	// end within their deadlines, the longest usual one being 8 s.
+	// reallocationTimeout bounds a reallocation. It covers the longest usual call deadline, 8 s,
+	// because a closed group finishes its calls before its members can join another.
 	reallocationTimeout = 8 * time.Second
-	// reallocationDowntime is the time for which the capacity of the groups that a
-	// reallocation closes is assumed to be lost, until their calls end and a warm start.
+	// reallocationDowntime is the assumed time from the closing of a group until its members
+	// serve again: its calls end, and the new group starts without loading weights.
 	reallocationDowntime = 4 * time.Second
 	// paybackTime is the time within which paysOff requires a reallocation to recover its cost.
 	paybackTime = 20 * time.Second
 	// minReserve is the number of instances of a domain outside a model's groups that should
-	// hold the model, so that a lost member is replaced without a load even when the spares
-	// are used up.
+	// hold the model, so that a lost member can be replaced without a load even when no spare
+	// is left.
 	minReserve = 8
-	// secondModelLoadFraction is the part of the weight store's concurrent loads that second
-	// models may take. Beyond MaxConcurrentLoads each load slows down; the rest is kept for
-	// the models that a domain lacks.
+	// secondModelLoadFraction is the part of MaxConcurrentLoads that loads of second models may
+	// use. The rest is kept for the models that a domain lacks.
 	secondModelLoadFraction = 0.5
 )
 
@@ -37,8 +36,8 @@
 	deadline time.Time
 }
 
-// utility is the sum over the models of their share of the work times the logarithm of their
-// number of groups. It is highest where the instances are divided in proportion to the shares.
+// utility is the sum over the models of InitialShare times the logarithm of the number of
+// groups. It is highest when the instances are divided in proportion to the shares.
 func utility(profile *garnetworks.EngineProfile, counts map[garnetworks.ModelName]int) float64 {
 	// ungroupedWeight stands in for the number of groups of a model without any.
 	const ungroupedWeight = 0.1
@@ -53,14 +52,12 @@
 // reallocateGroups closes groups whose members complete a group of another model without a
 // load, where that raises the utility. At most one reallocation runs in a domain.
 //
-// Failure: after losses a domain has one instance too few for a large group, while a member
-// of a small group has the large model on its host. The large model lost a group for each
-// such domain, and the small model had more groups than it needed.
-//
-// Failure: the engines of a domain restart with the small model on their hosts and form
-// small groups, none of which has enough members for a large group. So several groups may be
-// closed at once, but in one domain at a time and only if paysOff: without these bounds a
-// single lost engine started reallocations in all domains.
+// This guards against two failures: losses leave a domain one instance short of a large group
+// while a member of a small group has the large model on its host; and the instances of a
+// domain restart and form only small groups, so that no single one has enough members for a
+// large group. The second needs several groups to be closed at once. That is limited to one
+// domain at a time and to reallocations that pay off, because otherwise a single lost instance
+// starts reallocations in all domains.
 func (r *plan) reallocateGroups(free map[garnetworks.DomainID][]garnetworks.RegisteredServer, counts map[garnetworks.ModelName]int) {
 	r.updateReallocations(counts)
 	for _, domain := range r.listedDomains() {
@@ -84,8 +81,8 @@
 	}
 }
 
-// updateReallocations deletes the reallocations that have timed out, and counts the others as
-// if they were complete.
+// updateReallocations deletes the reallocations that have timed out. It changes counts as if
+// the others were complete.
 func (r *plan) updateReallocations(counts map[garnetworks.ModelName]int) {
 	for domain, e := range r.reallocations {
 		if r.now.After(e.deadline) {
@@ -214,8 +211,8 @@
 	return nil
 }
 
-// reallocationGain returns how much more utility a reallocation yields than the groups that
-// the free instances can form without it. Groups that would wait for a load count in neither.
+// reallocationGain returns the utility with the reallocation minus the utility without it. Both
+// include the groups that the remaining instances can form without a load.
 func (r *plan) reallocationGain(free []garnetworks.RegisteredServer, closed []*Group, m *garnetworks.ModelProfile, counts map[garnetworks.ModelName]int) float64 {
 	with, unchanged := maps.Clone(counts), maps.Clone(counts)
 	all := slices.Clone(free)
@@ -231,8 +228,8 @@
 	return utility(r.Profile, with) - utility(r.Profile, unchanged)
 }
 
-// paysOff reports whether a reallocation gains more in paybackTime than its closed groups
-// lose in reallocationDowntime.
+// paysOff reports whether the utility that a reallocation gains during paybackTime exceeds what
+// the closed groups lose during reallocationDowntime.
 func (r *plan) paysOff(closed []*Group, m *garnetworks.ModelProfile, free []garnetworks.RegisteredServer, counts map[garnetworks.ModelName]int) bool {
 	meanwhile := maps.Clone(counts)
 	for _, g := range closed {
@@ -272,13 +269,11 @@
 	})
 }
 
-// stageSecondModels loads a second model onto hosts: onto those of spares, and onto those of
-// members of other models' groups until minReserve instances of each domain outside a model's
-// groups hold it; before the first call onto all of them. It uses what is left of the load
-// budget (rule O5).
-//
-// An instance keeps the model in its memory besides the one on its host, so that a spare can
-// replace a lost member of either model.
+// stageSecondModels loads a second model onto the hosts of instances, so that an instance can
+// replace a lost member of either model without a load. Spares come first; members of other
+// models' groups follow until minReserve instances of the domain outside the model's groups
+// hold it. Before the first call there is no such limit. Afterwards only
+// secondModelLoadFraction of the concurrent loads is available (rule O5).
 func (r *plan) stageSecondModels() {
 	if !r.BeforeFirstCall {
 		r.loadsLeft = min(r.loadsLeft, int(float64(r.Profile.MaxConcurrentLoads)*secondModelLoadFraction)-r.loadsInProgress())
@@ -315,7 +310,7 @@
 	return n
 }
 
-// stageOutsideGroups loads the model onto hosts of a domain that are not in its groups.
+// stageOutsideGroups loads the model onto hosts of instances that are in none of its groups.
 func (r *plan) stageOutsideGroups(servers []garnetworks.RegisteredServer, m *garnetworks.ModelProfile) {
 	ready := 0
 	var hosts []garnetworks.RegisteredServer
@@ -338,14 +333,14 @@
 	}
 }
 
-// hostDuplicatesMemory reports whether the newest model on the host is the one that the
-// instance has in memory, or the host has none. It is false if the memory is empty.
+// lacksSecondModel reports whether the instance has a model in memory and the newest model on
+// its host, if any, is the same one.
 func lacksSecondModel(s *garnetworks.RegisteredServer) bool {
 	return s.Model != "" && (len(s.Staged) == 0 || s.Staged[len(s.Staged)-1] == s.Model)
 }
 
 // stagingModel returns the model that the instance was ordered to load onto its host and does
-// not hold yet, or "" if there is none.
+// not hold yet. It returns "" if there is none or the load has timed out.
 func (r *plan) stagingModel(s *garnetworks.RegisteredServer) garnetworks.ModelName {
 	if model, ok := r.plannedStages[s.Incarnation()]; ok {
 		return model
--- a/gateway/hold.go
+++ b/gateway/hold.go
@@ -13,8 +13,8 @@
 	return garnetworks.QuarantinedError(left)
 }
 
-// endQuarantined answers a quarantined call: as not run only if no attempt may have run (rule
-// W2).
+// endQuarantined answers a quarantined call. The answer says that the call was not run only if
+// no attempt may have run (rule W2).
 func (x *exchange) endQuarantined(mayHaveRun bool, err error) {
 	if mayHaveRun {
 		x.refuseUnanswered(true, garnetworks.KindBackendLost, err)
@@ -23,10 +23,10 @@
 	x.refuse(x.w, x, err)
 }
 
-// reportInterrupted reports an attempt without a whole answer to the quarantine, unless the
-// call's context ended it or the server was known to be leaving: a planned stop interrupts
-// calls that did not cause it. A later incarnation under the server's identifier does not
-// count as leaving; it proves that this one has ended.
+// reportInterrupted reports to the quarantine an attempt that ended without a whole answer. It
+// doesn't if the call's context ended, or if the server is gone or leaving, since a planned stop
+// interrupts calls that did not cause it. A later incarnation of the server is proof that this
+// one ended, so the attempt is reported.
 func (x *exchange) reportInterrupted(incarnation garnetworks.Incarnation, failure *garnetworks.AttemptError) {
 	if x.ctx.Err() != nil || !failure.Phase.Interrupted() {
 		return
