--- a/controller/step.go
+++ b/controller/step.go
@@ -267,12 +267,12 @@
 	s.changed = true
 }
 
-// rateEvery is the interval between reads of the weight store's rate.
-const rateEvery = time.Minute
+// rateInterval is the interval between reads of the weight store's rate.
+const rateInterval = time.Minute
 
 // OnRate handles the weight store's rate.
 func (s *ZoneState) OnRate(now time.Time, rate int64, err error) {
-	s.rateRead.done(now.Add(rateEvery))
+	s.rateRead.done(now.Add(rateInterval))
 	if err == nil {
 		s.StoreRate = rate
 	}
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -59,11 +59,11 @@
 	heapGrowth = 150
 	// sweepEvery is the interval at which unused connections are closed and metrics are
 	// updated.
-	sweepEvery = 2 * time.Second
+	sweepInterval = 2 * time.Second
 	// contendersEvery is the interval at which the lease is told the known nodes, short
 	// enough to replace a lost candidate in time. The first time is firstContendersDelay
 	// after the start, within the lease delay of a starting node.
-	contendersEvery      = 700 * time.Millisecond
+	contendersInterval      = 700 * time.Millisecond
 	firstContendersDelay = 200 * time.Millisecond
 )
 
@@ -195,21 +195,21 @@
 	l.meter.ShowRoutingAge(l.gateway.RoutingAge)
 	l.peers.exchanger = exchanger.New(exchanger.Options{
 		Peers: l.peers.client, Self: l.peers.tracker.Self, Nodes: l.peers.tracker.Peers,
-		Load: l.load, SetPeerLoad: l.setOthers, Suspect: l.former.Suspect, Contents: l.quarantine,
+		Load: l.loadReport, SetPeerLoad: l.setPeerLoad, Suspect: l.former.Suspect, Contents: l.quarantine,
 	})
 	return l, nil
 }
 
-// load returns the node's load report; the lease holder adds the groups known to be lost.
-func (l *Launcher) load() garnetworks.LoadReport {
+// loadReport returns the node's loadReport report; the lease holder adds the groups known to be lost.
+func (l *Launcher) loadReport() garnetworks.LoadReport {
 	report := l.gateway.Load()
 	report.Lost = l.former.Lost()
 	return report
 }
 
-// setOthers passes the other nodes' loads to the gateway, with the groups that this node
+// setPeerLoad passes the other nodes' loads to the gateway, with the groups that this node
 // itself knows to be lost added, since other nodes' reports do not contain them.
-func (l *Launcher) setOthers(others garnetworks.LoadReport, known bool) {
+func (l *Launcher) setPeerLoad(others garnetworks.LoadReport, known bool) {
 	others.Lost = append(slices.Clone(others.Lost), l.former.Lost()...)
 	l.gateway.SetPeerLoad(others, known)
 }
@@ -240,13 +240,13 @@
 	tasks.Go(func() error { return ignoreCancelled(serving, l.follower.Run(serving)) })
 	tasks.Go(func() error { return l.gateway.Run(serving) })
 	tasks.Go(func() error { return l.quarantine.Run(serving) })
-	tasks.Go(func() error { return l.sweep(serving) })
+	tasks.Go(func() error { return l.runPeriodicTasks(serving) })
 	tasks.Go(func() error { return l.peers.run(serving, listeners.Peers) })
 	tasks.Go(func() error { return l.lead(stop) })
 	calls := l.server(l.gateway)
 	calls.IdleTimeout = idleTimeout
-	others := []*http.Server{l.server(l.options.Ready(l.gateway.Ready)), l.server(l.meter.Handler())}
-	for server, listener := range map[*http.Server]net.Listener{calls: listeners.Callers, others[0]: listeners.Ready, others[1]: listeners.Metrics} {
+	otherServers := []*http.Server{l.server(l.options.Ready(l.gateway.Ready)), l.server(l.meter.Handler())}
+	for server, listener := range map[*http.Server]net.Listener{calls: listeners.Callers, otherServers[0]: listeners.Ready, otherServers[1]: listeners.Metrics} {
 		if listener != nil {
 			tasks.Go(func() error { return ignoreClosed(server.Serve(listener)) })
 		}
@@ -258,7 +258,7 @@
 		case <-serving.Done():
 		}
 		end()
-		for _, server := range append(others, calls) {
+		for _, server := range append(otherServers, calls) {
 			_ = server.Close() // the node ends
 		}
 		return nil
@@ -342,9 +342,9 @@
 	}
 }
 
-// sweep does the node's periodic work until ctx ends.
-func (l *Launcher) sweep(ctx context.Context) error {
-	ticker := time.NewTicker(sweepEvery)
+// runPeriodicTasks does the node's periodic work until ctx ends.
+func (l *Launcher) runPeriodicTasks(ctx context.Context) error {
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	contenders := time.NewTicker(firstContendersDelay)
 	defer contenders.Stop()
@@ -354,7 +354,7 @@
 			return nil
 		case <-contenders.C:
 			l.lease.SetContenders(l.peers.tracker.Peers())
-			contenders.Reset(contendersEvery)
+			contenders.Reset(contendersInterval)
 		case now := <-ticker.C:
 			l.options.Sweep(now)
 			l.meter.HeldContents(l.quarantine.Count())
--- a/launcher/peers.go
+++ b/launcher/peers.go
@@ -37,7 +37,7 @@
 }
 
 // newPeers assembles the parts. The caller sets exchanger and leading before use.
-func newPeers(options *Options, objects garnetworks.ObjectAPI, events garnetworks.Recorder, timeline *recorder.Recorder, woke func(time.Time) time.Time, prefixes []string) (*peers, error) {
+func newPeers(options *Options, objects garnetworks.ObjectAPI, events garnetworks.Recorder, timeline *recorder.Recorder, lastResume func(time.Time) time.Time, prefixes []string) (*peers, error) {
 	site := &options.Site
 	p := &peers{
 		timeline: timeline,
@@ -61,7 +61,7 @@
 		Publish: p.distributor.Publish, Hold: p.distributor.Hold,
 		Piggybackers: []tracker.Piggybacker{p.distributor}, Log: log("membership"),
 	})
-	p.relayer = relayer.New(relayer.Options{Objects: objects, Peers: p.client, Relays: p.relays, Fallbacks: p.spares, Chained: p.chained, Woke: woke, Prefixes: prefixes, ApplyTime: site.Bounds.ApplyTime, FirstStart: site.FirstStart})
+	p.relayer = relayer.New(relayer.Options{Objects: objects, Peers: p.client, Relays: p.relays, Fallbacks: p.fallbacks, Chained: p.hasMultipleCells, Woke: lastResume, Prefixes: prefixes, ApplyTime: site.Bounds.ApplyTime, FirstStart: site.FirstStart})
 	var err error
 	p.server, err = messenger.NewServer(messenger.ServerOptions{Handler: &peerHandler{p}, Clock: timeline, Log: log("peer call")})
 	return p, err
@@ -76,9 +76,9 @@
 	return p.findUpstream().Relays
 }
 
-// spares returns further nodes to ask when neither the relays nor the object API answer; for
+// fallbacks returns further nodes to ask when neither the relays nor the object API answer; for
 // the lease holder these include the relays.
-func (p *peers) spares() []string {
+func (p *peers) fallbacks() []string {
 	u := p.findUpstream()
 	if p.leading() {
 		return slices.Concat(u.Relays, u.Spares)
@@ -88,7 +88,7 @@
 
 // upstreamEvery is how long the nodes to ask are cached. Each request needs them, and
 // membership takes longer than that to detect a lost node.
-const upstreamEvery = 300 * time.Millisecond
+const upstreamCacheTime = 300 * time.Millisecond
 
 // cachedUpstream holds the nodes to ask, and when they were determined.
 type cachedUpstream struct {
@@ -97,7 +97,7 @@
 }
 
 func (p *peers) findUpstream() *exchanger.Upstream {
-	if u := p.upstream.Load(); u != nil && time.Since(u.at) < upstreamEvery {
+	if u := p.upstream.Load(); u != nil && time.Since(u.at) < upstreamCacheTime {
 		return &u.Upstream
 	}
 	u := &cachedUpstream{exchanger.FindUpstream(p.tracker.Self(), p.tracker.Peers()), time.Now()}
@@ -105,8 +105,8 @@
 	return &u.Upstream
 }
 
-// chained reports whether what a region's reader knows passes through two nodes.
-func (p *peers) chained() bool { return p.findUpstream().MultipleCells }
+// hasMultipleCells reports whether what a region's reader knows passes through two nodes.
+func (p *peers) hasMultipleCells() bool { return p.findUpstream().MultipleCells }
 
 // run serves and calls other nodes until ctx ends.
 func (p *peers) run(ctx context.Context, listener net.Listener) error {
--- a/tracker/tracker.go
+++ b/tracker/tracker.go
@@ -127,7 +127,7 @@
 	view atomic.Pointer[View]
 	// inFlight is a semaphore for heartbeats in flight.
 	inFlight chan struct{}
-	group    sync.WaitGroup
+	goroutines    sync.WaitGroup
 	// writes counts roster writes; reads counts reads of the object API.
 	writes, reads atomic.Uint64
 }
@@ -167,8 +167,8 @@
 
 // Run runs the tracker until ctx ends and all its goroutines have returned.
 func (t *Tracker) Run(ctx context.Context) {
-	defer t.group.Wait()
-	t.group.Go(func() { t.loadRosters(ctx) })
+	defer t.goroutines.Wait()
+	t.goroutines.Go(func() { t.loadRosters(ctx) })
 	ticker := time.NewTicker(TickInterval)
 	defer ticker.Stop()
 	for {
@@ -209,10 +209,10 @@
 		t.probe(ctx, p)
 	}
 	if patch, ok := d.Write.Get(); ok {
-		t.group.Go(func() { t.writeRoster(ctx, patch) })
+		t.goroutines.Go(func() { t.writeRoster(ctx, patch) })
 	}
 	if d.Reread {
-		t.group.Go(func() { t.reread(ctx) })
+		t.goroutines.Go(func() { t.reread(ctx) })
 	}
 }
 
@@ -231,7 +231,7 @@
 	default:
 		return
 	}
-	t.group.Go(func() {
+	t.goroutines.Go(func() {
 		defer func() { <-t.inFlight }()
 		t.sendHeartbeat(ctx, p)
 	})
