--- a/claimer/mover.go
+++ b/claimer/mover.go
@@ -10,9 +10,10 @@
 // minMoveInterval is the minimum time between two moves to buckets.
 const minMoveInterval = time.Second
 
-// moveToBucket moves the settled records of the fullest bucket out of the shard if it is above
-// its target size. It runs right after a commit, when the cached shard is current. A failure
-// leaves the records in the shard, possibly in both places; readers merge the copies.
+// moveToBucket moves the settled records of the shard's fullest bucket to that bucket's
+// object, if the shard is above its target size. It runs right after a commit, when the cached
+// shard is current. A failure leaves the records in the shard, possibly in both places;
+// readers merge the copies.
 func (w *worker) moveToBucket(ctx context.Context) {
 	now := time.Now()
 	if w.shard == nil || now.Before(w.nextMove) {
@@ -34,8 +35,9 @@
 
 // writeBucket adds records to a bucket and returns the bucket's new revision.
 func (w *worker) writeBucket(ctx context.Context, now time.Time, b int, records []Record) (garnetworks.Revision, error) {
-	// Rule C9: if the shard write after an earlier bucket write failed, the bucket is at a
-	// newer revision than the shard records, so the cached copy is not used.
+	// Rule C9: if an earlier bucket write succeeded and the shard write after it failed, the
+	// bucket's revision is newer than the shard's mark. So the bucket is read, not taken from
+	// the cache.
 	current, err := w.readBucket(ctx, b)
 	if err != nil {
 		return 0, err
@@ -62,7 +64,8 @@
 	return revision, nil
 }
 
-// readBucket reads a bucket; one that does not exist is empty.
+// readBucket reads a bucket. It returns an empty one if the bucket does not exist and the shard
+// has no mark for it. A revision below the mark is an error.
 func (w *worker) readBucket(ctx context.Context, b int) (cachedBucket, error) {
 	object, err := w.get(ctx, bucketKey(w.number, b))
 	if garnetworks.IsKind(err, garnetworks.KindNotFound) && w.shard.Marks[b] == 0 {
@@ -72,7 +75,7 @@
 		return cachedBucket{}, err
 	}
 	if object.Revision < w.shard.Marks[b] {
-		return cachedBucket{}, garnetworks.Errorf(garnetworks.KindObjectAPIDown, "bucket %d/%d went back", w.number, b)
+		return cachedBucket{}, garnetworks.Errorf(garnetworks.KindObjectAPIDown, "bucket %d/%d has a lower revision than the shard's mark", w.number, b)
 	}
 	bucket := &Bucket{}
 	if err := decode(object.Value, bucket); err != nil {
--- a/committer/see.go
+++ b/committer/see.go
@@ -9,7 +9,8 @@
 	"github.com/garnetworks/garnetworks/parser"
 )
 
-// ObserveIncarnation handles the incarnation under which the node has joined.
+// ObserveIncarnation handles the incarnation under which the node joined; a lower one than known
+// is ignored.
 func (s *State) ObserveIncarnation(incarnation uint64) {
 	s.self.Incarnation = max(s.self.Incarnation, incarnation)
 }
@@ -51,7 +52,8 @@
 	s.updateRelays(now)
 }
 
-// updateRelays records which values known from the object API have not been published yet.
+// updateRelays records since when the accepted manifest and the pending proposal, as known from
+// the object API, have been waiting to be published to other nodes.
 func (s *State) updateRelays(now time.Time) {
 	if s.message != nil {
 		s.updateRelay(garnetworks.TopicManifest, uint64(s.message.Generation), now)
@@ -87,7 +89,7 @@
 	s.updateRelays(now)
 }
 
-// ObserveOwnProposal handles a proposal that was proposed through this node.
+// ObserveOwnProposal handles a proposal that an operator made through this node.
 func (s *State) ObserveOwnProposal(p Proposal, body []byte, now time.Time) {
 	s.ownProposal = max(s.ownProposal, p.Number)
 	s.evaluate(proposalMessage{Proposal: p, Manifest: body}, now)
@@ -126,7 +128,8 @@
 	s.updateRelays(now)
 }
 
-// observeZoneReport handles a zone's published report.
+// observeZoneReport merges a zone's published report into the zone's reports. The published
+// roster and reports are replaced only by a newer version.
 func (s *State) observeZoneReport(u garnetworks.Update) {
 	var report garnetworks.ZoneReport
 	if json.Unmarshal(u.Body, &report) != nil || u.Topic != garnetworks.TopicStaged+garnetworks.Topic(report.Zone) {
@@ -170,7 +173,8 @@
 	s.addEvent(garnetworks.EventManifestAccepted, m.Generation, "", "commit "+m.CommitID+" by "+m.Operator)
 }
 
-// evaluate stages or refuses a proposal if it is newer than the last one.
+// evaluate checks a proposal that is newer than the last one and stages it, with the reason if
+// it is refused.
 func (s *State) evaluate(m proposalMessage, now time.Time) {
 	if s.staged != nil && m.Number <= s.staged.Number {
 		return
--- a/committer/store.go
+++ b/committer/store.go
@@ -153,8 +153,8 @@
 	after        garnetworks.Revision
 }
 
-// observeHead handles the revision of a head that was read. If it is newer than the one on which
-// an uncertain write was conditional, the outcome of that write is known.
+// observeHead handles the revision of a head that was read. If it is newer than the one on
+// which an uncertain write was conditional, the outcome of that write is known.
 func (t *attempts) observeHead(revision garnetworks.Revision) {
 	if revision > t.after {
 		t.maybeWritten = false
--- a/controller/send.go
+++ b/controller/send.go
@@ -7,7 +7,7 @@
 	"github.com/garnetworks/garnetworks/grouper"
 )
 
-// sendOrders requests the engine orders that are due and allowed.
+// sendOrders adds the engine orders that are due and allowed to the effects.
 func (p *activeStep) sendOrders() {
 	for _, d := range p.open {
 		for _, order := range grouper.Orders(&d.Decided, p.fresh, p.loads) {
@@ -21,7 +21,9 @@
 	p.readBack()
 }
 
-// maySend enforces rules C2 to C4 and C7.
+// maySend reports whether an order may be sent (rules C2 to C4 and C7). An order whose decision
+// is stored may be sent under the lease. While the lease or the domain's object fails, an order
+// may be sent without the lease if its instance and all members of the group check fencing.
 func (p *activeStep) maySend(d *DomainState, order grouper.AddressedOrder) (withoutLease, ok bool) {
 	written := decisionStored(d, order.Instance)
 	if written && p.o.Term != 0 {
@@ -84,9 +86,9 @@
 	s.OnStatus(sent, status, err)
 }
 
-// readBack requests statuses directly from instances whose own report is needed (C7):
-// those that must confirm their release, those whose newest status the shared table
-// rejects because its token is lower, and silent ones.
+// readBack requests statuses directly from the instances of which a report of their own is
+// needed (rule C7): those that must confirm their release, those whose newest status the
+// shared table rejects because its token is lower, and those without a recent status.
 func (p *activeStep) readBack() {
 	for _, d := range p.sortedDomains() {
 		for n := range d.Decided.Instances {
@@ -122,8 +124,8 @@
 	s.OnStatus(sent, status, err)
 }
 
-// sendPower requests the power orders that are due: only for stored decisions and only
-// under the lease (C2, C5).
+// sendPower adds the power orders that are due to the effects, only for stored decisions and
+// only under the lease (rules C2 and C5).
 func (p *activeStep) sendPower() {
 	if p.o.Term == 0 {
 		return
--- a/controller/step.go
+++ b/controller/step.go
@@ -21,9 +21,9 @@
 			return e
 		}
 		if o.Term <= s.Term {
-			// The decisions made under this term were dropped, including tokens that engines may
-			// hold. Continuing under the same term would issue those tokens again for other
-			// decisions.
+			// The decisions made under this term were dropped, including tokens that engines
+			// may hold. Continuing under the same term would issue those tokens again for
+			// other decisions.
 			e.RaiseFloor = s.Term
 			return e
 		}
@@ -146,9 +146,9 @@
 	case s.Power.MustRead:
 		s.Power.read(o.Now, e)
 	case s.Power.Revision == 0:
-		// There is no power statement, hence nothing to claim: its creation is conditional on its
-		// absence. It is written once the zone's draw is known, because the site would read an
-		// empty statement as a draw of 0.
+		// There is no power statement, hence nothing to claim: its creation is conditional on
+		// its absence. It is written once the zone's draw is known, because the site would
+		// read an empty statement as a draw of 0.
 		return true
 	case s.Power.Stored.Term > s.Term:
 		e.RaiseFloor = max(e.RaiseFloor, s.Power.Stored.Term)
@@ -167,8 +167,8 @@
 	case d.MustRead:
 		d.read(o.Now, e)
 	case d.Stored.Term > s.Term:
-		// The lease's record was deleted or restored from an old copy, so its term is lower than
-		// the stored one.
+		// The lease's record was deleted or restored from an old copy, so its term is lower
+		// than the stored one.
 		e.RaiseFloor = max(e.RaiseFloor, d.Stored.Term)
 	case d.Stored.Term < s.Term:
 		d.Decided = grouper.Clone(&d.Stored)
--- a/former/balance.go
+++ b/former/balance.go
@@ -11,8 +11,9 @@
 )
 
 const (
-	// reallocationTimeout bounds a reallocation. It covers the longest usual call deadline, 8 s,
-	// because a closed group finishes its calls before its members can join another.
+	// reallocationTimeout bounds a reallocation. It covers the longest usual call
+	// deadline, 8 s, because a closed group finishes its calls before its members can join
+	// another.
 	reallocationTimeout = 8 * time.Second
 	// reallocationDowntime is the assumed time from the closing of a group until its members
 	// serve again: its calls end, and the new group starts without loading weights.
--- a/former/dissolution.go
+++ b/former/dissolution.go
@@ -21,9 +21,9 @@
 	case r.abandoned.Has(g.ID) || g.Lost || ok && head.Membership.State == garnetworks.MemberBroken:
 		r.dissolve(g)
 	case !g.Complete || r.hasUnresponsive(g):
-		// Failure: members are cut off from the store or from this node, or the head stops
-		// without notice, and the group keeps serving. Dissolving it would end its calls. A
-		// group that has really lost a member makes no progress.
+		// A group that still makes progress has all its members: they are only cut off from
+		// the store or from this node, or the head stopped without notice. Dissolving the
+		// group would end its calls.
 		if !r.Progressing.Has(g.ID) {
 			r.dissolve(g)
 		}
@@ -38,8 +38,8 @@
 	}
 }
 
-// noMemberLeft reports whether no member has acknowledged that it left the group. The
-// registered entries show that only later.
+// noMemberLeft reports whether no member has acknowledged that it left the group, which the
+// registered entries show only later.
 func (r *plan) noMemberLeft(g *Group) bool {
 	return !slices.ContainsFunc(g.Members, func(s garnetworks.RegisteredServer) bool { return r.membership(&s).Group != g.ID })
 }
@@ -74,9 +74,9 @@
 // membership returns the group that the instance is in, by its entry or by the orders that it
 // was sent since; it is empty if the instance has left the group.
 //
-// Failure: an instance takes an order to join a group that is abandoned a moment later. Its
-// entry lags and shows no group, so that it would be ordered into a second group without
-// having left the first one.
+// The orders count because the entry lags. Otherwise an instance that was ordered into a group
+// that is abandoned a moment later would be ordered into a second group before leaving the
+// first.
 func (r *plan) membership(s *garnetworks.RegisteredServer) garnetworks.Membership {
 	in := s.Membership
 	if joined := r.joined[s.Incarnation()]; joined.Epoch > in.Epoch {
--- a/former/formation.go
+++ b/former/formation.go
@@ -70,9 +70,9 @@
 
 // hasBetterMembers reports whether the group would open sooner with other members.
 //
-// Failure: a member is cut off for some seconds, and an instance that has to load the weights
-// takes its place. The member returns with the weights and stays free, while the rest of the
-// group waits for the load.
+// This prevents a group from waiting for a load without need: a member is cut off for some
+// seconds, an instance that has to load the weights takes its place, and the member returns
+// with the weights.
 func (r *plan) hasBetterMembers(f *formation) bool {
 	m := r.profile(f.model)
 	if m == nil || len(f.loading) == 0 {
@@ -177,8 +177,9 @@
 // findPendingLeaves finds the domains with instances that are ordered to leave by this plan,
 // or were ordered a moment ago and have not acknowledged it.
 //
-// Failure: the members of a broken group acknowledge one after the other. The first few are
-// formed into a group of a smaller model, and the rest are too few to replace the lost group.
+// No group is formed of such a domain's instances yet. The members of a broken group
+// acknowledge one after the other; if the first few formed a group of a smaller model, the
+// rest would be too few to replace the lost group.
 func (r *plan) findPendingLeaves() {
 	r.pendingLeaves = make(garnetworks.Set[garnetworks.DomainID])
 	for i := range r.orders {
--- a/former/former.go
+++ b/former/former.go
@@ -30,9 +30,9 @@
 	// settleTime is how long no further server may have registered before groups are formed
 	// at the site's first start; maxSettleTime bounds that wait.
 	//
-	// Failure: servers register one after the other within some seconds. Groups formed of
-	// the first ones are all of the smallest model, and no domain has enough instances left
-	// for the others.
+	// Servers register one after the other within some seconds. Without the wait, the groups
+	// formed of the first ones are all of the smallest model, and no domain has enough
+	// instances left for the others.
 	settleTime    = 350 * time.Millisecond
 	maxSettleTime = 6 * time.Second
 	// loadRateFraction is the part of the weight store's rate that is used, since delayed
@@ -171,8 +171,9 @@
 
 // replan makes a plan and sets the earliest time of the next one.
 //
-// Failure: a plan was made for each response to an order. At hundreds of engines that took
-// the whole processor, so that responses were handled late and looked like missing ones.
+// Plans are limited in rate because with hundreds of engines a plan for each response to an
+// order would take the whole processor, and responses that are handled late look like missing
+// ones.
 func (f *Former) replan() {
 	began := time.Now()
 	f.needsPlan = false
@@ -193,8 +194,8 @@
 		}
 	}
 	x := f.options.Follower.Index()
-	// Failure: a view from before the lease shows engines as free that the last holder has
-	// ordered into a group since. So a new holder reads the store first.
+	// A new holder reads the store first: a view from before the lease shows engines as free
+	// that the last holder has since ordered into a group.
 	if term == 0 || f.options.Follower.ServersConfirmed().Before(f.leaseSince) || x == nil || !f.options.Follower.Ready() {
 		f.lost.Store(nil)
 		return
--- a/former/orders.go
+++ b/former/orders.go
@@ -58,9 +58,9 @@
 
 // Sent records that an order of the newest plan is sent now.
 //
-// Failure: the times of orders counted from the plan. Where hundreds were due at once, the
-// last ones were sent again, and their instances excluded for not accepting them, before they
-// had been sent at all.
+// An order's time counts from its sending and not from the plan. Otherwise the last of
+// hundreds of orders would be sent again, and their instances excluded for not accepting them,
+// before they had been sent at all.
 func (p *Planner) Sent(now time.Time, o garnetworks.GroupOrder) {
 	switch o.Kind {
 	case garnetworks.GroupStage:
--- a/former/partitions.go
+++ b/former/partitions.go
@@ -9,9 +9,9 @@
 
 // detectPartitions finds the domains whose entries may be missing because of a partition.
 //
-// Failure: an availability zone is cut off and its groups keep serving. Its entries vanish and
-// return one after the other; a partly listed group looked like one that has lost members,
-// and was dissolved when the zone returned.
+// The entries of an availability zone that is cut off vanish and return one after the other,
+// while its groups keep serving. Without this check a partly listed group looks like one that
+// has lost members and is dissolved when the zone returns.
 func (r *plan) detectPartitions() {
 	vanished := make(map[garnetworks.DomainID]int)
 	for id, s := range r.lastServers {
--- a/former/prober.go
+++ b/former/prober.go
@@ -158,8 +158,8 @@
 		f.recordMiss(p.incarnation)
 		return
 	}
-	// Failure: the node pauses and finds the response and the timeout at once. It took the
-	// engine for unresponsive, and its group was abandoned.
+	// A pause of this node makes it find the response and the timeout at once. Such a probe
+	// is repeated, so that the engine's group is not abandoned.
 	if p.took > probeTimeout+localDelay && f.lateProbes[p.incarnation] < maxLateProbes {
 		f.lateProbes[p.incarnation]++
 		f.scheduleProbe(p.incarnation)
--- a/former/spares.go
+++ b/former/spares.go
@@ -10,8 +10,8 @@
 // stageMissing loads models onto the hosts of free instances that could form a group if each
 // of them held the model (rule O7).
 //
-// Failure: a group was ordered with members that had to load its model. Its other members
-// waited for the load and were not available to groups that lost a member meanwhile.
+// In a group that is ordered with members that still have to load the model, the other members
+// wait for the load and are unavailable to groups that lose a member meanwhile.
 func (r *plan) stageMissing() {
 	free := r.free()
 	counts := r.groupCounts()
@@ -100,9 +100,9 @@
 // nextSpareModel returns the model for the next spare of a domain: the one with the fewest
 // spares, and of several the one with the largest share of the work.
 //
-// Failure: spares were divided by the models' shares, so that the larger model got all spares
-// of a domain and each loss in a small group waited for a load. A second loss of one model
-// in a domain is rarer than a first one of another.
+// Dividing the spares by the models' shares would give all spares of a domain to the larger
+// model, so that each loss in a small group waits for a load. A second loss of one model in a
+// domain is rarer than a first one of another.
 func (r *plan) nextSpareModel(held map[garnetworks.ModelName]int) *garnetworks.ModelProfile {
 	var best *garnetworks.ModelProfile
 	for i := range r.Profile.Models {
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -54,21 +54,21 @@
 	// heapFraction is the fraction of the node's memory that the heap may fill before
 	// it is collected more often.
 	heapFraction = 0.6
-	// heapGrowth is the heap's growth between two collections, in percent. The live heap
-	// is small, so frequent collections are cheap and keep the node's memory low.
+	// heapGrowth is the heap's growth between two collections, in percent. The live heap is
+	// small, so collections are cheap and the node's memory stays low.
 	heapGrowth = 150
-	// sweepEvery is the interval at which unused connections are closed and metrics are
+	// sweepInterval is the interval at which unused connections are closed and metrics are
 	// updated.
 	sweepInterval = 2 * time.Second
-	// contendersEvery is the interval at which the lease is told the known nodes, short
+	// contendersInterval is the interval at which the lease is told the known nodes, short
 	// enough to replace a lost candidate in time. The first time is firstContendersDelay
 	// after the start, within the lease delay of a starting node.
-	contendersInterval      = 700 * time.Millisecond
+	contendersInterval   = 700 * time.Millisecond
 	firstContendersDelay = 200 * time.Millisecond
 )
 
-// leaseSettings let another node take the lease over within about 3 s of its holder's loss.
-// Groups that break meanwhile are not repaired.
+// leaseSettings returns the lease's timing. Another node takes the lease over within about 3 s
+// of its holder's loss. Groups that break meanwhile are not repaired until then.
 func leaseSettings() leaser.Settings {
 	return leaser.Settings{
 		Duration:         2400 * time.Millisecond,
@@ -80,20 +80,21 @@
 	}
 }
 
-// firstStartLeaseDelay is how long no node takes the lease after the site's first start:
-// nodes learn of each other meanwhile, and nothing can be ordered until servers have
-// registered. restartLeaseDelay is the same for a node that starts later, for it to learn of
-// the nodes that precede it.
+// firstStartLeaseDelay is the time during which no node takes the lease after the site's first
+// start. The nodes learn of each other meanwhile, and nothing can be ordered until servers have
+// registered. restartLeaseDelay is the same for a node that starts later, so that it learns of
+// the other candidates for the lease first.
 const (
 	firstStartLeaseDelay = 1500 * time.Millisecond
 	restartLeaseDelay    = 250 * time.Millisecond
 )
 
-// firstStartReadDelay is how long a node leaves reading the quarantine records to others at
-// the site's first start. It knows by then which node reads for others, and calls come later.
+// firstStartReadDelay is how long a node doesn't read the quarantine records itself at the
+// site's first start. Afterwards it knows which node reads for others; calls come later still.
 const firstStartReadDelay = 2500 * time.Millisecond
 
-// quarantineReadDelay returns how long a starting node leaves reading those records to others.
+// quarantineReadDelay returns how long a starting node doesn't read the quarantine records
+// itself.
 func quarantineReadDelay(site *garnetworks.NodeSettings) time.Duration {
 	if !site.FirstStart {
 		return 0
@@ -200,22 +201,22 @@
 	return l, nil
 }
 
-// loadReport returns the node's loadReport report; the lease holder adds the groups known to be lost.
+// loadReport returns the node's load and, if it holds the lease, the groups known to be lost.
 func (l *Launcher) loadReport() garnetworks.LoadReport {
 	report := l.gateway.Load()
 	report.Lost = l.former.Lost()
 	return report
 }
 
-// setPeerLoad passes the other nodes' loads to the gateway, with the groups that this node
-// itself knows to be lost added, since other nodes' reports do not contain them.
+// setPeerLoad passes the other nodes' load to the gateway. It adds the groups that this node
+// knows to be lost, since the other nodes' reports do not contain them.
 func (l *Launcher) setPeerLoad(others garnetworks.LoadReport, known bool) {
 	others.Lost = append(slices.Clone(others.Lost), l.former.Lost()...)
 	l.gateway.SetPeerLoad(others, known)
 }
 
-// suspect reports a group that seems to make no progress to the former, which acts if this
-// node holds the lease, and to the other nodes.
+// suspect reports a group that seems to make no progress to the other nodes and to the former,
+// which acts only if this node holds the lease.
 func (l *Launcher) suspect(group garnetworks.GroupID) {
 	l.former.Suspect(group)
 	l.peers.exchanger.Suspect(group)
@@ -342,7 +343,8 @@
 	}
 }
 
-// runPeriodicTasks does the node's periodic work until ctx ends.
+// runPeriodicTasks closes unused connections, updates metrics and tells the lease the known
+// nodes until ctx ends.
 func (l *Launcher) runPeriodicTasks(ctx context.Context) error {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
--- a/launcher/peers.go
+++ b/launcher/peers.go
@@ -67,8 +67,8 @@
 	return p, err
 }
 
-// relays returns the nodes to read the object API through. The lease holder reads it
-// directly: it acts on what it reads, and each relay adds delay.
+// relays returns the nodes to read the object API through. The lease holder has none, because
+// each relay adds delay and it acts on what it reads.
 func (p *peers) relays() []string {
 	if p.leading() {
 		return nil
@@ -76,8 +76,8 @@
 	return p.findUpstream().Relays
 }
 
-// fallbacks returns further nodes to ask when neither the relays nor the object API answer; for
-// the lease holder these include the relays.
+// fallbacks returns the nodes to ask when neither the relays nor the object API answer. For the
+// lease holder these include the relays.
 func (p *peers) fallbacks() []string {
 	u := p.findUpstream()
 	if p.leading() {
@@ -86,11 +86,11 @@
 	return u.Spares
 }
 
-// upstreamEvery is how long the nodes to ask are cached. Each request needs them, and
-// membership takes longer than that to detect a lost node.
+// upstreamCacheTime is how long the result of FindUpstream is cached, since each request needs
+// it. It is shorter than the time that membership takes to detect a lost node.
 const upstreamCacheTime = 300 * time.Millisecond
 
-// cachedUpstream holds the nodes to ask, and when they were determined.
+// cachedUpstream is an upstream and the time at which it was determined.
 type cachedUpstream struct {
 	exchanger.Upstream
 	at time.Time
@@ -105,7 +105,7 @@
 	return &u.Upstream
 }
 
-// hasMultipleCells reports whether what a region's reader knows passes through two nodes.
+// hasMultipleCells reports whether data from the region's reader passes through two nodes.
 func (p *peers) hasMultipleCells() bool { return p.findUpstream().MultipleCells }
 
 // run serves and calls other nodes until ctx ends.
@@ -129,8 +129,8 @@
 	logger.Debug("announced the stop to other nodes")
 }
 
-// peerHandler handles other nodes' requests. A node of such a site accepts no manifests,
-// since its routing comes from the object API.
+// peerHandler handles other nodes' requests. It refuses manifests, since the routing comes from
+// the object API.
 type peerHandler struct{ *peers }
 
 // Heartbeat implements garnetworks.PeerHandler.
--- a/tracker/tracker.go
+++ b/tracker/tracker.go
@@ -53,8 +53,8 @@
 	HeartbeatInterval = time.Second
 	// Neighbours is the number of ring successors that a node sends heartbeats to.
 	Neighbours = 2
-	// RemoteHeartbeatInterval is the time between two heartbeats to other zones,
-	// RemoteHeartbeatIntervalSmall the one in zones with fewer neighbours than Neighbours.
+	// RemoteHeartbeatInterval is the time between two heartbeats to other zones, and
+	// RemoteHeartbeatIntervalSmall the one for nodes with fewer neighbours than Neighbours.
 	RemoteHeartbeatInterval      = 5 * time.Second
 	RemoteHeartbeatIntervalSmall = 2 * time.Second
 	// SuspectAfter is the time without evidence after which a node is suspected.
@@ -70,15 +70,15 @@
 	Candidates = 3
 	// JoinTimeout is the time after which an unlisted node lists itself.
 	JoinTimeout = 10 * time.Second
-	// RereadInterval is the time between two reads of the rosters by a zone.
+	// RereadInterval is the time between two listings of the rosters by one node of a zone.
 	RereadInterval = 60 * time.Second
-	// FirstRereadDelay is the time from a zone's first roster to the next read.
+	// FirstRereadDelay is the time from a zone's first roster to the next listing of rosters.
 	FirstRereadDelay = 3 * time.Second
 	// ProbeTimeout limits one heartbeat.
 	ProbeTimeout = time.Second
 	// StoreTimeout limits one call to the object API.
 	StoreTimeout = 5 * time.Second
-	// TickInterval is the time between two steps of the state.
+	// TickInterval is the time between two periodic steps of the state.
 	TickInterval = 250 * time.Millisecond
 )
 
@@ -94,7 +94,7 @@
 	TakeResponse(ctx context.Context, address string, response *garnetworks.HeartbeatResponse)
 }
 
-// Options configure a Tracker.
+// Options configures a Tracker.
 type Options struct {
 	// Self describes this node. Its incarnation may be raised at the start; Tracker.Self
 	// returns the current description.
@@ -126,8 +126,8 @@
 
 	view atomic.Pointer[View]
 	// inFlight is a semaphore for heartbeats in flight.
-	inFlight chan struct{}
-	goroutines    sync.WaitGroup
+	inFlight   chan struct{}
+	goroutines sync.WaitGroup
 	// writes counts roster writes; reads counts reads of the object API.
 	writes, reads atomic.Uint64
 }
@@ -223,8 +223,8 @@
 	}
 }
 
-// probe sends a heartbeat on its own goroutine. It skips the heartbeat if maxInFlight are
-// in flight; that does not count as a failure.
+// probe sends a heartbeat on its own goroutine. It skips it if maxInFlight heartbeats are in
+// flight; that does not count as a failure.
 func (t *Tracker) probe(ctx context.Context, p Probe) {
 	select {
 	case t.inFlight <- struct{}{}:
