--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -243,7 +243,7 @@
 	tasks.Go(func() error { return l.quarantine.Run(serving) })
 	tasks.Go(func() error { return l.runPeriodicTasks(serving) })
 	tasks.Go(func() error { return l.peers.run(serving, listeners.Peers) })
-	tasks.Go(func() error { return l.lead(stop) })
+	tasks.Go(func() error { return l.formGroups(stop) })
 	calls := l.server(l.gateway)
 	calls.IdleTimeout = idleTimeout
 	otherServers := []*http.Server{l.server(l.options.Ready(l.gateway.Ready)), l.server(l.meter.Handler())}
@@ -313,9 +313,9 @@
 	return Listeners{Callers: callers, Ready: ready, Peers: peers, Metrics: metrics}, nil
 }
 
-// lead forms groups while the node holds the lease, and releases the lease once no order
+// formGroups forms groups while the node holds the lease, and releases the lease once no order
 // is in flight (rule J2).
-func (l *Launcher) lead(stop context.Context) error {
+func (l *Launcher) formGroups(stop context.Context) error {
 	leasing, release := context.WithCancel(context.Background())
 	defer release()
 	var tasks errgroup.Group
