--- a/committer/see.go
+++ b/committer/see.go
@@ -9,8 +9,8 @@
 	"github.com/garnetworks/garnetworks/parser"
 )
 
-// ObserveIncarnation handles the incarnation under which the node joined; a lower one than known
-// is ignored.
+// ObserveIncarnation handles the incarnation under which the node joined. It ignores one that is
+// lower than the known one.
 func (s *State) ObserveIncarnation(incarnation uint64) {
 	s.self.Incarnation = max(s.self.Incarnation, incarnation)
 }
--- a/former/prober.go
+++ b/former/prober.go
@@ -158,8 +158,9 @@
 		f.recordMiss(p.incarnation)
 		return
 	}
-	// A pause of this node makes it find the response and the timeout at once. Such a probe
-	// is repeated, so that the engine's group is not abandoned.
+	// After a pause the node finds the response and the timeout at once. Such a probe is
+	// repeated, up to maxLateProbes times; otherwise the group of a responsive engine would
+	// be abandoned.
 	if p.took > probeTimeout+localDelay && f.lateProbes[p.incarnation] < maxLateProbes {
 		f.lateProbes[p.incarnation]++
 		f.scheduleProbe(p.incarnation)
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -313,8 +313,8 @@
 	return Listeners{Callers: callers, Ready: ready, Peers: peers, Metrics: metrics}, nil
 }
 
-// formGroups forms groups while the node holds the lease, and releases the lease once no order
-// is in flight (rule J2).
+// formGroups runs the lease and the former until stop ends, and then releases the lease once no
+// order is in flight (rule J2).
 func (l *Launcher) formGroups(stop context.Context) error {
 	leasing, release := context.WithCancel(context.Background())
 	defer release()
--- a/launcher/peers.go
+++ b/launcher/peers.go
@@ -67,8 +67,8 @@
 	return p, err
 }
 
-// relays returns the nodes to read the object API through. The lease holder has none, because
-// each relay adds delay and it acts on what it reads.
+// relays returns the nodes to read the object API through. The lease holder reads it
+// directly, because it acts on what it reads and each relay adds delay.
 func (p *peers) relays() []string {
 	if p.leading() {
 		return nil
