--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -54,21 +54,21 @@
 	// heapFraction is the fraction of the node's memory that the heap may fill before
 	// it is collected more often.
 	heapFraction = 0.6
-	// heapGrowth is the heap's growth between two collections, in percent. The live heap
-	// is small, so frequent collections are cheap and keep the node's memory low.
+	// heapGrowth is the heap's growth between two collections, in percent. The live heap is
+	// small, so collections are cheap and the node's memory stays low.
 	heapGrowth = 150
-	// sweepEvery is the interval at which unused connections are closed and metrics are
+	// sweepInterval is the interval at which unused connections are closed and metrics are
 	// updated.
-	sweepEvery = 2 * time.Second
-	// contendersEvery is the interval at which the lease is told the known nodes, short
+	sweepInterval = 2 * time.Second
+	// contendersInterval is the interval at which the lease is told the known nodes, short
 	// enough to replace a lost candidate in time. The first time is firstContendersDelay
 	// after the start, within the lease delay of a starting node.
-	contendersEvery      = 700 * time.Millisecond
+	contendersInterval   = 700 * time.Millisecond
 	firstContendersDelay = 200 * time.Millisecond
 )
 
-// leaseSettings let another node take the lease over within about 3 s of its holder's loss.
-// Groups that break meanwhile are not repaired.
+// leaseSettings returns the lease's timing. Another node takes the lease over within about 3 s
+// of its holder's loss. Groups that break meanwhile are not repaired until then.
 func leaseSettings() leaser.Settings {
 	return leaser.Settings{
 		Duration:         2400 * time.Millisecond,
@@ -80,20 +80,21 @@
 	}
 }
 
-// firstStartLeaseDelay is how long no node takes the lease after the site's first start:
-// nodes learn of each other meanwhile, and nothing can be ordered until servers have
-// registered. restartLeaseDelay is the same for a node that starts later, for it to learn of
-// the nodes that precede it.
+// firstStartLeaseDelay is the time during which no node takes the lease after the site's first
+// start. The nodes learn of each other meanwhile, and nothing can be ordered until servers have
+// registered. restartLeaseDelay is the same for a node that starts later, so that it learns of
+// the other candidates for the lease first.
 const (
 	firstStartLeaseDelay = 1500 * time.Millisecond
 	restartLeaseDelay    = 250 * time.Millisecond
 )
 
-// firstStartReadDelay is how long a node leaves reading the quarantine records to others at
-// the site's first start. It knows by then which node reads for others, and calls come later.
+// firstStartReadDelay is how long a node doesn't read the quarantine records itself at the
+// site's first start. Afterwards it knows which node reads for others; calls come later still.
 const firstStartReadDelay = 2500 * time.Millisecond
 
-// quarantineReadDelay returns how long a starting node leaves reading those records to others.
+// quarantineReadDelay returns how long a starting node doesn't read the quarantine records
+// itself.
 func quarantineReadDelay(site *garnetworks.NodeSettings) time.Duration {
 	if !site.FirstStart {
 		return 0
@@ -195,27 +196,27 @@
 	l.meter.RegisterRoutingAge(l.gateway.RoutingAge)
 	l.peers.exchanger = exchanger.New(exchanger.Options{
 		Peers: l.peers.client, Self: l.peers.tracker.Self, Nodes: l.peers.tracker.Peers,
-		Load: l.load, SetPeerLoad: l.setOthers, Suspect: l.former.Suspect, Contents: l.quarantine,
+		Load: l.loadReport, SetPeerLoad: l.setPeerLoad, Suspect: l.former.Suspect, Contents: l.quarantine,
 	})
 	return l, nil
 }
 
-// load returns the node's load report; the lease holder adds the groups known to be lost.
-func (l *Launcher) load() garnetworks.LoadReport {
+// loadReport returns the node's load and, if it holds the lease, the groups known to be lost.
+func (l *Launcher) loadReport() garnetworks.LoadReport {
 	report := l.gateway.Load()
 	report.Lost = l.former.Lost()
 	return report
 }
 
-// setOthers passes the other nodes' loads to the gateway, with the groups that this node
-// itself knows to be lost added, since other nodes' reports do not contain them.
-func (l *Launcher) setOthers(others garnetworks.LoadReport, known bool) {
+// setPeerLoad passes the other nodes' load to the gateway. It adds the groups that this node
+// knows to be lost, since the other nodes' reports do not contain them.
+func (l *Launcher) setPeerLoad(others garnetworks.LoadReport, known bool) {
 	others.Lost = append(slices.Clone(others.Lost), l.former.Lost()...)
 	l.gateway.SetPeerLoad(others, known)
 }
 
-// suspect reports a group that seems to make no progress to the former, which acts if this
-// node holds the lease, and to the other nodes.
+// suspect reports a group that seems to make no progress to the other nodes and to the former,
+// which acts only if this node holds the lease.
 func (l *Launcher) suspect(group garnetworks.GroupID) {
 	l.former.Suspect(group)
 	l.peers.exchanger.Suspect(group)
@@ -240,13 +241,13 @@
 	tasks.Go(func() error { return ignoreCancelled(serving, l.follower.Run(serving)) })
 	tasks.Go(func() error { return l.gateway.Run(serving) })
 	tasks.Go(func() error { return l.quarantine.Run(serving) })
-	tasks.Go(func() error { return l.sweep(serving) })
+	tasks.Go(func() error { return l.runPeriodicTasks(serving) })
 	tasks.Go(func() error { return l.peers.run(serving, listeners.Peers) })
-	tasks.Go(func() error { return l.lead(stop) })
+	tasks.Go(func() error { return l.formGroups(stop) })
 	calls := l.server(l.gateway)
 	calls.IdleTimeout = idleTimeout
-	others := []*http.Server{l.server(l.options.Ready(l.gateway.Ready)), l.server(l.meter.Handler())}
-	for server, listener := range map[*http.Server]net.Listener{calls: listeners.Callers, others[0]: listeners.Ready, others[1]: listeners.Metrics} {
+	otherServers := []*http.Server{l.server(l.options.Ready(l.gateway.Ready)), l.server(l.meter.Handler())}
+	for server, listener := range map[*http.Server]net.Listener{calls: listeners.Callers, otherServers[0]: listeners.Ready, otherServers[1]: listeners.Metrics} {
 		if listener != nil {
 			tasks.Go(func() error { return ignoreClosed(server.Serve(listener)) })
 		}
@@ -258,7 +259,7 @@
 		case <-serving.Done():
 		}
 		end()
-		for _, server := range append(others, calls) {
+		for _, server := range append(otherServers, calls) {
 			_ = server.Close() // the node ends
 		}
 		return nil
@@ -312,9 +313,9 @@
 	return Listeners{Callers: callers, Ready: ready, Peers: peers, Metrics: metrics}, nil
 }
 
-// lead forms groups while the node holds the lease, and releases the lease once no order
-// is in flight (rule J2).
-func (l *Launcher) lead(stop context.Context) error {
+// formGroups runs the lease and the former until stop ends, and then releases the lease once no
+// order is in flight (rule J2).
+func (l *Launcher) formGroups(stop context.Context) error {
 	leasing, release := context.WithCancel(context.Background())
 	defer release()
 	var tasks errgroup.Group
@@ -342,9 +343,10 @@
 	}
 }
 
-// sweep does the node's periodic work until ctx ends.
-func (l *Launcher) sweep(ctx context.Context) error {
-	ticker := time.NewTicker(sweepEvery)
+// runPeriodicTasks closes unused connections, updates metrics and tells the lease the known
+// nodes until ctx ends.
+func (l *Launcher) runPeriodicTasks(ctx context.Context) error {
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	contenders := time.NewTicker(firstContendersDelay)
 	defer contenders.Stop()
@@ -354,7 +356,7 @@
 			return nil
 		case <-contenders.C:
 			l.lease.SetContenders(l.peers.tracker.Peers())
-			contenders.Reset(contendersEvery)
+			contenders.Reset(contendersInterval)
 		case now := <-ticker.C:
 			l.options.Sweep(now)
 			l.meter.QuarantinedContents(l.quarantine.Count())
--- a/launcher/peers.go
+++ b/launcher/peers.go
@@ -61,14 +61,14 @@
 		Publish: p.distributor.Publish, Hold: p.distributor.Hold,
 		Piggybackers: []tracker.Piggybacker{p.distributor}, Log: log("membership"),
 	})
-	p.relayer = relayer.New(relayer.Options{Objects: objects, Peers: p.client, Relays: p.relays, Fallbacks: p.fallbacks, Chained: p.chained, LastResume: lastResume, Prefixes: prefixes, ApplyTime: site.Bounds.ApplyTime, FirstStart: site.FirstStart})
+	p.relayer = relayer.New(relayer.Options{Objects: objects, Peers: p.client, Relays: p.relays, Fallbacks: p.fallbacks, Chained: p.hasMultipleCells, LastResume: lastResume, Prefixes: prefixes, ApplyTime: site.Bounds.ApplyTime, FirstStart: site.FirstStart})
 	var err error
 	p.server, err = messenger.NewServer(messenger.ServerOptions{Handler: &peerHandler{p}, Clock: timeline, Log: log("peer call")})
 	return p, err
 }
 
 // relays returns the nodes to read the object API through. The lease holder reads it
-// directly: it acts on what it reads, and each relay adds delay.
+// directly, because it acts on what it reads and each relay adds delay.
 func (p *peers) relays() []string {
 	if p.leading() {
 		return nil
@@ -86,18 +86,18 @@
 	return u.Fallbacks
 }
 
-// upstreamEvery is how long the nodes to ask are cached. Each request needs them, and
-// membership takes longer than that to detect a lost node.
-const upstreamEvery = 300 * time.Millisecond
+// upstreamCacheTime is how long the result of FindUpstream is cached, since each request needs
+// it. It is shorter than the time that membership takes to detect a lost node.
+const upstreamCacheTime = 300 * time.Millisecond
 
-// cachedUpstream holds the nodes to ask, and when they were determined.
+// cachedUpstream is an upstream and the time at which it was determined.
 type cachedUpstream struct {
 	exchanger.Upstream
 	at time.Time
 }
 
 func (p *peers) findUpstream() *exchanger.Upstream {
-	if u := p.upstream.Load(); u != nil && time.Since(u.at) < upstreamEvery {
+	if u := p.upstream.Load(); u != nil && time.Since(u.at) < upstreamCacheTime {
 		return &u.Upstream
 	}
 	u := &cachedUpstream{exchanger.FindUpstream(p.tracker.Self(), p.tracker.Peers()), time.Now()}
@@ -105,8 +105,8 @@
 	return &u.Upstream
 }
 
-// chained reports whether what a region's reader knows passes through two nodes.
-func (p *peers) chained() bool { return p.findUpstream().MultipleCells }
+// hasMultipleCells reports whether data from the region's reader passes through two nodes.
+func (p *peers) hasMultipleCells() bool { return p.findUpstream().MultipleCells }
 
 // run serves and calls other nodes until ctx ends.
 func (p *peers) run(ctx context.Context, listener net.Listener) error {
@@ -129,8 +129,8 @@
 	logger.Debug("announced the stop to other nodes")
 }
 
-// peerHandler handles other nodes' requests. A node of such a site accepts no manifests,
-// since its routing comes from the object API.
+// peerHandler handles other nodes' requests. It refuses manifests, since the routing comes from
+// the object API.
 type peerHandler struct{ *peers }
 
 // Heartbeat implements garnetworks.PeerHandler.
