--- a/cmd/garnetdemo/calls.go
+++ b/cmd/garnetdemo/calls.go
@@ -35,7 +35,7 @@
 
 const (
 	samplePrompt = "the pump at well 9 has failed; what was replaced in spring?"
-	sampleTokens = 24
+	sampleTokens = 24 // response tokens
 	callTimeout  = 10 * time.Second
 )
 
--- a/cmd/garnetdemo/standins.go
+++ b/cmd/garnetdemo/standins.go
@@ -18,7 +18,7 @@
 // eventGap-th cache event is lost.
 const (
 	region           = "region-1"
-	enginesPerDomain = 4
+	enginesPerDomain = 4 // engines, also the size of a replica group
 	engineWatts      = 1000
 	serverWatts      = 200
 	weightBytes      = 64 << 20
--- a/cmd/garnetload/plan.go
+++ b/cmd/garnetload/plan.go
@@ -16,8 +16,8 @@
 // Upper bounds of the flags.
 const (
 	maxDuration = time.Hour
-	maxCount    = 10_000_000
-	maxRate     = 100_000
+	maxCount    = 10_000_000 // calls
+	maxRate     = 100_000    // calls per second
 )
 
 // class says where a call goes; results are reported by class.
--- a/connector/link.go
+++ b/connector/link.go
@@ -40,7 +40,7 @@
 	DefaultConnectTimeout    = time.Second
 	DefaultIdleTimeout       = 30 * time.Second
 	DefaultStallTimeout      = 15 * time.Second
-	DefaultMaxIdlePerAddress = 64
+	DefaultMaxIdlePerAddress = 64 // connections
 	DefaultMaxResponseBytes  = 32 << 20
 )
 
--- a/diagnoser/credit.go
+++ b/diagnoser/credit.go
@@ -39,10 +39,10 @@
 // response is worth a quarter. A response token costs an engine about as much time as ten
 // prompt tokens.
 const (
-	defaultOnTime       = 1
-	defaultLate         = 0.25
-	defaultMaxSizeRatio = 4
-	defaultAnswerWeight = 10
+	defaultOnTime       = 1    // credit per response
+	defaultLate         = 0.25 // credit per response
+	defaultMaxSizeRatio = 4    // multiples of the mean size
+	defaultAnswerWeight = 10   // prompt tokens per response token
 )
 
 // DefaultCredits returns credits that weigh all requests alike.
--- a/faker/engine.go
+++ b/faker/engine.go
@@ -47,13 +47,13 @@
 }
 
 const (
-	defaultSlots       = 32
-	defaultQueue       = 64
+	defaultSlots       = 32 // calls in a batch
+	defaultQueue       = 64 // waiting calls
 	defaultFirstToken  = 20 * time.Millisecond
 	defaultPerToken    = 5 * time.Millisecond
-	defaultCacheBlocks = 256
-	maxCacheEvents     = 4096
-	maxPromptBlocks    = 64
+	defaultCacheBlocks = 256  // prefix blocks
+	maxCacheEvents     = 4096 // events kept per engine
+	maxPromptBlocks    = 64   // prefix blocks per prompt
 )
 
 // Engine is a fake model engine on one instance.
--- a/faker/fleet.go
+++ b/faker/fleet.go
@@ -50,7 +50,7 @@
 
 const (
 	defaultSilence = 3 * time.Second
-	maxAttempts    = 1 << 18
+	maxAttempts    = 1 << 18 // recorded calls
 )
 
 // NewFleet returns a fleet without engines. Close stops its goroutines.
--- a/faker/objects.go
+++ b/faker/objects.go
@@ -35,7 +35,7 @@
 	MaxBytes int
 }
 
-const defaultHistory = 4096
+const defaultHistory = 4096 // changes
 
 // Objects is an in-memory object API.
 type Objects struct {
--- a/parser/check.go
+++ b/parser/check.go
@@ -14,14 +14,14 @@
 // Limits of numbers. They are far above what a site needs and prevent overflow in sums
 // and products.
 const (
-	maxNameLength = 63
-	maxCount      = 1_000_000
-	maxGroupSize  = 1024
+	maxNameLength = 63        // bytes
+	maxCount      = 1_000_000 // accelerators, groups or concurrent requests
+	maxGroupSize  = 1024      // instances
 	maxWatts      = 1_000_000_000_000
-	maxPriority   = 1_000_000
+	maxPriority   = 1_000_000 // no unit
 	maxBytes      = 1 << 50
-	maxRate       = 1e12
-	maxHashes     = 8
+	maxRate       = 1e12 // per second or per day, or a cost weight
+	maxHashes     = 8    // key hashes per workspace
 	maxDuration   = 24 * time.Hour
 	maxTimeout    = time.Hour
 )
--- a/router/sketch.go
+++ b/router/sketch.go
@@ -1,6 +1,7 @@
 package router
 
 const (
+	// sketchCells is the number of counters in each of the two rows.
 	sketchCells = 1 << 13
 	// sketchWindow is the number of counted calls at which all counts are halved, so that a
 	// share reflects recent calls.
--- a/router/straggler.go
+++ b/router/straggler.go
@@ -8,6 +8,7 @@
 )
 
 const (
+	// paceWeight is the share of a new measurement in the moving averages, from 0 to 1.
 	paceWeight = 0.2
 	// minPaceSamples is the number of answers from which a pace is reliable.
 	minPaceSamples = 8
--- a/server/request.go
+++ b/server/request.go
@@ -24,9 +24,9 @@
 
 // Limits of a request's fields.
 const (
-	maxStops       = 4
+	maxStops       = 4 // strings
 	maxStopBytes   = 256
-	maxTemperature = 2
+	maxTemperature = 2 // no unit, as in the OpenAI API
 	// defaultTemperature is the default of the OpenAI API.
 	defaultTemperature = 1
 )
